--- /dev/null
+++ b/internal/golden/messages_test.go
@@ -0,0 +1,220 @@
+package golden_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http/httptest"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"sableusher/internal/cell"
+	"sableusher/internal/graph"
+	"sableusher/internal/spill"
+	"sableusher/internal/wire"
+)
+
+// TestWorkerMessages: heartbeats, their answers and commands keep their bytes.
+func TestWorkerMessages(t *testing.T) {
+	notice, grace := 12.5, 0.0
+	checkCBOR(t, "workers.txt", slices.Concat(
+		filled[wire.Report](t, "heartbeat"),
+		filled[wire.TaskReport](t, "task-status"),
+		filled[wire.Orders](t, "heartbeat-answer"),
+		filled[wire.Order](t, "command"),
+		filled[wire.DirectOrders](t, "commands"),
+		filled[wire.Redirect](t, "redirect"),
+		[]message{
+			{"heartbeat/idle", wire.Report{Machine: "vm-1", Address: "10.0.0.1:80", Type: "g8", Zone: "east", Session: 1, Seq: 2, Token: 3, Tasks: []wire.TaskReport{}}},
+			{"heartbeat/notice", wire.Report{Machine: "vm-1", Spot: true, Session: 1 << 40, NoticeS: &notice, Tasks: []wire.TaskReport{
+				{Task: "run-1/0", Attempt: 1, State: wire.TaskFetching},
+				{Task: "run-1/1", Attempt: 1, State: wire.TaskWaiting},
+				{Task: "run-1/2", Attempt: 1, State: wire.TaskRunning},
+				{Task: "run-1/3", Attempt: 1, State: wire.TaskSaving, Saved: true},
+				{Task: "run-1/4", Attempt: 9, State: wire.TaskExited, Cause: wire.CauseStopped, Saved: true},
+			}}},
+			{"heartbeat-answer/none", wire.Orders{Token: 5, Orders: []wire.Order{}}},
+			{"commands/all", wire.DirectOrders{Token: 5, Session: 6, Orders: []wire.Order{
+				{Op: wire.OpStart, Task: "run-1/0", Attempt: 1},
+				{Op: wire.OpStop, Task: "run-1/1", Attempt: 2, GraceS: &grace},
+				{Op: wire.OpForget, Task: "run-1/2", Attempt: 3},
+			}}},
+			{"redirect/other", wire.Redirect{ReportTo: "10.0.0.2:8080"}},
+		},
+	))
+}
+
+// TestStoreMessages: messages of the key-value store keep their bytes.
+func TestStoreMessages(t *testing.T) {
+	value := wire.MustEncode("v")
+	checkCBOR(t, "store.txt", slices.Concat(
+		filled[wire.Row](t, "row"),
+		filled[wire.Rows](t, "rows"),
+		filled[wire.Guard](t, "condition"),
+		filled[wire.Op](t, "change"),
+		filled[wire.Txn](t, "transaction"),
+		filled[wire.TxnResult](t, "transaction-result"),
+		filled[wire.Event](t, "event"),
+		filled[wire.News](t, "watch-answer"),
+		filled[wire.HoldRequest](t, "lease-request"),
+		filled[wire.HoldResult](t, "lease-result"),
+		[]message{
+			{"change/set", wire.Op{Set: "s/j/run-1", Value: value}},
+			{"change/set-with-lease", wire.Op{Set: "s/n/n0", Value: value, Hold: 4}},
+			{"change/delete", wire.Op{Drop: "s/j/run-1"}},
+			{"transaction/compare-and-swap", wire.Txn{Guards: []wire.Guard{{Key: "s/j/run-1", Stamp: 3}, {Key: "s/t/run-1/0001"}},
+				Apply: []wire.Op{{Set: "s/j/run-1", Value: value}, {Drop: "s/t/run-1/0001"}}}},
+			{"transaction/read-only", wire.Txn{Guards: []wire.Guard{}}},
+			{"transaction-result/done", wire.TxnResult{Failed: []string{}, Revision: 8}},
+		},
+	))
+}
+
+// TestUserMessages: a job's description and the answers to its user keep their bytes.
+func TestUserMessages(t *testing.T) {
+	checkCBOR(t, "users.txt", slices.Concat(
+		filled[wire.Spec](t, "description"),
+		filled[wire.Accepted](t, "accepted"),
+		filled[wire.Status](t, "status"),
+		filled[wire.Problem](t, "problem"),
+		[]message{
+			{"description/first-version", arraySpec(16)},
+			{"accepted/pending", wire.Accepted{ID: "run-000412", Status: wire.JobPending}},
+			{"status/running", wire.Status{ID: "run-000412", Status: wire.JobRunning, Done: 3, Running: 4}},
+		},
+	))
+}
+
+// submission is a job as a user sends it, every field given.
+func submission() map[string]any {
+	return map[string]any{"id": "run-000412", "lot": "train", "crew": "vision", "rig": "group", "precedence": "urgent", "hauls": 16,
+		"vcpus": 8.0, "cards": 1.0, "memory_gb": 64.0, "tackle": "img-07", "size_gb": 6.2, "hulls": []string{"g8"}, "harbor": "east",
+		"same_place": true, "spread": true, "standby": true, "reckon_s": 240.0, "landfall_s": 30.0, "stow_s": 4.0, "cutoff_s": 900.0,
+		"awaits": []string{"run-1", "run-2"}, "repeats": 3}
+}
+
+// TestSubmissions: a submission is read into the same description, and refused with the same words.
+func TestSubmissions(t *testing.T) {
+	var out strings.Builder
+	try := func(name string, body []byte) {
+		spec, err := wire.DecodeSpec(body)
+		if err != nil {
+			fmt.Fprintf(&out, "%s: %v\n", name, err)
+			return
+		}
+		fmt.Fprintf(&out, "%s: %x\n", name, wire.MustEncode(spec))
+	}
+	try("every field", wire.MustEncode(submission()))
+	for _, field := range []string{"id", "lot", "crew", "rig", "precedence", "hauls", "vcpus", "cards", "memory_gb", "tackle", "size_gb", "hulls",
+		"harbor", "same_place", "spread", "standby", "reckon_s", "landfall_s", "stow_s", "cutoff_s", "awaits", "repeats"} {
+		body := submission()
+		delete(body, field)
+		try("without "+field, wire.MustEncode(body))
+		for _, value := range []any{"", "nothing", -1, 1e12, []string{}, []string{"a", "a"}, true} {
+			body[field] = value
+			try(fmt.Sprintf("%s = %v", field, value), wire.MustEncode(body))
+		}
+	}
+	try("no map", wire.MustEncode(1))
+	try("nothing", nil)
+	body := submission()
+	body["vcpus"], body["cards"], body["memory_gb"] = 0.0, 0.0, 0.0
+	try("no amount", wire.MustEncode(body))
+	for _, repeats := range []any{nil, 0, 3, -1, 1 << 40, "3"} {
+		body["repeats"] = repeats
+		asked, err := wire.DecodeRepeats(wire.MustEncode(body))
+		if asked != nil {
+			fmt.Fprintf(&out, "repeats = %v: %d\n", repeats, *asked)
+			continue
+		}
+		fmt.Fprintf(&out, "repeats = %v: none, %v\n", repeats, err)
+	}
+	checkText(t, "submissions.txt", out.String())
+}
+
+// TestWords: the words of the protocol that stand for kinds, states, causes and commands are the same.
+func TestWords(t *testing.T) {
+	var messages []message
+	for _, word := range []struct {
+		name  string
+		value any
+	}{
+		{"kind/array", wire.KindArray}, {"kind/gang", wire.KindGang}, {"kind/service", wire.KindService},
+		{"priority/0", wire.PriorityProduction}, {"priority/1", wire.PriorityHigh}, {"priority/2", wire.PriorityNormal}, {"priority/3", wire.PriorityLow},
+		{"job/pending", wire.JobPending}, {"job/running", wire.JobRunning}, {"job/done", wire.JobDone},
+		{"job/cancelled", wire.JobCancelled}, {"job/failed", wire.JobFailed},
+		{"task/fetching", wire.TaskFetching}, {"task/waiting", wire.TaskWaiting}, {"task/running", wire.TaskRunning},
+		{"task/saving", wire.TaskSaving}, {"task/exited", wire.TaskExited},
+		{"cause/done", wire.CauseDone}, {"cause/stopped", wire.CauseStopped}, {"cause/peers", wire.CausePeers}, {"cause/alone", wire.CauseAlone},
+		{"cause/error", wire.CauseError}, {"cause/no-room", wire.CauseNoRoom}, {"cause/busy", wire.CauseBusy}, {"cause/unknown", wire.CauseUnknown},
+		{"command/start", wire.OpStart}, {"command/stop", wire.OpStop}, {"command/forget", wire.OpForget},
+		{"machine/booting", wire.MachineBooting}, {"machine/running", wire.MachineRunning}, {"machine/failed", wire.MachineFailed},
+		{"content-type", wire.ContentType},
+		{"transfer/absent", cell.Absent}, {"transfer/held", cell.Held}, {"transfer/over", cell.Over},
+		{"standing/unknown", cell.Unknown}, {"standing/joined", cell.Joined}, {"standing/doubted", cell.Doubted}, {"standing/lost", cell.Lost},
+		{"standing/draining", cell.Draining}, {"standing/returning", cell.Returning}, {"standing/left", cell.Left},
+	} {
+		messages = append(messages, message{word.name, word.value})
+	}
+	checkCBOR(t, "words.txt", messages)
+	if reflect.TypeOf(wire.Ranks).Kind() != reflect.Int || wire.Ranks != 4 {
+		t.Errorf("%d priorities", wire.Ranks)
+	}
+}
+
+// TestReply: an answer has the same status, type and body.
+func TestReply(t *testing.T) {
+	var out strings.Builder
+	for _, value := range []any{nil, wire.Problem{Error: "no such job"}, func() {}} {
+		w := httptest.NewRecorder()
+		wire.Reply(w, 404, value)
+		fmt.Fprintf(&out, "%d %q %x\n", w.Code, w.Header().Get("Content-Type"), w.Body.Bytes())
+	}
+	checkText(t, "replies.txt", out.String())
+}
+
+// TestCloudMessages: messages of the cloud keep their bytes.
+func TestCloudMessages(t *testing.T) {
+	checkCBOR(t, "cloud.txt", slices.Concat(
+		filled[wire.Catalog](t, "catalog"),
+		filled[wire.Rental](t, "rental"),
+		filled[wire.Fleet](t, "machines"),
+		filled[wire.Listed](t, "listed-machine"),
+		filled[wire.List](t, "list"),
+	))
+}
+
+// TestCellMessages: messages between cells keep their bytes.
+func TestCellMessages(t *testing.T) {
+	checkCBOR(t, "cells.txt", slices.Concat(
+		filled[spill.Message](t, "message"),
+		filled[spill.Ask](t, "question"),
+		filled[spill.Word](t, "answer"),
+		filled[spill.Inventory](t, "inventory"),
+		filled[cell.Digest](t, "digest"),
+		filled[cell.Room](t, "free-machines"),
+		[]message{
+			{"message/question", spill.Message{Cell: "a", From: 1, To: 2, Asks: []spill.Ask{{Number: 4, AtMs: 1_700_000_000_000, Spec: arraySpec(2)}}, Have: []uint64{3}}},
+			{"message/answer", spill.Message{Cell: "b", From: 2, To: 1, Words: []spill.Word{{Number: 3, Status: int(cell.Over), Final: wire.JobDone, Done: 2}}}},
+		},
+	))
+}
+
+// TestGraphFaults: faults of graph files are printed with the same JSON and text.
+func TestGraphFaults(t *testing.T) {
+	fault := graph.Fault{File: "nightly.yaml", Line: 3, Column: 5, Path: "/tasks/3/image", What: "missing"}
+	encoded, err := json.Marshal(fault)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out strings.Builder
+	fmt.Fprintf(&out, "%s\n%s\n", encoded, fault)
+	for _, m := range filled[graph.Graph](t, "graph") {
+		if encoded, err = json.Marshal(m.value); err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&out, "%s %s\n", m.name, encoded)
+	}
+	checkText(t, "graphs.txt", out.String())
+}
--- /dev/null
+++ b/internal/golden/peers_test.go
@@ -0,0 +1,91 @@
+package golden_test
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/reflect/protoreflect"
+
+	"sableusher/internal/peer/peerpb"
+)
+
+// TestPeerMessages: messages between controllers keep their names, field numbers and bytes.
+func TestPeerMessages(t *testing.T) {
+	var out strings.Builder
+	for _, m := range []proto.Message{
+		&peerpb.HeardRequest{}, &peerpb.HeardReply{}, &peerpb.ImagesRequest{}, &peerpb.ImagesReply{}, &peerpb.Image{}, &peerpb.CellMessage{},
+	} {
+		descriptor := m.ProtoReflect().Descriptor()
+		fmt.Fprintf(&out, "message %s\n", descriptor.FullName())
+		for i := range descriptor.Fields().Len() {
+			field := descriptor.Fields().Get(i)
+			fmt.Fprintf(&out, "  field %s %s %s = %d\n", field.Cardinality(), field.Kind(), field.Name(), field.Number())
+		}
+		count := 0
+		fillProto(m.ProtoReflect(), &count)
+		encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&out, "  bytes %x\n", encoded)
+		decoded := m.ProtoReflect().New().Interface()
+		if err := proto.Unmarshal(encoded, decoded); err != nil || !proto.Equal(m, decoded) {
+			t.Errorf("%s: %v was read as %v, %v", descriptor.FullName(), m, decoded, err)
+		}
+		if again, err := (proto.MarshalOptions{Deterministic: true}).Marshal(decoded); err != nil || !bytes.Equal(again, encoded) {
+			t.Errorf("%s: read and written again: %x, %v", descriptor.FullName(), again, err)
+		}
+	}
+	services := peerpb.File_internal_peer_peerpb_peer_proto.Services()
+	for i := range services.Len() {
+		service := services.Get(i)
+		for j := range service.Methods().Len() {
+			method := service.Methods().Get(j)
+			fmt.Fprintf(&out, "method /%s/%s (%s) %s\n", service.FullName(), method.Name(), method.Input().FullName(), method.Output().FullName())
+		}
+	}
+	for _, method := range []string{
+		peerpb.Peer_Heard_FullMethodName, peerpb.Peer_Images_FullMethodName, peerpb.Cells_Exchange_FullMethodName,
+	} {
+		fmt.Fprintf(&out, "path %s\n", method)
+	}
+	checkText(t, "peers.txt", out.String())
+}
+
+// fillProto sets every field to a value of its own.
+func fillProto(m protoreflect.Message, count *int) {
+	fields := m.Descriptor().Fields()
+	for i := range fields.Len() {
+		field := fields.Get(i)
+		if field.IsList() {
+			list := m.Mutable(field).List()
+			for range 2 {
+				list.Append(protoValue(field, list.NewElement, count))
+			}
+			continue
+		}
+		m.Set(field, protoValue(field, func() protoreflect.Value { return m.NewField(field) }, count))
+	}
+}
+
+// protoValue gives a value that a field, or an entry of its list, may have.
+func protoValue(field protoreflect.FieldDescriptor, empty func() protoreflect.Value, count *int) protoreflect.Value {
+	*count++
+	switch field.Kind() {
+	case protoreflect.BoolKind:
+		return protoreflect.ValueOfBool(true)
+	case protoreflect.StringKind:
+		return protoreflect.ValueOfString(fmt.Sprintf("text-%d", *count))
+	case protoreflect.BytesKind:
+		return protoreflect.ValueOfBytes(fmt.Appendf(nil, "bytes-%d", *count))
+	case protoreflect.MessageKind:
+		value := empty()
+		fillProto(value.Message(), count)
+		return value
+	default:
+		panic(fmt.Sprintf("no value for %s", field.Kind()))
+	}
+}
--- /dev/null
+++ b/internal/golden/settings_test.go
@@ -0,0 +1,65 @@
+package golden_test
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"sableusher/internal/config"
+)
+
+// TestSettings: the platform's settings are read from the same names into the same values.
+func TestSettings(t *testing.T) {
+	content, err := os.ReadFile(filepath.Join("testdata", "settings.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	settings, err := config.Parse(content)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out strings.Builder
+	writeByTag(t, &out, "toml", "", reflect.ValueOf(*settings), false)
+	checkText(t, "settings.txt", out.String())
+}
+
+// TestSettingsRefused: a setting that is missing or out of range is refused with the same words.
+func TestSettingsRefused(t *testing.T) {
+	content, err := os.ReadFile(filepath.Join("testdata", "settings.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var out strings.Builder
+	for line := range strings.Lines(string(content)) {
+		name, _, ok := strings.Cut(line, " = ")
+		if !ok {
+			continue
+		}
+		_, err := config.Parse([]byte(strings.Replace(string(content), line, "", 1)))
+		fmt.Fprintf(&out, "without %s: %v\n", strings.TrimSpace(line), err)
+		if strings.Contains(line, "\"") {
+			continue
+		}
+		_, err = config.Parse([]byte(strings.Replace(string(content), line, name+" = -1\n", 1)))
+		fmt.Fprintf(&out, "%s = -1: %v\n", name, err)
+	}
+	checkText(t, "settings_refused.txt", out.String())
+}
+
+// TestOperatorSettings: the operators' settings are read from the same names into the same values.
+func TestOperatorSettings(t *testing.T) {
+	var out strings.Builder
+	for _, file := range []string{"", "testdata/operator.xml", "../../deploy/cells.xml", "../../deploy/classes.xml", "../../deploy/zones.xml"} {
+		settings, err := config.LoadOperator(file)
+		if err != nil {
+			t.Fatalf("%s: %v", file, err)
+		}
+		everyField := file == "testdata/operator.xml"
+		fmt.Fprintf(&out, "file %q\n", file)
+		writeByTag(t, &out, "xml", "", reflect.ValueOf(*settings), !everyField)
+	}
+	checkText(t, "operator.txt", out.String())
+}
