--- a/internal/fleet/late_test.go
+++ b/internal/fleet/heartbeat_test.go
@@ -15,13 +15,13 @@
 	"sableusher/internal/world"
 )
 
-// TestLateCopies delivers reports of a worker's sessions late, twice and out of order, while its
+// TestDelayedHeartbeatCopies delivers reports of a worker's sessions late, twice and out of order, while its
 // part changes hands and what is known of its machine goes with it. Only what is newer than all
 // before counts: as word of the machine, as a session to be recorded, as a fate.
-func TestLateCopies(t *testing.T) {
+func TestDelayedHeartbeatCopies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k := newDesk(tuning.LevelCertain)
-		m := k.machine(0)
+		k := newRegistryFixture(tuning.LevelCertain)
+		m := k.addMachine(0)
 		ref := world.TaskRef{Job: "run-1"}
 		b := world.Binding{Ref: ref, Attempt: 2, Session: 2}
 		type id struct{ session, seq uint64 }
@@ -32,11 +32,11 @@
 				// The part goes to the other node and comes back under a higher token.
 				for _, owner := range []string{"b", "a"} {
 					token, stamp = token+1, stamp+1
-					k.world.Begin()
-					k.world.Put(world.PartKey(0), wire.MustEncode(world.PartRecord{Owner: owner, Inc: 1, Token: token}), stamp)
-					k.world.Flush()
+					k.state.Begin()
+					k.state.Put(world.PartKey(0), wire.MustEncode(world.PartRecord{Owner: owner, Inc: 1, Token: token}), stamp)
+					k.state.Flush()
 					if rapid.Bool().Draw(t, "swept") {
-						k.sweep()
+						k.removeExpired()
 					}
 				}
 			}
@@ -50,25 +50,25 @@
 			if now.session == 2 && now.seq > 3 { // done in its second session, and not known to the third
 				r.Tasks = []wire.TaskReport{{Task: ref.String(), Attempt: 2, State: wire.TaskExited, Cause: wire.CauseDone}}
 			}
-			before := k.Look(m, token)
-			status, _ := k.Beat(r)
+			before := k.MachineStatus(m, token)
+			status, _ := k.HandleHeartbeat(r)
 			if old != (status == http.StatusServiceUnavailable) {
 				t.Fatalf("%v after %v: %d", now, newest, status)
 			}
 			if old {
-				if after := k.Look(m, token); after != before {
+				if after := k.MachineStatus(m, token); after != before {
 					t.Fatalf("%v after %v told %+v, before %+v", now, newest, after, before)
 				}
 				continue
 			}
 			newest, seen = now, r.Token
-			for name, rep := range k.Adoptions() {
+			for name, rep := range k.TakeAdoptions() {
 				if name == m && (rep.Session < newest.session) {
 					t.Fatalf("session %d is recorded, %d was heard", rep.Session, newest.session)
 				}
 			}
-			fate := k.Fate(b, m, token).Fate
-			if fate == Lost && newest.session <= 2 || fate == Exited && (newest.session != 2 || newest.seq <= 3) || fate == Absent && r.Token != token {
+			fate := k.ObserveTask(b, m, token).Presence
+			if fate == PresenceSessionEnded && newest.session <= 2 || fate == PresenceExited && (newest.session != 2 || newest.seq <= 3) || fate == PresenceAbsent && r.Token != token {
 				t.Fatalf("fate %v after %v under token %d of %d", fate, newest, r.Token, token)
 			}
 		}
@@ -77,16 +77,16 @@
 
 // TestSessionOnRecord: a process that has heard of nobody yet knows from the records which sessions
 // are over.
-func TestSessionOnRecord(t *testing.T) {
-	k := newDesk(tuning.LevelCertain)
-	m := k.machine(0)
-	k.world.Begin()
-	k.world.Put(world.MachineKey(m), wire.MustEncode(world.MachineRecord{Type: "m", Zone: "z", Address: "10.1.0.1:9000", Up: true, Session: 4}), 2)
-	k.world.Flush()
-	if status, _ := k.Beat(&wire.Report{Machine: m, Session: 3, Seq: 90, Token: 5}); status != http.StatusServiceUnavailable || len(k.HeardOf([]string{m})) > 0 {
+func TestHeartbeatOfSessionBeforeRecord(t *testing.T) {
+	k := newRegistryFixture(tuning.LevelCertain)
+	m := k.addMachine(0)
+	k.state.Begin()
+	k.state.Put(world.MachineKey(m), wire.MustEncode(world.MachineRecord{Type: "m", Zone: "z", Address: "10.1.0.1:9000", Up: true, Session: 4}), 2)
+	k.state.Flush()
+	if status, _ := k.HandleHeartbeat(&wire.Report{Machine: m, Session: 3, Seq: 90, Token: 5}); status != http.StatusServiceUnavailable || len(k.RecentlyHeard([]string{m})) > 0 {
 		t.Errorf("a copy out of an earlier session counts: %d", status)
 	}
-	if status, _ := k.Beat(&wire.Report{Machine: m, Session: 4, Seq: 1, Token: 5}); status != http.StatusOK {
+	if status, _ := k.HandleHeartbeat(&wire.Report{Machine: m, Session: 4, Seq: 1, Token: 5}); status != http.StatusOK {
 		t.Errorf("the session on record: %d", status)
 	}
 }
@@ -95,37 +95,37 @@
 // until it is known to hear again: by an answer to a command, or by a report that came to this
 // node next after one that this node had answered. Its reports alone once made it look ready after
 // each of them, and one task after the other was bound to it and waited for its lease to end.
-func TestDeafMachine(t *testing.T) {
+func TestInboundLostMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := newDesk(tuning.LevelCertain)
-		m := k.machine(0)
+		k := newRegistryFixture(tuning.LevelCertain)
+		m := k.addMachine(0)
 		usable := func(what string, want bool) {
 			t.Helper()
-			if got := k.Look(m, 5).Usable; got != want {
+			if got := k.MachineStatus(m, 5).Schedulable; got != want {
 				t.Errorf("%s: usable %v", what, got)
 			}
 		}
 		report := func(seq uint64) {
-			k.fresh = time.Now()
-			k.report(m, seq, 5)
+			k.confirmedAt = time.Now()
+			k.heartbeat(m, seq, 5)
 		}
 		report(1)
 		report(2)
 		usable("it stayed", true)
 		time.Sleep(time.Second)
 		k.mu.Lock()
-		k.machines[m].unheard(time.Now())
+		k.machines[m].recordCommandFailure(time.Now())
 		k.mu.Unlock()
 		usable("a command was lost", false)
 		for seq := uint64(4); seq < 20; seq += 3 { // the reports between went to other nodes
 			time.Sleep(10 * time.Second)
 			report(seq)
 			usable("it was heard", false)
-			if len(k.kicks) == 0 {
+			if len(k.dispatchQueue) == 0 {
 				t.Error("it is not asked")
 			}
-			drain(k.kicks)
-			if !k.Look(m, 5).Deaf {
+			drainQueue(k.dispatchQueue)
+			if !k.MachineStatus(m, 5).InboundLost {
 				t.Error("it does not count as deaf")
 			}
 		}
@@ -137,79 +137,79 @@
 	})
 }
 
-// drain empties a queue.
-func drain(c chan string) {
+// drainQueue empties a queue.
+func drainQueue(c chan string) {
 	for len(c) > 0 {
 		<-c
 	}
 }
 
-// answers stands in for workers that answer direct commands.
-type answers func() wire.Report
+// answeringTransport stands in for workers that answer direct commands.
+type answeringTransport func() wire.Report
 
-func (a answers) RoundTrip(*http.Request) (*http.Response, error) {
+func (a answeringTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(wire.MustEncode(a())))}, nil
 }
 
 // TestMuteMachine: a worker whose reports reach no node answers commands. For some time it is ready, as one
 // report may be lost; then it is mute: nothing more starts there, until a report of it comes. A session that
 // only its answer tells of is recorded, since others bind to the one on record.
-func TestMuteMachine(t *testing.T) {
+func TestOutboundLostMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := newDesk(tuning.LevelCertain)
-		m := k.machine(0)
+		k := newRegistryFixture(tuning.LevelCertain)
+		m := k.addMachine(0)
 		seq, session := uint64(3), uint64(1)
-		k.http = &http.Client{Transport: answers(func() wire.Report {
+		k.httpClient = &http.Client{Transport: answeringTransport(func() wire.Report {
 			seq++
 			return wire.Report{Machine: m, Address: "10.1.0.1:9000", Session: session, Seq: seq, Token: 5}
 		})}
 		look := func(what string, usable, mute bool) {
 			t.Helper()
-			if s := k.Look(m, 5); s.Usable != usable || s.Mute != mute {
-				t.Errorf("%s: usable %v, mute %v", what, s.Usable, s.Mute)
+			if s := k.MachineStatus(m, 5); s.Schedulable != usable || s.OutboundLost != mute {
+				t.Errorf("%s: usable %v, mute %v", what, s.Schedulable, s.OutboundLost)
 			}
 		}
-		k.fresh = time.Now()
-		k.report(m, 1, 5)
-		k.report(m, 2, 5)
+		k.confirmedAt = time.Now()
+		k.heartbeat(m, 1, 5)
+		k.heartbeat(m, 2, 5)
 		start := time.Now()
 		ask := func(d time.Duration) {
 			time.Sleep(d)
-			k.fresh = time.Now()
-			k.send(t.Context(), m)
+			k.confirmedAt = time.Now()
+			k.dispatch(t.Context(), m)
 		}
 		look("it reported", true, false)
 		ask(8 * time.Second)
 		look("one report is overdue", true, false)
 		ask(8 * time.Second)
 		look("more are", false, true)
-		if s := k.Look(m, 5); !s.Lapse.Equal(start.Add(k.set.Lease())) || !s.OneWay.Equal(start) {
-			t.Errorf("its lease ends at %v, mute since %v", s.Lapse.Sub(start), s.OneWay.Sub(start))
+		if s := k.MachineStatus(m, 5); !s.LeaseExpiry.Equal(start.Add(k.settings.Lease())) || !s.OneWaySince.Equal(start) {
+			t.Errorf("its lease ends at %v, mute since %v", s.LeaseExpiry.Sub(start), s.OneWaySince.Sub(start))
 		}
-		if a := k.Adoptions(); len(a) > 0 {
+		if a := k.TakeAdoptions(); len(a) > 0 {
 			t.Errorf("recorded anew: %v", a)
 		}
 		session, seq = 2, 0
 		ask(20 * time.Second)
 		look("its lease has ended", false, true)
-		if a := k.Adoptions(); a[m].Session != 2 {
+		if a := k.TakeAdoptions(); a[m].Session != 2 {
 			t.Errorf("a session that an answer tells of is not recorded: %v", a)
 		}
-		k.Beat(&wire.Report{Machine: m, Address: "10.1.0.1:9000", Session: 2, Seq: 9, Token: 5})
+		k.HandleHeartbeat(&wire.Report{Machine: m, Address: "10.1.0.1:9000", Session: 2, Seq: 9, Token: 5})
 		look("a report comes", true, false)
 		// It is cut off for longer than a lease, and answers before its first report finds the way.
 		seq = 9
 		time.Sleep(40 * time.Second)
 		k.mu.Lock()
-		k.machines[m].unheard(time.Now())
+		k.machines[m].recordCommandFailure(time.Now())
 		k.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		back := time.Now()
 		ask(0)
 		ask(8 * time.Second)
 		look("it is back from a cut", true, false)
-		if s := k.Look(m, 5); !s.Lapse.Equal(back.Add(k.set.Lease())) {
-			t.Errorf("its lease ends %v after it is back", s.Lapse.Sub(back))
+		if s := k.MachineStatus(m, 5); !s.LeaseExpiry.Equal(back.Add(k.settings.Lease())) {
+			t.Errorf("its lease ends %v after it is back", s.LeaseExpiry.Sub(back))
 		}
 		ask(10 * time.Second)
 		ask(11 * time.Second)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/lease_test.go
@@ -17,15 +17,15 @@
 	"sableusher/internal/world"
 )
 
-// desk is a node that answers reports on a view of some age.
-type desk struct {
-	*Fleet
-	fresh, reached time.Time
-	world          *world.World
+// registryFixture is a node that answers reports on a view of some age.
+type registryFixture struct {
+	*Registry
+	confirmedAt, peerAnsweredAt time.Time
+	state                       *world.World
 }
 
-// newDesk makes the node "a" of two; it owns part 0, "b" part 1.
-func newDesk(level int) *desk {
+// newRegistryFixture makes the node "a" of two; it owns part 0, "b" part 1.
+func newRegistryFixture(level int) *registryFixture {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	set := &config.Settings{Node: "a", Siblings: []config.Sibling{{Node: "b"}}}
 	d := &set.Deployment
@@ -38,33 +38,33 @@
 	}
 	client := store.NewClient("127.0.0.1:1", store.Limits{RPS: 1, WriteRPS: 1, ValueKB: 16, TxnOps: 32}, nil)
 	m := member.New("a", 1, []string{"a", "b"}, tuning.Level, client, nil, store.NewCache(client, world.Root, w, log), w, log)
-	k := &desk{world: w, fresh: time.Now(), reached: time.Now()}
-	k.Fleet = New(set, w, m, func() time.Time { return k.fresh }, log, nil)
-	k.Reach(func(string) time.Time { return k.reached })
+	k := &registryFixture{state: w, confirmedAt: time.Now(), peerAnsweredAt: time.Now()}
+	k.Registry = New(set, w, m, func() time.Time { return k.confirmedAt }, log, nil)
+	k.SetPeerLastAnswered(func(string) time.Time { return k.peerAnsweredAt })
 	return k
 }
 
-// machine gives the name of a machine of a part, with a record.
-func (k *desk) machine(part int) string {
+// addMachine gives the name of a machine of a part, with a record.
+func (k *registryFixture) addMachine(part int) string {
 	name := "vm-0"
 	for world.PartOf(name, 2) != part {
 		name += "0"
 	}
-	k.world.Begin()
-	k.world.Put(world.MachineKey(name), wire.MustEncode(world.MachineRecord{Type: "m", Zone: "z", Address: "10.1.0.1:9000", Up: true}), 1)
-	k.world.Flush()
+	k.state.Begin()
+	k.state.Put(world.MachineKey(name), wire.MustEncode(world.MachineRecord{Type: "m", Zone: "z", Address: "10.1.0.1:9000", Up: true}), 1)
+	k.state.Flush()
 	return name
 }
 
-func (k *desk) report(name string, seq, token uint64) (int, any) {
-	return k.Beat(&wire.Report{Machine: name, Address: "10.1.0.1:9000", Session: 1, Seq: seq, Token: token})
+func (k *registryFixture) heartbeat(name string, seq, token uint64) (int, any) {
+	return k.HandleHeartbeat(&wire.Report{Machine: name, Address: "10.1.0.1:9000", Session: 1, Seq: seq, Token: token})
 }
 
 // TestLeasesThroughACut: on a view that is too old to know of cancellations leases are
 // renewed only where every node tells those late, and then without orders; another
 // owner's workers are kept only if that owner is out of reach too, and under the token
 // that they know.
-func TestLeasesThroughACut(t *testing.T) {
+func TestLeaseRenewalDuringPartition(t *testing.T) {
 	for name, c := range map[string]struct {
 		level   int
 		part    int
@@ -87,10 +87,10 @@
 		"other's, it has seen no answer": {tuning.LevelCertain, 1, time.Minute, time.Minute, 0, http.StatusOK},
 	} {
 		t.Run(name, func(t *testing.T) {
-			k := newDesk(c.level)
-			m := k.machine(c.part)
-			k.fresh, k.reached = time.Now().Add(-c.age), time.Now().Add(-c.reached)
-			status, body := k.report(m, 1, c.token)
+			k := newRegistryFixture(c.level)
+			m := k.addMachine(c.part)
+			k.confirmedAt, k.peerAnsweredAt = time.Now().Add(-c.age), time.Now().Add(-c.reached)
+			status, body := k.heartbeat(m, 1, c.token)
 			if status != c.want {
 				t.Fatalf("%d, want %d", status, c.want)
 			}
@@ -103,19 +103,19 @@
 
 // TestCancelledTasksEndBehindACut: an answer on an old view starts nothing, and stops what
 // was cancelled before it: that may have been told at once by a version before.
-func TestCancelledTasksEndBehindACut(t *testing.T) {
+func TestCancelledTasksStopDuringPartition(t *testing.T) {
 	for _, part := range []int{0, 1} {
-		k := newDesk(tuning.LevelCertain)
-		m := k.machine(part)
-		k.world.Begin()
+		k := newRegistryFixture(tuning.LevelCertain)
+		m := k.addMachine(part)
+		k.state.Begin()
 		for i, cancelMs := range []int64{5, 0} {
 			id := fmt.Sprintf("run-%d", i)
-			k.world.Put(world.JobKey(id), wire.MustEncode(world.JobRecord{Spec: wire.Spec{ID: id, Kind: wire.KindService, Tasks: 2}, CancelMs: cancelMs,
+			k.state.Put(world.JobKey(id), wire.MustEncode(world.JobRecord{Spec: wire.Spec{ID: id, Kind: wire.KindService, Tasks: 2}, CancelMs: cancelMs,
 				Tasks: []world.Task{{State: world.Bound, Attempt: 1, Machine: m, Session: 1}, {Index: 1, State: world.Bound, Attempt: 1, Machine: m, Session: 1}}}), 2)
 		}
-		k.world.Flush()
-		k.fresh, k.reached = time.Now().Add(-time.Minute), time.Now().Add(-time.Minute)
-		status, body := k.Beat(&wire.Report{Machine: m, Session: 1, Seq: 1, Token: 5, Tasks: []wire.TaskReport{
+		k.state.Flush()
+		k.confirmedAt, k.peerAnsweredAt = time.Now().Add(-time.Minute), time.Now().Add(-time.Minute)
+		status, body := k.HandleHeartbeat(&wire.Report{Machine: m, Session: 1, Seq: 1, Token: 5, Tasks: []wire.TaskReport{
 			{Task: "run-0/0", Attempt: 1, State: wire.TaskRunning}, {Task: "run-1/0", Attempt: 1, State: wire.TaskRunning}}})
 		o, _ := body.(wire.Orders)
 		if status != http.StatusOK || len(o.Orders) != 1 || o.Orders[0].Op != wire.OpStop || o.Orders[0].Task != "run-0/0" {
@@ -130,43 +130,43 @@
 // once, not once it has a view or has stood still, and no more of a worker that another owner
 // has reached meanwhile. Without it a zone's 700 tasks ended with their leases
 // when the only controller in it ended during the cut.
-func TestProcessWithoutView(t *testing.T) {
+func TestRenewalWithoutClusterState(t *testing.T) {
 	const certain = tuning.CertainToken + 3
 	for name, c := range map[string]struct {
 		after  time.Duration // since its start
 		token  uint64
-		change func(*desk)
+		change func(*registryFixture)
 		want   bool
 	}{
 		"cut off":             {10 * time.Second, certain, nil, true},
 		"just started":        {time.Second, certain, nil, false},
 		"told at once":        {10 * time.Second, 5, nil, false},
 		"no answer seen":      {10 * time.Second, 0, nil, false},
-		"another in reach":    {10 * time.Second, certain, func(k *desk) { k.reached = time.Now().Add(-time.Second) }, false},
-		"another was long so": {10 * time.Second, certain, func(k *desk) { k.reached = time.Now().Add(-tuning.OwnerLost) }, true},
-		"it has a view":       {10 * time.Second, certain, func(k *desk) { k.fresh = time.Now().Add(-time.Second) }, false},
-		"a newer owner": {10 * time.Second, certain + 1, func(k *desk) {
-			if status, _ := k.report(k.machine(1), 1, certain); status != http.StatusOK {
+		"another in reach":    {10 * time.Second, certain, func(k *registryFixture) { k.peerAnsweredAt = time.Now().Add(-time.Second) }, false},
+		"another was long so": {10 * time.Second, certain, func(k *registryFixture) { k.peerAnsweredAt = time.Now().Add(-tuning.OwnerLost) }, true},
+		"it has a view":       {10 * time.Second, certain, func(k *registryFixture) { k.confirmedAt = time.Now().Add(-time.Second) }, false},
+		"a newer owner": {10 * time.Second, certain + 1, func(k *registryFixture) {
+			if status, _ := k.heartbeat(k.addMachine(1), 1, certain); status != http.StatusOK {
 				panic(status)
 			}
 		}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				k := newDesk(tuning.LevelCertain)
-				k.set.Siblings = []config.Sibling{{Node: "b"}}
-				m := k.machine(1)
-				clear(k.world.Parts)
-				clear(k.world.Machines)
-				k.fresh, k.reached, k.world.Level = time.Time{}, time.Time{}, 0
+				k := newRegistryFixture(tuning.LevelCertain)
+				k.settings.Siblings = []config.Sibling{{Node: "b"}}
+				m := k.addMachine(1)
+				clear(k.state.Parts)
+				clear(k.state.Machines)
+				k.confirmedAt, k.peerAnsweredAt, k.state.Level = time.Time{}, time.Time{}, 0
 				for range int(c.after / time.Second) {
 					time.Sleep(time.Second)
-					k.beats(time.Now())
+					k.noteAlive(time.Now())
 				}
 				if c.change != nil {
 					c.change(k)
 				}
-				status, body := k.report(m, 2, c.token)
+				status, body := k.heartbeat(m, 2, c.token)
 				if (status == http.StatusOK) != c.want {
 					t.Fatalf("%d, want renewed: %v", status, c.want)
 				}
@@ -174,7 +174,7 @@
 					t.Errorf("%+v", o)
 				}
 				time.Sleep(2 * tuning.FreezeGap) // it stands still
-				if status, _ := k.report(m, 3, c.token); status == http.StatusOK && k.fresh.IsZero() {
+				if status, _ := k.heartbeat(m, 3, c.token); status == http.StatusOK && k.confirmedAt.IsZero() {
 					t.Error("renewed after it had stood still")
 				}
 			})
@@ -184,29 +184,29 @@
 
 // TestThawedNodeBelievesNothing: a process that stood still renews no lease, of its own
 // workers or others', until its view is confirmed, at whatever moment it goes on.
-func TestThawedNodeBelievesNothing(t *testing.T) {
+func TestPausedProcessRenewsNothing(t *testing.T) {
 	for _, first := range []string{"report", "pulse"} {
 		synctest.Test(t, func(t *testing.T) {
-			k := newDesk(tuning.LevelCertain)
-			own, others := k.machine(0), k.machine(1)
-			if status, _ := k.report(own, 1, 5); status != http.StatusOK {
+			k := newRegistryFixture(tuning.LevelCertain)
+			own, others := k.addMachine(0), k.addMachine(1)
+			if status, _ := k.heartbeat(own, 1, 5); status != http.StatusOK {
 				t.Fatalf("before: %d", status)
 			}
 			time.Sleep(40 * time.Second) // nothing ran
 			if first == "pulse" {
-				k.beats(time.Now())
+				k.noteAlive(time.Now())
 			}
 			for seq := range uint64(3) {
-				if status, _ := k.report(own, 2+seq, 5); status == http.StatusOK {
+				if status, _ := k.heartbeat(own, 2+seq, 5); status == http.StatusOK {
 					t.Errorf("%s first: renewed its own worker's lease", first)
 				}
-				if status, _ := k.report(others, 2+seq, 5); status == http.StatusOK {
+				if status, _ := k.heartbeat(others, 2+seq, 5); status == http.StatusOK {
 					t.Errorf("%s first: renewed another's worker's lease", first)
 				}
 				time.Sleep(time.Second)
 			}
-			k.fresh = time.Now()
-			if status, _ := k.report(own, 9, 5); status != http.StatusOK {
+			k.confirmedAt = time.Now()
+			if status, _ := k.heartbeat(own, 9, 5); status != http.StatusOK {
 				t.Errorf("%s first: %d once its view is confirmed", first, status)
 			}
 		})
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -8,44 +8,44 @@
 	"sableusher/internal/world"
 )
 
-func report(session, seq, token uint64, tasks ...wire.TaskReport) *wire.Report {
+func newReport(session, seq, token uint64, tasks ...wire.TaskReport) *wire.Report {
 	return &wire.Report{Machine: "m", Session: session, Seq: seq, Token: token, Tasks: tasks}
 }
 
-func bound(session uint64) (map[world.TaskRef]world.Binding, world.Binding) {
+func bindingOf(session uint64) (map[world.TaskRef]world.Binding, world.Binding) {
 	b := world.Binding{Ref: world.TaskRef{Job: "run-1"}, Job: &world.Job{}, Attempt: 1, Session: session}
 	return map[world.TaskRef]world.Binding{b.Ref: b}, b
 }
 
-func always(world.TaskRef, uint64) bool { return true }
+func attemptAlwaysEnded(world.TaskRef, uint64) bool { return true }
 
-func never(world.Binding) (Wish, bool) { return Wish{}, false }
+func noStopRequest(world.Binding) (stopRequest, bool) { return stopRequest{}, false }
 
 // TestStartInDoubt: a direct start without an answer may arrive minutes later.
 // Until it is fenced the task counts as there, and its exit is not forgotten.
-func TestStartInDoubt(t *testing.T) {
+func TestUnresolvedStart(t *testing.T) {
 	now := time.Unix(100, 0)
-	for name, fence := range map[string]*wire.Report{"higher token": report(1, 9, 6), "new session": report(2, 1, 0)} {
+	for name, fence := range map[string]*wire.Report{"higher token": newReport(1, 9, 6), "new session": newReport(2, 1, 0)} {
 		t.Run(name, func(t *testing.T) {
 			m := newMachine("m")
-			m.observe(report(1, 1, 5), true, now)
-			set, b := bound(1)
-			sent := m.orders(set, always, never, 5, 0, now)
+			m.applyReport(newReport(1, 1, 5), true, now)
+			set, b := bindingOf(1)
+			sent := m.commands(set, attemptAlwaysEnded, noStopRequest, 5, 0, now)
 			if len(sent) != 1 || sent[0].Op != wire.OpStart {
 				t.Fatalf("orders %+v", sent)
 			}
-			m.answered(sent, 1, 5, false)
-			m.observe(report(1, 2, 5), true, now)
-			if f, _ := m.fate(b, 5); f != Unclear {
+			m.resolveStarts(sent, 1, 5, false)
+			m.applyReport(newReport(1, 2, 5), true, now)
+			if f, _ := m.presence(b, 5); f != PresenceUnknown {
 				t.Fatalf("fate %v while the start is in doubt", f)
 			}
 			exited := wire.TaskReport{Task: "run-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}
-			m.observe(report(1, 3, 5, exited), true, now)
-			if o := m.orders(nil, always, never, 5, 3, now); len(o) != 0 {
+			m.applyReport(newReport(1, 3, 5, exited), true, now)
+			if o := m.commands(nil, attemptAlwaysEnded, noStopRequest, 5, 3, now); len(o) != 0 {
 				t.Fatalf("forgotten while the start is in doubt: %+v", o)
 			}
-			m.observe(fence, true, now)
-			if m.mayStart(key{b.Ref, 1}) {
+			m.applyReport(fence, true, now)
+			if m.startPending(attemptKey{b.Ref, 1}) {
 				t.Fatal("still in doubt after the fence")
 			}
 		})
@@ -54,42 +54,42 @@
 
 // TestAnswerSettlesStarts: starts in the answer to a report are settled by the
 // worker's next report, not by an answer to a direct command.
-func TestAnswerSettlesStarts(t *testing.T) {
+func TestNextHeartbeatResolvesStarts(t *testing.T) {
 	now := time.Unix(100, 0)
 	m := newMachine("m")
-	m.observe(report(1, 1, 5), true, now)
-	set, b := bound(1)
-	m.orders(set, always, never, 5, 1, now)
-	m.observe(report(1, 2, 5), false, now)
-	if f, _ := m.fate(b, 5); f != Unclear {
+	m.applyReport(newReport(1, 1, 5), true, now)
+	set, b := bindingOf(1)
+	m.commands(set, attemptAlwaysEnded, noStopRequest, 5, 1, now)
+	m.applyReport(newReport(1, 2, 5), false, now)
+	if f, _ := m.presence(b, 5); f != PresenceUnknown {
 		t.Fatalf("fate %v while the answer may still be carried out", f)
 	}
-	m.observe(report(1, 3, 5), true, now)
-	if f, _ := m.fate(b, 5); f != Absent {
+	m.applyReport(newReport(1, 3, 5), true, now)
+	if f, _ := m.presence(b, 5); f != PresenceAbsent {
 		t.Fatalf("fate %v after the next report", f)
 	}
-	if f, _ := m.fate(b, 6); f != Unclear {
+	if f, _ := m.presence(b, 6); f != PresenceUnknown {
 		t.Fatalf("fate %v though earlier owners are not fenced", f)
 	}
 }
 
 // TestLateReports: an older report never changes what is known.
-func TestLateReports(t *testing.T) {
+func TestDelayedReportsIgnored(t *testing.T) {
 	now := time.Unix(100, 0)
 	m := newMachine("m")
 	running := wire.TaskReport{Task: "run-1/0", Attempt: 1, State: wire.TaskRunning}
-	m.observe(report(2, 7, 5, running), true, now)
-	for _, old := range []*wire.Report{report(2, 7, 5), report(2, 6, 9), report(1, 99, 9)} {
-		if newer, _ := m.observe(old, true, now.Add(time.Second)); newer || !m.heard.Equal(now) {
+	m.applyReport(newReport(2, 7, 5, running), true, now)
+	for _, old := range []*wire.Report{newReport(2, 7, 5), newReport(2, 6, 9), newReport(1, 99, 9)} {
+		if newer, _ := m.applyReport(old, true, now.Add(time.Second)); newer || !m.lastHeard.Equal(now) {
 			t.Fatalf("took %+v", old)
 		}
 	}
-	_, b := bound(2)
-	if f, _ := m.fate(b, 5); f != Alive {
+	_, b := bindingOf(2)
+	if f, _ := m.presence(b, 5); f != PresenceAlive {
 		t.Fatalf("fate %v", f)
 	}
-	_, b = bound(1)
-	if f, _ := m.fate(b, 5); f != Lost {
+	_, b = bindingOf(1)
+	if f, _ := m.presence(b, 5); f != PresenceSessionEnded {
 		t.Fatalf("fate %v of a binding of an ended session", f)
 	}
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -43,7 +43,7 @@
 
 // Workers answers reports.
 type Workers interface {
-	Beat(r *wire.Report) (int, any)
+	HandleHeartbeat(r *wire.Report) (int, any)
 }
 
 // Intake is the server's handlers.
@@ -127,7 +127,7 @@
 		wire.Reply(w, http.StatusBadRequest, wire.Problem{Error: "unreadable report"})
 		return
 	}
-	status, body := in.workers.Beat(&rep)
+	status, body := in.workers.HandleHeartbeat(&rep)
 	wire.Reply(w, status, body)
 }
 
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -64,7 +64,9 @@
 
 func (o *outside) Revision() uint64 { return o.seen }
 
-func (o *outside) Beat(*wire.Report) (int, any) { return http.StatusOK, wire.Orders{Token: 1} }
+func (o *outside) HandleHeartbeat(*wire.Report) (int, any) {
+	return http.StatusOK, wire.Orders{Token: 1}
+}
 
 func (o *outside) put(key string, v any) {
 	o.world.Begin()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	workers.Reach(peers.Reached)
+	workers.SetPeerLastAnswered(peers.Reached)
 	engine := place.New(set, op, view, members, workers, commit, client, peers, log)
 	cloud := pool.NewCloud(set.Outside.Cloud, d.Cloud.RPS, d.Size, rt)
 	machines := pool.New(set, op, view, members, engine, cloud, commit, log)
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -27,9 +27,9 @@
 
 // Witness knows which workers a node has heard from.
 type Witness interface {
-	HeardOf(machines []string) []string
-	FreshView() bool
-	Images() map[string][]string
+	RecentlyHeard(machines []string) []string
+	HasFreshState() bool
+	MachinesByImage() map[string][]string
 }
 
 // Answer answers another cell's message with one of this cell's.
@@ -68,12 +68,12 @@
 	if len(machines) > tuning.PeerMachines {
 		machines = machines[:tuning.PeerMachines]
 	}
-	return &peerpb.HeardReply{Heard: s.witness.HeardOf(machines), Fresh: s.witness.FreshView()}, nil
+	return &peerpb.HeardReply{Heard: s.witness.RecentlyHeard(machines), Fresh: s.witness.HasFreshState()}, nil
 }
 
 func (s *server) Images(context.Context, *peerpb.ImagesRequest) (*peerpb.ImagesReply, error) {
 	r := &peerpb.ImagesReply{}
-	for name, machines := range s.witness.Images() {
+	for name, machines := range s.witness.MachinesByImage() {
 		r.Images = append(r.Images, &peerpb.Image{Name: name, Machines: machines})
 	}
 	return r, nil
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -25,10 +25,10 @@
 	images map[string][]string
 }
 
-func (w told) FreshView() bool             { return w.fresh }
-func (w told) Images() map[string][]string { return w.images }
+func (w told) HasFreshState() bool                  { return w.fresh }
+func (w told) MachinesByImage() map[string][]string { return w.images }
 
-func (w told) HeardOf(machines []string) []string {
+func (w told) RecentlyHeard(machines []string) []string {
 	return slices.DeleteFunc(slices.Clone(machines), func(m string) bool { return !slices.Contains(w.heard, m) })
 }
 
--- a/internal/place/changes.go
+++ b/internal/place/changes.go
@@ -76,7 +76,7 @@
 				e.owned[p] = now
 				// A new owner hears of its machines at once rather than at their next report.
 				for _, m := range e.world.ByPart[p] {
-					e.fleet.Kick(m.Name)
+					e.fleet.RequestDispatch(m.Name)
 				}
 			}
 		} else if _, entitled := e.member.Entitled(p); !entitled {
--- a/internal/place/engine.go
+++ b/internal/place/engine.go
@@ -30,7 +30,7 @@
 	op     *config.Operator
 	world  *world.World
 	member *member.Member
-	fleet  *fleet.Fleet
+	fleet  *fleet.Registry
 	commit *store.Committer
 	quota  *quota.Keeper
 	// repeats paces tasks that failed by themselves.
@@ -52,7 +52,7 @@
 	owned   map[int]time.Time    // since when a part is ours
 	gone    map[string]bool      // machines whose deletion the cloud has confirmed
 	buried  map[string]time.Time // the same, for long after their records are gone
-	silence silence.Watch
+	silence silence.Detector
 	fenced  map[int]time.Time
 	given   time.Time // when arrays were last given room
 	// assured holds the waiting jobs within their team's guarantee, as of a time.
@@ -117,13 +117,13 @@
 }
 
 // New makes an engine.
-func New(set *config.Settings, op *config.Operator, w *world.World, m *member.Member, f *fleet.Fleet, c *store.Committer, reader store.Reader, peers Peers, log *slog.Logger) *Engine {
+func New(set *config.Settings, op *config.Operator, w *world.World, m *member.Member, f *fleet.Registry, c *store.Committer, reader store.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		set: set, op: op, world: w, member: m, fleet: f, commit: c, quota: quota.New(set.Deployment.Teams, w), repeats: repeats.New(op.Classes), log: log,
 		busy: map[string]bool{}, moving: map[uint64]*change{}, backoff: map[string]retry{}, waits: map[string]wait{}, lacks: map[string]time.Time{}, look: map[string]struct{}{}, valued: map[string]valued{},
 		forming: map[string]time.Time{}, told: map[string]time.Time{}, held: map[string]reserve{}, owned: map[int]time.Time{}, gone: map[string]bool{}, buried: map[string]time.Time{},
 		turns: map[string]time.Time{}, moves: map[string]bool{}, refused: map[string]time.Time{}, fenced: map[int]time.Time{}, reader: reader, peers: peers,
-		silence: silence.Watch{Rules: silence.Rules{Report: set.Report(), Lease: set.Lease()}},
+		silence: silence.Detector{Timing: silence.Timing{HeartbeatInterval: set.Report(), LeaseDuration: set.Lease()}},
 		values: values{
 			learner: learn.New(op.LearnRate, op.Discount, op.Exploration, op.ColdPayoffs, m.Inc, log),
 			runs:    learn.NewEstimates(), open: map[attempt]int64{}, began: map[attempt]time.Time{}, recent: 0.5,
@@ -223,7 +223,7 @@
 func (e *Engine) Round(now time.Time, wg *sync.WaitGroup) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	news := e.fleet.News()
+	news := e.fleet.TakeUpdatedMachines()
 	maps.Copy(e.look, news)
 	maps.Copy(e.stale, news)
 	e.world.RLock()
@@ -296,7 +296,7 @@
 	}
 	for _, b := range c.binds {
 		if err == nil {
-			e.fleet.Kick(b.machine)
+			e.fleet.RequestDispatch(b.machine)
 		}
 	}
 	if c.done != nil {
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -779,7 +779,7 @@
 	}
 	session := max(n.M.Session, 1)
 	if n.Mine {
-		session = r.fleet.Look(n.M.Name, r.tokens[n.M.Part]).Session
+		session = r.fleet.MachineStatus(n.M.Name, r.tokens[n.M.Part]).Session
 	}
 	ref := world.TaskRef{Job: j.Spec.ID, Index: i}
 	t := world.Task{Index: i, State: world.Bound, Attempt: attempt, Machine: n.M.Name, Session: session, Failures: r.task(j, i).Failures}
--- a/internal/place/place_test.go
+++ b/internal/place/place_test.go
@@ -36,7 +36,7 @@
 type field struct {
 	world   *world.World
 	engines []*Engine
-	fleets  []*fleet.Fleet
+	fleets  []*fleet.Registry
 	rev     uint64
 }
 
@@ -89,7 +89,7 @@
 	name := fmt.Sprintf("vm-%06d", i)
 	rec := world.MachineRecord{Type: "m", Zone: testZones[i%len(testZones)], Spot: spot, Address: "10.1.0.1:9000", AtMs: 1, Up: true}
 	f.put(world.MachineKey(name), rec)
-	f.fleets[world.PartOf(name, testParts)].Beat(&wire.Report{Machine: name, Address: rec.Address, Type: "m", Zone: rec.Zone, Spot: spot, Session: 1, Seq: 1, Token: 7})
+	f.fleets[world.PartOf(name, testParts)].HandleHeartbeat(&wire.Report{Machine: name, Address: rec.Address, Type: "m", Zone: rec.Zone, Spot: spot, Session: 1, Seq: 1, Token: 7})
 	return name
 }
 
@@ -315,7 +315,7 @@
 	for _, name := range []string{deleted, unknown} {
 		i := world.PartOf(name, testParts)
 		f.engines[i].Gone([]string{deleted})
-		f.fleets[i].Beat(&wire.Report{Machine: name, Address: "10.1.0.1:9000", Type: "m", Zone: "east", Session: 1, Seq: 1, Token: 7})
+		f.fleets[i].HandleHeartbeat(&wire.Report{Machine: name, Address: "10.1.0.1:9000", Type: "m", Zone: "east", Session: 1, Seq: 1, Token: 7})
 		f.world.RLock()
 		r := f.engines[i].newRound(testNow)
 		r.adopt()
@@ -336,8 +336,8 @@
 	i := world.PartOf(name, testParts)
 	beat := func(session uint64, up bool) store.Item {
 		f.put(world.MachineKey(name), world.MachineRecord{Type: "m", Zone: "east", Address: "10.1.0.1:9000", AtMs: 1, Up: up})
-		f.engines[i].fleet.Adoptions()
-		f.fleets[i].Beat(&wire.Report{Machine: name, Address: "10.1.0.1:9000", Type: "m", Zone: "east", Session: session, Seq: 2, Token: 7})
+		f.engines[i].fleet.TakeAdoptions()
+		f.fleets[i].HandleHeartbeat(&wire.Report{Machine: name, Address: "10.1.0.1:9000", Type: "m", Zone: "east", Session: session, Seq: 2, Token: 7})
 		f.world.RLock()
 		defer f.world.RUnlock()
 		r := f.engines[i].newRound(testNow)
@@ -389,7 +389,7 @@
 	for i := range 60 {
 		if name := f.machine(i, false); i < 9 {
 			held["g"][name] = true
-			f.fleets[world.PartOf(name, testParts)].NoteImage(name, "g", 4, 50)
+			f.fleets[world.PartOf(name, testParts)].RecordImageUse(name, "g", 4, 50)
 		}
 	}
 	f.job(gang(1, 3))
--- a/internal/place/preempt.go
+++ b/internal/place/preempt.go
@@ -75,7 +75,7 @@
 	claim := preempt.Claim{Rank: du.rank, Assured: du.assured, Promised: r.promised[du.job.Spec.ID], Team: du.job.Spec.Team, Need: du.Need}
 	var list []preempt.Task
 	for _, b := range n.M.Bound {
-		if claim.Over(r.holder(b.Job)) && !b.Job.Cancelled() && world.Yields(&b.Job.Spec) && !r.fleet.Stopping(b) {
+		if claim.Over(r.holder(b.Job)) && !b.Job.Cancelled() && world.Yields(&b.Job.Spec) && !r.fleet.StopRequested(b) {
 			list = append(list, preempt.Task{Bound: b, Rank: r.rank(b.Job), Cost: r.cost(b, n)})
 		}
 	}
@@ -94,7 +94,7 @@
 			grace = graced(&v.Bound.Job.Spec)
 		}
 		r.log.Debug("stopping a task for one of higher priority", "task", v.Bound.Ref, "for", ref, "machine", n.M.Name)
-		r.fleet.Stop(v.Bound, n.M.Name, grace)
+		r.fleet.RequestStop(v.Bound, n.M.Name, grace)
 	}
 }
 
@@ -107,7 +107,7 @@
 
 // cost is the work lost when a task is stopped, in machine seconds.
 func (r *round) cost(b world.Binding, n *fit.Node) float64 {
-	t := r.fleet.Fate(b, n.M.Name, r.tokens[n.M.Part])
+	t := r.fleet.ObserveTask(b, n.M.Name, r.tokens[n.M.Part])
 	ran := 0.0
 	if t.State == wire.TaskRunning {
 		ran = r.now.Sub(t.Since).Seconds()
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -26,7 +26,7 @@
 	}
 	if r.now.Sub(s.Hinted(true)) >= tuning.HoldersLife {
 		s.Hints(true, r.now, func(yield func(image, name string) bool) {
-			for image, names := range r.fleet.Images() {
+			for image, names := range r.fleet.MachinesByImage() {
 				for _, name := range names {
 					if !yield(image, name) {
 						return
@@ -52,9 +52,9 @@
 // readiness is what a machine is good for in this node's rounds.
 func (r *round) readiness(m *world.Machine, mine bool) fit.Readiness {
 	switch {
-	case r.silence.Cut(m.Zone):
+	case r.silence.ZoneUnavailable(m.Zone):
 		return fit.Absent // nothing starts there before the cut is over
-	case mine && r.fleet.Look(m.Name, r.tokens[m.Part]).Usable, !mine && r.live[m.Part] && (m.Up || r.likely(m)):
+	case mine && r.fleet.MachineStatus(m.Name, r.tokens[m.Part]).Schedulable, !mine && r.live[m.Part] && (m.Up || r.likely(m)):
 		return fit.Ready
 	case !m.Up && r.overdue(m):
 		return fit.Absent // others are rented rather than waited for
--- a/internal/place/settle.go
+++ b/internal/place/settle.go
@@ -70,7 +70,7 @@
 			continue
 		}
 		r.blocked = false
-		if s := r.fleet.Look(name, token); !s.Recall.IsZero() {
+		if s := r.fleet.MachineStatus(name, token); !s.ReclaimAt.IsZero() {
 			r.evacuate(m)
 		}
 		gone := (m.Gone || m.Drain) && r.gone[name]
@@ -113,27 +113,27 @@
 // settleTask carries out what is to become of one bound task.
 func (r *round) settleTask(b world.Binding, name string, token uint64) {
 	spec := &b.Job.Spec
-	t := settle.Task{Task: r.fleet.Fate(b, name, token), Kind: spec.Kind, Cancelled: b.Job.Cancelled(), Stopping: r.fleet.Stopping(b),
+	t := settle.Task{TaskObservation: r.fleet.ObserveTask(b, name, token), Kind: spec.Kind, Cancelled: b.Job.Cancelled(), Stopping: r.fleet.StopRequested(b),
 		Counted: spec.Repeats != nil, Spent: repeats.Spent(spec.Repeats, r.task(b.Job, b.Ref.Index).Failures)}
 	d := settle.Decide(t)
 	if d.Kick {
-		r.fleet.Kick(name)
+		r.fleet.RequestDispatch(name)
 	}
 	if m := r.world.Machines[name]; d.Image && m != nil {
-		r.fleet.NoteImage(name, spec.Image, spec.ImageGB, r.world.Types[m.Type].CacheGB)
+		r.fleet.RecordImageUse(name, spec.Image, spec.ImageGB, r.world.Types[m.Type].CacheGB)
 	}
 	if d.Failure {
-		r.fleet.NoteError(name, spec.ID)
+		r.fleet.RecordTaskFailure(name, spec.ID)
 		r.stale[name] = struct{}{}
 	}
 	if d.Refused {
-		r.fleet.NoteRefused(name)
+		r.fleet.RecordStartRefusal(name)
 		r.stale[name] = struct{}{}
 	}
 	if d.Pause {
 		r.fail(spec.ID, r.now)
 	}
-	if t.Fate == fleet.Exited && t.Cause != wire.CauseDone && (t.Cause != wire.CauseStopped || !t.Saved) {
+	if t.Presence == fleet.PresenceExited && t.Cause != wire.CauseDone && (t.Cause != wire.CauseStopped || !t.Saved) {
 		r.log.Debug("task ended without being done", "task", b.Ref, "cause", t.Cause, "machine", name)
 	}
 	switch {
@@ -147,17 +147,17 @@
 		if ed := r.release(b, name, d.State, d.Why); ed != nil && d.Count {
 			r.spend(b, ed, d.End)
 		}
-	case t.Fate == fleet.Alive:
-		r.alive(b, t.Task)
+	case t.Presence == fleet.PresenceAlive:
+		r.alive(b, t.TaskObservation)
 	}
-	if spec.Kind != wire.KindGang || t.Fate == fleet.Exited || t.Fate == fleet.Lost {
+	if spec.Kind != wire.KindGang || t.Presence == fleet.PresenceExited || t.Presence == fleet.PresenceSessionEnded {
 		return
 	}
 	if b.Job.Yield == b.Attempt {
-		r.fleet.Stop(b, name, graced(spec))
+		r.fleet.RequestStop(b, name, graced(spec))
 	}
-	if !r.fleet.Stopping(b) && r.broken(b) {
-		r.fleet.Stop(b, name, 0)
+	if !r.fleet.StopRequested(b) && r.broken(b) {
+		r.fleet.RequestStop(b, name, 0)
 	}
 }
 
@@ -240,7 +240,7 @@
 
 // adopt records machines that reported and whose records are missing or behind.
 func (r *round) adopt() {
-	found := r.fleet.Adoptions()
+	found := r.fleet.TakeAdoptions()
 	// Small machines first: what the state service takes in a second is few beside a fleet that is
 	// up at the start, and services, which come first then, should find those before they take
 	// the place of larger tasks for as long as they run.
@@ -273,8 +273,8 @@
 		}
 		renewed := m != nil && rec.Session != session
 		// A new session of a machine that hears nothing or reaches no node is recorded, but not that it is up.
-		s := r.fleet.Look(name, r.tokens[part])
-		up := !s.Mute && (s.Hears || !s.Deaf && (rec.Up || rec.Address == ""))
+		s := r.fleet.MachineStatus(name, r.tokens[part])
+		up := !s.OutboundLost && (s.InboundConfirmed || !s.InboundLost && (rec.Up || rec.Address == ""))
 		rec.Type, rec.Zone, rec.Spot, rec.Address, rec.Up, rec.Session = rep.Type, rep.Zone, rep.Spot, rep.Address, up, session
 		it := r.writeMachine("machine is up "+name, name, part, rec, stamp)
 		// That it is up can wait: others only plan with it, its owner uses it at once. A new
@@ -292,15 +292,15 @@
 	for _, b := range m.Bound {
 		s := &b.Job.Spec
 		switch {
-		case r.fleet.Stopping(b):
+		case r.fleet.StopRequested(b):
 		case s.Kind == wire.KindGang && s.Tasks > 1:
 			if s.CheckpointS > 0 {
 				r.yield(b, m)
 			}
 		case s.CheckpointS > 0:
-			r.fleet.Stop(b, m.Name, graced(s))
+			r.fleet.RequestStop(b, m.Name, graced(s))
 		case s.Kind == wire.KindService:
-			r.fleet.Stop(b, m.Name, 0)
+			r.fleet.RequestStop(b, m.Name, 0)
 		}
 	}
 }
@@ -328,7 +328,7 @@
 
 func (r *round) unwanted(m *world.Machine) bool {
 	for _, b := range m.Bound {
-		if r.fleet.Stopping(b) {
+		if r.fleet.StopRequested(b) {
 			return true
 		}
 	}
--- a/internal/place/silent.go
+++ b/internal/place/silent.go
@@ -39,60 +39,60 @@
 		if !mine || m.Gone || r.gone[name] || r.busy[world.MachineKey(name)] {
 			continue
 		}
-		s := r.fleet.Look(name, token)
-		list = append(list, silence.Machine{Name: name, Zone: m.Zone, Part: m.Part, Up: m.Up, Session: s.Session, Heard: s.Heard, Owned: r.owned[m.Part],
-			Unanswered: s.Unanswered, Late: r.late(m), Bound: len(m.Bound), Moves: r.movable(m, open), Inside: r.inside(m.Zone)})
-		if s.Mute {
-			mute = append(mute, muted{m, s.Lapse})
+		s := r.fleet.MachineStatus(name, token)
+		list = append(list, silence.Machine{Name: name, Zone: m.Zone, Shard: m.Part, Up: m.Up, Session: s.Session, LastHeard: s.LastHeard, OwnedSince: r.owned[m.Part],
+			CommandUnanswered: s.CommandUnanswered, CancellationOverdue: r.late(m), BoundTasks: len(m.Bound), ServiceMovable: r.movable(m, open), ControllerInZone: r.inside(m.Zone)})
+		if s.OutboundLost {
+			mute = append(mute, muted{m, s.LeaseExpiry})
 		}
-		if m.Up && s.Deaf {
+		if m.Up && s.InboundLost {
 			r.oneWay(m, "hears nothing")
 		}
 		empty := len(m.Bound) == 0 && r.moveM[name] == (world.Amount{})
 		switch {
-		case !m.Up && s.Heard.IsZero():
-			if r.neverUp(m) && !r.silence.Troubled(m.Zone) {
-				r.giveUp(silence.Victim{Name: name, Why: "never came up"})
+		case !m.Up && s.LastHeard.IsZero():
+			if r.neverUp(m) && !r.silence.ZoneUnstable(m.Zone) {
+				r.giveUp(silence.Deletion{Machine: name, Reason: "never came up"})
 			}
-		case !m.Up && empty && !s.OneWay.IsZero() && r.now.Sub(s.OneWay) > tuning.OneWayLife && !r.silence.Troubled(m.Zone):
-			r.giveUp(silence.Victim{Name: name, Why: "reached in one direction only"})
-		case empty && s.Errors >= tuning.MachineErrors:
-			r.giveUp(silence.Victim{Name: name, Why: "failing"})
+		case !m.Up && empty && !s.OneWaySince.IsZero() && r.now.Sub(s.OneWaySince) > tuning.OneWayLife && !r.silence.ZoneUnstable(m.Zone):
+			r.giveUp(silence.Deletion{Machine: name, Reason: "reached in one direction only"})
+		case empty && s.FailedJobs >= tuning.MachineErrors:
+			r.giveUp(silence.Deletion{Machine: name, Reason: "failing"})
 		}
-		if s.Doubt && r.unwanted(m) && r.now.Sub(r.fenced[m.Part]) > tuning.FenceEvery {
+		if s.UnresolvedStart && r.unwanted(m) && r.now.Sub(r.fenced[m.Part]) > tuning.FenceEvery {
 			// A start in doubt could still run a task that must not: raise the token.
 			r.fenced[m.Part] = r.now
 			go r.member.Fence(r.ctx, m.Part, true)
 		}
 	}
 	r.leaveMute(mute, len(list))
-	j := r.silence.Judge(r.now, list, func(m *silence.Machine) []evacuate.Task { return r.holds(m.Name) })
-	for _, c := range j.Zones {
+	j := r.silence.Assess(r.now, list, func(m *silence.Machine) []evacuate.Task { return r.holds(m.Name) })
+	for _, c := range j.ZoneChanges {
 		r.log.Info("zone changes", "zone", c.Zone, "state", c.To, "before", c.From, "after", c.After.Round(time.Second), "waits for", c.Waits)
 		for _, s := range zone.States {
 			zoneState.WithLabelValues(c.Zone, s.String()).Set(map[bool]float64{true: 1}[s == c.To])
 		}
 	}
-	for name, b := range j.Back {
+	for name, b := range j.ZoneReturns {
 		r.log.Info("zone is back", "zone", name, "worked on", b.Worked, "restarted", b.Restarted, "gone", b.Gone, "new", b.New)
 	}
-	for _, name := range j.Probe {
-		r.fleet.Kick(name)
+	for _, name := range j.ProbeMachines {
+		r.fleet.RequestDispatch(name)
 	}
-	for p, node := range j.Give {
+	for p, node := range j.ShardTransfers {
 		go r.member.Give(r.ctx, p, node)
 	}
-	if len(j.Ask) > 0 {
+	if len(j.AskPeersAbout) > 0 {
 		e := r.Engine
 		go func() {
-			heard := e.peers.Ask(e.ctx, j.Ask)
+			heard := e.peers.Ask(e.ctx, j.AskPeersAbout)
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			e.silence.Told(time.Now(), j.Ask, heard)
+			e.silence.RecordPeerAnswers(time.Now(), j.AskPeersAbout, heard)
 			e.poke()
 		}()
 	}
-	for _, v := range j.Delete {
+	for _, v := range j.Deletions {
 		r.giveUp(v)
 	}
 }
@@ -157,12 +157,12 @@
 }
 
 // giveUp marks a machine to be deleted at the cloud.
-func (r *round) giveUp(v silence.Victim) {
-	m := r.world.Machines[v.Name]
-	r.log.Info("deleting a machine", "machine", v.Name, "why", v.Why, "tasks", len(m.Bound))
+func (r *round) giveUp(v silence.Deletion) {
+	m := r.world.Machines[v.Machine]
+	r.log.Info("deleting a machine", "machine", v.Machine, "why", v.Reason, "tasks", len(m.Bound))
 	rec := m.MachineRecord
 	rec.Gone = true
-	it := r.writeMachine("delete machine "+v.Name, v.Name, m.Part, rec, m.Stamp)
+	it := r.writeMachine("delete machine "+v.Machine, v.Machine, m.Part, rec, m.Stamp)
 	// What it held waits for this change as for its own: behind the ends of arrays' tasks
 	// replicas once waited for seconds more.
 	for _, b := range m.Bound {
@@ -201,7 +201,7 @@
 	open := map[string]bool{}
 	for _, t := range r.world.Types {
 		for _, z := range t.Zones {
-			if !r.silence.Cut(z) {
+			if !r.silence.ZoneUnavailable(z) {
 				open[z] = true
 			}
 		}
@@ -212,7 +212,7 @@
 // movable tells whether a service on a machine in a zone that is cut off could start
 // in another one of so many open zones.
 func (r *round) movable(m *world.Machine, open int) bool {
-	if !r.silence.Cut(m.Zone) {
+	if !r.silence.ZoneUnavailable(m.Zone) {
 		return false
 	}
 	for _, b := range m.Bound {
@@ -230,5 +230,5 @@
 func (e *Engine) Cuts() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.silence.Cuts()
+	return e.silence.UnavailableZones()
 }
--- a/internal/place/value.go
+++ b/internal/place/value.go
@@ -68,7 +68,7 @@
 
 // alive notes when a task began to run, and pays a service's start once it has
 // run for a while: it never completes.
-func (r *round) alive(b world.Binding, t fleet.Task) {
+func (r *round) alive(b world.Binding, t fleet.TaskObservation) {
 	if t.State != wire.TaskRunning {
 		return
 	}
--- a/internal/settle/settle.go
+++ b/internal/settle/settle.go
@@ -12,7 +12,7 @@
 
 // Task is a bound task as its part's owner sees it.
 type Task struct {
-	fleet.Task
+	fleet.TaskObservation
 	Kind      string // of its job
 	Cancelled bool   // its job is
 	Stopping  bool   // it has been told to stop
@@ -37,17 +37,17 @@
 
 // Decide gives what to do about a task.
 func Decide(t Task) Step {
-	switch t.Fate {
-	case fleet.Lost:
+	switch t.Presence {
+	case fleet.PresenceSessionEnded:
 		return idle("session ended")
-	case fleet.Absent:
+	case fleet.PresenceAbsent:
 		if t.Stopping {
 			return idle("never started")
 		}
 		return Step{Kick: true}
-	case fleet.Alive:
+	case fleet.PresenceAlive:
 		return Step{Image: t.State != wire.TaskFetching}
-	case fleet.Exited:
+	case fleet.PresenceExited:
 		return exited(t)
 	}
 	return Step{}
--- a/internal/settle/settle_test.go
+++ b/internal/settle/settle_test.go
@@ -14,23 +14,23 @@
 // and a task is done only when its worker says so and nobody has cancelled it.
 func TestEveryFate(t *testing.T) {
 	seen := map[Step]bool{}
-	for _, fate := range []fleet.Fate{fleet.Unclear, fleet.Alive, fleet.Exited, fleet.Lost, fleet.Absent} {
+	for _, fate := range []fleet.TaskPresence{fleet.PresenceUnknown, fleet.PresenceAlive, fleet.PresenceExited, fleet.PresenceSessionEnded, fleet.PresenceAbsent} {
 		for _, cause := range []string{wire.CauseDone, wire.CauseError, wire.CauseStopped, wire.CauseNoRoom, wire.CauseBusy, wire.CauseUnknown, "new"} {
 			for _, kind := range []string{wire.KindArray, wire.KindGang, wire.KindService} {
 				for bits := range 16 {
-					task := Task{Task: fleet.Task{Fate: fate, Cause: cause}, Kind: kind, Cancelled: bits&1 != 0, Stopping: bits&2 != 0,
+					task := Task{TaskObservation: fleet.TaskObservation{Presence: fate, Cause: cause}, Kind: kind, Cancelled: bits&1 != 0, Stopping: bits&2 != 0,
 						Counted: bits&4 != 0, Spent: bits&8 != 0}
 					s := Decide(task)
 					seen[s] = true
-					proof := fate == fleet.Lost || fate == fleet.Exited || fate == fleet.Absent && task.Stopping
+					proof := fate == fleet.PresenceSessionEnded || fate == fleet.PresenceExited || fate == fleet.PresenceAbsent && task.Stopping
 					if s.Release != proof {
 						t.Errorf("%+v: %+v", task, s)
 					}
-					done := fate == fleet.Exited && cause == wire.CauseDone && kind != wire.KindService && !task.Cancelled
+					done := fate == fleet.PresenceExited && cause == wire.CauseDone && kind != wire.KindService && !task.Cancelled
 					if (s.State == world.Done) != done || s.Gang != (done && kind == wire.KindGang) {
 						t.Errorf("%+v: %+v", task, s)
 					}
-					failed := fate == fleet.Exited && cause == wire.CauseError
+					failed := fate == fleet.PresenceExited && cause == wire.CauseError
 					if s.Count != (failed && task.Counted) || s.End != (s.Count && task.Spent && !task.Cancelled) || s.Count && s.Pause {
 						t.Errorf("%+v: %+v", task, s)
 					}
--- a/internal/standin/region.go
+++ b/internal/standin/region.go
@@ -87,10 +87,10 @@
 func (l lines) Ask(_ context.Context, machines []string) map[string]string {
 	out := map[string]string{}
 	for node, w := range l.others() {
-		if !w.FreshView() {
+		if !w.HasFreshState() {
 			continue
 		}
-		for _, m := range w.HeardOf(machines) {
+		for _, m := range w.RecentlyHeard(machines) {
 			out[m] = node
 		}
 	}
@@ -100,7 +100,7 @@
 func (l lines) Images(context.Context) map[string]map[string]bool {
 	out := map[string]map[string]bool{}
 	for _, w := range l.others() {
-		for image, machines := range w.Images() {
+		for image, machines := range w.MachinesByImage() {
 			if out[image] == nil {
 				out[image] = map[string]bool{}
 			}
