--- a/internal/place/downstream.go
+++ b/internal/place/downstream.go
@@ -18,10 +18,10 @@
 // where that owner does not, any node does.
 func (r *round) doom() {
 	n := 0
-	for id := range r.world.Doomed() {
-		j := r.world.Jobs[id]
+	for id := range r.cluster.Doomed() {
+		j := r.cluster.Jobs[id]
 		key := world.JobKey(id)
-		if j == nil || r.busy[key] || n >= tuning.DoomRound {
+		if j == nil || r.keysInFlight[key] || n >= tuning.DoomRound {
 			continue
 		}
 		if _, mine := r.tokens[r.first(j)]; !mine && r.now.Sub(j.DoomAt) < tuning.DoomPatience {
@@ -29,8 +29,8 @@
 		}
 		n++
 		fallen.Inc()
-		r.out = append(r.out, &change{what: "end " + id + " with what it needs", keys: []string{key}, late: true, item: store.Item{
-			Guards: []wire.Guard{{Key: key, Stamp: j.Stamp}}, Ops: r.final(j, wire.JobCancelled, j.Done), Urgent: true,
+		r.out = append(r.out, &recordChange{description: "end " + id + " with what it needs", keys: []string{key}, harmlessWhenLate: true, transaction: store.Item{
+			Guards: []wire.Guard{{Key: key, Stamp: j.Stamp}}, Ops: r.finalOps(j, wire.JobCancelled, j.Done), Urgent: true,
 		}})
 		r.log.Info("job cancelled with one that it needs", "job", id)
 	}
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -19,7 +19,7 @@
 	var idle []int
 	forming := false
 	for i := range spec.Tasks {
-		t := r.task(j, i)
+		t := r.taskState(j, i)
 		attempt = max(attempt, t.Attempt)
 		if t.State == world.Idle {
 			idle = append(idle, i)
@@ -28,7 +28,7 @@
 		}
 	}
 	du.Left = len(idle)
-	if r.busy[world.JobKey(spec.ID)] || r.outgrown(j) || forming && slices.ContainsFunc(idle, func(i int) bool { return r.task(j, i).Attempt >= attempt }) {
+	if r.keysInFlight[world.JobKey(spec.ID)] || r.needsMigration(j) || forming && slices.ContainsFunc(idle, func(i int) bool { return r.taskState(j, i).Attempt >= attempt }) {
 		r.waiting(j, "its last attempt has not left yet, or a change is on its way", nil)
 		du.Left = 0
 		return
@@ -68,12 +68,12 @@
 		adds[j.RecordOf(i)]++
 	}
 	for k, n := range adds {
-		if r.full(j, k, n, picks[0].M.Name) {
+		if r.recordFull(j, k, n, picks[0].M.Name) {
 			r.waiting(j, "its records are full", nil)
 			return
 		}
 	}
-	if !r.quota.Allowed(du.home, spec.Team, r.use(du.home, spec.Team).Plus(du.Need, float64(len(picks)))) {
+	if !r.quota.Allowed(du.home, spec.Team, r.usage(du.home, spec.Team).Plus(du.Need, float64(len(picks)))) {
 		r.waiting(j, "its team's grant in this part", nil)
 		return
 	}
--- a/internal/place/intime.go
+++ b/internal/place/intime.go
@@ -18,18 +18,18 @@
 // services are not held against it: they come before, and take what they need whole.
 // It reads records and estimates only, so that all nodes find nearly the same.
 func (r *round) inTime() {
-	r.aimedAt, r.missed, r.aimed = r.now, map[string]bool{}, map[string]time.Time{}
-	r.short = [wire.Ranks]bool{}
+	r.objectivesAt, r.missesAllObjectives, r.reachableObjective = r.now, map[string]bool{}, map[string]time.Time{}
+	r.capacityShort = [wire.Ranks]bool{}
 	var lists [wire.Ranks][]order.Work
 	aims := map[string][]time.Time{}
 	waiting := map[string]int{}
 	var runs [wire.Ranks]float64 // of the machine time that running arrays still take
-	for id, j := range r.world.Jobs {
+	for id, j := range r.cluster.Jobs {
 		if j.Spec.Kind != wire.KindArray || !j.Startable() {
 			continue
 		}
 		rank, share, run := r.rank(j), r.shareOf(&j.Spec), r.expected(j)
-		r.served.Arrived(r.now, id, j.Spec.Class, j.Spec.Team, j.Spec.Tasks, j.Since())
+		r.recentArrivals.Arrived(r.now, id, j.Spec.Class, j.Spec.Team, j.Spec.Tasks, j.Since())
 		runs[rank] += float64(j.Bound) * share * run.Seconds() / 2 // half is left on average
 		if j.Pending() == 0 {
 			continue
@@ -44,7 +44,7 @@
 		}
 		lists[rank] = append(lists[rank], w)
 	}
-	r.owed = r.served.Owed(r.now, waiting)
+	r.underserved = r.recentArrivals.Owed(r.now, waiting)
 	for rank, list := range lists {
 		if len(list) == 0 {
 			continue
@@ -60,19 +60,19 @@
 		missed, takes := 0, time.Duration(0)
 		for id, aim := range order.Reachable(backlog, list) {
 			if aim < 0 {
-				r.missed[id] = true
+				r.missesAllObjectives[id] = true
 				missed++
 				continue
 			}
-			r.aimed[id] = aims[id][aim]
-			first, _ := r.reachable(aims[id], r.expected(r.world.Jobs[id]))
-			r.short[rank] = r.short[rank] || first.Before(r.aimed[id])
+			r.reachableObjective[id] = aims[id][aim]
+			first, _ := r.reachable(aims[id], r.expected(r.cluster.Jobs[id]))
+			r.capacityShort[rank] = r.capacityShort[rank] || first.Before(r.reachableObjective[id])
 		}
-		r.short[rank] = r.short[rank] || missed > 0
+		r.capacityShort[rank] = r.capacityShort[rank] || missed > 0
 		for _, w := range list {
 			takes += w.Takes
 		}
-		r.log.Debug("arrays against the room", "rank", rank, "waiting", len(list), "missed", missed, "short", r.short[rank], "room", int(room), "busy", backlog, "takes", takes)
+		r.log.Debug("arrays against the room", "rank", rank, "waiting", len(list), "missed", missed, "short", r.capacityShort[rank], "room", int(room), "busy", backlog, "takes", takes)
 	}
 }
 
@@ -86,7 +86,7 @@
 	if j.Spec.Kind == wire.KindService && r.scarce() {
 		return 1 + j.Bound // the fewest replicas left first
 	}
-	if j.Spec.Kind != wire.KindArray || !r.short[r.rank(j)] {
+	if j.Spec.Kind != wire.KindArray || !r.capacityShort[r.rank(j)] {
 		return 0
 	}
 	if r.floor(j) || r.lastCall(j) {
@@ -97,13 +97,13 @@
 
 // scarce tells whether services have found no room of late, as after the loss of a zone. Then one
 // replica of each starts before the second of any, and those with the fewest left go first.
-func (r *round) scarce() bool { return r.now.Sub(r.lacked) < tuning.ServicesLack }
+func (r *round) scarce() bool { return r.now.Sub(r.lastServiceShortage) < tuning.ServicesLack }
 
 // lastCall tells whether an array has to start soon to be in time for the last of its aims, which
 // it can be. Behind smaller ones that keep coming the large would miss it though there is room for
 // all by then: one in a hundred did where room was a little short.
 func (r *round) lastCall(j *world.Job) bool {
-	if _, ok := r.aimed[j.Spec.ID]; !ok {
+	if _, ok := r.reachableObjective[j.Spec.ID]; !ok {
 		return false
 	}
 	aims, run := r.aims(j), r.expected(j)
@@ -124,14 +124,14 @@
 // ones keep coming; so of every four seconds two are for classes that are owed, as they differ
 // most, and one for teams; then their arrays come first, in the order that holds among all.
 func (r *round) due(j *world.Job) bool {
-	if len(r.owed) == 0 || j.Spec.Kind != wire.KindArray || !r.short[r.rank(j)] {
+	if len(r.underserved) == 0 || j.Spec.Kind != wire.KindArray || !r.capacityShort[r.rank(j)] {
 		return false
 	}
 	switch r.now.Unix() % tuning.FloorTurns {
 	case 0, 2:
-		return r.owed[floor.Whom{Name: j.Spec.Class}]
+		return r.underserved[floor.Whom{Name: j.Spec.Class}]
 	case 1:
-		return r.owed[floor.Whom{Team: true, Name: j.Spec.Team}]
+		return r.underserved[floor.Whom{Team: true, Name: j.Spec.Team}]
 	}
 	return false
 }
@@ -140,12 +140,12 @@
 // be in time they would wait as long as room is short, be it for hours; so every fourth
 // second they come first, the oldest of them before the others. All nodes find the same.
 func (r *round) floor(j *world.Job) bool {
-	return r.missed[j.Spec.ID] && r.now.Sub(j.Since()) > tuning.FloorAfter && r.now.Unix()%tuning.FloorTurns == tuning.FloorTurns-1
+	return r.missesAllObjectives[j.Spec.ID] && r.now.Sub(j.Since()) > tuning.FloorAfter && r.now.Unix()%tuning.FloorTurns == tuning.FloorTurns-1
 }
 
 // behind tells whether an array stands behind those that can be in time: it can't, and it is not
 // its turn.
-func (r *round) behind(j *world.Job) bool { return r.missed[j.Spec.ID] && !r.floor(j) }
+func (r *round) behind(j *world.Job) bool { return r.missesAllObjectives[j.Spec.ID] && !r.floor(j) }
 
 // roomFor is the room that work of a rank may use on machines that are up, in machines: what is
 // free and what work of its own rank or below takes. Where work takes no GPUs, machines of several
@@ -153,14 +153,14 @@
 // as one with room for four, and one too small for any as well.
 func (r *round) roomFor(rank int) float64 {
 	sum := 0.0
-	for p := range r.world.Size {
+	for p := range r.cluster.Size {
 		for _, n := range r.stock.Ready(p) {
 			free := n.Free
 			for k := rank; k < len(n.M.Yield); k++ {
 				free = free.Plus(n.M.Yield[k], 1)
 			}
-			if r.wide.CPUs > 0 {
-				sum += float64(fit.Times(r.wide, free))
+			if r.commonNeed.CPUs > 0 {
+				sum += float64(fit.Times(r.commonNeed, free))
 			} else {
 				sum += fit.Share(free, n.Capacity)
 			}
@@ -173,11 +173,11 @@
 // for a common task; as roomFor counts.
 func (r *round) shareOf(s *wire.Spec) float64 {
 	need := world.Need(s)
-	if r.wide.CPUs > 0 {
-		return max(need.CPUs/r.wide.CPUs, need.Mem/max(r.wide.Mem, 1))
+	if r.commonNeed.CPUs > 0 {
+		return max(need.CPUs/r.commonNeed.CPUs, need.Mem/max(r.commonNeed.Mem, 1))
 	}
 	best := 1.0
-	for _, t := range r.world.Types {
+	for _, t := range r.cluster.Types {
 		c := world.Capacity(&t)
 		if need.Within(c) {
 			best = min(best, 1-fit.Share(c.Plus(need, -1), c))
--- a/internal/place/intime_test.go
+++ b/internal/place/intime_test.go
@@ -21,23 +21,23 @@
 func TestWhoIsLateHoldsNobodyUp(t *testing.T) {
 	short, ample := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		f := newField(nil)
+		f := newTestCluster(nil)
 		e := f.engines[0]
-		e.set.Deployment.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 80, Share: 0.99}, {Kind: "finished", Class: "c", WithinS: 200, Share: 0.99}}
+		e.settings.Deployment.Objectives = []config.Objective{{Kind: "wait", Class: "c", WithinS: 80, Share: 0.99}, {Kind: "finished", Class: "c", WithinS: 200, Share: 0.99}}
 		machines := rapid.IntRange(1, 30).Draw(t, "machines")
 		for i := range machines {
-			name := f.machine(i, true)
-			f.job(array(5000+i, 4), world.Task{State: world.Bound, Attempt: 1, Machine: name, Session: 1})
+			name := f.addMachine(i, true)
+			f.addJob(arraySpec(5000+i, 4), world.Task{State: world.Bound, Attempt: 1, Machine: name, Session: 1})
 		}
 		for i := range rapid.IntRange(2, 40).Draw(t, "jobs") {
-			s := array(i, rapid.IntRange(1, 180).Draw(t, "tasks"))
+			s := arraySpec(i, rapid.IntRange(1, 180).Draw(t, "tasks"))
 			s.Team, s.Class, s.EstimateS = "t", "c", float64(rapid.IntRange(5, 90).Draw(t, "run"))
 			at := testNow.Add(-time.Duration(rapid.IntRange(0, 400).Draw(t, "age")) * time.Second)
 			f.put(world.JobKey(s.ID), world.JobRecord{Spec: s, AtMs: at.UnixMilli()})
 		}
-		f.world.RLock()
-		defer f.world.RUnlock()
-		r := e.newRound(testNow.Add(time.Duration(rapid.IntRange(0, tuning.FloorTurns-1).Draw(t, "second")) * time.Second))
+		f.cluster.RLock()
+		defer f.cluster.RUnlock()
+		r := e.newCycle(testNow.Add(time.Duration(rapid.IntRange(0, tuning.FloorTurns-1).Draw(t, "second")) * time.Second))
 		r.stock = r.renewStock()
 		queue := r.queue(true)
 		for i, du := range queue {
@@ -61,11 +61,11 @@
 			}
 		}
 		for _, du := range queue {
-			if (du.key.Size != 0) != r.short[du.rank] {
-				t.Fatalf("%v though short is %v", du.key, r.short)
+			if (du.key.Size != 0) != r.capacityShort[du.rank] {
+				t.Fatalf("%v though short is %v", du.key, r.capacityShort)
 			}
 		}
-		if r.short[queue[0].rank] {
+		if r.capacityShort[queue[0].rank] {
 			short++
 		} else {
 			ample++
@@ -80,38 +80,38 @@
 // comes later and is smaller; and what a team is assured never sums to more than it is guaranteed.
 func TestPromisesAreKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newField(nil)
+		f := newTestCluster(nil)
 		e := f.engines[0]
 		guarantee := float64(rapid.IntRange(10, 200).Draw(t, "guarantee"))
-		e.quota = quota.New([]config.Team{{Name: "t", GPUs: guarantee}}, f.world)
+		e.quota = quota.New([]config.Team{{Name: "t", GPUs: guarantee}}, f.cluster)
 		kept := map[string]bool{}
 		now := testNow
 		for i := range rapid.IntRange(2, 25).Draw(t, "jobs") {
-			s := array(i, rapid.IntRange(1, 90).Draw(t, "tasks"))
+			s := arraySpec(i, rapid.IntRange(1, 90).Draw(t, "tasks"))
 			s.Team, s.Class, s.EstimateS = "t", "c", 30
 			now = now.Add(time.Second)
 			f.put(world.JobKey(s.ID), world.JobRecord{Spec: s, AtMs: now.UnixMilli()})
-			f.world.RLock()
-			r := e.newRound(now)
+			f.cluster.RLock()
+			r := e.newCycle(now)
 			r.stock = r.renewStock()
-			r.short = [4]bool{true, true, true, true}
+			r.capacityShort = [4]bool{true, true, true, true}
 			r.guarantees()
 			sum := 0.0
-			for id := range r.assured {
-				sum += float64(r.world.Jobs[id].Spec.Tasks)
+			for id := range r.withinGuarantee {
+				sum += float64(r.cluster.Jobs[id].Spec.Tasks)
 			}
 			if sum > guarantee+1e-9 {
 				t.Fatalf("%v GPUs assured of %v", sum, guarantee)
 			}
 			for id := range kept {
-				if !r.assured[id] {
+				if !r.withinGuarantee[id] {
 					t.Fatalf("%s has lost what was promised", id)
 				}
 			}
-			if r.promised[s.ID] {
+			if r.guaranteedOnArrival[s.ID] {
 				kept[s.ID] = true
 			}
-			f.world.RUnlock()
+			f.cluster.RUnlock()
 		}
 		if len(kept) == 0 && math.Floor(guarantee) >= 90 {
 			t.Fatal("nothing was ever promised")
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -57,15 +57,15 @@
 // in time for nothing any more, and where room is short the smallest. By arrival alone one
 // large job that is late would keep out the team's later ones until they are late as well.
 func (r *round) guarantees() {
-	r.assuredAt, r.assured, r.covered = r.now, map[string]bool{}, map[string]bool{}
+	r.guaranteesAt, r.withinGuarantee, r.runningWithinGuarantee = r.now, map[string]bool{}, map[string]bool{}
 	teams := map[string][]*world.Job{}
-	for _, j := range r.world.Jobs {
+	for _, j := range r.cluster.Jobs {
 		if _, ok := r.quota.Guarantee(j.Spec.Team); ok && j.Startable() {
 			teams[j.Spec.Team] = append(teams[j.Spec.Team], j)
 		}
 	}
-	before := r.promised
-	r.promised = make(map[string]bool, len(before))
+	before := r.guaranteedOnArrival
+	r.guaranteedOnArrival = make(map[string]bool, len(before))
 	for team, jobs := range teams {
 		slices.SortFunc(jobs, func(a, b *world.Job) int {
 			return cmp.Or(cmp.Compare(a.SinceMs(), b.SinceMs()), cmp.Compare(a.Spec.ID, b.Spec.ID))
@@ -87,8 +87,8 @@
 			id, all := j.Spec.ID, j.Spec.Tasks-j.Done
 			full = full || !fits(&earlier, j, all)
 			kept, known := before[id]
-			if r.promised[id] = kept || !known && !full; r.promised[id] && fits(&sum, j, all) {
-				r.assured[id], r.covered[id] = true, true
+			if r.guaranteedOnArrival[id] = kept || !known && !full; r.guaranteedOnArrival[id] && fits(&sum, j, all) {
+				r.withinGuarantee[id], r.runningWithinGuarantee[id] = true, true
 				continue
 			}
 			others = append(others, j)
@@ -97,14 +97,14 @@
 			if j.Bound > 0 && !fits(&sum, j, j.Bound) {
 				break
 			}
-			r.covered[j.Spec.ID] = j.Bound > 0
+			r.runningWithinGuarantee[j.Spec.ID] = j.Bound > 0
 		}
 		slices.SortStableFunc(others, func(a, b *world.Job) int { return cmp.Compare(r.turn(a), r.turn(b)) })
 		for _, j := range others {
 			if !fits(&sum, j, j.Pending()) {
 				break
 			}
-			r.assured[j.Spec.ID] = j.Bound == 0 || r.covered[j.Spec.ID]
+			r.withinGuarantee[j.Spec.ID] = j.Bound == 0 || r.runningWithinGuarantee[j.Spec.ID]
 		}
 	}
 }
@@ -121,18 +121,18 @@
 // which something changed are put where they belong, those that time or their team's
 // guarantee moves when it does, and all of them now and then, as estimates move too.
 func (r *round) queue(room bool) []due {
-	news := r.news.Jobs()
-	if r.now.Sub(r.assuredAt) >= tuning.AssuredEvery && (r.line.Len() > 0 || len(news) > 0) {
-		if r.now.Sub(r.aimedAt) >= tuning.InTimeEvery {
+	news := r.changeFeed.Jobs()
+	if r.now.Sub(r.guaranteesAt) >= tuning.AssuredEvery && (r.waitingJobs.Len() > 0 || len(news) > 0) {
+		if r.now.Sub(r.objectivesAt) >= tuning.InTimeEvery {
 			r.inTime()
 		}
 		r.guarantees()
-		all := r.now.Sub(r.turnedAt) >= tuning.TurnEvery
+		all := r.now.Sub(r.lastFullReorder) >= tuning.TurnEvery
 		if all {
-			r.turnedAt = r.now
+			r.lastFullReorder = r.now
 		}
-		r.line.Each(func(k order.Key, j *world.Job) bool {
-			if all || k.Assured != r.assured[k.ID] || k.Owed != r.due(j) || k.Late != r.behind(j) || k.Size != r.size(j) || r.now.After(r.turns[k.ID]) {
+		r.waitingJobs.Each(func(k order.Key, j *world.Job) bool {
+			if all || k.Assured != r.withinGuarantee[k.ID] || k.Owed != r.due(j) || k.Late != r.behind(j) || k.Size != r.size(j) || r.now.After(r.nextReorder[k.ID]) {
 				news[k.ID] = struct{}{}
 			}
 			return true
@@ -141,14 +141,14 @@
 	for id := range news {
 		r.enter(id)
 	}
-	out := r.queued[:0]
-	r.line.Each(func(k order.Key, j *world.Job) bool {
-		if b, ok := r.backoff[k.ID]; !ok || !r.now.Before(b.until) {
+	out := r.queueBuffer[:0]
+	r.waitingJobs.Each(func(k order.Key, j *world.Job) bool {
+		if b, ok := r.jobBackoffs[k.ID]; !ok || !r.now.Before(b.until) {
 			out = append(out, due{Ask: fit.Ask{Spec: &j.Spec, Need: world.Need(&j.Spec), Within: r.startWithin(&j.Spec)}, job: j, assured: k.Assured, rank: k.Rank, pressing: k.Pressing, key: k, home: -1})
 		}
 		return true
 	})
-	r.queued = out
+	r.queueBuffer = out
 	r.byValue(out, room)
 	return out
 }
@@ -159,7 +159,7 @@
 	if s.Kind != wire.KindService {
 		return least // asked for each waiting job in each round
 	}
-	for _, o := range r.set.Deployment.Objectives {
+	for _, o := range r.settings.Deployment.Objectives {
 		if o.Class == s.Class && o.Kind == "wait" && (least == 0 || o.WithinS < least) {
 			least = o.WithinS
 		}
@@ -169,15 +169,15 @@
 
 // enter puts a job in line, where it belongs now, or takes it out.
 func (r *round) enter(id string) {
-	j := r.world.Jobs[id]
+	j := r.cluster.Jobs[id]
 	if j == nil || !j.Startable() || !r.ours(j) || j.Pending() == 0 {
-		r.line.Drop(id)
-		delete(r.turns, id)
+		r.waitingJobs.Drop(id)
+		delete(r.nextReorder, id)
 		return
 	}
 	deadline, pressing, turn := r.deadline(j)
-	r.turns[id] = turn
-	r.line.Put(order.Key{Rank: r.rank(j), Assured: r.assured[id], Owed: r.due(j), Late: r.behind(j), Size: r.size(j), Pressing: pressing, Deadline: deadline.UnixNano(), Since: j.SinceMs(), ID: id}, j)
+	r.nextReorder[id] = turn
+	r.waitingJobs.Put(order.Key{Rank: r.rank(j), Assured: r.withinGuarantee[id], Owed: r.due(j), Late: r.behind(j), Size: r.size(j), Pressing: pressing, Deadline: deadline.UnixNano(), Since: j.SinceMs(), ID: id}, j)
 }
 
 // ours tells whether the right to start a job is with this cell as it is now: a guest that was taken
@@ -185,13 +185,13 @@
 // that lost writes starts nothing before it knows what the others hold of its own.
 func (r *round) ours(j *world.Job) bool {
 	if j.Guest != nil {
-		return r.op.CellEpoch > 0 && j.Guest.Epoch == r.op.CellEpoch
+		return r.operator.CellEpoch > 0 && j.Guest.Epoch == r.operator.CellEpoch
 	}
-	if r.op.CellEpoch <= 1 {
+	if r.operator.CellEpoch <= 1 {
 		return true // it has lost nothing yet
 	}
-	for _, c := range r.op.Cells {
-		if rec := r.world.Cells[c.Name]; rec == nil || rec.Own != r.op.CellEpoch || !rec.Settled {
+	for _, c := range r.operator.Cells {
+		if rec := r.cluster.Cells[c.Name]; rec == nil || rec.Own != r.operator.CellEpoch || !rec.Settled {
 			return false
 		}
 	}
@@ -202,7 +202,7 @@
 // most that a gang or a service takes, and what arrays take on average.
 func (r *round) besides() {
 	var most, sum world.Amount
-	for _, j := range r.world.Jobs {
+	for _, j := range r.cluster.Jobs {
 		need := world.Need(&j.Spec)
 		switch {
 		case !j.Known || j.Cancelled() || need.GPUs == 0:
@@ -215,7 +215,7 @@
 	if sum.GPUs > 0 {
 		most.CPUs, most.Mem = max(most.CPUs, sum.CPUs/sum.GPUs), max(most.Mem, sum.Mem/sum.GPUs)
 	}
-	r.perGPU = most
+	r.needPerGPU = most
 }
 
 // common finds what a task of the work that asks for most cores takes: half of all cores that are
@@ -228,13 +228,13 @@
 	}
 	var all []class
 	total := 0.0
-	for _, j := range r.world.Jobs {
+	for _, j := range r.cluster.Jobs {
 		if need := world.Need(&j.Spec); j.Startable() && need.GPUs == 0 {
 			c := class{need, need.CPUs * float64(j.Spec.Tasks-j.Done)}
 			all = append(all, c)
 			total += c.sum
 		} else if j.Startable() {
-			r.wide, r.wideAt = world.Amount{}, r.now // GPUs are what is scarce here
+			r.commonNeed, r.commonNeedAt = world.Amount{}, r.now // GPUs are what is scarce here
 			return
 		}
 	}
@@ -244,8 +244,8 @@
 	sum := 0.0
 	for _, c := range all {
 		if sum += c.sum; 2*sum >= total && total > 0 {
-			if c.need.CPUs >= r.wide.CPUs || r.now.Sub(r.wideAt) > tuning.CommonHold {
-				r.wide, r.wideAt = c.need, r.now
+			if c.need.CPUs >= r.commonNeed.CPUs || r.now.Sub(r.commonNeedAt) > tuning.CommonHold {
+				r.commonNeed, r.commonNeedAt = c.need, r.now
 			}
 			return
 		}
@@ -256,21 +256,21 @@
 func (r *round) sweep() {
 	r.besides()
 	r.common()
-	maps.DeleteFunc(r.refused, func(_ string, until time.Time) bool { return r.now.After(until) })
-	over := func(id string) bool { return r.world.Jobs[id] == nil }
-	maps.DeleteFunc(r.valued, func(id string, _ valued) bool { return over(id) })
-	maps.DeleteFunc(r.backoff, func(id string, _ retry) bool { return over(id) })
-	maps.DeleteFunc(r.waits, func(id string, _ wait) bool { return over(id) })
-	maps.DeleteFunc(r.lacks, func(id string, _ time.Time) bool { return over(id) || r.world.Jobs[id].Pending() == 0 })
-	maps.DeleteFunc(r.told, func(id string, _ time.Time) bool { return over(id) })
-	maps.DeleteFunc(r.forming, func(id string, _ time.Time) bool { return over(id) })
-	maps.DeleteFunc(r.buried, func(_ string, at time.Time) bool { return r.now.Sub(at) > tuning.BuriedFor })
-	maps.DeleteFunc(r.held, func(_ string, h reserve) bool { return r.now.After(h.until) })
+	maps.DeleteFunc(r.rejectedUntil, func(_ string, until time.Time) bool { return r.now.After(until) })
+	over := func(id string) bool { return r.cluster.Jobs[id] == nil }
+	maps.DeleteFunc(r.cachedValues, func(id string, _ cachedValue) bool { return over(id) })
+	maps.DeleteFunc(r.jobBackoffs, func(id string, _ jobBackoff) bool { return over(id) })
+	maps.DeleteFunc(r.ownerWaits, func(id string, _ ownerWait) bool { return over(id) })
+	maps.DeleteFunc(r.unplacedSince, func(id string, _ time.Time) bool { return over(id) || r.cluster.Jobs[id].Pending() == 0 })
+	maps.DeleteFunc(r.lastLoggedReason, func(id string, _ time.Time) bool { return over(id) })
+	maps.DeleteFunc(r.gangFormingSince, func(id string, _ time.Time) bool { return over(id) })
+	maps.DeleteFunc(r.tombstones, func(_ string, at time.Time) bool { return r.now.Sub(at) > tuning.BuriedFor })
+	maps.DeleteFunc(r.reservations, func(_ string, h reservation) bool { return r.now.After(h.expiresAt) })
 }
 
 // run is how long a task of a job is expected to run.
 func (r *round) run(j *world.Job) time.Duration {
-	return config.Seconds(r.values.runs.RunS(j.Spec.Class, j.Spec.EstimateS))
+	return config.Seconds(r.learning.runs.RunS(j.Spec.Class, j.Spec.EstimateS))
 }
 
 // cutoffs are a job's own deadline and the multiples of it that its class's aims
@@ -283,7 +283,7 @@
 		return time.UnixMilli(j.AtMs).Add(config.Seconds(j.Spec.DeadlineS * times))
 	}
 	out := []time.Time{after(1)}
-	for _, o := range r.set.Deployment.Objectives {
+	for _, o := range r.settings.Deployment.Objectives {
 		if o.Class == j.Spec.Class && o.Kind == "deadline" && o.Times > 0 {
 			out = append(out, after(o.Times))
 		}
@@ -308,7 +308,7 @@
 func (r *round) aims(j *world.Job) []time.Time {
 	// A deadline counts from the submission, all else from when the job could start.
 	at, run, aims := j.Since(), r.run(j), r.cutoffs(j)
-	for _, o := range r.set.Deployment.Objectives {
+	for _, o := range r.settings.Deployment.Objectives {
 		switch {
 		case o.Class != j.Spec.Class || o.WithinS <= 0:
 		case o.Kind == "deadline" && j.Spec.DeadlineS > 0 && o.Times > 0: // one of the cutoffs
@@ -333,14 +333,14 @@
 	if len(aims) == 0 {
 		return j.Since().Add(tuning.NoDeadline), false, never
 	}
-	if first, ok := r.aimed[j.Spec.ID]; ok {
+	if first, ok := r.reachableObjective[j.Spec.ID]; ok {
 		if i := slices.IndexFunc(aims, func(at time.Time) bool { return !at.Before(first) }); i > 0 {
 			aims = aims[i:]
 		}
 	}
 	by, slack := r.reachable(aims, run)
 	switch guard := max(tuning.DeadlineGuardMin, time.Duration(tuning.DeadlineGuard*float64(run))); {
-	case slack < 0 || r.missed[j.Spec.ID]:
+	case slack < 0 || r.missesAllObjectives[j.Spec.ID]:
 		return by, false, never
 	case slack < guard:
 		return by, true, r.now.Add(slack)
@@ -359,11 +359,11 @@
 		return z
 	}
 	for i := range j.Spec.Tasks {
-		t := r.task(j, i)
+		t := r.taskState(j, i)
 		if t.State != world.Bound {
 			continue
 		}
-		m := r.world.Machines[t.Machine]
+		m := r.cluster.Machines[t.Machine]
 		if m == nil {
 			z.Known = false
 			return z
@@ -384,12 +384,12 @@
 func (r *round) place() {
 	s := r.renewStock()
 	r.stock = s
-	if r.commit.Waiting() < tuning.PressedItems || r.now.Sub(r.given) > tuning.PressedGap {
-		r.given = r.now
+	if r.committer.Waiting() < tuning.PressedItems || r.now.Sub(r.lastArrayPlacement) > tuning.PressedGap {
+		r.lastArrayPlacement = r.now
 	} else {
 		r.pressed = true
 	}
-	_, _, leads := r.member.Owns(world.Leader)
+	_, _, leads := r.membership.Owns(world.Leader)
 	r.counts = leads && r.now.Sub(r.demand.At) >= tuning.DemandEvery
 	queue := r.queue(s.HasRoom())
 	s.Narrow(func(yield func(world.Amount) bool) {
@@ -403,8 +403,8 @@
 	if len(queue) > 0 {
 		s.Gather()
 		total := map[string]world.Amount{}
-		for p := range r.world.Size {
-			for team, a := range r.world.Usage[p] {
+		for p := range r.cluster.Size {
+			for team, a := range r.cluster.Usage[p] {
 				total[team] = total[team].Plus(a, 1)
 			}
 			for team, a := range r.moveP[p] {
@@ -446,7 +446,7 @@
 // dealFirst gives a service that has lost all its replicas room for one, before any has room for
 // its second. One that never had any starts whole: each start alone is a change of its record.
 func (r *round) dealFirst(du *due, s *fit.Stock) {
-	if du.job.Spec.Kind != wire.KindService || du.job.Bound > 0 || r.task(du.job, 0).Attempt == 0 {
+	if du.job.Spec.Kind != wire.KindService || du.job.Bound > 0 || r.taskState(du.job, 0).Attempt == 0 {
 		return
 	}
 	rest := du.Left - 1
@@ -491,7 +491,7 @@
 // paused tells whether a task that failed is not to be repeated yet.
 func (r *round) paused(j *world.Job, i int) bool {
 	f, ok := j.Failing[i]
-	return ok && r.now.Sub(f.At) < r.repeats.Pause(j.Spec.Class, f.Failures)
+	return ok && r.now.Sub(f.At) < r.retryRules.Pause(j.Spec.Class, f.Failures)
 }
 
 // deal gives a job's tasks room in the part that the job is dealt to, so that
@@ -551,13 +551,13 @@
 // has no other room is placed all the same.
 func (r *round) chooseSpread(du *due, where []*fit.Node, z *fit.Zones, also func(*fit.Node) bool) []*fit.Node {
 	j, spec := du.job, &du.job.Spec
-	if !r.op.SpreadServices || spec.Kind != wire.KindService || spec.Spread || spec.OneZone || spec.Tasks < 2 {
+	if !r.operator.SpreadServices || spec.Kind != wire.KindService || spec.Spread || spec.OneZone || spec.Tasks < 2 {
 		return r.stock.Choose(&du.Ask, where, z, also)
 	}
 	wish := fit.Zones{Count: map[string]int{}, Known: true, Limit: (spec.Tasks + 1) / 2}
 	for i := range spec.Tasks {
-		if t := r.task(j, i); t.State == world.Bound && r.world.Machines[t.Machine] != nil {
-			wish.Count[r.world.Machines[t.Machine].Zone]++
+		if t := r.taskState(j, i); t.State == world.Bound && r.cluster.Machines[t.Machine] != nil {
+			wish.Count[r.cluster.Machines[t.Machine].Zone]++
 		}
 	}
 	picks := r.stock.Choose(&du.Ask, where, &wish, also)
@@ -567,7 +567,7 @@
 // trusted gives those of some machines whose zones are trusted with services; all of them
 // if there is none, as a replica in a zone that may go again is better than none.
 func (r *round) trusted(list []*fit.Node) []*fit.Node {
-	good := slices.DeleteFunc(slices.Clone(list), func(n *fit.Node) bool { return !r.silence.Zones().Trusted(n.M.Zone) })
+	good := slices.DeleteFunc(slices.Clone(list), func(n *fit.Node) bool { return !r.failureDetector.Zones().Trusted(n.M.Zone) })
 	if len(good) == 0 {
 		return list
 	}
@@ -614,26 +614,26 @@
 		return
 	}
 	r.waiting(j, "no room", nil)
-	if _, ok := r.lacks[spec.ID]; !ok {
-		r.lacks[spec.ID] = r.now
+	if _, ok := r.unplacedSince[spec.ID]; !ok {
+		r.unplacedSince[spec.ID] = r.now
 	}
 	if spec.Kind == wire.KindService {
-		r.lacked = r.now
+		r.lastServiceShortage = r.now
 	}
 	short, open := du.Left, z.Copy()
 	s.Expect(&du.Ask, &z)
 	if du.Left > 0 && r.counts {
-		if du.Need.CPUs >= r.wide.CPUs {
-			d.Common = r.wide
+		if du.Need.CPUs >= r.commonNeed.CPUs {
+			d.Common = r.commonNeed
 		}
 		d.Groups = append(d.Groups, Group{Spec: spec, Count: du.Left, Zone: z.Pin, Rank: du.rank, Since: j.Since()})
 	}
 	if (du.assured || du.rank <= wire.Rank(wire.PriorityHigh)) && (!gang || spec.Tasks == 1) {
 		// What stands on machines coming up in the play takes no zone from what is stopped for it
 		// meanwhile: services that are spread once waited for boots in the midst of arrays.
-		r.freed(spec.ID, &open)
+		r.countReservedZones(spec.ID, &open)
 		for i := range min(short, tuning.PreemptTasks) {
-			if !r.preempt(du, i, s, &open) {
+			if !r.preemptFor(du, i, s, &open) {
 				break
 			}
 		}
@@ -674,14 +674,14 @@
 
 // tight tells whether a job is an array of a priority whose waiting arrays can't all be in time.
 func (r *round) tight(du *due) bool {
-	return r.short[du.rank] && du.job.Spec.Kind == wire.KindArray
+	return r.capacityShort[du.rank] && du.job.Spec.Kind == wire.KindArray
 }
 
 // first is the first part in a job's own order whose owner lives.
 func (r *round) first(j *world.Job) int {
-	h := world.PartOf(j.Spec.ID, r.world.Size)
-	for i := range r.world.Size {
-		if p := (h + i) % r.world.Size; r.live[p] {
+	h := world.PartOf(j.Spec.ID, r.cluster.Size)
+	for i := range r.cluster.Size {
+		if p := (h + i) % r.cluster.Size; r.live[p] {
 			return p
 		}
 	}
@@ -692,15 +692,15 @@
 // time to take it: if it does not, whoever has room may.
 func (r *round) waited(du *due) bool {
 	id, n := du.job.Spec.ID, du.job.Pending()
-	w, ok := r.waits[id]
-	if !ok || w.pending != n || r.now.Sub(w.seen) > tuning.DealHold {
-		w = wait{since: r.now, pending: n} // it moved on, or there was no room in between
+	w, ok := r.ownerWaits[id]
+	if !ok || w.pending != n || r.now.Sub(w.lastSeen) > tuning.DealHold {
+		w = ownerWait{since: r.now, pending: n} // it moved on, or there was no room in between
 	}
-	w.seen = r.now
-	r.waits[id] = w
+	w.lastSeen = r.now
+	r.ownerWaits[id] = w
 	// The parts take turns: at once, all but one would fail for the record's guard.
 	turn := int(r.now.UnixMilli()/tuning.DealHold.Milliseconds()) + r.first(du.job)
-	_, mine := r.tokens[turn%r.world.Size]
+	_, mine := r.tokens[turn%r.cluster.Size]
 	hold := tuning.DealHold
 	if r.tight(du) {
 		hold = tuning.DealHoldShort
@@ -729,15 +729,15 @@
 	for i := start; i < end && len(picks) > 0 && looked < tuning.JobSlice; i++ {
 		k := j.RecordOf(i)
 		lo, hi := j.Span(k)
-		if i == lo && (j.Settled(k) || r.busy[j.Key(k)]) {
+		if i == lo && (j.Settled(k) || r.keysInFlight[j.Key(k)]) {
 			i = hi - 1 // nothing waits in this record, or it can't be changed now
 			continue
 		}
-		t := r.task(j, i)
+		t := r.taskState(j, i)
 		if t.State != world.Idle || r.paused(j, i) {
 			continue
 		}
-		if r.full(j, k, 1, picks[0].M.Name) {
+		if r.recordFull(j, k, 1, picks[0].M.Name) {
 			r.waiting(j, "its record is full", nil)
 			i = hi - 1
 			continue
@@ -768,37 +768,37 @@
 		r.log.Error("a job that waits for others, or is with another cell, was about to start", "job", j.Spec.ID)
 		return false
 	}
-	if j.Spec.Kind != wire.KindGang && r.bound >= tuning.RoundTasks || !r.quota.Allowed(charge, team, r.use(charge, team).Plus(du.Need, 1)) {
+	if j.Spec.Kind != wire.KindGang && r.bound >= tuning.RoundTasks || !r.quota.Allowed(charge, team, r.usage(charge, team).Plus(du.Need, 1)) {
 		r.waiting(j, "its team's grant in this part, or the round is full", n)
 		return false
 	}
-	ed := r.edit(j, i)
+	ed := r.editRecord(j, i)
 	if ed == nil {
 		r.waiting(j, "a change of its record is on its way", nil)
 		return false
 	}
 	session := max(n.M.Session, 1)
 	if n.Mine {
-		session = r.fleet.MachineStatus(n.M.Name, r.tokens[n.M.Part]).Session
+		session = r.agents.MachineStatus(n.M.Name, r.tokens[n.M.Part]).Session
 	}
 	ref := world.TaskRef{Job: j.Spec.ID, Index: i}
-	t := world.Task{Index: i, State: world.Bound, Attempt: attempt, Machine: n.M.Name, Session: session, Failures: r.task(j, i).Failures}
+	t := world.Task{Index: i, State: world.Bound, Attempt: attempt, Machine: n.M.Name, Session: session, Failures: r.taskState(j, i).Failures}
 	if charge != n.M.Part {
 		t.Charge = charge + 1
 	}
 	ed.tasks[i] = t
-	ed.parts[charge] = true
-	ed.parts[n.M.Part] = true
-	ed.size += bindBytes(n.M.Name)
-	b := bind{ref, n.M.Name, charge, team, du.Need}
-	ed.binds = append(ed.binds, b)
-	r.move(b)
+	ed.shards[charge] = true
+	ed.shards[n.M.Part] = true
+	ed.encodedSize += maxBindingBytes(n.M.Name)
+	b := pendingBinding{ref, n.M.Name, charge, team, du.Need}
+	ed.bindings = append(ed.bindings, b)
+	r.addInFlight(b)
 	r.bound++
 	r.took(du, b, attempt)
-	delete(r.waits, j.Spec.ID)
-	delete(r.lacks, j.Spec.ID)
+	delete(r.ownerWaits, j.Spec.ID)
+	delete(r.unplacedSince, j.Spec.ID)
 	if n.Kept == j.Spec.ID {
-		delete(r.held, n.M.Name)
+		delete(r.reservations, n.M.Name)
 		r.stock.Keep(n.M.Name, "")
 	}
 	r.log.Debug("task placed", "task", ref, "attempt", attempt, "machine", n.M.Name, "image", r.stock.Holds(j.Spec.Image, n))
@@ -807,10 +807,10 @@
 
 // waiting logs now and then why a job waits.
 func (r *round) waiting(j *world.Job, why string, n *fit.Node) {
-	if !r.log.Enabled(r.ctx, slog.LevelDebug) || r.now.Sub(r.told[j.Spec.ID]) < tuning.WhyEvery {
+	if !r.log.Enabled(r.ctx, slog.LevelDebug) || r.now.Sub(r.lastLoggedReason[j.Spec.ID]) < tuning.WhyEvery {
 		return
 	}
-	r.told[j.Spec.ID] = r.now
+	r.lastLoggedReason[j.Spec.ID] = r.now
 	machine := ""
 	if n != nil {
 		machine = n.M.Name
--- /dev/null
+++ b/internal/place/preemption.go
@@ -0,0 +1,119 @@
+package place
+
+import (
+	"sableusher/internal/fit"
+	"sableusher/internal/preempt"
+	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
+	"sableusher/internal/world"
+)
+
+// preemptFor frees room for a task of higher priority on the machine of this
+// node's parts where the least work is lost. All nodes play this round, but only
+// an owner knows what its tasks would lose: the part is chosen by what all know,
+// the machine by its owner. It tells whether there is a part where room could be made;
+// once there is none, like needs of the same rank are not looked at again in this round:
+// hundreds of arrays that wait behind a full fleet would each pass all of its machines.
+func (r *round) preemptFor(queued *due, taskIndex int, inventory *fit.Stock, zones *fit.Zones) bool {
+	task := world.TaskRef{Job: queued.job.Spec.ID, Index: taskIndex}
+	if r.freeing[task] {
+		return true // room is being freed for it already
+	}
+	if r.stops >= tuning.RoundStops || r.rigid[queued.rank].Cover(&queued.Ask) {
+		return false
+	}
+	first := (r.first(queued.job) + taskIndex + r.shardRotation(queued)) % r.cluster.Size
+	for offset := range r.cluster.Size {
+		shard := (first + offset) % r.cluster.Size
+		_, owned := r.tokens[shard]
+		limit := 1 // that there is one is all that matters where another node decides
+		if owned {
+			limit = tuning.PreemptLook
+		}
+		candidates := preempt.Room(inventory.Ready(shard), &queued.Ask, queued.rank, zones, limit)
+		if len(candidates) == 0 {
+			continue
+		}
+		if owned {
+			if best, victims := preempt.Cheapest(queued.Need, candidates, func(candidate *fit.Node) []preempt.Task { return r.preemptibleTasks(candidate, queued) }); best != nil {
+				r.preemptTasks(best, queued, task, victims)
+				zones.Count[best.M.Zone]++
+			}
+		}
+		return true
+	}
+	// What must stand in certain zones may have missed for that alone.
+	if !queued.job.Spec.OneZone && !queued.job.Spec.Spread {
+		r.rigid[queued.rank].Add(&queued.Ask)
+	}
+	return false
+}
+
+// shardRotation moves the part at which urgent work that finds no room has it made, every PreemptTurn that
+// it still finds none: an owner may know that the machines of its part are not to be had which
+// others take for ready, and all would wait for it. By the clock alone the turns passed in the
+// midst of stops, and room was made twice.
+func (r *round) shardRotation(queued *due) int {
+	since, ok := r.unplacedSince[queued.job.Spec.ID]
+	if !ok || queued.rank > wire.Rank(wire.PriorityHigh) {
+		return 0
+	}
+	return int(r.now.Sub(since) / tuning.PreemptTurn)
+}
+
+// countReservedZones counts with a job's tasks the machines on which room is being freed for it.
+func (r *round) countReservedZones(jobID string, zones *fit.Zones) {
+	for name, reservation := range r.reservations {
+		if machine := r.cluster.Machines[name]; machine != nil && reservation.task.Job == jobID && !r.now.After(reservation.expiresAt) {
+			zones.Count[machine.Zone]++
+		}
+	}
+}
+
+// preemptibleTasks gives the tasks on a machine that may be stopped for a job.
+func (r *round) preemptibleTasks(candidate *fit.Node, queued *due) []preempt.Task {
+	preemptor := preempt.Claim{Rank: queued.rank, Assured: queued.assured, Promised: r.guaranteedOnArrival[queued.job.Spec.ID], Team: queued.job.Spec.Team, Need: queued.Need}
+	var victims []preempt.Task
+	for _, binding := range candidate.M.Bound {
+		if preemptor.Over(r.runningJob(binding.Job)) && !binding.Job.Cancelled() && world.Yields(&binding.Job.Spec) && !r.agents.StopRequested(binding) {
+			victims = append(victims, preempt.Task{Bound: binding, Rank: r.rank(binding.Job), Cost: r.lostMachineSeconds(binding, candidate)})
+		}
+	}
+	return victims
+}
+
+// preemptTasks stops tasks on a machine until another has room there, and keeps the room.
+func (r *round) preemptTasks(candidate *fit.Node, queued *due, task world.TaskRef, victims []preempt.Task) {
+	r.stops++
+	r.stock.Clear(candidate, task.Job)
+	r.reservations[candidate.M.Name] = reservation{task, r.now.Add(tuning.PreemptHold)}
+	r.freeing[task] = true
+	for _, victim := range victims {
+		grace := 0.0
+		if queued.rank > 0 && victim.Bound.Job.Spec.CheckpointS > 0 {
+			grace = stopGraceSeconds(&victim.Bound.Job.Spec)
+		}
+		r.log.Debug("stopping a task for one of higher priority", "task", victim.Bound.Ref, "for", task, "machine", candidate.M.Name)
+		r.agents.RequestStop(victim.Bound, candidate.M.Name, grace)
+	}
+}
+
+// runningJob is what a running job has to say for itself.
+func (r *round) runningJob(job *world.Job) preempt.Holder {
+	_, guaranteed := r.quota.Guarantee(job.Spec.Team)
+	return preempt.Holder{Rank: r.rank(job), Assured: r.runningWithinGuarantee[job.Spec.ID], Guaranteed: guaranteed, Team: job.Spec.Team,
+		Passing: job.Spec.Kind == wire.KindArray && r.run(job) < tuning.Passing}
+}
+
+// lostMachineSeconds is the work lost when a task is stopped, in machine seconds.
+func (r *round) lostMachineSeconds(binding world.Binding, candidate *fit.Node) float64 {
+	task := r.agents.ObserveTask(binding, candidate.M.Name, r.tokens[candidate.M.Part])
+	ran := 0.0
+	if task.State == wire.TaskRunning {
+		ran = r.now.Sub(task.Since).Seconds()
+	}
+	if checkpointSeconds := binding.Job.Spec.CheckpointS; checkpointSeconds > 0 {
+		ran = min(ran, checkpointSeconds)
+	}
+	return 1 + ran
+}
--- /dev/null
+++ b/internal/place/recordchange.go
@@ -0,0 +1,289 @@
+package place
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"sableusher/internal/fit"
+	"sableusher/internal/store"
+	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
+	"sableusher/internal/world"
+)
+
+// round is one look at the view; it collects the changes to make.
+type round struct {
+	*Engine
+	now     time.Time
+	tokens  map[int]uint64
+	stamps  map[int]uint64
+	edits   map[recordKey]*recordEdit
+	out     []*recordChange
+	moveM   map[string]world.Amount // on their way, by machine
+	moveP   map[int]map[string]world.Amount
+	moveJ   map[string]int // tasks on their way, by job
+	live    []bool         // parts whose owner lives
+	bound   int
+	stock   *fit.Stock
+	pressed bool                   // the state service's budget is the bottleneck
+	stops   int                    // machines on which room is being freed in this round
+	counts  bool                   // this round counts the demand for the pool
+	freeing map[world.TaskRef]bool // tasks that room is being freed for
+	rigid   [wire.Ranks]fit.Misses // needs for which nothing could be stopped anywhere, by rank
+	blocked bool                   // a task's end could not be written yet
+	ending  map[string]bool        // jobs that a change of this round ends as failed
+	gangs   map[gangAttempt]bool   // whether an attempt is broken, looked at once a round
+	pulls   map[string]pulled      // what jobs that need others ask of them
+}
+
+// recordKey names one record of a job.
+type recordKey struct {
+	job         *world.Job
+	recordIndex int
+}
+
+// gangAttempt names one attempt of a gang.
+type gangAttempt struct {
+	job     *world.Job
+	attempt uint64
+}
+
+// recordEdit gathers the changes of one record of a job.
+type recordEdit struct {
+	job         *world.Job
+	recordIndex int
+	tasks       map[int]world.Task
+	shards      map[int]bool
+	bindings    []pendingBinding
+	encodedSize int  // what the record takes, as JSON; 0: not measured yet
+	failsJob    bool // a task of it has no repeat left: the job fails
+}
+
+func (e *Engine) newCycle(now time.Time) *round {
+	c := &round{Engine: e, now: now, tokens: map[int]uint64{}, stamps: map[int]uint64{}, edits: map[recordKey]*recordEdit{}, gangs: map[gangAttempt]bool{}, ending: map[string]bool{},
+		moveM: map[string]world.Amount{}, moveP: map[int]map[string]world.Amount{}, moveJ: map[string]int{},
+		live: make([]bool, e.cluster.Size), freeing: make(map[world.TaskRef]bool, len(e.reservations))}
+	for _, reservation := range e.reservations {
+		c.freeing[reservation.task] = true
+	}
+	for shard := range e.cluster.Size {
+		_, c.live[shard] = e.membership.OwnerOf(shard)
+		c.moveP[shard] = map[string]world.Amount{}
+		if token, modRevision, ok := e.membership.Owns(shard); ok {
+			c.tokens[shard], c.stamps[shard] = token, modRevision
+			if _, known := e.shardOwnedSince[shard]; !known {
+				e.shardOwnedSince[shard] = now
+				// A new owner hears of its machines at once rather than at their next report.
+				for _, machine := range e.cluster.ByPart[shard] {
+					e.agents.RequestDispatch(machine.Name)
+				}
+			}
+		} else if _, entitled := e.membership.Entitled(shard); !entitled {
+			delete(e.shardOwnedSince, shard)
+		}
+	}
+	for _, change := range e.inFlightChanges {
+		for _, binding := range change.bindings {
+			c.addInFlight(binding)
+		}
+	}
+	return c
+}
+
+func (r *round) addInFlight(binding pendingBinding) {
+	r.moveM[binding.machine] = r.moveM[binding.machine].Plus(binding.need, 1)
+	r.moveP[binding.chargedShard][binding.team] = r.moveP[binding.chargedShard][binding.team].Plus(binding.need, 1)
+	r.moveJ[binding.task.Job]++
+}
+
+// usage is what a team's tasks of a part take, those on their way included.
+func (r *round) usage(shard int, team string) world.Amount {
+	return r.cluster.Usage[shard][team].Plus(r.moveP[shard][team], 1)
+}
+
+// editRecord opens the record that holds a task; nil while a change of it is on its
+// way, or while it has to be moved first.
+func (r *round) editRecord(job *world.Job, taskIndex int) *recordEdit {
+	recordIndex := job.RecordOf(taskIndex)
+	if _, ok := r.rejectedUntil[job.Key(recordIndex)]; ok || r.keysInFlight[job.Key(recordIndex)] || recordIndex > 0 && r.keysInFlight[job.Key(0)] && job.Spec.OneZone || r.needsMigration(job) {
+		return nil
+	}
+	edit := r.edits[recordKey{job, recordIndex}]
+	if edit == nil {
+		edit = &recordEdit{job: job, recordIndex: recordIndex, tasks: map[int]world.Task{}, shards: map[int]bool{}}
+		r.edits[recordKey{job, recordIndex}] = edit
+	}
+	return edit
+}
+
+// needsMigration tells whether a job's records have to be moved before they are written
+// again, and asks for it.
+func (r *round) needsMigration(job *world.Job) bool {
+	if r.cluster.Level < tuning.LevelPipelines || !job.Outgrows(r.cluster.Fit(r.committer.Room())) {
+		return false
+	}
+	r.jobsToMigrate[job.Spec.ID] = true
+	return true
+}
+
+// maxBindingBytes is the most that binding a task to a machine adds to its record, as JSON.
+func maxBindingBytes(machine string) int { return len(machine) + tuning.TaskBytes/2 }
+
+// recordFull tells whether a record has no room for so many more bound tasks. Without
+// the check a state service with a small limit would refuse the record over and over.
+func (r *round) recordFull(job *world.Job, recordIndex, added int, machine string) bool {
+	limit := r.committer.Room()
+	if r.cluster.Fit(limit).Holds(&job.Spec, job.Bare) {
+		return false
+	}
+	edit := r.edits[recordKey{job, recordIndex}]
+	if edit == nil {
+		edit = &recordEdit{} // nothing of it has changed in this round
+	}
+	if edit.encodedSize == 0 {
+		edit.encodedSize = job.Size(recordIndex, edit.tasks)
+	}
+	return edit.encodedSize+added*maxBindingBytes(machine) > limit
+}
+
+// taskState is a task's state with this round's changes.
+func (r *round) taskState(job *world.Job, taskIndex int) world.Task {
+	if edit := r.edits[recordKey{job, job.RecordOf(taskIndex)}]; edit != nil {
+		if task, ok := edit.tasks[taskIndex]; ok {
+			return task
+		}
+	}
+	return job.Task(taskIndex)
+}
+
+// finalOps gives the ops that turn a job's records into its final one.
+func (r *round) finalOps(job *world.Job, status string, done int) []wire.Op {
+	id := job.Spec.ID
+	if guest := job.Guest; guest != nil {
+		// Its home alone answers its user, and is told from this until it has it.
+		record := world.OverRecord{Job: id, Status: status, Done: done}
+		ops := []wire.Op{store.Set(world.OverKey(guest.Cell, guest.Number), record), store.Drop(world.JobKey(id))}
+		return append(ops, r.deleteRecordOps(job, len(ops))...)
+	}
+	ops := job.Final(status, done, r.now.UnixMilli())
+	return append(ops, r.deleteRecordOps(job, len(ops))...)
+}
+
+// deleteRecordOps removes as many of a job's further records as a transaction with so many
+// changes has room for; what stays is swept later.
+func (r *round) deleteRecordOps(job *world.Job, opCount int) []wire.Op {
+	return job.DropFurther(r.committer.TxnOps() - opCount)
+}
+
+// buildChanges turns the edits into changes.
+func (r *round) buildChanges() {
+	byJob := map[string][]*recordEdit{}
+	for _, edit := range r.edits {
+		if len(edit.tasks) > 0 {
+			byJob[edit.job.Spec.ID] = append(byJob[edit.job.Spec.ID], edit)
+		}
+	}
+	for id, edits := range byJob {
+		job := edits[0].job
+		if job.Spec.Kind == wire.KindGang && len(edits) > 1 && len(edits) <= r.maxRecordsPerTxn(job) {
+			// A gang's tasks are bound together. One too long for a transaction is
+			// bound record by record and withdrawn if it does not become whole.
+			r.emitChange(id, job, edits)
+			continue
+		}
+		for _, edit := range edits {
+			r.emitChange(id, job, []*recordEdit{edit})
+		}
+	}
+}
+
+// maxRecordsPerTxn is how many records of a job one transaction may write, with the job's
+// own beside them.
+func (r *round) maxRecordsPerTxn(job *world.Job) int {
+	if job.Width == 0 {
+		return min(tuning.GangRecords, r.committer.TxnOps()-1)
+	}
+	return min(tuning.TxnBytes/max(r.committer.Room(), 1), r.committer.TxnOps()-1)
+}
+
+func (r *round) emitChange(id string, job *world.Job, edits []*recordEdit) {
+	change := &recordChange{description: "tasks of " + id}
+	shards, done, bound, writesJobRecord := map[int]bool{}, job.Done, job.Bound, false
+	failsJob := slices.ContainsFunc(edits, func(edit *recordEdit) bool { return edit.failsJob })
+	if failsJob {
+		// Marked as cancelled, so that all that holds for such jobs holds: nothing starts
+		// any more, what runs is stopped, what awaits it falls.
+		failed := *job
+		failed.CancelMs, failed.Certain, failed.Failed = max(r.now.UnixMilli(), 1), true, true
+		job = &failed
+	}
+	conditions := map[string]uint64{}
+	for _, edit := range edits {
+		for taskIndex, task := range edit.tasks {
+			switch old := job.Task(taskIndex); old.State {
+			case world.Bound:
+				bound--
+			case world.Done:
+				done--
+			}
+			switch task.State {
+			case world.Bound:
+				bound++
+			case world.Done:
+				done++
+			}
+		}
+		maps.Copy(shards, edit.shards)
+		for _, condition := range job.ChunkGuards(edit.recordIndex) {
+			conditions[condition.Key] = condition.Stamp
+		}
+		op := job.Encode(edit.recordIndex, edit.tasks)
+		change.transaction.Ops = append(change.transaction.Ops, op)
+		change.keys = append(change.keys, op.Set)
+		change.bindings = append(change.bindings, edit.bindings...)
+		writesJobRecord = writesJobRecord || edit.recordIndex == 0
+	}
+	onlyRecord := len(job.Further()) == 0 && job.Records() == 1
+	switch {
+	case onlyRecord && done == job.Spec.Tasks:
+		change.transaction.Ops = r.finalOps(job, wire.JobDone, done)
+	case onlyRecord && job.Cancelled() && bound == 0:
+		change.transaction.Ops = r.finalOps(job, job.Ending(), done)
+	case !writesJobRecord && (failsJob || !onlyRecord && job.Spec.OneZone && len(change.bindings) > 0):
+		// The mark stands in the job's own record; and bindings of different records must
+		// not choose different zones at once.
+		op := job.Encode(0, nil)
+		change.transaction.Ops = append(change.transaction.Ops, op)
+		change.keys = append(change.keys, op.Set)
+	}
+	for _, shard := range slices.Sorted(maps.Keys(shards)) {
+		if modRevision, owned := r.stamps[shard]; owned {
+			change.shards = append(change.shards, shard)
+			conditions[world.PartKey(shard)] = modRevision
+		} else {
+			// A gang's machine in another node's part, while that node owns it.
+			conditions[world.PartKey(shard)] = r.cluster.Parts[shard].Stamp
+		}
+	}
+	for _, key := range slices.Sorted(maps.Keys(conditions)) {
+		change.transaction.Guards = append(change.transaction.Guards, wire.Guard{Key: key, Stamp: conditions[key]})
+	}
+	change.transaction.Urgent = job.Spec.Priority == wire.PriorityProduction
+	change.transaction.Soon = r.rank(job) <= wire.Rank(wire.PriorityHigh)
+	r.out = append(r.out, change)
+}
+
+// updateMachineRecord adds a change of a machine's record, and gives it for its place in the queue.
+func (r *round) updateMachineRecord(description, name string, shard int, machineRecord world.MachineRecord, modRevision uint64) *store.Item {
+	key := world.MachineKey(name)
+	change := &recordChange{
+		description: description, keys: []string{key}, shards: []int{shard}, harmlessWhenLate: true,
+		transaction: store.Item{
+			Guards: []wire.Guard{{Key: world.PartKey(shard), Stamp: r.stamps[shard]}, {Key: key, Stamp: modRevision}},
+			Ops:    []wire.Op{store.Set(key, machineRecord)},
+		},
+	}
+	r.out = append(r.out, change)
+	return &change.transaction
+}
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -11,22 +11,22 @@
 // renewStock brings the room that is kept from round to round up to date: what changed,
 // what is on its way, what is being freed, and which images are believed to be where.
 func (r *round) renewStock() *fit.Stock {
-	names := r.news.Machines()
-	s := fit.Renew(r.room, fit.View{Now: r.now, World: r.world, Live: r.live, Tokens: r.tokens, Judge: r.readiness}, names, r.stale)
-	r.room = s
-	s.PerGPU, s.Common = r.perGPU, r.wide
-	clear(r.stale)
+	names := r.changeFeed.Machines()
+	s := fit.Renew(r.retainedInventory, fit.View{Now: r.now, World: r.cluster, Live: r.live, Tokens: r.tokens, Judge: r.readiness}, names, r.machinesToRefresh)
+	r.retainedInventory = s
+	s.PerGPU, s.Common = r.needPerGPU, r.commonNeed
+	clear(r.machinesToRefresh)
 	for name, amount := range r.moveM {
 		s.Used(name, amount)
 	}
-	for name, h := range r.held {
-		if !r.now.After(h.until) {
-			s.Keep(name, h.ref.Job)
+	for name, h := range r.reservations {
+		if !r.now.After(h.expiresAt) {
+			s.Keep(name, h.task.Job)
 		}
 	}
 	if r.now.Sub(s.Hinted(true)) >= tuning.HoldersLife {
 		s.Hints(true, r.now, func(yield func(image, name string) bool) {
-			for image, names := range r.fleet.MachinesByImage() {
+			for image, names := range r.agents.MachinesByImage() {
 				for _, name := range names {
 					if !yield(image, name) {
 						return
@@ -35,9 +35,9 @@
 			}
 		})
 	}
-	if s.Hinted(false) != r.hintsAt {
-		s.Hints(false, r.hintsAt, func(yield func(image, name string) bool) {
-			for image, names := range r.hints {
+	if s.Hinted(false) != r.remoteImagesAt {
+		s.Hints(false, r.remoteImagesAt, func(yield func(image, name string) bool) {
+			for image, names := range r.remoteImages {
 				for name := range names {
 					if !yield(image, name) {
 						return
@@ -52,9 +52,9 @@
 // readiness is what a machine is good for in this node's rounds.
 func (r *round) readiness(m *world.Machine, mine bool) fit.Readiness {
 	switch {
-	case r.silence.ZoneUnavailable(m.Zone):
+	case r.failureDetector.ZoneUnavailable(m.Zone):
 		return fit.Absent // nothing starts there before the cut is over
-	case mine && r.fleet.MachineStatus(m.Name, r.tokens[m.Part]).Schedulable, !mine && r.live[m.Part] && (m.Up || r.likely(m)):
+	case mine && r.agents.MachineStatus(m.Name, r.tokens[m.Part]).Schedulable, !mine && r.live[m.Part] && (m.Up || r.likely(m)):
 		return fit.Ready
 	case !m.Up && r.overdue(m):
 		return fit.Absent // others are rented rather than waited for
@@ -65,12 +65,12 @@
 
 // overdue tells whether a machine should have come up long ago.
 func (r *round) overdue(m *world.Machine) bool {
-	late := time.Duration(tuning.BootLate * r.world.Types[m.Type].BootS * float64(time.Second))
+	late := time.Duration(tuning.BootLate * r.cluster.Types[m.Type].BootS * float64(time.Second))
 	return r.now.Sub(time.UnixMilli(m.AtMs)) > max(late, tuning.BootLateMin)
 }
 
 // likely tells whether a machine should be up by now.
 func (r *round) likely(m *world.Machine) bool {
-	boot := tuning.BootLikely * r.world.Types[m.Type].BootS * float64(time.Second)
+	boot := tuning.BootLikely * r.cluster.Types[m.Type].BootS * float64(time.Second)
 	return m.AtMs > 0 && r.now.Sub(time.UnixMilli(m.AtMs)) > time.Duration(boot) && !r.overdue(m)
 }
--- a/internal/place/scale_test.go
+++ b/internal/place/scale_test.go
@@ -11,17 +11,17 @@
 
 // crowd is a region of n machines of which four fifths are in use, and a queue of
 // n/8 arrays that wait.
-func crowd(tb testing.TB, n int) *field {
-	f := newField(tb)
+func crowd(tb testing.TB, n int) *testCluster {
+	f := newTestCluster(tb)
 	for i := range n {
-		name := f.machine(i, i%2 == 0)
+		name := f.addMachine(i, i%2 == 0)
 		if i%5 != 0 {
-			s := gang(1000000+i, 1)
-			f.job(s, world.Task{State: world.Bound, Attempt: 1, Machine: name, Session: 1})
+			s := gangSpec(1000000+i, 1)
+			f.addJob(s, world.Task{State: world.Bound, Attempt: 1, Machine: name, Session: 1})
 		}
 	}
 	for i := range n / 8 {
-		f.job(array(i, 40))
+		f.addJob(arraySpec(i, 40))
 	}
 	return f
 }
@@ -34,7 +34,7 @@
 			f := crowd(b, n)
 			b.ReportAllocs()
 			for b.Loop() {
-				f.round(0)
+				f.runCycle(0)
 			}
 		})
 	}
@@ -46,12 +46,12 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			f := crowd(b, n)
 			for i := 0; i < n; i += 5 {
-				s := gang(1000000+i, 1)
-				f.job(s, world.Task{State: world.Bound, Attempt: 1, Machine: fmt.Sprintf("vm-%06d", i), Session: 1})
+				s := gangSpec(1000000+i, 1)
+				f.addJob(s, world.Task{State: world.Bound, Attempt: 1, Machine: fmt.Sprintf("vm-%06d", i), Session: 1})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				f.round(0)
+				f.runCycle(0)
 			}
 		})
 	}
@@ -62,31 +62,31 @@
 func BenchmarkStartBySize(b *testing.B) {
 	for _, n := range []int{1500, 5000, 15000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f := newField(b)
+			f := newTestCluster(b)
 			for i := range n {
 				if i%3 == 0 {
-					f.machine(i, i%2 == 0)
+					f.addMachine(i, i%2 == 0)
 					continue
 				}
 				name := fmt.Sprintf("vm-%06d", i)
 				f.put(world.MachineKey(name), world.MachineRecord{Type: "m", Zone: testZones[i%len(testZones)], Spot: i%2 == 0, AtMs: testNow.UnixMilli()})
 			}
 			for i := range n / 6 {
-				s := array(i, 40)
+				s := arraySpec(i, 40)
 				switch i % 3 {
 				case 0:
-					s = gang(i, 1<<(i%6))
+					s = gangSpec(i, 1<<(i%6))
 				case 1:
 					s = wire.Spec{ID: s.ID, Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 4 + i%8, CPUs: 5, GPUs: 1, MemoryGB: 38, Spread: true}
 				}
 				s.Image = fmt.Sprint("image-", i%36)
-				f.job(s)
+				f.addJob(s)
 			}
 			e := f.engines[0]
 			b.ReportAllocs()
 			for b.Loop() {
 				e.demand.At = testNow.Add(-time.Hour)
-				f.round(0)
+				f.runCycle(0)
 			}
 		})
 	}
--- a/internal/place/value.go
+++ b/internal/place/value.go
@@ -48,18 +48,18 @@
 
 // Payoff mixes responsiveness and utilization.
 func (e *Engine) payoff(responsiveness float64) float64 {
-	return e.op.Lambda*responsiveness + (1-e.op.Lambda)*e.values.utilization()
+	return e.operator.Lambda*responsiveness + (1-e.operator.Lambda)*e.learning.utilization()
 }
 
 // clock moves utilization's paid side on; machines of this node's parts count.
 func (r *round) clock() {
-	v := &r.values
+	v := &r.learning
 	if !v.last.IsZero() {
 		dt := r.now.Sub(v.last)
 		fade := math.Pow(0.5, dt.Seconds()/tuning.UtilizationFade.Seconds())
 		held := 0
 		for p := range r.stamps {
-			held += len(r.world.ByPart[p])
+			held += len(r.cluster.ByPart[p])
 		}
 		v.finished, v.paid = v.finished*fade, v.paid*fade+float64(held)*dt.Seconds()
 	}
@@ -73,10 +73,10 @@
 		return
 	}
 	k := attempt{b.Ref, b.Attempt}
-	if _, ok := r.values.began[k]; !ok {
-		r.values.began[k] = t.Since
+	if _, ok := r.learning.began[k]; !ok {
+		r.learning.began[k] = t.Since
 	}
-	if id, ok := r.values.open[k]; ok && b.Job.Spec.Kind == wire.KindService && r.now.Sub(t.Since) > tuning.ServicePayoff {
+	if id, ok := r.learning.open[k]; ok && b.Job.Spec.Kind == wire.KindService && r.now.Sub(t.Since) > tuning.ServicePayoff {
 		waited := t.Since.Sub(b.Job.Since()).Seconds()
 		ran := tuning.ServicePayoff.Seconds()
 		r.pay(id, k, ran/(ran+max(0, waited)))
@@ -88,8 +88,8 @@
 // lead to the end has none of it.
 func (r *round) ended(b world.Binding, done bool, machine string) {
 	k := attempt{b.Ref, b.Attempt}
-	began, ran := r.values.began[k]
-	delete(r.values.began, k)
+	began, ran := r.learning.began[k]
+	delete(r.learning.began, k)
 	spec := &b.Job.Spec
 	responsiveness := 0.0
 	if done && ran {
@@ -98,27 +98,27 @@
 		if total > 0 {
 			responsiveness = run / total
 		}
-		if m := r.world.Machines[machine]; m != nil {
-			if typ, ok := r.world.Types[m.Type]; ok {
+		if m := r.cluster.Machines[machine]; m != nil {
+			if typ, ok := r.cluster.Types[m.Type]; ok {
 				c := world.Capacity(&typ)
-				r.values.finished += run * (1 - fit.Share(c.Plus(world.Need(spec), -1), c))
+				r.learning.finished += run * (1 - fit.Share(c.Plus(world.Need(spec), -1), c))
 			}
 		}
 		if b.Attempt == 1 { // a later attempt may have resumed saved work
-			r.values.runs.Completed(spec.Class, run, spec.EstimateS)
+			r.learning.runs.Completed(spec.Class, run, spec.EstimateS)
 		}
 	}
-	if id, ok := r.values.open[k]; ok {
+	if id, ok := r.learning.open[k]; ok {
 		r.pay(id, k, responsiveness)
 	}
 }
 
 func (r *round) pay(id int64, k attempt, responsiveness float64) {
-	delete(r.values.open, k)
-	r.values.recent += (responsiveness - r.values.recent) / 16
+	delete(r.learning.open, k)
+	r.learning.recent += (responsiveness - r.learning.recent) / 16
 	p := r.payoff(responsiveness)
-	r.values.learner.Pay(id, p)
-	r.log.Debug("payoff", "task", k.ref, "responsiveness", responsiveness, "utilization", r.values.utilization(), "payoff", p)
+	r.learning.learner.Pay(id, p)
+	r.log.Debug("payoff", "task", k.ref, "responsiveness", responsiveness, "utilization", r.learning.utilization(), "payoff", p)
 }
 
 // pulled is what the jobs that need one ask of it: the highest of their
@@ -133,7 +133,7 @@
 // find the same but for their estimates of what lies between.
 func (r *round) pulled(id string) pulled {
 	out := pulled{rank: wire.Ranks}
-	waiters := r.world.Waiters(id)
+	waiters := r.cluster.Waiters(id)
 	if len(waiters) == 0 {
 		return out
 	}
@@ -141,7 +141,7 @@
 		return known
 	}
 	for w := range waiters {
-		j := r.world.Jobs[w]
+		j := r.cluster.Jobs[w]
 		if j == nil || !j.Known || j.Cancelled() || j.Doomed {
 			continue
 		}
@@ -178,11 +178,11 @@
 func (r *round) state() learn.State {
 	s := learn.State{Shares: map[string]float64{}, NextFreeS: math.Inf(1)}
 	waiting := 0.0
-	for _, j := range r.world.Jobs {
+	for _, j := range r.cluster.Jobs {
 		if !j.Startable() {
 			continue
 		}
-		run := r.values.runs.RunS(j.Spec.Class, j.Spec.EstimateS)
+		run := r.learning.runs.RunS(j.Spec.Class, j.Spec.EstimateS)
 		// Half of a task's run time is left on average.
 		s.RunningS += float64(j.Bound) * run / 2
 		if j.Bound > 0 && run > 0 {
@@ -197,7 +197,7 @@
 	for team := range s.Shares {
 		s.Shares[team] /= waiting
 	}
-	for _, m := range r.world.Machines {
+	for _, m := range r.cluster.Machines {
 		if m.Up && len(m.Bound) == 0 {
 			s.Idle++
 		}
@@ -212,16 +212,16 @@
 // what value never crosses: priority, guarantee and danger. Values are asked for only
 // if there is room to start any, and while the learner is cold not at all.
 func (r *round) byValue(list []due, room bool) {
-	if !room || !r.op.Learn || len(list) == 0 || !r.values.learner.Warm() {
+	if !room || !r.operator.Learn || len(list) == 0 || !r.learning.learner.Warm() {
 		return
 	}
 	first := list[:min(len(list), tuning.LearnCandidates)]
 	for i := range first {
 		d := &first[i]
-		v, ok := r.valued[d.job.Spec.ID]
-		if !ok || r.now.Sub(v.at) > tuning.ValueLife {
-			v = valued{r.score(d.job).Value, r.now}
-			r.valued[d.job.Spec.ID] = v
+		v, ok := r.cachedValues[d.job.Spec.ID]
+		if !ok || r.now.Sub(v.computedAt) > tuning.ValueLife {
+			v = cachedValue{r.score(d.job).Value, r.now}
+			r.cachedValues[d.job.Spec.ID] = v
 		}
 		d.value = v.value
 	}
@@ -233,7 +233,7 @@
 		return c
 	})
 	// A random pick comes first among its equals in priority and danger.
-	if i, ok := r.values.learner.Explore(len(list)); ok {
+	if i, ok := r.learning.learner.Explore(len(list)); ok {
 		first := slices.IndexFunc(list, func(d due) bool { return d.key.Guarded(list[i].key) == 0 })
 		r.log.Debug("random pick", "job", list[i].job.Spec.ID)
 		picked := list[i]
@@ -243,37 +243,37 @@
 }
 
 func (r *round) action(j *world.Job) *learn.Action {
-	return &learn.Action{Class: j.Spec.Class, Team: j.Spec.Team, RunS: r.values.runs.RunS(j.Spec.Class, j.Spec.EstimateS),
+	return &learn.Action{Class: j.Spec.Class, Team: j.Spec.Team, RunS: r.learning.runs.RunS(j.Spec.Class, j.Spec.EstimateS),
 		Interactive: r.rank(j) <= wire.Rank(wire.PriorityHigh)}
 }
 
 // score values a job in the state of this round.
 func (r *round) score(j *world.Job) learn.Choice {
-	if r.seen == nil || r.now.Sub(r.seenAt) > tuning.ValueLife {
+	if r.cachedState == nil || r.now.Sub(r.cachedStateAt) > tuning.ValueLife {
 		s := r.state()
-		r.seen, r.seenAt = &s, r.now
+		r.cachedState, r.cachedStateAt = &s, r.now
 	}
-	return r.values.learner.Score(r.seen, r.action(j))
+	return r.learning.learner.Score(r.cachedState, r.action(j))
 }
 
 // took tells the learner of a task that was started. Each is a decision of its
 // own, as the paper's jobs take one processor each; the memory has moved on
 // since the job was valued, so it is scored anew.
-func (r *round) took(d *due, b bind, n uint64) {
-	if !r.op.Learn {
+func (r *round) took(d *due, b pendingBinding, n uint64) {
+	if !r.operator.Learn {
 		return
 	}
 	c := r.score(d.job)
-	r.values.open[attempt{b.ref, n}] = r.values.learner.Take(c)
-	r.log.Debug("task chosen", "task", b.ref, "value", c.Value, "pressing", d.pressing)
+	r.learning.open[attempt{b.task, n}] = r.learning.learner.Take(c)
+	r.log.Debug("task chosen", "task", b.task, "value", c.Value, "pressing", d.pressing)
 }
 
 // SizeState gives what the pool's size is chosen in.
 func (e *Engine) SizeState() learn.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.world.RLock()
-	defer e.world.RUnlock()
+	e.cluster.RLock()
+	defer e.cluster.RUnlock()
 	r := &round{Engine: e, now: time.Now()}
 	return r.state()
 }
@@ -282,17 +282,17 @@
 func (e *Engine) SizePayoff() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.payoff(e.values.recent)
+	return e.payoff(e.learning.recent)
 }
 
 // Learner gives the learner that the pool shares.
-func (e *Engine) Learner() *learn.Learner { return e.values.learner }
+func (e *Engine) Learner() *learn.Learner { return e.learning.learner }
 
 // Learn keeps the readout fitted and saved until ctx ends.
 func (e *Engine) Learn(ctx context.Context) error {
-	key := world.LearnKey(e.set.Node)
+	key := world.LearnKey(e.settings.Node)
 	e.restore(ctx, key)
-	refit := time.NewTicker(config.Seconds(e.op.RefitS))
+	refit := time.NewTicker(config.Seconds(e.operator.RefitS))
 	defer refit.Stop()
 	save := time.NewTicker(tuning.LearnSave)
 	defer save.Stop()
@@ -301,15 +301,15 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-refit.C:
-			if err := e.values.learner.Refit(); err != nil {
+			if err := e.learning.learner.Refit(); err != nil {
 				e.log.Info("values not refitted", "err", err)
 			}
 			e.forget()
 		case <-save.C:
-			s := e.values.learner.Save()
-			e.values.runs.Save(&s)
+			s := e.learning.learner.Save()
+			e.learning.runs.Save(&s)
 			cctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
-			if _, err := e.commit.Do(cctx, store.Item{Ops: e.saving(key, s)}); err != nil {
+			if _, err := e.committer.Do(cctx, store.Item{Ops: e.saving(key, s)}); err != nil {
 				e.log.Debug("values not saved", "err", err)
 			}
 			cancel()
@@ -319,15 +319,15 @@
 
 // saving gives the changes that save what was learned, in the form that is written.
 func (e *Engine) saving(key string, s learn.Saved) []wire.Op {
-	e.world.RLock()
-	level := e.world.Level
-	e.world.RUnlock()
+	e.cluster.RLock()
+	level := e.cluster.Level
+	e.cluster.RUnlock()
 	if level < tuning.LevelPipelines {
 		return []wire.Op{store.Set(key, s)}
 	}
 	var ops []wire.Op
-	for i, piece := range s.Split(e.commit.Room(), time.Now().UnixMilli()) {
-		ops = append(ops, store.Set(world.LearnPieceKey(e.set.Node, i), piece))
+	for i, piece := range s.Split(e.committer.Room(), time.Now().UnixMilli()) {
+		ops = append(ops, store.Set(world.LearnPieceKey(e.settings.Node, i), piece))
 	}
 	return ops
 }
@@ -353,13 +353,13 @@
 // saved reads the values saved under the node's name: in pieces, or as one
 // record, as they were before LevelPipelines.
 func (e *Engine) saved(ctx context.Context, key string) (learn.Saved, error) {
-	s, err := e.read(ctx, world.LearnPieceKey(e.set.Node, 0))
+	s, err := e.read(ctx, world.LearnPieceKey(e.settings.Node, 0))
 	if errors.Is(err, store.ErrNotFound) {
 		return e.read(ctx, key)
 	}
 	for i := 1; i < s.Of && err == nil; i++ {
 		var piece learn.Saved
-		if piece, err = e.read(ctx, world.LearnPieceKey(e.set.Node, i)); err == nil {
+		if piece, err = e.read(ctx, world.LearnPieceKey(e.settings.Node, i)); err == nil {
 			err = s.Join(piece)
 		}
 	}
@@ -371,14 +371,14 @@
 func (e *Engine) restore(ctx context.Context, key string) {
 	s, err := e.saved(ctx, key)
 	if err == nil {
-		err = e.values.learner.Restore(s)
+		err = e.learning.learner.Restore(s)
 	}
 	switch {
 	case errors.Is(err, store.ErrNotFound) || ctx.Err() != nil:
 	case err != nil:
 		e.log.Info("saved values ignored", "err", err)
 	default:
-		e.values.runs.Restore(s)
+		e.learning.runs.Restore(s)
 		e.log.Info("goes on from saved values", "payoffs", s.Paid)
 	}
 }
@@ -387,20 +387,20 @@
 func (e *Engine) forget() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.world.RLock()
-	defer e.world.RUnlock()
+	e.cluster.RLock()
+	defer e.cluster.RUnlock()
 	stale := func(k attempt) bool {
-		j := e.world.Jobs[k.ref.Job]
+		j := e.cluster.Jobs[k.ref.Job]
 		return j == nil || !j.Known || j.Task(k.ref.Index).Attempt > k.n
 	}
-	for k := range e.values.open {
+	for k := range e.learning.open {
 		if stale(k) {
-			delete(e.values.open, k)
+			delete(e.learning.open, k)
 		}
 	}
-	for k := range e.values.began {
+	for k := range e.learning.began {
 		if stale(k) {
-			delete(e.values.began, k)
+			delete(e.learning.began, k)
 		}
 	}
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -169,7 +169,7 @@
 // one idle machine after the other once took all, and a dead machine's replicas waited for
 // 3 s in the median.
 func (p *Pool) returns(ctx context.Context) {
-	names, waited := p.engine.Returns()
+	names, waited := p.engine.MachinesToDelete()
 	if len(names) == 0 || !waited && !p.cloud.Spare() {
 		return
 	}
@@ -178,7 +178,7 @@
 		return
 	}
 	p.log.Info("machines returned", "machines", names)
-	p.engine.Gone(names)
+	p.engine.ConfirmDeleted(names)
 }
 
 // bin is a machine to be rented.
@@ -253,7 +253,7 @@
 		return
 	}
 	d := p.engine.Demand()
-	p.cut = p.engine.Cuts()
+	p.cut = p.engine.PartitionedZones()
 	if time.Since(d.At) > tuning.DemandStale || d.At.Before(p.rented) {
 		return // what was rented since is not counted in it
 	}
