--- a/internal/place/reconcile.go
+++ b/internal/place/reconcile.go
@@ -113,39 +113,39 @@
 // reconcileTask carries out what is to become of one bound task.
 func (r *round) reconcileTask(binding world.Binding, machineName string, token uint64) {
 	spec := &binding.Job.Spec
-	task := settle.Task{TaskObservation: r.agents.ObserveTask(binding, machineName, token), Kind: spec.Kind, Cancelled: binding.Job.Cancelled(), Stopping: r.agents.StopRequested(binding),
-		Counted: spec.Repeats != nil, Spent: repeats.Spent(spec.Repeats, r.taskState(binding.Job, binding.Ref.Index).Failures)}
+	task := settle.BoundTask{TaskObservation: r.agents.ObserveTask(binding, machineName, token), JobKind: spec.Kind, JobCancelled: binding.Job.Cancelled(), StopRequested: r.agents.StopRequested(binding),
+		RetriesLimited: spec.Repeats != nil, RetriesExhausted: repeats.Spent(spec.Repeats, r.taskState(binding.Job, binding.Ref.Index).Failures)}
 	decision := settle.Decide(task)
-	if decision.Kick {
+	if decision.ResendCommands {
 		r.agents.RequestDispatch(machineName)
 	}
-	if machine := r.cluster.Machines[machineName]; decision.Image && machine != nil {
+	if machine := r.cluster.Machines[machineName]; decision.ImagePresent && machine != nil {
 		r.agents.RecordImageUse(machineName, spec.Image, spec.ImageGB, r.cluster.Types[machine.Type].CacheGB)
 	}
-	if decision.Failure {
+	if decision.TaskFailed {
 		r.agents.RecordTaskFailure(machineName, spec.ID)
 		r.machinesToRefresh[machineName] = struct{}{}
 	}
-	if decision.Refused {
+	if decision.PlacementRefused {
 		r.agents.RecordStartRefusal(machineName)
 		r.machinesToRefresh[machineName] = struct{}{}
 	}
-	if decision.Pause {
+	if decision.BackOffJob {
 		r.backOffJob(spec.ID, r.now)
 	}
 	if task.Presence == fleet.PresenceExited && task.Cause != wire.CauseDone && (task.Cause != wire.CauseStopped || !task.Saved) {
 		r.log.Debug("task ended without being done", "task", binding.Ref, "cause", task.Cause, "machine", machineName)
 	}
 	switch {
-	case decision.Gang:
+	case decision.WholeGang:
 		for taskIndex := range spec.Tasks {
 			if other := r.taskState(binding.Job, taskIndex); other.State == world.Bound && other.Attempt == binding.Attempt {
-				r.releaseTask(world.Binding{Ref: world.TaskRef{Job: spec.ID, Index: taskIndex}, Job: binding.Job, Attempt: other.Attempt, Session: other.Session}, other.Machine, decision.State, "done with its gang")
+				r.releaseTask(world.Binding{Ref: world.TaskRef{Job: spec.ID, Index: taskIndex}, Job: binding.Job, Attempt: other.Attempt, Session: other.Session}, other.Machine, decision.NextState, "done with its gang")
 			}
 		}
 	case decision.Release:
-		if edit := r.releaseTask(binding, machineName, decision.State, decision.Why); edit != nil && decision.Count {
-			r.countFailure(binding, edit, decision.End)
+		if edit := r.releaseTask(binding, machineName, decision.NextState, decision.Reason); edit != nil && decision.CountFailure {
+			r.countFailure(binding, edit, decision.FailJob)
 		}
 	case task.Presence == fleet.PresenceAlive:
 		r.alive(binding, task.TaskObservation)
@@ -175,10 +175,10 @@
 
 func (r *round) checkGang(binding world.Binding) bool {
 	job := binding.Job
-	switch settle.Attempt(job.Spec.Tasks, func(i int) world.Task { return r.taskState(job, i) }, binding.Attempt) {
-	case settle.Broken:
+	switch settle.GangStateOf(job.Spec.Tasks, func(i int) world.Task { return r.taskState(job, i) }, binding.Attempt) {
+	case settle.GangBroken:
 		return true
-	case settle.Whole:
+	case settle.GangWhole:
 		delete(r.gangFormingSince, job.Spec.ID)
 		return false
 	}
--- /dev/null
+++ b/internal/settle/reconcile.go
@@ -0,0 +1,111 @@
+// Package settle decides what is to become of a bound task, given what its machine's
+// worker last told of it. It decides only: records, workers and the fleet's notes are its
+// caller's. Every fate, cause and kind has its row here, so that nothing else ends a
+// binding (safety invariant 4).
+package settle
+
+import (
+	"sableusher/internal/fleet"
+	"sableusher/internal/wire"
+	"sableusher/internal/world"
+)
+
+// BoundTask is a bound task as its part's owner sees it.
+type BoundTask struct {
+	fleet.TaskObservation
+	JobKind          string // of its job
+	JobCancelled     bool   // its job is
+	StopRequested    bool   // it has been told to stop
+	RetriesLimited   bool   // its failures are counted
+	RetriesExhausted bool   // it has no repeat left
+}
+
+// Decision is what to do about a task.
+type Decision struct {
+	Release          bool   // its binding ends
+	NextState        int    // what it is then: world.Idle or world.Done
+	Reason           string // for the log
+	WholeGang        bool   // all tasks of its attempt end with it
+	ResendCommands   bool   // its machine's worker is to be asked
+	ImagePresent     bool   // the machine has its image
+	TaskFailed       bool   // it failed by itself on this machine
+	PlacementRefused bool   // the machine had less room than was thought
+	BackOffJob       bool   // its job waits for a growing while
+	CountFailure     bool   // a repeat is spent
+	FailJob          bool   // the job fails with it
+}
+
+// Decide gives what to do about a task.
+func Decide(task BoundTask) Decision {
+	switch task.Presence {
+	case fleet.PresenceSessionEnded:
+		return releaseToPending("session ended")
+	case fleet.PresenceAbsent:
+		if task.StopRequested {
+			return releaseToPending("never started")
+		}
+		return Decision{ResendCommands: true}
+	case fleet.PresenceAlive:
+		return Decision{ImagePresent: task.State != wire.TaskFetching}
+	case fleet.PresenceExited:
+		return decideExited(task)
+	}
+	return Decision{}
+}
+
+func releaseToPending(reason string) Decision {
+	return Decision{Release: true, NextState: world.Idle, Reason: reason}
+}
+
+func decideExited(task BoundTask) Decision {
+	decision := releaseToPending(task.Cause)
+	switch task.Cause {
+	case wire.CauseDone:
+		decision.ImagePresent = true
+		switch {
+		case task.JobKind == wire.KindService:
+			decision.Reason, decision.BackOffJob = "service ended", true // it never should
+		case task.JobCancelled:
+			decision.Reason = "done after its cancellation"
+		default:
+			// A gang completes together: one done task tells it of all.
+			decision.Reason, decision.NextState, decision.WholeGang = "done", world.Done, task.JobKind == wire.KindGang
+		}
+	case wire.CauseError:
+		// Its class paces the repeats of what is counted.
+		decision.TaskFailed, decision.BackOffJob, decision.CountFailure = true, !task.RetriesLimited, task.RetriesLimited
+		decision.FailJob = task.RetriesLimited && task.RetriesExhausted && !task.JobCancelled
+	case wire.CauseNoRoom, wire.CauseBusy:
+		decision.PlacementRefused = true
+	case wire.CauseUnknown:
+		decision.BackOffJob = true
+	}
+	return decision
+}
+
+// GangState is how far a gang's attempt has come.
+type GangState int
+
+const (
+	GangForming GangState = iota // some of its tasks are not bound yet
+	GangWhole                    // all are bound, or one is done
+	GangBroken                   // one has ended without being done: it can't become whole any more
+)
+
+// GangStateOf tells the shape of a gang's attempt of so many tasks.
+func GangStateOf(taskCount int, taskAt func(int) world.Task, attempt uint64) GangState {
+	state := GangWhole
+	for i := range taskCount {
+		task := taskAt(i)
+		switch {
+		case task.State == world.Done:
+			return GangWhole
+		case task.State == world.Bound && task.Attempt == attempt:
+		case task.Attempt >= attempt:
+			return GangBroken
+		default:
+			state = GangForming
+		}
+	}
+	return state
+}
--- /dev/null
+++ b/internal/settle/reconcile_test.go
@@ -0,0 +1,77 @@
+package settle
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"sableusher/internal/fleet"
+	"sableusher/internal/wire"
+	"sableusher/internal/world"
+)
+
+// TestDecideEveryObservation goes through all fates, causes and kinds: a binding ends only by proof,
+// and a task is done only when its worker says so and nobody has cancelled it.
+func TestDecideEveryObservation(t *testing.T) {
+	seen := map[Decision]bool{}
+	for _, presence := range []fleet.TaskPresence{fleet.PresenceUnknown, fleet.PresenceAlive, fleet.PresenceExited, fleet.PresenceSessionEnded, fleet.PresenceAbsent} {
+		for _, cause := range []string{wire.CauseDone, wire.CauseError, wire.CauseStopped, wire.CauseNoRoom, wire.CauseBusy, wire.CauseUnknown, "new"} {
+			for _, kind := range []string{wire.KindArray, wire.KindGang, wire.KindService} {
+				for bits := range 16 {
+					task := BoundTask{TaskObservation: fleet.TaskObservation{Presence: presence, Cause: cause}, JobKind: kind, JobCancelled: bits&1 != 0, StopRequested: bits&2 != 0,
+						RetriesLimited: bits&4 != 0, RetriesExhausted: bits&8 != 0}
+					decision := Decide(task)
+					seen[decision] = true
+					proof := presence == fleet.PresenceSessionEnded || presence == fleet.PresenceExited || presence == fleet.PresenceAbsent && task.StopRequested
+					if decision.Release != proof {
+						t.Errorf("%+v: %+v", task, decision)
+					}
+					done := presence == fleet.PresenceExited && cause == wire.CauseDone && kind != wire.KindService && !task.JobCancelled
+					if (decision.NextState == world.Done) != done || decision.WholeGang != (done && kind == wire.KindGang) {
+						t.Errorf("%+v: %+v", task, decision)
+					}
+					failed := presence == fleet.PresenceExited && cause == wire.CauseError
+					if decision.CountFailure != (failed && task.RetriesLimited) || decision.FailJob != (decision.CountFailure && task.RetriesExhausted && !task.JobCancelled) || decision.CountFailure && decision.BackOffJob {
+						t.Errorf("%+v: %+v", task, decision)
+					}
+					if decision.TaskFailed && cause != wire.CauseError || decision.PlacementRefused && decision.TaskFailed {
+						t.Errorf("%+v: %+v", task, decision)
+					}
+				}
+			}
+		}
+	}
+	if len(seen) < 10 {
+		t.Errorf("only %d different steps", len(seen))
+	}
+}
+
+// TestAttemptShape: an attempt with a task that has ended otherwise than done never
+// looks whole, and only one that has all its tasks bound does.
+func TestGangStateOf(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		n := rapid.IntRange(1, 6).Draw(t, "tasks")
+		tasks := make([]world.Task, n)
+		bound, ended, done := 0, false, false
+		for i := range tasks {
+			tasks[i] = world.Task{Index: i, State: rapid.SampledFrom([]int{world.Idle, world.Bound}).Draw(t, "state"), Attempt: rapid.Uint64Range(1, 3).Draw(t, "attempt")}
+			if rapid.IntRange(0, 9).Draw(t, "done") == 0 {
+				tasks[i].State = world.Done
+			}
+			switch {
+			case tasks[i].State == world.Done:
+				done = true
+			case tasks[i].State == world.Bound && tasks[i].Attempt == 2:
+				bound++
+			case tasks[i].Attempt >= 2:
+				ended = true
+			}
+		}
+		got := GangStateOf(n, func(i int) world.Task { return tasks[i] }, 2)
+		switch {
+		case done: // a done task tells it of all; records that also say otherwise are not written
+		case ended && got != GangBroken, !ended && bound == n && got != GangWhole, !ended && bound < n && got != GangForming:
+			t.Errorf("%v: %v", tasks, got)
+		}
+	})
+}
