--- a/internal/place/preemption.go
+++ b/internal/place/preemption.go
@@ -30,12 +30,12 @@
 		if owned {
 			limit = tuning.PreemptLook
 		}
-		candidates := preempt.Room(inventory.Ready(shard), &queued.Ask, queued.rank, zones, limit)
+		candidates := preempt.CandidateMachines(inventory.Ready(shard), &queued.Ask, queued.rank, zones, limit)
 		if len(candidates) == 0 {
 			continue
 		}
 		if owned {
-			if best, victims := preempt.Cheapest(queued.Need, candidates, func(candidate *fit.Node) []preempt.Task { return r.preemptibleTasks(candidate, queued) }); best != nil {
+			if best, victims := preempt.CheapestMachine(queued.Need, candidates, func(candidate *fit.Node) []preempt.Victim { return r.preemptibleTasks(candidate, queued) }); best != nil {
 				r.preemptTasks(best, queued, task, victims)
 				zones.Count[best.M.Zone]++
 			}
@@ -71,38 +71,38 @@
 }
 
 // preemptibleTasks gives the tasks on a machine that may be stopped for a job.
-func (r *round) preemptibleTasks(candidate *fit.Node, queued *due) []preempt.Task {
-	preemptor := preempt.Claim{Rank: queued.rank, Assured: queued.assured, Promised: r.guaranteedOnArrival[queued.job.Spec.ID], Team: queued.job.Spec.Team, Need: queued.Need}
-	var victims []preempt.Task
+func (r *round) preemptibleTasks(candidate *fit.Node, queued *due) []preempt.Victim {
+	preemptor := preempt.Preemptor{Rank: queued.rank, WithinGuarantee: queued.assured, GuaranteedOnArrival: r.guaranteedOnArrival[queued.job.Spec.ID], Team: queued.job.Spec.Team, Need: queued.Need}
+	var victims []preempt.Victim
 	for _, binding := range candidate.M.Bound {
-		if preemptor.Over(r.runningJob(binding.Job)) && !binding.Job.Cancelled() && world.Yields(&binding.Job.Spec) && !r.agents.StopRequested(binding) {
-			victims = append(victims, preempt.Task{Bound: binding, Rank: r.rank(binding.Job), Cost: r.lostMachineSeconds(binding, candidate)})
+		if preemptor.MayPreempt(r.runningJob(binding.Job)) && !binding.Job.Cancelled() && world.Yields(&binding.Job.Spec) && !r.agents.StopRequested(binding) {
+			victims = append(victims, preempt.Victim{Binding: binding, Rank: r.rank(binding.Job), LostMachineSeconds: r.lostMachineSeconds(binding, candidate)})
 		}
 	}
 	return victims
 }
 
 // preemptTasks stops tasks on a machine until another has room there, and keeps the room.
-func (r *round) preemptTasks(candidate *fit.Node, queued *due, task world.TaskRef, victims []preempt.Task) {
+func (r *round) preemptTasks(candidate *fit.Node, queued *due, task world.TaskRef, victims []preempt.Victim) {
 	r.stops++
 	r.stock.Clear(candidate, task.Job)
 	r.reservations[candidate.M.Name] = reservation{task, r.now.Add(tuning.PreemptHold)}
 	r.freeing[task] = true
 	for _, victim := range victims {
 		grace := 0.0
-		if queued.rank > 0 && victim.Bound.Job.Spec.CheckpointS > 0 {
-			grace = stopGraceSeconds(&victim.Bound.Job.Spec)
+		if queued.rank > 0 && victim.Binding.Job.Spec.CheckpointS > 0 {
+			grace = stopGraceSeconds(&victim.Binding.Job.Spec)
 		}
-		r.log.Debug("stopping a task for one of higher priority", "task", victim.Bound.Ref, "for", task, "machine", candidate.M.Name)
-		r.agents.RequestStop(victim.Bound, candidate.M.Name, grace)
+		r.log.Debug("stopping a task for one of higher priority", "task", victim.Binding.Ref, "for", task, "machine", candidate.M.Name)
+		r.agents.RequestStop(victim.Binding, candidate.M.Name, grace)
 	}
 }
 
 // runningJob is what a running job has to say for itself.
-func (r *round) runningJob(job *world.Job) preempt.Holder {
+func (r *round) runningJob(job *world.Job) preempt.RunningJob {
 	_, guaranteed := r.quota.Guarantee(job.Spec.Team)
-	return preempt.Holder{Rank: r.rank(job), Assured: r.runningWithinGuarantee[job.Spec.ID], Guaranteed: guaranteed, Team: job.Spec.Team,
-		Passing: job.Spec.Kind == wire.KindArray && r.run(job) < tuning.Passing}
+	return preempt.RunningJob{Rank: r.rank(job), WithinGuarantee: r.runningWithinGuarantee[job.Spec.ID], TeamHasGuarantee: guaranteed, Team: job.Spec.Team,
+		EndsSoon: job.Spec.Kind == wire.KindArray && r.run(job) < tuning.Passing}
 }
 
 // lostMachineSeconds is the work lost when a task is stopped, in machine seconds.
