--- a/internal/standin/gap_test.go
+++ b/internal/standin/cancellation_test.go
@@ -14,7 +14,7 @@
 	"sableusher/internal/wire"
 )
 
-// gap plays the meeting that comes before all others. The state service refuses the leader alone, whose
+// simulateRefusalAndOutage plays the meeting that comes before all others. The state service refuses the leader alone, whose
 // open watches hang; the others go on for a moment and confirm cancellations; then it is away for
 // everybody, for longer than cancel_s, while workers go on reporting to the old leader, which
 // knows nothing of all that. Drawn are the spans, whether the leader is refused ahead of, within or
@@ -23,21 +23,21 @@
 // and the level may rise just before the gap. A rash day plants a defect: the users of a dozen jobs ask
 // within a second of the refusal and take what is only marked for confirmed, and nobody can take the
 // leader's parts over before the outage.
-func gap(seed uint64, rash bool) *Region {
+func simulateRefusalAndOutage(seed uint64, rash bool) *Region {
 	rnd := rand.New(rand.NewPCG(seed, 71))
 	secs := func(from, to float64) time.Duration {
 		return time.Duration((from + (to-from)*rnd.Float64()) * float64(time.Second))
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := NewRegion(ctx, meetingSettings(0), testTypes, 12, rand.New(rand.NewPCG(seed, 72)), dayLog())
-	r.Rash = rash
+	r := NewRegion(ctx, combinationSettings(0), testTypes, 12, rand.New(rand.NewPCG(seed, 72)), testLogger())
+	r.ConfirmsCancellationsEarly = rash
 	early := rnd.IntN(3) == 0 && !rash // all begin below the level, and one after the other is replaced
 	for i := range 3 {
-		r.Add(meetingSettings(i))
+		r.AddController(combinationSettings(i))
 		if early {
-			r.Kill(i)
-			r.nodes[i].Level = tuning.LevelCertain - 1
-			r.Start(i)
+			r.KillController(i)
+			r.controllers[i].SchemaVersion = tuning.LevelCertain - 1
+			r.StartController(i)
 		}
 	}
 	lead := 40 * time.Second
@@ -53,23 +53,23 @@
 		}
 		r.wg.Go(func() {
 			time.Sleep(at)
-			r.User(ctx, s, 250, stop)
+			r.SimulateUser(ctx, s, 250, stop)
 		})
 	}
 	rise := secs(-12, 3)
 	if early {
 		time.Sleep(lead + rise)
 		for i := range 3 {
-			r.nodes[i].Level = tuning.Level
-			r.again(i, 300*time.Millisecond)
+			r.controllers[i].SchemaVersion = tuning.Level
+			r.restartController(i, 300*time.Millisecond)
 			time.Sleep(800 * time.Millisecond)
 		}
 	} else {
 		time.Sleep(lead)
 	}
-	out := r.Set.Cancel() + secs(2, 30)
-	i := r.Leading()
-	refuse := func(d time.Duration) { r.State.Refuse(r.nodes[i].Set.Node, time.Now().Add(d)) }
+	out := r.Settings.Cancel() + secs(2, 30)
+	i := r.LeaderIndex()
+	refuse := func(d time.Duration) { r.KV.RefuseNode(r.controllers[i].Settings.Node, time.Now().Add(d)) }
 	how := rnd.IntN(4)
 	if rash {
 		how = 4
@@ -79,16 +79,16 @@
 		refuse(20 * time.Second)
 		time.Sleep(300 * time.Millisecond)
 		for i := range 12 {
-			r.wg.Go(func() { r.Abort(ctx, fmt.Sprintf("run-%06d", i+1)) })
+			r.wg.Go(func() { r.CancelJob(ctx, fmt.Sprintf("run-%06d", i+1)) })
 		}
 		time.Sleep(secs(1.6, 2.2))
-		r.State.Outage(time.Now().Add(out))
+		r.KV.StartOutage(time.Now().Add(out))
 	case 0: // within: only the end of the outage shows that it was refused
-		r.State.Outage(time.Now().Add(out))
+		r.KV.StartOutage(time.Now().Add(out))
 		time.Sleep(secs(1, 10))
 		refuse(out)
 	case 1: // after
-		r.State.Outage(time.Now().Add(out))
+		r.KV.StartOutage(time.Now().Add(out))
 		time.Sleep(out)
 		refuse(secs(2, 20))
 	default: // ahead
@@ -99,11 +99,11 @@
 		} else {
 			time.Sleep(secs(3, 9))
 		}
-		r.State.Outage(time.Now().Add(out))
+		r.KV.StartOutage(time.Now().Add(out))
 	}
 	if rnd.IntN(3) == 0 && !rash {
 		time.Sleep(secs(0, 20))
-		r.again(i, secs(0.2, 6))
+		r.restartController(i, secs(0.2, 6))
 	}
 	time.Sleep(out + 4*time.Minute)
 	cancel()
@@ -114,16 +114,16 @@
 
 // TestGap: what is confirmed ends in time all the same, and what can't be confirmed is told later and
 // not never.
-func TestGap(t *testing.T) {
+func TestCancellationsDuringOutage(t *testing.T) {
 	var waited []time.Duration
-	for seed := range uint64(number("GAP_DAYS", 5)) {
+	for seed := range uint64(environmentInt("GAP_DAYS", 5)) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := gap(seed+1, false)
-				if len(r.Oracle.Broken)+len(r.State.Broken) > 0 {
-					t.Errorf("broken: %v %v", r.Oracle.Broken[:min(len(r.Oracle.Broken), 5)], r.State.Broken)
+				r := simulateRefusalAndOutage(seed+1, false)
+				if len(r.Checker.Violations)+len(r.KV.Violations) > 0 {
+					t.Errorf("broken: %v %v", r.Checker.Violations[:min(len(r.Checker.Violations), 5)], r.KV.Violations)
 				}
-				told, open := r.Oracle.Cancellations()
+				told, open := r.Checker.CancellationDurations()
 				waited = append(waited, told...)
 				t.Logf("%d told after %v to %v, %d not told", len(told), told[:min(1, len(told))], told[max(0, len(told)-1):], open)
 				if len(told) < 5 || open > 0 {
@@ -143,11 +143,11 @@
 
 // TestGapToldTooEarly: on such a day the oracle sees the rule break where a cancellation is told as
 // soon as it is marked in the records.
-func TestGapToldTooEarly(t *testing.T) {
+func TestCheckerDetectsEarlyConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := gap(1, true)
-		if !slices.ContainsFunc(r.Oracle.Broken, func(b string) bool { return strings.HasPrefix(b, "ran_cancelled") }) {
-			told, open := r.Oracle.Cancellations()
+		r := simulateRefusalAndOutage(1, true)
+		if !slices.ContainsFunc(r.Checker.Violations, func(b string) bool { return strings.HasPrefix(b, "ran_cancelled") }) {
+			told, open := r.Checker.CancellationDurations()
 			t.Errorf("no rule breaks though cancellations are told before they are certain: %v, %d open", told, open)
 		}
 	})
--- a/internal/standin/cores_test.go
+++ b/internal/standin/cpuregion_test.go
@@ -12,25 +12,25 @@
 	"sableusher/internal/wire"
 )
 
-var coreZones = []string{"hill", "plain", "coast", "river"}
+var cpuZones = []string{"hill", "plain", "coast", "river"}
 
-// coreTypes have no GPUs and three sizes; the largest fetches slowly.
-var coreTypes = []wire.MachineType{
+// cpuMachineTypes have no GPUs and three sizes; the largest fetches slowly.
+var cpuMachineTypes = []wire.MachineType{
 	{Name: "small", CPUs: 4, MemoryGB: 8, CacheGB: 40, FetchGBps: 0.8, Price: 0.15, SpotPrice: 0.06, BootS: 40, Zones: []string{"hill", "plain", "river"}},
 	{Name: "medium", CPUs: 8, MemoryGB: 64, CacheGB: 40, FetchGBps: 0.8, Price: 0.37, SpotPrice: 0.15, BootS: 25, Zones: []string{"hill", "plain", "river"}},
 	{Name: "large", CPUs: 32, MemoryGB: 64, CacheGB: 60, FetchGBps: 0.2, Price: 1.14, SpotPrice: 0.5, BootS: 25, Zones: []string{"hill", "coast", "river"}},
 }
 
-// coreSettings are those of a region with small budgets, four zones for three controllers, and teams
+// cpuRegionSettings are those of a region with small budgets, four zones for three controllers, and teams
 // whose guarantees and limits are counted in cores.
-func coreSettings(i int) *config.Settings {
+func cpuRegionSettings(i int) *config.Settings {
 	s := testSettings(i)
-	s.Zone = coreZones[i]
+	s.Zone = cpuZones[i]
 	for k := range s.Siblings {
 		s.Siblings[k].Zone = ""
 	}
 	d := &s.Deployment
-	d.Zones = coreZones
+	d.Zones = cpuZones
 	d.Teams = nil
 	for t := range 4 {
 		d.Teams = append(d.Teams, config.Team{Name: fmt.Sprintf("team-%d", t), CPUs: 60, CPUsMax: 160})
@@ -42,29 +42,29 @@
 	return s
 }
 
-// Stand puts machines up that are there before the first controller.
-func (r *Region) Stand(ctx context.Context, typ, zone string, count int) {
+// AddRunningMachines puts machines up that are there before the first controller.
+func (r *Region) AddRunningMachines(ctx context.Context, typ, zone string, count int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for range count {
 		n := len(r.machines) + 1
-		m := &rented{Listed: wire.Listed{ID: fmt.Sprintf("vm-%06d", n), Address: fmt.Sprintf("worker-%06d:9000", n), Type: typ, Zone: zone, State: wire.MachineRunning},
-			key: kindKey(typ, zone, false), since: time.Now(), up: time.Now()}
+		m := &cloudMachine{Listed: wire.Listed{ID: fmt.Sprintf("vm-%06d", n), Address: fmt.Sprintf("worker-%06d:9000", n), Type: typ, Zone: zone, State: wire.MachineRunning},
+			capacityKey: capacityKey(typ, zone, false), rentedAt: time.Now(), bootedAt: time.Now()}
 		r.machines = append(r.machines, m)
-		r.charters[fmt.Sprint("before ", n)] = []string{m.ID}
-		r.boot(ctx, m)
+		r.rentals[fmt.Sprint("before ", n)] = []string{m.ID}
+		r.bootAgent(ctx, m)
 	}
 }
 
-// on counts the tasks of a class by the type of their machines.
-func (r *Region) on(class string) map[string]int {
+// tasksByMachineType counts the tasks of a class by the type of their machines.
+func (r *Region) tasksByMachineType(class string) map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := map[string]int{}
-	for _, w := range r.workers {
+	for _, w := range r.agents {
 		for _, t := range w.tasks {
-			if t.spec.Class == class && t.on {
-				out[w.typ.Name]++
+			if t.spec.Class == class && t.onMachine {
+				out[w.machineType.Name]++
 			}
 		}
 	}
@@ -75,24 +75,24 @@
 // has few more, the state service takes 25 changes a second, services are spread over zones. Machines
 // die, one controller ends, then all. No rule breaks, every job ends, nobody gets less than half of his due, and
 // replicas stand mostly on small machines; how they are chosen is held to by package fit's own test.
-func TestRegionOfCores(t *testing.T) {
+func TestRegionOfCPUMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		rnd := rand.New(rand.NewPCG(5, 81))
-		r := NewRegion(ctx, coreSettings(0), coreTypes, 8, rand.New(rand.NewPCG(5, 82)), dayLog())
+		r := NewRegion(ctx, cpuRegionSettings(0), cpuMachineTypes, 8, rand.New(rand.NewPCG(5, 82)), testLogger())
 		for i := range 3 {
-			set := coreSettings(i)
-			r.nodes = append(r.nodes, &Controller{Set: set, Address: set.Listen, Level: 4})
+			set := cpuRegionSettings(i)
+			r.controllers = append(r.controllers, &Controller{Settings: set, Address: set.Listen, SchemaVersion: 4})
 		}
 		for _, m := range []struct {
 			typ, zone string
 			count     int
 		}{{"small", "hill", 9}, {"small", "plain", 14}, {"small", "river", 8}, {"medium", "plain", 6}, {"medium", "hill", 4}, {"large", "coast", 2}, {"large", "hill", 1}} {
-			r.Stand(ctx, m.typ, m.zone, m.count)
+			r.AddRunningMachines(ctx, m.typ, m.zone, m.count)
 		}
 		time.Sleep(20 * time.Second)
 		for i := range 3 {
-			r.Start(i)
+			r.StartController(i)
 		}
 		replicas := 0
 		for i := range 44 {
@@ -107,35 +107,35 @@
 			}
 			r.wg.Go(func() {
 				time.Sleep(at)
-				r.User(ctx, s, run, stop)
+				r.SimulateUser(ctx, s, run, stop)
 			})
 		}
 		time.Sleep(110 * time.Second)
-		on := r.on("live")
+		on := r.tasksByMachineType("live")
 		if sum := on["small"] + on["medium"] + on["large"]; sum < replicas || 3*on["small"] < sum || on["small"] < 3*on["large"] {
 			t.Errorf("%d replicas stand on %v", replicas, on)
 		}
-		r.again(r.Leading(), 8*time.Second)
+		r.restartController(r.LeaderIndex(), 8*time.Second)
 		for i, m := range r.Machines(false) {
 			if i%9 == 0 {
-				r.Die(m)
+				r.FailMachine(m)
 			}
 		}
 		time.Sleep(50 * time.Second)
 		for i := range 3 {
-			r.again(i, 8*time.Second)
+			r.restartController(i, 8*time.Second)
 		}
 		time.Sleep(80 * time.Second)
-		r.Oracle.Calm()
-		r.finish(100)
+		r.Checker.FaultsEnded()
+		r.waitUntilFinished(100)
 		time.Sleep(30 * time.Second)
-		if on := r.on("live"); on["small"]+on["medium"]+on["large"] < replicas {
+		if on := r.tasksByMachineType("live"); on["small"]+on["medium"]+on["large"] < replicas {
 			t.Errorf("of %d replicas %v run in the end", replicas, on)
 		}
-		r.Oracle.Floors()
+		r.Checker.CheckServedShares()
 		cancel()
 		r.Wait()
 		time.Sleep(3 * time.Minute)
-		judge(t, r)
+		checkDay(t, r)
 	})
 }
--- a/internal/standin/floor_test.go
+++ b/internal/standin/fairshare_test.go
@@ -14,20 +14,20 @@
 	"sableusher/internal/wire"
 )
 
-// begun counts the tasks that have started, by class and by team, and those asked for.
-func (r *Region) begun() (started, asked map[string]int) {
+// startedTasks counts the tasks that have started, by class and by team, and those asked for.
+func (r *Region) startedTasks() (started, asked map[string]int) {
 	started, asked = map[string]int{}, map[string]int{}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Oracle.mu.Lock()
-	defer r.Oracle.mu.Unlock()
-	for _, j := range r.Oracle.jobs {
+	r.Checker.mu.Lock()
+	defer r.Checker.mu.Unlock()
+	for _, j := range r.Checker.jobs {
 		for _, whom := range []string{j.spec.Class, j.spec.Team, "all"} {
 			asked[whom] += j.spec.Tasks
-			started[whom] += len(j.done)
+			started[whom] += len(j.completedTasks)
 		}
 	}
-	for _, w := range r.workers {
+	for _, w := range r.agents {
 		for _, t := range w.tasks {
 			for _, whom := range []string{t.spec.Class, t.spec.Team, "all"} {
 				started[whom]++
@@ -42,7 +42,7 @@
 // have died while the cloud is away. By the end of the burst each class and each team has had
 // at least half of what it asked for, as there was room for 0.7; and afterwards all end.
 // By size alone the large ones have 0.4.
-func TestFloorsInABurst(t *testing.T) {
+func TestFairShareInBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		set := func(i int) *config.Settings {
@@ -60,13 +60,13 @@
 		}
 		r := NewRegion(ctx, set(0), testTypes[:1], 10, rand.New(rand.NewPCG(9, 8)), slog.New(slog.NewTextHandler(io.Discard, nil)))
 		for i := range 3 {
-			r.Add(set(i))
+			r.AddController(set(i))
 		}
 		const burst, large = 260, 50
 		submit := func(n int, class string, tasks int) {
 			spec := wire.Spec{ID: fmt.Sprintf("run-%06d", n), Class: class, Team: fmt.Sprint("team-", n%4), Kind: wire.KindArray, Priority: wire.PriorityNormal,
 				Tasks: tasks, CPUs: 6, GPUs: 1, MemoryGB: 40, Image: "img", ImageGB: 1, EstimateS: 20, Spot: true}
-			r.wg.Go(func() { r.User(ctx, spec, 20, 0) })
+			r.wg.Go(func() { r.SimulateUser(ctx, spec, 20, 0) })
 		}
 		n := 0
 		for s := range burst {
@@ -77,16 +77,16 @@
 				submit(n, "large", large)
 			}
 			if s == 40 {
-				r.CloudOutage(time.Now().Add((burst - 40) * time.Second))
+				r.StartCloudOutage(time.Now().Add((burst - 40) * time.Second))
 				for i, m := range r.Machines(false) {
 					if i%2 == 0 {
-						r.Die(m)
+						r.FailMachine(m)
 					}
 				}
 			}
 			time.Sleep(time.Second)
 		}
-		started, asked := r.begun()
+		started, asked := r.startedTasks()
 		served := func(whom string) float64 { return float64(started[whom]) / float64(asked[whom]) }
 		t.Logf("started %v of %v", started, asked)
 		if all := served("all"); all < 0.6 || all > 0.9 {
@@ -98,12 +98,12 @@
 			}
 		}
 		time.Sleep(6 * time.Minute)
-		left := r.Oracle.Unfinished()
+		left := r.Checker.UnfinishedJobs()
 		cancel()
 		r.Wait()
 		time.Sleep(3 * time.Minute)
-		if len(left)+len(r.Oracle.Broken)+len(r.State.Broken) > 0 {
-			t.Errorf("never finished: %v; broken: %v %v", left, r.Oracle.Broken, r.State.Broken)
+		if len(left)+len(r.Checker.Violations)+len(r.KV.Violations) > 0 {
+			t.Errorf("never finished: %v; broken: %v %v", left, r.Checker.Violations, r.KV.Violations)
 		}
 	})
 }
--- a/internal/standin/grown_test.go
+++ b/internal/standin/largeregion_test.go
@@ -17,10 +17,10 @@
 	"sableusher/internal/wire"
 )
 
-var grownZones = []string{"east", "west", "north", "south"}
+var largeRegionZones = []string{"east", "west", "north", "south"}
 
-// grownSettings are those of a region of five nodes and long reports.
-func grownSettings(i int) *config.Settings {
+// largeRegionSettings are those of a region of five nodes and long reports.
+func largeRegionSettings(i int) *config.Settings {
 	const nodes = 5
 	s := testSettings(i)
 	s.Siblings = nil
@@ -30,7 +30,7 @@
 		}
 	}
 	d := &s.Deployment
-	d.Size, d.Zones = nodes, grownZones
+	d.Size, d.Zones = nodes, largeRegionZones
 	d.Teams = nil
 	for t := range 8 {
 		d.Teams = append(d.Teams, config.Team{Name: fmt.Sprintf("team-%d", t), GPUs: 60, GPUsMax: 160})
@@ -41,11 +41,11 @@
 	return s
 }
 
-var grownTypes = []wire.MachineType{
-	{Name: "large", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 50, FetchGBps: 1, Price: 10, SpotPrice: 4, BootS: 20, Zones: grownZones},
+var largeRegionTypes = []wire.MachineType{
+	{Name: "large", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 50, FetchGBps: 1, Price: 10, SpotPrice: 4, BootS: 20, Zones: largeRegionZones},
 }
 
-func grownSpec(rnd *rand.Rand, i int) (wire.Spec, float64, time.Duration) {
+func largeRegionSpec(rnd *rand.Rand, i int) (wire.Spec, float64, time.Duration) {
 	s := wire.Spec{ID: fmt.Sprintf("run-%06d", i), Team: fmt.Sprintf("team-%d", rnd.IntN(8)),
 		Image: fmt.Sprintf("img-%d", rnd.IntN(16)), ImageGB: 2 + 6*rnd.Float64(), EstimateS: 30}
 	run := 10 + 60*rnd.Float64()
@@ -65,10 +65,10 @@
 	return s, run, cancel
 }
 
-// TestGrownRegion drives five controllers over some hundreds of machines, with
+// TestRegionOfFiveControllers drives five controllers over some hundreds of machines, with
 // wide gangs, wide arrays, and tens of machines that hang at once while two
 // controllers end. GROWN_JOBS plays more jobs, for profiles.
-func TestGrownRegion(t *testing.T) {
+func TestRegionOfFiveControllers(t *testing.T) {
 	jobs := 60
 	if n, err := strconv.Atoi(os.Getenv("GROWN_JOBS")); err == nil {
 		jobs = n
@@ -80,44 +80,44 @@
 		if os.Getenv("STANDIN_LOG") != "" {
 			out = os.Stderr
 		}
-		r := NewRegion(ctx, grownSettings(0), grownTypes, 200, rand.New(rand.NewPCG(11, 8)), slog.New(slog.NewTextHandler(out, nil)))
+		r := NewRegion(ctx, largeRegionSettings(0), largeRegionTypes, 200, rand.New(rand.NewPCG(11, 8)), slog.New(slog.NewTextHandler(out, nil)))
 		for i := range 5 {
-			r.Add(grownSettings(i))
+			r.AddController(largeRegionSettings(i))
 		}
 		for i := range jobs {
-			spec, run, stop := grownSpec(rnd, i+1)
+			spec, run, stop := largeRegionSpec(rnd, i+1)
 			at := time.Duration(rnd.IntN(100)) * time.Second
 			r.wg.Go(func() {
 				time.Sleep(at)
-				r.User(ctx, spec, run, stop)
+				r.SimulateUser(ctx, spec, run, stop)
 			})
 		}
 		time.Sleep(70 * time.Second)
 		for i, m := range r.Machines(false) {
 			if i%8 == 0 {
-				r.Hang(m, 40*time.Second)
+				r.HangMachine(m, 40*time.Second)
 			}
 		}
-		r.Kill(1)
-		r.Kill(3)
+		r.KillController(1)
+		r.KillController(3)
 		time.Sleep(5 * time.Second)
-		r.Start(1)
-		r.Start(3)
+		r.StartController(1)
+		r.StartController(3)
 		for range 60 {
 			time.Sleep(5 * time.Second)
-			if time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)) > 110*time.Second && len(r.Oracle.Unfinished()) == 0 {
+			if time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)) > 110*time.Second && len(r.Checker.UnfinishedJobs()) == 0 {
 				break
 			}
 		}
-		left := r.Oracle.Unfinished()
+		left := r.Checker.UnfinishedJobs()
 		cancel()
 		r.Wait()
 		time.Sleep(3 * time.Minute)
-		if len(r.Oracle.Broken)+len(r.State.Broken) > 0 {
-			t.Errorf("broken:\n%s\n%s", strings.Join(r.Oracle.Broken, "\n"), strings.Join(r.State.Broken, "\n"))
+		if len(r.Checker.Violations)+len(r.KV.Violations) > 0 {
+			t.Errorf("broken:\n%s\n%s", strings.Join(r.Checker.Violations, "\n"), strings.Join(r.KV.Violations, "\n"))
 		}
-		if len(left) > 0 || r.Oracle.Starts < 10*jobs {
-			t.Errorf("never finished: %v; %d starts", left, r.Oracle.Starts)
+		if len(left) > 0 || r.Checker.TaskStarts < 10*jobs {
+			t.Errorf("never finished: %v; %d starts", left, r.Checker.TaskStarts)
 		}
 	})
 }
--- a/internal/standin/deaf_test.go
+++ b/internal/standin/onewaylinks_test.go
@@ -15,15 +15,15 @@
 	"sableusher/internal/wire"
 )
 
-var hearingLine = regexp.MustCompile(`msg="change made" .*what="machine (hears nothing|reaches no node|is up) (\S+)"|msg="task placed" .* machine=(\S+)`)
+var oneWayLogPattern = regexp.MustCompile(`msg="change made" .*what="machine (hears nothing|reaches no node|is up) (\S+)"|msg="task placed" .* machine=(\S+)`)
 
-// oneWayDay plays a day of gangs and services on which one in some machines can be reached in one direction only
+// simulateOneWayDay plays a day of gangs and services on which one in some machines can be reached in one direction only
 // for longer than a lease, and the leader may end meanwhile. It gives how often each was recorded for it, and
 // fails if a task is bound to one between then and its coming up again.
-func oneWayDay(t *testing.T, why string, spoil func(r *Region, machine string, until time.Time), away time.Duration, each int, leaderEnds bool) (*Region, map[string]int) {
+func simulateOneWayDay(t *testing.T, why string, spoil func(r *Region, machine string, until time.Time), away time.Duration, each int, leaderEnds bool) (*Region, map[string]int) {
 	ctx, cancel := context.WithCancel(context.Background())
-	log, rnd := &journal{}, rand.New(rand.NewPCG(7, 91))
-	r := three(ctx, meetingSettings, 10, 7, slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug})))
+	log, rnd := &logBuffer{}, rand.New(rand.NewPCG(7, 91))
+	r := newThreeControllerRegion(ctx, combinationSettings, 10, 7, slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	for i := range 60 {
 		s := wire.Spec{ID: fmt.Sprintf("run-%06d", i+1), Class: "g", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityHigh, Tasks: 2, CPUs: 16, GPUs: 2,
 			MemoryGB: 20, Image: "img", ImageGB: 1, EstimateS: 20}
@@ -36,7 +36,7 @@
 		}
 		r.wg.Go(func() {
 			time.Sleep(at)
-			r.User(ctx, s, 40, stop)
+			r.SimulateUser(ctx, s, 40, stop)
 		})
 	}
 	time.Sleep(60 * time.Second)
@@ -47,17 +47,17 @@
 	}
 	time.Sleep(2 * time.Second)
 	if leaderEnds {
-		r.again(r.Leading(), 4*time.Second)
+		r.restartController(r.LeaderIndex(), 4*time.Second)
 	}
 	time.Sleep(5*time.Minute + away - 80*time.Second)
-	r.Oracle.Floors()
+	r.Checker.CheckServedShares()
 	cancel()
 	r.Wait()
 	time.Sleep(3 * time.Minute)
-	judge(t, r)
+	checkDay(t, r)
 	out, marks := map[string]bool{}, map[string]int{}
 	for lines := bufio.NewScanner(&log.buf); lines.Scan(); {
-		m := hearingLine.FindStringSubmatch(lines.Text())
+		m := oneWayLogPattern.FindStringSubmatch(lines.Text())
 		switch {
 		case m == nil:
 		case m[3] != "" && out[m[3]]:
@@ -69,7 +69,7 @@
 			out[m[2]] = false
 		}
 	}
-	t.Log(len(marks), "machines were recorded for it;", r.Oracle.Met)
+	t.Log(len(marks), "machines were recorded for it;", r.Checker.Observed)
 	if len(marks) == 0 {
 		t.Error("no machine was found that " + why)
 	}
@@ -84,18 +84,20 @@
 // TestDeafMachinesAreLeftOut: half of the machines hear nothing for longer than a lease, and the
 // leader ends meanwhile. From when a machine's record says so, no node binds a task to it before it hears
 // again, so gangs and services that come meanwhile start on others; and it is recorded once.
-func TestDeafMachinesAreLeftOut(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { oneWayDay(t, "hears nothing", (*Region).Deaf, 80*time.Second, 2, true) })
+func TestInboundLostMachinesReceiveNoTasks(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		simulateOneWayDay(t, "hears nothing", (*Region).LoseInbound, 80*time.Second, 2, true)
+	})
 }
 
 // TestMuteMachinesAreLeft: a quarter of the machines reach no node for longer than a lease, while commands
 // reach them. Once such a machine looked ready whenever it answered one: task after task was started there and ended
 // with its lease. Nothing is bound to it, and replicas have left it before the lease ends. (Were most of a node's mute, it
 // would be the node.)
-func TestMuteMachinesAreLeft(t *testing.T) {
+func TestOutboundLostMachinesAreEvacuated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, _ := oneWayDay(t, "reaches no node", (*Region).Mute, 80*time.Second, 4, false)
-		if n := r.Oracle.Met[wire.KindService+" ended with a lease"]; n > 0 {
+		r, _ := simulateOneWayDay(t, "reaches no node", (*Region).LoseOutbound, 80*time.Second, 4, false)
+		if n := r.Checker.Observed[wire.KindService+" ended with a lease"]; n > 0 {
 			t.Errorf("%d replicas ended with a lease", n)
 		}
 	})
@@ -103,14 +105,14 @@
 
 // TestOneWayMachinesAreGivenUp: what can be reached in one direction only, and stays so, is returned once
 // nothing is left on it: nobody would ever use it again, and nothing else would end that.
-func TestOneWayMachinesAreGivenUp(t *testing.T) {
+func TestOneWayMachinesAreReturned(t *testing.T) {
 	for why, c := range map[string]struct {
 		spoil func(*Region, string, time.Time)
 		each  int
-	}{"hears nothing": {(*Region).Deaf, 2}, "reaches no node": {(*Region).Mute, 4}} {
+	}{"hears nothing": {(*Region).LoseInbound, 2}, "reaches no node": {(*Region).LoseOutbound, 4}} {
 		t.Run(why, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r, marks := oneWayDay(t, why, c.spoil, 7*time.Minute, c.each, true)
+				r, marks := simulateOneWayDay(t, why, c.spoil, 7*time.Minute, c.each, true)
 				there := r.Machines(false)
 				for name := range marks {
 					if slices.Contains(there, name) {
--- a/internal/standin/region_test.go
+++ b/internal/standin/region_test.go
@@ -76,11 +76,11 @@
 	return s, float64(5 + rnd.IntN(30)), cancel
 }
 
-// fault lets one trouble happen.
-func fault(r *Region, rnd *rand.Rand) string {
+// injectRandomFault lets one trouble happen.
+func injectRandomFault(r *Region, rnd *rand.Rand) string {
 	d := time.Duration(5+rnd.IntN(25)) * time.Second
 	until := time.Now().Add(d)
-	n := rnd.IntN(r.Nodes())
+	n := rnd.IntN(r.ControllerCount())
 	hold := rnd.IntN(2) == 0
 	one := func(spot bool) string {
 		if ms := r.Machines(spot); len(ms) > 0 {
@@ -89,63 +89,63 @@
 		return ""
 	}
 	restart := func(i int) {
-		r.Kill(i)
+		r.KillController(i)
 		r.wg.Go(func() {
 			time.Sleep(5 * time.Second)
-			r.Start(i)
+			r.StartController(i)
 		})
 	}
-	name := r.nodes[n].Set.Node
+	name := r.controllers[n].Settings.Node
 	kind := rnd.IntN(13)
 	switch kind {
 	case 0:
 		restart(n)
 		time.Sleep(7 * time.Second)
 	case 1:
-		for i := range r.Nodes() {
+		for i := range r.ControllerCount() {
 			restart(i)
 		}
 		time.Sleep(7 * time.Second)
 	case 2:
-		r.State.Outage(until)
+		r.KV.StartOutage(until)
 	case 3:
-		r.State.Refuse(name, until)
+		r.KV.RefuseNode(name, until)
 	case 4:
-		r.Net.Cut(Cut{From: name, To: "state", Hold: hold, Until: until})
+		r.Network.AddPartition(Partition{From: name, To: "state", DeliverLate: hold, Until: until})
 	case 5:
-		r.Net.Cut(Cut{From: name, To: "*", Hold: hold, Until: until})
+		r.Network.AddPartition(Partition{From: name, To: "*", DeliverLate: hold, Until: until})
 	case 6:
 		for _, m := range r.Machines(false) {
-			r.Net.Cut(Cut{From: name, To: m, Hold: hold, Until: until})
+			r.Network.AddPartition(Partition{From: name, To: m, DeliverLate: hold, Until: until})
 		}
 	case 7:
 		if m := one(false); m != "" {
-			r.Die(m)
+			r.FailMachine(m)
 		}
 	case 8:
 		if m := one(false); m != "" {
-			r.Hang(m, d+10*time.Second)
+			r.HangMachine(m, d+10*time.Second)
 		}
 	case 9:
 		if m := one(false); m != "" {
-			r.Net.Cut(Cut{From: m, To: "*", Hold: hold, Until: until})
+			r.Network.AddPartition(Partition{From: m, To: "*", DeliverLate: hold, Until: until})
 		}
 	case 10:
 		for _, m := range r.Machines(true) {
 			if rnd.IntN(2) == 0 {
-				r.Take(m, time.Duration(rnd.IntN(2)*8)*time.Second)
+				r.ReclaimMachine(m, time.Duration(rnd.IntN(2)*8)*time.Second)
 			}
 		}
 	case 11:
-		r.CloudOutage(until)
+		r.StartCloudOutage(until)
 	case 12:
-		r.CutZone(testZones[rnd.IntN(3)], hold, until.Add(time.Duration(rnd.IntN(60))*time.Second))
+		r.PartitionZone(testZones[rnd.IntN(3)], hold, until.Add(time.Duration(rnd.IntN(60))*time.Second))
 	}
 	return fmt.Sprintf("%d on %s for %v hold=%v", kind, name, d, hold)
 }
 
-// dayLog is where the controllers of a day log to: nowhere, unless STANDIN_LOG is set.
-func dayLog() *slog.Logger {
+// testLogger is where the controllers of a day log to: nowhere, unless STANDIN_LOG is set.
+func testLogger() *slog.Logger {
 	var out io.Writer = io.Discard
 	if os.Getenv("STANDIN_LOG") != "" {
 		out = os.Stderr
@@ -153,49 +153,49 @@
 	return slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
 }
 
-// three starts a region of three controllers, with so many machines of each kind to be had.
-func three(ctx context.Context, settings func(int) *config.Settings, each int, seed uint64, log *slog.Logger) *Region {
+// newThreeControllerRegion starts a region of three controllers, with so many machines of each kind to be had.
+func newThreeControllerRegion(ctx context.Context, settings func(int) *config.Settings, each int, seed uint64, log *slog.Logger) *Region {
 	r := NewRegion(ctx, settings(0), testTypes, each, rand.New(rand.NewPCG(seed, 8)), log)
 	for i := range 3 {
-		r.Add(settings(i))
+		r.AddController(settings(i))
 	}
 	return r
 }
 
-// finish waits, 5 s at a time and so often at most, until all jobs are over.
-func (r *Region) finish(times int) {
+// waitUntilFinished waits, 5 s at a time and so often at most, until all jobs are over.
+func (r *Region) waitUntilFinished(times int) {
 	for range times {
 		time.Sleep(5 * time.Second)
-		if len(r.Oracle.Unfinished()) == 0 {
+		if len(r.Checker.UnfinishedJobs()) == 0 {
 			return
 		}
 	}
 }
 
-// play runs a day of generated jobs and troubles and gives what broke.
-func play(t *testing.T, seed uint64, troubles int) *Region {
+// simulateDay runs a day of generated jobs and troubles and gives what broke.
+func simulateDay(t *testing.T, seed uint64, troubles int) *Region {
 	rnd := rand.New(rand.NewPCG(seed, 7))
 	start := time.Now()
 	ctx, cancel := context.WithCancel(context.Background())
-	log := dayLog()
-	r := three(ctx, testSettings, 5, seed, log)
-	r.wg.Go(func() { r.Stranger(ctx) })
+	log := testLogger()
+	r := newThreeControllerRegion(ctx, testSettings, 5, seed, log)
+	r.wg.Go(func() { r.QueryUnknownJobs(ctx) })
 	for i := range 30 {
 		spec, run, stop := testSpec(rnd, i+1)
 		at := time.Duration(rnd.IntN(200)) * time.Second
 		r.wg.Go(func() {
 			time.Sleep(at)
-			r.User(ctx, spec, run, stop)
+			r.SimulateUser(ctx, spec, run, stop)
 		})
 	}
 	time.Sleep(20 * time.Second)
 	for range troubles {
 		time.Sleep(time.Duration(1+rnd.IntN(25)) * time.Second)
-		what := fault(r, rnd)
+		what := injectRandomFault(r, rnd)
 		log.Info("TROUBLE", "what", what)
 	}
 	time.Sleep(5*time.Minute - time.Since(start)) // all jobs are submitted by then
-	r.finish(90)
+	r.waitUntilFinished(90)
 	time.Sleep(60 * time.Second)
 	cancel()
 	r.Wait()
@@ -203,9 +203,9 @@
 	return r
 }
 
-// TestRulesUnderTroubles drives three controllers through generated days and
+// TestInvariantsUnderFaults drives three controllers through generated days and
 // checks every rule of the protocol.
-func TestRulesUnderTroubles(t *testing.T) {
+func TestInvariantsUnderFaults(t *testing.T) {
 	days := 8
 	if n, err := strconv.Atoi(os.Getenv("STANDIN_DAYS")); err == nil {
 		days = n
@@ -213,30 +213,30 @@
 	for seed := range uint64(days) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := play(t, seed+1, 10)
-				if len(r.Oracle.Broken) > 0 {
-					t.Errorf("broken rules:\n%s", strings.Join(r.Oracle.Broken, "\n"))
+				r := simulateDay(t, seed+1, 10)
+				if len(r.Checker.Violations) > 0 {
+					t.Errorf("broken rules:\n%s", strings.Join(r.Checker.Violations, "\n"))
 				}
-				if len(r.State.Broken) > 0 {
-					t.Errorf("requests over the state service's limits:\n%s", strings.Join(r.State.Broken, "\n"))
+				if len(r.KV.Violations) > 0 {
+					t.Errorf("requests over the state service's limits:\n%s", strings.Join(r.KV.Violations, "\n"))
 				}
-				if left := r.Oracle.Unfinished(); len(left) > 0 {
+				if left := r.Checker.UnfinishedJobs(); len(left) > 0 {
 					t.Errorf("never finished: %v", left)
 				}
-				if r.Oracle.Starts < 20 {
-					t.Errorf("only %d tasks started", r.Oracle.Starts)
+				if r.Checker.TaskStarts < 20 {
+					t.Errorf("only %d tasks started", r.Checker.TaskStarts)
 				}
 			})
 		})
 	}
 }
 
-// survivors plays nine services on a region while something is cut off, and tells of how
+// simulateServicesUnderCut plays nine services on a region while something is cut off, and tells of how
 // many machines of the zones that are looked at how many are gone afterwards, and on how
 // many the tasks have ended. The first service's user cancels it after stop.
-func survivors(t *testing.T, seed uint64, stop time.Duration, zones []string, cut func(*Region)) (machines, gone, ended int) {
+func simulateServicesUnderCut(t *testing.T, seed uint64, stop time.Duration, zones []string, cut func(*Region)) (machines, gone, ended int) {
 	ctx, cancel := context.WithCancel(context.Background())
-	r := three(ctx, testSettings, 12, seed, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	r := newThreeControllerRegion(ctx, testSettings, 12, seed, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for i := range 9 {
 		spec := wire.Spec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: wire.KindService, Priority: wire.PriorityProduction,
 			Tasks: 6, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageGB: 1, Spread: true}
@@ -244,13 +244,13 @@
 		if i == 0 {
 			after = stop
 		}
-		r.wg.Go(func() { r.User(ctx, spec, 5, after) })
+		r.wg.Go(func() { r.SimulateUser(ctx, spec, 5, after) })
 	}
 	time.Sleep(75 * time.Second)
-	before := r.Sessions(zones...)
+	before := r.AgentSessions(zones...)
 	cut(r)
 	time.Sleep(150 * time.Second)
-	after := r.Sessions(zones...)
+	after := r.AgentSessions(zones...)
 	for name, session := range before {
 		if now, ok := after[name]; !ok {
 			gone++
@@ -261,8 +261,8 @@
 	cancel()
 	r.Wait()
 	time.Sleep(3 * time.Minute)
-	if len(r.Oracle.Broken)+len(r.State.Broken) > 0 {
-		t.Errorf("broken: %v %v", r.Oracle.Broken, r.State.Broken)
+	if len(r.Checker.Violations)+len(r.KV.Violations) > 0 {
+		t.Errorf("broken: %v %v", r.Checker.Violations, r.KV.Violations)
 	}
 	return len(before), gone, ended
 }
@@ -271,10 +271,10 @@
 // a controller is cut off from everything. No machine in it is deleted, no task in it
 // killed, though most belong to controllers outside; what its users cancel meanwhile is
 // told only once it has ended; and afterwards all goes on with the same sessions.
-func TestZoneThatIsCutWorksOn(t *testing.T) {
+func TestPartitionedZoneKeepsRunning(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		machines, gone, ended := survivors(t, 4, 100*time.Second, []string{"west"}, func(r *Region) {
-			r.CutZone("west", true, time.Now().Add(100*time.Second))
+		machines, gone, ended := simulateServicesUnderCut(t, 4, 100*time.Second, []string{"west"}, func(r *Region) {
+			r.PartitionZone("west", true, time.Now().Add(100*time.Second))
 		})
 		// Those that hold a task of the cancelled service are deleted for it; a few
 		// stand idle and are returned. Where silence alone counts, all of them go.
@@ -287,14 +287,14 @@
 // TestZoneWhoseControllerEndsWorksOn: the only controller of a zone that is cut off ends
 // during the cut and is started again there, where it can read nothing. The zone's tasks go
 // on all the same.
-func TestZoneWhoseControllerEndsWorksOn(t *testing.T) {
+func TestPartitionedZoneSurvivesControllerRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		machines, gone, ended := survivors(t, 4, 20*time.Minute, []string{"west"}, func(r *Region) {
-			r.CutZone("west", true, time.Now().Add(100*time.Second))
+		machines, gone, ended := simulateServicesUnderCut(t, 4, 20*time.Minute, []string{"west"}, func(r *Region) {
+			r.PartitionZone("west", true, time.Now().Add(100*time.Second))
 			time.Sleep(14 * time.Second) // by then it has taken care of all workers there
-			r.Kill(1)
+			r.KillController(1)
 			time.Sleep(3 * time.Second)
-			r.Start(1)
+			r.StartController(1)
 		})
 		// A worker that found it late may end; left to their leases all do.
 		if machines < 8 || gone > machines/2 || ended > machines/4 {
@@ -306,10 +306,10 @@
 // TestNodeCutFromStateKeepsNoWorkers: a node that has lost the state service for long loses
 // its parts; its workers must follow their new owner before their leases end. A worker
 // that has seen a higher token drops the answers of the old one and yet stays with it.
-func TestNodeCutFromStateKeepsNoWorkers(t *testing.T) {
+func TestControllerCutFromStoreReleasesAgents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		machines, gone, ended := survivors(t, 6, 20*time.Minute, testZones, func(r *Region) {
-			r.Net.Cut(Cut{From: "node-1", To: "state", Hold: true, Until: time.Now().Add(80 * time.Second)})
+		machines, gone, ended := simulateServicesUnderCut(t, 6, 20*time.Minute, testZones, func(r *Region) {
+			r.Network.AddPartition(Partition{From: "node-1", To: "state", DeliverLate: true, Until: time.Now().Add(80 * time.Second)})
 		})
 		if machines < 16 || gone > 3 || ended > 0 {
 			t.Errorf("of %d machines %d are gone, %d ended their tasks", machines, gone, ended)
@@ -317,49 +317,49 @@
 	})
 }
 
-// TestLongJobs runs jobs whose tasks take several records, an array and a gang
+// TestJobsOfManyRecords runs jobs whose tasks take several records, an array and a gang
 // of tiny tasks bound over many rounds, and a gang that no single part can hold.
-func TestLongJobs(t *testing.T) {
+func TestJobsOfManyRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		r := three(ctx, testSettings, 5, 3, log)
+		r := newThreeControllerRegion(ctx, testSettings, 5, 3, log)
 		for i, kind := range []string{wire.KindArray, wire.KindGang} {
 			spec := wire.Spec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: kind, Priority: wire.PriorityNormal,
 				Tasks: 700 - 400*i, CPUs: 0.05, MemoryGB: 0.1, Image: "img", ImageGB: 1, EstimateS: 5, OneZone: i == 0}
-			r.wg.Go(func() { r.User(ctx, spec, 5, 0) })
+			r.wg.Go(func() { r.SimulateUser(ctx, spec, 5, 0) })
 		}
 		// Nine whole machines: more than any part can have, so the gang would starve
 		// if only one part's machines counted.
 		wide := wire.Spec{ID: "run-000003", Class: "c", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityHigh,
 			Tasks: 9, CPUs: 32, GPUs: 4, MemoryGB: 200, Image: "img", ImageGB: 1, EstimateS: 5}
-		r.wg.Go(func() { r.User(ctx, wide, 5, 0) })
+		r.wg.Go(func() { r.SimulateUser(ctx, wide, 5, 0) })
 		time.Sleep(4 * time.Minute)
 		cancel()
 		r.Wait()
 		time.Sleep(3 * time.Minute)
-		if len(r.Oracle.Broken)+len(r.State.Broken) > 0 {
-			t.Errorf("broken: %v %v", r.Oracle.Broken, r.State.Broken)
+		if len(r.Checker.Violations)+len(r.KV.Violations) > 0 {
+			t.Errorf("broken: %v %v", r.Checker.Violations, r.KV.Violations)
 		}
-		if left := r.Oracle.Unfinished(); len(left) > 0 || r.Oracle.Starts < 1000 {
-			t.Errorf("never finished: %v, %d starts", left, r.Oracle.Starts)
+		if left := r.Checker.UnfinishedJobs(); len(left) > 0 || r.Checker.TaskStarts < 1000 {
+			t.Errorf("never finished: %v, %d starts", left, r.Checker.TaskStarts)
 		}
 	})
 }
 
 // TestGangSavesAsAWhole: when the cloud takes one of a gang's machines away, all
 // its tasks save, and the next attempt goes on from there.
-func TestGangSavesAsAWhole(t *testing.T) {
+func TestGangCheckpointsTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		r := three(ctx, testSettings, 5, 5, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		r := newThreeControllerRegion(ctx, testSettings, 5, 5, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		spec := wire.Spec{ID: "run-000001", Class: "c", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityHigh, Tasks: 2,
 			CPUs: 32, GPUs: 4, MemoryGB: 200, Image: "img", ImageGB: 1, EstimateS: 60, Spot: true, CheckpointS: 10, SaveS: 3}
-		r.wg.Go(func() { r.User(ctx, spec, 90, 0) })
+		r.wg.Go(func() { r.SimulateUser(ctx, spec, 90, 0) })
 		time.Sleep(60 * time.Second)
 		r.mu.Lock()
 		name := ""
-		for n, w := range r.workers {
+		for n, w := range r.agents {
 			for _, x := range w.tasks {
 				if w.spot && x.State == wire.TaskRunning {
 					name = n
@@ -370,220 +370,222 @@
 		if name == "" {
 			t.Error("the gang does not run")
 		}
-		r.Take(name, 10*time.Second)
+		r.ReclaimMachine(name, 10*time.Second)
 		time.Sleep(4 * time.Minute)
 		cancel()
 		r.Wait()
 		time.Sleep(3 * time.Minute)
 		for i := range 2 {
-			if !r.saved[world.TaskRef{Job: spec.ID, Index: i}] {
+			if !r.checkpointed[world.TaskRef{Job: spec.ID, Index: i}] {
 				t.Errorf("task %d did not save", i)
 			}
 		}
-		if left := r.Oracle.Unfinished(); len(left)+len(r.Oracle.Broken) > 0 {
-			t.Errorf("never finished: %v; broken: %v", left, r.Oracle.Broken)
+		if left := r.Checker.UnfinishedJobs(); len(left)+len(r.Checker.Violations) > 0 {
+			t.Errorf("never finished: %v; broken: %v", left, r.Checker.Violations)
 		}
 	})
 }
 
-// leave lets a job wait for two minutes, all troubles over, beside rooms of some machines.
-func leave(o *Oracle, rooms ...Room) {
-	o.Answer("run-1", 201, wire.JobPending)
-	o.Calm()
+// waitBesideCapacity lets a job wait for two minutes, all troubles over, beside rooms of some machines.
+func waitBesideCapacity(o *InvariantChecker, rooms ...FreeCapacity) {
+	o.AnswerReceived("run-1", 201, wire.JobPending)
+	o.FaultsEnded()
 	for range 120 {
 		time.Sleep(time.Second)
-		o.Waiting(rooms)
+		o.CheckStartableJobs(rooms)
 	}
 }
 
 // TestOracleLeavesAlone: a job that waits for room that is not there for it is not left waiting.
-func TestOracleLeavesAlone(t *testing.T) {
-	place := func(zone string, spot bool) Place { return Place{"a", "large", zone, spot} }
+func TestCheckerAllowsJustifiedWaiting(t *testing.T) {
+	place := func(zone string, spot bool) Placement { return Placement{"a", "large", zone, spot} }
 	gpu := world.Amount{GPUs: 1}
 	for name, c := range map[string]struct {
 		spec  func(*wire.Spec)
-		rooms []Room
+		rooms []FreeCapacity
 	}{
-		"no room":          {nil, []Room{{place("east", false), world.Amount{}}}},
-		"spot":             {nil, []Room{{place("east", true), gpu}}},
-		"another zone":     {func(s *wire.Spec) { s.Zone = "west" }, []Room{{place("east", false), gpu}}},
-		"another type":     {func(s *wire.Spec) { s.Types = []string{"small"} }, []Room{{place("east", false), gpu}}},
-		"spread":           {func(s *wire.Spec) { s.Kind, s.Tasks, s.Spread = wire.KindGang, 4, true }, []Room{{place("east", false), world.Amount{GPUs: 4}}}},
-		"zones apart":      {func(s *wire.Spec) { s.Kind, s.Tasks, s.OneZone = wire.KindGang, 2, true }, []Room{{place("east", false), gpu}, {place("west", false), gpu}}},
-		"over its limit":   {func(s *wire.Spec) { s.GPUs = 7 }, []Room{{place("east", false), world.Amount{GPUs: 8}}}},
-		"half of the gang": {func(s *wire.Spec) { s.Kind, s.Tasks = wire.KindGang, 4 }, []Room{{place("east", false), world.Amount{GPUs: 3}}}},
+		"no room":          {nil, []FreeCapacity{{place("east", false), world.Amount{}}}},
+		"spot":             {nil, []FreeCapacity{{place("east", true), gpu}}},
+		"another zone":     {func(s *wire.Spec) { s.Zone = "west" }, []FreeCapacity{{place("east", false), gpu}}},
+		"another type":     {func(s *wire.Spec) { s.Types = []string{"small"} }, []FreeCapacity{{place("east", false), gpu}}},
+		"spread":           {func(s *wire.Spec) { s.Kind, s.Tasks, s.Spread = wire.KindGang, 4, true }, []FreeCapacity{{place("east", false), world.Amount{GPUs: 4}}}},
+		"zones apart":      {func(s *wire.Spec) { s.Kind, s.Tasks, s.OneZone = wire.KindGang, 2, true }, []FreeCapacity{{place("east", false), gpu}, {place("west", false), gpu}}},
+		"over its limit":   {func(s *wire.Spec) { s.GPUs = 7 }, []FreeCapacity{{place("east", false), world.Amount{GPUs: 8}}}},
+		"half of the gang": {func(s *wire.Spec) { s.Kind, s.Tasks = wire.KindGang, 4 }, []FreeCapacity{{place("east", false), world.Amount{GPUs: 3}}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				o := NewOracle(testSettings(0))
+				o := NewInvariantChecker(testSettings(0))
 				s := wire.Spec{ID: "run-1", Team: "bound", Kind: wire.KindArray, Tasks: 2, GPUs: 1}
 				if c.spec != nil {
 					c.spec(&s)
 				}
-				o.Submitted(s)
-				if leave(o, c.rooms...); len(o.Broken) > 0 {
-					t.Errorf("%v", o.Broken)
+				o.JobSubmitted(s)
+				if waitBesideCapacity(o, c.rooms...); len(o.Violations) > 0 {
+					t.Errorf("%v", o.Violations)
 				}
 			})
 		})
 	}
 }
 
-// TestOracleSeesEachRule plays one small defect for each rule: an oracle that
+// TestCheckerDetectsEachViolation plays one small defect for each rule: an oracle that
 // can't fail would prove nothing.
-func TestOracleSeesEachRule(t *testing.T) {
-	at := func(m, typ, zone string, spot bool) Place { return Place{m, typ, zone, spot} }
+func TestCheckerDetectsEachViolation(t *testing.T) {
+	at := func(m, typ, zone string, spot bool) Placement { return Placement{m, typ, zone, spot} }
 	ref := func(i int) world.TaskRef { return world.TaskRef{Job: "run-1", Index: i} }
 	base := wire.Spec{ID: "run-1", Team: "bound", Kind: wire.KindArray, Tasks: 8, GPUs: 1}
 	defects := map[string][]struct {
 		name string
 		spec func(*wire.Spec)
-		do   func(o *Oracle)
+		do   func(o *InvariantChecker)
 	}{
-		"ran_twice": {{"two machines", nil, func(o *Oracle) {
-			o.On(ref(0), at("a", "large", "east", false))
-			o.On(ref(0), at("b", "large", "east", false))
+		"ran_twice": {{"two machines", nil, func(o *InvariantChecker) {
+			o.TaskStarted(ref(0), at("a", "large", "east", false))
+			o.TaskStarted(ref(0), at("b", "large", "east", false))
 		}}},
-		"quota": {{"seven of six", nil, func(o *Oracle) {
+		"quota": {{"seven of six", nil, func(o *InvariantChecker) {
 			for i := range 7 {
-				o.On(ref(i), at("a", "large", "east", false))
+				o.TaskStarted(ref(i), at("a", "large", "east", false))
 			}
 		}}},
 		"wrong_place": {
-			{"spot", nil, func(o *Oracle) { o.On(ref(0), at("a", "large", "east", true)) }},
-			{"zone", func(s *wire.Spec) { s.Zone = "west" }, func(o *Oracle) { o.On(ref(0), at("a", "large", "east", false)) }},
-			{"type", func(s *wire.Spec) { s.Types = []string{"small"} }, func(o *Oracle) { o.On(ref(0), at("a", "large", "east", false)) }},
-			{"two zones", func(s *wire.Spec) { s.OneZone = true }, func(o *Oracle) {
-				o.On(ref(0), at("a", "large", "east", false))
-				o.On(ref(1), at("b", "large", "west", false))
+			{"spot", nil, func(o *InvariantChecker) { o.TaskStarted(ref(0), at("a", "large", "east", true)) }},
+			{"zone", func(s *wire.Spec) { s.Zone = "west" }, func(o *InvariantChecker) { o.TaskStarted(ref(0), at("a", "large", "east", false)) }},
+			{"type", func(s *wire.Spec) { s.Types = []string{"small"} }, func(o *InvariantChecker) { o.TaskStarted(ref(0), at("a", "large", "east", false)) }},
+			{"two zones", func(s *wire.Spec) { s.OneZone = true }, func(o *InvariantChecker) {
+				o.TaskStarted(ref(0), at("a", "large", "east", false))
+				o.TaskStarted(ref(1), at("b", "large", "west", false))
 			}},
-			{"not spread", func(s *wire.Spec) { s.Spread, s.Tasks = true, 2 }, func(o *Oracle) {
-				o.On(ref(0), at("a", "large", "east", false))
-				o.On(ref(1), at("b", "large", "east", false))
+			{"not spread", func(s *wire.Spec) { s.Spread, s.Tasks = true, 2 }, func(o *InvariantChecker) {
+				o.TaskStarted(ref(0), at("a", "large", "east", false))
+				o.TaskStarted(ref(1), at("b", "large", "east", false))
 			}},
 		},
-		"ran_cancelled": {{"late", nil, func(o *Oracle) {
-			o.On(ref(0), at("a", "large", "east", false))
-			o.Cancelling("run-1")
-			o.Answer("run-1", 200, wire.JobCancelled)
+		"ran_cancelled": {{"late", nil, func(o *InvariantChecker) {
+			o.TaskStarted(ref(0), at("a", "large", "east", false))
+			o.CancelRequested("run-1")
+			o.AnswerReceived("run-1", 200, wire.JobCancelled)
 			time.Sleep(45 * time.Second)
-			o.Check()
-		}}, {"started after it was told", nil, func(o *Oracle) {
-			o.Cancelling("run-1")
-			o.Answer("run-1", 200, wire.JobCancelled)
-			o.On(ref(0), at("a", "large", "east", false))
+			o.CheckDeadlines()
+		}}, {"started after it was told", nil, func(o *InvariantChecker) {
+			o.CancelRequested("run-1")
+			o.AnswerReceived("run-1", 200, wire.JobCancelled)
+			o.TaskStarted(ref(0), at("a", "large", "east", false))
 		}}},
-		"accepted": {{"what can't run", nil, func(o *Oracle) {
+		"accepted": {{"what can't run", nil, func(o *InvariantChecker) {
 			s := base
 			s.ID = "run-2"
-			o.Impossible(s, "it fits no machine")
-			o.Answer("run-2", 201, wire.JobPending)
+			o.InvalidJobSubmitted(s, "it fits no machine")
+			o.AnswerReceived("run-2", 201, wire.JobPending)
 		}}},
 		"left": {
-			{"beside room", nil, func(o *Oracle) { leave(o, Room{at("a", "large", "east", false), world.Amount{CPUs: 8, GPUs: 1}}) }},
-			{"a gang beside room in its zone", func(s *wire.Spec) { s.Kind, s.Tasks, s.OneZone = wire.KindGang, 2, true }, func(o *Oracle) {
-				leave(o, Room{at("a", "large", "west", false), world.Amount{GPUs: 1}}, Room{at("b", "large", "east", false), world.Amount{GPUs: 1}}, Room{at("c", "large", "east", false), world.Amount{GPUs: 1}})
+			{"beside room", nil, func(o *InvariantChecker) {
+				waitBesideCapacity(o, FreeCapacity{at("a", "large", "east", false), world.Amount{CPUs: 8, GPUs: 1}})
+			}},
+			{"a gang beside room in its zone", func(s *wire.Spec) { s.Kind, s.Tasks, s.OneZone = wire.KindGang, 2, true }, func(o *InvariantChecker) {
+				waitBesideCapacity(o, FreeCapacity{at("a", "large", "west", false), world.Amount{GPUs: 1}}, FreeCapacity{at("b", "large", "east", false), world.Amount{GPUs: 1}}, FreeCapacity{at("c", "large", "east", false), world.Amount{GPUs: 1}})
 			}},
 		},
-		"forgotten": {{"404", nil, func(o *Oracle) {
-			o.Answer("run-1", 201, wire.JobPending)
-			o.Answer("run-1", 404, "")
-		}}, {"in calm", nil, func(o *Oracle) {
-			o.Answer("run-1", 201, wire.JobPending)
-			o.Answer("run-1", 503, "")
+		"forgotten": {{"404", nil, func(o *InvariantChecker) {
+			o.AnswerReceived("run-1", 201, wire.JobPending)
+			o.AnswerReceived("run-1", 404, "")
+		}}, {"in calm", nil, func(o *InvariantChecker) {
+			o.AnswerReceived("run-1", 201, wire.JobPending)
+			o.AnswerReceived("run-1", 503, "")
 			time.Sleep(3 * time.Minute) // others fare no better, and the troubles go on
-			o.Answer("run-1", 503, "")
-			if o.Calm(); len(o.Broken) > 0 {
+			o.AnswerReceived("run-1", 503, "")
+			if o.FaultsEnded(); len(o.Violations) > 0 {
 				return // too early
 			}
 			time.Sleep(74 * time.Second)
-			o.Answer("run-1", 503, "")
-			if len(o.Broken) > 0 {
-				o.Broken = nil // too early: what follows must find nothing
+			o.AnswerReceived("run-1", 503, "")
+			if len(o.Violations) > 0 {
+				o.Violations = nil // too early: what follows must find nothing
 				return
 			}
 			time.Sleep(2 * time.Second)
-			o.Answer("run-1", 503, "")
-		}}, {"alone", nil, func(o *Oracle) {
-			o.Submitted(wire.Spec{ID: "run-2", Team: "open", Kind: wire.KindArray, Tasks: 1})
-			o.Answer("run-1", 201, wire.JobPending)
+			o.AnswerReceived("run-1", 503, "")
+		}}, {"alone", nil, func(o *InvariantChecker) {
+			o.JobSubmitted(wire.Spec{ID: "run-2", Team: "open", Kind: wire.KindArray, Tasks: 1})
+			o.AnswerReceived("run-1", 201, wire.JobPending)
 			for range 21 {
-				o.Answer("run-1", 0, "")
-				o.Answer("run-2", 200, wire.JobPending)
-				o.Answer("run-2", 200, wire.JobPending)
+				o.AnswerReceived("run-1", 0, "")
+				o.AnswerReceived("run-2", 200, wire.JobPending)
+				o.AnswerReceived("run-2", 200, wire.JobPending)
 				time.Sleep(5 * time.Second)
 			}
 		}}},
-		"floor": {{"largest", nil, func(o *Oracle) {
+		"floor": {{"largest", nil, func(o *InvariantChecker) {
 			// Everybody is served in the end, but the largest began after five minutes.
 			for i := range 5 {
 				id := fmt.Sprintf("run-%d", i+2)
-				o.Submitted(wire.Spec{ID: id, Class: "c", Team: "open", Kind: wire.KindArray, Tasks: 1 + i/4*9})
-				o.Answer(id, 201, wire.JobPending)
+				o.JobSubmitted(wire.Spec{ID: id, Class: "c", Team: "open", Kind: wire.KindArray, Tasks: 1 + i/4*9})
+				o.AnswerReceived(id, 201, wire.JobPending)
 				if i == 4 {
 					time.Sleep(5 * time.Minute)
 				}
 				for k := range 1 + i/4*9 {
-					o.On(world.TaskRef{Job: id, Index: k}, at("a", "large", "east", false))
-					o.Completed(world.TaskRef{Job: id, Index: k})
+					o.TaskStarted(world.TaskRef{Job: id, Index: k}, at("a", "large", "east", false))
+					o.TaskCompleted(world.TaskRef{Job: id, Index: k})
 				}
 			}
-			o.Floors()
-		}}, {"class", nil, func(o *Oracle) {
-			o.Answer("run-1", 201, wire.JobPending)
-			o.Floors()
+			o.CheckServedShares()
+		}}, {"class", nil, func(o *InvariantChecker) {
+			o.AnswerReceived("run-1", 201, wire.JobPending)
+			o.CheckServedShares()
 		}}},
-		"invented": {{"200", nil, func(o *Oracle) { o.Answer("run-2", 200, wire.JobPending) }}},
-		"too_early": {{"before its need", func(s *wire.Spec) { s.Awaits = []string{"run-0"} }, func(o *Oracle) {
-			o.Submitted(wire.Spec{ID: "run-0", Team: "open", Kind: wire.KindArray, Tasks: 1})
-			o.On(ref(0), at("a", "large", "east", false))
+		"invented": {{"200", nil, func(o *InvariantChecker) { o.AnswerReceived("run-2", 200, wire.JobPending) }}},
+		"too_early": {{"before its need", func(s *wire.Spec) { s.Awaits = []string{"run-0"} }, func(o *InvariantChecker) {
+			o.JobSubmitted(wire.Spec{ID: "run-0", Team: "open", Kind: wire.KindArray, Tasks: 1})
+			o.TaskStarted(ref(0), at("a", "large", "east", false))
 		}}},
-		"orphaned": {{"through another", func(s *wire.Spec) { s.Awaits = []string{"run-0"} }, func(o *Oracle) {
-			o.Submitted(wire.Spec{ID: "run-00", Team: "open", Kind: wire.KindArray, Tasks: 1})
-			o.Submitted(wire.Spec{ID: "run-0", Team: "open", Kind: wire.KindArray, Tasks: 1, Awaits: []string{"run-00"}})
-			o.Cancelling("run-00")
-			o.Answer("run-00", 200, wire.JobCancelled)
+		"orphaned": {{"through another", func(s *wire.Spec) { s.Awaits = []string{"run-0"} }, func(o *InvariantChecker) {
+			o.JobSubmitted(wire.Spec{ID: "run-00", Team: "open", Kind: wire.KindArray, Tasks: 1})
+			o.JobSubmitted(wire.Spec{ID: "run-0", Team: "open", Kind: wire.KindArray, Tasks: 1, Awaits: []string{"run-00"}})
+			o.CancelRequested("run-00")
+			o.AnswerReceived("run-00", 200, wire.JobCancelled)
 			time.Sleep(45 * time.Second)
-			o.Answer("run-1", 200, wire.JobPending)
+			o.AnswerReceived("run-1", 200, wire.JobPending)
 		}}},
-		"not_done": {{"early", nil, func(o *Oracle) {
-			o.Completed(ref(0))
-			o.Answer("run-1", 200, wire.JobDone)
+		"not_done": {{"early", nil, func(o *InvariantChecker) {
+			o.TaskCompleted(ref(0))
+			o.AnswerReceived("run-1", 200, wire.JobDone)
 		}}},
 		"went_back": {
-			{"pending again", func(s *wire.Spec) { s.Tasks = 1 }, func(o *Oracle) {
-				o.Completed(ref(0))
-				o.Answer("run-1", 200, wire.JobDone)
-				o.Answer("run-1", 200, wire.JobPending)
+			{"pending again", func(s *wire.Spec) { s.Tasks = 1 }, func(o *InvariantChecker) {
+				o.TaskCompleted(ref(0))
+				o.AnswerReceived("run-1", 200, wire.JobDone)
+				o.AnswerReceived("run-1", 200, wire.JobPending)
 			}},
-			{"an older answer from another node", func(s *wire.Spec) { s.Tasks = 1 }, func(o *Oracle) {
-				o.Completed(ref(0))
+			{"an older answer from another node", func(s *wire.Spec) { s.Tasks = 1 }, func(o *InvariantChecker) {
+				o.TaskCompleted(ref(0))
 				sent := time.Now()
 				time.Sleep(time.Millisecond)
-				o.AnswerTo("run-1", sent, 200, wire.JobDone)
-				o.AnswerTo("run-1", sent, 200, wire.JobRunning) // was on its way by then
-				if len(o.Broken) > 0 {
-					o.Broken = nil // what follows must find nothing
+				o.AnswerReceivedTo("run-1", sent, 200, wire.JobDone)
+				o.AnswerReceivedTo("run-1", sent, 200, wire.JobRunning) // was on its way by then
+				if len(o.Violations) > 0 {
+					o.Violations = nil // what follows must find nothing
 					return
 				}
-				o.AnswerTo("run-1", time.Now(), 200, wire.JobRunning)
+				o.AnswerReceivedTo("run-1", time.Now(), 200, wire.JobRunning)
 			}},
-			{"cancelled by nobody", nil, func(o *Oracle) { o.Answer("run-1", 200, wire.JobCancelled) }},
+			{"cancelled by nobody", nil, func(o *InvariantChecker) { o.AnswerReceived("run-1", 200, wire.JobCancelled) }},
 		},
 	}
 	for rule, list := range defects {
 		for _, d := range list {
 			t.Run(rule+" "+d.name, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					o := NewOracle(testSettings(0))
+					o := NewInvariantChecker(testSettings(0))
 					s := base
 					if d.spec != nil {
 						d.spec(&s)
 					}
-					o.Submitted(s)
+					o.JobSubmitted(s)
 					d.do(o)
-					if len(o.Broken) == 0 || !strings.HasPrefix(o.Broken[0], rule+":") {
-						t.Errorf("want %s, got %v", rule, o.Broken)
+					if len(o.Violations) == 0 || !strings.HasPrefix(o.Violations[0], rule+":") {
+						t.Errorf("want %s, got %v", rule, o.Violations)
 					}
 				})
 			})
--- a/internal/standin/repeats_test.go
+++ b/internal/standin/retry_test.go
@@ -14,22 +14,22 @@
 	"sableusher/internal/world"
 )
 
-// TestRepeatsUnderTroubles plays generated days on which tasks fail by themselves while
+// TestRetriesUnderFaults plays generated days on which tasks fail by themselves while
 // nodes end, machines die and links are cut: no failure that was acknowledged goes
 // uncounted, no job is called failed whose tasks had repeats left, whatever awaits a failed one
 // falls, and all others are done.
-func TestRepeatsUnderTroubles(t *testing.T) {
+func TestRetriesUnderFaults(t *testing.T) {
 	failed, repeated := 0, 0
 	for seed := range uint64(3) {
 		synctest.Test(t, func(t *testing.T) {
-			r := failures(seed)
-			if len(r.Oracle.Broken)+len(r.State.Broken) > 0 {
-				t.Errorf("seed %d, broken rules:\n%s", seed, strings.Join(append(r.Oracle.Broken, r.State.Broken...), "\n"))
+			r := simulateFailureDay(seed)
+			if len(r.Checker.Violations)+len(r.KV.Violations) > 0 {
+				t.Errorf("seed %d, broken rules:\n%s", seed, strings.Join(append(r.Checker.Violations, r.KV.Violations...), "\n"))
 			}
-			if left := r.Oracle.Unfinished(); len(left) > 0 {
+			if left := r.Checker.UnfinishedJobs(); len(left) > 0 {
 				t.Errorf("seed %d, never finished: %v", seed, left)
 			}
-			ended, again := r.Oracle.Ended()
+			ended, again := r.Checker.EndedJobs()
 			failed += ended[wire.JobFailed]
 			repeated += again
 		})
@@ -39,17 +39,17 @@
 	}
 }
 
-// failures plays one such day.
-func failures(seed uint64) *Region {
+// simulateFailureDay plays one such day.
+func simulateFailureDay(seed uint64) *Region {
 	rnd := rand.New(rand.NewPCG(seed, 17))
 	ctx, cancel := context.WithCancel(context.Background())
-	r := NewRegion(ctx, testSettings(0), testTypes, 6, rand.New(rand.NewPCG(seed, 18)), dayLog())
-	r.Operators = func(op *config.Operator) {
+	r := NewRegion(ctx, testSettings(0), testTypes, 6, rand.New(rand.NewPCG(seed, 18)), testLogger())
+	r.ConfigureOperator = func(op *config.Operator) {
 		op.Classes = []config.Class{{Name: "c", Repeats: 2, PauseS: 3, PauseMaxS: 10}}
 	}
-	r.Oracle.Limits = map[string]int{"c": 2}
+	r.Checker.RetryLimits = map[string]int{"c": 2}
 	for i := range 3 {
-		r.Add(testSettings(i))
+		r.AddController(testSettings(i))
 	}
 	for i := range 24 {
 		s := wire.Spec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal,
@@ -66,22 +66,22 @@
 			s.Awaits = []string{fmt.Sprintf("run-%06d", 1+rnd.IntN(i))}
 		}
 		for range rnd.IntN(3) {
-			r.Fault(world.TaskRef{Job: s.ID, Index: rnd.IntN(s.Tasks)}, 1+rnd.IntN(3))
+			r.InjectTaskFailures(world.TaskRef{Job: s.ID, Index: rnd.IntN(s.Tasks)}, 1+rnd.IntN(3))
 		}
 		at := time.Duration(i*5) * time.Second
 		r.wg.Go(func() {
 			time.Sleep(at)
-			r.User(ctx, s, float64(3+len(s.ID)%5), 0)
+			r.SimulateUser(ctx, s, float64(3+len(s.ID)%5), 0)
 		})
 	}
 	time.Sleep(20 * time.Second)
 	for range 8 {
 		time.Sleep(time.Duration(1+rnd.IntN(20)) * time.Second)
-		r.Log.Info("TROUBLE", "what", fault(r, rnd))
+		r.Log.Info("TROUBLE", "what", injectRandomFault(r, rnd))
 	}
 	for range 120 {
 		time.Sleep(5 * time.Second)
-		if r.Oracle.Accepted([]string{"run-000024"}) && len(r.Oracle.Unfinished()) == 0 {
+		if r.Checker.AllAccepted([]string{"run-000024"}) && len(r.Checker.UnfinishedJobs()) == 0 {
 			break
 		}
 	}
--- a/internal/standin/meeting_records_test.go
+++ b/internal/standin/sessionrecord_test.go
@@ -14,28 +14,28 @@
 // back within a second. The first registration is carried out after the second one and takes its place
 // in the records; with the first process's hold it is dropped again. Once the second process
 // went on believing itself registered and never owned anything again.
-func TestSessionOutlivesALateOne(t *testing.T) {
+func TestSessionSurvivesLateRegistration(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		r := three(ctx, testSettings, 2, 9, dayLog())
+		r := newThreeControllerRegion(ctx, testSettings, 2, 9, testLogger())
 		time.Sleep(20 * time.Second)
 		replaced := 0
-		r.State.mu.Lock()
-		r.State.Check = func(key string, _ wire.Raw) {
-			if key == world.NodeKey("node-0") && r.State.late.rnd != nil && !time.Now().Before(r.State.late.until) {
+		r.KV.mu.Lock()
+		r.KV.OnWrite = func(key string, _ wire.Raw) {
+			if key == world.NodeKey("node-0") && r.KV.lateWrites.random != nil && !time.Now().Before(r.KV.lateWrites.until) {
 				replaced++
 			}
 		}
-		r.State.mu.Unlock()
+		r.KV.mu.Unlock()
 		for seed := range uint64(25) {
-			r.Kill(0)
-			r.State.LateWrites(1, time.Now().Add(300*time.Millisecond), seed)
-			r.Start(0)
+			r.KillController(0)
+			r.KV.DelayWrites(1, time.Now().Add(300*time.Millisecond), seed)
+			r.StartController(0)
 			time.Sleep(350 * time.Millisecond)
-			r.Kill(0)
-			r.Start(0)
+			r.KillController(0)
+			r.StartController(0)
 			time.Sleep(25 * time.Second)
-			rows := r.State.Snapshot()
+			rows := r.KV.Snapshot()
 			var node world.NodeRecord
 			var home world.PartRecord
 			row, there := rows[world.NodeKey("node-0")]
--- a/internal/standin/pipeline_test.go
+++ b/internal/standin/upgrade_test.go
@@ -19,8 +19,8 @@
 	"sableusher/internal/world"
 )
 
-// graph draws a pipeline: each job awaits some of those before it.
-func graph(rnd *rand.Rand, first, jobs int) []wire.Spec {
+// randomJobGraph draws a pipeline: each job awaits some of those before it.
+func randomJobGraph(rnd *rand.Rand, first, jobs int) []wire.Spec {
 	var out []wire.Spec
 	for i := range jobs {
 		s := wire.Spec{ID: fmt.Sprintf("run-%06d", first+i), Class: fmt.Sprintf("p%d", i%4), Team: []string{"open", "bound"}[rnd.IntN(2)],
@@ -42,26 +42,26 @@
 	return out
 }
 
-// pipeline plays a pipeline's user: each job is submitted once those that it
+// submitGraph plays a pipeline's user: each job is submitted once those that it
 // awaits are accepted.
-func (r *Region) pipeline(ctx context.Context, specs []wire.Spec, cancel map[string]time.Duration) {
+func (r *Region) submitGraph(ctx context.Context, specs []wire.Spec, cancel map[string]time.Duration) {
 	for _, s := range specs {
 		r.wg.Go(func() {
-			for !r.Oracle.Accepted(s.Awaits) {
+			for !r.Checker.AllAccepted(s.Awaits) {
 				time.Sleep(200 * time.Millisecond)
 				if ctx.Err() != nil {
 					return
 				}
 			}
-			r.User(ctx, s, 6, cancel[s.ID])
+			r.SimulateUser(ctx, s, 6, cancel[s.ID])
 		})
 	}
 }
 
-// upgradeDay plays a day on which controllers of the version before are replaced
+// simulateUpgradeDay plays a day on which controllers of the version before are replaced
 // one by one, with crashes and cuts, then pipelines come and the state service's
 // limits fall.
-func upgradeDay(t *testing.T, seed uint64) {
+func simulateUpgradeDay(t *testing.T, seed uint64) {
 	rnd := rand.New(rand.NewPCG(seed, 17))
 	ctx, cancel := context.WithCancel(context.Background())
 	var out io.Writer = io.Discard
@@ -76,27 +76,27 @@
 	}
 	r := NewRegion(ctx, settings(0), testTypes, 12, rand.New(rand.NewPCG(seed, 18)), log)
 	active := false
-	r.State.Check = func(key string, v wire.Raw) {
+	r.KV.OnWrite = func(key string, v wire.Raw) {
 		var job world.JobRecord
 		switch {
 		case key == world.LevelKey:
 			active = true
-			for _, c := range r.nodes {
-				if c.Level < tuning.LevelPipelines {
-					r.State.Broken = append(r.State.Broken, "activated while "+c.Set.Node+" was old")
+			for _, c := range r.controllers {
+				if c.SchemaVersion < tuning.LevelPipelines {
+					r.KV.Violations = append(r.KV.Violations, "activated while "+c.Settings.Node+" was old")
 				}
 			}
 		case strings.HasPrefix(key, "s/u/") && !active, strings.HasPrefix(key, "s/catalog/") && !active:
-			r.State.Broken = append(r.State.Broken, "new form before activation: "+key)
+			r.KV.Violations = append(r.KV.Violations, "new form before activation: "+key)
 		case strings.HasPrefix(key, "s/j/"):
 			if wire.Decode(v, &job) == nil && !active && (job.Width > 0 || len(job.Groups) > 0 || len(job.Spec.Awaits) > 0) {
-				r.State.Broken = append(r.State.Broken, "new form before activation: "+key)
+				r.KV.Violations = append(r.KV.Violations, "new form before activation: "+key)
 			}
 		}
 	}
 	for i := range 3 {
-		r.nodes = append(r.nodes, &Controller{Set: settings(i), Address: settings(i).Listen})
-		r.Start(i)
+		r.controllers = append(r.controllers, &Controller{Settings: settings(i), Address: settings(i).Listen})
+		r.StartController(i)
 	}
 	// Work that lasts through the upgrade, with records that outgrow what is to come.
 	for i := range 16 {
@@ -108,67 +108,67 @@
 		}
 		r.wg.Go(func() {
 			time.Sleep(at)
-			r.User(ctx, spec, run, stop)
+			r.SimulateUser(ctx, spec, run, stop)
 		})
 	}
 	time.Sleep(30 * time.Second)
 	for _, i := range rnd.Perm(3) {
-		r.Kill(i)
+		r.KillController(i)
 		if rnd.IntN(3) == 0 { // another ends as well, and comes back as what it was
 			j := (i + 1) % 3
-			r.Kill(j)
+			r.KillController(j)
 			r.wg.Go(func() {
 				time.Sleep(4 * time.Second)
-				r.Start(j)
+				r.StartController(j)
 			})
 		}
 		time.Sleep(5 * time.Second)
-		r.nodes[i].Level = tuning.Level
-		r.Start(i)
+		r.controllers[i].SchemaVersion = tuning.Level
+		r.StartController(i)
 		if rnd.IntN(3) == 0 {
-			r.Net.Cut(Cut{From: r.nodes[rnd.IntN(3)].Set.Node, To: "state", Hold: rnd.IntN(2) == 0, Until: time.Now().Add(time.Duration(4+rnd.IntN(10)) * time.Second)})
+			r.Network.AddPartition(Partition{From: r.controllers[rnd.IntN(3)].Settings.Node, To: "state", DeliverLate: rnd.IntN(2) == 0, Until: time.Now().Add(time.Duration(4+rnd.IntN(10)) * time.Second)})
 		}
 		time.Sleep(time.Duration(4+rnd.IntN(8)) * time.Second)
 	}
 	first := 101
 	for range 4 {
-		specs := graph(rnd, first, 4+rnd.IntN(6))
+		specs := randomJobGraph(rnd, first, 4+rnd.IntN(6))
 		first += len(specs)
 		stops := map[string]time.Duration{}
 		if rnd.IntN(2) == 0 {
 			stops[specs[rnd.IntN(len(specs))].ID] = time.Duration(1+rnd.IntN(30)) * time.Second
 		}
-		r.pipeline(ctx, specs, stops)
+		r.submitGraph(ctx, specs, stops)
 	}
 	time.Sleep(time.Duration(rnd.IntN(20)) * time.Second)
-	r.State.Lower(56, 10, 2)
+	r.KV.LowerLimits(56, 10, 2)
 	// Gangs of tiny tasks: one that takes most of a transaction, one that takes
 	// several. They take long to play, so one day has them.
 	for i, tasks := range []int{200, 500} {
 		wide := wire.Spec{ID: fmt.Sprintf("run-%06d", 90+i), Class: "wide", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityNormal,
 			Tasks: tasks, CPUs: 0.05, MemoryGB: 0.1, Image: "img-0", ImageGB: 1, EstimateS: 10}
 		if seed == 1 {
-			r.wg.Go(func() { r.User(ctx, wide, 10, 0) })
+			r.wg.Go(func() { r.SimulateUser(ctx, wide, 10, 0) })
 		}
 	}
 	for range 4 {
 		time.Sleep(time.Duration(1+rnd.IntN(15)) * time.Second)
-		log.Info("TROUBLE", "what", fault(r, rnd))
+		log.Info("TROUBLE", "what", injectRandomFault(r, rnd))
 	}
 	for range 90 {
 		time.Sleep(5 * time.Second)
-		if len(r.Oracle.Unfinished()) == 0 && r.Oracle.Accepted([]string{fmt.Sprintf("run-%06d", first-1)}) {
+		if len(r.Checker.UnfinishedJobs()) == 0 && r.Checker.AllAccepted([]string{fmt.Sprintf("run-%06d", first-1)}) {
 			break
 		}
 	}
 	time.Sleep(60 * time.Second)
-	left, level := r.Oracle.Unfinished(), active
-	size, key := r.State.Largest("s/")
+	left, level := r.Checker.UnfinishedJobs(), active
+	size, key := r.KV.LargestValue("s/")
 	cancel()
 	r.Wait()
 	time.Sleep(3 * time.Minute)
-	if len(r.Oracle.Broken)+len(r.State.Broken) > 0 {
-		t.Errorf("broken:\n%s\n%s", strings.Join(r.Oracle.Broken, "\n"), strings.Join(r.State.Broken, "\n"))
+	if len(r.Checker.Violations)+len(r.KV.Violations) > 0 {
+		t.Errorf("broken:\n%s\n%s", strings.Join(r.Checker.Violations, "\n"), strings.Join(r.KV.Violations, "\n"))
 	}
 	if len(left) > 0 || !level {
 		t.Errorf("never finished: %v; activated: %v", left, level)
@@ -177,8 +177,8 @@
 		t.Errorf("%s still takes %d bytes", key, size)
 	}
 	// Some requests were on their way when the limits fell, or activation was late.
-	if r.State.Oversize > 40 {
-		t.Errorf("%d requests refused for their size", r.State.Oversize)
+	if r.KV.OversizeRequests > 40 {
+		t.Errorf("%d requests refused for their size", r.KV.OversizeRequests)
 	}
 }
 
@@ -191,7 +191,7 @@
 	}
 	for seed := range uint64(days) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { upgradeDay(t, seed+1) })
+			synctest.Test(t, func(t *testing.T) { simulateUpgradeDay(t, seed+1) })
 		})
 	}
 }
--- a/internal/standin/zone_test.go
+++ b/internal/standin/zoneoutage_test.go
@@ -21,44 +21,44 @@
 	"sableusher/internal/zone"
 )
 
-// journal keeps what the controllers of a day log.
-type journal struct {
+// logBuffer keeps what the controllers of a day log.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (j *journal) Write(b []byte) (int, error) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.buf.Write(b)
+func (l *logBuffer) Write(data []byte) (int, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.buf.Write(data)
 }
 
-var openLine = regexp.MustCompile(`msg="session open" node=(\S+) .*incarnation=(\S+)`)
+var sessionLogPattern = regexp.MustCompile(`msg="session open" node=(\S+) .*incarnation=(\S+)`)
 
-var zoneLine = regexp.MustCompile(`msg="zone changes" node=(\S+) zone=(\S+) state=(\S+)`)
+var zoneLogPattern = regexp.MustCompile(`msg="zone changes" node=(\S+) zone=(\S+) state=(\S+)`)
 
-// zones gives the states that each node's last process has told of each zone, in turn.
-func (j *journal) zones() map[string][]string {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// zoneStates gives the states that each node's last process has told of each zone, in turn.
+func (l *logBuffer) zoneStates() map[string][]string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	out, process := map[string][]string{}, map[string]string{}
-	for lines := bufio.NewScanner(&j.buf); lines.Scan(); {
-		if m := openLine.FindStringSubmatch(lines.Text()); m != nil && process[m[1]] != m[2] {
+	for lines := bufio.NewScanner(&l.buf); lines.Scan(); {
+		if m := sessionLogPattern.FindStringSubmatch(lines.Text()); m != nil && process[m[1]] != m[2] {
 			process[m[1]] = m[2]
 			maps.DeleteFunc(out, func(who string, _ []string) bool { return strings.HasPrefix(who, m[1]+" ") })
 		}
-		if m := zoneLine.FindStringSubmatch(lines.Text()); m != nil {
+		if m := zoneLogPattern.FindStringSubmatch(lines.Text()); m != nil {
 			out[m[1]+" "+m[2]] = append(out[m[1]+" "+m[2]], m[3])
 		}
 	}
 	return out
 }
 
-// running counts the tasks of a class that run.
-func (r *Region) running(class string) (n int) {
+// runningTasks counts the tasks of a class that run.
+func (r *Region) runningTasks(class string) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, w := range r.workers {
+	for _, w := range r.agents {
 		for _, t := range w.tasks {
 			if t.spec.Class == class && t.State == wire.TaskRunning {
 				n++
@@ -72,43 +72,43 @@
 // again, in a burst of arrays and with the state service or the cloud away. Nobody does
 // anything: no rule breaks, every job ends exactly once, the services have all their replicas
 // in the end, and every node that saw a zone go sees it serve again.
-func TestZonesGoAndComeBack(t *testing.T) {
+func TestZoneOutages(t *testing.T) {
 	days := []struct {
 		name    string
 		trouble func(*Region)
 	}{
 		{"flaps", func(r *Region) {
 			for range 4 {
-				r.CutZone("north", true, time.Now().Add(20*time.Second))
+				r.PartitionZone("north", true, time.Now().Add(20*time.Second))
 				time.Sleep(50 * time.Second)
 			}
 		}},
 		{"back in an outage", func(r *Region) {
-			r.CutZone("north", false, time.Now().Add(60*time.Second))
+			r.PartitionZone("north", false, time.Now().Add(60*time.Second))
 			time.Sleep(50 * time.Second)
-			r.State.Outage(time.Now().Add(25 * time.Second))
-			r.CloudOutage(time.Now().Add(40 * time.Second))
+			r.KV.StartOutage(time.Now().Add(25 * time.Second))
+			r.StartCloudOutage(time.Now().Add(40 * time.Second))
 		}},
 		{"a second one", func(r *Region) {
-			r.CutZone("north", true, time.Now().Add(100*time.Second))
+			r.PartitionZone("north", true, time.Now().Add(100*time.Second))
 			time.Sleep(30 * time.Second)
-			r.CutZone("west", false, time.Now().Add(100*time.Second))
+			r.PartitionZone("west", false, time.Now().Add(100*time.Second))
 		}},
 		{"dead", func(r *Region) {
-			for m := range r.Sessions("north") {
-				r.Die(m)
+			for m := range r.AgentSessions("north") {
+				r.FailMachine(m)
 			}
 			time.Sleep(20 * time.Second)
-			r.CloudOutage(time.Now().Add(30 * time.Second))
+			r.StartCloudOutage(time.Now().Add(30 * time.Second))
 		}},
 		{"everything is gone", func(r *Region) {
 			time.Sleep(3 * time.Minute) // nothing waits any more for which a machine would be rented
-			r.Vanish()
+			r.RemoveAllMachines()
 		}},
 		{"cut, and a leader ends", func(r *Region) {
-			r.CutZone("north", true, time.Now().Add(130*time.Second))
+			r.PartitionZone("north", true, time.Now().Add(130*time.Second))
 			time.Sleep(20 * time.Second)
-			r.Net.Cut(Cut{From: "node-0", To: "*", Hold: true, Until: time.Now().Add(30 * time.Second)})
+			r.Network.AddPartition(Partition{From: "node-0", To: "*", DeliverLate: true, Until: time.Now().Add(30 * time.Second)})
 		}},
 	}
 	if n, err := strconv.Atoi(os.Getenv("STANDIN_DAYS")); err == nil {
@@ -116,7 +116,7 @@
 	}
 	for _, d := range days {
 		t.Run(d.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { zoneDay(t, d.trouble) })
+			synctest.Test(t, func(t *testing.T) { simulateZoneDay(t, d.trouble) })
 		})
 	}
 }
@@ -135,17 +135,17 @@
 		do   func(*Region)
 	}{
 		{"a controller ends", func(r *Region) {
-			r.Kill(0)
+			r.KillController(0)
 			r.wg.Go(func() {
 				time.Sleep(5 * time.Second)
-				r.Start(0)
+				r.StartController(0)
 			})
 		}},
-		{"state out", func(r *Region) { r.State.Outage(time.Now().Add(short)) }},
-		{"cloud out", func(r *Region) { r.CloudOutage(time.Now().Add(short)) }},
-		{"second zone", func(r *Region) { r.CutZone("west", false, time.Now().Add(short)) }},
+		{"state out", func(r *Region) { r.KV.StartOutage(time.Now().Add(short)) }},
+		{"cloud out", func(r *Region) { r.StartCloudOutage(time.Now().Add(short)) }},
+		{"second zone", func(r *Region) { r.PartitionZone("west", false, time.Now().Add(short)) }},
 		{"a controller cut off", func(r *Region) {
-			r.Net.Cut(Cut{From: "node-2", To: "*", Hold: true, Until: time.Now().Add(short)})
+			r.Network.AddPartition(Partition{From: "node-2", To: "*", DeliverLate: true, Until: time.Now().Add(short)})
 		}},
 	}
 	var pairs [][2]int
@@ -154,13 +154,13 @@
 			pairs = append(pairs, [2]int{j, i})
 		}
 	}
-	for day := range min(number("STAGE_DAYS", 4), len(stages)*len(pairs)) {
+	for day := range min(environmentInt("STAGE_DAYS", 4), len(stages)*len(pairs)) {
 		// Seven has no divisor with the number of pairs in common, so that all come in turn.
 		stage, pair := stages[day%len(stages)], pairs[(day/len(stages)+7*day)%len(pairs)]
 		t.Run(fmt.Sprintf("%s, %s, %s", stage.name, faults[pair[0]].name, faults[pair[1]].name), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				zoneDay(t, func(r *Region) {
-					r.CutZone("north", true, time.Now().Add(away))
+				simulateZoneDay(t, func(r *Region) {
+					r.PartitionZone("north", true, time.Now().Add(away))
 					time.Sleep(stage.at)
 					faults[pair[0]].do(r)
 					faults[pair[1]].do(r)
@@ -170,19 +170,19 @@
 	}
 }
 
-func zoneDay(t *testing.T, trouble func(*Region)) {
+func simulateZoneDay(t *testing.T, trouble func(*Region)) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var logged journal
+	var logged logBuffer
 	r := NewRegion(ctx, testSettings(0), testTypes[:1], 30, rand.New(rand.NewPCG(5, 8)), slog.New(slog.NewTextHandler(&logged, nil)))
 	for i := range 3 {
-		r.Add(testSettings(i))
+		r.AddController(testSettings(i))
 	}
 	rnd := rand.New(rand.NewPCG(5, 7))
 	const services, arrays = 9, 24
 	for i := range services {
 		spec := wire.Spec{ID: fmt.Sprintf("run-%06d", i+1), Class: "s", Team: "open", Kind: wire.KindService, Priority: wire.PriorityProduction,
 			Tasks: 6, CPUs: 16, GPUs: 4, MemoryGB: 80, Image: "img", ImageGB: 1, Spread: true}
-		r.wg.Go(func() { r.User(ctx, spec, 5, 11*time.Minute) })
+		r.wg.Go(func() { r.SimulateUser(ctx, spec, 5, 11*time.Minute) })
 	}
 	for i := range arrays {
 		spec := wire.Spec{ID: fmt.Sprintf("run-%06d", services+i+1), Class: "a", Team: []string{"open", "bound"}[i%2], Kind: wire.KindArray, Priority: wire.PriorityNormal,
@@ -190,35 +190,35 @@
 		run, at := 5+20*rnd.Float64(), time.Duration(70+rnd.IntN(60))*time.Second
 		r.wg.Go(func() {
 			time.Sleep(at)
-			r.User(ctx, spec, run, 0)
+			r.SimulateUser(ctx, spec, run, 0)
 		})
 	}
 	time.Sleep(75 * time.Second)
 	trouble(r)
 	time.Sleep(5 * time.Minute) // the services still run, all else has had its time
-	if up := r.running("s"); up != 6*services {
+	if up := r.runningTasks("s"); up != 6*services {
 		t.Errorf("%d of %d replicas", up, 6*services)
 	}
-	if left := r.Oracle.Unfinished(); len(left) > services {
+	if left := r.Checker.UnfinishedJobs(); len(left) > services {
 		t.Errorf("never finished: %v", left)
 	}
 	time.Sleep(5 * time.Minute)
 	cancel()
-	r.ends(t, &logged)
+	r.checkZoneDay(t, &logged)
 }
 
-// ends checks a day whose context is over: no rule broken, every job ended, every zone that a node
+// checkZoneDay checks a day whose context is over: no rule broken, every job ended, every zone that a node
 // saw go serves again.
-func (r *Region) ends(t *testing.T, logged *journal) {
+func (r *Region) checkZoneDay(t *testing.T, logged *logBuffer) {
 	r.Wait()
 	time.Sleep(3 * time.Minute)
-	if len(r.Oracle.Broken)+len(r.State.Broken) > 0 {
-		t.Errorf("broken:\n%s\n%s", strings.Join(r.Oracle.Broken, "\n"), strings.Join(r.State.Broken, "\n"))
+	if len(r.Checker.Violations)+len(r.KV.Violations) > 0 {
+		t.Errorf("broken:\n%s\n%s", strings.Join(r.Checker.Violations, "\n"), strings.Join(r.KV.Violations, "\n"))
 	}
-	if left := r.Oracle.Unfinished(); len(left) > 0 {
+	if left := r.Checker.UnfinishedJobs(); len(left) > 0 {
 		t.Errorf("never finished: %v", left)
 	}
-	told := logged.zones()
+	told := logged.zoneStates()
 	if len(told) == 0 {
 		t.Error("no node saw a zone go")
 	}
--- a/internal/standin/lost_test.go
+++ b/internal/standin/zonepower_test.go
@@ -17,25 +17,25 @@
 	"sableusher/internal/wire"
 )
 
-// number reads a size from the environment, for longer runs by hand.
-func number(name string, otherwise int) int {
+// environmentInt reads a size from the environment, for longer runs by hand.
+func environmentInt(name string, otherwise int) int {
 	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
 		return n
 	}
 	return otherwise
 }
 
-var deletionLine = regexp.MustCompile(`msg="deleting a machine" node=(\S+) machine=\S+ why="silent for [^,]*, (service|gang|array|holds)`)
+var deletionLogPattern = regexp.MustCompile(`msg="deleting a machine" node=(\S+) machine=\S+ why="silent for [^,]*, (service|gang|array|holds)`)
 
-// disorder finds deletions that one node decided in one look, but not in the order of the plan:
+// outOfOrderDeletions finds deletions that one node decided in one look, but not in the order of the plan:
 // services, gangs, arrays, nothing.
-func (j *journal) disorder() (out []string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (l *logBuffer) outOfOrderDeletions() (out []string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	place := map[string]int{"service": 0, "gang": 1, "array": 2, "holds": 3}
 	before := map[string]string{} // the last line's kind, by node and time
-	for lines := bufio.NewScanner(&j.buf); lines.Scan(); {
-		m := deletionLine.FindStringSubmatch(lines.Text())
+	for lines := bufio.NewScanner(&l.buf); lines.Scan(); {
+		m := deletionLogPattern.FindStringSubmatch(lines.Text())
 		if m == nil {
 			continue
 		}
@@ -55,7 +55,7 @@
 // the zone is still away, and again after its return; users are answered meanwhile; no rule
 // breaks and every job ends once. ZONE_MACHINES and ZONE_MOMENTS play it larger and more often.
 func TestZoneLosesPower(t *testing.T) {
-	moments := number("ZONE_MOMENTS", 2)
+	moments := environmentInt("ZONE_MOMENTS", 2)
 	for i := range moments {
 		rnd := rand.New(rand.NewPCG(uint64(i), 41))
 		zone := []string{"north", "east", "west"}[i%3]
@@ -64,27 +64,27 @@
 			away = []time.Duration{10 * time.Minute, 12 * time.Second}[i] // past all leases, and within them
 		}
 		t.Run(fmt.Sprintf("%s after %v for %v", zone, at, away), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { powerDay(t, rnd, zone, at, away) })
+			synctest.Test(t, func(t *testing.T) { simulatePowerLoss(t, rnd, zone, at, away) })
 		})
 	}
 }
 
-func powerDay(t *testing.T, rnd *rand.Rand, zone string, at, away time.Duration) {
+func simulatePowerLoss(t *testing.T, rnd *rand.Rand, zone string, at, away time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
-	machines := number("ZONE_MACHINES", 60)
-	var logged journal
+	machines := environmentInt("ZONE_MACHINES", 60)
+	var logged logBuffer
 	// Of ordinary machines each zone has half as many again as the services take of it, so that
 	// two zones have room for all of them.
 	r := NewRegion(ctx, testSettings(0), testTypes[:1], machines/2, rand.New(rand.NewPCG(rnd.Uint64(), 8)), slog.New(slog.NewTextHandler(&logged, nil)))
 	for i := range 3 {
-		r.Add(testSettings(i))
+		r.AddController(testSettings(i))
 	}
 	services := machines / 9 // of six replicas that take half a machine each
 	full := 6 * services
 	for i := range services {
 		spec := wire.Spec{ID: fmt.Sprintf("run-%06d", i+1), Class: "s", Team: "open", Kind: wire.KindService, Priority: wire.PriorityProduction,
 			Tasks: 6, CPUs: 16, GPUs: 2, MemoryGB: 80, Image: fmt.Sprint("img-", i%5), ImageGB: 2, Spread: true}
-		r.wg.Go(func() { r.User(ctx, spec, 5, 100*time.Second+at+away+3*time.Minute) })
+		r.wg.Go(func() { r.SimulateUser(ctx, spec, 5, 100*time.Second+at+away+3*time.Minute) })
 	}
 	for i := range machines / 3 {
 		spec := wire.Spec{ID: fmt.Sprintf("run-%06d", services+i+1), Team: "open", Spot: true, Image: "img-0", ImageGB: 2, CheckpointS: 5, SaveS: 1}
@@ -98,33 +98,33 @@
 		run, start := 5+20*rnd.Float64(), time.Duration(60+rnd.IntN(80))*time.Second
 		r.wg.Go(func() {
 			time.Sleep(start)
-			r.User(ctx, spec, run, 0)
+			r.SimulateUser(ctx, spec, run, 0)
 		})
 	}
 	time.Sleep(100*time.Second + at)
-	if up := r.running("s"); up < full {
+	if up := r.runningTasks("s"); up < full {
 		t.Fatalf("%d of %d replicas before anything happened", up, full)
 	}
 	lost := time.Now()
-	r.Power(zone, lost.Add(away), 5)
+	r.FailZonePower(zone, lost.Add(away), 5)
 	// A lease must have passed since the last report; then come the deletions, one after the
 	// other as their pace allows, a start and a fetch.
 	whole := func(since time.Time, limit time.Duration) (took time.Duration) {
 		for time.Since(since) < limit {
-			if r.running("s") == full {
+			if r.runningTasks("s") == full {
 				return time.Since(since)
 			}
 			time.Sleep(time.Second)
 		}
-		t.Errorf("%d of %d replicas %v after %v", r.running("s"), full, limit, since.Sub(lost))
+		t.Errorf("%d of %d replicas %v after %v", r.runningTasks("s"), full, limit, since.Sub(lost))
 		return limit
 	}
-	out := whole(lost, r.Set.Lease()+45*time.Second)
+	out := whole(lost, r.Settings.Lease()+45*time.Second)
 	time.Sleep(time.Until(lost.Add(away)))
 	back := time.Now()
 	least := full
 	for time.Since(back) < 30*time.Second {
-		least = min(least, r.running("s"))
+		least = min(least, r.runningTasks("s"))
 		time.Sleep(time.Second)
 	}
 	t.Logf("all %d replicas after %v; at least %d while the zone returned", full, out.Round(time.Second), least)
@@ -133,8 +133,8 @@
 	}
 	time.Sleep(7 * time.Minute)
 	cancel()
-	r.ends(t, &logged)
-	if d := logged.disorder(); len(d) > 0 {
+	r.checkZoneDay(t, &logged)
+	if d := logged.outOfOrderDeletions(); len(d) > 0 {
 		t.Errorf("not in the order of the plan:\n%s", strings.Join(d, "\n"))
 	}
 }
