--- a/cmd/knownred/main.go
+++ b/cmd/knownred/main.go
@@ -39,7 +39,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			tests, err := listed(cmd)
 			if err == nil {
-				_, err = fmt.Fprintln(cmd.OutOrStdout(), knownred.Skip(tests))
+				_, err = fmt.Fprintln(cmd.OutOrStdout(), knownred.SkipPattern(tests))
 			}
 			return err
 		}})
@@ -97,5 +97,5 @@
 		}
 		there[name] = strings.Fields(string(out))
 	}
-	return tests, knownred.Check(tests, there)
+	return tests, knownred.CheckExist(tests, there)
 }
--- a/internal/knownred/knownred.go
+++ b/internal/knownred/knownfailures.go
@@ -21,8 +21,8 @@
 	Issue   string
 }
 
-// line is "./internal/place TestName, cause, #12"; the cause may hold commas.
-var line = regexp.MustCompile(`^(\./[a-z0-9/]+) (Test[A-Za-z0-9_]+), (\S.*\S), (#[0-9]+)$`)
+// linePattern is "./internal/place TestName, cause, #12"; the cause may hold commas.
+var linePattern = regexp.MustCompile(`^(\./[a-z0-9/]+) (Test[A-Za-z0-9_]+), (\S.*\S), (#[0-9]+)$`)
 
 // Read reads the list. Empty lines are passed over; anything else that is no test's line, a test that
 // is named twice and a line too many are errors.
@@ -35,7 +35,7 @@
 		if text == "" {
 			continue
 		}
-		m := line.FindStringSubmatch(text)
+		m := linePattern.FindStringSubmatch(text)
 		switch {
 		case m == nil:
 			return nil, fmt.Errorf("line %d: %q is not \"./package TestName, cause, #issue\"", n, text)
@@ -54,8 +54,8 @@
 	return out, nil
 }
 
-// Skip is the pattern for go test -skip that passes over the tests; empty if there are none.
-func Skip(tests []Test) string {
+// SkipPattern is the pattern for go test -skip that passes over the tests; empty if there are none.
+func SkipPattern(tests []Test) string {
 	if len(tests) == 0 {
 		return ""
 	}
@@ -66,9 +66,9 @@
 	return "^(" + strings.Join(names, "|") + ")$"
 }
 
-// Check holds the list against what there is: tests by package, as go test -list prints them. A
+// CheckExist holds the list against what there is: tests by package, as go test -list prints them. A
 // test that does not exist in its package, or that exists in another one as well, is an error.
-func Check(tests []Test, packages map[string][]string) error {
+func CheckExist(tests []Test, packages map[string][]string) error {
 	for _, t := range tests {
 		var in []string
 		for p, names := range packages {
--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownfailures_test.go
@@ -47,7 +47,7 @@
 		}
 		tests, err := Read(strings.NewReader(strings.Join(lines, "\n")))
 		if err == nil {
-			err = Check(tests, there)
+			err = CheckExist(tests, there)
 		}
 		if (err != nil) != (fault != "") {
 			t.Fatalf("fault %q: %v", fault, err)
@@ -56,12 +56,12 @@
 			return
 		}
 		if len(tests) == 0 {
-			if Skip(tests) != "" {
+			if SkipPattern(tests) != "" {
 				t.Fatal("passes over tests without a list")
 			}
 			return
 		}
-		skip := regexp.MustCompile(Skip(tests))
+		skip := regexp.MustCompile(SkipPattern(tests))
 		for _, name := range there["./internal/a"] {
 			listed := strings.Contains(strings.Join(lines, "\n"), " "+name+",")
 			if skip.MatchString(name) != listed {
