--- a/internal/order/order_test.go
+++ b/internal/order/queue_test.go
@@ -16,18 +16,18 @@
 
 // TestLineFollowsSorting: after any history of arrivals, changes and departures the
 // line is what sorting its jobs anew would give.
-func TestLineFollowsSorting(t *testing.T) {
+func TestQueueMatchesSorting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, model := NewLine[int](), map[string]Key{}
+		l, model := New[int](), map[string]Key{}
 		for i := range rapid.IntRange(1, 300).Draw(t, "steps") {
 			id := strconv.Itoa(rapid.IntRange(0, 40).Draw(t, "job"))
 			if rapid.IntRange(0, 3).Draw(t, "what") == 0 {
-				l.Drop(id)
+				l.Delete(id)
 				delete(model, id)
 				continue
 			}
-			k := Key{Rank: rapid.IntRange(0, 3).Draw(t, "rank"), Assured: rapid.Bool().Draw(t, "assured"), Owed: rapid.Bool().Draw(t, "owed"), Late: rapid.Bool().Draw(t, "late"), Size: rapid.IntRange(0, 2).Draw(t, "size"), Pressing: rapid.Bool().Draw(t, "pressing"),
-				Deadline: rapid.Int64Range(0, 5).Draw(t, "deadline"), Since: rapid.Int64Range(0, 3).Draw(t, "since"), ID: id}
+			k := Key{PriorityRank: rapid.IntRange(0, 3).Draw(t, "rank"), WithinGuarantee: rapid.Bool().Draw(t, "assured"), Underserved: rapid.Bool().Draw(t, "owed"), MissesObjectives: rapid.Bool().Draw(t, "late"), SizeClass: rapid.IntRange(0, 2).Draw(t, "size"), NearDeadline: rapid.Bool().Draw(t, "pressing"),
+				DeadlineNs: rapid.Int64Range(0, 5).Draw(t, "deadline"), EligibleSinceMs: rapid.Int64Range(0, 3).Draw(t, "since"), JobID: id}
 			l.Put(k, i)
 			model[id] = k
 		}
@@ -45,37 +45,37 @@
 
 // TestGuardsAreNeverCrossed: of any two keys the one with the higher priority comes
 // first, whatever else they say; then the guarantee, then danger.
-func TestGuardsAreNeverCrossed(t *testing.T) {
+func TestPrecedenceIsNeverCrossed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(id string) Key {
-			return Key{Rank: rapid.IntRange(0, 3).Draw(t, "rank"), Assured: rapid.Bool().Draw(t, "assured"), Owed: rapid.Bool().Draw(t, "owed"), Late: rapid.Bool().Draw(t, "late"), Size: rapid.IntRange(0, 2).Draw(t, "size"), Pressing: rapid.Bool().Draw(t, "pressing"),
-				Deadline: rapid.Int64().Draw(t, "deadline"), Since: rapid.Int64().Draw(t, "since"), ID: id}
+			return Key{PriorityRank: rapid.IntRange(0, 3).Draw(t, "rank"), WithinGuarantee: rapid.Bool().Draw(t, "assured"), Underserved: rapid.Bool().Draw(t, "owed"), MissesObjectives: rapid.Bool().Draw(t, "late"), SizeClass: rapid.IntRange(0, 2).Draw(t, "size"), NearDeadline: rapid.Bool().Draw(t, "pressing"),
+				DeadlineNs: rapid.Int64().Draw(t, "deadline"), EligibleSinceMs: rapid.Int64().Draw(t, "since"), JobID: id}
 		}
 		a, b := draw("a"), draw("b")
 		first := a.Compare(b) < 0
 		switch {
-		case a.Rank != b.Rank:
-			if first != (a.Rank < b.Rank) {
+		case a.PriorityRank != b.PriorityRank:
+			if first != (a.PriorityRank < b.PriorityRank) {
 				t.Fatal("priority is crossed")
 			}
-		case a.Assured != b.Assured:
-			if first != a.Assured {
+		case a.WithinGuarantee != b.WithinGuarantee:
+			if first != a.WithinGuarantee {
 				t.Fatal("a guarantee is crossed")
 			}
-		case a.Owed != b.Owed:
-			if first != a.Owed {
+		case a.Underserved != b.Underserved:
+			if first != a.Underserved {
 				t.Fatal("a turn is crossed")
 			}
-		case a.Late != b.Late:
-			if first != b.Late {
+		case a.MissesObjectives != b.MissesObjectives:
+			if first != b.MissesObjectives {
 				t.Fatal("what can't be in time holds up what can")
 			}
-		case a.Size != b.Size:
-			if first != (a.Size < b.Size) {
+		case a.SizeClass != b.SizeClass:
+			if first != (a.SizeClass < b.SizeClass) {
 				t.Fatal("a large job holds up a small one")
 			}
-		case a.Pressing != b.Pressing:
-			if first != a.Pressing {
+		case a.NearDeadline != b.NearDeadline:
+			if first != a.NearDeadline {
 				t.Fatal("danger is crossed")
 			}
 		}
@@ -88,24 +88,24 @@
 // TestReachableAgainstAllChoices: with one aim each, no choice of jobs that could all be in
 // time on the room there is holds more of them; what is found in time is so, served by
 // deadline; and aims only move later.
-func TestReachableAgainstAllChoices(t *testing.T) {
+func TestAttainableObjectivesMatchExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		backlog := time.Duration(rapid.IntRange(0, 6).Draw(t, "backlog"))
-		var list []Work
+		var list []WaitingJob
 		for i := range rapid.IntRange(1, 9).Draw(t, "jobs") {
-			list = append(list, Work{ID: strconv.Itoa(i), Takes: time.Duration(rapid.IntRange(1, 8).Draw(t, "takes")), Aims: []time.Duration{time.Duration(rapid.IntRange(0, 25).Draw(t, "aim"))}})
+			list = append(list, WaitingJob{JobID: strconv.Itoa(i), ServiceTime: time.Duration(rapid.IntRange(1, 8).Draw(t, "takes")), Objectives: []time.Duration{time.Duration(rapid.IntRange(0, 25).Draw(t, "aim"))}})
 		}
 		fits := func(in func(i int) bool) bool {
-			var chosen []Work
+			var chosen []WaitingJob
 			for i, w := range list {
 				if in(i) {
 					chosen = append(chosen, w)
 				}
 			}
-			slices.SortFunc(chosen, func(a, b Work) int { return int(a.Aims[0] - b.Aims[0]) })
+			slices.SortFunc(chosen, func(a, b WaitingJob) int { return int(a.Objectives[0] - b.Objectives[0]) })
 			sum := backlog
 			for _, w := range chosen {
-				if sum += w.Takes; sum > w.Aims[0] {
+				if sum += w.ServiceTime; sum > w.Objectives[0] {
 					return false
 				}
 			}
@@ -117,25 +117,25 @@
 				best = max(best, bits.OnesCount(uint(set)))
 			}
 		}
-		got, count := Reachable(backlog, list), 0
+		got, count := AttainableObjectives(backlog, list), 0
 		for _, aim := range got {
 			if aim == 0 {
 				count++
 			}
 		}
-		if len(got) != len(list) || count != best || !fits(func(i int) bool { return got[list[i].ID] == 0 }) {
+		if len(got) != len(list) || count != best || !fits(func(i int) bool { return got[list[i].JobID] == 0 }) {
 			t.Fatalf("%d of %v in time on %v, %d could be", count, list, got, best)
 		}
 		// Further aims give nobody up who was in time, and leave nobody with an aim out of reach alone.
 		for i := range list {
-			list[i].Aims = append(list[i].Aims, list[i].Aims[0]+time.Duration(rapid.IntRange(1, 30).Draw(t, "more")))
+			list[i].Objectives = append(list[i].Objectives, list[i].Objectives[0]+time.Duration(rapid.IntRange(1, 30).Draw(t, "more")))
 		}
 		kept := 0
-		for id, aim := range Reachable(backlog, list) {
-			w := list[slices.IndexFunc(list, func(w Work) bool { return w.ID == id })]
+		for id, aim := range AttainableObjectives(backlog, list) {
+			w := list[slices.IndexFunc(list, func(w WaitingJob) bool { return w.JobID == id })]
 			if aim >= 0 {
 				kept++
-				if w.Aims[aim] < w.Takes {
+				if w.Objectives[aim] < w.ServiceTime {
 					t.Fatalf("%v is to meet what it can't", w)
 				}
 			}
--- a/internal/place/engine.go
+++ b/internal/place/engine.go
@@ -74,7 +74,7 @@
 	cachedState            *learn.State // what is chosen in, as of a time
 	cachedStateAt          time.Time
 	changeFeed             *world.News
-	waitingJobs            *order.Line[*world.Job]
+	waitingJobs            *order.Queue[*world.Job]
 	queueBuffer            []due // of the round before, its memory used again
 	retainedInventory      *fit.Stock
 	machinesToRefresh      map[string]struct{} // machines whose workers told something that the stock has not taken in
@@ -128,7 +128,7 @@
 			learner: learn.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Inc, log),
 			runs:    learn.NewEstimates(), open: map[attempt]int64{}, began: map[attempt]time.Time{}, recent: 0.5,
 		},
-		wakeup: make(chan struct{}, 1), changeFeed: cluster.Follow(), waitingJobs: order.NewLine[*world.Job](), machinesToRefresh: map[string]struct{}{},
+		wakeup: make(chan struct{}, 1), changeFeed: cluster.Follow(), waitingJobs: order.New[*world.Job](), machinesToRefresh: map[string]struct{}{},
 	}
 }
 
--- a/internal/place/intime.go
+++ b/internal/place/intime.go
@@ -20,7 +20,7 @@
 func (r *round) inTime() {
 	r.objectivesAt, r.missesAllObjectives, r.reachableObjective = r.now, map[string]bool{}, map[string]time.Time{}
 	r.capacityShort = [wire.Ranks]bool{}
-	var lists [wire.Ranks][]order.Work
+	var lists [wire.Ranks][]order.WaitingJob
 	aims := map[string][]time.Time{}
 	waiting := map[string]int{}
 	var runs [wire.Ranks]float64 // of the machine time that running arrays still take
@@ -38,9 +38,9 @@
 		if aims[id] = r.aims(j); len(aims[id]) == 0 {
 			continue
 		}
-		w := order.Work{ID: id, Takes: time.Duration(float64(j.Pending()) * share * float64(run)), Run: run}
+		w := order.WaitingJob{JobID: id, ServiceTime: time.Duration(float64(j.Pending()) * share * float64(run)), TaskRunTime: run}
 		for _, at := range aims[id] {
-			w.Aims = append(w.Aims, at.Sub(r.now))
+			w.Objectives = append(w.Objectives, at.Sub(r.now))
 		}
 		lists[rank] = append(lists[rank], w)
 	}
@@ -54,11 +54,11 @@
 			continue // nothing is up: who could be in time can't be told
 		}
 		for i := range list {
-			list[i].Takes = time.Duration(float64(list[i].Takes) / room)
+			list[i].ServiceTime = time.Duration(float64(list[i].ServiceTime) / room)
 		}
 		backlog := time.Duration(runs[rank] / room * float64(time.Second))
 		missed, takes := 0, time.Duration(0)
-		for id, aim := range order.Reachable(backlog, list) {
+		for id, aim := range order.AttainableObjectives(backlog, list) {
 			if aim < 0 {
 				r.missesAllObjectives[id] = true
 				missed++
@@ -70,7 +70,7 @@
 		}
 		r.capacityShort[rank] = r.capacityShort[rank] || missed > 0
 		for _, w := range list {
-			takes += w.Takes
+			takes += w.ServiceTime
 		}
 		r.log.Debug("arrays against the room", "rank", rank, "waiting", len(list), "missed", missed, "short", r.capacityShort[rank], "room", int(room), "busy", backlog, "takes", takes)
 	}
--- a/internal/place/intime_test.go
+++ b/internal/place/intime_test.go
@@ -43,25 +43,25 @@
 		for i, du := range queue {
 			_, slack := r.reachable(r.aims(du.job), r.run(du.job))
 			floor := r.floor(du.job)
-			if floor && (du.key.Late || du.key.Size != -1) {
+			if floor && (du.key.MissesObjectives || du.key.SizeClass != -1) {
 				t.Fatalf("%v has its turn and stands behind", du.key)
 			}
-			if r.lastCall(du.job) && du.key.Size != -1 {
+			if r.lastCall(du.job) && du.key.SizeClass != -1 {
 				t.Fatalf("%v has its last call and stands behind", du.key)
 			}
-			if slack < 0 && !du.key.Late && !floor {
+			if slack < 0 && !du.key.MissesObjectives && !floor {
 				t.Fatalf("%v is past all aims and not late", du.key)
 			}
 			if i == 0 {
 				continue
 			}
 			before := queue[i-1].key
-			if before.Late && !du.key.Late || before.Late == du.key.Late && before.Size > du.key.Size {
+			if before.MissesObjectives && !du.key.MissesObjectives || before.MissesObjectives == du.key.MissesObjectives && before.SizeClass > du.key.SizeClass {
 				t.Fatalf("%v stands before %v", before, du.key)
 			}
 		}
 		for _, du := range queue {
-			if (du.key.Size != 0) != r.capacityShort[du.rank] {
+			if (du.key.SizeClass != 0) != r.capacityShort[du.rank] {
 				t.Fatalf("%v though short is %v", du.key, r.capacityShort)
 			}
 		}
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -132,8 +132,8 @@
 			r.lastFullReorder = r.now
 		}
 		r.waitingJobs.Each(func(k order.Key, j *world.Job) bool {
-			if all || k.Assured != r.withinGuarantee[k.ID] || k.Owed != r.due(j) || k.Late != r.behind(j) || k.Size != r.size(j) || r.now.After(r.nextReorder[k.ID]) {
-				news[k.ID] = struct{}{}
+			if all || k.WithinGuarantee != r.withinGuarantee[k.JobID] || k.Underserved != r.due(j) || k.MissesObjectives != r.behind(j) || k.SizeClass != r.size(j) || r.now.After(r.nextReorder[k.JobID]) {
+				news[k.JobID] = struct{}{}
 			}
 			return true
 		})
@@ -143,8 +143,8 @@
 	}
 	out := r.queueBuffer[:0]
 	r.waitingJobs.Each(func(k order.Key, j *world.Job) bool {
-		if b, ok := r.jobBackoffs[k.ID]; !ok || !r.now.Before(b.until) {
-			out = append(out, due{Ask: fit.Ask{Spec: &j.Spec, Need: world.Need(&j.Spec), Within: r.startWithin(&j.Spec)}, job: j, assured: k.Assured, rank: k.Rank, pressing: k.Pressing, key: k, home: -1})
+		if b, ok := r.jobBackoffs[k.JobID]; !ok || !r.now.Before(b.until) {
+			out = append(out, due{Ask: fit.Ask{Spec: &j.Spec, Need: world.Need(&j.Spec), Within: r.startWithin(&j.Spec)}, job: j, assured: k.WithinGuarantee, rank: k.PriorityRank, pressing: k.NearDeadline, key: k, home: -1})
 		}
 		return true
 	})
@@ -171,13 +171,13 @@
 func (r *round) enter(id string) {
 	j := r.cluster.Jobs[id]
 	if j == nil || !j.Startable() || !r.ours(j) || j.Pending() == 0 {
-		r.waitingJobs.Drop(id)
+		r.waitingJobs.Delete(id)
 		delete(r.nextReorder, id)
 		return
 	}
 	deadline, pressing, turn := r.deadline(j)
 	r.nextReorder[id] = turn
-	r.waitingJobs.Put(order.Key{Rank: r.rank(j), Assured: r.withinGuarantee[id], Owed: r.due(j), Late: r.behind(j), Size: r.size(j), Pressing: pressing, Deadline: deadline.UnixNano(), Since: j.SinceMs(), ID: id}, j)
+	r.waitingJobs.Put(order.Key{PriorityRank: r.rank(j), WithinGuarantee: r.withinGuarantee[id], Underserved: r.due(j), MissesObjectives: r.behind(j), SizeClass: r.size(j), NearDeadline: pressing, DeadlineNs: deadline.UnixNano(), EligibleSinceMs: j.SinceMs(), JobID: id}, j)
 }
 
 // ours tells whether the right to start a job is with this cell as it is now: a guest that was taken
@@ -424,7 +424,7 @@
 			// Of work that is in no hurry, first comes what finds its image where
 			// there is room: to fetch it would take the machine's time.
 			for i := range queue[:n] {
-				if du := &queue[i]; du.rank > wire.Rank(wire.PriorityHigh) && !du.pressing && !du.key.Late {
+				if du := &queue[i]; du.rank > wire.Rank(wire.PriorityHigh) && !du.pressing && !du.key.MissesObjectives {
 					r.deal(du, s, true)
 				}
 			}
--- a/internal/place/value.go
+++ b/internal/place/value.go
@@ -226,7 +226,7 @@
 		d.value = v.value
 	}
 	slices.SortStableFunc(first, func(a, b due) int {
-		c := a.key.Guarded(b.key)
+		c := a.key.ComparePrecedence(b.key)
 		if c == 0 && !a.pressing {
 			c = -cmp.Compare(a.value, b.value)
 		}
@@ -234,7 +234,7 @@
 	})
 	// A random pick comes first among its equals in priority and danger.
 	if i, ok := r.learning.learner.Explore(len(list)); ok {
-		first := slices.IndexFunc(list, func(d due) bool { return d.key.Guarded(list[i].key) == 0 })
+		first := slices.IndexFunc(list, func(d due) bool { return d.key.ComparePrecedence(list[i].key) == 0 })
 		r.log.Debug("random pick", "job", list[i].job.Spec.ID)
 		picked := list[i]
 		copy(list[first+1:i+1], list[first:i])
