--- a/internal/floor/floor_test.go
+++ b/internal/floor/tracker_test.go
@@ -17,14 +17,14 @@
 
 // TestOwedAgainstCounting: over any history the owed are those that counting anew finds, nobody
 // is owed where all were served alike or well, and what is kept is bounded by the window.
-func TestOwedAgainstCounting(t *testing.T) {
+func TestUnderservedMatchesRecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type job struct {
 			class, team string
 			tasks       int
 			at          time.Time
 		}
-		var b Book
+		var b Tracker
 		jobs, waiting, now := map[string]job{}, map[string]int{}, start
 		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "seconds")) * time.Second)
@@ -32,12 +32,12 @@
 			j := job{rapid.SampledFrom([]string{"a", "b"}).Draw(t, "class"), rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "team"), rapid.IntRange(1, 50).Draw(t, "tasks"), now}
 			jobs[id] = j
 			for range 1 + rapid.IntRange(0, 1).Draw(t, "again") {
-				b.Arrived(now, id, j.class, j.team, j.tasks, j.at)
+				b.RecordArrival(now, id, j.class, j.team, j.tasks, j.at)
 			}
 			waiting[id] = rapid.IntRange(0, j.tasks).Draw(t, "wait")
-			got := b.Owed(now, waiting)
+			got := b.Underserved(now, waiting)
 			kept, all := 0, [2]int{}
-			each := map[Whom][2]int{}
+			each := map[Group][2]int{}
 			for id, j := range jobs {
 				if now.Sub(j.at) > tuning.FloorWindow {
 					continue
@@ -45,7 +45,7 @@
 				kept++
 				w := waiting[id]
 				all = [2]int{all[0] + j.tasks, all[1] + w}
-				for _, who := range []Whom{{Name: j.class}, {Team: true, Name: j.team}} {
+				for _, who := range []Group{{Name: j.class}, {Team: true, Name: j.team}} {
 					each[who] = [2]int{each[who][0] + j.tasks, each[who][1] + w}
 				}
 			}
@@ -67,10 +67,10 @@
 }
 
 // TestBookIsBounded: whatever comes, no more jobs are kept than the bound.
-func TestBookIsBounded(t *testing.T) {
-	var b Book
+func TestTrackerIsBounded(t *testing.T) {
+	var b Tracker
 	for i := range tuning.FloorJobs + 100 {
-		b.Arrived(start, strconv.Itoa(i), "a", "x", 1, start)
+		b.RecordArrival(start, strconv.Itoa(i), "a", "x", 1, start)
 	}
 	if b.Len() != tuning.FloorJobs {
 		t.Fatalf("%d jobs kept", b.Len())
--- a/internal/place/engine.go
+++ b/internal/place/engine.go
@@ -66,8 +66,8 @@
 	objectivesAt           time.Time
 	lastServiceShortage    time.Time            // when a service last found no room
 	unplacedSince          map[string]time.Time // since when a job finds none for a task
-	recentArrivals         floor.Book           // what arrived lately of classes and teams
-	underserved            map[floor.Whom]bool  // who of them has had least of what is due
+	recentArrivals         floor.Tracker        // what arrived lately of classes and teams
+	underserved            map[floor.Group]bool // who of them has had least of what is due
 	nextReorder            map[string]time.Time // when time alone next moves a waiting job in line
 	lastFullReorder        time.Time            // when all of them were last put in line anew
 	cachedValues           map[string]cachedValue
--- a/internal/place/intime.go
+++ b/internal/place/intime.go
@@ -29,7 +29,7 @@
 			continue
 		}
 		rank, share, run := r.rank(j), r.shareOf(&j.Spec), r.expected(j)
-		r.recentArrivals.Arrived(r.now, id, j.Spec.Class, j.Spec.Team, j.Spec.Tasks, j.Since())
+		r.recentArrivals.RecordArrival(r.now, id, j.Spec.Class, j.Spec.Team, j.Spec.Tasks, j.Since())
 		runs[rank] += float64(j.Bound) * share * run.Seconds() / 2 // half is left on average
 		if j.Pending() == 0 {
 			continue
@@ -44,7 +44,7 @@
 		}
 		lists[rank] = append(lists[rank], w)
 	}
-	r.underserved = r.recentArrivals.Owed(r.now, waiting)
+	r.underserved = r.recentArrivals.Underserved(r.now, waiting)
 	for rank, list := range lists {
 		if len(list) == 0 {
 			continue
@@ -129,9 +129,9 @@
 	}
 	switch r.now.Unix() % tuning.FloorTurns {
 	case 0, 2:
-		return r.underserved[floor.Whom{Name: j.Spec.Class}]
+		return r.underserved[floor.Group{Name: j.Spec.Class}]
 	case 1:
-		return r.underserved[floor.Whom{Team: true, Name: j.Spec.Team}]
+		return r.underserved[floor.Group{Team: true, Name: j.Spec.Team}]
 	}
 	return false
 }
