--- a/internal/cell/choose.go
+++ b/internal/cell/choose.go
@@ -67,7 +67,7 @@
 		if !w.OneZone {
 			zone = ""
 		}
-		zones[zone] += r.Count * fit.Times(w.Need, r.Free)
+		zones[zone] += r.Count * fit.TasksThatFit(w.Need, r.Free)
 	}
 	most := 0
 	for _, n := range zones {
--- a/internal/place/engine.go
+++ b/internal/place/engine.go
@@ -76,7 +76,7 @@
 	changeFeed             *world.News
 	waitingJobs            *order.Queue[*world.Job]
 	queueBuffer            []due // of the round before, its memory used again
-	retainedInventory      *fit.Stock
+	retainedInventory      *fit.Inventory
 	machinesToRefresh      map[string]struct{} // machines whose workers told something that the stock has not taken in
 	demand                 Demand
 	learning               values
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -13,7 +13,7 @@
 // the part that the gang is dealt to, whose grant it uses. The owners of its
 // machines start the tasks as they see them bound. Where an owner has used the
 // room meanwhile, its worker refuses and the gang is placed anew.
-func (r *round) placeGang(du *due, s *fit.Stock) {
+func (r *round) placeGang(du *due, s *fit.Inventory) {
 	j, spec := du.job, &du.job.Spec
 	var attempt uint64
 	var idle []int
@@ -27,10 +27,10 @@
 			forming = true
 		}
 	}
-	du.Left = len(idle)
+	du.Remaining = len(idle)
 	if r.keysInFlight[world.JobKey(spec.ID)] || r.needsMigration(j) || forming && slices.ContainsFunc(idle, func(i int) bool { return r.taskState(j, i).Attempt >= attempt }) {
 		r.waiting(j, "its last attempt has not left yet, or a change is on its way", nil)
-		du.Left = 0
+		du.Remaining = 0
 		return
 	}
 	if !forming { // else one too long for a transaction is completed
@@ -40,16 +40,16 @@
 	// own part, where no other node places.
 	du.home = r.first(j)
 	z := r.zones(j, 0)
-	up := s.Fitting(&du.Ask)
-	inPart := func(n *fit.Node) bool { return n.M.Part == du.home }
-	held := func(n *fit.Node) bool { return r.stock.Holds(spec.Image, n) }
-	var picks []*fit.Node
-	for _, also := range []func(*fit.Node) bool{
-		func(n *fit.Node) bool { return inPart(n) && held(n) },
-		func(n *fit.Node) bool { return n.Certain() && held(n) },
-		inPart, (*fit.Node).Certain,
+	up := s.FittingMachines(&du.Request)
+	inPart := func(n *fit.MachineInfo) bool { return n.Machine.Part == du.home }
+	held := func(n *fit.MachineInfo) bool { return r.stock.HasImage(spec.Image, n) }
+	var picks []*fit.MachineInfo
+	for _, also := range []func(*fit.MachineInfo) bool{
+		func(n *fit.MachineInfo) bool { return inPart(n) && held(n) },
+		func(n *fit.MachineInfo) bool { return n.SessionKnown() && held(n) },
+		inPart, (*fit.MachineInfo).SessionKnown,
 	} {
-		if picks = s.ChooseWhole(&du.Ask, up, z, also); picks != nil {
+		if picks = s.AllocateGang(&du.Request, up, z, also); picks != nil {
 			break
 		}
 	}
@@ -57,7 +57,7 @@
 		r.waiting(j, "no room for all its tasks", nil)
 		return
 	}
-	du.Left = 0
+	du.Remaining = 0
 	_, mine := r.tokens[du.home]
 	if !mine || r.bound+len(picks) > tuning.RoundTasks && r.bound > 0 {
 		return
@@ -68,7 +68,7 @@
 		adds[j.RecordOf(i)]++
 	}
 	for k, n := range adds {
-		if r.recordFull(j, k, n, picks[0].M.Name) {
+		if r.recordFull(j, k, n, picks[0].Machine.Name) {
 			r.waiting(j, "its records are full", nil)
 			return
 		}
--- a/internal/place/intime.go
+++ b/internal/place/intime.go
@@ -154,15 +154,15 @@
 func (r *round) roomFor(rank int) float64 {
 	sum := 0.0
 	for p := range r.cluster.Size {
-		for _, n := range r.stock.Ready(p) {
+		for _, n := range r.stock.ReadyMachines(p) {
 			free := n.Free
-			for k := rank; k < len(n.M.Yield); k++ {
-				free = free.Plus(n.M.Yield[k], 1)
+			for k := rank; k < len(n.Machine.Yield); k++ {
+				free = free.Plus(n.Machine.Yield[k], 1)
 			}
 			if r.commonNeed.CPUs > 0 {
-				sum += float64(fit.Times(r.commonNeed, free))
+				sum += float64(fit.TasksThatFit(r.commonNeed, free))
 			} else {
-				sum += fit.Share(free, n.Capacity)
+				sum += fit.FreeFraction(free, n.Capacity)
 			}
 		}
 	}
@@ -180,7 +180,7 @@
 	for _, t := range r.cluster.Types {
 		c := world.Capacity(&t)
 		if need.Within(c) {
-			best = min(best, 1-fit.Share(c.Plus(need, -1), c))
+			best = min(best, 1-fit.FreeFraction(c.Plus(need, -1), c))
 		}
 	}
 	return best
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -28,9 +28,9 @@
 // Demand is what a round could not place, and what it had no use for.
 type Demand struct {
 	Groups []Group
-	Idle   []string  // machines, up or booting, that no task uses or waits for
-	Spare  fit.Spare // of ordinary machines
-	Spot   fit.Spare // of spot machines
+	Idle   []string          // machines, up or booting, that no task uses or waits for
+	Spare  fit.SpareCapacity // of ordinary machines
+	Spot   fit.SpareCapacity // of spot machines
 	At     time.Time
 	// Common is what a task of the work that asks for most cores takes, if some of it found no room:
 	// small machines, of no use to it, then keep small tasks off those that are.
@@ -39,7 +39,7 @@
 
 // due is a job in the order of placement.
 type due struct {
-	fit.Ask
+	fit.Request
 	job      *world.Job
 	rank     int
 	assured  bool // within its team's guarantee
@@ -144,7 +144,7 @@
 	out := r.queueBuffer[:0]
 	r.waitingJobs.Each(func(k order.Key, j *world.Job) bool {
 		if b, ok := r.jobBackoffs[k.JobID]; !ok || !r.now.Before(b.until) {
-			out = append(out, due{Ask: fit.Ask{Spec: &j.Spec, Need: world.Need(&j.Spec), Within: r.startWithin(&j.Spec)}, job: j, assured: k.WithinGuarantee, rank: k.PriorityRank, pressing: k.NearDeadline, key: k, home: -1})
+			out = append(out, due{Request: fit.Request{Spec: &j.Spec, Need: world.Need(&j.Spec), StartWithinS: r.startWithin(&j.Spec)}, job: j, assured: k.WithinGuarantee, rank: k.PriorityRank, pressing: k.NearDeadline, key: k, home: -1})
 		}
 		return true
 	})
@@ -349,11 +349,11 @@
 	}
 }
 
-func (r *round) zones(j *world.Job, k int) fit.Zones {
-	z := fit.Zones{Count: map[string]int{}, Known: true, Limit: math.MaxInt}
+func (r *round) zones(j *world.Job, k int) fit.ZoneConstraint {
+	z := fit.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: math.MaxInt}
 	if j.Spec.Spread {
 		lo, hi := j.Span(k)
-		z.Limit = (hi - lo + 1) / 2
+		z.MaxPerZone = (hi - lo + 1) / 2
 	}
 	if !j.Spec.Spread && !j.Spec.OneZone {
 		return z
@@ -365,14 +365,14 @@
 		}
 		m := r.cluster.Machines[t.Machine]
 		if m == nil {
-			z.Known = false
+			z.PlacementKnown = false
 			return z
 		}
 		if j.Spec.OneZone {
-			z.Pin = m.Zone
+			z.PinnedZone = m.Zone
 		}
 		if j.RecordOf(i) == k {
-			z.Count[m.Zone]++
+			z.TasksByZone[m.Zone]++
 		}
 	}
 	return z
@@ -391,8 +391,8 @@
 	}
 	_, _, leads := r.membership.Owns(world.Leader)
 	r.counts = leads && r.now.Sub(r.demand.At) >= tuning.DemandEvery
-	queue := r.queue(s.HasRoom())
-	s.Narrow(func(yield func(world.Amount) bool) {
+	queue := r.queue(s.HasFreeCapacity())
+	s.FilterFeasible(func(yield func(world.Amount) bool) {
 		for i := range queue {
 			if !yield(queue[i].Need) {
 				return
@@ -401,7 +401,7 @@
 	})
 	d := Demand{At: r.now}
 	if len(queue) > 0 {
-		s.Gather()
+		s.GroupPending()
 		total := map[string]world.Amount{}
 		for p := range r.cluster.Size {
 			for team, a := range r.cluster.Usage[p] {
@@ -445,14 +445,14 @@
 
 // dealFirst gives a service that has lost all its replicas room for one, before any has room for
 // its second. One that never had any starts whole: each start alone is a change of its record.
-func (r *round) dealFirst(du *due, s *fit.Stock) {
+func (r *round) dealFirst(du *due, s *fit.Inventory) {
 	if du.job.Spec.Kind != wire.KindService || du.job.Bound > 0 || r.taskState(du.job, 0).Attempt == 0 {
 		return
 	}
-	rest := du.Left - 1
-	du.Left = 1
+	rest := du.Remaining - 1
+	du.Remaining = 1
 	r.deal(du, s, false)
-	du.Left += rest
+	du.Remaining += rest
 }
 
 // admit finds how many tasks of a job wait that its team's limit allows.
@@ -464,28 +464,28 @@
 			paused++
 		}
 	}
-	du.Left = max(0, j.Pending()-r.moveJ[spec.ID]-paused)
+	du.Remaining = max(0, j.Pending()-r.moveJ[spec.ID]-paused)
 	if r.ending[spec.ID] || paused > 0 && spec.Kind == wire.KindGang {
-		du.Left = 0 // all or none
+		du.Remaining = 0 // all or none
 	}
 	du.later = r.pressed && du.rank > wire.Rank(wire.PriorityHigh)
 	if limit, ok := r.quota.Limit(spec.Team); ok {
 		open := limit.Plus(total[spec.Team], -1)
 		open.Mem = tuning.MaxAmount * tuning.MaxTasks
-		n := fit.Times(du.Need, open)
-		if n < du.Left {
+		n := fit.TasksThatFit(du.Need, open)
+		if n < du.Remaining {
 			r.waiting(j, "team's limit", nil)
-			du.Left = n
+			du.Remaining = n
 			if spec.Kind == wire.KindGang {
-				du.Left = 0
+				du.Remaining = 0
 				if r.now.Sub(j.Since()) > tuning.StarveAfter {
 					total[spec.Team] = limit // narrower ones would keep a wide one out for ever
 				}
 			}
 		}
 	}
-	total[spec.Team] = total[spec.Team].Plus(du.Need, float64(du.Left))
-	return du.Left > 0 // none: not a want of machines
+	total[spec.Team] = total[spec.Team].Plus(du.Need, float64(du.Remaining))
+	return du.Remaining > 0 // none: not a want of machines
 }
 
 // paused tells whether a task that failed is not to be repeated yet.
@@ -497,35 +497,35 @@
 // deal gives a job's tasks room in the part that the job is dealt to, so that
 // its record has one writer as a rule; with held only where its image is. A gang
 // is placed whole over all parts.
-func (r *round) deal(du *due, s *fit.Stock, held bool) {
+func (r *round) deal(du *due, s *fit.Inventory, held bool) {
 	j, spec := du.job, &du.job.Spec
-	if du.Left == 0 || held && spec.Kind == wire.KindGang {
+	if du.Remaining == 0 || held && spec.Kind == wire.KindGang {
 		return
 	}
 	if spec.Kind == wire.KindGang {
 		r.placeGang(du, s)
 		return
 	}
-	if s.Without(&du.Ask) {
+	if s.KnownInfeasible(&du.Request) {
 		return
 	}
-	var where []*fit.Node
-	var also func(*fit.Node) bool
+	var where []*fit.MachineInfo
+	var also func(*fit.MachineInfo) bool
 	if spec.Kind == wire.KindService {
 		// Its tasks go wherever the image is; the owner of one part places them all.
 		du.home = r.first(j)
 		// A zone that goes and comes back is the last to be trusted with a replica.
-		where, also = s.Fitting(&du.Ask), (*fit.Node).Certain
+		where, also = s.FittingMachines(&du.Request), (*fit.MachineInfo).SessionKnown
 		where = r.trusted(where)
 	} else {
 		any := false
 		if du.home, any = r.home(du); !any {
-			s.Fail(&du.Ask)
+			s.RecordFailure(&du.Request)
 			return
 		}
-		where = s.Open(du.home)
+		where = s.FeasibleMachines(du.home)
 		if held {
-			where = s.Holders(spec.Image, du.home)
+			where = s.ImageHolders(spec.Image, du.home)
 		}
 	}
 	if len(where) == 0 {
@@ -536,9 +536,9 @@
 	picks := r.chooseSpread(du, where, &z, also)
 	if _, mine := r.tokens[du.home]; !mine && !held && len(picks) > 0 && r.waited(du) {
 		// Its owner has not taken it though there is room.
-		s.Give(&du.Ask, picks)
+		s.Release(&du.Request, picks)
 		z = r.zones(j, k)
-		picks = s.Choose(&du.Ask, s.Fitting(&du.Ask), &z, func(n *fit.Node) bool { return n.Mine })
+		picks = s.Allocate(&du.Request, s.FittingMachines(&du.Request), &z, func(n *fit.MachineInfo) bool { return n.Owned })
 	} else if mine && spec.Kind == wire.KindService {
 		r.bindTasks(du, k, picks, du.home)
 		return
@@ -549,25 +549,25 @@
 // chooseSpread chooses room for a job's tasks; where the operators ask for it, for a service so that
 // at most half of it stands in one zone, as far as there is room for that. It is a wish: what
 // has no other room is placed all the same.
-func (r *round) chooseSpread(du *due, where []*fit.Node, z *fit.Zones, also func(*fit.Node) bool) []*fit.Node {
+func (r *round) chooseSpread(du *due, where []*fit.MachineInfo, z *fit.ZoneConstraint, also func(*fit.MachineInfo) bool) []*fit.MachineInfo {
 	j, spec := du.job, &du.job.Spec
 	if !r.operator.SpreadServices || spec.Kind != wire.KindService || spec.Spread || spec.OneZone || spec.Tasks < 2 {
-		return r.stock.Choose(&du.Ask, where, z, also)
+		return r.stock.Allocate(&du.Request, where, z, also)
 	}
-	wish := fit.Zones{Count: map[string]int{}, Known: true, Limit: (spec.Tasks + 1) / 2}
+	wish := fit.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: (spec.Tasks + 1) / 2}
 	for i := range spec.Tasks {
 		if t := r.taskState(j, i); t.State == world.Bound && r.cluster.Machines[t.Machine] != nil {
-			wish.Count[r.cluster.Machines[t.Machine].Zone]++
+			wish.TasksByZone[r.cluster.Machines[t.Machine].Zone]++
 		}
 	}
-	picks := r.stock.Choose(&du.Ask, where, &wish, also)
-	return append(picks, r.stock.Choose(&du.Ask, where, z, also)...)
+	picks := r.stock.Allocate(&du.Request, where, &wish, also)
+	return append(picks, r.stock.Allocate(&du.Request, where, z, also)...)
 }
 
 // trusted gives those of some machines whose zones are trusted with services; all of them
 // if there is none, as a replica in a zone that may go again is better than none.
-func (r *round) trusted(list []*fit.Node) []*fit.Node {
-	good := slices.DeleteFunc(slices.Clone(list), func(n *fit.Node) bool { return !r.failureDetector.Zones().Trusted(n.M.Zone) })
+func (r *round) trusted(list []*fit.MachineInfo) []*fit.MachineInfo {
+	good := slices.DeleteFunc(slices.Clone(list), func(n *fit.MachineInfo) bool { return !r.failureDetector.Zones().Trusted(n.Machine.Zone) })
 	if len(good) == 0 {
 		return list
 	}
@@ -590,27 +590,27 @@
 
 // spill looks elsewhere for room for what the part of a job had none for, then
 // at machines that are coming up; the rest is demand for the pool.
-func (r *round) spill(du *due, s *fit.Stock, d *Demand) {
+func (r *round) spill(du *due, s *fit.Inventory, d *Demand) {
 	j, spec := du.job, &du.job.Spec
-	if du.Left == 0 {
+	if du.Remaining == 0 {
 		return
 	}
 	k := r.chunk(j)
 	z := r.zones(j, k)
-	up := s.Fitting(&du.Ask)
+	up := s.FittingMachines(&du.Request)
 	gang := spec.Kind == wire.KindGang
 	if !gang {
-		if picks := s.Choose(&du.Ask, up, &z, func(n *fit.Node) bool { return n.M.Part != du.home }); len(picks) > 0 &&
+		if picks := s.Allocate(&du.Request, up, &z, func(n *fit.MachineInfo) bool { return n.Machine.Part != du.home }); len(picks) > 0 &&
 			(du.rank <= wire.Rank(wire.PriorityHigh) || r.waited(du)) {
 			r.bindOwn(du, k, picks)
 		}
 	} else {
-		if spec.OneZone && z.Pin == "" {
-			z.Pin = s.Roomiest(&du.Ask, up)
+		if spec.OneZone && z.PinnedZone == "" {
+			z.PinnedZone = s.RoomiestZone(&du.Request, up)
 		}
-		s.Choose(&du.Ask, up, &z, nil) // kept whole for it
+		s.Allocate(&du.Request, up, &z, nil) // kept whole for it
 	}
-	if du.Left == 0 {
+	if du.Remaining == 0 {
 		return
 	}
 	r.waiting(j, "no room", nil)
@@ -620,13 +620,13 @@
 	if spec.Kind == wire.KindService {
 		r.lastServiceShortage = r.now
 	}
-	short, open := du.Left, z.Copy()
-	s.Expect(&du.Ask, &z)
-	if du.Left > 0 && r.counts {
+	short, open := du.Remaining, z.Clone()
+	s.AllocatePending(&du.Request, &z)
+	if du.Remaining > 0 && r.counts {
 		if du.Need.CPUs >= r.commonNeed.CPUs {
 			d.Common = r.commonNeed
 		}
-		d.Groups = append(d.Groups, Group{Spec: spec, Count: du.Left, Zone: z.Pin, Rank: du.rank, Since: j.Since()})
+		d.Groups = append(d.Groups, Group{Spec: spec, Count: du.Remaining, Zone: z.PinnedZone, Rank: du.rank, Since: j.Since()})
 	}
 	if (du.assured || du.rank <= wire.Rank(wire.PriorityHigh)) && (!gang || spec.Tasks == 1) {
 		// What stands on machines coming up in the play takes no zone from what is stopped for it
@@ -648,7 +648,7 @@
 	s, best, first := r.stock, -1, r.first(du.job)
 	short := r.tight(du)
 	for p, n := range du.job.Where {
-		if n > 0 && (best < 0 || n > du.job.Where[best]) && (short && r.live[p] || s.Takes(&du.Ask, p)) {
+		if n > 0 && (best < 0 || n > du.job.Where[best]) && (short && r.live[p] || s.ShardFits(&du.Request, p)) {
 			best = p
 		}
 	}
@@ -659,16 +659,16 @@
 		if best < 0 {
 			best = first
 		}
-		_, _, any := s.Rooms(&du.Ask, false, best)
+		_, _, any := s.FindShard(&du.Request, false, best)
 		return best, any
 	}
 	if best >= 0 {
 		return best, true
 	}
-	if p, ok, _ := s.Rooms(&du.Ask, true, first); ok {
+	if p, ok, _ := s.FindShard(&du.Request, true, first); ok {
 		return p, true
 	}
-	p, _, any := s.Rooms(&du.Ask, false, first)
+	p, _, any := s.FindShard(&du.Request, false, first)
 	return p, any
 }
 
@@ -710,13 +710,13 @@
 
 // bindOwn binds waiting tasks of a job to those of the machines that are this
 // node's.
-func (r *round) bindOwn(du *due, chunk int, picks []*fit.Node) {
-	r.bindTasks(du, chunk, slices.DeleteFunc(picks, func(n *fit.Node) bool { return !n.Mine }), -1)
+func (r *round) bindOwn(du *due, chunk int, picks []*fit.MachineInfo) {
+	r.bindTasks(du, chunk, slices.DeleteFunc(picks, func(n *fit.MachineInfo) bool { return !n.Owned }), -1)
 }
 
 // bindTasks binds waiting tasks of a job to machines, at the charge of one part
 // or, without it, of each machine's own.
-func (r *round) bindTasks(du *due, chunk int, picks []*fit.Node, charge int) {
+func (r *round) bindTasks(du *due, chunk int, picks []*fit.MachineInfo, charge int) {
 	j, spec := du.job, &du.job.Spec
 	if du.later {
 		return
@@ -737,7 +737,7 @@
 		if t.State != world.Idle || r.paused(j, i) {
 			continue
 		}
-		if r.recordFull(j, k, 1, picks[0].M.Name) {
+		if r.recordFull(j, k, 1, picks[0].Machine.Name) {
 			r.waiting(j, "its record is full", nil)
 			i = hi - 1
 			continue
@@ -746,7 +746,7 @@
 		n := picks[0]
 		part := charge
 		if part < 0 {
-			part = n.M.Part
+			part = n.Machine.Part
 		}
 		if !r.bind(du, i, t.Attempt+1, n, part) {
 			return
@@ -757,7 +757,7 @@
 
 // bind adds a task to the records' changes, if its team's grant of a part
 // covers it.
-func (r *round) bind(du *due, i int, attempt uint64, n *fit.Node, charge int) bool {
+func (r *round) bind(du *due, i int, attempt uint64, n *fit.MachineInfo, charge int) bool {
 	j := du.job
 	team := j.Spec.Team
 	if r.ending[j.Spec.ID] {
@@ -777,43 +777,43 @@
 		r.waiting(j, "a change of its record is on its way", nil)
 		return false
 	}
-	session := max(n.M.Session, 1)
-	if n.Mine {
-		session = r.agents.MachineStatus(n.M.Name, r.tokens[n.M.Part]).Session
+	session := max(n.Machine.Session, 1)
+	if n.Owned {
+		session = r.agents.MachineStatus(n.Machine.Name, r.tokens[n.Machine.Part]).Session
 	}
 	ref := world.TaskRef{Job: j.Spec.ID, Index: i}
-	t := world.Task{Index: i, State: world.Bound, Attempt: attempt, Machine: n.M.Name, Session: session, Failures: r.taskState(j, i).Failures}
-	if charge != n.M.Part {
+	t := world.Task{Index: i, State: world.Bound, Attempt: attempt, Machine: n.Machine.Name, Session: session, Failures: r.taskState(j, i).Failures}
+	if charge != n.Machine.Part {
 		t.Charge = charge + 1
 	}
 	ed.tasks[i] = t
 	ed.shards[charge] = true
-	ed.shards[n.M.Part] = true
-	ed.encodedSize += maxBindingBytes(n.M.Name)
-	b := pendingBinding{ref, n.M.Name, charge, team, du.Need}
+	ed.shards[n.Machine.Part] = true
+	ed.encodedSize += maxBindingBytes(n.Machine.Name)
+	b := pendingBinding{ref, n.Machine.Name, charge, team, du.Need}
 	ed.bindings = append(ed.bindings, b)
 	r.addInFlight(b)
 	r.bound++
 	r.took(du, b, attempt)
 	delete(r.ownerWaits, j.Spec.ID)
 	delete(r.unplacedSince, j.Spec.ID)
-	if n.Kept == j.Spec.ID {
-		delete(r.reservations, n.M.Name)
-		r.stock.Keep(n.M.Name, "")
+	if n.ReservedFor == j.Spec.ID {
+		delete(r.reservations, n.Machine.Name)
+		r.stock.ReserveFor(n.Machine.Name, "")
 	}
-	r.log.Debug("task placed", "task", ref, "attempt", attempt, "machine", n.M.Name, "image", r.stock.Holds(j.Spec.Image, n))
+	r.log.Debug("task placed", "task", ref, "attempt", attempt, "machine", n.Machine.Name, "image", r.stock.HasImage(j.Spec.Image, n))
 	return true
 }
 
 // waiting logs now and then why a job waits.
-func (r *round) waiting(j *world.Job, why string, n *fit.Node) {
+func (r *round) waiting(j *world.Job, why string, n *fit.MachineInfo) {
 	if !r.log.Enabled(r.ctx, slog.LevelDebug) || r.now.Sub(r.lastLoggedReason[j.Spec.ID]) < tuning.WhyEvery {
 		return
 	}
 	r.lastLoggedReason[j.Spec.ID] = r.now
 	machine := ""
 	if n != nil {
-		machine = n.M.Name
+		machine = n.Machine.Name
 	}
 	r.log.Debug("job waits", "job", j.Spec.ID, "why", why, "machine", machine, "pending", j.Pending())
 }
--- a/internal/place/preemption.go
+++ b/internal/place/preemption.go
@@ -14,12 +14,12 @@
 // the machine by its owner. It tells whether there is a part where room could be made;
 // once there is none, like needs of the same rank are not looked at again in this round:
 // hundreds of arrays that wait behind a full fleet would each pass all of its machines.
-func (r *round) preemptFor(queued *due, taskIndex int, inventory *fit.Stock, zones *fit.Zones) bool {
+func (r *round) preemptFor(queued *due, taskIndex int, inventory *fit.Inventory, zones *fit.ZoneConstraint) bool {
 	task := world.TaskRef{Job: queued.job.Spec.ID, Index: taskIndex}
 	if r.freeing[task] {
 		return true // room is being freed for it already
 	}
-	if r.stops >= tuning.RoundStops || r.rigid[queued.rank].Cover(&queued.Ask) {
+	if r.stops >= tuning.RoundStops || r.rigid[queued.rank].Covers(&queued.Request) {
 		return false
 	}
 	first := (r.first(queued.job) + taskIndex + r.shardRotation(queued)) % r.cluster.Size
@@ -30,21 +30,21 @@
 		if owned {
 			limit = tuning.PreemptLook
 		}
-		candidates := preempt.CandidateMachines(inventory.Ready(shard), &queued.Ask, queued.rank, zones, limit)
+		candidates := preempt.CandidateMachines(inventory.ReadyMachines(shard), &queued.Request, queued.rank, zones, limit)
 		if len(candidates) == 0 {
 			continue
 		}
 		if owned {
-			if best, victims := preempt.CheapestMachine(queued.Need, candidates, func(candidate *fit.Node) []preempt.Victim { return r.preemptibleTasks(candidate, queued) }); best != nil {
+			if best, victims := preempt.CheapestMachine(queued.Need, candidates, func(candidate *fit.MachineInfo) []preempt.Victim { return r.preemptibleTasks(candidate, queued) }); best != nil {
 				r.preemptTasks(best, queued, task, victims)
-				zones.Count[best.M.Zone]++
+				zones.TasksByZone[best.Machine.Zone]++
 			}
 		}
 		return true
 	}
 	// What must stand in certain zones may have missed for that alone.
 	if !queued.job.Spec.OneZone && !queued.job.Spec.Spread {
-		r.rigid[queued.rank].Add(&queued.Ask)
+		r.rigid[queued.rank].Add(&queued.Request)
 	}
 	return false
 }
@@ -62,19 +62,19 @@
 }
 
 // countReservedZones counts with a job's tasks the machines on which room is being freed for it.
-func (r *round) countReservedZones(jobID string, zones *fit.Zones) {
+func (r *round) countReservedZones(jobID string, zones *fit.ZoneConstraint) {
 	for name, reservation := range r.reservations {
 		if machine := r.cluster.Machines[name]; machine != nil && reservation.task.Job == jobID && !r.now.After(reservation.expiresAt) {
-			zones.Count[machine.Zone]++
+			zones.TasksByZone[machine.Zone]++
 		}
 	}
 }
 
 // preemptibleTasks gives the tasks on a machine that may be stopped for a job.
-func (r *round) preemptibleTasks(candidate *fit.Node, queued *due) []preempt.Victim {
+func (r *round) preemptibleTasks(candidate *fit.MachineInfo, queued *due) []preempt.Victim {
 	preemptor := preempt.Preemptor{Rank: queued.rank, WithinGuarantee: queued.assured, GuaranteedOnArrival: r.guaranteedOnArrival[queued.job.Spec.ID], Team: queued.job.Spec.Team, Need: queued.Need}
 	var victims []preempt.Victim
-	for _, binding := range candidate.M.Bound {
+	for _, binding := range candidate.Machine.Bound {
 		if preemptor.MayPreempt(r.runningJob(binding.Job)) && !binding.Job.Cancelled() && world.Yields(&binding.Job.Spec) && !r.agents.StopRequested(binding) {
 			victims = append(victims, preempt.Victim{Binding: binding, Rank: r.rank(binding.Job), LostMachineSeconds: r.lostMachineSeconds(binding, candidate)})
 		}
@@ -83,18 +83,18 @@
 }
 
 // preemptTasks stops tasks on a machine until another has room there, and keeps the room.
-func (r *round) preemptTasks(candidate *fit.Node, queued *due, task world.TaskRef, victims []preempt.Victim) {
+func (r *round) preemptTasks(candidate *fit.MachineInfo, queued *due, task world.TaskRef, victims []preempt.Victim) {
 	r.stops++
-	r.stock.Clear(candidate, task.Job)
-	r.reservations[candidate.M.Name] = reservation{task, r.now.Add(tuning.PreemptHold)}
+	r.stock.ReserveAll(candidate, task.Job)
+	r.reservations[candidate.Machine.Name] = reservation{task, r.now.Add(tuning.PreemptHold)}
 	r.freeing[task] = true
 	for _, victim := range victims {
 		grace := 0.0
 		if queued.rank > 0 && victim.Binding.Job.Spec.CheckpointS > 0 {
 			grace = stopGraceSeconds(&victim.Binding.Job.Spec)
 		}
-		r.log.Debug("stopping a task for one of higher priority", "task", victim.Binding.Ref, "for", task, "machine", candidate.M.Name)
-		r.agents.RequestStop(victim.Binding, candidate.M.Name, grace)
+		r.log.Debug("stopping a task for one of higher priority", "task", victim.Binding.Ref, "for", task, "machine", candidate.Machine.Name)
+		r.agents.RequestStop(victim.Binding, candidate.Machine.Name, grace)
 	}
 }
 
@@ -106,8 +106,8 @@
 }
 
 // lostMachineSeconds is the work lost when a task is stopped, in machine seconds.
-func (r *round) lostMachineSeconds(binding world.Binding, candidate *fit.Node) float64 {
-	task := r.agents.ObserveTask(binding, candidate.M.Name, r.tokens[candidate.M.Part])
+func (r *round) lostMachineSeconds(binding world.Binding, candidate *fit.MachineInfo) float64 {
+	task := r.agents.ObserveTask(binding, candidate.Machine.Name, r.tokens[candidate.Machine.Part])
 	ran := 0.0
 	if task.State == wire.TaskRunning {
 		ran = r.now.Sub(task.Since).Seconds()
--- a/internal/place/recordchange.go
+++ b/internal/place/recordchange.go
@@ -25,16 +25,16 @@
 	moveJ   map[string]int // tasks on their way, by job
 	live    []bool         // parts whose owner lives
 	bound   int
-	stock   *fit.Stock
-	pressed bool                   // the state service's budget is the bottleneck
-	stops   int                    // machines on which room is being freed in this round
-	counts  bool                   // this round counts the demand for the pool
-	freeing map[world.TaskRef]bool // tasks that room is being freed for
-	rigid   [wire.Ranks]fit.Misses // needs for which nothing could be stopped anywhere, by rank
-	blocked bool                   // a task's end could not be written yet
-	ending  map[string]bool        // jobs that a change of this round ends as failed
-	gangs   map[gangAttempt]bool   // whether an attempt is broken, looked at once a round
-	pulls   map[string]pulled      // what jobs that need others ask of them
+	stock   *fit.Inventory
+	pressed bool                           // the state service's budget is the bottleneck
+	stops   int                            // machines on which room is being freed in this round
+	counts  bool                           // this round counts the demand for the pool
+	freeing map[world.TaskRef]bool         // tasks that room is being freed for
+	rigid   [wire.Ranks]fit.FailedRequests // needs for which nothing could be stopped anywhere, by rank
+	blocked bool                           // a task's end could not be written yet
+	ending  map[string]bool                // jobs that a change of this round ends as failed
+	gangs   map[gangAttempt]bool           // whether an attempt is broken, looked at once a round
+	pulls   map[string]pulled              // what jobs that need others ask of them
 }
 
 // recordKey names one record of a job.
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -10,22 +10,22 @@
 
 // renewStock brings the room that is kept from round to round up to date: what changed,
 // what is on its way, what is being freed, and which images are believed to be where.
-func (r *round) renewStock() *fit.Stock {
+func (r *round) renewStock() *fit.Inventory {
 	names := r.changeFeed.Machines()
-	s := fit.Renew(r.retainedInventory, fit.View{Now: r.now, World: r.cluster, Live: r.live, Tokens: r.tokens, Judge: r.readiness}, names, r.machinesToRefresh)
+	s := fit.Refresh(r.retainedInventory, fit.Snapshot{Now: r.now, State: r.cluster, LiveShards: r.live, FencingTokens: r.tokens, AssessReadiness: r.readiness}, names, r.machinesToRefresh)
 	r.retainedInventory = s
-	s.PerGPU, s.Common = r.needPerGPU, r.commonNeed
+	s.NeedPerGPU, s.CommonNeed = r.needPerGPU, r.commonNeed
 	clear(r.machinesToRefresh)
 	for name, amount := range r.moveM {
-		s.Used(name, amount)
+		s.ConsumeByName(name, amount)
 	}
 	for name, h := range r.reservations {
 		if !r.now.After(h.expiresAt) {
-			s.Keep(name, h.task.Job)
+			s.ReserveFor(name, h.task.Job)
 		}
 	}
-	if r.now.Sub(s.Hinted(true)) >= tuning.HoldersLife {
-		s.Hints(true, r.now, func(yield func(image, name string) bool) {
+	if r.now.Sub(s.HintsUpdatedAt(true)) >= tuning.HoldersLife {
+		s.SetImageHints(true, r.now, func(yield func(image, name string) bool) {
 			for image, names := range r.agents.MachinesByImage() {
 				for _, name := range names {
 					if !yield(image, name) {
@@ -35,8 +35,8 @@
 			}
 		})
 	}
-	if s.Hinted(false) != r.remoteImagesAt {
-		s.Hints(false, r.remoteImagesAt, func(yield func(image, name string) bool) {
+	if s.HintsUpdatedAt(false) != r.remoteImagesAt {
+		s.SetImageHints(false, r.remoteImagesAt, func(yield func(image, name string) bool) {
 			for image, names := range r.remoteImages {
 				for name := range names {
 					if !yield(image, name) {
@@ -53,13 +53,13 @@
 func (r *round) readiness(m *world.Machine, mine bool) fit.Readiness {
 	switch {
 	case r.failureDetector.ZoneUnavailable(m.Zone):
-		return fit.Absent // nothing starts there before the cut is over
+		return fit.Unavailable // nothing starts there before the cut is over
 	case mine && r.agents.MachineStatus(m.Name, r.tokens[m.Part]).Schedulable, !mine && r.live[m.Part] && (m.Up || r.likely(m)):
 		return fit.Ready
 	case !m.Up && r.overdue(m):
-		return fit.Absent // others are rented rather than waited for
+		return fit.Unavailable // others are rented rather than waited for
 	default:
-		return fit.Coming
+		return fit.Pending
 	}
 }
 
--- a/internal/place/scheduler_test.go
+++ b/internal/place/scheduler_test.go
@@ -145,8 +145,8 @@
 	if len(bound) != 0 {
 		t.Fatalf("%d tasks bound without room", len(bound))
 	}
-	if c.stock.Looks() > 2*machines {
-		t.Errorf("%d machines examined for %d jobs on %d machines", c.stock.Looks(), jobs, machines)
+	if c.stock.Examined() > 2*machines {
+		t.Errorf("%d machines examined for %d jobs on %d machines", c.stock.Examined(), jobs, machines)
 	}
 	if n := len(c.demand.Groups); n != jobs {
 		t.Errorf("demand names %d of %d jobs", n, jobs)
--- a/internal/place/value.go
+++ b/internal/place/value.go
@@ -101,7 +101,7 @@
 		if m := r.cluster.Machines[machine]; m != nil {
 			if typ, ok := r.cluster.Types[m.Type]; ok {
 				c := world.Capacity(&typ)
-				r.learning.finished += run * (1 - fit.Share(c.Plus(world.Need(spec), -1), c))
+				r.learning.finished += run * (1 - fit.FreeFraction(c.Plus(world.Need(spec), -1), c))
 			}
 		}
 		if b.Attempt == 1 { // a later attempt may have resumed saved work
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -329,7 +329,7 @@
 	late, rank = false, wire.Ranks
 	step := p.step(now)
 	short := p.op.PoolMin - total - len(out)
-	spare := max(short, int(math.Ceil(step.room-d.Spare.Room-0.5)), int(math.Ceil(step.whole-float64(d.Spare.Whole)-0.5)))
+	spare := max(short, int(math.Ceil(step.room-d.Spare.Machines-0.5)), int(math.Ceil(step.whole-float64(d.Spare.UnusedMachines)-0.5)))
 	for i := range spare {
 		b := open(&wire.Spec{}, "", anyKind)
 		if b == nil {
@@ -339,13 +339,13 @@
 	}
 	reserve := p.reserve()
 	for _, z := range slices.Sorted(maps.Keys(reserve)) {
-		for range int(math.Ceil(reserve[z] - d.Spare.Zones[z])) {
+		for range int(math.Ceil(reserve[z] - d.Spare.MachinesByZone[z])) {
 			if open(&wire.Spec{}, z, anyKind) == nil {
 				break
 			}
 		}
 	}
-	for range int(math.Ceil(step.spot - d.Spot.Room - 0.5)) {
+	for range int(math.Ceil(step.spot - d.Spot.Machines - 0.5)) {
 		if open(&wire.Spec{Spot: true}, "", anyKind) == nil {
 			break
 		}
@@ -710,8 +710,8 @@
 	var items []store.Item
 	step := p.step(now)
 	reserve, zones := p.reserve(), map[string]float64{}
-	maps.Copy(zones, d.Spare.Zones)
-	left := map[bool]float64{true: d.Spot.Room - step.spot, false: min(d.Spare.Room-step.room, float64(d.Spare.Whole)-step.whole)}
+	maps.Copy(zones, d.Spare.MachinesByZone)
+	left := map[bool]float64{true: d.Spot.Machines - step.spot, false: min(d.Spare.Machines-step.room, float64(d.Spare.UnusedMachines)-step.whole)}
 	for _, n := range names {
 		m := p.world.Machines[n]
 		if total <= p.op.PoolMin {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -80,7 +80,7 @@
 	p.refused[kind{"m", "west", false}] = refusal{until: time.Now().Add(tuning.RefusedHold)}
 	s := &wire.Spec{ID: "run-1", Kind: wire.KindGang, Priority: wire.PriorityHigh, Tasks: 8, CPUs: 28, GPUs: 4, MemoryGB: 200, OneZone: true}
 	n := 0
-	for _, b := range p.bins(place.Demand{Groups: []place.Group{{Spec: s, Count: 2, Zone: "west", Since: time.Now()}}, Spare: fit.Spare{Room: 9, Whole: 9}, Spot: fit.Spare{Room: 9}}) {
+	for _, b := range p.bins(place.Demand{Groups: []place.Group{{Spec: s, Count: 2, Zone: "west", Since: time.Now()}}, Spare: fit.SpareCapacity{Machines: 9, UnusedMachines: 9}, Spot: fit.SpareCapacity{Machines: 9}}) {
 		if b.zone != "east" {
 			t.Errorf("a machine in %s", b.zone)
 		}
@@ -149,7 +149,7 @@
 			}
 			start, have, open, times := time.Now(), 1, 0, 0
 			asked := func() map[kind]int {
-				d := place.Demand{Spare: fit.Spare{Room: 9, Whole: 9}, Spot: fit.Spare{Room: 9}}
+				d := place.Demand{Spare: fit.SpareCapacity{Machines: 9, UnusedMachines: 9}, Spot: fit.SpareCapacity{Machines: 9}}
 				if have < 4 {
 					d.Groups = []place.Group{{Spec: s, Count: 4 - have, Zone: pin, Since: start}}
 				}
--- a/internal/preempt/preemption.go
+++ b/internal/preempt/preemption.go
@@ -49,18 +49,18 @@
 
 // CandidateMachines gives, up to a number, those of some machines on which a task would have room once
 // what yields to its rank has left, and has none now.
-func CandidateMachines(machines []*fit.Node, request *fit.Ask, rank int, zones *fit.Zones, limit int) []*fit.Node {
-	var candidates []*fit.Node
+func CandidateMachines(machines []*fit.MachineInfo, request *fit.Request, rank int, zones *fit.ZoneConstraint, limit int) []*fit.MachineInfo {
+	var candidates []*fit.MachineInfo
 	for _, machine := range machines {
 		// What costs least to see is asked first: most machines fall out by it.
-		if machine.Kept != "" || request.Need.Within(machine.Free) {
+		if machine.ReservedFor != "" || request.Need.Within(machine.Free) {
 			continue
 		}
 		free := machine.Free
-		for lowerRank := rank; lowerRank < len(machine.M.Yield); lowerRank++ {
-			free = free.Plus(machine.M.Yield[lowerRank], 1)
+		for lowerRank := rank; lowerRank < len(machine.Machine.Yield); lowerRank++ {
+			free = free.Plus(machine.Machine.Yield[lowerRank], 1)
 		}
-		if !request.Need.Within(free) || !fit.Allowed(request.Spec, machine.M) || !zones.Open(machine.M.Zone) {
+		if !request.Need.Within(free) || !fit.Eligible(request.Spec, machine.Machine) || !zones.Allows(machine.Machine.Zone) {
 			continue
 		}
 		if candidates = append(candidates, machine); len(candidates) >= limit {
@@ -100,8 +100,8 @@
 
 // CheapestMachine finds among machines the one where making room costs least; tasks gives those
 // that may be stopped on one. It gives nil if none makes room.
-func CheapestMachine(need world.Amount, machines []*fit.Node, victimsOn func(*fit.Node) []Victim) (*fit.Node, []Victim) {
-	var best *fit.Node
+func CheapestMachine(need world.Amount, machines []*fit.MachineInfo, victimsOn func(*fit.MachineInfo) []Victim) (*fit.MachineInfo, []Victim) {
+	var best *fit.MachineInfo
 	var chosen []Victim
 	leastCost := math.Inf(1)
 	for _, machine := range machines {
--- a/internal/preempt/preemption_test.go
+++ b/internal/preempt/preemption_test.go
@@ -58,19 +58,19 @@
 func TestCheapestMachineIsMinimal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		need := world.Amount{GPUs: float64(rapid.IntRange(1, 4).Draw(t, "need"))}
-		tasks := map[*fit.Node][]Victim{}
-		var machines []*fit.Node
+		tasks := map[*fit.MachineInfo][]Victim{}
+		var machines []*fit.MachineInfo
 		for i := range rapid.IntRange(1, 6).Draw(t, "machines") {
-			machine := &fit.Node{M: &world.Machine{Name: fmt.Sprint("m", i)}, Free: world.Amount{GPUs: float64(rapid.IntRange(0, 2).Draw(t, "free"))}}
+			machine := &fit.MachineInfo{Machine: &world.Machine{Name: fmt.Sprint("m", i)}, Free: world.Amount{GPUs: float64(rapid.IntRange(0, 2).Draw(t, "free"))}}
 			machines = append(machines, machine)
 			for k := range rapid.IntRange(0, 4).Draw(t, "tasks") {
 				job := &world.Job{}
 				job.Spec = wire.Spec{ID: "j", GPUs: float64(rapid.IntRange(1, 2).Draw(t, "gpus"))}
-				tasks[machine] = append(tasks[machine], Victim{Binding: world.Binding{Ref: world.TaskRef{Job: machine.M.Name, Index: k}, Job: job},
+				tasks[machine] = append(tasks[machine], Victim{Binding: world.Binding{Ref: world.TaskRef{Job: machine.Machine.Name, Index: k}, Job: job},
 					Rank: rapid.IntRange(1, 3).Draw(t, "rank"), LostMachineSeconds: float64(rapid.IntRange(1, 50).Draw(t, "cost"))})
 			}
 		}
-		best, stop := CheapestMachine(need, machines, func(machine *fit.Node) []Victim { return tasks[machine] })
+		best, stop := CheapestMachine(need, machines, func(machine *fit.MachineInfo) []Victim { return tasks[machine] })
 		cost := math.Inf(1)
 		if best != nil {
 			cost = 0
@@ -96,7 +96,7 @@
 				free = free.Plus(world.Need(&x.Binding.Job.Spec), 1)
 			}
 			if need.Within(free) && sum < cost {
-				t.Errorf("%s makes room for %v, chosen for %v", machine.M.Name, sum, cost)
+				t.Errorf("%s makes room for %v, chosen for %v", machine.Machine.Name, sum, cost)
 			}
 		}
 	})
