--- a/internal/evacuate/evacuate_test.go
+++ b/internal/evacuate/plan_test.go
@@ -13,14 +13,14 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// lost draws machines with what they hold; a job's kind, rank and replicas go by its number.
-func lost(t *rapid.T) []Machine {
+// drawLostMachines draws machines with what they hold; a job's kind, rank and replicas go by its number.
+func drawLostMachines(t *rapid.T) []Machine {
 	var out []Machine
 	on := map[string]int{}
 	for i := range rapid.IntRange(0, 40).Draw(t, "machines") {
 		m := Machine{Name: fmt.Sprintf("vm-%02d", i)}
 		for _, j := range rapid.SliceOfN(rapid.IntRange(0, 20), 0, 4).Draw(t, "jobs") {
-			m.Tasks = append(m.Tasks, Task{Job: fmt.Sprint("run-", j), Kind: Kind(j % 3), Rank: j % 2})
+			m.Tasks = append(m.Tasks, Task{JobID: fmt.Sprint("run-", j), Kind: WorkloadKind(j % 3), PriorityRank: j % 2})
 			on[fmt.Sprint("run-", j)]++
 		}
 		slices.SortFunc(m.Tasks, func(a, b Task) int { return int(a.Kind) - int(b.Kind) })
@@ -30,7 +30,7 @@
 	for i := range out {
 		for k := range out[i].Tasks {
 			x := &out[i].Tasks[k]
-			x.Has = on[x.Job] + len(x.Job)%(more+1)
+			x.PlacedReplicas = on[x.JobID] + len(x.JobID)%(more+1)
 		}
 	}
 	return out
@@ -42,7 +42,7 @@
 // whatever the order in which the machines are told.
 func TestPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		machines := lost(t)
+		machines := drawLostMachines(t)
 		steps := Plan(machines)
 		other := slices.Clone(machines)
 		rand.New(rand.NewPCG(1, uint64(len(other)))).Shuffle(len(other), func(i, j int) { other[i], other[j] = other[j], other[i] })
@@ -54,14 +54,14 @@
 			byName[m.Name] = m
 			for _, x := range m.Tasks {
 				if x.Kind == Service {
-					left[x.Job] = x.Has
+					left[x.JobID] = x.PlacedReplicas
 				}
 			}
 		}
 		for _, m := range machines {
 			for _, x := range m.Tasks {
 				if x.Kind == Service {
-					left[x.Job]--
+					left[x.JobID]--
 				}
 			}
 		}
@@ -77,49 +77,49 @@
 			}
 			switch s.Kind {
 			case Service:
-				if left[s.Job] != s.Left {
-					t.Fatalf("%s has %d left, not %d", s.Job, left[s.Job], s.Left)
+				if left[s.JobID] != s.ReplicasLeft {
+					t.Fatalf("%s has %d left, not %d", s.JobID, left[s.JobID], s.ReplicasLeft)
 				}
 				for _, o := range byName {
 					for _, x := range o.Tasks {
-						if x.Kind == Service && left[x.Job] < s.Left {
-							t.Fatalf("%s with %d left waits behind %s with %d", x.Job, left[x.Job], s.Job, s.Left)
+						if x.Kind == Service && left[x.JobID] < s.ReplicasLeft {
+							t.Fatalf("%s with %d left waits behind %s with %d", x.JobID, left[x.JobID], s.JobID, s.ReplicasLeft)
 						}
 					}
 				}
 				for _, x := range m.Tasks {
 					if x.Kind == Service {
-						left[x.Job]++
+						left[x.JobID]++
 					}
 				}
 			case Gang:
-				if n := len(gangs); n == 0 || gangs[n-1] != s.Job {
-					if slices.Contains(gangs, s.Job) {
-						t.Fatalf("%s is torn apart: %v", s.Job, gangs)
+				if n := len(gangs); n == 0 || gangs[n-1] != s.JobID {
+					if slices.Contains(gangs, s.JobID) {
+						t.Fatalf("%s is torn apart: %v", s.JobID, gangs)
 					}
-					gangs = append(gangs, s.Job)
+					gangs = append(gangs, s.JobID)
 				}
 			}
 		}
 		if len(byName) > 0 {
 			t.Fatalf("left out: %v", byName)
 		}
-		if !slices.IsSortedFunc(gangs, func(a, b string) int { return rank(a) - rank(b) }) {
+		if !slices.IsSortedFunc(gangs, func(a, b string) int { return rankOf(a) - rankOf(b) }) {
 			t.Fatalf("gangs in the order %v", gangs)
 		}
 	})
 }
 
-func rank(job string) int {
+func rankOf(job string) int {
 	n := 0
 	_, _ = fmt.Sscanf(job, "run-%d", &n)
 	return n % 2
 }
 
-// TestOneReplicaOfEachFirst spells the order out: of two services without a replica each has
+// TestPlanRestoresOneReplicaOfEachServiceFirst spells the order out: of two services without a replica each has
 // one before either has its second, and both before one that has three.
-func TestOneReplicaOfEachFirst(t *testing.T) {
-	of := func(job string, has int) Task { return Task{Job: job, Kind: Service, Has: has} }
+func TestPlanRestoresOneReplicaOfEachServiceFirst(t *testing.T) {
+	of := func(job string, has int) Task { return Task{JobID: job, Kind: Service, PlacedReplicas: has} }
 	steps := Plan([]Machine{
 		{"a", []Task{of("x", 2)}}, {"b", []Task{of("x", 2)}}, {"c", []Task{of("y", 2)}}, {"d", []Task{of("y", 2)}}, {"e", []Task{of("z", 4)}},
 	})
@@ -141,7 +141,7 @@
 			machines[i].Name = fmt.Sprintf("vm-%06d", i)
 			for range 4 {
 				j := rnd.IntN(n / 4)
-				machines[i].Tasks = append(machines[i].Tasks, Task{Job: fmt.Sprint("run-", j), Kind: Kind(j % 3), Has: 6})
+				machines[i].Tasks = append(machines[i].Tasks, Task{JobID: fmt.Sprint("run-", j), Kind: WorkloadKind(j % 3), PlacedReplicas: 6})
 			}
 		}
 		b.Run(fmt.Sprint(n, " machines"), func(b *testing.B) {
--- a/internal/place/failedmachines.go
+++ b/internal/place/failedmachines.go
@@ -136,13 +136,13 @@
 }
 
 // evacuationKinds are the kinds of jobs as plans of evacuation know them.
-var evacuationKinds = map[string]evacuate.Kind{wire.KindService: evacuate.Service, wire.KindGang: evacuate.Gang, wire.KindArray: evacuate.Array}
+var evacuationKinds = map[string]evacuate.WorkloadKind{wire.KindService: evacuate.Service, wire.KindGang: evacuate.Gang, wire.KindArray: evacuate.Array}
 
 // evacuationTasks gives what is on a machine, for the plan of its evacuation.
 func (r *round) evacuationTasks(name string) []evacuate.Task {
 	var tasks []evacuate.Task
 	for _, binding := range r.cluster.Machines[name].Bound {
-		tasks = append(tasks, evacuate.Task{Job: binding.Ref.Job, Kind: evacuationKinds[binding.Job.Spec.Kind], Rank: r.rank(binding.Job), Has: binding.Job.Bound})
+		tasks = append(tasks, evacuate.Task{JobID: binding.Ref.Job, Kind: evacuationKinds[binding.Job.Spec.Kind], PriorityRank: r.rank(binding.Job), PlacedReplicas: binding.Job.Bound})
 	}
 	return tasks
 }
--- a/internal/silence/detector.go
+++ b/internal/silence/detector.go
@@ -232,7 +232,7 @@
 		if !w.allowDeletion(m, up, now) {
 			continue
 		}
-		j.Deletions = append(j.Deletions, Deletion{m.Name, w.deletionReason(now, m) + ", " + steps[i].Why()})
+		j.Deletions = append(j.Deletions, Deletion{m.Name, w.deletionReason(now, m) + ", " + steps[i].Reason()})
 	}
 	return j
 }
--- a/internal/silence/detector_test.go
+++ b/internal/silence/detector_test.go
@@ -24,7 +24,7 @@
 // tasksOf gives the tasks of a machine: a service of two replicas if it moves, else an array's.
 func tasksOf(m *Machine) []evacuate.Task {
 	if m.ServiceMovable {
-		return []evacuate.Task{{Job: "service of " + m.Name, Kind: evacuate.Service, Has: 2}}
+		return []evacuate.Task{{JobID: "service of " + m.Name, Kind: evacuate.Service, PlacedReplicas: 2}}
 	}
 	return make([]evacuate.Task, m.BoundTasks)
 }
