--- a/internal/place/failedmachines.go
+++ b/internal/place/failedmachines.go
@@ -68,13 +68,13 @@
 	r.evacuateOutboundLost(outboundLost, len(machines))
 	judgement := r.failureDetector.Assess(r.now, machines, func(machine *silence.Machine) []evacuate.Task { return r.evacuationTasks(machine.Name) })
 	for _, change := range judgement.ZoneChanges {
-		r.log.Info("zone changes", "zone", change.Zone, "state", change.To, "before", change.From, "after", change.After.Round(time.Second), "waits for", change.Waits)
+		r.log.Info("zone changes", "zone", change.Zone, "state", change.To, "before", change.From, "after", change.TimeInFormerState.Round(time.Second), "waits for", change.WaitingFor)
 		for _, status := range zone.States {
 			zoneStateGauge.WithLabelValues(change.Zone, status.String()).Set(map[bool]float64{true: 1}[status == change.To])
 		}
 	}
 	for name, summary := range judgement.ZoneReturns {
-		r.log.Info("zone is back", "zone", name, "worked on", summary.Worked, "restarted", summary.Restarted, "gone", summary.Gone, "new", summary.New)
+		r.log.Info("zone is back", "zone", name, "worked on", summary.Continued, "restarted", summary.Restarted, "gone", summary.Deleted, "new", summary.Added)
 	}
 	for _, name := range judgement.ProbeMachines {
 		r.agents.RequestDispatch(name)
--- a/internal/silence/detector.go
+++ b/internal/silence/detector.go
@@ -68,7 +68,7 @@
 // back to us one by one: the first of them must not make the others look dead.
 func (w *Detector) silentSince(m *Machine) time.Time {
 	at := m.OwnedSince
-	for _, t := range []time.Time{m.LastHeard, w.zones.Returned(m.Zone)} {
+	for _, t := range []time.Time{m.LastHeard, w.zones.ReturningSince(m.Zone)} {
 		if t.After(at) {
 			at = t
 		}
@@ -92,11 +92,11 @@
 // Assessment is what follows from one look at a node's machines.
 type Assessment struct {
 	Deletions      []Deletion
-	ProbeMachines  []string             // to be asked directly
-	AskPeersAbout  []string             // to be asked for with the peers; the answer goes to Told
-	ShardTransfers map[int]string       // parts whose workers report to another node
-	ZoneChanges    []zone.Change        // zones whose state changed
-	ZoneReturns    map[string]zone.Back // of those that serve again, what became of their machines
+	ProbeMachines  []string                      // to be asked directly
+	AskPeersAbout  []string                      // to be asked for with the peers; the answer goes to Told
+	ShardTransfers map[int]string                // parts whose workers report to another node
+	ZoneChanges    []zone.Transition             // zones whose state changed
+	ZoneReturns    map[string]zone.ReturnSummary // of those that serve again, what became of their machines
 }
 
 // peerAnswer is what the peers said of a silent machine; no node: none has heard it.
@@ -112,28 +112,28 @@
 	recentDeletions []time.Time
 	peerAnswers     map[string]peerAnswer
 	peersAskedAt    time.Time
-	zones           zone.Zones
+	zones           zone.Tracker
 	zoneEvacuations map[string]*zoneEvacuation
-	zoneRosters     map[string]zone.Roll // of zones that were cut off and do not serve again yet
+	zoneRosters     map[string]zone.Roster // of zones that were cut off and do not serve again yet
 }
 
 // zoneEvacuation is how far the machines of a zone that is cut off, whose services move, are given up.
 type zoneEvacuation struct{ total, deleted int }
 
 // Zones are the states of the zones as of the last judgement.
-func (w *Detector) Zones() *zone.Zones { return &w.zones }
+func (w *Detector) Zones() *zone.Tracker { return &w.zones }
 
 // ZoneUnavailable tells whether a zone is cut off from this node, or lost, as of the last judgement.
-func (w *Detector) ZoneUnavailable(name string) bool { return w.zones.Out(name) }
+func (w *Detector) ZoneUnavailable(name string) bool { return w.zones.Unavailable(name) }
 
 // ZoneUnstable tells whether a zone is cut off, or was so lately that its workers may be on
 // their way back.
 func (w *Detector) ZoneUnstable(name string) bool {
-	return w.zones.Out(name) || w.zones.State(name) == zone.Returning
+	return w.zones.Unavailable(name) || w.zones.State(name) == zone.Returning
 }
 
 // UnavailableZones gives the zones that are cut off or lost.
-func (w *Detector) UnavailableZones() []string { return w.zones.Outs() }
+func (w *Detector) UnavailableZones() []string { return w.zones.UnavailableZones() }
 
 // RecordPeerAnswers takes in which node has heard which of the machines that were asked for.
 func (w *Detector) RecordPeerAnswers(now time.Time, asked []string, heard map[string]string) {
@@ -145,36 +145,36 @@
 // updateZones counts, by zone, the machines that should be heard and those that are, and takes the
 // zones' states from it. Machines that this node took over a moment ago could not be heard
 // yet and say nothing.
-func (w *Detector) updateZones(now time.Time, list []Machine) (whole zone.Tally, changed []zone.Change) {
-	heard := map[string]zone.Tally{}
+func (w *Detector) updateZones(now time.Time, list []Machine) (whole zone.HeartbeatCount, changed []zone.Transition) {
+	heard := map[string]zone.HeartbeatCount{}
 	for i := range list {
 		m := &list[i]
 		if !m.Up || m.LastHeard.IsZero() && now.Sub(m.OwnedSince) < scaleDuration(tuning.CutOwned, w.Timing.HeartbeatInterval) {
 			continue
 		}
 		t := heard[m.Zone]
-		t.Up++
-		whole.Up++
+		t.Expected++
+		whole.Expected++
 		if now.Sub(m.LastHeard) < w.Timing.HeartbeatInterval {
-			t.Heard++
-			whole.Heard++
+			t.Received++
+			whole.Received++
 		}
-		t.Inside = m.ControllerInZone
+		t.ControllerInZone = m.ControllerInZone
 		heard[m.Zone] = t
 	}
-	w.zones.Rules = zone.Rules{Lease: w.Timing.LeaseDuration, Back: w.Timing.deadAfter() + tuning.FindNode}
-	return whole, w.zones.Look(now, heard)
+	w.zones.Timing = zone.Timing{LeaseDuration: w.Timing.LeaseDuration, ReconnectTime: w.Timing.deadAfter() + tuning.FindNode}
+	return whole, w.zones.Observe(now, heard)
 }
 
 // updateRosters keeps who stood in a zone when it was cut off, and tells them apart when it serves again.
-func (w *Detector) updateRosters(changed []zone.Change, list []Machine) map[string]zone.Back {
-	out := map[string]zone.Back{}
+func (w *Detector) updateRosters(changed []zone.Transition, list []Machine) map[string]zone.ReturnSummary {
+	out := map[string]zone.ReturnSummary{}
 	for _, c := range changed {
 		_, kept := w.zoneRosters[c.Zone]
 		if c.To != zone.Serving && (c.To != zone.Cut || kept) {
 			continue
 		}
-		now := zone.Roll{}
+		now := zone.Roster{}
 		for i := range list {
 			if m := &list[i]; m.Zone == c.Zone && m.Up {
 				now[m.Name] = m.Session
@@ -183,7 +183,7 @@
 		if c.To == zone.Cut {
 			w.zoneRosters[c.Zone] = now
 		} else if kept {
-			out[c.Zone] = w.zoneRosters[c.Zone].Returned(now)
+			out[c.Zone] = w.zoneRosters[c.Zone].CompareAfterReturn(now)
 			delete(w.zoneRosters, c.Zone)
 		}
 	}
@@ -194,7 +194,7 @@
 func (w *Detector) Assess(now time.Time, list []Machine, holds func(*Machine) []evacuate.Task) Assessment {
 	var j Assessment
 	if w.peerAnswers == nil {
-		w.peerAnswers, w.zoneEvacuations, w.zoneRosters = map[string]peerAnswer{}, map[string]*zoneEvacuation{}, map[string]zone.Roll{}
+		w.peerAnswers, w.zoneEvacuations, w.zoneRosters = map[string]peerAnswer{}, map[string]*zoneEvacuation{}, map[string]zone.Roster{}
 	}
 	whole, changed := w.updateZones(now, list)
 	j.ZoneChanges, j.ZoneReturns = changed, w.updateRosters(changed, list)
@@ -277,8 +277,8 @@
 }
 
 // otherZonesHeard tells whether, beside the zones that are cut, others are heard well.
-func (w *Detector) otherZonesHeard(whole zone.Tally) bool {
-	return len(w.UnavailableZones()) > 0 && whole.Up >= tuning.CutMachines && float64(whole.Heard) >= tuning.CutElsewhere*float64(whole.Up)
+func (w *Detector) otherZonesHeard(whole zone.HeartbeatCount) bool {
+	return len(w.UnavailableZones()) > 0 && whole.Expected >= tuning.CutMachines && float64(whole.Received) >= tuning.CutElsewhere*float64(whole.Expected)
 }
 
 // deletionOrder gives the silent machines that are due to be given up, in the order of the plan
