--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -65,7 +65,7 @@
 	}
 	workers.SetPeerLastAnswered(peers.Reached)
 	engine := place.New(set, op, view, members, workers, commit, client, peers, log)
-	cloud := pool.NewCloud(set.Outside.Cloud, d.Cloud.RPS, d.Size, rt)
+	cloud := pool.NewClient(set.Outside.Cloud, d.Cloud.RPS, d.Size, rt)
 	machines := pool.New(set, op, view, members, engine, cloud, commit, log)
 	outcomes := pipeline.New(view, client, log)
 	levels := upgrade.New(set, level, view, members, commit, client, log)
--- a/internal/pool/pool_test.go
+++ b/internal/pool/autoscaler_test.go
@@ -18,12 +18,12 @@
 	"sableusher/internal/world"
 )
 
-var zones = []string{"east", "west"}
+var testZones = []string{"east", "west"}
 
-func testPool(tb testing.TB) *Pool {
+func newTestAutoscaler(tb testing.TB) *Autoscaler {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	w := world.New(3, log)
-	w.Types["m"] = wire.MachineType{Name: "m", CPUs: 32, GPUs: 4, MemoryGB: 256, Price: 10, SpotPrice: 4, BootS: 30, Zones: zones}
+	w.Types["m"] = wire.MachineType{Name: "m", CPUs: 32, GPUs: 4, MemoryGB: 256, Price: 10, SpotPrice: 4, BootS: 30, Zones: testZones}
 	op, err := config.LoadOperator("")
 	if err != nil {
 		tb.Fatal(err)
@@ -34,9 +34,9 @@
 // TestBinsHoldWhatWaits: the machines to be rented have room for everything that
 // found none, of kinds that the jobs may use, a gang's in one zone and a spread
 // job's in more than one; and not twice as many as are needed.
-func TestBinsHoldWhatWaits(t *testing.T) {
+func TestPlannedMachinesFitUnplacedWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := testPool(nil)
+		p := newTestAutoscaler(nil)
 		d := place.Demand{At: time.Now()}
 		gpus, ordinary, gangs := 0, 0, 0
 		for i := range rapid.IntRange(1, 12).Draw(t, "groups") {
@@ -56,7 +56,7 @@
 			gpus += s.Tasks * int(s.GPUs)
 			d.Groups = append(d.Groups, place.Group{Spec: s, Count: s.Tasks, Zone: rapid.SampledFrom([]string{"", "west"}).Draw(t, "zone"), Since: time.Now()})
 		}
-		bins := p.bins(d)
+		bins := p.planScaleOut(d)
 		room, plain := 0, 0
 		for _, b := range bins {
 			room += 4
@@ -75,12 +75,12 @@
 
 // TestRefusedZoneIsLeftForAnother: where a gang's zone has no more machines, all
 // of its room is rented in another, not only the rest of it.
-func TestRefusedZoneIsLeftForAnother(t *testing.T) {
-	p := testPool(t)
-	p.refused[kind{"m", "west", false}] = refusal{until: time.Now().Add(tuning.RefusedHold)}
+func TestGangMovesFromRefusedZone(t *testing.T) {
+	p := newTestAutoscaler(t)
+	p.refusals[machineKind{"m", "west", false}] = refusal{until: time.Now().Add(tuning.RefusedHold)}
 	s := &wire.Spec{ID: "run-1", Kind: wire.KindGang, Priority: wire.PriorityHigh, Tasks: 8, CPUs: 28, GPUs: 4, MemoryGB: 200, OneZone: true}
 	n := 0
-	for _, b := range p.bins(place.Demand{Groups: []place.Group{{Spec: s, Count: 2, Zone: "west", Since: time.Now()}}, Spare: fit.SpareCapacity{Machines: 9, UnusedMachines: 9}, Spot: fit.SpareCapacity{Machines: 9}}) {
+	for _, b := range p.planScaleOut(place.Demand{Groups: []place.Group{{Spec: s, Count: 2, Zone: "west", Since: time.Now()}}, Spare: fit.SpareCapacity{Machines: 9, UnusedMachines: 9}, Spot: fit.SpareCapacity{Machines: 9}}) {
 		if b.zone != "east" {
 			t.Errorf("a machine in %s", b.zone)
 		}
@@ -96,33 +96,33 @@
 // a zone is out none is kept, and by default none at all.
 func TestReserveCoversALostZone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := testPool(nil)
-		p.op.PoolMin, p.op.PoolStep = 0, 0
+		p := newTestAutoscaler(nil)
+		p.operator.PoolMin, p.operator.PoolStep = 0, 0
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
-		p.op.ZoneReserve = share
+		p.operator.ZoneReserve = share
 		held := map[string]float64{}
 		job := &world.Job{JobRecord: world.JobRecord{Spec: wire.Spec{ID: "run-1", Kind: wire.KindService, Tasks: 8, CPUs: 8, GPUs: 1, MemoryGB: 60}}}
 		for i := range rapid.IntRange(0, 40).Draw(t, "machines") {
-			m := &world.Machine{Name: fmt.Sprintf("vm-%d", i), MachineRecord: world.MachineRecord{Type: "m", Zone: rapid.SampledFrom(zones).Draw(t, "zone"), Up: true}}
+			m := &world.Machine{Name: fmt.Sprintf("vm-%d", i), MachineRecord: world.MachineRecord{Type: "m", Zone: rapid.SampledFrom(testZones).Draw(t, "zone"), Up: true}}
 			m.Bound = map[world.TaskRef]world.Binding{}
 			for k := range rapid.IntRange(0, 4).Draw(t, "replicas") {
 				ref := world.TaskRef{Job: fmt.Sprintf("run-%d", i), Index: k}
 				m.Bound[ref] = world.Binding{Ref: ref, Job: job}
 				held[m.Zone] += 0.25
 			}
-			p.world.Machines[m.Name] = m
+			p.state.Machines[m.Name] = m
 		}
 		spare := map[string]float64{}
-		for _, b := range p.bins(place.Demand{At: time.Now()}) {
+		for _, b := range p.planScaleOut(place.Demand{At: time.Now()}) {
 			spare[b.zone]++
 		}
-		for _, z := range zones {
+		for _, z := range testZones {
 			if left := spare["east"] + spare["west"] - spare[z]; left+1 < share*held[z] {
 				t.Errorf("%v machines are free outside of %s, which holds services for %v and may lose %.2f of them", left, z, held[z], share)
 			}
 		}
-		p.cut = []string{"east"}
-		if n := len(p.bins(place.Demand{At: time.Now()})); n > 0 {
+		p.unavailableZones = []string{"east"}
+		if n := len(p.planScaleOut(place.Demand{At: time.Now()})); n > 0 {
 			t.Errorf("%d machines are kept while a zone is out", n)
 		}
 	})
@@ -135,27 +135,27 @@
 // have more, and are asked for the whole again.
 func TestGangIsCollectedInOneZone(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		pin := rapid.SampledFrom(zones).Draw(rt, "zone")
+		pin := rapid.SampledFrom(testZones).Draw(rt, "zone")
 		free := map[int]int{} // machines that come free, by second
 		for range rapid.IntRange(0, 3).Draw(rt, "frees") {
 			free[rapid.IntRange(0, 40).Draw(rt, "second")]++
 		}
 		synctest.Test(t, func(t *testing.T) {
-			p := testPool(t)
-			p.op.PoolMin = 0
+			p := newTestAutoscaler(t)
+			p.operator.PoolMin = 0
 			s := &wire.Spec{ID: "run-1", Kind: wire.KindGang, Priority: wire.PriorityHigh, Tasks: 4, CPUs: 28, GPUs: 4, MemoryGB: 200, OneZone: true}
-			for _, z := range zones {
-				p.refuse(kind{"m", z, false})
+			for _, z := range testZones {
+				p.recordRefusal(machineKind{"m", z, false})
 			}
 			start, have, open, times := time.Now(), 1, 0, 0
-			asked := func() map[kind]int {
+			asked := func() map[machineKind]int {
 				d := place.Demand{Spare: fit.SpareCapacity{Machines: 9, UnusedMachines: 9}, Spot: fit.SpareCapacity{Machines: 9}}
 				if have < 4 {
 					d.Groups = []place.Group{{Spec: s, Count: 4 - have, Zone: pin, Since: start}}
 				}
-				out := map[kind]int{}
-				for _, b := range p.bins(d) {
-					out[b.kind]++
+				out := map[machineKind]int{}
+				for _, b := range p.planScaleOut(d) {
+					out[b.machineKind]++
 				}
 				return out
 			}
@@ -169,7 +169,7 @@
 					got := min(open, n)
 					open -= got
 					if have += got; got < n {
-						p.refuse(k)
+						p.recordRefusal(k)
 					}
 				}
 				time.Sleep(time.Second)
