--- a/cmd/sableusher/graph.go
+++ b/cmd/sableusher/graph.go
@@ -172,8 +172,8 @@
 		return r, nil
 	}
 	for _, j := range jobs {
-		p := planned{Task: j.Task, Job: j.Spec.ID, Class: j.Spec.Class, Team: j.Spec.Team, Image: j.Spec.Image, Tasks: j.Spec.Tasks,
-			Retries: j.Spec.Repeats, Rule: j.Rule, Upstream: []string{}, Release: "records"}
+		p := planned{Task: j.Task, Job: j.Spec.ID, Class: j.Spec.Class, Team: j.Spec.Team, Image: j.Spec.Image, Tasks: j.Spec.TaskCount,
+			Retries: j.Spec.MaxRetries, Rule: j.Rule, Upstream: []string{}, Release: "records"}
 		if j.Map >= 0 {
 			p.Map = &j.Map
 		}
--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -12,27 +12,27 @@
 
 // Impossible says why a job can never run; empty if it can. Where the machine types are
 // not known, none speaks against it.
-func Impossible(s *wire.Spec, teams map[string]config.Team, types map[string]wire.MachineType) string {
+func Impossible(s *wire.JobSpec, teams map[string]config.Team, types map[string]wire.MachineType) string {
 	team, ok := teams[s.Team]
 	if !ok {
 		return "unknown team"
 	}
 	need := world.Need(s)
-	n := float64(s.Tasks)
+	n := float64(s.TaskCount)
 	if s.Kind == wire.KindArray {
 		n = 1
 	}
 	if team.CPUsMax > 0 && n*need.CPUs > team.CPUsMax+1e-6 || team.GPUsMax > 0 && n*need.GPUs > team.GPUsMax+1e-6 {
 		return "more than the team's limit"
 	}
-	if s.OneZone && s.Spread && s.Tasks > 1 {
+	if s.SameZone && s.Spread && s.TaskCount > 1 {
 		return "one zone and spread exclude each other"
 	}
 	if len(types) == 0 {
 		return ""
 	}
 	for name, t := range types {
-		if len(s.Types) > 0 && !slices.Contains(s.Types, name) || s.Zone != "" && !slices.Contains(t.Zones, s.Zone) {
+		if len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, name) || s.Zone != "" && !slices.Contains(t.Zones, s.Zone) {
 			continue
 		}
 		if need.Within(world.Capacity(&t)) {
--- a/internal/fit/allocate.go
+++ b/internal/fit/allocate.go
@@ -11,7 +11,7 @@
 
 // Request is what a job asks room for.
 type Request struct {
-	Spec      *wire.Spec
+	Spec      *wire.JobSpec
 	Need      world.Amount // of each task
 	Remaining int          // tasks that have no place yet in this round
 	// StartWithinS is the time in seconds in which a replica should start; 0: nobody says.
@@ -39,9 +39,9 @@
 	return clone
 }
 
-func (c *ZoneConstraint) addTasks(spec *wire.Spec, zone string, count int) {
+func (c *ZoneConstraint) addTasks(spec *wire.JobSpec, zone string, count int) {
 	c.TasksByZone[zone] += count
-	if spec.OneZone {
+	if spec.SameZone {
 		c.PinnedZone = zone
 	}
 }
@@ -122,7 +122,7 @@
 // start, though other types fetch faster: what it takes of a better machine is little beside that.
 func (inv *Inventory) fetchDelaysStart(request *Request, info *MachineInfo) bool {
 	rate := inv.fetchRateByType[info.Machine.Type]
-	return request.StartWithinS > 0 && rate < inv.maxFetchRate && request.Spec.ImageGB > request.StartWithinS*rate && request.Spec.ImageGB <= request.StartWithinS*inv.maxFetchRate
+	return request.StartWithinS > 0 && rate < inv.maxFetchRate && request.Spec.ImageSizeGB > request.StartWithinS*rate && request.Spec.ImageSizeGB <= request.StartWithinS*inv.maxFetchRate
 }
 
 // displacesCommon tells whether a small task takes the place of a common one: one core of a machine with
@@ -155,7 +155,7 @@
 // and no room taken if there is none.
 func (inv *Inventory) AllocateGang(request *Request, candidates []*MachineInfo, constraint ZoneConstraint, filter func(*MachineInfo) bool) []*MachineInfo {
 	zones := []string{""}
-	if request.Spec.OneZone && constraint.PinnedZone == "" {
+	if request.Spec.SameZone && constraint.PinnedZone == "" {
 		capacity, images := map[string]int{}, map[string]int{}
 		zones = nil
 		for _, info := range candidates {
--- a/internal/fit/failedrequests.go
+++ b/internal/fit/failedrequests.go
@@ -13,7 +13,7 @@
 
 type failedRequest struct {
 	need world.Amount
-	spec *wire.Spec
+	spec *wire.JobSpec
 }
 
 // Add remembers that an ask found nothing.
--- a/internal/fit/inventory.go
+++ b/internal/fit/inventory.go
@@ -125,12 +125,12 @@
 	s.fetchRateByType = map[string]float64{}
 	var first wire.MachineType
 	for name, t := range w.Types {
-		s.capacityByType[name], s.fetchRateByType[name] = world.Capacity(&t), t.FetchGBps
-		s.maxFetchRate = max(s.maxFetchRate, t.FetchGBps)
+		s.capacityByType[name], s.fetchRateByType[name] = world.Capacity(&t), t.ImageFetchGBps
+		s.maxFetchRate = max(s.maxFetchRate, t.ImageFetchGBps)
 		if first.Name == "" {
 			first = t
 		}
-		s.typesDiffer = s.typesDiffer || t.FetchGBps != first.FetchGBps || t.CPUs != first.CPUs
+		s.typesDiffer = s.typesDiffer || t.ImageFetchGBps != first.ImageFetchGBps || t.CPUs != first.CPUs
 	}
 	for part, list := range w.ByPart {
 		nodes := make([]MachineInfo, len(list))
@@ -436,13 +436,13 @@
 }
 
 // Eligible tells whether a job may use a machine at all.
-func Eligible(s *wire.Spec, m *world.Machine) bool {
-	return (s.Spot || !m.Spot) && (s.Zone == "" || s.Zone == m.Zone) && (len(s.Types) == 0 || slices.Contains(s.Types, m.Type))
+func Eligible(s *wire.JobSpec, m *world.Machine) bool {
+	return (s.AllowSpot || !m.Spot) && (s.Zone == "" || s.Zone == m.Zone) && (len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, m.Type))
 }
 
 // atLeastAsStrict tells whether a may use only machines that b may use as well.
-func atLeastAsStrict(a, b *wire.Spec) bool {
-	return (b.Spot || !a.Spot) && (b.Zone == "" || a.Zone == b.Zone) && (len(b.Types) == 0 || slices.Equal(a.Types, b.Types))
+func atLeastAsStrict(a, b *wire.JobSpec) bool {
+	return (b.AllowSpot || !a.AllowSpot) && (b.Zone == "" || a.Zone == b.Zone) && (len(b.MachineTypes) == 0 || slices.Equal(a.MachineTypes, b.MachineTypes))
 }
 
 // FreeFraction is the scarcest part of a machine that is free, from 0 to 1.
--- a/internal/fit/inventory_test.go
+++ b/internal/fit/inventory_test.go
@@ -51,7 +51,7 @@
 	for k := range used {
 		tasks = append(tasks, world.Task{Index: k, State: world.Bound, Attempt: 1, Machine: machineName(i), Session: 1})
 	}
-	g.put(world.JobKey("on-"+machineName(i)), world.JobRecord{Spec: wire.Spec{ID: "on-" + machineName(i), Kind: wire.KindArray, Tasks: 4, CPUs: 2, GPUs: 1, MemoryGB: 16, Image: "i"}, Tasks: tasks, AtMs: 1})
+	g.put(world.JobKey("on-"+machineName(i)), world.JobRecord{Spec: wire.JobSpec{ID: "on-" + machineName(i), Kind: wire.KindArray, TaskCount: 4, CPUs: 2, GPUs: 1, MemoryGB: 16, Image: "i"}, Tasks: tasks, AtMs: 1})
 }
 
 func (g *testCluster) snapshot() Snapshot {
@@ -69,9 +69,9 @@
 
 func drawRequest(t *rapid.T) *Request {
 	n := float64(rapid.IntRange(1, 4).Draw(t, "need"))
-	s := &wire.Spec{ID: "a", Kind: wire.KindGang, Tasks: rapid.IntRange(1, 12).Draw(t, "tasks"), CPUs: 2 * n, GPUs: n, MemoryGB: 16 * n,
-		Spot: rapid.Bool().Draw(t, "mayspot"), OneZone: rapid.Bool().Draw(t, "onezone"), Image: "i"}
-	return &Request{Spec: s, Need: world.Need(s), Remaining: s.Tasks}
+	s := &wire.JobSpec{ID: "a", Kind: wire.KindGang, TaskCount: rapid.IntRange(1, 12).Draw(t, "tasks"), CPUs: 2 * n, GPUs: n, MemoryGB: 16 * n,
+		AllowSpot: rapid.Bool().Draw(t, "mayspot"), SameZone: rapid.Bool().Draw(t, "onezone"), Image: "i"}
+	return &Request{Spec: s, Need: world.Need(s), Remaining: s.TaskCount}
 }
 
 func freeByMachine(s *Inventory) map[string]world.Amount {
@@ -149,17 +149,17 @@
 			}
 		}
 		possible := all >= a.Remaining
-		if a.Spec.OneZone {
+		if a.Spec.SameZone {
 			possible = slices.Max(append(slices.Collect(maps.Values(room)), 0)) >= a.Remaining
 		}
 		picks := s.AllocateGang(a, s.FittingMachines(a), ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: 100}, nil)
-		if (picks != nil) != possible || picks != nil && len(picks) != a.Spec.Tasks {
-			t.Fatalf("%d of %d tasks placed, possible: %v", len(picks), a.Spec.Tasks, possible)
+		if (picks != nil) != possible || picks != nil && len(picks) != a.Spec.TaskCount {
+			t.Fatalf("%d of %d tasks placed, possible: %v", len(picks), a.Spec.TaskCount, possible)
 		}
 		used := map[string]int{}
 		for _, n := range picks {
 			used[n.Machine.Name]++
-			if a.Spec.OneZone && n.Machine.Zone != picks[0].Machine.Zone || !Eligible(a.Spec, n.Machine) {
+			if a.Spec.SameZone && n.Machine.Zone != picks[0].Machine.Zone || !Eligible(a.Spec, n.Machine) {
 				t.Errorf("%s in %s", n.Machine.Name, n.Machine.Zone)
 			}
 		}
@@ -209,8 +209,8 @@
 // a common one only if no machine has room for them that has none for those, and no more than they must;
 // and replicas that have to fetch their image go where it comes fastest.
 func TestSmallTasksLeaveRoomForCommonTasks(t *testing.T) {
-	types := []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 8, FetchGBps: 0.8, Zones: testZones}, {Name: "m", CPUs: 8, MemoryGB: 64, FetchGBps: 0.8, Zones: testZones},
-		{Name: "l", CPUs: 32, MemoryGB: 64, FetchGBps: 0.2, Zones: testZones}}
+	types := []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 8, ImageFetchGBps: 0.8, Zones: testZones}, {Name: "m", CPUs: 8, MemoryGB: 64, ImageFetchGBps: 0.8, Zones: testZones},
+		{Name: "l", CPUs: 32, MemoryGB: 64, ImageFetchGBps: 0.2, Zones: testZones}}
 	common := world.Amount{CPUs: 8, Mem: 13}
 	rapid.Check(t, func(t *rapid.T) {
 		g := newTestCluster()
@@ -222,12 +222,12 @@
 			for k := range rapid.IntRange(0, int(typ.CPUs)).Draw(t, "used") {
 				tasks = append(tasks, world.Task{Index: k, State: world.Bound, Attempt: 1, Machine: machineName(i), Session: 1})
 			}
-			g.put(world.JobKey("on-"+machineName(i)), world.JobRecord{Spec: wire.Spec{ID: "on-" + machineName(i), Kind: wire.KindService, Tasks: 32, CPUs: 1, MemoryGB: 0.5}, Tasks: tasks, AtMs: 1})
+			g.put(world.JobKey("on-"+machineName(i)), world.JobRecord{Spec: wire.JobSpec{ID: "on-" + machineName(i), Kind: wire.KindService, TaskCount: 32, CPUs: 1, MemoryGB: 0.5}, Tasks: tasks, AtMs: 1})
 		}
 		s := Refresh(nil, g.snapshot())
 		s.CommonNeed = common
-		spec := &wire.Spec{ID: "a", Kind: wire.KindService, Tasks: rapid.IntRange(1, 30).Draw(t, "tasks"), CPUs: 1, MemoryGB: 0.5, Image: "i"}
-		a := &Request{Spec: spec, Need: world.Need(spec), Remaining: spec.Tasks}
+		spec := &wire.JobSpec{ID: "a", Kind: wire.KindService, TaskCount: rapid.IntRange(1, 30).Draw(t, "tasks"), CPUs: 1, MemoryGB: 0.5, Image: "i"}
+		a := &Request{Spec: spec, Need: world.Need(spec), Remaining: spec.TaskCount}
 		filterFor(s, a)
 		slots, harmless := 0, 0
 		for _, n := range s.ready {
@@ -244,7 +244,7 @@
 			t.Errorf("%d tasks, room for %d beside common ones, took the place of %d", len(picks), harmless, slots-left)
 		}
 		// Whoever should start within 3 s stands where 2 GB come in time, if there is room at all.
-		spec.ImageGB, a = 2, &Request{Spec: spec, Need: a.Need, Remaining: 1, StartWithinS: 3}
+		spec.ImageSizeGB, a = 2, &Request{Spec: spec, Need: a.Need, Remaining: 1, StartWithinS: 3}
 		s = Refresh(nil, g.snapshot())
 		s.CommonNeed = common
 		filterFor(s, a)
--- a/internal/fleet/heartbeat_test.go
+++ b/internal/fleet/heartbeat_test.go
@@ -46,9 +46,9 @@
 			if !old {
 				least = seen // a worker's highest token only grows
 			}
-			r := &wire.Report{Machine: m, Address: "10.1.0.1:9000", Session: now.session, Seq: now.seq, Token: rapid.Uint64Range(least, token).Draw(t, "token")}
+			r := &wire.Heartbeat{Machine: m, Address: "10.1.0.1:9000", Session: now.session, Sequence: now.seq, FencingToken: rapid.Uint64Range(least, token).Draw(t, "token")}
 			if now.session == 2 && now.seq > 3 { // done in its second session, and not known to the third
-				r.Tasks = []wire.TaskReport{{Task: ref.String(), Attempt: 2, State: wire.TaskExited, Cause: wire.CauseDone}}
+				r.Tasks = []wire.TaskStatus{{Task: ref.String(), Attempt: 2, State: wire.TaskExited, ExitCause: wire.ExitCauseDone}}
 			}
 			before := k.MachineStatus(m, token)
 			status, _ := k.HandleHeartbeat(r)
@@ -61,15 +61,15 @@
 				}
 				continue
 			}
-			newest, seen = now, r.Token
+			newest, seen = now, r.FencingToken
 			for name, rep := range k.TakeAdoptions() {
 				if name == m && (rep.Session < newest.session) {
 					t.Fatalf("session %d is recorded, %d was heard", rep.Session, newest.session)
 				}
 			}
 			fate := k.ObserveTask(b, m, token).Presence
-			if fate == PresenceSessionEnded && newest.session <= 2 || fate == PresenceExited && (newest.session != 2 || newest.seq <= 3) || fate == PresenceAbsent && r.Token != token {
-				t.Fatalf("fate %v after %v under token %d of %d", fate, newest, r.Token, token)
+			if fate == PresenceSessionEnded && newest.session <= 2 || fate == PresenceExited && (newest.session != 2 || newest.seq <= 3) || fate == PresenceAbsent && r.FencingToken != token {
+				t.Fatalf("fate %v after %v under token %d of %d", fate, newest, r.FencingToken, token)
 			}
 		}
 	})
@@ -83,10 +83,10 @@
 	k.state.Begin()
 	k.state.Put(world.MachineKey(m), wire.MustEncode(world.MachineRecord{Type: "m", Zone: "z", Address: "10.1.0.1:9000", Up: true, Session: 4}), 2)
 	k.state.Flush()
-	if status, _ := k.HandleHeartbeat(&wire.Report{Machine: m, Session: 3, Seq: 90, Token: 5}); status != http.StatusServiceUnavailable || len(k.RecentlyHeard([]string{m})) > 0 {
+	if status, _ := k.HandleHeartbeat(&wire.Heartbeat{Machine: m, Session: 3, Sequence: 90, FencingToken: 5}); status != http.StatusServiceUnavailable || len(k.RecentlyHeard([]string{m})) > 0 {
 		t.Errorf("a copy out of an earlier session counts: %d", status)
 	}
-	if status, _ := k.HandleHeartbeat(&wire.Report{Machine: m, Session: 4, Seq: 1, Token: 5}); status != http.StatusOK {
+	if status, _ := k.HandleHeartbeat(&wire.Heartbeat{Machine: m, Session: 4, Sequence: 1, FencingToken: 5}); status != http.StatusOK {
 		t.Errorf("the session on record: %d", status)
 	}
 }
@@ -145,7 +145,7 @@
 }
 
 // answeringTransport stands in for workers that answer direct commands.
-type answeringTransport func() wire.Report
+type answeringTransport func() wire.Heartbeat
 
 func (a answeringTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(wire.MustEncode(a())))}, nil
@@ -159,9 +159,9 @@
 		k := newRegistryFixture(tuning.LevelCertain)
 		m := k.addMachine(0)
 		seq, session := uint64(3), uint64(1)
-		k.httpClient = &http.Client{Transport: answeringTransport(func() wire.Report {
+		k.httpClient = &http.Client{Transport: answeringTransport(func() wire.Heartbeat {
 			seq++
-			return wire.Report{Machine: m, Address: "10.1.0.1:9000", Session: session, Seq: seq, Token: 5}
+			return wire.Heartbeat{Machine: m, Address: "10.1.0.1:9000", Session: session, Sequence: seq, FencingToken: 5}
 		})}
 		look := func(what string, usable, mute bool) {
 			t.Helper()
@@ -195,7 +195,7 @@
 		if a := k.TakeAdoptions(); a[m].Session != 2 {
 			t.Errorf("a session that an answer tells of is not recorded: %v", a)
 		}
-		k.HandleHeartbeat(&wire.Report{Machine: m, Address: "10.1.0.1:9000", Session: 2, Seq: 9, Token: 5})
+		k.HandleHeartbeat(&wire.Heartbeat{Machine: m, Address: "10.1.0.1:9000", Session: 2, Sequence: 9, FencingToken: 5})
 		look("a report comes", true, false)
 		// It is cut off for longer than a lease, and answers before its first report finds the way.
 		seq = 9
--- a/internal/fleet/lease_test.go
+++ b/internal/fleet/lease_test.go
@@ -57,7 +57,7 @@
 }
 
 func (k *registryFixture) heartbeat(name string, seq, token uint64) (int, any) {
-	return k.HandleHeartbeat(&wire.Report{Machine: name, Address: "10.1.0.1:9000", Session: 1, Seq: seq, Token: token})
+	return k.HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", Session: 1, Sequence: seq, FencingToken: token})
 }
 
 // TestLeasesThroughACut: on a view that is too old to know of cancellations leases are
@@ -94,7 +94,7 @@
 			if status != c.want {
 				t.Fatalf("%d, want %d", status, c.want)
 			}
-			if o, ok := body.(wire.Orders); ok && (o.Token != 5 || len(o.Orders) > 0) {
+			if o, ok := body.(wire.HeartbeatResponse); ok && (o.FencingToken != 5 || len(o.Commands) > 0) {
 				t.Errorf("%+v", o)
 			}
 		})
@@ -110,15 +110,15 @@
 		k.state.Begin()
 		for i, cancelMs := range []int64{5, 0} {
 			id := fmt.Sprintf("run-%d", i)
-			k.state.Put(world.JobKey(id), wire.MustEncode(world.JobRecord{Spec: wire.Spec{ID: id, Kind: wire.KindService, Tasks: 2}, CancelMs: cancelMs,
+			k.state.Put(world.JobKey(id), wire.MustEncode(world.JobRecord{Spec: wire.JobSpec{ID: id, Kind: wire.KindService, TaskCount: 2}, CancelMs: cancelMs,
 				Tasks: []world.Task{{State: world.Bound, Attempt: 1, Machine: m, Session: 1}, {Index: 1, State: world.Bound, Attempt: 1, Machine: m, Session: 1}}}), 2)
 		}
 		k.state.Flush()
 		k.confirmedAt, k.peerAnsweredAt = time.Now().Add(-time.Minute), time.Now().Add(-time.Minute)
-		status, body := k.HandleHeartbeat(&wire.Report{Machine: m, Session: 1, Seq: 1, Token: 5, Tasks: []wire.TaskReport{
+		status, body := k.HandleHeartbeat(&wire.Heartbeat{Machine: m, Session: 1, Sequence: 1, FencingToken: 5, Tasks: []wire.TaskStatus{
 			{Task: "run-0/0", Attempt: 1, State: wire.TaskRunning}, {Task: "run-1/0", Attempt: 1, State: wire.TaskRunning}}})
-		o, _ := body.(wire.Orders)
-		if status != http.StatusOK || len(o.Orders) != 1 || o.Orders[0].Op != wire.OpStop || o.Orders[0].Task != "run-0/0" {
+		o, _ := body.(wire.HeartbeatResponse)
+		if status != http.StatusOK || len(o.Commands) != 1 || o.Commands[0].Kind != wire.CommandStop || o.Commands[0].Task != "run-0/0" {
 			t.Errorf("part %d: %d %+v", part, status, o)
 		}
 	}
@@ -170,7 +170,7 @@
 				if (status == http.StatusOK) != c.want {
 					t.Fatalf("%d, want renewed: %v", status, c.want)
 				}
-				if o, ok := body.(wire.Orders); ok && (o.Token != c.token || len(o.Orders) > 0) {
+				if o, ok := body.(wire.HeartbeatResponse); ok && (o.FencingToken != c.token || len(o.Commands) > 0) {
 					t.Errorf("%+v", o)
 				}
 				time.Sleep(2 * tuning.FreezeGap) // it stands still
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -27,7 +27,7 @@
 
 // reportedTask is a task as last reported.
 type reportedTask struct {
-	wire.TaskReport
+	wire.TaskStatus
 	stateSince time.Time
 }
 
@@ -107,8 +107,8 @@
 
 // confirmsPreviousAnswer tells whether a report shows that its worker heard the answer to the one before: after
 // a lost answer it would have gone on to another node, and counted that report.
-func (m *machine) confirmsPreviousAnswer(r *wire.Report) bool {
-	return r.Session == m.session && m.lastSequence == m.heartbeatSequence && r.Seq == m.lastSequence+1
+func (m *machine) confirmsPreviousAnswer(r *wire.Heartbeat) bool {
+	return r.Session == m.session && m.lastSequence == m.heartbeatSequence && r.Sequence == m.lastSequence+1
 }
 
 func newMachine(name string) *machine {
@@ -141,11 +141,11 @@
 // applyReport takes in a report; older ones than the last are refused. beat tells
 // reports that ask for an answer from those that answer commands. changed tells
 // whether the report says anything new.
-func (m *machine) applyReport(r *wire.Report, beat bool, now time.Time) (newer, changed bool) {
-	if r.Session < m.session || r.Session == m.session && r.Seq <= m.lastSequence {
+func (m *machine) applyReport(r *wire.Heartbeat, beat bool, now time.Time) (newer, changed bool) {
+	if r.Session < m.session || r.Session == m.session && r.Sequence <= m.lastSequence {
 		return false, false
 	}
-	changed = r.Session > m.session || r.Token > m.fencingToken || (r.NoticeS != nil) == m.reclaimAt.IsZero() || len(m.pendingStarts) > 0
+	changed = r.Session > m.session || r.FencingToken > m.fencingToken || (r.ReclaimNoticeSeconds != nil) == m.reclaimAt.IsZero() || len(m.pendingStarts) > 0
 	if r.Session > m.session {
 		// A new session has none of the old one's tasks, and commands to the
 		// old one are refused.
@@ -155,15 +155,15 @@
 		clear(m.pendingStarts)
 		// Its images are as they were: only tasks end with a lease.
 	}
-	m.lastSequence, m.lastHeard = r.Seq, now
-	m.fencingToken = max(m.fencingToken, r.Token)
-	m.address, m.machineType, m.zone, m.spot = r.Address, r.Type, r.Zone, r.Spot
+	m.lastSequence, m.lastHeard = r.Sequence, now
+	m.fencingToken = max(m.fencingToken, r.FencingToken)
+	m.address, m.machineType, m.zone, m.spot = r.Address, r.MachineType, r.Zone, r.Spot
 	m.reclaimAt = time.Time{}
-	if r.NoticeS != nil {
-		m.reclaimAt = now.Add(time.Duration(*r.NoticeS * float64(time.Second)))
+	if r.ReclaimNoticeSeconds != nil {
+		m.reclaimAt = now.Add(time.Duration(*r.ReclaimNoticeSeconds * float64(time.Second)))
 	}
 	if beat {
-		m.heartbeatSequence, m.lastHeartbeatAt, m.inboundRestoredAt = r.Seq, now, time.Time{}
+		m.heartbeatSequence, m.lastHeartbeatAt, m.inboundRestoredAt = r.Sequence, now, time.Time{}
 	}
 	if m.firstHeardAt.IsZero() {
 		m.firstHeardAt = now
@@ -229,8 +229,8 @@
 // the starts it gives as on their way; seq is the report answered, 0 for a
 // direct command.
 func (m *machine) commands(bound map[world.TaskRef]world.Binding, known func(ref world.TaskRef, attempt uint64) bool,
-	wish func(b world.Binding) (stopRequest, bool), token, seq uint64, now time.Time) []wire.Order {
-	var out []wire.Order
+	wish func(b world.Binding) (stopRequest, bool), token, seq uint64, now time.Time) []wire.Command {
+	var out []wire.Command
 	for k, s := range m.reportedTasks {
 		if len(out) >= tuning.OrdersMax {
 			return out // the rest follows with the next answer
@@ -239,9 +239,9 @@
 		here := ok && b.Attempt == k.attempt && b.Session == m.session
 		if here {
 			delete(m.unboundSince, k)
-			if w, stop := wish(b); stop && s.State != wire.TaskExited && (s.State != wire.TaskSaving || w.graceSeconds == 0) {
+			if w, stop := wish(b); stop && s.State != wire.TaskExited && (s.State != wire.TaskCheckpointing || w.graceSeconds == 0) {
 				g := w.graceSeconds
-				out = append(out, wire.Order{Op: wire.OpStop, Task: s.Task, Attempt: k.attempt, GraceS: &g})
+				out = append(out, wire.Command{Kind: wire.CommandStop, Task: s.Task, Attempt: k.attempt, GraceSeconds: &g})
 			}
 			continue
 		}
@@ -249,7 +249,7 @@
 			// Forgotten only once the record has moved past this attempt and no
 			// start of it can arrive any more: it would run again.
 			if known(k.ref, k.attempt) && !m.startPending(k) {
-				out = append(out, wire.Order{Op: wire.OpForget, Task: s.Task, Attempt: k.attempt})
+				out = append(out, wire.Command{Kind: wire.CommandForget, Task: s.Task, Attempt: k.attempt})
 			}
 			continue
 		}
@@ -261,7 +261,7 @@
 			m.unboundSince[k] = now
 		} else if now.Sub(since) > tuning.StrayAfter {
 			zero := 0.0
-			out = append(out, wire.Order{Op: wire.OpStop, Task: s.Task, Attempt: k.attempt, GraceS: &zero})
+			out = append(out, wire.Command{Kind: wire.CommandStop, Task: s.Task, Attempt: k.attempt, GraceSeconds: &zero})
 		}
 	}
 	for ref, b := range bound {
@@ -279,14 +279,14 @@
 			continue
 		}
 		m.pendingStarts[k] = append(m.pendingStarts[k], pendingStart{fencingToken: token, heartbeatSequence: seq, inFlight: seq == 0})
-		out = append(out, wire.Order{Op: wire.OpStart, Task: ref.String(), Attempt: b.Attempt})
+		out = append(out, wire.Command{Kind: wire.CommandStart, Task: ref.String(), Attempt: b.Attempt})
 	}
 	return out
 }
 
 // resolveStarts settles the direct starts of one command that got an answer, or
 // leaves them in doubt.
-func (m *machine) resolveStarts(sent []wire.Order, session, token uint64, ok bool) {
+func (m *machine) resolveStarts(sent []wire.Command, session, token uint64, ok bool) {
 	if session != m.session {
 		return
 	}
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -8,8 +8,8 @@
 	"sableusher/internal/world"
 )
 
-func newReport(session, seq, token uint64, tasks ...wire.TaskReport) *wire.Report {
-	return &wire.Report{Machine: "m", Session: session, Seq: seq, Token: token, Tasks: tasks}
+func newReport(session, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: "m", Session: session, Sequence: seq, FencingToken: token, Tasks: tasks}
 }
 
 func bindingOf(session uint64) (map[world.TaskRef]world.Binding, world.Binding) {
@@ -25,13 +25,13 @@
 // Until it is fenced the task counts as there, and its exit is not forgotten.
 func TestUnresolvedStart(t *testing.T) {
 	now := time.Unix(100, 0)
-	for name, fence := range map[string]*wire.Report{"higher token": newReport(1, 9, 6), "new session": newReport(2, 1, 0)} {
+	for name, fence := range map[string]*wire.Heartbeat{"higher token": newReport(1, 9, 6), "new session": newReport(2, 1, 0)} {
 		t.Run(name, func(t *testing.T) {
 			m := newMachine("m")
 			m.applyReport(newReport(1, 1, 5), true, now)
 			set, b := bindingOf(1)
 			sent := m.commands(set, attemptAlwaysEnded, noStopRequest, 5, 0, now)
-			if len(sent) != 1 || sent[0].Op != wire.OpStart {
+			if len(sent) != 1 || sent[0].Kind != wire.CommandStart {
 				t.Fatalf("orders %+v", sent)
 			}
 			m.resolveStarts(sent, 1, 5, false)
@@ -39,7 +39,7 @@
 			if f, _ := m.presence(b, 5); f != PresenceUnknown {
 				t.Fatalf("fate %v while the start is in doubt", f)
 			}
-			exited := wire.TaskReport{Task: "run-1/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseDone}
+			exited := wire.TaskStatus{Task: "run-1/0", Attempt: 1, State: wire.TaskExited, ExitCause: wire.ExitCauseDone}
 			m.applyReport(newReport(1, 3, 5, exited), true, now)
 			if o := m.commands(nil, attemptAlwaysEnded, noStopRequest, 5, 3, now); len(o) != 0 {
 				t.Fatalf("forgotten while the start is in doubt: %+v", o)
@@ -77,9 +77,9 @@
 func TestDelayedReportsIgnored(t *testing.T) {
 	now := time.Unix(100, 0)
 	m := newMachine("m")
-	running := wire.TaskReport{Task: "run-1/0", Attempt: 1, State: wire.TaskRunning}
+	running := wire.TaskStatus{Task: "run-1/0", Attempt: 1, State: wire.TaskRunning}
 	m.applyReport(newReport(2, 7, 5, running), true, now)
-	for _, old := range []*wire.Report{newReport(2, 7, 5), newReport(2, 6, 9), newReport(1, 99, 9)} {
+	for _, old := range []*wire.Heartbeat{newReport(2, 7, 5), newReport(2, 6, 9), newReport(1, 99, 9)} {
 		if newer, _ := m.applyReport(old, true, now.Add(time.Second)); newer || !m.lastHeard.Equal(now) {
 			t.Fatalf("took %+v", old)
 		}
--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -40,7 +40,7 @@
 	newestHeartbeats map[string]heartbeatPosition // the newest report of each worker, whoever was its owner
 	changed          chan struct{}
 	dispatchQueue    chan string
-	adoptions        map[string]wire.Report
+	adoptions        map[string]wire.Heartbeat
 	updatedMachines  map[string]struct{} // machines whose reports told something new
 	peerLastAnswered func(node string) time.Time
 	lastAlive        time.Time         // when this process was last seen to run
@@ -52,13 +52,13 @@
 // New makes the fleet; fresh tells as of when the view is complete.
 func New(set *config.Settings, w *world.World, mem *member.Member, fresh func() time.Time, log *slog.Logger, rt http.RoundTripper) *Registry {
 	if rt == nil {
-		rt = wire.Transport(tuning.OrderTimeout, 1, max(1, int(tuning.OrderSockets*float64(set.Deployment.Limits.MaxSockets))))
+		rt = wire.NewTransport(tuning.OrderTimeout, 1, max(1, int(tuning.OrderSockets*float64(set.Deployment.Limits.MaxSockets))))
 	}
 	return &Registry{
 		settings: set, clusterState: w, membership: mem, completeAsOf: fresh, logger: log,
 		httpClient: &http.Client{Transport: rt}, dispatchSlots: semaphore.NewWeighted(tuning.OrderLanes),
 		machines: map[string]*machine{}, stopRequests: map[attemptKey]stopRequest{}, redirectedAt: map[string]time.Time{}, newestHeartbeats: map[string]heartbeatPosition{},
-		changed: make(chan struct{}, 1), dispatchQueue: make(chan string, tuning.KickQueue), adoptions: map[string]wire.Report{},
+		changed: make(chan struct{}, 1), dispatchQueue: make(chan string, tuning.KickQueue), adoptions: map[string]wire.Heartbeat{},
 		updatedMachines: map[string]struct{}{}, startedAt: time.Now(), initialTokens: map[string]uint64{},
 	}
 }
@@ -119,12 +119,12 @@
 // own way to the state service: both are cut off together. It starts nothing. The worker
 // takes an answer with the token it has seen; one that has seen a higher one has a
 // newer owner. Callers hold both locks.
-func (f *Registry) renewForUnreachableOwner(r *wire.Report, part int, now, fresh time.Time) (wire.Orders, bool) {
+func (f *Registry) renewForUnreachableOwner(r *wire.Heartbeat, part int, now, fresh time.Time) (wire.HeartbeatResponse, bool) {
 	p, known := f.clusterState.Parts[part]
 	rec := f.clusterState.Machines[r.Machine]
-	if !known || r.Token > p.Token || rec == nil || rec.Gone || now.Sub(fresh) < tuning.SessionTTL || !f.mayRenewLeases(now, fresh) ||
+	if !known || r.FencingToken > p.Token || rec == nil || rec.Gone || now.Sub(fresh) < tuning.SessionTTL || !f.mayRenewLeases(now, fresh) ||
 		f.peerLastAnswered == nil || now.Sub(f.peerLastAnswered(p.Owner)) < tuning.OwnerLost {
-		return wire.Orders{}, false
+		return wire.HeartbeatResponse{}, false
 	}
 	return f.stopCancelledTasks(r, rec, p.Token), true
 }
@@ -135,40 +135,40 @@
 // which makes it safe, the worker's own token says. Another node that can be reached
 // may know more, so there must be none; and a worker whose token rises meanwhile has an
 // owner that reaches it, to whom it must not be lost. Callers hold the lock.
-func (f *Registry) renewWithoutState(r *wire.Report, now, fresh time.Time) (wire.Orders, bool) {
+func (f *Registry) renewWithoutState(r *wire.Heartbeat, now, fresh time.Time) (wire.HeartbeatResponse, bool) {
 	f.noteAlive(now)
 	if !fresh.IsZero() {
 		clear(f.initialTokens)
 	}
-	if !fresh.IsZero() || !f.resumedAt.IsZero() || r.Token < tuning.CertainToken || f.peerLastAnswered == nil || now.Sub(f.startedAt) < tuning.OwnerLost {
-		return wire.Orders{}, false
+	if !fresh.IsZero() || !f.resumedAt.IsZero() || r.FencingToken < tuning.CertainToken || f.peerLastAnswered == nil || now.Sub(f.startedAt) < tuning.OwnerLost {
+		return wire.HeartbeatResponse{}, false
 	}
 	for _, s := range f.settings.Siblings {
 		if now.Sub(f.peerLastAnswered(s.Node)) < tuning.OwnerLost {
-			return wire.Orders{}, false
+			return wire.HeartbeatResponse{}, false
 		}
 	}
 	first, ok := f.initialTokens[r.Machine]
 	if !ok {
-		first = r.Token
+		first = r.FencingToken
 		f.initialTokens[r.Machine] = first
 	}
-	return wire.Orders{Token: r.Token, Orders: []wire.Order{}}, r.Token == first
+	return wire.HeartbeatResponse{FencingToken: r.FencingToken, Commands: []wire.Command{}}, r.FencingToken == first
 }
 
 // stopCancelledTasks are the orders on a view that may be old: nothing starts, but what it knows to be
 // cancelled ends. Callers hold both locks.
-func (f *Registry) stopCancelledTasks(r *wire.Report, rec *world.Machine, token uint64) wire.Orders {
-	out := wire.Orders{Token: token, Orders: []wire.Order{}}
+func (f *Registry) stopCancelledTasks(r *wire.Heartbeat, rec *world.Machine, token uint64) wire.HeartbeatResponse {
+	out := wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}
 	if rec == nil {
 		return out
 	}
 	for _, t := range r.Tasks {
 		ref, ok := world.ParseRef(t.Task)
 		b, bound := rec.Bound[ref]
-		if ok && bound && b.Attempt == t.Attempt && b.Job.Cancelled() && t.State != wire.TaskExited && len(out.Orders) < tuning.OrdersMax {
+		if ok && bound && b.Attempt == t.Attempt && b.Job.Cancelled() && t.State != wire.TaskExited && len(out.Commands) < tuning.OrdersMax {
 			grace := 0.0
-			out.Orders = append(out.Orders, wire.Order{Op: wire.OpStop, Task: t.Task, Attempt: t.Attempt, GraceS: &grace})
+			out.Commands = append(out.Commands, wire.Command{Kind: wire.CommandStop, Task: t.Task, Attempt: t.Attempt, GraceSeconds: &grace})
 		}
 	}
 	return out
@@ -184,26 +184,26 @@
 
 // dropReason says why a report tells nothing any more, and keeps it in mind if it does; empty:
 // it is the newest. Callers hold both locks.
-func (f *Registry) dropReason(r *wire.Report, now time.Time) string {
+func (f *Registry) dropReason(r *wire.Heartbeat, now time.Time) string {
 	k := f.newestHeartbeats[r.Machine]
 	switch {
 	case r.Session < k.session:
 		return "session"
-	case r.Session == k.session && r.Seq == k.sequence:
+	case r.Session == k.session && r.Sequence == k.sequence:
 		return "twice"
-	case r.Session == k.session && r.Seq < k.sequence:
+	case r.Session == k.session && r.Sequence < k.sequence:
 		return "order"
 	}
 	// The records tell of sessions that this process has not heard of.
 	if rec := f.clusterState.Machines[r.Machine]; rec != nil && r.Session < rec.Session {
 		return "session"
 	}
-	f.newestHeartbeats[r.Machine] = heartbeatPosition{r.Session, r.Seq, now}
+	f.newestHeartbeats[r.Machine] = heartbeatPosition{r.Session, r.Sequence, now}
 	return ""
 }
 
 // HandleHeartbeat answers a worker's report.
-func (f *Registry) HandleHeartbeat(r *wire.Report) (int, any) {
+func (f *Registry) HandleHeartbeat(r *wire.Heartbeat) (int, any) {
 	now := time.Now()
 	f.clusterState.RLock()
 	defer f.clusterState.RUnlock()
@@ -214,7 +214,7 @@
 	fresh := f.completeAsOf()
 	if why := f.dropReason(r, now); why != "" {
 		heartbeatsDropped.WithLabelValues(why).Inc()
-		f.logger.Debug("report dropped", "machine", r.Machine, "why", why, "session", r.Session, "seq", r.Seq)
+		f.logger.Debug("report dropped", "machine", r.Machine, "why", why, "session", r.Session, "seq", r.Sequence)
 		return http.StatusServiceUnavailable, nil
 	}
 	if out, ok := f.renewWithoutState(r, now, fresh); ok {
@@ -233,12 +233,12 @@
 			owner = ""
 		}
 		delete(f.machines, r.Machine)
-		return http.StatusMisdirectedRequest, wire.Redirect{ReportTo: owner}
+		return http.StatusMisdirectedRequest, wire.HeartbeatRedirect{ControllerAddress: owner}
 	}
-	if r.Token > token {
+	if r.FencingToken > token {
 		// It has a newer owner, of whom this node does not know yet. It would drop our
 		// answer and stay here all the same, until its lease has run out.
-		return http.StatusMisdirectedRequest, wire.Redirect{}
+		return http.StatusMisdirectedRequest, wire.HeartbeatRedirect{}
 	}
 	if !f.mayRenewLeases(now, fresh) {
 		return http.StatusServiceUnavailable, nil
@@ -253,7 +253,7 @@
 		f.machines[r.Machine] = m
 	}
 	// That it has seen this owner's token shows as well that it heard it once.
-	if len(f.settings.Siblings) > 0 && m.confirmsPreviousAnswer(r) || m.inboundConfirmedAt.IsZero() && m.commandFailedAt.IsZero() && r.Token == token {
+	if len(f.settings.Siblings) > 0 && m.confirmsPreviousAnswer(r) || m.inboundConfirmedAt.IsZero() && m.commandFailedAt.IsZero() && r.FencingToken == token {
 		m.inboundConfirmedAt = now
 	}
 	newer, changed := m.applyReport(r, true, now)
@@ -267,7 +267,7 @@
 	if changed {
 		f.markUpdated(r.Machine)
 	}
-	out := wire.Orders{Token: token, Orders: []wire.Order{}}
+	out := wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}
 	if now.Sub(fresh) > f.maxStateAge() {
 		return http.StatusOK, f.stopCancelledTasks(r, rec, token) // the tasks it has go on
 	}
@@ -277,7 +277,7 @@
 		f.notifyChanged()
 	}
 	if _, _, owns := f.membership.Owns(part); rec != nil && owns {
-		out.Orders = append(out.Orders, m.commands(rec.Bound, f.attemptEnded, f.stopRequestFor, token, r.Seq, now)...)
+		out.Commands = append(out.Commands, m.commands(rec.Bound, f.attemptEnded, f.stopRequestFor, token, r.Sequence, now)...)
 	}
 	return http.StatusOK, out
 }
@@ -290,7 +290,7 @@
 	if j == nil {
 		return true // starts follow durable bindings, so the job was there and is over
 	}
-	if !j.Known || ref.Index >= j.Spec.Tasks {
+	if !j.Known || ref.Index >= j.Spec.TaskCount {
 		return false
 	}
 	t := j.Task(ref.Index)
@@ -449,20 +449,20 @@
 		f.clusterState.RUnlock()
 		return
 	}
-	cmd := wire.DirectOrders{Token: token, Session: max(m.session, 1), Orders: []wire.Order{}}
+	cmd := wire.CommandRequest{FencingToken: token, Session: max(m.session, 1), Commands: []wire.Command{}}
 	deaf := m.inboundLost()
 	if m.session != 0 && !(overdue && failed) && !deaf {
-		cmd.Orders = append(cmd.Orders, m.commands(rec.Bound, f.attemptEnded, f.stopRequestFor, token, 0, time.Now())...)
+		cmd.Commands = append(cmd.Commands, m.commands(rec.Bound, f.attemptEnded, f.stopRequestFor, token, 0, time.Now())...)
 	}
 	// A worker that is overdue is asked whether it is there at all.
-	if len(cmd.Orders) == 0 && m.fencingToken == token && !overdue && !deaf {
+	if len(cmd.Commands) == 0 && m.fencingToken == token && !overdue && !deaf {
 		f.mu.Unlock()
 		f.clusterState.RUnlock()
 		return
 	}
 	m.commandInFlight = true
 	address, limit := m.address, tuning.OrderTimeout
-	if (overdue || deaf) && len(cmd.Orders) == 0 {
+	if (overdue || deaf) && len(cmd.Commands) == 0 {
 		limit = tuning.ProbeTimeout
 	}
 	f.mu.Unlock()
@@ -474,7 +474,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m.commandInFlight = false
-	m.resolveStarts(cmd.Orders, cmd.Session, token, err == nil)
+	m.resolveStarts(cmd.Commands, cmd.Session, token, err == nil)
 	if err != nil {
 		m.recordCommandFailure(time.Now())
 		f.logger.Debug("orders unanswered", "machine", name, "err", err)
@@ -513,7 +513,7 @@
 	return time.Duration(n * float64(f.settings.Report()))
 }
 
-func (f *Registry) postCommands(ctx context.Context, address string, cmd wire.DirectOrders, limit time.Duration) (*wire.Report, int, error) {
+func (f *Registry) postCommands(ctx context.Context, address string, cmd wire.CommandRequest, limit time.Duration) (*wire.Heartbeat, int, error) {
 	b, err := wire.Encode(cmd)
 	if err != nil {
 		return nil, 0, err
@@ -537,7 +537,7 @@
 	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusConflict {
 		return nil, resp.StatusCode, fmt.Errorf("orders: status %d", resp.StatusCode)
 	}
-	var rep wire.Report
+	var rep wire.Heartbeat
 	if err := wire.Decode(body, &rep); err != nil {
 		return nil, resp.StatusCode, err
 	}
@@ -614,7 +614,7 @@
 		return TaskObservation{}
 	}
 	fate, s := m.presence(b, token)
-	return TaskObservation{fate, s.State, s.Cause, s.Saved, s.stateSince}
+	return TaskObservation{fate, s.State, s.ExitCause, s.CheckpointSaved, s.stateSince}
 }
 
 // MachinesByImage gives the machines of this node by the images that they are believed
@@ -660,11 +660,11 @@
 }
 
 // TakeAdoptions takes the machines whose records are missing or behind.
-func (f *Registry) TakeAdoptions() map[string]wire.Report {
+func (f *Registry) TakeAdoptions() map[string]wire.Heartbeat {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	out := f.adoptions
-	f.adoptions = map[string]wire.Report{}
+	f.adoptions = map[string]wire.Heartbeat{}
 	return out
 }
 
--- a/internal/golden/fill_test.go
+++ b/internal/golden/fill_test.go
@@ -25,7 +25,7 @@
 func (f *filler) fill(t *testing.T, name string, v reflect.Value) {
 	t.Helper()
 	f.count++
-	if v.Type() == reflect.TypeFor[wire.Raw]() {
+	if v.Type() == reflect.TypeFor[wire.RawValue]() {
 		v.SetBytes(wire.MustEncode(f.count))
 		return
 	}
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -19,28 +19,28 @@
 func TestWorkerMessages(t *testing.T) {
 	notice, grace := 12.5, 0.0
 	checkCBOR(t, "workers.txt", slices.Concat(
-		filled[wire.Report](t, "heartbeat"),
-		filled[wire.TaskReport](t, "task-status"),
-		filled[wire.Orders](t, "heartbeat-answer"),
-		filled[wire.Order](t, "command"),
-		filled[wire.DirectOrders](t, "commands"),
-		filled[wire.Redirect](t, "redirect"),
+		filled[wire.Heartbeat](t, "heartbeat"),
+		filled[wire.TaskStatus](t, "task-status"),
+		filled[wire.HeartbeatResponse](t, "heartbeat-answer"),
+		filled[wire.Command](t, "command"),
+		filled[wire.CommandRequest](t, "commands"),
+		filled[wire.HeartbeatRedirect](t, "redirect"),
 		[]message{
-			{"heartbeat/idle", wire.Report{Machine: "vm-1", Address: "10.0.0.1:80", Type: "g8", Zone: "east", Session: 1, Seq: 2, Token: 3, Tasks: []wire.TaskReport{}}},
-			{"heartbeat/notice", wire.Report{Machine: "vm-1", Spot: true, Session: 1 << 40, NoticeS: &notice, Tasks: []wire.TaskReport{
-				{Task: "run-1/0", Attempt: 1, State: wire.TaskFetching},
-				{Task: "run-1/1", Attempt: 1, State: wire.TaskWaiting},
+			{"heartbeat/idle", wire.Heartbeat{Machine: "vm-1", Address: "10.0.0.1:80", MachineType: "g8", Zone: "east", Session: 1, Sequence: 2, FencingToken: 3, Tasks: []wire.TaskStatus{}}},
+			{"heartbeat/notice", wire.Heartbeat{Machine: "vm-1", Spot: true, Session: 1 << 40, ReclaimNoticeSeconds: &notice, Tasks: []wire.TaskStatus{
+				{Task: "run-1/0", Attempt: 1, State: wire.TaskFetchingImage},
+				{Task: "run-1/1", Attempt: 1, State: wire.TaskAwaitingGang},
 				{Task: "run-1/2", Attempt: 1, State: wire.TaskRunning},
-				{Task: "run-1/3", Attempt: 1, State: wire.TaskSaving, Saved: true},
-				{Task: "run-1/4", Attempt: 9, State: wire.TaskExited, Cause: wire.CauseStopped, Saved: true},
+				{Task: "run-1/3", Attempt: 1, State: wire.TaskCheckpointing, CheckpointSaved: true},
+				{Task: "run-1/4", Attempt: 9, State: wire.TaskExited, ExitCause: wire.ExitCauseStopped, CheckpointSaved: true},
 			}}},
-			{"heartbeat-answer/none", wire.Orders{Token: 5, Orders: []wire.Order{}}},
-			{"commands/all", wire.DirectOrders{Token: 5, Session: 6, Orders: []wire.Order{
-				{Op: wire.OpStart, Task: "run-1/0", Attempt: 1},
-				{Op: wire.OpStop, Task: "run-1/1", Attempt: 2, GraceS: &grace},
-				{Op: wire.OpForget, Task: "run-1/2", Attempt: 3},
+			{"heartbeat-answer/none", wire.HeartbeatResponse{FencingToken: 5, Commands: []wire.Command{}}},
+			{"commands/all", wire.CommandRequest{FencingToken: 5, Session: 6, Commands: []wire.Command{
+				{Kind: wire.CommandStart, Task: "run-1/0", Attempt: 1},
+				{Kind: wire.CommandStop, Task: "run-1/1", Attempt: 2, GraceSeconds: &grace},
+				{Kind: wire.CommandForget, Task: "run-1/2", Attempt: 3},
 			}}},
-			{"redirect/other", wire.Redirect{ReportTo: "10.0.0.2:8080"}},
+			{"redirect/other", wire.HeartbeatRedirect{ControllerAddress: "10.0.0.2:8080"}},
 		},
 	))
 }
@@ -49,24 +49,24 @@
 func TestStoreMessages(t *testing.T) {
 	value := wire.MustEncode("v")
 	checkCBOR(t, "store.txt", slices.Concat(
-		filled[wire.Row](t, "row"),
-		filled[wire.Rows](t, "rows"),
-		filled[wire.Guard](t, "condition"),
+		filled[wire.KeyValue](t, "row"),
+		filled[wire.RangeResponse](t, "rows"),
+		filled[wire.Condition](t, "condition"),
 		filled[wire.Op](t, "change"),
-		filled[wire.Txn](t, "transaction"),
-		filled[wire.TxnResult](t, "transaction-result"),
+		filled[wire.TxnRequest](t, "transaction"),
+		filled[wire.TxnResponse](t, "transaction-result"),
 		filled[wire.Event](t, "event"),
-		filled[wire.News](t, "watch-answer"),
-		filled[wire.HoldRequest](t, "lease-request"),
-		filled[wire.HoldResult](t, "lease-result"),
+		filled[wire.WatchResponse](t, "watch-answer"),
+		filled[wire.LeaseRequest](t, "lease-request"),
+		filled[wire.LeaseResponse](t, "lease-result"),
 		[]message{
-			{"change/set", wire.Op{Set: "s/j/run-1", Value: value}},
-			{"change/set-with-lease", wire.Op{Set: "s/n/n0", Value: value, Hold: 4}},
-			{"change/delete", wire.Op{Drop: "s/j/run-1"}},
-			{"transaction/compare-and-swap", wire.Txn{Guards: []wire.Guard{{Key: "s/j/run-1", Stamp: 3}, {Key: "s/t/run-1/0001"}},
-				Apply: []wire.Op{{Set: "s/j/run-1", Value: value}, {Drop: "s/t/run-1/0001"}}}},
-			{"transaction/read-only", wire.Txn{Guards: []wire.Guard{}}},
-			{"transaction-result/done", wire.TxnResult{Failed: []string{}, Revision: 8}},
+			{"change/set", wire.Op{PutKey: "s/j/run-1", Value: value}},
+			{"change/set-with-lease", wire.Op{PutKey: "s/n/n0", Value: value, LeaseID: 4}},
+			{"change/delete", wire.Op{DeleteKey: "s/j/run-1"}},
+			{"transaction/compare-and-swap", wire.TxnRequest{Conditions: []wire.Condition{{Key: "s/j/run-1", ModRevision: 3}, {Key: "s/t/run-1/0001"}},
+				Ops: []wire.Op{{PutKey: "s/j/run-1", Value: value}, {DeleteKey: "s/t/run-1/0001"}}}},
+			{"transaction/read-only", wire.TxnRequest{Conditions: []wire.Condition{}}},
+			{"transaction-result/done", wire.TxnResponse{FailedKeys: []string{}, Revision: 8}},
 		},
 	))
 }
@@ -74,14 +74,14 @@
 // TestUserMessages: a job's description and the answers to its user keep their bytes.
 func TestUserMessages(t *testing.T) {
 	checkCBOR(t, "users.txt", slices.Concat(
-		filled[wire.Spec](t, "description"),
-		filled[wire.Accepted](t, "accepted"),
-		filled[wire.Status](t, "status"),
-		filled[wire.Problem](t, "problem"),
+		filled[wire.JobSpec](t, "description"),
+		filled[wire.JobResponse](t, "accepted"),
+		filled[wire.JobStatus](t, "status"),
+		filled[wire.ErrorResponse](t, "problem"),
 		[]message{
 			{"description/first-version", arraySpec(16)},
-			{"accepted/pending", wire.Accepted{ID: "run-000412", Status: wire.JobPending}},
-			{"status/running", wire.Status{ID: "run-000412", Status: wire.JobRunning, Done: 3, Running: 4}},
+			{"accepted/pending", wire.JobResponse{ID: "run-000412", State: wire.JobPending}},
+			{"status/running", wire.JobStatus{ID: "run-000412", State: wire.JobRunning, TasksDone: 3, TasksRunning: 4}},
 		},
 	))
 }
@@ -98,7 +98,7 @@
 func TestSubmissions(t *testing.T) {
 	var out strings.Builder
 	try := func(name string, body []byte) {
-		spec, err := wire.DecodeSpec(body)
+		spec, err := wire.DecodeSubmission(body)
 		if err != nil {
 			fmt.Fprintf(&out, "%s: %v\n", name, err)
 			return
@@ -123,7 +123,7 @@
 	try("no amount", wire.MustEncode(body))
 	for _, repeats := range []any{nil, 0, 3, -1, 1 << 40, "3"} {
 		body["repeats"] = repeats
-		asked, err := wire.DecodeRepeats(wire.MustEncode(body))
+		asked, err := wire.DecodeMaxRetries(wire.MustEncode(body))
 		if asked != nil {
 			fmt.Fprintf(&out, "repeats = %v: %d\n", repeats, *asked)
 			continue
@@ -144,11 +144,11 @@
 		{"priority/0", wire.PriorityProduction}, {"priority/1", wire.PriorityHigh}, {"priority/2", wire.PriorityNormal}, {"priority/3", wire.PriorityLow},
 		{"job/pending", wire.JobPending}, {"job/running", wire.JobRunning}, {"job/done", wire.JobDone},
 		{"job/cancelled", wire.JobCancelled}, {"job/failed", wire.JobFailed},
-		{"task/fetching", wire.TaskFetching}, {"task/waiting", wire.TaskWaiting}, {"task/running", wire.TaskRunning},
-		{"task/saving", wire.TaskSaving}, {"task/exited", wire.TaskExited},
-		{"cause/done", wire.CauseDone}, {"cause/stopped", wire.CauseStopped}, {"cause/peers", wire.CausePeers}, {"cause/alone", wire.CauseAlone},
-		{"cause/error", wire.CauseError}, {"cause/no-room", wire.CauseNoRoom}, {"cause/busy", wire.CauseBusy}, {"cause/unknown", wire.CauseUnknown},
-		{"command/start", wire.OpStart}, {"command/stop", wire.OpStop}, {"command/forget", wire.OpForget},
+		{"task/fetching", wire.TaskFetchingImage}, {"task/waiting", wire.TaskAwaitingGang}, {"task/running", wire.TaskRunning},
+		{"task/saving", wire.TaskCheckpointing}, {"task/exited", wire.TaskExited},
+		{"cause/done", wire.ExitCauseDone}, {"cause/stopped", wire.ExitCauseStopped}, {"cause/peers", wire.ExitCauseGangMemberLost}, {"cause/alone", wire.ExitCauseGangIncomplete},
+		{"cause/error", wire.ExitCauseError}, {"cause/no-room", wire.ExitCauseNoCapacity}, {"cause/busy", wire.ExitCauseAlreadyRunning}, {"cause/unknown", wire.ExitCauseUnknownTask},
+		{"command/start", wire.CommandStart}, {"command/stop", wire.CommandStop}, {"command/forget", wire.CommandForget},
 		{"machine/booting", wire.MachineBooting}, {"machine/running", wire.MachineRunning}, {"machine/failed", wire.MachineFailed},
 		{"content-type", wire.ContentType},
 		{"transfer/absent", cell.Absent}, {"transfer/held", cell.Held}, {"transfer/over", cell.Over},
@@ -158,17 +158,17 @@
 		messages = append(messages, message{word.name, word.value})
 	}
 	checkCBOR(t, "words.txt", messages)
-	if reflect.TypeOf(wire.Ranks).Kind() != reflect.Int || wire.Ranks != 4 {
-		t.Errorf("%d priorities", wire.Ranks)
+	if reflect.TypeOf(wire.PriorityCount).Kind() != reflect.Int || wire.PriorityCount != 4 {
+		t.Errorf("%d priorities", wire.PriorityCount)
 	}
 }
 
 // TestReply: an answer has the same status, type and body.
 func TestReply(t *testing.T) {
 	var out strings.Builder
-	for _, value := range []any{nil, wire.Problem{Error: "no such job"}, func() {}} {
+	for _, value := range []any{nil, wire.ErrorResponse{Message: "no such job"}, func() {}} {
 		w := httptest.NewRecorder()
-		wire.Reply(w, 404, value)
+		wire.WriteResponse(w, 404, value)
 		fmt.Fprintf(&out, "%d %q %x\n", w.Code, w.Header().Get("Content-Type"), w.Body.Bytes())
 	}
 	checkText(t, "replies.txt", out.String())
@@ -178,10 +178,10 @@
 func TestCloudMessages(t *testing.T) {
 	checkCBOR(t, "cloud.txt", slices.Concat(
 		filled[wire.Catalog](t, "catalog"),
-		filled[wire.Rental](t, "rental"),
-		filled[wire.Fleet](t, "machines"),
-		filled[wire.Listed](t, "listed-machine"),
-		filled[wire.List](t, "list"),
+		filled[wire.RentalRequest](t, "rental"),
+		filled[wire.MachineNames](t, "machines"),
+		filled[wire.CloudMachine](t, "listed-machine"),
+		filled[wire.MachinePage](t, "list"),
 	))
 }
 
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -15,10 +15,10 @@
 )
 
 // arraySpec describes a job of the first version: no field that a later one added.
-func arraySpec(tasks int) wire.Spec {
-	return wire.Spec{ID: "run-000412", Class: "train", Team: "vision", Kind: wire.KindArray, Priority: wire.PriorityHigh, Tasks: tasks,
-		CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, Zone: "east", Spot: true,
-		EstimateS: 240, CheckpointS: 30, SaveS: 4, DeadlineS: 900}
+func arraySpec(tasks int) wire.JobSpec {
+	return wire.JobSpec{ID: "run-000412", Class: "train", Team: "vision", Kind: wire.KindArray, Priority: wire.PriorityHigh, TaskCount: tasks,
+		CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07", ImageSizeGB: 6.2, MachineTypes: []string{"g8"}, Zone: "east", AllowSpot: true,
+		RuntimeEstimateSeconds: 240, CheckpointIntervalSeconds: 30, CheckpointSaveSeconds: 4, DeadlineSeconds: 900}
 }
 
 func boundTask(index int, attempt uint64, machine string) world.Task {
@@ -38,10 +38,10 @@
 	}
 	three := 3
 	awaiting, limited := arraySpec(200), arraySpec(200)
-	awaiting.Awaits = []string{"run-1", "run-2"}
-	limited.Repeats = &three
+	awaiting.Dependencies = []string{"run-1", "run-2"}
+	limited.MaxRetries = &three
 	gang := arraySpec(4)
-	gang.Kind, gang.OneZone, gang.Spread = wire.KindGang, true, true
+	gang.Kind, gang.SameZone, gang.Spread = wire.KindGang, true, true
 	away := &world.Transfer{Cell: "b", Number: 9, Epoch: 2, Recalled: true}
 	const submittedMs, laterMs = 1_700_000_000_000, 1_700_000_060_000
 	return []message{
@@ -141,7 +141,7 @@
 	}{{"chunks", 0, 0}, {"groups", tuning.ChunkTasks / 4, 0}, {"half-moved", tuning.ChunkTasks / 4, 1}} {
 		three := 3
 		rec := world.JobRecord{Spec: arraySpec(2 * tuning.ChunkTasks), AtMs: 1_700_000_000_000, Width: width.width, Wide: width.wide}
-		rec.Spec.Repeats = &three
+		rec.Spec.MaxRetries = &three
 		view := world.New(3, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		view.Begin()
 		view.Put(world.JobKey(rec.Spec.ID), wire.MustEncode(rec), 11)
@@ -158,7 +158,7 @@
 		}
 		add(width.name+"/final", job.Final(wire.JobDone, 400, 1_700_000_060_000))
 		if guards, ops, ok := job.Move(view.Fit(4000), 1); ok {
-			messages = append(messages, message{width.name + "/move", wire.Txn{Guards: guards, Apply: ops}})
+			messages = append(messages, message{width.name + "/move", wire.TxnRequest{Conditions: guards, Ops: ops}})
 		}
 	}
 	checkCBOR(t, "job_changes.txt", messages)
--- a/internal/graph/compile.go
+++ b/internal/graph/compile.go
@@ -37,7 +37,7 @@
 	Task     string // its id in the graph
 	Map      int    // its number among a mapped task's instances; -1 if the task is not mapped
 	Rule     string // its trigger rule
-	Spec     wire.Spec
+	Spec     wire.JobSpec
 	Upstream []int // jobs that it waits for, by their place in the list
 	// Held tells that a run's owner has to submit it once its rule, or that of one before
 	// it, is met; all others can be submitted at once, as what they await releases them.
@@ -102,7 +102,7 @@
 			j.Spec.ID = JobID(g.ID, run.ID, t.ID, j.Map)
 			if !j.Held {
 				for _, b := range before {
-					j.Spec.Awaits = append(j.Spec.Awaits, jobs[b].Spec.ID)
+					j.Spec.Dependencies = append(j.Spec.Dependencies, jobs[b].Spec.ID)
 				}
 			}
 			of[t.ID] = append(of[t.ID], len(jobs))
@@ -160,7 +160,7 @@
 
 // spec gives a task's job without id and awaits, with the faults that its submission would
 // be refused for.
-func (g *Graph) spec(out *[]Fault, path string, a *Args, names map[string]any, rules Rules) wire.Spec {
+func (g *Graph) spec(out *[]Fault, path string, a *Args, names map[string]any, rules Rules) wire.JobSpec {
 	before := len(*out)
 	text := func(field, v string, needed bool) string {
 		if v == "" && needed {
@@ -200,19 +200,19 @@
 		}
 		return b
 	}
-	s := wire.Spec{
+	s := wire.JobSpec{
 		Class: text("class", a.Class, true), Team: text("team", a.Team, true), Image: text("image", a.Image, true), Zone: text("zone", a.Zone, false),
-		Kind:     map[string]string{"": wire.KindArray, "array": wire.KindArray, "gang": wire.KindGang}[a.Kind],
-		Priority: map[string]string{"": wire.PriorityNormal, "high": wire.PriorityHigh, "normal": wire.PriorityNormal, "low": wire.PriorityLow}[a.Priority],
-		Tasks:    1, CPUs: amount("cpus", a.CPUs), GPUs: amount("gpus", a.GPUs), MemoryGB: amount("memory_gb", a.MemoryGB), ImageGB: amount("image_gb", a.ImageGB),
-		OneZone: yes("one_zone", a.OneZone), Spread: yes("spread", a.Spread), Spot: yes("spot", a.Spot),
-		EstimateS: amount("estimate_s", a.EstimateS), CheckpointS: amount("checkpoint_s", a.CheckpointS), SaveS: amount("save_s", a.SaveS), DeadlineS: amount("deadline_s", a.DeadlineS),
+		Kind:      map[string]string{"": wire.KindArray, "array": wire.KindArray, "gang": wire.KindGang}[a.Kind],
+		Priority:  map[string]string{"": wire.PriorityNormal, "high": wire.PriorityHigh, "normal": wire.PriorityNormal, "low": wire.PriorityLow}[a.Priority],
+		TaskCount: 1, CPUs: amount("cpus", a.CPUs), GPUs: amount("gpus", a.GPUs), MemoryGB: amount("memory_gb", a.MemoryGB), ImageSizeGB: amount("image_gb", a.ImageGB),
+		SameZone: yes("one_zone", a.OneZone), Spread: yes("spread", a.Spread), AllowSpot: yes("spot", a.Spot),
+		RuntimeEstimateSeconds: amount("estimate_s", a.EstimateS), CheckpointIntervalSeconds: amount("checkpoint_s", a.CheckpointS), CheckpointSaveSeconds: amount("save_s", a.SaveS), DeadlineSeconds: amount("deadline_s", a.DeadlineS),
 	}
 	for i, t := range a.Types {
-		s.Types = append(s.Types, text(fmt.Sprintf("types/%d", i), t, true))
+		s.MachineTypes = append(s.MachineTypes, text(fmt.Sprintf("types/%d", i), t, true))
 	}
 	if a.Count != nil {
-		s.Tasks = whole("count", a.Count, 1, tuning.MaxTasks)
+		s.TaskCount = whole("count", a.Count, 1, tuning.MaxTasks)
 	}
 	var asked *int
 	if a.Retries != nil {
@@ -224,7 +224,7 @@
 	}
 	probe := s
 	probe.ID = "run-0"
-	if _, err := wire.DecodeSpec(wire.MustEncode(probe)); err != nil {
+	if _, err := wire.DecodeSubmission(wire.MustEncode(probe)); err != nil {
 		g.fault(out, path, "as a job: %v", err)
 		return s
 	}
@@ -232,7 +232,7 @@
 	if why != "" {
 		g.fault(out, path+"/retries", "%s", why)
 	}
-	s.Repeats = limit
+	s.MaxRetries = limit
 	if rules.Teams != nil {
 		if why := accept.Impossible(&s, rules.Teams, rules.Types); why != "" {
 			g.fault(out, path, "%s", why)
--- a/internal/graph/graph_test.go
+++ b/internal/graph/graph_test.go
@@ -120,11 +120,11 @@
 			if !slices.Equal(want, got) || len(of[j.Task]) != width[j.Task] || j.Held != needs {
 				t.Errorf("%s: waits for %v, want %v; %d instances; held %v", j.Task, got, want, len(of[j.Task]), j.Held)
 			}
-			slices.Sort(j.Spec.Awaits)
-			if j.Held && len(j.Spec.Awaits) > 0 || !j.Held && !slices.Equal(j.Spec.Awaits, got) {
-				t.Errorf("%s awaits %v, want %v", j.Task, j.Spec.Awaits, got)
+			slices.Sort(j.Spec.Dependencies)
+			if j.Held && len(j.Spec.Dependencies) > 0 || !j.Held && !slices.Equal(j.Spec.Dependencies, got) {
+				t.Errorf("%s awaits %v, want %v", j.Task, j.Spec.Dependencies, got)
 			}
-			if _, err := wire.DecodeSpec(wire.MustEncode(j.Spec)); err != nil {
+			if _, err := wire.DecodeSubmission(wire.MustEncode(j.Spec)); err != nil {
 				t.Errorf("%s: %v", j.Task, err)
 			}
 			if j.Map >= 0 && j.Spec.Image != fmt.Sprintf("item-%d-%d", j.Map, j.Map) {
--- a/internal/intake/awaits.go
+++ b/internal/intake/awaits.go
@@ -18,17 +18,17 @@
 
 // awaits checks the jobs that a submission awaits: each must have been accepted,
 // by any node and any version. It answers the request if it may not go on.
-func (in *Intake) awaits(ctx context.Context, w http.ResponseWriter, spec *wire.Spec, level int) bool {
+func (in *Intake) awaits(ctx context.Context, w http.ResponseWriter, spec *wire.JobSpec, level int) bool {
 	if level < tuning.LevelPipelines {
 		// A node that runs the version before would lose the field and start the job.
 		unavailable(w, "not all nodes know of awaited jobs yet")
 		return false
 	}
 	refuse := func(why string) bool {
-		wire.Reply(w, http.StatusUnprocessableEntity, wire.Problem{Error: why})
+		wire.WriteResponse(w, http.StatusUnprocessableEntity, wire.ErrorResponse{Message: why})
 		return false
 	}
-	if slices.Contains(spec.Awaits, spec.ID) {
+	if slices.Contains(spec.Dependencies, spec.ID) {
 		return refuse("awaits itself")
 	}
 	var unseen []string
@@ -36,7 +36,7 @@
 		unseen = unseen[:0]
 		in.world.RLock()
 		defer in.world.RUnlock()
-		for _, a := range spec.Awaits {
+		for _, a := range spec.Dependencies {
 			if j := in.world.Jobs[a]; j == nil || !j.Known {
 				unseen = append(unseen, a)
 			} else if j.Spec.Kind == wire.KindService {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -43,7 +43,7 @@
 
 // Workers answers reports.
 type Workers interface {
-	HandleHeartbeat(r *wire.Report) (int, any)
+	HandleHeartbeat(r *wire.Heartbeat) (int, any)
 }
 
 // Intake is the server's handlers.
@@ -104,7 +104,7 @@
 
 func unavailable(w http.ResponseWriter, why string) {
 	w.Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
-	wire.Reply(w, http.StatusServiceUnavailable, wire.Problem{Error: why})
+	wire.WriteResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Message: why})
 }
 
 func (in *Intake) ready(w http.ResponseWriter, _ *http.Request) {
@@ -118,40 +118,40 @@
 
 func (in *Intake) beat(w http.ResponseWriter, r *http.Request) {
 	b, err := wire.ReadBody(r.Body, tuning.StateBody)
-	var rep wire.Report
+	var rep wire.Heartbeat
 	if err == nil {
 		err = wire.Decode(b, &rep)
 	}
 	if err != nil || rep.Machine == "" || rep.Session == 0 {
 		in.log.Info("unreadable report", "err", err)
-		wire.Reply(w, http.StatusBadRequest, wire.Problem{Error: "unreadable report"})
+		wire.WriteResponse(w, http.StatusBadRequest, wire.ErrorResponse{Message: "unreadable report"})
 		return
 	}
 	status, body := in.workers.HandleHeartbeat(&rep)
-	wire.Reply(w, status, body)
+	wire.WriteResponse(w, status, body)
 }
 
 func (in *Intake) submit(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.SubmitTimeout)
 	defer cancel()
 	b, err := wire.ReadBody(r.Body, tuning.BodyLimit)
-	var spec *wire.Spec
+	var spec *wire.JobSpec
 	if err == nil {
-		spec, err = wire.DecodeSpec(b)
+		spec, err = wire.DecodeSubmission(b)
 	}
 	var asked *int
 	if err == nil && in.repeats.On() {
-		asked, err = wire.DecodeRepeats(b)
+		asked, err = wire.DecodeMaxRetries(b)
 	}
 	if err != nil {
 		in.log.Debug("submission malformed", "err", err)
-		wire.Reply(w, http.StatusBadRequest, wire.Problem{Error: err.Error()})
+		wire.WriteResponse(w, http.StatusBadRequest, wire.ErrorResponse{Message: err.Error()})
 		return
 	}
 	in.world.RLock()
 	live := in.world.Jobs[spec.ID]
 	known := live != nil && live.Known
-	other := known && !sameAwaits(live.Spec.Awaits, spec.Awaits)
+	other := known && !sameAwaits(live.Spec.Dependencies, spec.Dependencies)
 	types, level := len(in.world.Types), in.world.Level
 	why := accept.Impossible(spec, in.teams, in.world.Types)
 	limit, over := in.repeats.Limit(spec.Class, asked)
@@ -161,12 +161,12 @@
 	fit := in.world.Fit(in.commit.LeastRoom())
 	in.world.RUnlock()
 	if other {
-		wire.Reply(w, http.StatusUnprocessableEntity, wire.Problem{Error: "another job has this id: it awaits other jobs"})
+		wire.WriteResponse(w, http.StatusUnprocessableEntity, wire.ErrorResponse{Message: "another job has this id: it awaits other jobs"})
 		return
 	}
 	if !known {
 		if level >= tuning.LevelRepeats {
-			spec.Repeats = limit
+			spec.MaxRetries = limit
 		} else if asked != nil && why == "" {
 			// A node that runs the version before would lose the count.
 			unavailable(w, "not all nodes count repeats yet")
@@ -180,9 +180,9 @@
 		if why != "" {
 			switch status, err := in.status(ctx, spec.ID); {
 			case err == nil:
-				wire.Reply(w, http.StatusOK, wire.Accepted{ID: spec.ID, Status: status.Status})
+				wire.WriteResponse(w, http.StatusOK, wire.JobResponse{ID: spec.ID, State: status.State})
 			case errors.Is(err, store.ErrNotFound):
-				wire.Reply(w, http.StatusUnprocessableEntity, wire.Problem{Error: why})
+				wire.WriteResponse(w, http.StatusUnprocessableEntity, wire.ErrorResponse{Message: why})
 			default:
 				unavailable(w, "state service away")
 			}
@@ -192,17 +192,17 @@
 			unavailable(w, "machine types not known yet")
 			return
 		}
-		if len(spec.Awaits) > 0 && !in.awaits(ctx, w, spec, level) {
+		if len(spec.Dependencies) > 0 && !in.awaits(ctx, w, spec, level) {
 			return
 		}
 		key := world.JobKey(spec.ID)
 		_, err := in.commit.Do(ctx, store.Item{
-			Guards: []wire.Guard{{Key: key}, {Key: world.FinalKey(spec.ID)}},
+			Guards: []wire.Condition{{Key: key}, {Key: world.FinalKey(spec.ID)}},
 			Ops:    []wire.Op{store.Set(key, rec)}, Urgent: true,
 		})
 		if err == nil {
-			in.log.Debug("job accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "kind", spec.Kind, "tasks", spec.Tasks, "vcpus", spec.CPUs, "cards", spec.GPUs)
-			wire.Reply(w, http.StatusCreated, wire.Accepted{ID: spec.ID, Status: wire.JobPending})
+			in.log.Debug("job accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "kind", spec.Kind, "tasks", spec.TaskCount, "vcpus", spec.CPUs, "cards", spec.GPUs)
+			wire.WriteResponse(w, http.StatusCreated, wire.JobResponse{ID: spec.ID, State: wire.JobPending})
 			return
 		}
 		if !errors.Is(err, store.ErrGuard) {
@@ -215,23 +215,23 @@
 		unavailable(w, "state service away")
 		return
 	}
-	wire.Reply(w, http.StatusOK, wire.Accepted{ID: spec.ID, Status: status.Status})
+	wire.WriteResponse(w, http.StatusOK, wire.JobResponse{ID: spec.ID, State: status.State})
 }
 
 func (in *Intake) poll(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.PollTimeout)
 	defer cancel()
 	id := chi.URLParam(r, "id")
-	if !wire.ValidID(id) {
-		wire.Reply(w, http.StatusNotFound, wire.Problem{Error: "no such job"})
+	if !wire.IsValidJobID(id) {
+		wire.WriteResponse(w, http.StatusNotFound, wire.ErrorResponse{Message: "no such job"})
 		return
 	}
 	st, err := in.status(ctx, id)
 	switch {
 	case err == nil:
-		wire.Reply(w, http.StatusOK, st)
+		wire.WriteResponse(w, http.StatusOK, st)
 	case errors.Is(err, store.ErrNotFound):
-		wire.Reply(w, http.StatusNotFound, wire.Problem{Error: "no such job"})
+		wire.WriteResponse(w, http.StatusNotFound, wire.ErrorResponse{Message: "no such job"})
 	default:
 		unavailable(w, "state service away")
 	}
@@ -239,25 +239,25 @@
 
 // status gives a job's state as of after the call, or ErrNotFound if it was
 // never accepted; any other error means that neither is certain.
-func (in *Intake) status(ctx context.Context, id string) (wire.Status, error) {
+func (in *Intake) status(ctx context.Context, id string) (wire.JobStatus, error) {
 	if f, ok := in.final(id); ok {
 		return finalStatus(id, f), nil
 	}
 	// Another node may have told the user more than this view holds: wait for
 	// a revision fetched after the request came.
 	if err := in.view.Sync(ctx); err != nil {
-		return wire.Status{}, fmt.Errorf("barrier: %w", err)
+		return wire.JobStatus{}, fmt.Errorf("barrier: %w", err)
 	}
 	in.world.RLock()
 	if j := in.world.Jobs[id]; j != nil && j.Known && j.Guest != nil {
 		in.world.RUnlock()
-		return wire.Status{}, errGuest
+		return wire.JobStatus{}, errGuest
 	}
 	if j := in.world.Jobs[id]; j != nil && j.Known {
 		st, undecided, doubtful := in.live(id, j), in.world.Undecided(j), in.doubtful(j)
 		in.world.RUnlock()
-		if doubtful || undecided && st.Status != wire.JobCancelled && st.Status != wire.JobFailed {
-			return wire.Status{}, errUndecided
+		if doubtful || undecided && st.State != wire.JobCancelled && st.State != wire.JobFailed {
+			return wire.JobStatus{}, errUndecided
 		}
 		return st, nil
 	}
@@ -265,7 +265,7 @@
 	// Not live after the barrier: it is over, or was never accepted before it.
 	f, err := in.readFinal(ctx, id)
 	if err != nil {
-		return wire.Status{}, err
+		return wire.JobStatus{}, err
 	}
 	return finalStatus(id, f), nil
 }
@@ -285,24 +285,24 @@
 var errGuest = errors.New("another cell answers for it")
 
 // live gives the state of a live job. Callers hold the world's lock.
-func (in *Intake) live(id string, j *world.Job) wire.Status {
-	st := wire.Status{ID: id, Status: wire.JobPending, Done: j.Done, Running: j.Bound}
+func (in *Intake) live(id string, j *world.Job) wire.JobStatus {
+	st := wire.JobStatus{ID: id, State: wire.JobPending, TasksDone: j.Done, TasksRunning: j.Bound}
 	switch {
 	case j.Complete():
-		st.Status = wire.JobDone
+		st.State = wire.JobDone
 	case j.Cancelled() && (!j.Certain || j.Left() && in.view.Revision() >= j.Stamp):
 		// Told once no task is left, never before: nothing that renews a lease
 		// somewhere behind a cut can then keep one beyond its time. A binding in a
 		// further record may lie just before the cancellation: the view holds it then.
-		st.Status = j.Ending()
+		st.State = j.Ending()
 	case j.Bound > 0, j.Away != nil:
-		st.Status = wire.JobRunning
+		st.State = wire.JobRunning
 	}
 	return st
 }
 
-func finalStatus(id string, f world.FinalRecord) wire.Status {
-	return wire.Status{ID: id, Status: f.Status, Done: f.Done}
+func finalStatus(id string, f world.FinalRecord) wire.JobStatus {
+	return wire.JobStatus{ID: id, State: f.Status, TasksDone: f.Done}
 }
 
 func (in *Intake) final(id string) (world.FinalRecord, bool) {
@@ -343,21 +343,21 @@
 	ctx, cancel := context.WithTimeout(r.Context(), tuning.SubmitTimeout)
 	defer cancel()
 	id := chi.URLParam(r, "id")
-	if !wire.ValidID(id) {
-		wire.Reply(w, http.StatusNotFound, wire.Problem{Error: "no such job"})
+	if !wire.IsValidJobID(id) {
+		wire.WriteResponse(w, http.StatusNotFound, wire.ErrorResponse{Message: "no such job"})
 		return
 	}
 	for marked := false; ctx.Err() == nil; {
 		st, err := in.status(ctx, id)
 		if errors.Is(err, store.ErrNotFound) {
-			wire.Reply(w, http.StatusNotFound, wire.Problem{Error: "no such job"})
+			wire.WriteResponse(w, http.StatusNotFound, wire.ErrorResponse{Message: "no such job"})
 			return
 		}
 		if err != nil {
 			break
 		}
-		if st.Status == wire.JobDone || st.Status == wire.JobCancelled || st.Status == wire.JobFailed {
-			wire.Reply(w, http.StatusOK, wire.Accepted{ID: id, Status: st.Status})
+		if st.State == wire.JobDone || st.State == wire.JobCancelled || st.State == wire.JobFailed {
+			wire.WriteResponse(w, http.StatusOK, wire.JobResponse{ID: id, State: st.State})
 			return
 		}
 		if it, sure, ok := in.cancellation(id); ok && !marked {
@@ -369,7 +369,7 @@
 			marked = true
 			in.log.Debug("job cancelled", "job", id, "sure", sure)
 			if sure {
-				wire.Reply(w, http.StatusOK, wire.Accepted{ID: id, Status: wire.JobCancelled})
+				wire.WriteResponse(w, http.StatusOK, wire.JobResponse{ID: id, State: wire.JobCancelled})
 				return
 			}
 		}
@@ -424,11 +424,11 @@
 	}
 	marked := *j
 	marked.CancelMs = max(time.Now().UnixMilli(), 1)
-	var level []wire.Guard
+	var level []wire.Condition
 	if marked.Certain = in.world.Level >= tuning.LevelCertain; marked.Certain {
 		sure = j.Left() && j.Records() == 1 // its tasks all stand in the record that is marked
 	} else {
-		sure, level = true, []wire.Guard{{Key: world.LevelKey, Stamp: in.world.LevelStamp}}
+		sure, level = true, []wire.Condition{{Key: world.LevelKey, ModRevision: in.world.LevelStamp}}
 	}
 	if fit := in.world.Fit(in.commit.Room()); in.world.Level >= tuning.LevelPipelines && j.Outgrows(fit) {
 		// The record as it is could be too large to be written again.
@@ -437,5 +437,5 @@
 		}
 	}
 	op := marked.Encode(0, nil)
-	return store.Item{Guards: append(level, wire.Guard{Key: op.Set, Stamp: j.Stamp}), Ops: []wire.Op{op}, Urgent: true}, sure, true
+	return store.Item{Guards: append(level, wire.Condition{Key: op.PutKey, ModRevision: j.Stamp}), Ops: []wire.Op{op}, Urgent: true}, sure, true
 }
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -33,12 +33,12 @@
 	seen    uint64           // the view's revision
 }
 
-func (o *outside) Get(_ context.Context, key string) (wire.Row, error) {
+func (o *outside) Get(_ context.Context, key string) (wire.KeyValue, error) {
 	f, ok := o.finals[key]
 	if !ok {
-		return wire.Row{}, store.ErrNotFound
+		return wire.KeyValue{}, store.ErrNotFound
 	}
-	return wire.Row{Value: wire.MustEncode(f)}, nil
+	return wire.KeyValue{Value: wire.MustEncode(f)}, nil
 }
 
 func (o *outside) Do(_ context.Context, it store.Item) (uint64, error) {
@@ -64,8 +64,8 @@
 
 func (o *outside) Revision() uint64 { return o.seen }
 
-func (o *outside) HandleHeartbeat(*wire.Report) (int, any) {
-	return http.StatusOK, wire.Orders{Token: 1}
+func (o *outside) HandleHeartbeat(*wire.Heartbeat) (int, any) {
+	return http.StatusOK, wire.HeartbeatResponse{FencingToken: 1}
 }
 
 func (o *outside) put(key string, v any) {
@@ -74,9 +74,9 @@
 	o.world.Flush()
 }
 
-func spec() wire.Spec {
-	return wire.Spec{ID: "run-000001", Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 2,
-		CPUs: 4, GPUs: 1, MemoryGB: 8, Image: "i", ImageGB: 1}
+func spec() wire.JobSpec {
+	return wire.JobSpec{ID: "run-000001", Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: 2,
+		CPUs: 4, GPUs: 1, MemoryGB: 8, Image: "i", ImageSizeGB: 1}
 }
 
 func setup(catalog bool) (*outside, http.Handler) { return setupWith(catalog, &config.Operator{}) }
@@ -92,10 +92,10 @@
 	return o, New(set, op, o.world, o, o, o, o, log).Handler()
 }
 
-func ask(h http.Handler, method, path string, body []byte) (int, wire.Status) {
+func ask(h http.Handler, method, path string, body []byte) (int, wire.JobStatus) {
 	rec := httptest.NewRecorder()
 	h.ServeHTTP(rec, httptest.NewRequest(method, path, bytes.NewReader(body)))
-	var st wire.Status
+	var st wire.JobStatus
 	_ = wire.Decode(rec.Body.Bytes(), &st)
 	if rec.Code == http.StatusServiceUnavailable && rec.Header().Get("Retry-After") == "" {
 		return -1, st
@@ -104,12 +104,12 @@
 }
 
 func TestSubmissions(t *testing.T) {
-	change := func(f func(*wire.Spec)) []byte {
+	change := func(f func(*wire.JobSpec)) []byte {
 		s := spec()
 		f(&s)
 		return wire.MustEncode(s)
 	}
-	same := change(func(*wire.Spec) {})
+	same := change(func(*wire.JobSpec) {})
 	over := world.FinalRecord{Status: wire.JobDone, Tasks: 2, Done: 2}
 	for name, c := range map[string]struct {
 		body  []byte
@@ -121,11 +121,11 @@
 		"accepted":         {same, nil, false, 201, wire.JobPending},
 		"not cbor":         {[]byte("{}"), nil, false, 400, ""},
 		"too large":        {append(same, make([]byte, tuning.BodyLimit)...), nil, false, 400, ""},
-		"unknown team":     {change(func(s *wire.Spec) { s.Team = "x" }), nil, false, 422, ""},
-		"fits nowhere":     {change(func(s *wire.Spec) { s.CPUs = 9 }), nil, false, 422, ""},
-		"no such zone":     {change(func(s *wire.Spec) { s.Zone = "x" }), nil, false, 422, ""},
-		"gang over limit":  {change(func(s *wire.Spec) { s.Kind, s.Tasks = wire.KindGang, 3 }), nil, false, 422, ""},
-		"array over limit": {change(func(s *wire.Spec) { s.Tasks = 300 }), nil, false, 201, wire.JobPending},
+		"unknown team":     {change(func(s *wire.JobSpec) { s.Team = "x" }), nil, false, 422, ""},
+		"fits nowhere":     {change(func(s *wire.JobSpec) { s.CPUs = 9 }), nil, false, 422, ""},
+		"no such zone":     {change(func(s *wire.JobSpec) { s.Zone = "x" }), nil, false, 422, ""},
+		"gang over limit":  {change(func(s *wire.JobSpec) { s.Kind, s.TaskCount = wire.KindGang, 3 }), nil, false, 422, ""},
+		"array over limit": {change(func(s *wire.JobSpec) { s.TaskCount = 300 }), nil, false, 201, wire.JobPending},
 		"types unknown":    {same, nil, true, 503, ""},
 		"state away":       {same, func(o *outside) { o.doErr = store.ErrUnavailable }, false, 503, ""},
 		"no answer":        {same, func(o *outside) { o.doErr = store.ErrUnknown }, false, 503, ""},
@@ -134,18 +134,18 @@
 			o.finals[world.FinalKey("run-000001")] = over
 		}, false, 200, wire.JobDone},
 		// The first body stands, even if the repeated one could never run.
-		"repeated otherwise": {change(func(s *wire.Spec) { s.CPUs = 99 }), func(o *outside) {
+		"repeated otherwise": {change(func(s *wire.JobSpec) { s.CPUs = 99 }), func(o *outside) {
 			o.finals[world.FinalKey("run-000001")] = over
 		}, false, 200, wire.JobDone},
-		"repeated otherwise, unsure": {change(func(s *wire.Spec) { s.CPUs = 99 }), func(o *outside) { o.syncErr = store.ErrUnavailable }, false, 503, ""},
+		"repeated otherwise, unsure": {change(func(s *wire.JobSpec) { s.CPUs = 99 }), func(o *outside) { o.syncErr = store.ErrUnavailable }, false, 503, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o, h := setup(!c.bare)
 			if c.set != nil {
 				c.set(o)
 			}
-			if status, st := ask(h, http.MethodPost, "/v1/jobs", c.body); status != c.want || st.Status != c.state {
-				t.Errorf("%d %q, want %d %q", status, st.Status, c.want, c.state)
+			if status, st := ask(h, http.MethodPost, "/v1/jobs", c.body); status != c.want || st.State != c.state {
+				t.Errorf("%d %q, want %d %q", status, st.State, c.want, c.state)
 			}
 		})
 	}
@@ -201,8 +201,8 @@
 				if err := wire.Decode(o.done[0].Ops[0].Value, &rec); err != nil {
 					t.Fatal(err)
 				}
-				if rec.Spec.Repeats != nil {
-					limit = *rec.Spec.Repeats
+				if rec.Spec.MaxRetries != nil {
+					limit = *rec.Spec.MaxRetries
 				}
 			}
 			if limit != c.limit {
@@ -219,16 +219,16 @@
 	rec := world.JobRecord{Spec: spec(), CancelMs: 5, Certain: true, Failed: true,
 		Tasks: []world.Task{{Index: 1, State: world.Bound, Attempt: 1, Machine: "m", Session: 1}}}
 	o.put(world.JobKey("run-000001"), rec)
-	if status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.Status != wire.JobRunning {
-		t.Errorf("with a task on a machine: %d %q", status, st.Status)
+	if status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobRunning {
+		t.Errorf("with a task on a machine: %d %q", status, st.State)
 	}
 	rec.Tasks = nil
 	o.put(world.JobKey("run-000001"), rec)
-	if status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.Status != wire.JobFailed {
-		t.Errorf("%d %q", status, st.Status)
+	if status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobFailed {
+		t.Errorf("%d %q", status, st.State)
 	}
-	if status, st := ask(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil); status != 200 || st.Status != wire.JobFailed {
-		t.Errorf("cancelled: %d %q", status, st.Status)
+	if status, st := ask(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil); status != 200 || st.State != wire.JobFailed {
+		t.Errorf("cancelled: %d %q", status, st.State)
 	}
 }
 
@@ -245,8 +245,8 @@
 	// The view lags: only the barrier brings the cancellation another node told.
 	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec()})
 	o.barrier = func() { o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), CancelMs: 5}) }
-	if status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.Status != wire.JobCancelled {
-		t.Errorf("%d %q", status, st.Status)
+	if status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobCancelled {
+		t.Errorf("%d %q", status, st.State)
 	}
 	if status, _ := ask(h, http.MethodGet, "/v1/jobs/nonsense", nil); status != 404 {
 		t.Errorf("bad id: %d", status)
@@ -259,14 +259,14 @@
 		t.Errorf("unknown job: %d", status)
 	}
 	o.finals[world.FinalKey("run-000002")] = world.FinalRecord{Status: wire.JobDone}
-	if status, st := ask(h, http.MethodPost, "/v1/jobs/run-000002/abort", nil); status != 200 || st.Status != wire.JobDone {
-		t.Errorf("done job: %d %q", status, st.Status)
+	if status, st := ask(h, http.MethodPost, "/v1/jobs/run-000002/abort", nil); status != 200 || st.State != wire.JobDone {
+		t.Errorf("done job: %d %q", status, st.State)
 	}
 	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec()})
-	if status, st := ask(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil); status != 200 || st.Status != wire.JobCancelled || len(o.done) != 1 {
-		t.Errorf("live job: %d %q, %d writes", status, st.Status, len(o.done))
+	if status, st := ask(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil); status != 200 || st.State != wire.JobCancelled || len(o.done) != 1 {
+		t.Errorf("live job: %d %q, %d writes", status, st.State, len(o.done))
 	}
-	if g := o.done[0].Guards; !slices.Contains(g, wire.Guard{Key: world.JobKey("run-000001"), Stamp: 7}) {
+	if g := o.done[0].Guards; !slices.Contains(g, wire.Condition{Key: world.JobKey("run-000001"), ModRevision: 7}) {
 		t.Errorf("guards %+v", g)
 	}
 	o.doErr = store.ErrUnknown
@@ -282,7 +282,7 @@
 
 func cancellationIsToldOnceCertain(t *testing.T) {
 	bound := []world.Task{{State: world.Bound, Attempt: 1, Machine: "vm-000001", Session: 1}}
-	abort := func(h http.Handler) (int, wire.Status) {
+	abort := func(h http.Handler) (int, wire.JobStatus) {
 		return ask(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil)
 	}
 	poll := func(h http.Handler) string {
@@ -290,7 +290,7 @@
 		if status == http.StatusServiceUnavailable {
 			return "unsure"
 		}
-		return st.Status
+		return st.State
 	}
 	o, h := setup(true)
 	o.put(world.LevelKey, world.LevelRecord{Level: tuning.LevelCertain})
@@ -312,8 +312,8 @@
 		t.Error("told though the view may lack a binding")
 	}
 	o.seen = 7
-	if status, st := abort(h); status != 200 || st.Status != wire.JobCancelled || poll(h) != wire.JobCancelled {
-		t.Errorf("no task is left: %d %q", status, st.Status)
+	if status, st := abort(h); status != 200 || st.State != wire.JobCancelled || poll(h) != wire.JobCancelled {
+		t.Errorf("no task is left: %d %q", status, st.State)
 	}
 	// The exit is seen while the request waits.
 	o, h = setup(true)
@@ -322,8 +322,8 @@
 	o.applied = func(store.Item) {
 		o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), CancelMs: 5, Certain: true})
 	}
-	if status, st := abort(h); status != 200 || st.Status != wire.JobCancelled {
-		t.Errorf("left while it waits: %d %q", status, st.Status)
+	if status, st := abort(h); status != 200 || st.State != wire.JobCancelled {
+		t.Errorf("left while it waits: %d %q", status, st.State)
 	}
 }
 
@@ -334,7 +334,7 @@
 func TestCancelledAtItsEnd(t *testing.T) {
 	const tasks = tuning.ChunkTasks + 2
 	s := spec()
-	s.Tasks = tasks
+	s.TaskCount = tasks
 	first := make([]world.Task, tuning.ChunkTasks)
 	for i := range first {
 		first[i] = world.Task{Index: i, State: world.Done, Attempt: 1}
@@ -359,8 +359,8 @@
 			o.put(world.ChunkKey(s.ID, 1), last(world.Bound))
 			set(o)
 			for _, q := range [][2]string{{http.MethodPost, "/abort"}, {http.MethodGet, ""}, {http.MethodPost, "/abort"}} {
-				if status, st := ask(h, q[0], "/v1/jobs/"+s.ID+q[1], nil); status != 200 || st.Status != wire.JobDone {
-					t.Errorf("%s%s: %d %q, want done", q[0], q[1], status, st.Status)
+				if status, st := ask(h, q[0], "/v1/jobs/"+s.ID+q[1], nil); status != 200 || st.State != wire.JobDone {
+					t.Errorf("%s%s: %d %q, want done", q[0], q[1], status, st.State)
 				}
 			}
 			o.world.RLock()
@@ -382,15 +382,15 @@
 	old := world.JobRecord{Spec: spec(), Tasks: bound, CancelMs: 5}
 	poll := func(h http.Handler) (int, string) {
 		status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil)
-		return status, st.Status
+		return status, st.State
 	}
 	o, h := setup(true)
 	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), Tasks: bound})
 	status, st := ask(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil)
-	if status != 200 || st.Status != wire.JobCancelled {
-		t.Fatalf("not all nodes tell late: %d %q", status, st.Status)
+	if status != 200 || st.State != wire.JobCancelled {
+		t.Fatalf("not all nodes tell late: %d %q", status, st.State)
 	}
-	if g := o.done[0].Guards; !slices.Contains(g, wire.Guard{Key: world.LevelKey}) {
+	if g := o.done[0].Guards; !slices.Contains(g, wire.Condition{Key: world.LevelKey}) {
 		t.Errorf("the level does not guard it: %+v", g)
 	}
 	o.put(world.JobKey("run-000001"), old)
@@ -415,7 +415,7 @@
 func TestAwaits(t *testing.T) {
 	body := func(ids ...string) []byte {
 		s := spec()
-		s.Awaits = ids
+		s.Dependencies = ids
 		return wire.MustEncode(s)
 	}
 	live := func(kind string) func(*outside) {
@@ -459,7 +459,7 @@
 		}, 422},
 		"repeated, other order": {body("run-000003", "run-000002"), 1, func(o *outside) {
 			s := spec()
-			s.Awaits = []string{"run-000002", "run-000003"}
+			s.Dependencies = []string{"run-000002", "run-000003"}
 			live(wire.KindArray)(o)
 			s2 := spec()
 			s2.ID = "run-000003"
@@ -486,14 +486,14 @@
 func TestFallingJobIsNotCalledWaiting(t *testing.T) {
 	o, h := setup(true)
 	first, second := spec(), spec()
-	first.ID, second.Awaits = "run-000002", []string{"run-000002"}
+	first.ID, second.Dependencies = "run-000002", []string{"run-000002"}
 	o.put(world.JobKey(second.ID), world.JobRecord{Spec: second, AtMs: 1})
 	if status, _ := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 503 {
 		t.Errorf("status %d before it is known what became of the first", status)
 	}
 	o.put(world.JobKey(first.ID), world.JobRecord{Spec: first, AtMs: 1})
-	if status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.Status != wire.JobPending {
-		t.Errorf("status %d, %s while the first is live", status, st.Status)
+	if status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobPending {
+		t.Errorf("status %d, %s while the first is live", status, st.State)
 	}
 	o.put(world.JobKey(first.ID), world.JobRecord{Spec: first, AtMs: 1, CancelMs: 2})
 	if status, _ := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 503 {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -117,8 +117,8 @@
 		return 0, err
 	}
 	op := store.Set(key, world.NodeRecord{Inc: m.Inc, Level: m.level})
-	op.Hold = hold
-	return m.commit.Do(ctx, store.Item{Guards: []wire.Guard{{Key: key, Stamp: row.Stamp}}, Ops: []wire.Op{op}, Urgent: true})
+	op.LeaseID = hold
+	return m.commit.Do(ctx, store.Item{Guards: []wire.Condition{{Key: key, ModRevision: row.ModRevision}}, Ops: []wire.Op{op}, Urgent: true})
 }
 
 // displaced tells whether the view, which holds this process's registration, shows another or none
@@ -279,7 +279,7 @@
 		}
 	}
 	var out []claim
-	selfGuard := wire.Guard{Key: world.NodeKey(m.Self), Stamp: self.Stamp}
+	selfGuard := wire.Condition{Key: world.NodeKey(m.Self), ModRevision: self.Stamp}
 	for part := world.Leader; part < m.world.Size; part++ {
 		p, known := m.world.Parts[part]
 		owner, alive := m.world.Nodes[p.Owner]
@@ -311,10 +311,10 @@
 			continue
 		}
 		rec := world.PartRecord{Owner: m.Self, Inc: m.Inc, Token: nextToken(p.Token, level)}
-		guards := []wire.Guard{{Key: world.PartKey(part), Stamp: p.Stamp}, selfGuard}
+		guards := []wire.Condition{{Key: world.PartKey(part), ModRevision: p.Stamp}, selfGuard}
 		if p.Owner != m.Self && p.Owner != "" {
 			// Absent, or present as another process: either way the owner's session is gone.
-			guards = append(guards, wire.Guard{Key: world.NodeKey(p.Owner), Stamp: owner.Stamp})
+			guards = append(guards, wire.Condition{Key: world.NodeKey(p.Owner), ModRevision: owner.Stamp})
 		}
 		out = append(out, claim{part, rec, store.Item{Guards: guards, Ops: []wire.Op{store.Set(world.PartKey(part), rec)}, Urgent: true}, p.Owner})
 		owned++
@@ -324,7 +324,7 @@
 
 // handBack returns a part to its home once that node has been back for a while,
 // so that a crash does not leave all parts with one node.
-func (m *Member) handBack(part int, p world.Part, selfGuard wire.Guard, now time.Time) (claim, bool) {
+func (m *Member) handBack(part int, p world.Part, selfGuard wire.Condition, now time.Time) (claim, bool) {
 	home, level := m.home(part), m.world.Level
 	if part == world.Leader || !m.mine(p) || home == m.Self || m.fencing(part) {
 		return claim{}, false
@@ -339,7 +339,7 @@
 	}
 	rec := world.PartRecord{Owner: home, Inc: h.Inc, Token: nextToken(p.Token, level)}
 	return claim{part, rec, store.Item{
-		Guards: []wire.Guard{{Key: world.PartKey(part), Stamp: p.Stamp}, selfGuard, {Key: world.NodeKey(home), Stamp: h.Stamp}},
+		Guards: []wire.Condition{{Key: world.PartKey(part), ModRevision: p.Stamp}, selfGuard, {Key: world.NodeKey(home), ModRevision: h.Stamp}},
 		Ops:    []wire.Op{store.Set(world.PartKey(part), rec)}, Urgent: true,
 	}, m.Self}, true
 }
@@ -386,7 +386,7 @@
 		}
 		tctx, cancel := context.WithTimeout(ctx, 2*tuning.StateTimeout)
 		_, err := m.commit.Do(tctx, store.Item{
-			Guards: []wire.Guard{{Key: world.PartKey(part), Stamp: p.Stamp}},
+			Guards: []wire.Condition{{Key: world.PartKey(part), ModRevision: p.Stamp}},
 			Ops:    []wire.Op{store.Set(world.PartKey(part), rec)}, Urgent: true,
 		})
 		if err == nil {
@@ -421,7 +421,7 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*tuning.StateTimeout)
 	defer cancel()
 	_, err := m.commit.Do(ctx, store.Item{
-		Guards: []wire.Guard{{Key: world.PartKey(part), Stamp: p.Stamp}, {Key: world.NodeKey(to), Stamp: n.Stamp}},
+		Guards: []wire.Condition{{Key: world.PartKey(part), ModRevision: p.Stamp}, {Key: world.NodeKey(to), ModRevision: n.Stamp}},
 		Ops:    []wire.Op{store.Set(world.PartKey(part), rec)}, Urgent: true,
 	})
 	m.log.Info("part given away: its workers report elsewhere", "part", part, "to", to, "err", err)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -108,7 +108,7 @@
 			if m != members[0] {
 				t.Errorf("%s takes a part whose home is back at once", m.Self)
 			}
-			if c.rec.Token != 5 || c.item.Guards[0] != (wire.Guard{Key: world.PartKey(0), Stamp: 3}) {
+			if c.rec.Token != 5 || c.item.Guards[0] != (wire.Condition{Key: world.PartKey(0), ModRevision: 3}) {
 				t.Errorf("claim %+v with guards %v", c.rec, c.item.Guards)
 			}
 		}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -91,7 +91,7 @@
 	p.patience = time.Minute
 	to := config.Cell{Name: "b", Nodes: strings.Join(nodes, " ")}
 	for range 2 {
-		m, err := p.Exchange(context.Background(), to, spill.Message{Cell: "a", From: 2, To: 3, Asks: []spill.Ask{{Number: 7, Spec: wire.Spec{ID: "run-1", Tasks: 4}}}})
+		m, err := p.Exchange(context.Background(), to, spill.Message{Cell: "a", From: 2, To: 3, Asks: []spill.Ask{{Number: 7, Spec: wire.JobSpec{ID: "run-1", TaskCount: 4}}}})
 		if err != nil || m.Cell != "b" || m.From != 3 || m.To != 2 || len(m.Words) != 1 || m.Words[0].Number != 7 || m.Words[0].Done != 4 {
 			t.Fatalf("%+v, %v", m, err)
 		}
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -23,18 +23,18 @@
 	asked int
 }
 
-func (r *records) Get(_ context.Context, key string) (wire.Row, error) {
+func (r *records) Get(_ context.Context, key string) (wire.KeyValue, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.asked++
 	v, ok := r.rows[key]
 	switch {
 	case r.away:
-		return wire.Row{}, store.ErrUnknown
+		return wire.KeyValue{}, store.ErrUnknown
 	case !ok:
-		return wire.Row{}, store.ErrNotFound
+		return wire.KeyValue{}, store.ErrNotFound
 	}
-	return wire.Row{Value: wire.MustEncode(v)}, nil
+	return wire.KeyValue{Value: wire.MustEncode(v)}, nil
 }
 
 func (r *records) set(f func()) {
@@ -53,7 +53,7 @@
 		w := world.New(3, log)
 		put := func(id string, awaits ...string) {
 			w.Begin()
-			w.Put(world.JobKey(id), wire.MustEncode(world.JobRecord{Spec: wire.Spec{ID: id, Team: "t", Tasks: 1, Awaits: awaits}, AtMs: 1}), 1)
+			w.Put(world.JobKey(id), wire.MustEncode(world.JobRecord{Spec: wire.JobSpec{ID: id, Team: "t", TaskCount: 1, Dependencies: awaits}, AtMs: 1}), 1)
 			w.Flush()
 		}
 		rec := &records{rows: map[string]any{}}
--- a/internal/place/downstream.go
+++ b/internal/place/downstream.go
@@ -30,7 +30,7 @@
 		n++
 		fallen.Inc()
 		r.out = append(r.out, &recordChange{description: "end " + id + " with what it needs", keys: []string{key}, harmlessWhenLate: true, transaction: store.Item{
-			Guards: []wire.Guard{{Key: key, Stamp: j.Stamp}}, Ops: r.finalOps(j, wire.JobCancelled, j.Done), Urgent: true,
+			Guards: []wire.Condition{{Key: key, ModRevision: j.Stamp}}, Ops: r.finalOps(j, wire.JobCancelled, j.Done), Urgent: true,
 		}})
 		r.log.Info("job cancelled with one that it needs", "job", id)
 	}
--- a/internal/place/engine.go
+++ b/internal/place/engine.go
@@ -58,11 +58,11 @@
 	// withinGuarantee holds the waiting jobs within their team's guarantee, as of a time.
 	withinGuarantee        map[string]bool
 	guaranteesAt           time.Time
-	runningWithinGuarantee map[string]bool      // the jobs whose running tasks lie within it
-	guaranteedOnArrival    map[string]bool      // whether a job lay within it when this node first saw it
-	capacityShort          [wire.Ranks]bool     // not all waiting arrays of a rank can be in time with the room there is
-	missesAllObjectives    map[string]bool      // waiting arrays that can be in time for none of their aims
-	reachableObjective     map[string]time.Time // the aim that each of the others can meet with the room there is
+	runningWithinGuarantee map[string]bool          // the jobs whose running tasks lie within it
+	guaranteedOnArrival    map[string]bool          // whether a job lay within it when this node first saw it
+	capacityShort          [wire.PriorityCount]bool // not all waiting arrays of a rank can be in time with the room there is
+	missesAllObjectives    map[string]bool          // waiting arrays that can be in time for none of their aims
+	reachableObjective     map[string]time.Time     // the aim that each of the others can meet with the room there is
 	objectivesAt           time.Time
 	lastServiceShortage    time.Time            // when a service last found no room
 	unplacedSince          map[string]time.Time // since when a job finds none for a task
@@ -368,4 +368,6 @@
 }
 
 // Graced is the slack a task needs to save.
-func stopGraceSeconds(spec *wire.Spec) float64 { return spec.SaveS + tuning.StopMargin.Seconds() }
+func stopGraceSeconds(spec *wire.JobSpec) float64 {
+	return spec.CheckpointSaveSeconds + tuning.StopMargin.Seconds()
+}
--- a/internal/place/failedmachines.go
+++ b/internal/place/failedmachines.go
@@ -151,7 +151,7 @@
 // of none of its machines yet, and the record of one that has long been up may not say so.
 func (r *round) bootTimedOut(machine *world.Machine) bool {
 	machineType := r.cluster.Types[machine.Type]
-	bootLimit := max(time.Duration(tuning.BootStuck*machineType.BootS*float64(time.Second)), tuning.BootStuckMin)
+	bootLimit := max(time.Duration(tuning.BootStuck*machineType.BootSeconds*float64(time.Second)), tuning.BootStuckMin)
 	reportLimit := tuning.FindNode + time.Duration(tuning.DeadAfter*float64(r.settings.Report()))
 	return machineType.Name != "" && r.now.Sub(time.UnixMilli(machine.AtMs)) > bootLimit && r.now.Sub(r.shardOwnedSince[machine.Part]) > reportLimit
 }
@@ -167,7 +167,7 @@
 	// replicas once waited for seconds more.
 	for _, binding := range machine.Bound {
 		transaction.Urgent = transaction.Urgent || binding.Job.Spec.Kind == wire.KindService
-		transaction.Soon = transaction.Soon || r.rank(binding.Job) <= wire.Rank(wire.PriorityHigh)
+		transaction.Soon = transaction.Soon || r.rank(binding.Job) <= wire.PriorityRank(wire.PriorityHigh)
 	}
 }
 
@@ -219,7 +219,7 @@
 		spec := &binding.Job.Spec
 		// Spread over two zones, half of the tasks may stand in the one that is left,
 		// and as a rule do.
-		if spec.Kind == wire.KindService && spec.Zone == "" && (reachableZones > 1 || reachableZones == 1 && (!spec.Spread || spec.Tasks == 1)) {
+		if spec.Kind == wire.KindService && spec.Zone == "" && (reachableZones > 1 || reachableZones == 1 && (!spec.Spread || spec.TaskCount == 1)) {
 			return true
 		}
 	}
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -18,7 +18,7 @@
 	var attempt uint64
 	var idle []int
 	forming := false
-	for i := range spec.Tasks {
+	for i := range spec.TaskCount {
 		t := r.taskState(j, i)
 		attempt = max(attempt, t.Attempt)
 		if t.State == world.Idle {
--- a/internal/place/intime.go
+++ b/internal/place/intime.go
@@ -19,17 +19,17 @@
 // It reads records and estimates only, so that all nodes find nearly the same.
 func (r *round) inTime() {
 	r.objectivesAt, r.missesAllObjectives, r.reachableObjective = r.now, map[string]bool{}, map[string]time.Time{}
-	r.capacityShort = [wire.Ranks]bool{}
-	var lists [wire.Ranks][]order.WaitingJob
+	r.capacityShort = [wire.PriorityCount]bool{}
+	var lists [wire.PriorityCount][]order.WaitingJob
 	aims := map[string][]time.Time{}
 	waiting := map[string]int{}
-	var runs [wire.Ranks]float64 // of the machine time that running arrays still take
+	var runs [wire.PriorityCount]float64 // of the machine time that running arrays still take
 	for id, j := range r.cluster.Jobs {
 		if j.Spec.Kind != wire.KindArray || !j.Startable() {
 			continue
 		}
 		rank, share, run := r.rank(j), r.shareOf(&j.Spec), r.expected(j)
-		r.recentArrivals.RecordArrival(r.now, id, j.Spec.Class, j.Spec.Team, j.Spec.Tasks, j.Since())
+		r.recentArrivals.RecordArrival(r.now, id, j.Spec.Class, j.Spec.Team, j.Spec.TaskCount, j.Since())
 		runs[rank] += float64(j.Bound) * share * run.Seconds() / 2 // half is left on average
 		if j.Pending() == 0 {
 			continue
@@ -113,8 +113,8 @@
 
 // expected is how long a task of a job runs as far as its owner knows, else as its class does.
 func (r *round) expected(j *world.Job) time.Duration {
-	if j.Spec.EstimateS > 0 {
-		return config.Seconds(j.Spec.EstimateS)
+	if j.Spec.RuntimeEstimateSeconds > 0 {
+		return config.Seconds(j.Spec.RuntimeEstimateSeconds)
 	}
 	return r.run(j)
 }
@@ -171,7 +171,7 @@
 
 // shareOf is what a task takes of a machine, of the type of which it takes least, or of the room
 // for a common task; as roomFor counts.
-func (r *round) shareOf(s *wire.Spec) float64 {
+func (r *round) shareOf(s *wire.JobSpec) float64 {
 	need := world.Need(s)
 	if r.commonNeed.CPUs > 0 {
 		return max(need.CPUs/r.commonNeed.CPUs, need.Mem/max(r.commonNeed.Mem, 1))
--- a/internal/place/intime_test.go
+++ b/internal/place/intime_test.go
@@ -31,7 +31,7 @@
 		}
 		for i := range rapid.IntRange(2, 40).Draw(t, "jobs") {
 			s := arraySpec(i, rapid.IntRange(1, 180).Draw(t, "tasks"))
-			s.Team, s.Class, s.EstimateS = "t", "c", float64(rapid.IntRange(5, 90).Draw(t, "run"))
+			s.Team, s.Class, s.RuntimeEstimateSeconds = "t", "c", float64(rapid.IntRange(5, 90).Draw(t, "run"))
 			at := testNow.Add(-time.Duration(rapid.IntRange(0, 400).Draw(t, "age")) * time.Second)
 			f.put(world.JobKey(s.ID), world.JobRecord{Spec: s, AtMs: at.UnixMilli()})
 		}
@@ -88,7 +88,7 @@
 		now := testNow
 		for i := range rapid.IntRange(2, 25).Draw(t, "jobs") {
 			s := arraySpec(i, rapid.IntRange(1, 90).Draw(t, "tasks"))
-			s.Team, s.Class, s.EstimateS = "t", "c", 30
+			s.Team, s.Class, s.RuntimeEstimateSeconds = "t", "c", 30
 			now = now.Add(time.Second)
 			f.put(world.JobKey(s.ID), world.JobRecord{Spec: s, AtMs: now.UnixMilli()})
 			f.cluster.RLock()
@@ -98,7 +98,7 @@
 			r.guarantees()
 			sum := 0.0
 			for id := range r.withinGuarantee {
-				sum += float64(r.cluster.Jobs[id].Spec.Tasks)
+				sum += float64(r.cluster.Jobs[id].Spec.TaskCount)
 			}
 			if sum > guarantee+1e-9 {
 				t.Fatalf("%v GPUs assured of %v", sum, guarantee)
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -18,7 +18,7 @@
 
 // Group is a number of like tasks that found no room.
 type Group struct {
-	Spec  *wire.Spec
+	Spec  *wire.JobSpec
 	Count int
 	Zone  string    // where the rest of its tasks have room, if they must be together
 	Rank  int       // its priority, or that of a job that needs it
@@ -84,7 +84,7 @@
 		full := false
 		var others []*world.Job
 		for _, j := range jobs {
-			id, all := j.Spec.ID, j.Spec.Tasks-j.Done
+			id, all := j.Spec.ID, j.Spec.TaskCount-j.Done
 			full = full || !fits(&earlier, j, all)
 			kept, known := before[id]
 			if r.guaranteedOnArrival[id] = kept || !known && !full; r.guaranteedOnArrival[id] && fits(&sum, j, all) {
@@ -154,7 +154,7 @@
 }
 
 // startWithin is the time in seconds in which a replica should start by its class's aims; 0: none says.
-func (r *round) startWithin(s *wire.Spec) float64 {
+func (r *round) startWithin(s *wire.JobSpec) float64 {
 	least := 0.0
 	if s.Kind != wire.KindService {
 		return least // asked for each waiting job in each round
@@ -230,7 +230,7 @@
 	total := 0.0
 	for _, j := range r.cluster.Jobs {
 		if need := world.Need(&j.Spec); j.Startable() && need.GPUs == 0 {
-			c := class{need, need.CPUs * float64(j.Spec.Tasks-j.Done)}
+			c := class{need, need.CPUs * float64(j.Spec.TaskCount-j.Done)}
 			all = append(all, c)
 			total += c.sum
 		} else if j.Startable() {
@@ -270,17 +270,17 @@
 
 // run is how long a task of a job is expected to run.
 func (r *round) run(j *world.Job) time.Duration {
-	return config.Seconds(r.learning.runs.RunS(j.Spec.Class, j.Spec.EstimateS))
+	return config.Seconds(r.learning.runs.RunS(j.Spec.Class, j.Spec.RuntimeEstimateSeconds))
 }
 
 // cutoffs are a job's own deadline and the multiples of it that its class's aims
 // name, counted from its submission, the earliest first; none without a deadline.
 func (r *round) cutoffs(j *world.Job) []time.Time {
-	if j.Spec.DeadlineS <= 0 {
+	if j.Spec.DeadlineSeconds <= 0 {
 		return nil
 	}
 	after := func(times float64) time.Time {
-		return time.UnixMilli(j.AtMs).Add(config.Seconds(j.Spec.DeadlineS * times))
+		return time.UnixMilli(j.AtMs).Add(config.Seconds(j.Spec.DeadlineSeconds * times))
 	}
 	out := []time.Time{after(1)}
 	for _, o := range r.settings.Deployment.Objectives {
@@ -311,7 +311,7 @@
 	for _, o := range r.settings.Deployment.Objectives {
 		switch {
 		case o.Class != j.Spec.Class || o.WithinS <= 0:
-		case o.Kind == "deadline" && j.Spec.DeadlineS > 0 && o.Times > 0: // one of the cutoffs
+		case o.Kind == "deadline" && j.Spec.DeadlineSeconds > 0 && o.Times > 0: // one of the cutoffs
 		case o.Kind == "wait":
 			aims = append(aims, at.Add(config.Seconds(o.WithinS)+run))
 		default:
@@ -355,10 +355,10 @@
 		lo, hi := j.Span(k)
 		z.MaxPerZone = (hi - lo + 1) / 2
 	}
-	if !j.Spec.Spread && !j.Spec.OneZone {
+	if !j.Spec.Spread && !j.Spec.SameZone {
 		return z
 	}
-	for i := range j.Spec.Tasks {
+	for i := range j.Spec.TaskCount {
 		t := r.taskState(j, i)
 		if t.State != world.Bound {
 			continue
@@ -368,7 +368,7 @@
 			z.PlacementKnown = false
 			return z
 		}
-		if j.Spec.OneZone {
+		if j.Spec.SameZone {
 			z.PinnedZone = m.Zone
 		}
 		if j.RecordOf(i) == k {
@@ -424,7 +424,7 @@
 			// Of work that is in no hurry, first comes what finds its image where
 			// there is room: to fetch it would take the machine's time.
 			for i := range queue[:n] {
-				if du := &queue[i]; du.rank > wire.Rank(wire.PriorityHigh) && !du.pressing && !du.key.MissesObjectives {
+				if du := &queue[i]; du.rank > wire.PriorityRank(wire.PriorityHigh) && !du.pressing && !du.key.MissesObjectives {
 					r.deal(du, s, true)
 				}
 			}
@@ -468,7 +468,7 @@
 	if r.ending[spec.ID] || paused > 0 && spec.Kind == wire.KindGang {
 		du.Remaining = 0 // all or none
 	}
-	du.later = r.pressed && du.rank > wire.Rank(wire.PriorityHigh)
+	du.later = r.pressed && du.rank > wire.PriorityRank(wire.PriorityHigh)
 	if limit, ok := r.quota.Limit(spec.Team); ok {
 		open := limit.Plus(total[spec.Team], -1)
 		open.Mem = tuning.MaxAmount * tuning.MaxTasks
@@ -551,11 +551,11 @@
 // has no other room is placed all the same.
 func (r *round) chooseSpread(du *due, where []*fit.MachineInfo, z *fit.ZoneConstraint, also func(*fit.MachineInfo) bool) []*fit.MachineInfo {
 	j, spec := du.job, &du.job.Spec
-	if !r.operator.SpreadServices || spec.Kind != wire.KindService || spec.Spread || spec.OneZone || spec.Tasks < 2 {
+	if !r.operator.SpreadServices || spec.Kind != wire.KindService || spec.Spread || spec.SameZone || spec.TaskCount < 2 {
 		return r.stock.Allocate(&du.Request, where, z, also)
 	}
-	wish := fit.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: (spec.Tasks + 1) / 2}
-	for i := range spec.Tasks {
+	wish := fit.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: (spec.TaskCount + 1) / 2}
+	for i := range spec.TaskCount {
 		if t := r.taskState(j, i); t.State == world.Bound && r.cluster.Machines[t.Machine] != nil {
 			wish.TasksByZone[r.cluster.Machines[t.Machine].Zone]++
 		}
@@ -601,11 +601,11 @@
 	gang := spec.Kind == wire.KindGang
 	if !gang {
 		if picks := s.Allocate(&du.Request, up, &z, func(n *fit.MachineInfo) bool { return n.Machine.Part != du.home }); len(picks) > 0 &&
-			(du.rank <= wire.Rank(wire.PriorityHigh) || r.waited(du)) {
+			(du.rank <= wire.PriorityRank(wire.PriorityHigh) || r.waited(du)) {
 			r.bindOwn(du, k, picks)
 		}
 	} else {
-		if spec.OneZone && z.PinnedZone == "" {
+		if spec.SameZone && z.PinnedZone == "" {
 			z.PinnedZone = s.RoomiestZone(&du.Request, up)
 		}
 		s.Allocate(&du.Request, up, &z, nil) // kept whole for it
@@ -628,7 +628,7 @@
 		}
 		d.Groups = append(d.Groups, Group{Spec: spec, Count: du.Remaining, Zone: z.PinnedZone, Rank: du.rank, Since: j.Since()})
 	}
-	if (du.assured || du.rank <= wire.Rank(wire.PriorityHigh)) && (!gang || spec.Tasks == 1) {
+	if (du.assured || du.rank <= wire.PriorityRank(wire.PriorityHigh)) && (!gang || spec.TaskCount == 1) {
 		// What stands on machines coming up in the play takes no zone from what is stopped for it
 		// meanwhile: services that are spread once waited for boots in the midst of arrays.
 		r.countReservedZones(spec.ID, &open)
@@ -724,7 +724,7 @@
 	looked := 0
 	start, end := j.Span(chunk)
 	if !spec.Spread {
-		end = spec.Tasks
+		end = spec.TaskCount
 	}
 	for i := start; i < end && len(picks) > 0 && looked < tuning.JobSlice; i++ {
 		k := j.RecordOf(i)
--- a/internal/place/preemption.go
+++ b/internal/place/preemption.go
@@ -43,7 +43,7 @@
 		return true
 	}
 	// What must stand in certain zones may have missed for that alone.
-	if !queued.job.Spec.OneZone && !queued.job.Spec.Spread {
+	if !queued.job.Spec.SameZone && !queued.job.Spec.Spread {
 		r.rigid[queued.rank].Add(&queued.Request)
 	}
 	return false
@@ -55,7 +55,7 @@
 // midst of stops, and room was made twice.
 func (r *round) shardRotation(queued *due) int {
 	since, ok := r.unplacedSince[queued.job.Spec.ID]
-	if !ok || queued.rank > wire.Rank(wire.PriorityHigh) {
+	if !ok || queued.rank > wire.PriorityRank(wire.PriorityHigh) {
 		return 0
 	}
 	return int(r.now.Sub(since) / tuning.PreemptTurn)
@@ -90,7 +90,7 @@
 	r.freeing[task] = true
 	for _, victim := range victims {
 		grace := 0.0
-		if queued.rank > 0 && victim.Binding.Job.Spec.CheckpointS > 0 {
+		if queued.rank > 0 && victim.Binding.Job.Spec.CheckpointIntervalSeconds > 0 {
 			grace = stopGraceSeconds(&victim.Binding.Job.Spec)
 		}
 		r.log.Debug("stopping a task for one of higher priority", "task", victim.Binding.Ref, "for", task, "machine", candidate.Machine.Name)
@@ -112,7 +112,7 @@
 	if task.State == wire.TaskRunning {
 		ran = r.now.Sub(task.Since).Seconds()
 	}
-	if checkpointSeconds := binding.Job.Spec.CheckpointS; checkpointSeconds > 0 {
+	if checkpointSeconds := binding.Job.Spec.CheckpointIntervalSeconds; checkpointSeconds > 0 {
 		ran = min(ran, checkpointSeconds)
 	}
 	return 1 + ran
--- a/internal/place/reconcile.go
+++ b/internal/place/reconcile.go
@@ -51,7 +51,7 @@
 	if lastRetry {
 		edit.failsJob, r.ending[binding.Ref.Job] = true, true
 	}
-	r.log.Info("task failed", "task", binding.Ref, "attempt", binding.Attempt, "failures", task.Failures, "repeats", *binding.Job.Spec.Repeats, "ends", lastRetry)
+	r.log.Info("task failed", "task", binding.Ref, "attempt", binding.Attempt, "failures", task.Failures, "repeats", *binding.Job.Spec.MaxRetries, "ends", lastRetry)
 }
 
 // reconcileMachines carries out what became of the tasks bound in this node's parts, on
@@ -88,7 +88,7 @@
 			r.out = append(r.out, &recordChange{
 				description: "forget machine " + name, keys: []string{world.MachineKey(name)}, shards: []int{machine.Part},
 				transaction: store.Item{
-					Guards: []wire.Guard{{Key: world.PartKey(machine.Part), Stamp: r.stamps[machine.Part]}, {Key: world.MachineKey(name), Stamp: machine.Stamp}},
+					Guards: []wire.Condition{{Key: world.PartKey(machine.Part), ModRevision: r.stamps[machine.Part]}, {Key: world.MachineKey(name), ModRevision: machine.Stamp}},
 					Ops:    []wire.Op{store.Drop(world.MachineKey(name))},
 					Lazy:   true, // its record says that it is being deleted, so nobody counts on it
 				},
@@ -114,13 +114,13 @@
 func (r *round) reconcileTask(binding world.Binding, machineName string, token uint64) {
 	spec := &binding.Job.Spec
 	task := settle.BoundTask{TaskObservation: r.agents.ObserveTask(binding, machineName, token), JobKind: spec.Kind, JobCancelled: binding.Job.Cancelled(), StopRequested: r.agents.StopRequested(binding),
-		RetriesLimited: spec.Repeats != nil, RetriesExhausted: repeats.Spent(spec.Repeats, r.taskState(binding.Job, binding.Ref.Index).Failures)}
+		RetriesLimited: spec.MaxRetries != nil, RetriesExhausted: repeats.Spent(spec.MaxRetries, r.taskState(binding.Job, binding.Ref.Index).Failures)}
 	decision := settle.Decide(task)
 	if decision.ResendCommands {
 		r.agents.RequestDispatch(machineName)
 	}
 	if machine := r.cluster.Machines[machineName]; decision.ImagePresent && machine != nil {
-		r.agents.RecordImageUse(machineName, spec.Image, spec.ImageGB, r.cluster.Types[machine.Type].CacheGB)
+		r.agents.RecordImageUse(machineName, spec.Image, spec.ImageSizeGB, r.cluster.Types[machine.Type].ImageCacheGB)
 	}
 	if decision.TaskFailed {
 		r.agents.RecordTaskFailure(machineName, spec.ID)
@@ -133,12 +133,12 @@
 	if decision.BackOffJob {
 		r.backOffJob(spec.ID, r.now)
 	}
-	if task.Presence == fleet.PresenceExited && task.Cause != wire.CauseDone && (task.Cause != wire.CauseStopped || !task.Saved) {
+	if task.Presence == fleet.PresenceExited && task.Cause != wire.ExitCauseDone && (task.Cause != wire.ExitCauseStopped || !task.Saved) {
 		r.log.Debug("task ended without being done", "task", binding.Ref, "cause", task.Cause, "machine", machineName)
 	}
 	switch {
 	case decision.WholeGang:
-		for taskIndex := range spec.Tasks {
+		for taskIndex := range spec.TaskCount {
 			if other := r.taskState(binding.Job, taskIndex); other.State == world.Bound && other.Attempt == binding.Attempt {
 				r.releaseTask(world.Binding{Ref: world.TaskRef{Job: spec.ID, Index: taskIndex}, Job: binding.Job, Attempt: other.Attempt, Session: other.Session}, other.Machine, decision.NextState, "done with its gang")
 			}
@@ -175,7 +175,7 @@
 
 func (r *round) checkGang(binding world.Binding) bool {
 	job := binding.Job
-	switch settle.GangStateOf(job.Spec.Tasks, func(i int) world.Task { return r.taskState(job, i) }, binding.Attempt) {
+	switch settle.GangStateOf(job.Spec.TaskCount, func(i int) world.Task { return r.taskState(job, i) }, binding.Attempt) {
 	case settle.GangBroken:
 		return true
 	case settle.GangWhole:
@@ -187,7 +187,7 @@
 		r.gangFormingSince[job.Spec.ID] = r.now
 		return false
 	}
-	return r.now.Sub(since) > tuning.GangForm+time.Duration(job.Spec.Tasks)*tuning.GangFormTask
+	return r.now.Sub(since) > tuning.GangForm+time.Duration(job.Spec.TaskCount)*tuning.GangFormTask
 }
 
 // finishJobs ends jobs whose tasks are all done, or that are cancelled and have
@@ -207,10 +207,10 @@
 			continue
 		}
 		var ops []wire.Op
-		condition := wire.Guard{Key: key, Stamp: job.Stamp}
+		condition := wire.Condition{Key: key, ModRevision: job.Stamp}
 		switch {
 		case !job.Known:
-			ops, condition.Stamp = r.deleteRecordOps(job, 0), 0
+			ops, condition.ModRevision = r.deleteRecordOps(job, 0), 0
 		case job.Complete():
 			ops = r.finalOps(job, wire.JobDone, job.Done)
 		// No task can be bound after the cancellation, and the view holds all before it.
@@ -218,7 +218,7 @@
 			ops = r.finalOps(job, job.Ending(), job.Done)
 		}
 		if len(ops) > 0 {
-			r.out = append(r.out, &recordChange{description: "finish " + id, keys: []string{key}, transaction: store.Item{Guards: []wire.Guard{condition}, Ops: ops}})
+			r.out = append(r.out, &recordChange{description: "finish " + id, keys: []string{key}, transaction: store.Item{Guards: []wire.Condition{condition}, Ops: ops}})
 		}
 	}
 }
@@ -228,14 +228,14 @@
 // lost, with a worker's session or its machine, before the first one came through. Such a
 // gang once stood still for ever, since its last attempt looked as if it had not left.
 func (r *round) completeGang(job *world.Job) {
-	for taskIndex := range job.Spec.Tasks {
+	for taskIndex := range job.Spec.TaskCount {
 		if task := r.taskState(job, taskIndex); task.State == world.Idle {
 			if edit := r.editRecord(job, taskIndex); edit != nil {
 				edit.tasks[taskIndex] = world.Task{Index: taskIndex, State: world.Done, Attempt: task.Attempt}
 			}
 		}
 	}
-	r.log.Info("gang completed by the report of some of its tasks", "job", job.Spec.ID, "done", job.Done, "tasks", job.Spec.Tasks)
+	r.log.Info("gang completed by the report of some of its tasks", "job", job.Spec.ID, "done", job.Done, "tasks", job.Spec.TaskCount)
 }
 
 // adoptMachines records machines that reported and whose records are missing or behind.
@@ -245,7 +245,7 @@
 	// up at the start, and services, which come first then, should find those before they take
 	// the place of larger tasks for as long as they run.
 	names := slices.SortedFunc(maps.Keys(reports), func(a, b string) int {
-		return cmp.Or(cmp.Compare(r.cluster.Types[reports[a].Type].CPUs, r.cluster.Types[reports[b].Type].CPUs), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(r.cluster.Types[reports[a].MachineType].CPUs, r.cluster.Types[reports[b].MachineType].CPUs), cmp.Compare(a, b))
 	})
 	for _, name := range names {
 		report := reports[name]
@@ -265,7 +265,7 @@
 		if machine != nil {
 			machineRecord, modRevision = machine.MachineRecord, machine.Stamp
 		} else {
-			r.log.Info("adopting a machine", "machine", name, "type", report.Type, "zone", report.Zone)
+			r.log.Info("adopting a machine", "machine", name, "type", report.MachineType, "zone", report.Zone)
 		}
 		session := report.Session
 		if session == 1 {
@@ -275,7 +275,7 @@
 		// A new session of a machine that hears nothing or reaches no node is recorded, but not that it is up.
 		status := r.agents.MachineStatus(name, r.tokens[shard])
 		up := !status.OutboundLost && (status.InboundConfirmed || !status.InboundLost && (machineRecord.Up || machineRecord.Address == ""))
-		machineRecord.Type, machineRecord.Zone, machineRecord.Spot, machineRecord.Address, machineRecord.Up, machineRecord.Session = report.Type, report.Zone, report.Spot, report.Address, up, session
+		machineRecord.Type, machineRecord.Zone, machineRecord.Spot, machineRecord.Address, machineRecord.Up, machineRecord.Session = report.MachineType, report.Zone, report.Spot, report.Address, up, session
 		transaction := r.updateMachineRecord("machine is up "+name, name, shard, machineRecord, modRevision)
 		// That it is up can wait: others only plan with it, its owner uses it at once. A new
 		// session can't: others bind gangs and services to the one on record, which
@@ -293,11 +293,11 @@
 		spec := &binding.Job.Spec
 		switch {
 		case r.agents.StopRequested(binding):
-		case spec.Kind == wire.KindGang && spec.Tasks > 1:
-			if spec.CheckpointS > 0 {
+		case spec.Kind == wire.KindGang && spec.TaskCount > 1:
+			if spec.CheckpointIntervalSeconds > 0 {
 				r.requestGangStop(binding, machine)
 			}
-		case spec.CheckpointS > 0:
+		case spec.CheckpointIntervalSeconds > 0:
 			r.agents.RequestStop(binding, machine.Name, stopGraceSeconds(spec))
 		case spec.Kind == wire.KindService:
 			r.agents.RequestStop(binding, machine.Name, 0)
@@ -320,7 +320,7 @@
 	r.out = append(r.out, &recordChange{
 		description: "stop gang " + binding.Ref.Job, keys: []string{key}, shards: []int{machine.Part},
 		transaction: store.Item{
-			Guards: []wire.Guard{{Key: key, Stamp: binding.Job.Stamp}, {Key: world.PartKey(machine.Part), Stamp: r.stamps[machine.Part]}},
+			Guards: []wire.Condition{{Key: key, ModRevision: binding.Job.Stamp}, {Key: world.PartKey(machine.Part), ModRevision: r.stamps[machine.Part]}},
 			Ops:    []wire.Op{op}, Urgent: true,
 		},
 	})
--- a/internal/place/recordchange.go
+++ b/internal/place/recordchange.go
@@ -26,15 +26,15 @@
 	live    []bool         // parts whose owner lives
 	bound   int
 	stock   *fit.Inventory
-	pressed bool                           // the state service's budget is the bottleneck
-	stops   int                            // machines on which room is being freed in this round
-	counts  bool                           // this round counts the demand for the pool
-	freeing map[world.TaskRef]bool         // tasks that room is being freed for
-	rigid   [wire.Ranks]fit.FailedRequests // needs for which nothing could be stopped anywhere, by rank
-	blocked bool                           // a task's end could not be written yet
-	ending  map[string]bool                // jobs that a change of this round ends as failed
-	gangs   map[gangAttempt]bool           // whether an attempt is broken, looked at once a round
-	pulls   map[string]pulled              // what jobs that need others ask of them
+	pressed bool                                   // the state service's budget is the bottleneck
+	stops   int                                    // machines on which room is being freed in this round
+	counts  bool                                   // this round counts the demand for the pool
+	freeing map[world.TaskRef]bool                 // tasks that room is being freed for
+	rigid   [wire.PriorityCount]fit.FailedRequests // needs for which nothing could be stopped anywhere, by rank
+	blocked bool                                   // a task's end could not be written yet
+	ending  map[string]bool                        // jobs that a change of this round ends as failed
+	gangs   map[gangAttempt]bool                   // whether an attempt is broken, looked at once a round
+	pulls   map[string]pulled                      // what jobs that need others ask of them
 }
 
 // recordKey names one record of a job.
@@ -106,7 +106,7 @@
 // way, or while it has to be moved first.
 func (r *round) editRecord(job *world.Job, taskIndex int) *recordEdit {
 	recordIndex := job.RecordOf(taskIndex)
-	if _, ok := r.rejectedUntil[job.Key(recordIndex)]; ok || r.keysInFlight[job.Key(recordIndex)] || recordIndex > 0 && r.keysInFlight[job.Key(0)] && job.Spec.OneZone || r.needsMigration(job) {
+	if _, ok := r.rejectedUntil[job.Key(recordIndex)]; ok || r.keysInFlight[job.Key(recordIndex)] || recordIndex > 0 && r.keysInFlight[job.Key(0)] && job.Spec.SameZone || r.needsMigration(job) {
 		return nil
 	}
 	edit := r.edits[recordKey{job, recordIndex}]
@@ -236,26 +236,26 @@
 		}
 		maps.Copy(shards, edit.shards)
 		for _, condition := range job.ChunkGuards(edit.recordIndex) {
-			conditions[condition.Key] = condition.Stamp
+			conditions[condition.Key] = condition.ModRevision
 		}
 		op := job.Encode(edit.recordIndex, edit.tasks)
 		change.transaction.Ops = append(change.transaction.Ops, op)
-		change.keys = append(change.keys, op.Set)
+		change.keys = append(change.keys, op.PutKey)
 		change.bindings = append(change.bindings, edit.bindings...)
 		writesJobRecord = writesJobRecord || edit.recordIndex == 0
 	}
 	onlyRecord := len(job.Further()) == 0 && job.Records() == 1
 	switch {
-	case onlyRecord && done == job.Spec.Tasks:
+	case onlyRecord && done == job.Spec.TaskCount:
 		change.transaction.Ops = r.finalOps(job, wire.JobDone, done)
 	case onlyRecord && job.Cancelled() && bound == 0:
 		change.transaction.Ops = r.finalOps(job, job.Ending(), done)
-	case !writesJobRecord && (failsJob || !onlyRecord && job.Spec.OneZone && len(change.bindings) > 0):
+	case !writesJobRecord && (failsJob || !onlyRecord && job.Spec.SameZone && len(change.bindings) > 0):
 		// The mark stands in the job's own record; and bindings of different records must
 		// not choose different zones at once.
 		op := job.Encode(0, nil)
 		change.transaction.Ops = append(change.transaction.Ops, op)
-		change.keys = append(change.keys, op.Set)
+		change.keys = append(change.keys, op.PutKey)
 	}
 	for _, shard := range slices.Sorted(maps.Keys(shards)) {
 		if modRevision, owned := r.stamps[shard]; owned {
@@ -267,10 +267,10 @@
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(conditions)) {
-		change.transaction.Guards = append(change.transaction.Guards, wire.Guard{Key: key, Stamp: conditions[key]})
+		change.transaction.Guards = append(change.transaction.Guards, wire.Condition{Key: key, ModRevision: conditions[key]})
 	}
 	change.transaction.Urgent = job.Spec.Priority == wire.PriorityProduction
-	change.transaction.Soon = r.rank(job) <= wire.Rank(wire.PriorityHigh)
+	change.transaction.Soon = r.rank(job) <= wire.PriorityRank(wire.PriorityHigh)
 	r.out = append(r.out, change)
 }
 
@@ -280,7 +280,7 @@
 	change := &recordChange{
 		description: description, keys: []string{key}, shards: []int{shard}, harmlessWhenLate: true,
 		transaction: store.Item{
-			Guards: []wire.Guard{{Key: world.PartKey(shard), Stamp: r.stamps[shard]}, {Key: key, Stamp: modRevision}},
+			Guards: []wire.Condition{{Key: world.PartKey(shard), ModRevision: r.stamps[shard]}, {Key: key, ModRevision: modRevision}},
 			Ops:    []wire.Op{store.Set(key, machineRecord)},
 		},
 	}
--- a/internal/place/room.go
+++ b/internal/place/room.go
@@ -65,12 +65,12 @@
 
 // overdue tells whether a machine should have come up long ago.
 func (r *round) overdue(m *world.Machine) bool {
-	late := time.Duration(tuning.BootLate * r.cluster.Types[m.Type].BootS * float64(time.Second))
+	late := time.Duration(tuning.BootLate * r.cluster.Types[m.Type].BootSeconds * float64(time.Second))
 	return r.now.Sub(time.UnixMilli(m.AtMs)) > max(late, tuning.BootLateMin)
 }
 
 // likely tells whether a machine should be up by now.
 func (r *round) likely(m *world.Machine) bool {
-	boot := tuning.BootLikely * r.cluster.Types[m.Type].BootS * float64(time.Second)
+	boot := tuning.BootLikely * r.cluster.Types[m.Type].BootSeconds * float64(time.Second)
 	return m.AtMs > 0 && r.now.Sub(time.UnixMilli(m.AtMs)) > time.Duration(boot) && !r.overdue(m)
 }
--- a/internal/place/scale_test.go
+++ b/internal/place/scale_test.go
@@ -77,7 +77,7 @@
 				case 0:
 					s = gangSpec(i, 1<<(i%6))
 				case 1:
-					s = wire.Spec{ID: s.ID, Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 4 + i%8, CPUs: 5, GPUs: 1, MemoryGB: 38, Spread: true}
+					s = wire.JobSpec{ID: s.ID, Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 4 + i%8, CPUs: 5, GPUs: 1, MemoryGB: 38, Spread: true}
 				}
 				s.Image = fmt.Sprint("image-", i%36)
 				f.addJob(s)
--- a/internal/place/scheduler_test.go
+++ b/internal/place/scheduler_test.go
@@ -28,7 +28,7 @@
 
 var (
 	testZones = []string{"east", "west", "north"}
-	testType  = wire.MachineType{Name: "m", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 50, BootS: 30, Zones: testZones}
+	testType  = wire.MachineType{Name: "m", CPUs: 32, GPUs: 4, MemoryGB: 256, ImageCacheGB: 50, BootSeconds: 30, Zones: testZones}
 	testNow   = time.Now()
 )
 
@@ -89,11 +89,11 @@
 	name := fmt.Sprintf("vm-%06d", index)
 	machineRecord := world.MachineRecord{Type: "m", Zone: testZones[index%len(testZones)], Spot: spot, Address: "10.1.0.1:9000", AtMs: 1, Up: true}
 	fixture.put(world.MachineKey(name), machineRecord)
-	fixture.agents[world.PartOf(name, testShards)].HandleHeartbeat(&wire.Report{Machine: name, Address: machineRecord.Address, Type: "m", Zone: machineRecord.Zone, Spot: spot, Session: 1, Seq: 1, Token: 7})
+	fixture.agents[world.PartOf(name, testShards)].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: machineRecord.Address, MachineType: "m", Zone: machineRecord.Zone, Spot: spot, Session: 1, Sequence: 1, FencingToken: 7})
 	return name
 }
 
-func (fixture *testCluster) addJob(spec wire.Spec, tasks ...world.Task) {
+func (fixture *testCluster) addJob(spec wire.JobSpec, tasks ...world.Task) {
 	spec.Team, spec.Class = "t", "c"
 	fixture.put(world.JobKey(spec.ID), world.JobRecord{Spec: spec, AtMs: testNow.UnixMilli(), Tasks: tasks})
 }
@@ -112,12 +112,12 @@
 	return c, bindings
 }
 
-func arraySpec(id, tasks int) wire.Spec {
-	return wire.Spec{ID: fmt.Sprintf("run-%d", id), Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 6, GPUs: 1, MemoryGB: 48, Spot: true, Image: "i"}
+func arraySpec(id, tasks int) wire.JobSpec {
+	return wire.JobSpec{ID: fmt.Sprintf("run-%d", id), Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: tasks, CPUs: 6, GPUs: 1, MemoryGB: 48, AllowSpot: true, Image: "i"}
 }
 
-func gangSpec(id, tasks int) wire.Spec {
-	return wire.Spec{ID: fmt.Sprintf("run-%d", id), Kind: wire.KindGang, Priority: wire.PriorityHigh, Tasks: tasks, CPUs: 28, GPUs: 4, MemoryGB: 200, OneZone: true, Image: "g"}
+func gangSpec(id, tasks int) wire.JobSpec {
+	return wire.JobSpec{ID: fmt.Sprintf("run-%d", id), Kind: wire.KindGang, Priority: wire.PriorityHigh, TaskCount: tasks, CPUs: 28, GPUs: 4, MemoryGB: 200, SameZone: true, Image: "g"}
 }
 
 // TestLongQueueBehindFullFleet: hundreds of jobs of different shapes behind a
@@ -131,7 +131,7 @@
 		tasks = append(tasks, world.Task{Index: i % 100, State: world.Bound, Attempt: 1, Machine: name, Session: 1})
 		if len(tasks) == 100 {
 			spec := gangSpec(100000+i, 100)
-			spec.OneZone = false
+			spec.SameZone = false
 			fixture.addJob(spec, tasks...)
 			tasks = nil
 		}
@@ -315,7 +315,7 @@
 	for _, name := range []string{deleted, unknown} {
 		shard := world.PartOf(name, testShards)
 		fixture.engines[shard].ConfirmDeleted([]string{deleted})
-		fixture.agents[shard].HandleHeartbeat(&wire.Report{Machine: name, Address: "10.1.0.1:9000", Type: "m", Zone: "east", Session: 1, Seq: 1, Token: 7})
+		fixture.agents[shard].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", MachineType: "m", Zone: "east", Session: 1, Sequence: 1, FencingToken: 7})
 		fixture.cluster.RLock()
 		c := fixture.engines[shard].newCycle(testNow)
 		c.adoptMachines()
@@ -337,7 +337,7 @@
 	heartbeat := func(session uint64, up bool) store.Item {
 		fixture.put(world.MachineKey(name), world.MachineRecord{Type: "m", Zone: "east", Address: "10.1.0.1:9000", AtMs: 1, Up: up})
 		fixture.engines[shard].agents.TakeAdoptions()
-		fixture.agents[shard].HandleHeartbeat(&wire.Report{Machine: name, Address: "10.1.0.1:9000", Type: "m", Zone: "east", Session: session, Seq: 2, Token: 7})
+		fixture.agents[shard].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", MachineType: "m", Zone: "east", Session: session, Sequence: 2, FencingToken: 7})
 		fixture.cluster.RLock()
 		defer fixture.cluster.RUnlock()
 		c := fixture.engines[shard].newCycle(testNow)
@@ -367,7 +367,7 @@
 		c.buildChanges()
 		fixture.cluster.RUnlock()
 		for _, change := range c.out {
-			if op := change.transaction.Ops[0]; op.Set == world.FinalKey("run-1") {
+			if op := change.transaction.Ops[0]; op.PutKey == world.FinalKey("run-1") {
 				ended++
 				var rec world.FinalRecord
 				if err := wire.Decode(op.Value, &rec); err != nil || rec.Status != wire.JobDone || rec.Done != 2 {
@@ -430,7 +430,7 @@
 			fixture.put(world.MachineKey(fmt.Sprintf("vm-1%05d", i)), world.MachineRecord{Type: "m", Zone: testZones[i%3], AtMs: testNow.UnixMilli()})
 		}
 	}
-	service := wire.Spec{ID: "run-000002", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 4, CPUs: 5, GPUs: 1, MemoryGB: 38, Spread: true}
+	service := wire.JobSpec{ID: "run-000002", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 4, CPUs: 5, GPUs: 1, MemoryGB: 38, Spread: true}
 	fixture.addJob(service)
 	zones := map[string]int{}
 	for i, engine := range fixture.engines {
@@ -457,7 +457,7 @@
 					fixture.addMachine(i, false)
 				}
 			}
-			spec := wire.Spec{ID: "run-000007", Kind: wire.KindService, Priority: wire.PriorityProduction, Tasks: 6, CPUs: 5, GPUs: 1, MemoryGB: 38}
+			spec := wire.JobSpec{ID: "run-000007", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 6, CPUs: 5, GPUs: 1, MemoryGB: 38}
 			fixture.addJob(spec)
 			count, placed := map[string]int{}, 0
 			for i, engine := range fixture.engines {
@@ -499,7 +499,7 @@
 		var final world.FinalRecord
 		for _, change := range c.out {
 			for _, o := range change.transaction.Ops {
-				if o.Set == world.FinalKey(spec.ID) {
+				if o.PutKey == world.FinalKey(spec.ID) {
 					_ = wire.Decode(o.Value, &final)
 				}
 			}
@@ -522,15 +522,15 @@
 		return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(wire.MustEncode(v)))}, nil
 	}
 	if req.URL.Path != "/multi" {
-		return answer(wire.News{Revision: 1000})
+		return answer(wire.WatchResponse{Revision: 1000})
 	}
 	b, _ := io.ReadAll(req.Body)
-	var txn wire.Txn
+	var txn wire.TxnRequest
 	if err := wire.Decode(b, &txn); err != nil {
 		return nil, err
 	}
-	for _, o := range txn.Apply {
-		if strings.HasPrefix(o.Set, world.JobKey("")) {
+	for _, o := range txn.Ops {
+		if strings.HasPrefix(o.PutKey, world.JobKey("")) {
 			<-req.Context().Done()
 			return nil, req.Context().Err()
 		}
@@ -540,7 +540,7 @@
 		}
 		f.engine.mu.Unlock()
 	}
-	return answer(wire.TxnResult{Revision: 1000})
+	return answer(wire.TxnResponse{Revision: 1000})
 }
 
 // TestUnknownOutcomeIsFenced: a binding whose transaction gets no answer may yet be carried out, after newer ones.
@@ -562,7 +562,7 @@
 		engine.ctx = ctx
 		change := &recordChange{description: "tasks of run-1", keys: []string{world.JobKey("run-1")}, shards: []int{shard},
 			bindings:    []pendingBinding{{world.TaskRef{Job: "run-1"}, name, shard, "t", world.Amount{GPUs: 1}}},
-			transaction: store.Item{Guards: []wire.Guard{{Key: world.PartKey(shard)}}, Ops: []wire.Op{store.Set(world.JobKey("run-1"), 1)}}}
+			transaction: store.Item{Guards: []wire.Condition{{Key: world.PartKey(shard)}}, Ops: []wire.Op{store.Set(world.JobKey("run-1"), 1)}}}
 		engine.mu.Lock()
 		engine.keysInFlight[change.keys[0]], engine.inFlightChanges[0] = true, change
 		engine.mu.Unlock()
@@ -590,7 +590,7 @@
 			fixture.addMachine(i, false)
 		}
 		spec := arraySpec(1, tuning.ChunkTasks+4)
-		spec.OneZone, spec.Team, spec.Class, spec.CPUs, spec.GPUs, spec.MemoryGB = true, "t", "c", 1, 0, 1
+		spec.SameZone, spec.Team, spec.Class, spec.CPUs, spec.GPUs, spec.MemoryGB = true, "t", "c", 1, 0, 1
 		var first []world.Task
 		for i := range tuning.ChunkTasks {
 			first = append(first, world.Task{Index: i, State: world.Done, Attempt: 1})
@@ -604,7 +604,7 @@
 			c, binds := fixture.runCycle(i)
 			bound += len(binds)
 			for _, change := range c.out {
-				own := slices.ContainsFunc(change.transaction.Ops, func(o wire.Op) bool { return o.Set == world.JobKey(spec.ID) })
+				own := slices.ContainsFunc(change.transaction.Ops, func(o wire.Op) bool { return o.PutKey == world.JobKey(spec.ID) })
 				if len(change.bindings) > 0 && !own {
 					t.Errorf("node %d binds %d tasks without the job's own record: %v", i, len(change.bindings), change.keys)
 				}
--- a/internal/place/value.go
+++ b/internal/place/value.go
@@ -105,7 +105,7 @@
 			}
 		}
 		if b.Attempt == 1 { // a later attempt may have resumed saved work
-			r.learning.runs.Completed(spec.Class, run, spec.EstimateS)
+			r.learning.runs.Completed(spec.Class, run, spec.RuntimeEstimateSeconds)
 		}
 	}
 	if id, ok := r.learning.open[k]; ok {
@@ -132,7 +132,7 @@
 // are cancelled ask nothing any more. It reads records only, so that all nodes
 // find the same but for their estimates of what lies between.
 func (r *round) pulled(id string) pulled {
-	out := pulled{rank: wire.Ranks}
+	out := pulled{rank: wire.PriorityCount}
 	waiters := r.cluster.Waiters(id)
 	if len(waiters) == 0 {
 		return out
@@ -146,7 +146,7 @@
 			continue
 		}
 		up := r.pulled(w)
-		out.rank = min(out.rank, up.rank, wire.Rank(j.Spec.Priority))
+		out.rank = min(out.rank, up.rank, wire.PriorityRank(j.Spec.Priority))
 		own, _ := r.reachable(r.cutoffs(j), r.run(j))
 		if by := earlier(up.by, own); !by.IsZero() {
 			out.by = earlier(out.by, by.Add(-r.run(j)))
@@ -171,7 +171,7 @@
 // stays for services that users watch: what only leads to something is never
 // above high, so that a long pipeline can't push them aside.
 func (r *round) rank(j *world.Job) int {
-	return min(wire.Rank(j.Spec.Priority), max(r.pulled(j.Spec.ID).rank, wire.Rank(wire.PriorityHigh)))
+	return min(wire.PriorityRank(j.Spec.Priority), max(r.pulled(j.Spec.ID).rank, wire.PriorityRank(wire.PriorityHigh)))
 }
 
 // state describes what this round chooses in.
@@ -182,7 +182,7 @@
 		if !j.Startable() {
 			continue
 		}
-		run := r.learning.runs.RunS(j.Spec.Class, j.Spec.EstimateS)
+		run := r.learning.runs.RunS(j.Spec.Class, j.Spec.RuntimeEstimateSeconds)
 		// Half of a task's run time is left on average.
 		s.RunningS += float64(j.Bound) * run / 2
 		if j.Bound > 0 && run > 0 {
@@ -243,8 +243,8 @@
 }
 
 func (r *round) action(j *world.Job) *learn.Action {
-	return &learn.Action{Class: j.Spec.Class, Team: j.Spec.Team, RunS: r.learning.runs.RunS(j.Spec.Class, j.Spec.EstimateS),
-		Interactive: r.rank(j) <= wire.Rank(wire.PriorityHigh)}
+	return &learn.Action{Class: j.Spec.Class, Team: j.Spec.Team, RunS: r.learning.runs.RunS(j.Spec.Class, j.Spec.RuntimeEstimateSeconds),
+		Interactive: r.rank(j) <= wire.PriorityRank(wire.PriorityHigh)}
 }
 
 // score values a job in the state of this round.
--- a/internal/pool/autoscaler.go
+++ b/internal/pool/autoscaler.go
@@ -121,7 +121,7 @@
 			a.log.Info("catalog not read", "err", err)
 			return
 		}
-		guards := []wire.Guard{{Key: world.CatalogKey, Stamp: stamp}}
+		guards := []wire.Condition{{Key: world.CatalogKey, ModRevision: stamp}}
 		if leads {
 			guards = append(guards, lead)
 		}
@@ -159,9 +159,9 @@
 
 // leadership tells whether this node leads, with the guard of what a leader writes.
 // Callers hold the world's lock.
-func (a *Autoscaler) leadership() (wire.Guard, bool) {
+func (a *Autoscaler) leadership() (wire.Condition, bool) {
 	_, stamp, ok := a.members.Owns(world.Leader)
-	return wire.Guard{Key: world.PartKey(world.Leader), Stamp: stamp}, ok
+	return wire.Condition{Key: world.PartKey(world.Leader), ModRevision: stamp}, ok
 }
 
 // returnMachines deletes machines marked for it, of this node's parts. Those whose tasks wait for it
@@ -280,15 +280,15 @@
 	}
 	now := time.Now()
 	var out []plannedMachine
-	rank := wire.Ranks
+	rank := wire.PriorityCount
 	late := false // the work at hand has waited so long that its room is no choice any more
-	openMachine := func(s *wire.Spec, zone string, allowed func(machineKind) bool) *plannedMachine {
+	openMachine := func(s *wire.JobSpec, zone string, allowed func(machineKind) bool) *plannedMachine {
 		k, ok := a.cheapestKind(s, zone, machinesInZone, now, allowed)
 		if !ok {
 			return nil
 		}
 		t := a.state.Types[k.machineType]
-		out = append(out, plannedMachine{k, world.Capacity(&t), rank <= wire.Rank(wire.PriorityHigh) || late})
+		out = append(out, plannedMachine{k, world.Capacity(&t), rank <= wire.PriorityRank(wire.PriorityHigh) || late})
 		machinesInZone[k.zone]++
 		return &out[len(out)-1]
 	}
@@ -298,7 +298,7 @@
 		zone, count := s.Zone, g.Count
 		perZone := map[string]int{}
 		allowed := func(k machineKind) bool { return !s.Spread || perZone[k.zone] < (count+1)/2 }
-		if zone == "" && s.OneZone {
+		if zone == "" && s.SameZone {
 			if zone, count = a.chooseGangZone(g, machinesInZone, now); count == 0 {
 				continue
 			}
@@ -307,8 +307,8 @@
 		for range count {
 			var b *plannedMachine
 			for ; at < len(out); at++ {
-				if o := &out[at]; need.Within(o.free) && (zone == "" || o.zone == zone) && (s.Spot || !o.spot) &&
-					(len(s.Types) == 0 || slices.Contains(s.Types, o.machineType)) && allowed(o.machineKind) {
+				if o := &out[at]; need.Within(o.free) && (zone == "" || o.zone == zone) && (s.AllowSpot || !o.spot) &&
+					(len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, o.machineType)) && allowed(o.machineKind) {
 					b = o
 					break
 				}
@@ -321,17 +321,17 @@
 			}
 			b.free = b.free.Plus(need, -1)
 			perZone[b.zone]++
-			if s.OneZone {
+			if s.SameZone {
 				zone = b.zone
 			}
 		}
 	}
-	late, rank = false, wire.Ranks
+	late, rank = false, wire.PriorityCount
 	step := a.headroomTarget(now)
 	short := a.operator.PoolMin - total - len(out)
 	spare := max(short, int(math.Ceil(step.onDemand-demand.Spare.Machines-0.5)), int(math.Ceil(step.unusedMachines-float64(demand.Spare.UnusedMachines)-0.5)))
 	for i := range spare {
-		b := openMachine(&wire.Spec{}, "", anyKind)
+		b := openMachine(&wire.JobSpec{}, "", anyKind)
 		if b == nil {
 			break
 		}
@@ -340,13 +340,13 @@
 	reserve := a.zoneReserve()
 	for _, z := range slices.Sorted(maps.Keys(reserve)) {
 		for range int(math.Ceil(reserve[z] - demand.Spare.MachinesByZone[z])) {
-			if openMachine(&wire.Spec{}, z, anyKind) == nil {
+			if openMachine(&wire.JobSpec{}, z, anyKind) == nil {
 				break
 			}
 		}
 	}
 	for range int(math.Ceil(step.spot - demand.Spot.Machines - 0.5)) {
-		if openMachine(&wire.Spec{Spot: true}, "", anyKind) == nil {
+		if openMachine(&wire.JobSpec{AllowSpot: true}, "", anyKind) == nil {
 			break
 		}
 	}
@@ -370,9 +370,9 @@
 	}
 	if k, ok := a.cheapestKind(s, "", machinesInZone, now, ample); ok {
 		if first, _ := a.cheapestKind(s, "", machinesInZone, now, anyKind); first == k {
-			return "", s.Tasks // as for any job, so that machines rented for others are shared
+			return "", s.TaskCount // as for any job, so that machines rented for others are shared
 		}
-		return k.zone, s.Tasks
+		return k.zone, s.TaskCount
 	}
 	if group.Zone != "" && !slices.Contains(a.unavailableZones, group.Zone) {
 		return "", 0 // more is asked for there once it may be
@@ -404,7 +404,7 @@
 			continue
 		}
 		room := a.machineEquivalents(&j.Spec)
-		a.arrivals[id] = arrival{at, room, j.Spec.Spot, room > tuning.WholeShare*float64(j.Spec.Tasks)}
+		a.arrivals[id] = arrival{at, room, j.Spec.AllowSpot, room > tuning.WholeShare*float64(j.Spec.TaskCount)}
 	}
 	var room, whole, spot float64
 	for id, recent := range a.arrivals {
@@ -423,7 +423,7 @@
 	}
 	boot := 0.0
 	for _, t := range a.state.Types {
-		boot = max(boot, t.BootS)
+		boot = max(boot, t.BootSeconds)
 	}
 	deviation := func(square float64) float64 {
 		return tuning.StepDeviations * math.Sqrt(square*boot/tuning.ArrivalWindow.Seconds())
@@ -443,7 +443,7 @@
 	for _, m := range a.state.Machines {
 		for _, b := range m.Bound {
 			if s := &b.Job.Spec; s.Kind == wire.KindService && s.Zone == "" {
-				held[m.Zone] += a.machineEquivalents(s) / float64(s.Tasks)
+				held[m.Zone] += a.machineEquivalents(s) / float64(s.TaskCount)
 				most = max(most, held[m.Zone])
 			}
 		}
@@ -461,7 +461,7 @@
 
 // fitsBesideGPUWork tells whether a job takes no GPU though machines have them: it finds
 // its room beside other work as a rule, and no machine is kept for it.
-func (a *Autoscaler) fitsBesideGPUWork(spec *wire.Spec) bool {
+func (a *Autoscaler) fitsBesideGPUWork(spec *wire.JobSpec) bool {
 	for _, t := range a.state.Types {
 		if t.GPUs == 0 {
 			return false
@@ -471,7 +471,7 @@
 }
 
 // machineEquivalents is what a job takes, in machines of the largest type.
-func (a *Autoscaler) machineEquivalents(spec *wire.Spec) float64 {
+func (a *Autoscaler) machineEquivalents(spec *wire.JobSpec) float64 {
 	best := math.Inf(1)
 	for _, t := range a.state.Types {
 		r := 0.0
@@ -485,18 +485,18 @@
 	if math.IsInf(best, 1) {
 		return 0
 	}
-	return best * float64(spec.Tasks)
+	return best * float64(spec.TaskCount)
 }
 
 // cheapestKind picks the cheapest kind for a task, in the allowed zone with the
 // fewest machines, leaving out what was refused lately and zones that are cut off.
-func (a *Autoscaler) cheapestKind(spec *wire.Spec, zone string, machinesInZone map[string]int, now time.Time, allowed func(machineKind) bool) (machineKind, bool) {
+func (a *Autoscaler) cheapestKind(spec *wire.JobSpec, zone string, machinesInZone map[string]int, now time.Time, allowed func(machineKind) bool) (machineKind, bool) {
 	need := world.Need(spec)
 	var cheapest machineKind
 	lowestPrice, found := 0.0, false
 	for _, name := range slices.Sorted(maps.Keys(a.state.Types)) {
 		t := a.state.Types[name]
-		if len(spec.Types) > 0 && !slices.Contains(spec.Types, name) || !need.Within(world.Capacity(&t)) {
+		if len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, name) || !need.Within(world.Capacity(&t)) {
 			continue
 		}
 		for _, z := range t.Zones {
@@ -505,7 +505,7 @@
 			}
 			for _, spot := range []bool{true, false} {
 				k := machineKind{name, z, spot}
-				if spot && !spec.Spot || a.isRefused(k, now) || !allowed(k) {
+				if spot && !spec.AllowSpot || a.isRefused(k, now) || !allowed(k) {
 					continue
 				}
 				price := t.Price
@@ -522,7 +522,7 @@
 }
 
 // rentAll rents the machines, most needed kinds first, several requests at once.
-func (a *Autoscaler) rentAll(ctx context.Context, leader wire.Guard, planned []plannedMachine) {
+func (a *Autoscaler) rentAll(ctx context.Context, leader wire.Condition, planned []plannedMachine) {
 	count := map[machineKind]int{}
 	var kinds []machineKind // in the order of need
 	for _, b := range planned {
@@ -555,7 +555,7 @@
 }
 
 // rent writes a request's name, asks the cloud, and records the machines.
-func (a *Autoscaler) rent(ctx context.Context, leader wire.Guard, kind machineKind, count int) {
+func (a *Autoscaler) rent(ctx context.Context, leader wire.Condition, kind machineKind, count int) {
 	a.mu.Lock()
 	refused := a.isRefused(kind, time.Now())
 	a.rentalSerial++
@@ -567,7 +567,7 @@
 	rec := world.RentalRecord{Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: count, AtMs: time.Now().UnixMilli()}
 	key := world.RentalKey(name)
 	rev, err := a.commit(ctx, store.Item{
-		Guards: []wire.Guard{{Key: key, Stamp: 0}, leader}, Ops: []wire.Op{store.Set(key, rec)},
+		Guards: []wire.Condition{{Key: key, ModRevision: 0}, leader}, Ops: []wire.Op{store.Set(key, rec)},
 	})
 	if err != nil {
 		a.log.Info("rental not recorded", "err", err)
@@ -578,7 +578,7 @@
 
 // resumeRentals asks again for rentals whose answer is not known, and drops those whose
 // machines all have records of their own.
-func (a *Autoscaler) resumeRentals(ctx context.Context, leader wire.Guard) bool {
+func (a *Autoscaler) resumeRentals(ctx context.Context, leader wire.Condition) bool {
 	a.state.RLock()
 	open := map[string]world.Rental{}
 	var done []store.Item
@@ -589,7 +589,7 @@
 		}
 		if !slices.ContainsFunc(r.Machines, func(n string) bool { m := a.state.Machines[n]; return m != nil && m.Stamp == 0 }) {
 			key := world.RentalKey(name)
-			done = append(done, store.Item{Guards: []wire.Guard{leader, {Key: key, Stamp: r.Stamp}}, Ops: []wire.Op{store.Drop(key)}})
+			done = append(done, store.Item{Guards: []wire.Condition{leader, {Key: key, ModRevision: r.Stamp}}, Ops: []wire.Op{store.Drop(key)}})
 		}
 	}
 	a.state.RUnlock()
@@ -617,7 +617,7 @@
 
 func (a *Autoscaler) requestMachines(ctx context.Context, name string, rec world.RentalRecord, stamp uint64) error {
 	k := machineKind{rec.Type, rec.Zone, rec.Spot}
-	names, err := a.cloud.Rent(ctx, wire.Rental{Name: name, Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot, Count: rec.Count})
+	names, err := a.cloud.Rent(ctx, wire.RentalRequest{Name: name, MachineType: rec.Type, Zone: rec.Zone, Spot: rec.Spot, Count: rec.Count})
 	switch {
 	case errors.Is(err, ErrNoCapacity) || errors.Is(err, ErrMalformedRequest):
 		a.log.Info("rental refused", "type", k.machineType, "zone", k.zone, "spot", k.spot, "count", rec.Count, "err", err)
@@ -637,7 +637,7 @@
 	if rec.Machines = names; len(names) > 0 {
 		op = store.Set(key, rec)
 	}
-	if _, err := a.commit(ctx, store.Item{Guards: []wire.Guard{{Key: key, Stamp: stamp}}, Ops: []wire.Op{op}}); err != nil {
+	if _, err := a.commit(ctx, store.Item{Guards: []wire.Condition{{Key: key, ModRevision: stamp}}, Ops: []wire.Op{op}}); err != nil {
 		a.log.Debug("rental record stays", "rental", name, "err", err)
 	}
 	return nil
@@ -681,7 +681,7 @@
 }
 
 // scaleIn marks machines that stood idle for the hold, beyond step and minimum.
-func (a *Autoscaler) scaleIn(ctx context.Context, leader wire.Guard, demand place.Demand, planned []plannedMachine) {
+func (a *Autoscaler) scaleIn(ctx context.Context, leader wire.Condition, demand place.Demand, planned []plannedMachine) {
 	now := time.Now()
 	idle := map[string]bool{}
 	for _, n := range demand.Idle {
@@ -728,7 +728,7 @@
 		rec := m.MachineRecord
 		rec.Drain = true
 		items = append(items, store.Item{
-			Guards: []wire.Guard{leader, {Key: world.MachineKey(n), Stamp: m.Stamp}},
+			Guards: []wire.Condition{leader, {Key: world.MachineKey(n), ModRevision: m.Stamp}},
 			Ops:    []wire.Op{store.Set(world.MachineKey(n), rec)},
 		})
 		left[m.Spot]--
@@ -743,7 +743,7 @@
 
 // reconcileListing compares the cloud's list with the records: machines that stopped, or that are not
 // there any more, are deleted, machines that nobody knows are recorded, to be used or returned.
-func (a *Autoscaler) reconcileListing(ctx context.Context, leader wire.Guard) {
+func (a *Autoscaler) reconcileListing(ctx context.Context, leader wire.Condition) {
 	if time.Since(a.lastListing) < tuning.ListEvery {
 		return
 	}
@@ -765,7 +765,7 @@
 			rec := m.MachineRecord
 			rec.Gone = true
 			a.log.Info("machine failed", "machine", l.ID)
-			items = append(items, store.Item{Guards: []wire.Guard{leader, {Key: key, Stamp: m.Stamp}}, Ops: []wire.Op{store.Set(key, rec)}})
+			items = append(items, store.Item{Guards: []wire.Condition{leader, {Key: key, ModRevision: m.Stamp}}, Ops: []wire.Op{store.Set(key, rec)}})
 		case m == nil:
 			seen[l.ID] = true
 			if _, ok := a.unknownSince[l.ID]; !ok {
@@ -774,9 +774,9 @@
 			// Lists lag: only one that stays unknown is a stray.
 			if now.Sub(a.unknownSince[l.ID]) > config.Seconds(2*a.settings.Deployment.Cloud.ListLagS)+tuning.ListEvery {
 				a.log.Info("recording an unknown machine", "machine", l.ID)
-				rec := world.MachineRecord{Type: l.Type, Zone: l.Zone, Spot: l.Spot, Address: l.Address,
-					AtMs: now.Add(-config.Seconds(l.AgeS)).UnixMilli(), Gone: l.State == wire.MachineFailed}
-				items = append(items, store.Item{Guards: []wire.Guard{leader, {Key: key, Stamp: 0}}, Ops: []wire.Op{store.Set(key, rec)}})
+				rec := world.MachineRecord{Type: l.MachineType, Zone: l.Zone, Spot: l.Spot, Address: l.Address,
+					AtMs: now.Add(-config.Seconds(l.AgeSeconds)).UnixMilli(), Gone: l.State == wire.MachineFailed}
+				items = append(items, store.Item{Guards: []wire.Condition{leader, {Key: key, ModRevision: 0}}, Ops: []wire.Op{store.Set(key, rec)}})
 			}
 		}
 	}
@@ -790,7 +790,7 @@
 // listed until it is gone. Silence alone can't tell the loss of all machines at once from a cut of
 // our own, and gave up none for ever. That they are gone is proved by their deletion, as
 // ever. Callers hold the world's lock.
-func (a *Autoscaler) deleteUnlisted(leader wire.Guard, listing []wire.Listed, now time.Time) (items []store.Item) {
+func (a *Autoscaler) deleteUnlisted(leader wire.Condition, listing []wire.CloudMachine, now time.Time) (items []store.Item) {
 	listed := make(map[string]bool, len(listing))
 	for _, l := range listing {
 		listed[l.ID] = true
@@ -807,7 +807,7 @@
 		rec, key := m.MachineRecord, world.MachineKey(name)
 		rec.Gone = true
 		a.log.Info("machine is not listed any more", "machine", name, "tasks", len(m.Bound))
-		items = append(items, store.Item{Guards: []wire.Guard{leader, {Key: key, Stamp: m.Stamp}}, Ops: []wire.Op{store.Set(key, rec)}})
+		items = append(items, store.Item{Guards: []wire.Condition{leader, {Key: key, ModRevision: m.Stamp}}, Ops: []wire.Op{store.Set(key, rec)}})
 	}
 	maps.DeleteFunc(a.missedListings, func(n string, _ int) bool { return a.state.Machines[n] == nil })
 	return items
--- a/internal/pool/autoscaler_test.go
+++ b/internal/pool/autoscaler_test.go
@@ -23,7 +23,7 @@
 func newTestAutoscaler(tb testing.TB) *Autoscaler {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	w := world.New(3, log)
-	w.Types["m"] = wire.MachineType{Name: "m", CPUs: 32, GPUs: 4, MemoryGB: 256, Price: 10, SpotPrice: 4, BootS: 30, Zones: testZones}
+	w.Types["m"] = wire.MachineType{Name: "m", CPUs: 32, GPUs: 4, MemoryGB: 256, Price: 10, SpotPrice: 4, BootSeconds: 30, Zones: testZones}
 	op, err := config.LoadOperator("")
 	if err != nil {
 		tb.Fatal(err)
@@ -40,21 +40,21 @@
 		d := place.Demand{At: time.Now()}
 		gpus, ordinary, gangs := 0, 0, 0
 		for i := range rapid.IntRange(1, 12).Draw(t, "groups") {
-			s := &wire.Spec{ID: fmt.Sprintf("run-%d", i), Priority: wire.PriorityNormal, CPUs: 6, GPUs: 1, MemoryGB: 40}
-			s.Tasks = rapid.IntRange(1, 60).Draw(t, "tasks")
+			s := &wire.JobSpec{ID: fmt.Sprintf("run-%d", i), Priority: wire.PriorityNormal, CPUs: 6, GPUs: 1, MemoryGB: 40}
+			s.TaskCount = rapid.IntRange(1, 60).Draw(t, "tasks")
 			switch rapid.IntRange(0, 2).Draw(t, "kind") {
 			case 0:
-				s.Kind, s.Spot = wire.KindArray, true
+				s.Kind, s.AllowSpot = wire.KindArray, true
 			case 1:
 				s.Kind, s.Spread = wire.KindService, true
-				ordinary += s.Tasks
+				ordinary += s.TaskCount
 			case 2:
-				s.Kind, s.OneZone, s.GPUs = wire.KindGang, true, 4
-				ordinary += 4 * s.Tasks
-				gangs += s.Tasks
+				s.Kind, s.SameZone, s.GPUs = wire.KindGang, true, 4
+				ordinary += 4 * s.TaskCount
+				gangs += s.TaskCount
 			}
-			gpus += s.Tasks * int(s.GPUs)
-			d.Groups = append(d.Groups, place.Group{Spec: s, Count: s.Tasks, Zone: rapid.SampledFrom([]string{"", "west"}).Draw(t, "zone"), Since: time.Now()})
+			gpus += s.TaskCount * int(s.GPUs)
+			d.Groups = append(d.Groups, place.Group{Spec: s, Count: s.TaskCount, Zone: rapid.SampledFrom([]string{"", "west"}).Draw(t, "zone"), Since: time.Now()})
 		}
 		bins := p.planScaleOut(d)
 		room, plain := 0, 0
@@ -78,7 +78,7 @@
 func TestGangMovesFromRefusedZone(t *testing.T) {
 	p := newTestAutoscaler(t)
 	p.refusals[machineKind{"m", "west", false}] = refusal{until: time.Now().Add(tuning.RefusedHold)}
-	s := &wire.Spec{ID: "run-1", Kind: wire.KindGang, Priority: wire.PriorityHigh, Tasks: 8, CPUs: 28, GPUs: 4, MemoryGB: 200, OneZone: true}
+	s := &wire.JobSpec{ID: "run-1", Kind: wire.KindGang, Priority: wire.PriorityHigh, TaskCount: 8, CPUs: 28, GPUs: 4, MemoryGB: 200, SameZone: true}
 	n := 0
 	for _, b := range p.planScaleOut(place.Demand{Groups: []place.Group{{Spec: s, Count: 2, Zone: "west", Since: time.Now()}}, Spare: fit.SpareCapacity{Machines: 9, UnusedMachines: 9}, Spot: fit.SpareCapacity{Machines: 9}}) {
 		if b.zone != "east" {
@@ -101,7 +101,7 @@
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
 		p.operator.ZoneReserve = share
 		held := map[string]float64{}
-		job := &world.Job{JobRecord: world.JobRecord{Spec: wire.Spec{ID: "run-1", Kind: wire.KindService, Tasks: 8, CPUs: 8, GPUs: 1, MemoryGB: 60}}}
+		job := &world.Job{JobRecord: world.JobRecord{Spec: wire.JobSpec{ID: "run-1", Kind: wire.KindService, TaskCount: 8, CPUs: 8, GPUs: 1, MemoryGB: 60}}}
 		for i := range rapid.IntRange(0, 40).Draw(t, "machines") {
 			m := &world.Machine{Name: fmt.Sprintf("vm-%d", i), MachineRecord: world.MachineRecord{Type: "m", Zone: rapid.SampledFrom(testZones).Draw(t, "zone"), Up: true}}
 			m.Bound = map[world.TaskRef]world.Binding{}
@@ -143,7 +143,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			p := newTestAutoscaler(t)
 			p.operator.PoolMin = 0
-			s := &wire.Spec{ID: "run-1", Kind: wire.KindGang, Priority: wire.PriorityHigh, Tasks: 4, CPUs: 28, GPUs: 4, MemoryGB: 200, OneZone: true}
+			s := &wire.JobSpec{ID: "run-1", Kind: wire.KindGang, Priority: wire.PriorityHigh, TaskCount: 4, CPUs: 28, GPUs: 4, MemoryGB: 200, SameZone: true}
 			for _, z := range testZones {
 				p.recordRefusal(machineKind{"m", z, false})
 			}
--- a/internal/pool/client.go
+++ b/internal/pool/client.go
@@ -38,7 +38,7 @@
 // NewClient makes a client of the cloud at addr; all nodes together keep to rps.
 func NewClient(addr string, rps float64, nodes int, rt http.RoundTripper) *Client {
 	if rt == nil {
-		rt = wire.Transport(tuning.CloudTimeout, tuning.IdleConns, tuning.IdleConns)
+		rt = wire.NewTransport(tuning.CloudTimeout, tuning.IdleConns, tuning.IdleConns)
 	}
 	c := &Client{baseURL: "http://" + addr, httpClient: &http.Client{Transport: rt}, leaderRate: rps * tuning.CloudShare}
 	if nodes > 1 {
@@ -102,8 +102,8 @@
 	case http.StatusBadRequest:
 		return ErrMalformedRequest
 	case http.StatusServiceUnavailable:
-		var p wire.Problem
-		if wire.Decode(b, &p) == nil && p.Error == "no capacity" {
+		var p wire.ErrorResponse
+		if wire.Decode(b, &p) == nil && p.Message == "no capacity" {
 			return ErrNoCapacity
 		}
 	}
@@ -118,23 +118,23 @@
 }
 
 // Rent asks for machines. The same name gives the same answer.
-func (c *Client) Rent(ctx context.Context, r wire.Rental) ([]string, error) {
-	var out wire.Fleet
+func (c *Client) Rent(ctx context.Context, r wire.RentalRequest) ([]string, error) {
+	var out wire.MachineNames
 	err := c.call(ctx, http.MethodPost, "/machines", r, &out)
-	return out.Machines, err
+	return out.Names, err
 }
 
 // Return deletes machines; once it returns nil they are gone.
 func (c *Client) Return(ctx context.Context, names []string) error {
-	return c.call(ctx, http.MethodPost, "/machines/return", wire.Fleet{Machines: names}, nil)
+	return c.call(ctx, http.MethodPost, "/machines/return", wire.MachineNames{Names: names}, nil)
 }
 
 // List reads all machines.
-func (c *Client) List(ctx context.Context) ([]wire.Listed, error) {
-	var out []wire.Listed
+func (c *Client) List(ctx context.Context) ([]wire.CloudMachine, error) {
+	var out []wire.CloudMachine
 	after := ""
 	for {
-		var page wire.List
+		var page wire.MachinePage
 		q := url.Values{"page": {"500"}}
 		if after != "" {
 			q.Set("after", after)
@@ -143,7 +143,7 @@
 			return nil, err
 		}
 		out = append(out, page.Machines...)
-		if !page.More || len(page.Machines) == 0 {
+		if !page.HasMore || len(page.Machines) == 0 {
 			return out, nil
 		}
 		after = page.Machines[len(page.Machines)-1].ID
--- a/internal/preempt/preemption_test.go
+++ b/internal/preempt/preemption_test.go
@@ -20,7 +20,7 @@
 		h RunningJob
 	}
 	var sides []side
-	for rank := range wire.Ranks {
+	for rank := range wire.PriorityCount {
 		for bits := range 32 {
 			team, guaranteed := fmt.Sprint("t", bits&1), bits&2 != 0
 			assured := bits&4 != 0 && guaranteed
@@ -65,7 +65,7 @@
 			machines = append(machines, machine)
 			for k := range rapid.IntRange(0, 4).Draw(t, "tasks") {
 				job := &world.Job{}
-				job.Spec = wire.Spec{ID: "j", GPUs: float64(rapid.IntRange(1, 2).Draw(t, "gpus"))}
+				job.Spec = wire.JobSpec{ID: "j", GPUs: float64(rapid.IntRange(1, 2).Draw(t, "gpus"))}
 				tasks[machine] = append(tasks[machine], Victim{Binding: world.Binding{Ref: world.TaskRef{Job: machine.Machine.Name, Index: k}, Job: job},
 					Rank: rapid.IntRange(1, 3).Draw(t, "rank"), LostMachineSeconds: float64(rapid.IntRange(1, 50).Draw(t, "cost"))})
 			}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -215,7 +215,7 @@
 	key := world.QuotaKey(s.team)
 	return Change{
 		Item: store.Item{
-			Guards: []wire.Guard{{Key: key, Stamp: q.Stamp}, {Key: world.PartKey(s.part), Stamp: stamp}},
+			Guards: []wire.Condition{{Key: key, ModRevision: q.Stamp}, {Key: world.PartKey(s.part), ModRevision: stamp}},
 			Ops:    []wire.Op{store.Set(key, world.QuotaRecord{Grants: grants})},
 		},
 		Part: s.part,
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -47,7 +47,7 @@
 			case 2:
 				use := func(part int, _ string) world.Amount { return world.Amount{GPUs: used[part]} }
 				for _, c := range keepers[p].Review(now, map[int]uint64{p: 1}, use) {
-					flights = append(flights, flight{c, c.Item.Guards[0].Stamp})
+					flights = append(flights, flight{c, c.Item.Guards[0].ModRevision})
 				}
 			case 3: // one change arrives, or is refused
 				if len(flights) == 0 {
--- a/internal/settle/reconcile.go
+++ b/internal/settle/reconcile.go
@@ -46,7 +46,7 @@
 		}
 		return Decision{ResendCommands: true}
 	case fleet.PresenceAlive:
-		return Decision{ImagePresent: task.State != wire.TaskFetching}
+		return Decision{ImagePresent: task.State != wire.TaskFetchingImage}
 	case fleet.PresenceExited:
 		return decideExited(task)
 	}
@@ -60,7 +60,7 @@
 func decideExited(task BoundTask) Decision {
 	decision := releaseToPending(task.Cause)
 	switch task.Cause {
-	case wire.CauseDone:
+	case wire.ExitCauseDone:
 		decision.ImagePresent = true
 		switch {
 		case task.JobKind == wire.KindService:
@@ -71,13 +71,13 @@
 			// A gang completes together: one done task tells it of all.
 			decision.Reason, decision.NextState, decision.WholeGang = "done", world.Done, task.JobKind == wire.KindGang
 		}
-	case wire.CauseError:
+	case wire.ExitCauseError:
 		// Its class paces the repeats of what is counted.
 		decision.TaskFailed, decision.BackOffJob, decision.CountFailure = true, !task.RetriesLimited, task.RetriesLimited
 		decision.FailJob = task.RetriesLimited && task.RetriesExhausted && !task.JobCancelled
-	case wire.CauseNoRoom, wire.CauseBusy:
+	case wire.ExitCauseNoCapacity, wire.ExitCauseAlreadyRunning:
 		decision.PlacementRefused = true
-	case wire.CauseUnknown:
+	case wire.ExitCauseUnknownTask:
 		decision.BackOffJob = true
 	}
 	return decision
--- a/internal/settle/reconcile_test.go
+++ b/internal/settle/reconcile_test.go
@@ -15,7 +15,7 @@
 func TestDecideEveryObservation(t *testing.T) {
 	seen := map[Decision]bool{}
 	for _, presence := range []fleet.TaskPresence{fleet.PresenceUnknown, fleet.PresenceAlive, fleet.PresenceExited, fleet.PresenceSessionEnded, fleet.PresenceAbsent} {
-		for _, cause := range []string{wire.CauseDone, wire.CauseError, wire.CauseStopped, wire.CauseNoRoom, wire.CauseBusy, wire.CauseUnknown, "new"} {
+		for _, cause := range []string{wire.ExitCauseDone, wire.ExitCauseError, wire.ExitCauseStopped, wire.ExitCauseNoCapacity, wire.ExitCauseAlreadyRunning, wire.ExitCauseUnknownTask, "new"} {
 			for _, kind := range []string{wire.KindArray, wire.KindGang, wire.KindService} {
 				for bits := range 16 {
 					task := BoundTask{TaskObservation: fleet.TaskObservation{Presence: presence, Cause: cause}, JobKind: kind, JobCancelled: bits&1 != 0, StopRequested: bits&2 != 0,
@@ -26,15 +26,15 @@
 					if decision.Release != proof {
 						t.Errorf("%+v: %+v", task, decision)
 					}
-					done := presence == fleet.PresenceExited && cause == wire.CauseDone && kind != wire.KindService && !task.JobCancelled
+					done := presence == fleet.PresenceExited && cause == wire.ExitCauseDone && kind != wire.KindService && !task.JobCancelled
 					if (decision.NextState == world.Done) != done || decision.WholeGang != (done && kind == wire.KindGang) {
 						t.Errorf("%+v: %+v", task, decision)
 					}
-					failed := presence == fleet.PresenceExited && cause == wire.CauseError
+					failed := presence == fleet.PresenceExited && cause == wire.ExitCauseError
 					if decision.CountFailure != (failed && task.RetriesLimited) || decision.FailJob != (decision.CountFailure && task.RetriesExhausted && !task.JobCancelled) || decision.CountFailure && decision.BackOffJob {
 						t.Errorf("%+v: %+v", task, decision)
 					}
-					if decision.TaskFailed && cause != wire.CauseError || decision.PlacementRefused && decision.TaskFailed {
+					if decision.TaskFailed && cause != wire.ExitCauseError || decision.PlacementRefused && decision.TaskFailed {
 						t.Errorf("%+v: %+v", task, decision)
 					}
 				}
--- a/internal/spill/home.go
+++ b/internal/spill/home.go
@@ -198,7 +198,7 @@
 		if status == "" {
 			status = j.Ending() // refused or sent home after its user had cancelled it
 		}
-		guards = append(guards, wire.Guard{Key: world.JobKey(j.Spec.ID), Stamp: j.Stamp})
+		guards = append(guards, wire.Condition{Key: world.JobKey(j.Spec.ID), ModRevision: j.Stamp})
 		ops = j.Final(status, done, time.Now().UnixMilli())
 		ops = append(ops, j.DropFurther(s.commit.TxnOps()-len(ops))...)
 	}
@@ -248,7 +248,7 @@
 			if why := rec.Lay(s.world.Level, s.world.Fit(s.commit.LeastRoom())); why != "" {
 				s.log.Error("job of another cell's inventory can't be recorded", "job", a.Spec.ID, "why", why)
 			}
-			guards = append(guards, wire.Guard{Key: world.JobKey(a.Spec.ID)}, wire.Guard{Key: world.FinalKey(a.Spec.ID)})
+			guards = append(guards, wire.Condition{Key: world.JobKey(a.Spec.ID)}, wire.Condition{Key: world.FinalKey(a.Spec.ID)})
 			op = store.Set(world.JobKey(a.Spec.ID), rec)
 		}
 		s.world.RUnlock()
@@ -325,7 +325,7 @@
 		// What was given since the digest came is on its way.
 		if j.Known && j.Away != nil {
 			if i := slices.IndexFunc(list, func(c cell.Candidate) bool { return c.Name == j.Away.Cell }); i >= 0 && time.UnixMilli(j.AwayMs).After(list[i].Digest.At.Add(-tuning.CellExchange)) {
-				flight[j.Away.Cell] += j.Spec.Tasks
+				flight[j.Away.Cell] += j.Spec.TaskCount
 			}
 		}
 	}
@@ -340,22 +340,22 @@
 		if len(gifts) >= tuning.CellGifts || !j.Startable() || !s.mayLeave(j) {
 			continue
 		}
-		rank := wire.Rank(j.Spec.Priority)
+		rank := wire.PriorityRank(j.Spec.Priority)
 		if _, ok := wait[rank]; !ok {
 			wait[rank] = s.wait(rank)
 		}
 		for i := range list {
 			list[i].Flight = flight[list[i].Name]
 		}
-		w := cell.Work{ID: id, Need: world.Need(&j.Spec), Tasks: j.Spec.Tasks, OneZone: j.Spec.OneZone, Types: j.Spec.Types,
-			Spot: j.Spec.Spot, Rank: rank, Image: j.Spec.Image, ImageGB: j.Spec.ImageGB, HereS: max(wait[rank], now.Sub(j.Since()).Seconds()), Guest: j.Guest != nil}
+		w := cell.Work{ID: id, Need: world.Need(&j.Spec), Tasks: j.Spec.TaskCount, OneZone: j.Spec.SameZone, Types: j.Spec.MachineTypes,
+			Spot: j.Spec.AllowSpot, Rank: rank, Image: j.Spec.Image, ImageGB: j.Spec.ImageSizeGB, HereS: max(wait[rank], now.Sub(j.Since()).Seconds()), Guest: j.Guest != nil}
 		if to, ok := cell.Choose(now, &w, list, rand.New(rand.NewPCG(rand.Uint64(), 1))); ok {
 			gifts = append(gifts, gift{j, to})
-			flight[to] += j.Spec.Tasks
+			flight[to] += j.Spec.TaskCount
 		}
 	}
 	next, given := map[string]world.CellRecord{}, map[string][]string{}
-	ops, guards := map[string][]wire.Op{}, map[string][]wire.Guard{}
+	ops, guards := map[string][]wire.Op{}, map[string][]wire.Condition{}
 	for _, g := range gifts {
 		rec, ok := next[g.to]
 		if !ok {
@@ -389,6 +389,6 @@
 func (s *Spill) mayLeave(j *world.Job) bool {
 	t, ok := s.teams[j.Spec.Team]
 	return ok && t.GPUsMax == 0 && t.CPUsMax == 0 && t.GPUs == 0 && t.CPUs == 0 && j.Spec.Kind != wire.KindService && j.Guest == nil && j.Away == nil &&
-		j.Bound == 0 && j.Done == 0 && len(j.Spec.Awaits) == 0 && j.Spec.Zone == "" && j.Records() == 1 && len(j.Further()) == 0 &&
-		time.Since(j.Since()) > tuning.SpillAfter && j.Spec.Repeats == nil
+		j.Bound == 0 && j.Done == 0 && len(j.Spec.Dependencies) == 0 && j.Spec.Zone == "" && j.Records() == 1 && len(j.Further()) == 0 &&
+		time.Since(j.Since()) > tuning.SpillAfter && j.Spec.MaxRetries == nil
 }
--- a/internal/spill/host.go
+++ b/internal/spill/host.go
@@ -79,7 +79,7 @@
 	kept := guests.Clean(s.op.CellEpoch)
 	for n, j := range jobs {
 		if kept.Word(n).Status == cell.Absent && j.Bound == 0 && len(ops) < s.commit.TxnOps() {
-			guards = append(guards, wire.Guard{Key: world.JobKey(j.Spec.ID), Stamp: j.Stamp})
+			guards = append(guards, wire.Condition{Key: world.JobKey(j.Spec.ID), ModRevision: j.Stamp})
 			ops = append(ops, store.Drop(world.JobKey(j.Spec.ID)))
 		}
 	}
@@ -106,7 +106,7 @@
 	next := rec
 	var ops []wire.Op
 	budget := s.commit.TxnOps() - 1
-	change := func(g wire.Guard, op wire.Op) { guards, ops = append(guards, g), append(ops, op) }
+	change := func(g wire.Condition, op wire.Op) { guards, ops = append(guards, g), append(ops, op) }
 	room := s.room()
 	var told []func() // once it is durable
 	for _, a := range m.Asks {
@@ -115,7 +115,7 @@
 		}
 		j := jobs[a.Number]
 		spec := a.Spec
-		fits := j == nil && room >= spec.Tasks && s.takes(&spec)
+		fits := j == nil && room >= spec.TaskCount && s.takes(&spec)
 		before := guests.Word(a.Number)
 		after, word := guests.Hear(cell.Ask{Number: a.Number, Cancelled: a.Cancelled, Recalled: a.Recalled}, s.op.CellEpoch, fits)
 		guests = after
@@ -127,15 +127,15 @@
 				guests, _ = guests.Release(a.Number, 0)
 				continue
 			}
-			room -= spec.Tasks
-			change(wire.Guard{Key: world.JobKey(spec.ID)}, store.Set(world.JobKey(spec.ID), rec))
+			room -= spec.TaskCount
+			change(wire.Condition{Key: world.JobKey(spec.ID)}, store.Set(world.JobKey(spec.ID), rec))
 			told = append(told, func() {
 				s.log.Info("job taken from another cell", "job", spec.ID, "cell", m.Cell, "number", a.Number)
 			})
 		case j == nil:
 		case (a.Recalled || s.op.CellDrain) && !j.Cancelled() && j.Bound == 0 && j.Done == 0:
 			if _, ok := guests.Release(a.Number, j.Bound); ok {
-				change(wire.Guard{Key: world.JobKey(spec.ID), Stamp: j.Stamp}, store.Drop(world.JobKey(spec.ID)))
+				change(wire.Condition{Key: world.JobKey(spec.ID), ModRevision: j.Stamp}, store.Drop(world.JobKey(spec.ID)))
 				ops = append(ops, j.DropFurther(budget-len(ops))...)
 				told = append(told, func() { s.log.Info("job sent home", "job", spec.ID, "cell", m.Cell, "number", a.Number) })
 			}
@@ -152,7 +152,7 @@
 	if c := s.world.Cells[m.Cell]; c != nil {
 		for _, n := range m.Have {
 			if o, ok := c.Over[n]; ok && len(ops) < budget {
-				change(wire.Guard{Key: world.OverKey(m.Cell, n), Stamp: o.Stamp}, store.Drop(world.OverKey(m.Cell, n)))
+				change(wire.Condition{Key: world.OverKey(m.Cell, n), ModRevision: o.Stamp}, store.Drop(world.OverKey(m.Cell, n)))
 			}
 		}
 	}
@@ -173,10 +173,10 @@
 }
 
 // takes tells whether a job of another cell may run here at all.
-func (s *Spill) takes(spec *wire.Spec) bool {
+func (s *Spill) takes(spec *wire.JobSpec) bool {
 	t := s.teams[spec.Team]
 	// A limit is the home's to keep; what is away would have to be set aside in both.
-	return t.GPUsMax == 0 && t.CPUsMax == 0 && spec.Kind != wire.KindService && len(spec.Awaits) == 0 &&
+	return t.GPUsMax == 0 && t.CPUsMax == 0 && spec.Kind != wire.KindService && len(spec.Dependencies) == 0 &&
 		accept.Impossible(spec, s.teams, s.world.Types) == "" && s.world.Jobs[spec.ID] == nil
 }
 
@@ -230,7 +230,7 @@
 	held := 0
 	for _, j := range s.world.Jobs {
 		if j.Known && j.Guest != nil {
-			held += j.Spec.Tasks - j.Done
+			held += j.Spec.TaskCount - j.Done
 		}
 	}
 	return max(s.op.CellGuests-held, 0)
@@ -246,7 +246,7 @@
 	count, images, up := map[like]int{}, map[string]int{}, 0
 	fetch, boot := 0.0, 0.0
 	for _, t := range s.world.Types {
-		boot = max(boot, t.BootS)
+		boot = max(boot, t.BootSeconds)
 	}
 	for _, m := range s.world.Machines {
 		t, ok := s.world.Types[m.Type]
@@ -254,8 +254,8 @@
 			continue
 		}
 		up++
-		if t.FetchGBps > 0 {
-			fetch = max(fetch, 1/t.FetchGBps)
+		if t.ImageFetchGBps > 0 {
+			fetch = max(fetch, 1/t.ImageFetchGBps)
 		}
 		for image := range m.Images {
 			images[image]++
@@ -280,7 +280,7 @@
 			d.Images = append(d.Images, image)
 		}
 	}
-	for rank := range wire.Ranks {
+	for rank := range wire.PriorityCount {
 		d.Waits = append(d.Waits, s.wait(rank))
 	}
 	return d
@@ -292,10 +292,10 @@
 func (s *Spill) wait(rank int) float64 {
 	waits, runs := 0.0, 0.0
 	for _, j := range s.world.Jobs {
-		if !j.Known || j.Cancelled() || j.Away != nil || wire.Rank(j.Spec.Priority) > rank || j.Spec.Kind == wire.KindService {
+		if !j.Known || j.Cancelled() || j.Away != nil || wire.PriorityRank(j.Spec.Priority) > rank || j.Spec.Kind == wire.KindService {
 			continue
 		}
-		waits += float64(j.Pending()) * j.Spec.EstimateS
+		waits += float64(j.Pending()) * j.Spec.RuntimeEstimateSeconds
 		runs += float64(j.Bound)
 	}
 	if waits == 0 {
--- a/internal/spill/message.go
+++ b/internal/spill/message.go
@@ -26,11 +26,11 @@
 
 // Ask is a question about one transfer; the first ones offer the job.
 type Ask struct {
-	Number    uint64    `cbor:"n"`
-	Cancelled bool      `cbor:"x,omitempty"`
-	Recalled  bool      `cbor:"r,omitempty"`
-	AtMs      int64     `cbor:"t"` // when the job was submitted
-	Spec      wire.Spec `cbor:"s"`
+	Number    uint64       `cbor:"n"`
+	Cancelled bool         `cbor:"x,omitempty"`
+	Recalled  bool         `cbor:"r,omitempty"`
+	AtMs      int64        `cbor:"t"` // when the job was submitted
+	Spec      wire.JobSpec `cbor:"s"`
 }
 
 // Word is what the receiver's records say of one transfer.
--- a/internal/spill/spill.go
+++ b/internal/spill/spill.go
@@ -137,11 +137,11 @@
 
 // guards are the conditions of what a leader writes about another cell. Callers hold the
 // world's lock.
-func (s *Spill) guards(name string) ([]wire.Guard, bool) {
+func (s *Spill) guards(name string) ([]wire.Condition, bool) {
 	_, stamp, leads := s.owner.Owns(world.Leader)
-	out := []wire.Guard{{Key: world.PartKey(world.Leader), Stamp: stamp}, {Key: world.CellKey(name)}}
+	out := []wire.Condition{{Key: world.PartKey(world.Leader), ModRevision: stamp}, {Key: world.CellKey(name)}}
 	if c := s.world.Cells[name]; c != nil {
-		out[1].Stamp = c.Stamp
+		out[1].ModRevision = c.Stamp
 	}
 	return out, leads
 }
@@ -154,7 +154,7 @@
 	return world.CellRecord{}
 }
 
-func (s *Spill) do(ctx context.Context, guards []wire.Guard, ops []wire.Op) error {
+func (s *Spill) do(ctx context.Context, guards []wire.Condition, ops []wire.Op) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
 	defer cancel()
 	_, err := s.commit.Do(ctx, store.Item{Guards: guards, Ops: ops, Soon: true})
@@ -192,8 +192,8 @@
 }
 
 // rewrite is a job's own record with a change.
-func rewrite(j *world.Job, change func(*world.JobRecord)) (wire.Guard, wire.Op) {
+func rewrite(j *world.Job, change func(*world.JobRecord)) (wire.Condition, wire.Op) {
 	marked := *j
 	change(&marked.JobRecord)
-	return wire.Guard{Key: world.JobKey(j.Spec.ID), Stamp: j.Stamp}, marked.Encode(0, nil)
+	return wire.Condition{Key: world.JobKey(j.Spec.ID), ModRevision: j.Stamp}, marked.Encode(0, nil)
 }
--- a/internal/standin/combinations_test.go
+++ b/internal/standin/combinations_test.go
@@ -182,16 +182,16 @@
 
 // combinationSpec draws a job as these days have them: arrays and gangs of two or three tasks that end far
 // apart, long tasks, many of them cancelled, and services.
-func combinationSpec(rnd *rand.Rand, i int) (wire.Spec, float64, time.Duration) {
+func combinationSpec(rnd *rand.Rand, i int) (wire.JobSpec, float64, time.Duration) {
 	s, run, stop := testSpec(rnd, i)
 	if s.Kind != wire.KindService {
 		run = float64(5 + rnd.IntN(30))
 		if rnd.IntN(4) == 0 {
 			run *= 4 // far longer than a lease
 		}
-		s.EstimateS = run
+		s.RuntimeEstimateSeconds = run
 		if s.Kind == wire.KindArray && rnd.IntN(2) == 0 {
-			s.Tasks = 2 + rnd.IntN(2)
+			s.TaskCount = 2 + rnd.IntN(2)
 		}
 		if rnd.IntN(3) == 0 {
 			stop = time.Duration(10+rnd.IntN(150)) * time.Second
@@ -258,7 +258,7 @@
 func combinationSettings(i int) *config.Settings { return (&faultDay{}).settings(i) }
 
 // spec draws one of the day's jobs.
-func (d *faultDay) spec(rnd *rand.Rand, i int) (wire.Spec, float64, time.Duration) {
+func (d *faultDay) spec(rnd *rand.Rand, i int) (wire.JobSpec, float64, time.Duration) {
 	s, run, stop := combinationSpec(rnd, i)
 	if d.longTasks && s.Kind != wire.KindService {
 		run *= 3
@@ -312,8 +312,8 @@
 	}
 	// The last tasks of a job with several records end in changes of further ones.
 	for i := range 4 {
-		many := wire.Spec{ID: fmt.Sprintf("run-%06d", 900+i), Class: "many", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: tuning.ChunkTasks + 5,
-			CPUs: 0.1, MemoryGB: 0.2, Image: "img-1", ImageGB: 1, EstimateS: 30}
+		many := wire.JobSpec{ID: fmt.Sprintf("run-%06d", 900+i), Class: "many", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: tuning.ChunkTasks + 5,
+			CPUs: 0.1, MemoryGB: 0.2, Image: "img-1", ImageSizeGB: 1, RuntimeEstimateSeconds: 30}
 		r.wg.Go(func() {
 			time.Sleep(time.Duration(20+50*i) * time.Second)
 			r.SimulateUser(ctx, many, 30, 0)
--- a/internal/standin/cpuregion_test.go
+++ b/internal/standin/cpuregion_test.go
@@ -16,9 +16,9 @@
 
 // cpuMachineTypes have no GPUs and three sizes; the largest fetches slowly.
 var cpuMachineTypes = []wire.MachineType{
-	{Name: "small", CPUs: 4, MemoryGB: 8, CacheGB: 40, FetchGBps: 0.8, Price: 0.15, SpotPrice: 0.06, BootS: 40, Zones: []string{"hill", "plain", "river"}},
-	{Name: "medium", CPUs: 8, MemoryGB: 64, CacheGB: 40, FetchGBps: 0.8, Price: 0.37, SpotPrice: 0.15, BootS: 25, Zones: []string{"hill", "plain", "river"}},
-	{Name: "large", CPUs: 32, MemoryGB: 64, CacheGB: 60, FetchGBps: 0.2, Price: 1.14, SpotPrice: 0.5, BootS: 25, Zones: []string{"hill", "coast", "river"}},
+	{Name: "small", CPUs: 4, MemoryGB: 8, ImageCacheGB: 40, ImageFetchGBps: 0.8, Price: 0.15, SpotPrice: 0.06, BootSeconds: 40, Zones: []string{"hill", "plain", "river"}},
+	{Name: "medium", CPUs: 8, MemoryGB: 64, ImageCacheGB: 40, ImageFetchGBps: 0.8, Price: 0.37, SpotPrice: 0.15, BootSeconds: 25, Zones: []string{"hill", "plain", "river"}},
+	{Name: "large", CPUs: 32, MemoryGB: 64, ImageCacheGB: 60, ImageFetchGBps: 0.2, Price: 1.14, SpotPrice: 0.5, BootSeconds: 25, Zones: []string{"hill", "coast", "river"}},
 }
 
 // cpuRegionSettings are those of a region with small budgets, four zones for three controllers, and teams
@@ -48,7 +48,7 @@
 	defer r.mu.Unlock()
 	for range count {
 		n := len(r.machines) + 1
-		m := &cloudMachine{Listed: wire.Listed{ID: fmt.Sprintf("vm-%06d", n), Address: fmt.Sprintf("worker-%06d:9000", n), Type: typ, Zone: zone, State: wire.MachineRunning},
+		m := &cloudMachine{CloudMachine: wire.CloudMachine{ID: fmt.Sprintf("vm-%06d", n), Address: fmt.Sprintf("worker-%06d:9000", n), MachineType: typ, Zone: zone, State: wire.MachineRunning},
 			capacityKey: capacityKey(typ, zone, false), rentedAt: time.Now(), bootedAt: time.Now()}
 		r.machines = append(r.machines, m)
 		r.rentals[fmt.Sprint("before ", n)] = []string{m.ID}
@@ -96,14 +96,14 @@
 		}
 		replicas := 0
 		for i := range 44 {
-			s := wire.Spec{ID: fmt.Sprintf("run-%06d", i+1), Team: fmt.Sprintf("team-%d", rnd.IntN(4)), Class: "cuts", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-				Tasks: 4 + rnd.IntN(30), CPUs: 8, MemoryGB: 13, Spot: true, Image: fmt.Sprintf("img-%d", rnd.IntN(6)), ImageGB: 1.2, EstimateS: 15}
+			s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Team: fmt.Sprintf("team-%d", rnd.IntN(4)), Class: "cuts", Kind: wire.KindArray, Priority: wire.PriorityNormal,
+				TaskCount: 4 + rnd.IntN(30), CPUs: 8, MemoryGB: 13, AllowSpot: true, Image: fmt.Sprintf("img-%d", rnd.IntN(6)), ImageSizeGB: 1.2, RuntimeEstimateSeconds: 15}
 			at, run, stop := time.Duration(max(0, i-24)*rnd.IntN(24))*time.Second/2, float64(6+rnd.IntN(25)), time.Duration(0)
 			if i < 14 {
-				s.Class, s.Kind, s.Priority, s.Tasks, s.CPUs, s.MemoryGB, s.Spot, s.Spread, s.EstimateS = "live", wire.KindService, wire.PriorityProduction, []int{5, 6, 16}[rnd.IntN(3)], 1, 1.5, false, true, 0
+				s.Class, s.Kind, s.Priority, s.TaskCount, s.CPUs, s.MemoryGB, s.AllowSpot, s.Spread, s.RuntimeEstimateSeconds = "live", wire.KindService, wire.PriorityProduction, []int{5, 6, 16}[rnd.IntN(3)], 1, 1.5, false, true, 0
 				// By now all machines are recorded, and none has stood idle for long enough to be returned.
 				at, stop = 10*time.Second+time.Duration(rnd.IntN(3000))*time.Millisecond, 20*time.Minute
-				replicas += s.Tasks
+				replicas += s.TaskCount
 			}
 			r.wg.Go(func() {
 				time.Sleep(at)
--- a/internal/standin/fairshare_test.go
+++ b/internal/standin/fairshare_test.go
@@ -23,7 +23,7 @@
 	defer r.Checker.mu.Unlock()
 	for _, j := range r.Checker.jobs {
 		for _, whom := range []string{j.spec.Class, j.spec.Team, "all"} {
-			asked[whom] += j.spec.Tasks
+			asked[whom] += j.spec.TaskCount
 			started[whom] += len(j.completedTasks)
 		}
 	}
@@ -64,8 +64,8 @@
 		}
 		const burst, large = 260, 50
 		submit := func(n int, class string, tasks int) {
-			spec := wire.Spec{ID: fmt.Sprintf("run-%06d", n), Class: class, Team: fmt.Sprint("team-", n%4), Kind: wire.KindArray, Priority: wire.PriorityNormal,
-				Tasks: tasks, CPUs: 6, GPUs: 1, MemoryGB: 40, Image: "img", ImageGB: 1, EstimateS: 20, Spot: true}
+			spec := wire.JobSpec{ID: fmt.Sprintf("run-%06d", n), Class: class, Team: fmt.Sprint("team-", n%4), Kind: wire.KindArray, Priority: wire.PriorityNormal,
+				TaskCount: tasks, CPUs: 6, GPUs: 1, MemoryGB: 40, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 20, AllowSpot: true}
 			r.wg.Go(func() { r.SimulateUser(ctx, spec, 20, 0) })
 		}
 		n := 0
--- a/internal/standin/fakeagent.go
+++ b/internal/standin/fakeagent.go
@@ -46,8 +46,8 @@
 }
 
 type agentTask struct {
-	wire.TaskReport
-	spec             wire.Spec
+	wire.TaskStatus
+	spec             wire.JobSpec
 	onMachine        bool
 	readyAt          time.Time // image there, saved, or done
 	peerMissingSince time.Time // gang: since when another task is away
@@ -68,7 +68,7 @@
 		a.region.Checker.TaskLeft(k.task, a.name)
 		t.onMachine = false
 	}
-	t.State, t.Cause, t.Saved = wire.TaskExited, cause, saved
+	t.State, t.ExitCause, t.CheckpointSaved = wire.TaskExited, cause, saved
 	a.statusChanged = true
 }
 
@@ -93,13 +93,13 @@
 	}
 	for k, t := range a.tasks {
 		switch t.State {
-		case wire.TaskFetching:
+		case wire.TaskFetchingImage:
 			if now.Before(t.readyAt) {
 				continue
 			}
 			a.images[t.spec.Image] = true
 			if a.region.Checker.TaskIsDone(k.task) {
-				a.exitTask(k, t, wire.CauseDone, false)
+				a.exitTask(k, t, wire.ExitCauseDone, false)
 				continue
 			}
 			t.onMachine = true
@@ -108,25 +108,25 @@
 			t.State = wire.TaskRunning
 			t.readyAt = now.Add(a.region.remainingRunTime(k.task, &t.spec))
 			if t.spec.Kind == wire.KindGang {
-				t.State = wire.TaskWaiting
+				t.State = wire.TaskAwaitingGang
 				t.readyAt = now.Add(config.Seconds(a.region.Settings.Deployment.Workers.GangWaitS))
 			}
-		case wire.TaskWaiting:
-			if mates := a.region.gangMembers(k); len(mates) == t.spec.Tasks {
+		case wire.TaskAwaitingGang:
+			if mates := a.region.gangMembers(k); len(mates) == t.spec.TaskCount {
 				for _, m := range mates {
 					m.agent.statusChanged = true
 					m.task.State = wire.TaskRunning
 					m.task.readyAt = now.Add(a.region.remainingRunTime(world.TaskRef{Job: k.task.Job}, &t.spec))
 				}
 			} else if now.After(t.readyAt) {
-				a.exitTask(k, t, wire.CauseAlone, false)
+				a.exitTask(k, t, wire.ExitCauseGangIncomplete, false)
 			}
 		case wire.TaskRunning:
-			if t.spec.Kind == wire.KindGang && len(a.region.gangMembers(k)) < t.spec.Tasks {
+			if t.spec.Kind == wire.KindGang && len(a.region.gangMembers(k)) < t.spec.TaskCount {
 				if t.peerMissingSince.IsZero() {
 					t.peerMissingSince = now
 				} else if now.Sub(t.peerMissingSince) > config.Seconds(a.region.Settings.Deployment.Workers.GangPeerS) {
-					a.exitTask(k, t, wire.CausePeers, false)
+					a.exitTask(k, t, wire.ExitCauseGangMemberLost, false)
 				}
 				continue
 			}
@@ -141,25 +141,25 @@
 				m := mates[i]
 				a.region.taskFailures[m.attempt.task]--
 				a.region.Checker.TaskFailed(m.attempt.task)
-				m.agent.exitTask(m.attempt, m.task, wire.CauseError, false)
+				m.agent.exitTask(m.attempt, m.task, wire.ExitCauseError, false)
 				continue
 			}
 			for _, m := range mates {
 				a.region.Checker.TaskCompleted(m.attempt.task)
-				m.agent.exitTask(m.attempt, m.task, wire.CauseDone, false)
+				m.agent.exitTask(m.attempt, m.task, wire.ExitCauseDone, false)
 			}
 			a.region.taskCompleted(k.task.Job)
-		case wire.TaskSaving:
+		case wire.TaskCheckpointing:
 			if now.After(t.readyAt) {
 				a.region.checkpointed[k.task] = true
-				a.exitTask(k, t, wire.CauseStopped, true)
+				a.exitTask(k, t, wire.ExitCauseStopped, true)
 			}
 		}
 	}
 }
 
 // executeCommands carries out commands. Callers hold the region's lock.
-func (a *fakeAgent) executeCommands(orders []wire.Order) {
+func (a *fakeAgent) executeCommands(orders []wire.Command) {
 	now := time.Now()
 	for _, o := range orders {
 		ref, ok := world.ParseRef(o.Task)
@@ -170,24 +170,24 @@
 		k := attempt{ref, o.Attempt}
 		t := a.tasks[k]
 		switch {
-		case o.Op == wire.OpForget && t != nil && t.State == wire.TaskExited:
-			if t.Cause == wire.CauseError {
+		case o.Kind == wire.CommandForget && t != nil && t.State == wire.TaskExited:
+			if t.ExitCause == wire.ExitCauseError {
 				a.region.Checker.FailureAcknowledged(k.task)
 			}
 			delete(a.tasks, k)
-		case o.Op == wire.OpStop && t != nil && t.State != wire.TaskExited:
+		case o.Kind == wire.CommandStop && t != nil && t.State != wire.TaskExited:
 			grace := 0.0
-			if o.GraceS != nil {
-				grace = *o.GraceS
+			if o.GraceSeconds != nil {
+				grace = *o.GraceSeconds
 			}
 			switch {
-			case t.State == wire.TaskRunning && t.spec.CheckpointS > 0 && grace >= t.spec.SaveS:
-				t.State, t.readyAt = wire.TaskSaving, now.Add(config.Seconds(t.spec.SaveS))
+			case t.State == wire.TaskRunning && t.spec.CheckpointIntervalSeconds > 0 && grace >= t.spec.CheckpointSaveSeconds:
+				t.State, t.readyAt = wire.TaskCheckpointing, now.Add(config.Seconds(t.spec.CheckpointSaveSeconds))
 				a.statusChanged = true
-			case t.State != wire.TaskSaving || grace == 0:
-				a.exitTask(k, t, wire.CauseStopped, false)
+			case t.State != wire.TaskCheckpointing || grace == 0:
+				a.exitTask(k, t, wire.ExitCauseStopped, false)
 			}
-		case o.Op == wire.OpStart && t == nil:
+		case o.Kind == wire.CommandStart && t == nil:
 			a.startTask(k, now)
 		}
 	}
@@ -195,11 +195,11 @@
 
 func (a *fakeAgent) startTask(k attempt, now time.Time) {
 	spec, ok := a.region.Checker.JobSpec(k.task.Job)
-	t := &agentTask{TaskReport: wire.TaskReport{Task: k.task.String(), Attempt: k.number, State: wire.TaskFetching}, spec: spec}
+	t := &agentTask{TaskStatus: wire.TaskStatus{Task: k.task.String(), Attempt: k.number, State: wire.TaskFetchingImage}, spec: spec}
 	a.tasks[k] = t
 	a.statusChanged = true
-	if !ok || k.task.Index >= spec.Tasks {
-		a.exitTask(k, t, wire.CauseUnknown, false)
+	if !ok || k.task.Index >= spec.TaskCount {
+		a.exitTask(k, t, wire.ExitCauseUnknownTask, false)
 		return
 	}
 	used := world.Amount{}
@@ -207,32 +207,32 @@
 		if x.State != wire.TaskExited && o != k {
 			used = used.Plus(world.Need(&x.spec), 1)
 			if o.task == k.task {
-				a.exitTask(k, t, wire.CauseBusy, false)
+				a.exitTask(k, t, wire.ExitCauseAlreadyRunning, false)
 				return
 			}
 		}
 	}
 	if !used.Plus(world.Need(&spec), 1).Within(world.Capacity(&a.machineType)) {
-		a.exitTask(k, t, wire.CauseNoRoom, false)
+		a.exitTask(k, t, wire.ExitCauseNoCapacity, false)
 		return
 	}
 	t.readyAt = now
 	if !a.images[spec.Image] {
-		t.readyAt = now.Add(config.Seconds(spec.ImageGB / a.machineType.FetchGBps))
+		t.readyAt = now.Add(config.Seconds(spec.ImageSizeGB / a.machineType.ImageFetchGBps))
 	}
 }
 
 // status gives the worker's own account. Callers hold the region's lock.
-func (a *fakeAgent) status() wire.Report {
+func (a *fakeAgent) status() wire.Heartbeat {
 	a.sequence++
-	rep := wire.Report{Machine: a.name, Address: a.address, Type: a.machineType.Name, Zone: a.zone, Spot: a.spot,
-		Session: a.session, Seq: a.sequence, Token: a.fencingToken, Tasks: []wire.TaskReport{}}
+	rep := wire.Heartbeat{Machine: a.name, Address: a.address, MachineType: a.machineType.Name, Zone: a.zone, Spot: a.spot,
+		Session: a.session, Sequence: a.sequence, FencingToken: a.fencingToken, Tasks: []wire.TaskStatus{}}
 	if !a.reclaimAt.IsZero() {
 		left := time.Until(a.reclaimAt).Seconds()
-		rep.NoticeS = &left
+		rep.ReclaimNoticeSeconds = &left
 	}
 	for _, t := range a.tasks {
-		rep.Tasks = append(rep.Tasks, t.TaskReport)
+		rep.Tasks = append(rep.Tasks, t.TaskStatus)
 	}
 	return rep
 }
@@ -303,19 +303,19 @@
 	switch resp.StatusCode {
 	case http.StatusOK:
 		defer a.region.mu.Unlock()
-		var o wire.Orders
-		if wire.Decode(b, &o) == nil && session == a.session && o.Token >= a.fencingToken {
-			a.statusChanged = a.statusChanged || o.Token > a.fencingToken
-			a.fencingToken = o.Token
+		var o wire.HeartbeatResponse
+		if wire.Decode(b, &o) == nil && session == a.session && o.FencingToken >= a.fencingToken {
+			a.statusChanged = a.statusChanged || o.FencingToken > a.fencingToken
+			a.fencingToken = o.FencingToken
 			a.leaseRenewedAt = sent
-			a.executeCommands(o.Orders)
+			a.executeCommands(o.Commands)
 		}
 		return true
 	case http.StatusMisdirectedRequest:
-		var to wire.Redirect
+		var to wire.HeartbeatRedirect
 		_ = wire.Decode(b, &to)
 		for i, n := range a.region.controllers {
-			if n.Settings.Node == to.ReportTo && i != node {
+			if n.Settings.Node == to.ControllerAddress && i != node {
 				a.controllerIndex = i
 				a.lastHeartbeat = time.Time{}
 				a.region.mu.Unlock()
@@ -338,23 +338,23 @@
 		return
 	}
 	if a.removed {
-		wire.Reply(rw, http.StatusServiceUnavailable, nil)
+		wire.WriteResponse(rw, http.StatusServiceUnavailable, nil)
 		return
 	}
 	if r.URL.Path == "/show" {
-		wire.Reply(rw, http.StatusOK, a.status())
+		wire.WriteResponse(rw, http.StatusOK, a.status())
 		return
 	}
-	var cmd wire.DirectOrders
-	if err := wire.Decode(body, &cmd); err != nil || cmd.Token == 0 || cmd.Session == 0 {
-		wire.Reply(rw, http.StatusBadRequest, wire.Problem{Error: fmt.Sprint(err)})
+	var cmd wire.CommandRequest
+	if err := wire.Decode(body, &cmd); err != nil || cmd.FencingToken == 0 || cmd.Session == 0 {
+		wire.WriteResponse(rw, http.StatusBadRequest, wire.ErrorResponse{Message: fmt.Sprint(err)})
 		return
 	}
-	if cmd.Token < a.fencingToken || cmd.Session != a.session {
-		wire.Reply(rw, http.StatusConflict, a.status())
+	if cmd.FencingToken < a.fencingToken || cmd.Session != a.session {
+		wire.WriteResponse(rw, http.StatusConflict, a.status())
 		return
 	}
-	a.fencingToken = cmd.Token
-	a.executeCommands(cmd.Orders)
-	wire.Reply(rw, http.StatusOK, a.status())
+	a.fencingToken = cmd.FencingToken
+	a.executeCommands(cmd.Commands)
+	wire.WriteResponse(rw, http.StatusOK, a.status())
 }
--- a/internal/standin/fakekv.go
+++ b/internal/standin/fakekv.go
@@ -19,7 +19,7 @@
 type FakeKV struct {
 	mu           sync.Mutex
 	revision     uint64
-	rows         map[string]wire.Row
+	rows         map[string]wire.KeyValue
 	events       []wire.Event
 	maxEvents    int // changes kept for watches
 	leases       map[uint64]*kvLease
@@ -33,9 +33,9 @@
 	Violations                   []string
 	maxTxnOps                    int
 	maxValueKB                   float64
-	limitsLowered                bool                           // limits have fallen: refusals for size may happen, though not again and again
-	OversizeRequests             int                            // refusals for size since
-	OnWrite                      func(key string, old wire.Raw) // called with what is about to be written
+	limitsLowered                bool                                // limits have fallen: refusals for size may happen, though not again and again
+	OversizeRequests             int                                 // refusals for size since
+	OnWrite                      func(key string, old wire.RawValue) // called with what is about to be written
 
 	lostAnswers       faultRate         // transactions that are carried out at once, and whose answer is lost
 	lostAnswerWriters map[uint64]string // who wrote the revisions whose answer was lost
@@ -86,7 +86,7 @@
 // NewFakeKV makes an empty state service that keeps so many changes for watches.
 func NewFakeKV(rps, writeRPS float64, maxTxnOps int, maxValueKB float64, maxEvents int) *FakeKV {
 	now := time.Now()
-	return &FakeKV{rows: map[string]wire.Row{}, leases: map[uint64]*kvLease{}, eventAdded: make(chan struct{}), maxEvents: maxEvents,
+	return &FakeKV{rows: map[string]wire.KeyValue{}, leases: map[uint64]*kvLease{}, eventAdded: make(chan struct{}), maxEvents: maxEvents,
 		refusedUntil: map[string]time.Time{}, lostAnswerWriters: map[uint64]string{}, requestLimiter: tokenBucket{rps, rps, now}, writeLimiter: tokenBucket{writeRPS, writeRPS, now},
 		maxTxnOps: maxTxnOps, maxValueKB: maxValueKB}
 }
@@ -119,18 +119,18 @@
 	} else {
 		kv.Violations = append(kv.Violations, what)
 	}
-	wire.Reply(w, http.StatusBadRequest, nil)
+	wire.WriteResponse(w, http.StatusBadRequest, nil)
 }
 
 // Snapshot keeps what stands now.
-func (kv *FakeKV) Snapshot() map[string]wire.Row {
+func (kv *FakeKV) Snapshot() map[string]wire.KeyValue {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	return maps.Clone(kv.rows)
 }
 
 // Row gives what stands under a key.
-func (kv *FakeKV) Row(key string) wire.Row {
+func (kv *FakeKV) Row(key string) wire.KeyValue {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	return kv.rows[key]
@@ -138,13 +138,13 @@
 
 // Restore puts back what a snapshot holds, as after a loss of writes; sessions are gone. Nobody
 // may be using the service meanwhile.
-func (kv *FakeKV) Restore(rows map[string]wire.Row) {
+func (kv *FakeKV) Restore(rows map[string]wire.KeyValue) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
-	kv.rows, kv.leases, kv.events = map[string]wire.Row{}, map[uint64]*kvLease{}, nil
+	kv.rows, kv.leases, kv.events = map[string]wire.KeyValue{}, map[uint64]*kvLease{}, nil
 	kv.revision++
 	for k, r := range rows {
-		if r.Hold == 0 {
+		if r.LeaseID == 0 {
 			kv.rows[k] = r
 		}
 	}
@@ -206,7 +206,7 @@
 	delete(kv.leases, id)
 	var keys []string
 	for k, r := range kv.rows {
-		if r.Hold == id {
+		if r.LeaseID == id {
 			keys = append(keys, k)
 		}
 	}
@@ -214,7 +214,7 @@
 	for _, k := range keys {
 		kv.revision++
 		delete(kv.rows, k)
-		kv.appendEvent(wire.Event{Drop: k, Stamp: kv.revision})
+		kv.appendEvent(wire.Event{DeleteKey: k, ModRevision: kv.revision})
 	}
 }
 
@@ -249,12 +249,12 @@
 	kv.expireLeases()
 	now := time.Now()
 	if now.Before(kv.outageUntil) || now.Before(kv.refusedUntil[r.Header.Get(sourceHeader)]) {
-		wire.Reply(w, http.StatusServiceUnavailable, nil)
+		wire.WriteResponse(w, http.StatusServiceUnavailable, nil)
 		return
 	}
 	if !kv.requestLimiter.take(1) {
 		kv.RateLimited++
-		wire.Reply(w, http.StatusTooManyRequests, nil)
+		wire.WriteResponse(w, http.StatusTooManyRequests, nil)
 		return
 	}
 	q := r.URL.Query()
@@ -267,10 +267,10 @@
 	case r.Method == http.MethodGet && strings.HasPrefix(path, "/store/"):
 		row, ok := kv.rows[strings.TrimPrefix(path, "/store/")]
 		if !ok {
-			wire.Reply(w, http.StatusNotFound, wire.Row{Revision: kv.revision})
+			wire.WriteResponse(w, http.StatusNotFound, wire.KeyValue{Revision: kv.revision})
 			return
 		}
-		wire.Reply(w, http.StatusOK, row)
+		wire.WriteResponse(w, http.StatusOK, row)
 	case path == "/multi":
 		before := kv.revision
 		kv.commit(w, body)
@@ -281,20 +281,20 @@
 			}
 		}
 	case path == "/holds":
-		var h wire.HoldRequest
+		var h wire.LeaseRequest
 		if wire.Decode(body, &h) != nil || h.TTLMs < 100 || h.TTLMs > 600000 {
-			wire.Reply(w, http.StatusBadRequest, nil)
+			wire.WriteResponse(w, http.StatusBadRequest, nil)
 			return
 		}
 		kv.lastLeaseID++
 		ttl := time.Duration(h.TTLMs) * time.Millisecond
 		kv.leases[kv.lastLeaseID] = &kvLease{ttl, now.Add(ttl)}
-		wire.Reply(w, http.StatusOK, wire.HoldResult{Hold: kv.lastLeaseID})
+		wire.WriteResponse(w, http.StatusOK, wire.LeaseResponse{LeaseID: kv.lastLeaseID})
 	case strings.HasPrefix(path, "/holds/"):
 		id, _ := strconv.ParseUint(strings.Split(path, "/")[2], 10, 64)
 		h := kv.leases[id]
 		if h == nil {
-			wire.Reply(w, http.StatusNotFound, nil)
+			wire.WriteResponse(w, http.StatusNotFound, nil)
 			return
 		}
 		if r.Method == http.MethodDelete {
@@ -304,7 +304,7 @@
 		}
 		w.WriteHeader(http.StatusOK)
 	default:
-		wire.Reply(w, http.StatusBadRequest, nil)
+		wire.WriteResponse(w, http.StatusBadRequest, nil)
 	}
 }
 
@@ -318,15 +318,15 @@
 		}
 	}
 	sort.Strings(keys)
-	out := wire.Rows{Revision: kv.revision, Items: []wire.Row{}}
+	out := wire.RangeResponse{Revision: kv.revision, KeyValues: []wire.KeyValue{}}
 	for _, k := range keys {
-		if len(out.Items) == limit {
-			out.More = true
+		if len(out.KeyValues) == limit {
+			out.HasMore = true
 			break
 		}
-		out.Items = append(out.Items, kv.rows[k])
+		out.KeyValues = append(out.KeyValues, kv.rows[k])
 	}
-	wire.Reply(w, http.StatusOK, out)
+	wire.WriteResponse(w, http.StatusOK, out)
 }
 
 func (kv *FakeKV) watch(w http.ResponseWriter, r *http.Request, prefix, after, waitMs string) {
@@ -334,23 +334,23 @@
 	ms, _ := strconv.Atoi(waitMs)
 	end := time.Now().Add(time.Duration(ms) * time.Millisecond)
 	for {
-		if len(kv.events) == kv.maxEvents && kv.events[0].Stamp > from+1 {
-			wire.Reply(w, http.StatusGone, nil)
+		if len(kv.events) == kv.maxEvents && kv.events[0].ModRevision > from+1 {
+			wire.WriteResponse(w, http.StatusGone, nil)
 			return
 		}
-		out := wire.News{Revision: kv.revision, Events: []wire.Event{}}
+		out := wire.WatchResponse{Revision: kv.revision, Events: []wire.Event{}}
 		for _, e := range kv.events {
-			if e.Stamp > from && (strings.HasPrefix(e.Set, prefix) && e.Set != "" || strings.HasPrefix(e.Drop, prefix) && e.Drop != "") {
+			if e.ModRevision > from && (strings.HasPrefix(e.PutKey, prefix) && e.PutKey != "" || strings.HasPrefix(e.DeleteKey, prefix) && e.DeleteKey != "") {
 				out.Events = append(out.Events, e)
 			}
 		}
 		for _, e := range out.Events {
-			if by := kv.lostAnswerWriters[e.Stamp]; by != "" && by != r.Header.Get(sourceHeader) {
+			if by := kv.lostAnswerWriters[e.ModRevision]; by != "" && by != r.Header.Get(sourceHeader) {
 				kv.LostAnswersRead++
 			}
 		}
 		if len(out.Events) > 0 || !time.Now().Before(end) {
-			wire.Reply(w, http.StatusOK, out)
+			wire.WriteResponse(w, http.StatusOK, out)
 			return
 		}
 		changed := kv.eventAdded
@@ -379,50 +379,50 @@
 }
 
 func (kv *FakeKV) commit(w http.ResponseWriter, body []byte) {
-	var t wire.Txn
-	if err := wire.Decode(body, &t); err != nil || len(t.Apply) > kv.maxTxnOps || len(t.Guards) > 4*kv.maxTxnOps || len(body) > 64<<10 {
+	var t wire.TxnRequest
+	if err := wire.Decode(body, &t); err != nil || len(t.Ops) > kv.maxTxnOps || len(t.Conditions) > 4*kv.maxTxnOps || len(body) > 64<<10 {
 		kv.rejectOversize(w, "transaction over its limits or unreadable")
 		return
 	}
-	if !kv.writeLimiter.take(float64(len(t.Apply))) {
+	if !kv.writeLimiter.take(float64(len(t.Ops))) {
 		kv.RateLimited++
-		wire.Reply(w, http.StatusTooManyRequests, nil)
+		wire.WriteResponse(w, http.StatusTooManyRequests, nil)
 		return
 	}
-	for _, o := range t.Apply {
-		if o.Set != "" && float64(wire.JSONSize(o.Value)) > kv.maxValueKB*1024 || o.Key() == "" || o.Set != "" && o.Drop != "" {
+	for _, o := range t.Ops {
+		if o.PutKey != "" && float64(wire.JSONSize(o.Value)) > kv.maxValueKB*1024 || o.Key() == "" || o.PutKey != "" && o.DeleteKey != "" {
 			kv.rejectOversize(w, "value over its limit: "+o.Key())
 			return
 		}
-		if o.Hold != 0 && kv.leases[o.Hold] == nil {
-			wire.Reply(w, http.StatusBadRequest, wire.Problem{Error: "no such lease"})
+		if o.LeaseID != 0 && kv.leases[o.LeaseID] == nil {
+			wire.WriteResponse(w, http.StatusBadRequest, wire.ErrorResponse{Message: "no such lease"})
 			return
 		}
 	}
 	var failed []string
-	for _, g := range t.Guards {
-		if kv.rows[g.Key].Stamp != g.Stamp {
+	for _, g := range t.Conditions {
+		if kv.rows[g.Key].ModRevision != g.ModRevision {
 			failed = append(failed, g.Key)
 		}
 	}
 	if len(failed) > 0 {
-		wire.Reply(w, http.StatusConflict, wire.TxnResult{Failed: failed, Revision: kv.revision})
+		wire.WriteResponse(w, http.StatusConflict, wire.TxnResponse{FailedKeys: failed, Revision: kv.revision})
 		return
 	}
-	if len(t.Apply) > 0 {
+	if len(t.Ops) > 0 {
 		kv.revision++
 	}
-	for _, o := range t.Apply {
-		if o.Set != "" {
+	for _, o := range t.Ops {
+		if o.PutKey != "" {
 			if kv.OnWrite != nil {
-				kv.OnWrite(o.Set, o.Value)
+				kv.OnWrite(o.PutKey, o.Value)
 			}
-			kv.rows[o.Set] = wire.Row{Key: o.Set, Value: slices.Clone(o.Value), Stamp: kv.revision, Hold: o.Hold}
-			kv.appendEvent(wire.Event{Set: o.Set, Value: slices.Clone(o.Value), Stamp: kv.revision})
-		} else if _, ok := kv.rows[o.Drop]; ok {
-			delete(kv.rows, o.Drop)
-			kv.appendEvent(wire.Event{Drop: o.Drop, Stamp: kv.revision})
+			kv.rows[o.PutKey] = wire.KeyValue{Key: o.PutKey, Value: slices.Clone(o.Value), ModRevision: kv.revision, LeaseID: o.LeaseID}
+			kv.appendEvent(wire.Event{PutKey: o.PutKey, Value: slices.Clone(o.Value), ModRevision: kv.revision})
+		} else if _, ok := kv.rows[o.DeleteKey]; ok {
+			delete(kv.rows, o.DeleteKey)
+			kv.appendEvent(wire.Event{DeleteKey: o.DeleteKey, ModRevision: kv.revision})
 		}
 	}
-	wire.Reply(w, http.StatusOK, wire.TxnResult{Revision: kv.revision})
+	wire.WriteResponse(w, http.StatusOK, wire.TxnResponse{Revision: kv.revision})
 }
--- a/internal/standin/fakeuser.go
+++ b/internal/standin/fakeuser.go
@@ -37,14 +37,14 @@
 		return 0, ""
 	}
 	b, _ := io.ReadAll(resp.Body)
-	var st wire.Status
+	var st wire.JobStatus
 	_ = wire.Decode(b, &st)
-	return resp.StatusCode, st.Status
+	return resp.StatusCode, st.State
 }
 
 // SimulateUser plays one job's user: submits, polls until it is over, cancels at a time
 // if that is not zero, and asks again now and then.
-func (r *Region) SimulateUser(ctx context.Context, spec wire.Spec, runSeconds float64, cancelAfter time.Duration) {
+func (r *Region) SimulateUser(ctx context.Context, spec wire.JobSpec, runSeconds float64, cancelAfter time.Duration) {
 	r.SetRunTime(spec.ID, runSeconds)
 	r.Checker.JobSubmitted(spec)
 	body := wire.MustEncode(spec)
--- a/internal/standin/federation.go
+++ b/internal/standin/federation.go
@@ -156,7 +156,7 @@
 }
 
 // SimulateUser plays one job's user in a cell.
-func (f *Federation) SimulateUser(ctx context.Context, cell string, spec wire.Spec, runSeconds float64, cancelAfter time.Duration) {
+func (f *Federation) SimulateUser(ctx context.Context, cell string, spec wire.JobSpec, runSeconds float64, cancelAfter time.Duration) {
 	for _, r := range f.Regions {
 		r.SetRunTime(spec.ID, runSeconds)
 	}
@@ -212,7 +212,7 @@
 
 // RestoreSnapshot lets a cell's state service lose what was written since a snapshot: its controllers end,
 // all its machines are returned, the snapshot is put back, and they start under the next epoch.
-func (f *Federation) RestoreSnapshot(cell string, rows map[string]wire.Row, duration time.Duration) {
+func (f *Federation) RestoreSnapshot(cell string, rows map[string]wire.KeyValue, duration time.Duration) {
 	r := f.Regions[cell]
 	for i := range r.ControllerCount() {
 		r.KillController(i)
--- a/internal/standin/federation_test.go
+++ b/internal/standin/federation_test.go
@@ -51,18 +51,18 @@
 	c := NewFederation(ctx, names, cellSettings, testTypes[:1], 2, 120, rnd, slog.New(slog.NewTextHandler(&logged, nil)))
 	const jobs = 90
 	for i := range jobs {
-		s := wire.Spec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprint("img-", i%3), ImageGB: 2, EstimateS: 20}
+		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprint("img-", i%3), ImageSizeGB: 2, RuntimeEstimateSeconds: 20}
 		cell, at := "a", time.Duration(30+rnd.IntN(60))*time.Second
 		var stop time.Duration
 		switch i % 6 {
 		case 0: // own work of those that lose no writes: what its users were told would be lost with them
 			cell, at = []string{"a", "c"}[rnd.IntN(2)], time.Duration(rnd.IntN(240))*time.Second
-			s.Kind, s.Priority, s.Tasks, s.EstimateS = wire.KindService, wire.PriorityProduction, 2, 0
+			s.Kind, s.Priority, s.TaskCount, s.RuntimeEstimateSeconds = wire.KindService, wire.PriorityProduction, 2, 0
 			stop = time.Duration(60+rnd.IntN(120)) * time.Second
 		case 1, 2:
-			s.Kind, s.Priority, s.Tasks, s.CPUs, s.GPUs, s.OneZone = wire.KindGang, wire.PriorityHigh, 1+rnd.IntN(3), 16, 2, rnd.IntN(2) == 0
+			s.Kind, s.Priority, s.TaskCount, s.CPUs, s.GPUs, s.SameZone = wire.KindGang, wire.PriorityHigh, 1+rnd.IntN(3), 16, 2, rnd.IntN(2) == 0
 		default:
-			s.Kind, s.Priority, s.Tasks, s.Spot = wire.KindArray, wire.PriorityNormal, 2+rnd.IntN(12), true
+			s.Kind, s.Priority, s.TaskCount, s.AllowSpot = wire.KindArray, wire.PriorityNormal, 2+rnd.IntN(12), true
 		}
 		if rnd.IntN(6) == 0 && stop == 0 {
 			stop = time.Duration(1+rnd.IntN(60)) * time.Second
@@ -76,7 +76,7 @@
 			c.SimulateUser(ctx, cell, s, run, stop)
 		})
 	}
-	var kept map[string]wire.Row
+	var kept map[string]wire.KeyValue
 	for at := range 7 {
 		time.Sleep(time.Duration(15+rnd.IntN(20)) * time.Second)
 		name, d := names[rnd.IntN(3)], time.Duration(5+rnd.IntN(25))*time.Second
@@ -145,8 +145,8 @@
 	time.Sleep(60 * time.Second) // the cells have joined
 	start := time.Now()
 	for i := range 60 {
-		s := wire.Spec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 8,
-			CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageGB: 2, EstimateS: 20, Spot: true}
+		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: 8,
+			CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 2, RuntimeEstimateSeconds: 20, AllowSpot: true}
 		c.Regions["a"].wg.Go(func() { c.SimulateUser(ctx, "a", s, 20, 0) })
 	}
 	time.Sleep(40 * time.Second)
