--- a/internal/standin/invariants.go
+++ b/internal/standin/invariants.go
@@ -38,7 +38,7 @@
 
 // jobHistory is what is known of a job from outside the service.
 type jobHistory struct {
-	spec           wire.Spec
+	spec           wire.JobSpec
 	completedTasks map[int]bool
 	saved          map[int]float64
 	accepted       bool
@@ -92,7 +92,7 @@
 }
 
 // JobSubmitted notes a job that a user is about to submit.
-func (c *InvariantChecker) JobSubmitted(s wire.Spec) {
+func (c *InvariantChecker) JobSubmitted(s wire.JobSpec) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.jobs[s.ID] = &jobHistory{spec: s, completedTasks: map[int]bool{}, saved: map[int]float64{}, submittedAt: time.Now(), failures: map[int]int{}, acknowledgedFailures: map[int]int{}}
@@ -106,7 +106,7 @@
 }
 
 // InvalidJobSubmitted notes a submission that must not be accepted, and why.
-func (c *InvariantChecker) InvalidJobSubmitted(s wire.Spec, why string) {
+func (c *InvariantChecker) InvalidJobSubmitted(s wire.JobSpec, why string) {
 	c.JobSubmitted(s)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -149,8 +149,8 @@
 		job.accepted, job.acceptedAt = true, time.Now()
 	}
 	final := state == wire.JobDone || state == wire.JobCancelled || state == wire.JobFailed
-	if state == wire.JobDone && len(job.completedTasks) < job.spec.Tasks {
-		c.violation("not_done", "%s: %d of %d", id, len(job.completedTasks), job.spec.Tasks)
+	if state == wire.JobDone && len(job.completedTasks) < job.spec.TaskCount {
+		c.violation("not_done", "%s: %d of %d", id, len(job.completedTasks), job.spec.TaskCount)
 	}
 	if job.finalState != "" && state != job.finalState && (final || !sentAt.Before(job.finalStateAt)) {
 		c.violation("went_back", "%s: was %s, then %s", id, job.finalState, state)
@@ -236,13 +236,13 @@
 			continue
 		}
 		s := &j.spec
-		isServed := len(j.completedTasks) == s.Tasks || s.Kind == wire.KindService && !j.firstStartAt.IsZero()
+		isServed := len(j.completedTasks) == s.TaskCount || s.Kind == wire.KindService && !j.firstStartAt.IsZero()
 		count("class "+s.Class, isServed)
 		count("team "+s.Team, isServed)
 		classes[s.Class] = append(classes[s.Class], j)
 	}
 	for class, jobs := range classes {
-		slices.SortFunc(jobs, func(a, b *jobHistory) int { return cmp.Compare(b.spec.Tasks, a.spec.Tasks) })
+		slices.SortFunc(jobs, func(a, b *jobHistory) int { return cmp.Compare(b.spec.TaskCount, a.spec.TaskCount) })
 		for _, j := range jobs[:int(math.Ceil(largestJobsShare*float64(len(jobs))))] {
 			count("the largest of class "+class, !j.firstStartAt.IsZero() && j.firstStartAt.Sub(j.submittedAt) <= maxLargestJobDelay)
 		}
@@ -273,7 +273,7 @@
 	}
 	now := time.Now()
 	for id, job := range c.jobs {
-		if !job.accepted || job.finalState != "" || job.cancelRequested || len(job.spec.Awaits) > 0 || !c.canStart(job, capacities) {
+		if !job.accepted || job.finalState != "" || job.cancelRequested || len(job.spec.Dependencies) > 0 || !c.canStart(job, capacities) {
 			job.startableSince = time.Time{}
 			continue
 		}
@@ -281,7 +281,7 @@
 			job.startableSince = now
 		}
 		if now.Sub(job.startableSince) > maxStartableWait {
-			c.violation("left", "%s (%s, %d tasks) waits beside room for %v", id, job.spec.Kind, job.spec.Tasks, now.Sub(job.startableSince))
+			c.violation("left", "%s (%s, %d tasks) waits beside room for %v", id, job.spec.Kind, job.spec.TaskCount, now.Sub(job.startableSince))
 			job.startableSince = now
 		}
 	}
@@ -291,32 +291,32 @@
 func (c *InvariantChecker) canStart(job *jobHistory, capacities []FreeCapacity) bool {
 	spec := &job.spec
 	waiting, inZone, pinnedZone := 0, map[string]int{}, spec.Zone
-	for i := range spec.Tasks {
+	for i := range spec.TaskCount {
 		placements := c.placements[world.TaskRef{Job: spec.ID, Index: i}]
 		if len(placements) == 0 && !job.completedTasks[i] {
 			waiting++
 		}
 		for _, p := range placements {
 			inZone[p.Zone]++
-			if spec.OneZone {
+			if spec.SameZone {
 				pinnedZone = p.Zone
 			}
 		}
 	}
 	need, minTasks := world.Need(spec), 1
 	if spec.Kind == wire.KindGang {
-		minTasks = spec.Tasks
+		minTasks = spec.TaskCount
 	}
-	if waiting == 0 || spec.Kind == wire.KindGang && waiting < spec.Tasks || !c.withinTeamLimit(spec, minTasks) {
+	if waiting == 0 || spec.Kind == wire.KindGang && waiting < spec.TaskCount || !c.withinTeamLimit(spec, minTasks) {
 		return false
 	}
 	fits := map[string]int{}
 	for _, r := range capacities {
-		if pinnedZone != "" && r.Zone != pinnedZone || r.Spot && !spec.Spot || len(spec.Types) > 0 && !slices.Contains(spec.Types, r.Type) {
+		if pinnedZone != "" && r.Zone != pinnedZone || r.Spot && !spec.AllowSpot || len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, r.Type) {
 			continue
 		}
 		for free := r.Free; need.Within(free) && fits[r.Zone] < minTasks; free = free.Plus(need, -1) {
-			if spec.Spread && inZone[r.Zone]+fits[r.Zone] >= (spec.Tasks+1)/2 {
+			if spec.Spread && inZone[r.Zone]+fits[r.Zone] >= (spec.TaskCount+1)/2 {
 				break
 			}
 			fits[r.Zone]++
@@ -324,15 +324,15 @@
 	}
 	all := 0
 	for _, n := range fits {
-		if all += n; spec.OneZone && n >= minTasks {
+		if all += n; spec.SameZone && n >= minTasks {
 			return true
 		}
 	}
-	return !spec.OneZone && all >= minTasks
+	return !spec.SameZone && all >= minTasks
 }
 
 // withinTeamLimit tells whether a team may run so many more tasks of a job. Callers hold the lock.
-func (c *InvariantChecker) withinTeamLimit(s *wire.Spec, tasks int) bool {
+func (c *InvariantChecker) withinTeamLimit(s *wire.JobSpec, tasks int) bool {
 	use := c.teamUsage(s.Team).Plus(world.Need(s), float64(tasks))
 	for _, t := range c.settings.Deployment.Teams {
 		if t.Name == s.Team && (t.GPUsMax > 0 && use.GPUs > t.GPUsMax+1e-6 || t.CPUsMax > 0 && use.CPUs > t.CPUsMax+1e-6) {
@@ -358,7 +358,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, j := range c.jobs {
-		if j.accepted && j.finalState == "" && !j.cancelRequested && len(j.completedTasks) < j.spec.Tasks && !c.withinTeamLimit(&j.spec, 1) {
+		if j.accepted && j.finalState == "" && !j.cancelRequested && len(j.completedTasks) < j.spec.TaskCount && !c.withinTeamLimit(&j.spec, 1) {
 			return true
 		}
 	}
@@ -420,7 +420,7 @@
 func (c *InvariantChecker) dependencyCancelledAt(id string) time.Time {
 	var first time.Time
 	j := c.jobs[id]
-	for _, a := range j.spec.Awaits {
+	for _, a := range j.spec.Dependencies {
 		n := c.jobs[a]
 		if n == nil {
 			continue
@@ -439,7 +439,7 @@
 
 // mayBeDependencyCancelled tells whether the user of any job that this one needs asked to cancel it.
 func (c *InvariantChecker) mayBeDependencyCancelled(id string) bool {
-	for _, a := range c.jobs[id].spec.Awaits {
+	for _, a := range c.jobs[id].spec.Dependencies {
 		if n := c.jobs[a]; n != nil && (n.cancelRequested || c.mayFail(n) || c.mayBeDependencyCancelled(a)) {
 			return true
 		}
@@ -448,9 +448,9 @@
 }
 
 // retryLimit is how many repeats a job's tasks may have.
-func (c *InvariantChecker) retryLimit(s *wire.Spec) (int, bool) {
-	if s.Repeats != nil {
-		return *s.Repeats, true
+func (c *InvariantChecker) retryLimit(s *wire.JobSpec) (int, bool) {
+	if s.MaxRetries != nil {
+		return *s.MaxRetries, true
 	}
 	n, ok := c.RetryLimits[s.Class]
 	return n, ok
@@ -530,8 +530,8 @@
 	if job.firstStartAt.IsZero() {
 		job.firstStartAt = time.Now()
 	}
-	for _, a := range job.spec.Awaits {
-		if n := c.jobs[a]; n == nil || len(n.completedTasks) < n.spec.Tasks {
+	for _, a := range job.spec.Dependencies {
+		if n := c.jobs[a]; n == nil || len(n.completedTasks) < n.spec.TaskCount {
 			c.violation("too_early", "%s before %s is done", ref, a)
 		}
 	}
@@ -545,12 +545,12 @@
 	}
 	c.placements[ref][placement.Machine] = placement
 	spec := &job.spec
-	if spec.Zone != "" && spec.Zone != placement.Zone || placement.Spot && !spec.Spot {
+	if spec.Zone != "" && spec.Zone != placement.Zone || placement.Spot && !spec.AllowSpot {
 		c.violation("wrong_place", "%s on %+v", ref, placement)
 	}
-	if len(spec.Types) > 0 {
+	if len(spec.MachineTypes) > 0 {
 		ok := false
-		for _, t := range spec.Types {
+		for _, t := range spec.MachineTypes {
 			ok = ok || t == placement.Type
 		}
 		if !ok {
@@ -558,17 +558,17 @@
 		}
 	}
 	inZone := 0
-	for i := range spec.Tasks {
+	for i := range spec.TaskCount {
 		for _, q := range c.placements[world.TaskRef{Job: spec.ID, Index: i}] {
 			if q.Zone == placement.Zone {
 				inZone++
-			} else if spec.OneZone {
+			} else if spec.SameZone {
 				c.violation("wrong_place", "%s: tasks in %s and %s", spec.ID, q.Zone, placement.Zone)
 			}
 		}
 	}
-	if spec.Spread && inZone > (spec.Tasks+1)/2 {
-		c.violation("wrong_place", "%s: %d of %d in %s", spec.ID, inZone, spec.Tasks, placement.Zone)
+	if spec.Spread && inZone > (spec.TaskCount+1)/2 {
+		c.violation("wrong_place", "%s: %d of %d in %s", spec.ID, inZone, spec.TaskCount, placement.Zone)
 	}
 	c.checkTeamLimit(spec.Team)
 	c.checkCancelledTasks()
@@ -617,16 +617,16 @@
 func (c *InvariantChecker) JobCompleted(id string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.jobs[id].completedTasks) == c.jobs[id].spec.Tasks
+	return len(c.jobs[id].completedTasks) == c.jobs[id].spec.TaskCount
 }
 
 // JobSpec gives a job's description, as users upload it.
-func (c *InvariantChecker) JobSpec(id string) (wire.Spec, bool) {
+func (c *InvariantChecker) JobSpec(id string) (wire.JobSpec, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[id]
 	if j == nil {
-		return wire.Spec{}, false
+		return wire.JobSpec{}, false
 	}
 	return j.spec, true
 }
@@ -646,7 +646,7 @@
 	var out []string
 	for id, j := range c.jobs {
 		if j.accepted && j.finalState == "" && j.spec.Kind != wire.KindService {
-			out = append(out, fmt.Sprintf("%s (%s, %d of %d done)", id, j.spec.Kind, len(j.completedTasks), j.spec.Tasks))
+			out = append(out, fmt.Sprintf("%s (%s, %d of %d done)", id, j.spec.Kind, len(j.completedTasks), j.spec.TaskCount))
 		}
 	}
 	return out
--- a/internal/standin/largeregion_test.go
+++ b/internal/standin/largeregion_test.go
@@ -42,25 +42,25 @@
 }
 
 var largeRegionTypes = []wire.MachineType{
-	{Name: "large", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 50, FetchGBps: 1, Price: 10, SpotPrice: 4, BootS: 20, Zones: largeRegionZones},
+	{Name: "large", CPUs: 32, GPUs: 4, MemoryGB: 256, ImageCacheGB: 50, ImageFetchGBps: 1, Price: 10, SpotPrice: 4, BootSeconds: 20, Zones: largeRegionZones},
 }
 
-func largeRegionSpec(rnd *rand.Rand, i int) (wire.Spec, float64, time.Duration) {
-	s := wire.Spec{ID: fmt.Sprintf("run-%06d", i), Team: fmt.Sprintf("team-%d", rnd.IntN(8)),
-		Image: fmt.Sprintf("img-%d", rnd.IntN(16)), ImageGB: 2 + 6*rnd.Float64(), EstimateS: 30}
+func largeRegionSpec(rnd *rand.Rand, i int) (wire.JobSpec, float64, time.Duration) {
+	s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i), Team: fmt.Sprintf("team-%d", rnd.IntN(8)),
+		Image: fmt.Sprintf("img-%d", rnd.IntN(16)), ImageSizeGB: 2 + 6*rnd.Float64(), RuntimeEstimateSeconds: 30}
 	run := 10 + 60*rnd.Float64()
 	var cancel time.Duration
 	switch k := rnd.IntN(10); {
 	case k < 2:
-		s.Kind, s.Priority, s.Class, s.Tasks = wire.KindService, wire.PriorityProduction, "s", 4+2*rnd.IntN(5)
-		s.CPUs, s.GPUs, s.MemoryGB, s.Spread, s.EstimateS = 5, 1, 38, true, 0
+		s.Kind, s.Priority, s.Class, s.TaskCount = wire.KindService, wire.PriorityProduction, "s", 4+2*rnd.IntN(5)
+		s.CPUs, s.GPUs, s.MemoryGB, s.Spread, s.RuntimeEstimateSeconds = 5, 1, 38, true, 0
 		cancel = time.Duration(60+rnd.IntN(120)) * time.Second
 	case k < 6:
-		s.Kind, s.Priority, s.Class, s.Tasks, s.Spot = wire.KindArray, wire.PriorityNormal, "a", 10+rnd.IntN(60), true
-		s.CPUs, s.GPUs, s.MemoryGB, s.CheckpointS, s.SaveS = 5+2*rnd.Float64(), 1, 48, 15, 5
+		s.Kind, s.Priority, s.Class, s.TaskCount, s.AllowSpot = wire.KindArray, wire.PriorityNormal, "a", 10+rnd.IntN(60), true
+		s.CPUs, s.GPUs, s.MemoryGB, s.CheckpointIntervalSeconds, s.CheckpointSaveSeconds = 5+2*rnd.Float64(), 1, 48, 15, 5
 	default:
-		s.Kind, s.Priority, s.Class, s.Tasks = wire.KindGang, wire.PriorityHigh, "g", 1<<rnd.IntN(5)
-		s.CPUs, s.GPUs, s.MemoryGB, s.CheckpointS, s.SaveS, s.OneZone = 28, 4, 200, 15, 6, true
+		s.Kind, s.Priority, s.Class, s.TaskCount = wire.KindGang, wire.PriorityHigh, "g", 1<<rnd.IntN(5)
+		s.CPUs, s.GPUs, s.MemoryGB, s.CheckpointIntervalSeconds, s.CheckpointSaveSeconds, s.SameZone = 28, 4, 200, 15, 6, true
 	}
 	return s, run, cancel
 }
--- a/internal/standin/onewaylinks_test.go
+++ b/internal/standin/onewaylinks_test.go
@@ -25,10 +25,10 @@
 	log, rnd := &logBuffer{}, rand.New(rand.NewPCG(7, 91))
 	r := newThreeControllerRegion(ctx, combinationSettings, 10, 7, slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	for i := range 60 {
-		s := wire.Spec{ID: fmt.Sprintf("run-%06d", i+1), Class: "g", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityHigh, Tasks: 2, CPUs: 16, GPUs: 2,
-			MemoryGB: 20, Image: "img", ImageGB: 1, EstimateS: 20}
+		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "g", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityHigh, TaskCount: 2, CPUs: 16, GPUs: 2,
+			MemoryGB: 20, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 20}
 		if i%4 == 0 {
-			s.Kind, s.Priority, s.Tasks, s.CPUs, s.GPUs, s.EstimateS = wire.KindService, wire.PriorityProduction, 3, 4, 1, 0
+			s.Kind, s.Priority, s.TaskCount, s.CPUs, s.GPUs, s.RuntimeEstimateSeconds = wire.KindService, wire.PriorityProduction, 3, 4, 1, 0
 		}
 		at, stop := time.Duration(30+rnd.IntN(90))*time.Second, time.Duration(0)
 		if s.Kind == wire.KindService {
--- a/internal/standin/region.go
+++ b/internal/standin/region.go
@@ -154,7 +154,7 @@
 }
 
 type cloudMachine struct {
-	wire.Listed
+	wire.CloudMachine
 	rental      string
 	capacityKey string
 	rentedAt    time.Time
@@ -163,7 +163,7 @@
 
 type listing struct {
 	takenAt  time.Time
-	machines []wire.Listed
+	machines []wire.CloudMachine
 }
 
 // NewRegion starts a region: cloud, state service and network, without nodes.
@@ -264,7 +264,7 @@
 	r.taskFailures[ref] = times
 }
 
-func (r *Region) remainingRunTime(ref world.TaskRef, spec *wire.Spec) time.Duration {
+func (r *Region) remainingRunTime(ref world.TaskRef, spec *wire.JobSpec) time.Duration {
 	seconds := r.runSeconds[spec.ID]
 	if r.checkpointed[ref] {
 		seconds /= 2
@@ -286,7 +286,7 @@
 			continue
 		}
 		for o, t := range w.tasks {
-			if o.task.Job == member.task.Job && o.number == member.number && (t.State == wire.TaskWaiting || t.State == wire.TaskRunning || t.State == wire.TaskSaving) {
+			if o.task.Job == member.task.Job && o.number == member.number && (t.State == wire.TaskAwaitingGang || t.State == wire.TaskRunning || t.State == wire.TaskCheckpointing) {
 				out = append(out, gangMember{w, o, t})
 			}
 		}
@@ -316,8 +316,8 @@
 			capacities = r.freeCapacities()
 			snapshot := listing{takenAt: now}
 			for _, m := range r.machines {
-				row := m.Listed
-				row.AgeS = now.Sub(m.rentedAt).Seconds()
+				row := m.CloudMachine
+				row.AgeSeconds = now.Sub(m.rentedAt).Seconds()
 				snapshot.machines = append(snapshot.machines, row)
 			}
 			r.listings = append(r.listings, snapshot)
@@ -339,7 +339,7 @@
 	}
 	var machineType wire.MachineType
 	for _, t := range r.machineTypes {
-		if t.Name == machine.Type {
+		if t.Name == machine.MachineType {
 			machineType = t
 		}
 	}
@@ -590,19 +590,19 @@
 	defer r.mu.Unlock()
 	now := time.Now()
 	if now.Before(r.cloudOutageUntil) {
-		wire.Reply(w, http.StatusServiceUnavailable, wire.Problem{Error: "trouble"})
+		wire.WriteResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Message: "trouble"})
 		return
 	}
 	switch {
 	case req.URL.Path == "/catalog":
-		wire.Reply(w, http.StatusOK, wire.Catalog{Types: r.machineTypes})
+		wire.WriteResponse(w, http.StatusOK, wire.Catalog{Types: r.machineTypes})
 	case req.URL.Path == "/machines/return":
-		var f wire.Fleet
-		if wire.Decode(body, &f) != nil || len(f.Machines) > 100 {
-			wire.Reply(w, http.StatusBadRequest, nil)
+		var f wire.MachineNames
+		if wire.Decode(body, &f) != nil || len(f.Names) > 100 {
+			wire.WriteResponse(w, http.StatusBadRequest, nil)
 			return
 		}
-		for _, n := range f.Machines {
+		for _, n := range f.Names {
 			r.removeMachine(n, false)
 		}
 		w.WriteHeader(http.StatusOK)
@@ -610,7 +610,7 @@
 		r.serveRental(w, body, now)
 	case req.URL.Path == "/machines":
 		lag := config.Seconds(r.Settings.Deployment.Cloud.ListLagS * (0.5 + r.random.Float64()*1.5))
-		out := wire.List{Machines: []wire.Listed{}}
+		out := wire.MachinePage{Machines: []wire.CloudMachine{}}
 		after := req.URL.Query().Get("after")
 		for _, l := range slices.Backward(r.listings) {
 			if now.Sub(l.takenAt) >= lag {
@@ -622,38 +622,38 @@
 				break
 			}
 		}
-		wire.Reply(w, http.StatusOK, out)
+		wire.WriteResponse(w, http.StatusOK, out)
 	default:
-		wire.Reply(w, http.StatusBadRequest, nil)
+		wire.WriteResponse(w, http.StatusBadRequest, nil)
 	}
 }
 
 func (r *Region) serveRental(w http.ResponseWriter, body []byte, now time.Time) {
-	var rental wire.Rental
+	var rental wire.RentalRequest
 	if wire.Decode(body, &rental) != nil || rental.Name == "" || rental.Count < 1 || rental.Count > 50 {
-		wire.Reply(w, http.StatusBadRequest, nil)
+		wire.WriteResponse(w, http.StatusBadRequest, nil)
 		return
 	}
 	if names, ok := r.rentals[rental.Name]; ok {
 		for _, machine := range r.machines {
-			if machine.rental == rental.Name && (machine.Type != rental.Type || machine.Zone != rental.Zone) {
+			if machine.rental == rental.Name && (machine.MachineType != rental.MachineType || machine.Zone != rental.Zone) {
 				r.Checker.AddViolation("rental name used twice: " + rental.Name)
 			}
 		}
-		wire.Reply(w, http.StatusOK, wire.Fleet{Machines: names})
+		wire.WriteResponse(w, http.StatusOK, wire.MachineNames{Names: names})
 		return
 	}
-	key := capacityKey(rental.Type, rental.Zone, rental.Spot)
+	key := capacityKey(rental.MachineType, rental.Zone, rental.Spot)
 	count := min(rental.Count, r.capacity[key])
 	if count <= 0 || now.Before(r.zoneClosedUntil[rental.Zone]) {
-		wire.Reply(w, http.StatusServiceUnavailable, wire.Problem{Error: "no capacity"})
+		wire.WriteResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Message: "no capacity"})
 		return
 	}
 	r.capacity[key] -= count
 	names := []string{}
 	for range count {
 		machineID := fmt.Sprintf("%svm-%06d", r.MachinePrefix, len(r.rentals)*100+len(names)+1)
-		machine := &cloudMachine{Listed: wire.Listed{ID: machineID, Address: strings.Replace(machineID, "vm-", "worker-", 1) + ":9000", Type: rental.Type, Zone: rental.Zone,
+		machine := &cloudMachine{CloudMachine: wire.CloudMachine{ID: machineID, Address: strings.Replace(machineID, "vm-", "worker-", 1) + ":9000", MachineType: rental.MachineType, Zone: rental.Zone,
 			Spot: rental.Spot, State: wire.MachineBooting}, rental: rental.Name, capacityKey: key, rentedAt: now}
 		if r.random.IntN(20) > 0 { // a few never come up
 			machine.bootedAt = now.Add(config.Seconds(5 * (0.6 + r.random.Float64())))
@@ -665,5 +665,5 @@
 		names = append(names, machineID)
 	}
 	r.rentals[rental.Name] = names
-	wire.Reply(w, http.StatusOK, wire.Fleet{Machines: names})
+	wire.WriteResponse(w, http.StatusOK, wire.MachineNames{Names: names})
 }
--- a/internal/standin/region_test.go
+++ b/internal/standin/region_test.go
@@ -39,39 +39,39 @@
 }
 
 var testTypes = []wire.MachineType{
-	{Name: "large", CPUs: 32, GPUs: 4, MemoryGB: 256, CacheGB: 50, FetchGBps: 1, Price: 10, SpotPrice: 4, BootS: 5, Zones: testZones},
-	{Name: "small", CPUs: 8, GPUs: 1, MemoryGB: 64, CacheGB: 50, FetchGBps: 1, Price: 3, SpotPrice: 1.2, BootS: 5, Zones: testZones[:2]},
+	{Name: "large", CPUs: 32, GPUs: 4, MemoryGB: 256, ImageCacheGB: 50, ImageFetchGBps: 1, Price: 10, SpotPrice: 4, BootSeconds: 5, Zones: testZones},
+	{Name: "small", CPUs: 8, GPUs: 1, MemoryGB: 64, ImageCacheGB: 50, ImageFetchGBps: 1, Price: 3, SpotPrice: 1.2, BootSeconds: 5, Zones: testZones[:2]},
 }
 
 // testSpec draws a job.
-func testSpec(rnd *rand.Rand, i int) (wire.Spec, float64, time.Duration) {
-	s := wire.Spec{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"open", "bound"}[rnd.IntN(2)],
-		CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprintf("img-%d", rnd.IntN(3)), ImageGB: 2, EstimateS: 15}
+func testSpec(rnd *rand.Rand, i int) (wire.JobSpec, float64, time.Duration) {
+	s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"open", "bound"}[rnd.IntN(2)],
+		CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprintf("img-%d", rnd.IntN(3)), ImageSizeGB: 2, RuntimeEstimateSeconds: 15}
 	var cancel time.Duration
 	if rnd.IntN(5) == 0 {
 		cancel = time.Duration(rnd.IntN(60)) * time.Second
 	}
 	switch rnd.IntN(3) {
 	case 0:
-		s.Kind, s.Priority, s.Tasks, s.Spot = wire.KindArray, wire.PriorityNormal, 1+rnd.IntN(6), rnd.IntN(2) == 0
-		s.OneZone = rnd.IntN(3) == 0
+		s.Kind, s.Priority, s.TaskCount, s.AllowSpot = wire.KindArray, wire.PriorityNormal, 1+rnd.IntN(6), rnd.IntN(2) == 0
+		s.SameZone = rnd.IntN(3) == 0
 		if rnd.IntN(2) == 0 {
-			s.CheckpointS, s.SaveS = 5, 2
+			s.CheckpointIntervalSeconds, s.CheckpointSaveSeconds = 5, 2
 		}
 	case 1:
-		s.Kind, s.Priority, s.Tasks, s.CPUs, s.GPUs = wire.KindGang, wire.PriorityHigh, 1+rnd.IntN(2), 16, 2
-		s.OneZone, s.CheckpointS, s.SaveS = rnd.IntN(2) == 0, 5, 2
+		s.Kind, s.Priority, s.TaskCount, s.CPUs, s.GPUs = wire.KindGang, wire.PriorityHigh, 1+rnd.IntN(2), 16, 2
+		s.SameZone, s.CheckpointIntervalSeconds, s.CheckpointSaveSeconds = rnd.IntN(2) == 0, 5, 2
 	case 2:
-		s.Kind, s.Priority, s.Tasks = wire.KindService, wire.PriorityProduction, 1+rnd.IntN(3)
+		s.Kind, s.Priority, s.TaskCount = wire.KindService, wire.PriorityProduction, 1+rnd.IntN(3)
 		s.Spread = rnd.IntN(2) == 0
-		s.EstimateS = 0
+		s.RuntimeEstimateSeconds = 0
 		cancel = time.Duration(60+rnd.IntN(200)) * time.Second
 	}
 	if rnd.IntN(8) == 0 && !s.Spread {
 		s.Zone = testZones[rnd.IntN(2)]
 	}
 	if rnd.IntN(8) == 0 {
-		s.Types = []string{"large"}
+		s.MachineTypes = []string{"large"}
 	}
 	return s, float64(5 + rnd.IntN(30)), cancel
 }
@@ -238,8 +238,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	r := newThreeControllerRegion(ctx, testSettings, 12, seed, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	for i := range 9 {
-		spec := wire.Spec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: wire.KindService, Priority: wire.PriorityProduction,
-			Tasks: 6, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageGB: 1, Spread: true}
+		spec := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: wire.KindService, Priority: wire.PriorityProduction,
+			TaskCount: 6, CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 1, Spread: true}
 		after := 20 * time.Minute
 		if i == 0 {
 			after = stop
@@ -325,14 +325,14 @@
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
 		r := newThreeControllerRegion(ctx, testSettings, 5, 3, log)
 		for i, kind := range []string{wire.KindArray, wire.KindGang} {
-			spec := wire.Spec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: kind, Priority: wire.PriorityNormal,
-				Tasks: 700 - 400*i, CPUs: 0.05, MemoryGB: 0.1, Image: "img", ImageGB: 1, EstimateS: 5, OneZone: i == 0}
+			spec := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: kind, Priority: wire.PriorityNormal,
+				TaskCount: 700 - 400*i, CPUs: 0.05, MemoryGB: 0.1, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 5, SameZone: i == 0}
 			r.wg.Go(func() { r.SimulateUser(ctx, spec, 5, 0) })
 		}
 		// Nine whole machines: more than any part can have, so the gang would starve
 		// if only one part's machines counted.
-		wide := wire.Spec{ID: "run-000003", Class: "c", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityHigh,
-			Tasks: 9, CPUs: 32, GPUs: 4, MemoryGB: 200, Image: "img", ImageGB: 1, EstimateS: 5}
+		wide := wire.JobSpec{ID: "run-000003", Class: "c", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityHigh,
+			TaskCount: 9, CPUs: 32, GPUs: 4, MemoryGB: 200, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 5}
 		r.wg.Go(func() { r.SimulateUser(ctx, wide, 5, 0) })
 		time.Sleep(4 * time.Minute)
 		cancel()
@@ -353,8 +353,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		r := newThreeControllerRegion(ctx, testSettings, 5, 5, slog.New(slog.NewTextHandler(io.Discard, nil)))
-		spec := wire.Spec{ID: "run-000001", Class: "c", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityHigh, Tasks: 2,
-			CPUs: 32, GPUs: 4, MemoryGB: 200, Image: "img", ImageGB: 1, EstimateS: 60, Spot: true, CheckpointS: 10, SaveS: 3}
+		spec := wire.JobSpec{ID: "run-000001", Class: "c", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityHigh, TaskCount: 2,
+			CPUs: 32, GPUs: 4, MemoryGB: 200, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 60, AllowSpot: true, CheckpointIntervalSeconds: 10, CheckpointSaveSeconds: 3}
 		r.wg.Go(func() { r.SimulateUser(ctx, spec, 90, 0) })
 		time.Sleep(60 * time.Second)
 		r.mu.Lock()
@@ -401,22 +401,22 @@
 	place := func(zone string, spot bool) Placement { return Placement{"a", "large", zone, spot} }
 	gpu := world.Amount{GPUs: 1}
 	for name, c := range map[string]struct {
-		spec  func(*wire.Spec)
+		spec  func(*wire.JobSpec)
 		rooms []FreeCapacity
 	}{
 		"no room":          {nil, []FreeCapacity{{place("east", false), world.Amount{}}}},
 		"spot":             {nil, []FreeCapacity{{place("east", true), gpu}}},
-		"another zone":     {func(s *wire.Spec) { s.Zone = "west" }, []FreeCapacity{{place("east", false), gpu}}},
-		"another type":     {func(s *wire.Spec) { s.Types = []string{"small"} }, []FreeCapacity{{place("east", false), gpu}}},
-		"spread":           {func(s *wire.Spec) { s.Kind, s.Tasks, s.Spread = wire.KindGang, 4, true }, []FreeCapacity{{place("east", false), world.Amount{GPUs: 4}}}},
-		"zones apart":      {func(s *wire.Spec) { s.Kind, s.Tasks, s.OneZone = wire.KindGang, 2, true }, []FreeCapacity{{place("east", false), gpu}, {place("west", false), gpu}}},
-		"over its limit":   {func(s *wire.Spec) { s.GPUs = 7 }, []FreeCapacity{{place("east", false), world.Amount{GPUs: 8}}}},
-		"half of the gang": {func(s *wire.Spec) { s.Kind, s.Tasks = wire.KindGang, 4 }, []FreeCapacity{{place("east", false), world.Amount{GPUs: 3}}}},
+		"another zone":     {func(s *wire.JobSpec) { s.Zone = "west" }, []FreeCapacity{{place("east", false), gpu}}},
+		"another type":     {func(s *wire.JobSpec) { s.MachineTypes = []string{"small"} }, []FreeCapacity{{place("east", false), gpu}}},
+		"spread":           {func(s *wire.JobSpec) { s.Kind, s.TaskCount, s.Spread = wire.KindGang, 4, true }, []FreeCapacity{{place("east", false), world.Amount{GPUs: 4}}}},
+		"zones apart":      {func(s *wire.JobSpec) { s.Kind, s.TaskCount, s.SameZone = wire.KindGang, 2, true }, []FreeCapacity{{place("east", false), gpu}, {place("west", false), gpu}}},
+		"over its limit":   {func(s *wire.JobSpec) { s.GPUs = 7 }, []FreeCapacity{{place("east", false), world.Amount{GPUs: 8}}}},
+		"half of the gang": {func(s *wire.JobSpec) { s.Kind, s.TaskCount = wire.KindGang, 4 }, []FreeCapacity{{place("east", false), world.Amount{GPUs: 3}}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				o := NewInvariantChecker(testSettings(0))
-				s := wire.Spec{ID: "run-1", Team: "bound", Kind: wire.KindArray, Tasks: 2, GPUs: 1}
+				s := wire.JobSpec{ID: "run-1", Team: "bound", Kind: wire.KindArray, TaskCount: 2, GPUs: 1}
 				if c.spec != nil {
 					c.spec(&s)
 				}
@@ -434,10 +434,10 @@
 func TestCheckerDetectsEachViolation(t *testing.T) {
 	at := func(m, typ, zone string, spot bool) Placement { return Placement{m, typ, zone, spot} }
 	ref := func(i int) world.TaskRef { return world.TaskRef{Job: "run-1", Index: i} }
-	base := wire.Spec{ID: "run-1", Team: "bound", Kind: wire.KindArray, Tasks: 8, GPUs: 1}
+	base := wire.JobSpec{ID: "run-1", Team: "bound", Kind: wire.KindArray, TaskCount: 8, GPUs: 1}
 	defects := map[string][]struct {
 		name string
-		spec func(*wire.Spec)
+		spec func(*wire.JobSpec)
 		do   func(o *InvariantChecker)
 	}{
 		"ran_twice": {{"two machines", nil, func(o *InvariantChecker) {
@@ -451,13 +451,13 @@
 		}}},
 		"wrong_place": {
 			{"spot", nil, func(o *InvariantChecker) { o.TaskStarted(ref(0), at("a", "large", "east", true)) }},
-			{"zone", func(s *wire.Spec) { s.Zone = "west" }, func(o *InvariantChecker) { o.TaskStarted(ref(0), at("a", "large", "east", false)) }},
-			{"type", func(s *wire.Spec) { s.Types = []string{"small"} }, func(o *InvariantChecker) { o.TaskStarted(ref(0), at("a", "large", "east", false)) }},
-			{"two zones", func(s *wire.Spec) { s.OneZone = true }, func(o *InvariantChecker) {
+			{"zone", func(s *wire.JobSpec) { s.Zone = "west" }, func(o *InvariantChecker) { o.TaskStarted(ref(0), at("a", "large", "east", false)) }},
+			{"type", func(s *wire.JobSpec) { s.MachineTypes = []string{"small"} }, func(o *InvariantChecker) { o.TaskStarted(ref(0), at("a", "large", "east", false)) }},
+			{"two zones", func(s *wire.JobSpec) { s.SameZone = true }, func(o *InvariantChecker) {
 				o.TaskStarted(ref(0), at("a", "large", "east", false))
 				o.TaskStarted(ref(1), at("b", "large", "west", false))
 			}},
-			{"not spread", func(s *wire.Spec) { s.Spread, s.Tasks = true, 2 }, func(o *InvariantChecker) {
+			{"not spread", func(s *wire.JobSpec) { s.Spread, s.TaskCount = true, 2 }, func(o *InvariantChecker) {
 				o.TaskStarted(ref(0), at("a", "large", "east", false))
 				o.TaskStarted(ref(1), at("b", "large", "east", false))
 			}},
@@ -483,7 +483,7 @@
 			{"beside room", nil, func(o *InvariantChecker) {
 				waitBesideCapacity(o, FreeCapacity{at("a", "large", "east", false), world.Amount{CPUs: 8, GPUs: 1}})
 			}},
-			{"a gang beside room in its zone", func(s *wire.Spec) { s.Kind, s.Tasks, s.OneZone = wire.KindGang, 2, true }, func(o *InvariantChecker) {
+			{"a gang beside room in its zone", func(s *wire.JobSpec) { s.Kind, s.TaskCount, s.SameZone = wire.KindGang, 2, true }, func(o *InvariantChecker) {
 				waitBesideCapacity(o, FreeCapacity{at("a", "large", "west", false), world.Amount{GPUs: 1}}, FreeCapacity{at("b", "large", "east", false), world.Amount{GPUs: 1}}, FreeCapacity{at("c", "large", "east", false), world.Amount{GPUs: 1}})
 			}},
 		},
@@ -507,7 +507,7 @@
 			time.Sleep(2 * time.Second)
 			o.AnswerReceived("run-1", 503, "")
 		}}, {"alone", nil, func(o *InvariantChecker) {
-			o.JobSubmitted(wire.Spec{ID: "run-2", Team: "open", Kind: wire.KindArray, Tasks: 1})
+			o.JobSubmitted(wire.JobSpec{ID: "run-2", Team: "open", Kind: wire.KindArray, TaskCount: 1})
 			o.AnswerReceived("run-1", 201, wire.JobPending)
 			for range 21 {
 				o.AnswerReceived("run-1", 0, "")
@@ -520,7 +520,7 @@
 			// Everybody is served in the end, but the largest began after five minutes.
 			for i := range 5 {
 				id := fmt.Sprintf("run-%d", i+2)
-				o.JobSubmitted(wire.Spec{ID: id, Class: "c", Team: "open", Kind: wire.KindArray, Tasks: 1 + i/4*9})
+				o.JobSubmitted(wire.JobSpec{ID: id, Class: "c", Team: "open", Kind: wire.KindArray, TaskCount: 1 + i/4*9})
 				o.AnswerReceived(id, 201, wire.JobPending)
 				if i == 4 {
 					time.Sleep(5 * time.Minute)
@@ -536,13 +536,13 @@
 			o.CheckServedShares()
 		}}},
 		"invented": {{"200", nil, func(o *InvariantChecker) { o.AnswerReceived("run-2", 200, wire.JobPending) }}},
-		"too_early": {{"before its need", func(s *wire.Spec) { s.Awaits = []string{"run-0"} }, func(o *InvariantChecker) {
-			o.JobSubmitted(wire.Spec{ID: "run-0", Team: "open", Kind: wire.KindArray, Tasks: 1})
+		"too_early": {{"before its need", func(s *wire.JobSpec) { s.Dependencies = []string{"run-0"} }, func(o *InvariantChecker) {
+			o.JobSubmitted(wire.JobSpec{ID: "run-0", Team: "open", Kind: wire.KindArray, TaskCount: 1})
 			o.TaskStarted(ref(0), at("a", "large", "east", false))
 		}}},
-		"orphaned": {{"through another", func(s *wire.Spec) { s.Awaits = []string{"run-0"} }, func(o *InvariantChecker) {
-			o.JobSubmitted(wire.Spec{ID: "run-00", Team: "open", Kind: wire.KindArray, Tasks: 1})
-			o.JobSubmitted(wire.Spec{ID: "run-0", Team: "open", Kind: wire.KindArray, Tasks: 1, Awaits: []string{"run-00"}})
+		"orphaned": {{"through another", func(s *wire.JobSpec) { s.Dependencies = []string{"run-0"} }, func(o *InvariantChecker) {
+			o.JobSubmitted(wire.JobSpec{ID: "run-00", Team: "open", Kind: wire.KindArray, TaskCount: 1})
+			o.JobSubmitted(wire.JobSpec{ID: "run-0", Team: "open", Kind: wire.KindArray, TaskCount: 1, Dependencies: []string{"run-00"}})
 			o.CancelRequested("run-00")
 			o.AnswerReceived("run-00", 200, wire.JobCancelled)
 			time.Sleep(45 * time.Second)
@@ -553,12 +553,12 @@
 			o.AnswerReceived("run-1", 200, wire.JobDone)
 		}}},
 		"went_back": {
-			{"pending again", func(s *wire.Spec) { s.Tasks = 1 }, func(o *InvariantChecker) {
+			{"pending again", func(s *wire.JobSpec) { s.TaskCount = 1 }, func(o *InvariantChecker) {
 				o.TaskCompleted(ref(0))
 				o.AnswerReceived("run-1", 200, wire.JobDone)
 				o.AnswerReceived("run-1", 200, wire.JobPending)
 			}},
-			{"an older answer from another node", func(s *wire.Spec) { s.Tasks = 1 }, func(o *InvariantChecker) {
+			{"an older answer from another node", func(s *wire.JobSpec) { s.TaskCount = 1 }, func(o *InvariantChecker) {
 				o.TaskCompleted(ref(0))
 				sent := time.Now()
 				time.Sleep(time.Millisecond)
--- a/internal/standin/retry_test.go
+++ b/internal/standin/retry_test.go
@@ -52,21 +52,21 @@
 		r.AddController(testSettings(i))
 	}
 	for i := range 24 {
-		s := wire.Spec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-			Tasks: 1 + rnd.IntN(6), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageGB: 1, EstimateS: 10}
+		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal,
+			TaskCount: 1 + rnd.IntN(6), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 10}
 		if rnd.IntN(3) == 0 {
-			s.Kind, s.Priority, s.Tasks, s.OneZone = wire.KindGang, wire.PriorityHigh, 1+rnd.IntN(3), true
+			s.Kind, s.Priority, s.TaskCount, s.SameZone = wire.KindGang, wire.PriorityHigh, 1+rnd.IntN(3), true
 		}
 		limit := 2
 		if rnd.IntN(3) == 0 {
 			limit = rnd.IntN(2)
-			s.Repeats = &limit
+			s.MaxRetries = &limit
 		}
 		if i > 0 && rnd.IntN(3) == 0 {
-			s.Awaits = []string{fmt.Sprintf("run-%06d", 1+rnd.IntN(i))}
+			s.Dependencies = []string{fmt.Sprintf("run-%06d", 1+rnd.IntN(i))}
 		}
 		for range rnd.IntN(3) {
-			r.InjectTaskFailures(world.TaskRef{Job: s.ID, Index: rnd.IntN(s.Tasks)}, 1+rnd.IntN(3))
+			r.InjectTaskFailures(world.TaskRef{Job: s.ID, Index: rnd.IntN(s.TaskCount)}, 1+rnd.IntN(3))
 		}
 		at := time.Duration(i*5) * time.Second
 		r.wg.Go(func() {
--- a/internal/standin/sessionrecord_test.go
+++ b/internal/standin/sessionrecord_test.go
@@ -21,7 +21,7 @@
 		time.Sleep(20 * time.Second)
 		replaced := 0
 		r.KV.mu.Lock()
-		r.KV.OnWrite = func(key string, _ wire.Raw) {
+		r.KV.OnWrite = func(key string, _ wire.RawValue) {
 			if key == world.NodeKey("node-0") && r.KV.lateWrites.random != nil && !time.Now().Before(r.KV.lateWrites.until) {
 				replaced++
 			}
--- a/internal/standin/upgrade_test.go
+++ b/internal/standin/upgrade_test.go
@@ -20,22 +20,22 @@
 )
 
 // randomJobGraph draws a pipeline: each job awaits some of those before it.
-func randomJobGraph(rnd *rand.Rand, first, jobs int) []wire.Spec {
-	var out []wire.Spec
+func randomJobGraph(rnd *rand.Rand, first, jobs int) []wire.JobSpec {
+	var out []wire.JobSpec
 	for i := range jobs {
-		s := wire.Spec{ID: fmt.Sprintf("run-%06d", first+i), Class: fmt.Sprintf("p%d", i%4), Team: []string{"open", "bound"}[rnd.IntN(2)],
-			Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: 1 + rnd.IntN(8), CPUs: 1, MemoryGB: 4, Image: fmt.Sprintf("img-%d", rnd.IntN(3)),
-			ImageGB: 1, EstimateS: 8, Spot: rnd.IntN(2) == 0}
+		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", first+i), Class: fmt.Sprintf("p%d", i%4), Team: []string{"open", "bound"}[rnd.IntN(2)],
+			Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 1 + rnd.IntN(8), CPUs: 1, MemoryGB: 4, Image: fmt.Sprintf("img-%d", rnd.IntN(3)),
+			ImageSizeGB: 1, RuntimeEstimateSeconds: 8, AllowSpot: rnd.IntN(2) == 0}
 		if rnd.IntN(4) == 0 {
-			s.Kind, s.Tasks, s.OneZone = wire.KindGang, 1+rnd.IntN(3), true
+			s.Kind, s.TaskCount, s.SameZone = wire.KindGang, 1+rnd.IntN(3), true
 		}
 		for k := range i {
 			if rnd.IntN(3) == 0 || k == i-1 && rnd.IntN(2) == 0 {
-				s.Awaits = append(s.Awaits, out[k].ID)
+				s.Dependencies = append(s.Dependencies, out[k].ID)
 			}
 		}
 		if i == jobs-1 {
-			s.Priority, s.DeadlineS = wire.PriorityHigh, 120
+			s.Priority, s.DeadlineSeconds = wire.PriorityHigh, 120
 		}
 		out = append(out, s)
 	}
@@ -44,10 +44,10 @@
 
 // submitGraph plays a pipeline's user: each job is submitted once those that it
 // awaits are accepted.
-func (r *Region) submitGraph(ctx context.Context, specs []wire.Spec, cancel map[string]time.Duration) {
+func (r *Region) submitGraph(ctx context.Context, specs []wire.JobSpec, cancel map[string]time.Duration) {
 	for _, s := range specs {
 		r.wg.Go(func() {
-			for !r.Checker.AllAccepted(s.Awaits) {
+			for !r.Checker.AllAccepted(s.Dependencies) {
 				time.Sleep(200 * time.Millisecond)
 				if ctx.Err() != nil {
 					return
@@ -76,7 +76,7 @@
 	}
 	r := NewRegion(ctx, settings(0), testTypes, 12, rand.New(rand.NewPCG(seed, 18)), log)
 	active := false
-	r.KV.OnWrite = func(key string, v wire.Raw) {
+	r.KV.OnWrite = func(key string, v wire.RawValue) {
 		var job world.JobRecord
 		switch {
 		case key == world.LevelKey:
@@ -89,7 +89,7 @@
 		case strings.HasPrefix(key, "s/u/") && !active, strings.HasPrefix(key, "s/catalog/") && !active:
 			r.KV.Violations = append(r.KV.Violations, "new form before activation: "+key)
 		case strings.HasPrefix(key, "s/j/"):
-			if wire.Decode(v, &job) == nil && !active && (job.Width > 0 || len(job.Groups) > 0 || len(job.Spec.Awaits) > 0) {
+			if wire.Decode(v, &job) == nil && !active && (job.Width > 0 || len(job.Groups) > 0 || len(job.Spec.Dependencies) > 0) {
 				r.KV.Violations = append(r.KV.Violations, "new form before activation: "+key)
 			}
 		}
@@ -103,8 +103,8 @@
 		spec, run, stop := testSpec(rnd, i+1)
 		at := time.Duration(rnd.IntN(90)) * time.Second
 		if i < 3 {
-			spec, run, stop, at = wire.Spec{ID: spec.ID, Class: "wide", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-				Tasks: 90 + 90*i, CPUs: 0.5, MemoryGB: 2, Image: "img-0", ImageGB: 1, EstimateS: 100}, 130, time.Duration(i/2)*100*time.Second, 5*time.Second
+			spec, run, stop, at = wire.JobSpec{ID: spec.ID, Class: "wide", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal,
+				TaskCount: 90 + 90*i, CPUs: 0.5, MemoryGB: 2, Image: "img-0", ImageSizeGB: 1, RuntimeEstimateSeconds: 100}, 130, time.Duration(i/2)*100*time.Second, 5*time.Second
 		}
 		r.wg.Go(func() {
 			time.Sleep(at)
@@ -145,8 +145,8 @@
 	// Gangs of tiny tasks: one that takes most of a transaction, one that takes
 	// several. They take long to play, so one day has them.
 	for i, tasks := range []int{200, 500} {
-		wide := wire.Spec{ID: fmt.Sprintf("run-%06d", 90+i), Class: "wide", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityNormal,
-			Tasks: tasks, CPUs: 0.05, MemoryGB: 0.1, Image: "img-0", ImageGB: 1, EstimateS: 10}
+		wide := wire.JobSpec{ID: fmt.Sprintf("run-%06d", 90+i), Class: "wide", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityNormal,
+			TaskCount: tasks, CPUs: 0.05, MemoryGB: 0.1, Image: "img-0", ImageSizeGB: 1, RuntimeEstimateSeconds: 10}
 		if seed == 1 {
 			r.wg.Go(func() { r.SimulateUser(ctx, wide, 10, 0) })
 		}
--- a/internal/standin/zoneoutage_test.go
+++ b/internal/standin/zoneoutage_test.go
@@ -180,13 +180,13 @@
 	rnd := rand.New(rand.NewPCG(5, 7))
 	const services, arrays = 9, 24
 	for i := range services {
-		spec := wire.Spec{ID: fmt.Sprintf("run-%06d", i+1), Class: "s", Team: "open", Kind: wire.KindService, Priority: wire.PriorityProduction,
-			Tasks: 6, CPUs: 16, GPUs: 4, MemoryGB: 80, Image: "img", ImageGB: 1, Spread: true}
+		spec := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "s", Team: "open", Kind: wire.KindService, Priority: wire.PriorityProduction,
+			TaskCount: 6, CPUs: 16, GPUs: 4, MemoryGB: 80, Image: "img", ImageSizeGB: 1, Spread: true}
 		r.wg.Go(func() { r.SimulateUser(ctx, spec, 5, 11*time.Minute) })
 	}
 	for i := range arrays {
-		spec := wire.Spec{ID: fmt.Sprintf("run-%06d", services+i+1), Class: "a", Team: []string{"open", "bound"}[i%2], Kind: wire.KindArray, Priority: wire.PriorityNormal,
-			Tasks: 4 + rnd.IntN(20), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageGB: 1, EstimateS: 15, Spot: true}
+		spec := wire.JobSpec{ID: fmt.Sprintf("run-%06d", services+i+1), Class: "a", Team: []string{"open", "bound"}[i%2], Kind: wire.KindArray, Priority: wire.PriorityNormal,
+			TaskCount: 4 + rnd.IntN(20), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 15, AllowSpot: true}
 		run, at := 5+20*rnd.Float64(), time.Duration(70+rnd.IntN(60))*time.Second
 		r.wg.Go(func() {
 			time.Sleep(at)
--- a/internal/standin/zonepower_test.go
+++ b/internal/standin/zonepower_test.go
@@ -82,18 +82,18 @@
 	services := machines / 9 // of six replicas that take half a machine each
 	full := 6 * services
 	for i := range services {
-		spec := wire.Spec{ID: fmt.Sprintf("run-%06d", i+1), Class: "s", Team: "open", Kind: wire.KindService, Priority: wire.PriorityProduction,
-			Tasks: 6, CPUs: 16, GPUs: 2, MemoryGB: 80, Image: fmt.Sprint("img-", i%5), ImageGB: 2, Spread: true}
+		spec := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "s", Team: "open", Kind: wire.KindService, Priority: wire.PriorityProduction,
+			TaskCount: 6, CPUs: 16, GPUs: 2, MemoryGB: 80, Image: fmt.Sprint("img-", i%5), ImageSizeGB: 2, Spread: true}
 		r.wg.Go(func() { r.SimulateUser(ctx, spec, 5, 100*time.Second+at+away+3*time.Minute) })
 	}
 	for i := range machines / 3 {
-		spec := wire.Spec{ID: fmt.Sprintf("run-%06d", services+i+1), Team: "open", Spot: true, Image: "img-0", ImageGB: 2, CheckpointS: 5, SaveS: 1}
+		spec := wire.JobSpec{ID: fmt.Sprintf("run-%06d", services+i+1), Team: "open", AllowSpot: true, Image: "img-0", ImageSizeGB: 2, CheckpointIntervalSeconds: 5, CheckpointSaveSeconds: 1}
 		if i%2 == 0 {
-			spec.Class, spec.Kind, spec.Priority, spec.Tasks, spec.CPUs, spec.GPUs, spec.MemoryGB = "a", wire.KindArray, wire.PriorityNormal, 4+rnd.IntN(20), 4, 1, 20
-			spec.EstimateS = 15
+			spec.Class, spec.Kind, spec.Priority, spec.TaskCount, spec.CPUs, spec.GPUs, spec.MemoryGB = "a", wire.KindArray, wire.PriorityNormal, 4+rnd.IntN(20), 4, 1, 20
+			spec.RuntimeEstimateSeconds = 15
 		} else {
-			spec.Class, spec.Kind, spec.Priority, spec.Tasks, spec.CPUs, spec.GPUs, spec.MemoryGB = "g", wire.KindGang, wire.PriorityHigh, 1+rnd.IntN(3), 28, 4, 200
-			spec.Spot, spec.OneZone, spec.EstimateS = false, true, 30
+			spec.Class, spec.Kind, spec.Priority, spec.TaskCount, spec.CPUs, spec.GPUs, spec.MemoryGB = "g", wire.KindGang, wire.PriorityHigh, 1+rnd.IntN(3), 28, 4, 200
+			spec.AllowSpot, spec.SameZone, spec.RuntimeEstimateSeconds = false, true, 30
 		}
 		run, start := 5+20*rnd.Float64(), time.Duration(60+rnd.IntN(80))*time.Second
 		r.wg.Go(func() {
--- a/internal/store/cache.go
+++ b/internal/store/cache.go
@@ -19,7 +19,7 @@
 // Sink receives the cached keys' changes in order, in groups that are seen as one.
 type Sink interface {
 	Begin()
-	Put(key string, value wire.Raw, stamp uint64)
+	Put(key string, value wire.RawValue, stamp uint64)
 	Drop(key string)
 	Flush()
 }
@@ -114,7 +114,7 @@
 // cache's own revision was taken in before, and taking it in again would bring
 // back keys dropped since. Above it, each key's own stamp decides, since our own
 // writes run ahead.
-func (c *Cache) apply(after uint64, news wire.News, asked time.Time) {
+func (c *Cache) apply(after uint64, news wire.WatchResponse, asked time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if after > c.rev {
@@ -123,13 +123,13 @@
 	c.sink.Begin()
 	defer c.sink.Flush()
 	for _, e := range news.Events {
-		if e.Stamp <= c.rev {
+		if e.ModRevision <= c.rev {
 			continue
 		}
-		if e.Set != "" {
-			c.put(e.Set, e.Value, e.Stamp)
+		if e.PutKey != "" {
+			c.put(e.PutKey, e.Value, e.ModRevision)
 		} else {
-			c.drop(e.Drop, e.Stamp)
+			c.drop(e.DeleteKey, e.ModRevision)
 		}
 	}
 	if news.Revision > c.rev {
@@ -147,7 +147,7 @@
 	}
 }
 
-func (c *Cache) put(key string, v wire.Raw, stamp uint64) {
+func (c *Cache) put(key string, v wire.RawValue, stamp uint64) {
 	if stamp <= c.stamps[key] || stamp <= c.dropped[key] {
 		return
 	}
@@ -168,11 +168,11 @@
 // sending is what became of a key while a change of it by this node was on its way.
 type sending struct {
 	count int // of such changes
-	came  map[uint64]wire.Raw
+	came  map[uint64]wire.RawValue
 }
 
 // note keeps a change that has come, by its revision; nil: it was dropped.
-func (s *sending) note(rev uint64, v wire.Raw) {
+func (s *sending) note(rev uint64, v wire.RawValue) {
 	if s != nil && len(s.came) < tuning.SendingNotes {
 		s.came[rev] = v
 	}
@@ -188,7 +188,7 @@
 		k := o.Key()
 		before = max(before, c.stamps[k], c.dropped[k])
 		if c.sending[k] == nil {
-			c.sending[k] = &sending{came: map[uint64]wire.Raw{}}
+			c.sending[k] = &sending{came: map[uint64]wire.RawValue{}}
 		}
 		c.sending[k].count++
 	}
@@ -214,11 +214,11 @@
 func (c *Cache) Applied(ops []wire.Op, since uint64) (rev uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	first := slices.IndexFunc(ops, func(o wire.Op) bool { return strings.HasPrefix(o.Set, c.prefix) })
+	first := slices.IndexFunc(ops, func(o wire.Op) bool { return strings.HasPrefix(o.PutKey, c.prefix) })
 	if first < 0 {
 		return 0, false
 	}
-	for at := range c.sending[ops[first].Set].came {
+	for at := range c.sending[ops[first].PutKey].came {
 		if at > since && !slices.ContainsFunc(ops, func(o wire.Op) bool { return !c.made(o, at) }) {
 			return at, true
 		}
@@ -233,10 +233,10 @@
 		return true
 	}
 	v, came := c.sending[o.Key()].came[at]
-	if o.Set == "" {
+	if o.PutKey == "" {
 		return came && v == nil
 	}
-	return came && v != nil && wire.Same(v, o.Value)
+	return came && v != nil && wire.EqualValues(v, o.Value)
 }
 
 // Local takes in a transaction of our own that was applied at a revision,
@@ -254,7 +254,7 @@
 		if !strings.HasPrefix(k, c.prefix) {
 			continue
 		}
-		if o.Set != "" {
+		if o.PutKey != "" {
 			c.put(k, o.Value, rev)
 			continue
 		}
@@ -277,14 +277,14 @@
 		}
 		c.mu.Lock()
 		c.sink.Begin()
-		for _, r := range rows.Items {
+		for _, r := range rows.KeyValues {
 			found[r.Key] = true
-			c.put(r.Key, r.Value, r.Stamp)
+			c.put(r.Key, r.Value, r.ModRevision)
 			after = r.Key
 		}
 		c.sink.Flush()
 		c.mu.Unlock()
-		if !rows.More || len(rows.Items) == 0 {
+		if !rows.HasMore || len(rows.KeyValues) == 0 {
 			break
 		}
 	}
@@ -308,11 +308,11 @@
 
 // Stale tells whether a guard can't hold any more, as its key is known to have changed since. One that
 // asks for a key not to be there may hold: it may have been dropped beyond what this cache has seen.
-func (c *Cache) Stale(g wire.Guard) bool {
+func (c *Cache) Stale(g wire.Condition) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s, ok := c.stamps[g.Key]
-	return ok && g.Stamp != 0 && s > g.Stamp
+	return ok && g.ModRevision != 0 && s > g.ModRevision
 }
 
 // Sync is the read barrier: it returns once the cache holds all that was
--- a/internal/store/cache_test.go
+++ b/internal/store/cache_test.go
@@ -17,10 +17,10 @@
 // mapSink keeps what the cache tells.
 type mapSink map[string]string
 
-func (m mapSink) Begin()                               {}
-func (m mapSink) Flush()                               {}
-func (m mapSink) Put(key string, v wire.Raw, _ uint64) { m[key] = string(v) }
-func (m mapSink) Drop(key string)                      { delete(m, key) }
+func (m mapSink) Begin()                                    {}
+func (m mapSink) Flush()                                    {}
+func (m mapSink) Put(key string, v wire.RawValue, _ uint64) { m[key] = string(v) }
+func (m mapSink) Drop(key string)                           { delete(m, key) }
 
 // TestCacheFollowsHistory applies overlapping watch answers and our own writes
 // in generated orders. The cache must never show a key that was dropped at or
@@ -41,12 +41,12 @@
 			if c.drop {
 				if _, ok := next[c.key]; ok {
 					delete(next, c.key)
-					log = append(log, wire.Event{Drop: c.key, Stamp: rev})
+					log = append(log, wire.Event{DeleteKey: c.key, ModRevision: rev})
 				}
 			} else {
 				v := wire.MustEncode(i)
 				next[c.key] = string(v)
-				log = append(log, wire.Event{Set: c.key, Value: v, Stamp: rev})
+				log = append(log, wire.Event{PutKey: c.key, Value: v, ModRevision: rev})
 			}
 			states = append(states, next)
 		}
@@ -56,14 +56,14 @@
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "own") && len(log) > 0 {
 				e := rapid.SampledFrom(log).Draw(t, "write")
-				c.Local([]wire.Op{{Set: e.Set, Value: e.Value, Drop: e.Drop}}, e.Stamp)
-				local = append(local, e.Stamp)
+				c.Local([]wire.Op{{PutKey: e.PutKey, Value: e.Value, DeleteKey: e.DeleteKey}}, e.ModRevision)
+				local = append(local, e.ModRevision)
 			} else {
 				after := rapid.Uint64Range(0, c.rev).Draw(t, "after")
 				upTo := rapid.Uint64Range(after, uint64(n)).Draw(t, "upto")
-				news := wire.News{Revision: upTo}
+				news := wire.WatchResponse{Revision: upTo}
 				for _, e := range log {
-					if e.Stamp > after && e.Stamp <= upTo {
+					if e.ModRevision > after && e.ModRevision <= upTo {
 						news.Events = append(news.Events, e)
 					}
 				}
@@ -77,14 +77,14 @@
 			for _, k := range []string{"s/a", "s/b", "s/c"} {
 				stamp := uint64(0)
 				for _, e := range log {
-					if e.Set == k || e.Drop == k {
-						stamp = e.Stamp
-						if e.Drop == k {
+					if e.PutKey == k || e.DeleteKey == k {
+						stamp = e.ModRevision
+						if e.DeleteKey == k {
 							stamp = 0
 						}
 					}
-					if e.Stamp >= seen && c.Stale(wire.Guard{Key: k, Stamp: stamp}) {
-						t.Fatalf("revision %d: a guard of %s at %d counts as passed at %d", c.rev, k, stamp, e.Stamp)
+					if e.ModRevision >= seen && c.Stale(wire.Condition{Key: k, ModRevision: stamp}) {
+						t.Fatalf("revision %d: a guard of %s at %d counts as passed at %d", c.rev, k, stamp, e.ModRevision)
 					}
 				}
 			}
@@ -92,8 +92,8 @@
 			ahead := map[string]bool{}
 			for _, e := range log {
 				for _, l := range local {
-					if e.Stamp == l && e.Stamp > c.rev {
-						ahead[e.Set+e.Drop] = true
+					if e.ModRevision == l && e.ModRevision > c.rev {
+						ahead[e.PutKey+e.DeleteKey] = true
 					}
 				}
 			}
@@ -123,8 +123,8 @@
 	holds := func(all, some []wire.Op) bool {
 		for _, o := range some {
 			if !slices.ContainsFunc(all, func(p wire.Op) bool {
-				return o.Key() == p.Key() && (o.Drop != "" || o.Set == p.Set && string(o.Value) == string(p.Value))
-			}) && strings.HasPrefix(o.Set, "s/") {
+				return o.Key() == p.Key() && (o.DeleteKey != "" || o.PutKey == p.PutKey && string(o.Value) == string(p.Value))
+			}) && strings.HasPrefix(o.PutKey, "s/") {
 				return false
 			}
 		}
@@ -150,10 +150,10 @@
 				}
 			}
 			history = append(history, txn)
-			tells := slices.ContainsFunc(asked, func(o wire.Op) bool { return strings.HasPrefix(o.Set, "s/") }) &&
-				!slices.ContainsFunc(asked, func(o wire.Op) bool { return strings.HasPrefix(o.Drop, "s/") && !there[o.Drop] })
+			tells := slices.ContainsFunc(asked, func(o wire.Op) bool { return strings.HasPrefix(o.PutKey, "s/") }) &&
+				!slices.ContainsFunc(asked, func(o wire.Op) bool { return strings.HasPrefix(o.DeleteKey, "s/") && !there[o.DeleteKey] })
 			for _, o := range txn {
-				there[o.Key()] = o.Set != ""
+				there[o.Key()] = o.PutKey != ""
 			}
 			if rapid.Bool().Draw(t, "own") {
 				c.Local(txn, rev)
@@ -162,11 +162,11 @@
 			if rapid.IntRange(0, 2).Draw(t, "the watch lags") == 0 && rev < 12 {
 				continue
 			}
-			news := wire.News{Revision: rev}
+			news := wire.WatchResponse{Revision: rev}
 			for at := c.rev + 1; at <= rev; at++ {
 				for _, o := range history[at-1] {
 					if strings.HasPrefix(o.Key(), "s/") {
-						news.Events = append(news.Events, wire.Event{Set: o.Set, Drop: o.Drop, Value: o.Value, Stamp: at})
+						news.Events = append(news.Events, wire.Event{PutKey: o.PutKey, DeleteKey: o.DeleteKey, Value: o.Value, ModRevision: at})
 					}
 				}
 			}
@@ -195,7 +195,7 @@
 			it := Item{}
 			for _, k := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}), 1, 3, rapid.ID).Draw(t, "keys") {
 				it.Ops = append(it.Ops, Set(k, 1))
-				it.Guards = append(it.Guards, wire.Guard{Key: k, Stamp: rapid.Uint64Range(0, 2).Draw(t, "stamp")})
+				it.Guards = append(it.Guards, wire.Condition{Key: k, ModRevision: rapid.Uint64Range(0, 2).Draw(t, "stamp")})
 			}
 			c.queue = append(c.queue, &pending{Item: it})
 		}
@@ -216,10 +216,10 @@
 					ops++
 				}
 				for _, g := range p.Guards {
-					if s, ok := guards[g.Key]; ok && s != g.Stamp {
+					if s, ok := guards[g.Key]; ok && s != g.ModRevision {
 						t.Fatalf("guards of one transaction contradict each other")
 					}
-					guards[g.Key] = g.Stamp
+					guards[g.Key] = g.ModRevision
 				}
 			}
 			if ops > 8 {
--- a/internal/store/client.go
+++ b/internal/store/client.go
@@ -69,7 +69,7 @@
 // NewClient makes a client of the service at addr.
 func NewClient(addr string, l Limits, rt http.RoundTripper) *Client {
 	if rt == nil {
-		rt = wire.Transport(tuning.StateTimeout, tuning.IdleConns, tuning.IdleConns)
+		rt = wire.NewTransport(tuning.StateTimeout, tuning.IdleConns, tuning.IdleConns)
 	}
 	c := &Client{
 		base: "http://" + addr, http: &http.Client{Transport: rt}, limits: l, slow: 1,
@@ -242,11 +242,11 @@
 }
 
 // Get reads one key. A missing key gives ErrNotFound.
-func (c *Client) Get(ctx context.Context, key string) (wire.Row, error) {
+func (c *Client) Get(ctx context.Context, key string) (wire.KeyValue, error) {
 	if err := c.pace(ctx, false); err != nil {
-		return wire.Row{}, err
+		return wire.KeyValue{}, err
 	}
-	var row wire.Row
+	var row wire.KeyValue
 	status, _, err := c.call(ctx, http.MethodGet, "/store/"+key, nil, &row, tuning.StateTimeout)
 	switch {
 	case err != nil:
@@ -261,7 +261,7 @@
 
 // Reader reads single records.
 type Reader interface {
-	Get(ctx context.Context, key string) (wire.Row, error)
+	Get(ctx context.Context, key string) (wire.KeyValue, error)
 }
 
 // Read reads and decodes one record. ErrNotFound alone proves that it is not there.
@@ -275,15 +275,15 @@
 }
 
 // List reads one page of the keys under prefix that come after a key.
-func (c *Client) List(ctx context.Context, prefix, after string) (wire.Rows, error) {
+func (c *Client) List(ctx context.Context, prefix, after string) (wire.RangeResponse, error) {
 	if err := c.pace(ctx, false); err != nil {
-		return wire.Rows{}, err
+		return wire.RangeResponse{}, err
 	}
 	q := url.Values{"under": {prefix}, "page": {fmt.Sprint(tuning.PageRows)}}
 	if after != "" {
 		q.Set("after", after)
 	}
-	var rows wire.Rows
+	var rows wire.RangeResponse
 	status, _, err := c.call(ctx, http.MethodGet, "/store?"+q.Encode(), nil, &rows, 2*tuning.StateTimeout)
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("%w: list: status %d", ErrRefused, status)
@@ -292,12 +292,12 @@
 }
 
 // Watch waits for changes under prefix after a revision.
-func (c *Client) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration, urgent bool) (wire.News, error) {
+func (c *Client) Watch(ctx context.Context, prefix string, after uint64, hold time.Duration, urgent bool) (wire.WatchResponse, error) {
 	if err := c.pace(ctx, urgent); err != nil {
-		return wire.News{}, err
+		return wire.WatchResponse{}, err
 	}
 	q := url.Values{"under": {prefix}, "after": {fmt.Sprint(after)}, "hold_ms": {fmt.Sprint(hold.Milliseconds())}}
-	var news wire.News
+	var news wire.WatchResponse
 	status, _, err := c.call(ctx, http.MethodGet, "/watch?"+q.Encode(), nil, &news, hold+tuning.StateTimeout)
 	switch {
 	case err != nil:
@@ -312,11 +312,11 @@
 
 // Txn runs one transaction; its caller keeps to the budget of writes. On
 // ErrGuard the result names the failed keys.
-func (c *Client) Txn(ctx context.Context, t wire.Txn, urgent bool) (wire.TxnResult, error) {
+func (c *Client) Txn(ctx context.Context, t wire.TxnRequest, urgent bool) (wire.TxnResponse, error) {
 	if err := c.pace(ctx, urgent); err != nil {
-		return wire.TxnResult{}, err
+		return wire.TxnResponse{}, err
 	}
-	var res wire.TxnResult
+	var res wire.TxnResponse
 	status, body, err := c.call(ctx, http.MethodPost, "/multi", t, &res, tuning.StateTimeout)
 	switch {
 	case err != nil:
@@ -338,12 +338,12 @@
 	if err := c.pace(ctx, true); err != nil {
 		return 0, err
 	}
-	var res wire.HoldResult
-	status, _, err := c.call(ctx, http.MethodPost, "/holds", wire.HoldRequest{TTLMs: ttl.Milliseconds()}, &res, tuning.StateTimeout)
+	var res wire.LeaseResponse
+	status, _, err := c.call(ctx, http.MethodPost, "/holds", wire.LeaseRequest{TTLMs: ttl.Milliseconds()}, &res, tuning.StateTimeout)
 	if err == nil && status != http.StatusOK {
 		err = fmt.Errorf("%w: hold: status %d", ErrRefused, status)
 	}
-	return res.Hold, err
+	return res.LeaseID, err
 }
 
 // CloseHold ends a lease, and with it what is attached to it.
--- a/internal/store/commit.go
+++ b/internal/store/commit.go
@@ -19,7 +19,7 @@
 
 // Item is one atomic change.
 type Item struct {
-	Guards []wire.Guard
+	Guards []wire.Condition
 	Ops    []wire.Op
 	// Urgent items (sessions, ownership, acceptance, cancellation) go first, then
 	// Soon ones (work of high priority), Lazy ones, which nothing waits for, last.
@@ -34,16 +34,16 @@
 		n += len(g.Key) + 24
 	}
 	for _, o := range it.Ops {
-		n += len(o.Set) + len(o.Drop) + len(o.Value) + 32
+		n += len(o.PutKey) + len(o.DeleteKey) + len(o.Value) + 32
 	}
 	return n
 }
 
 // Set is an op that writes v.
-func Set(key string, v any) wire.Op { return wire.Op{Set: key, Value: wire.MustEncode(v)} }
+func Set(key string, v any) wire.Op { return wire.Op{PutKey: key, Value: wire.MustEncode(v)} }
 
 // Drop is an op that removes a key.
-func Drop(key string) wire.Op { return wire.Op{Drop: key} }
+func Drop(key string) wire.Op { return wire.Op{DeleteKey: key} }
 
 type pending struct {
 	Item
@@ -93,7 +93,7 @@
 // View is what a committer learns from beside its answers.
 type View interface {
 	// Stale tells whether a guard can't hold any more.
-	Stale(g wire.Guard) bool
+	Stale(g wire.Condition) bool
 	// Applied tells whether changes were made together after a revision, and at which.
 	Applied(ops []wire.Op, since uint64) (rev uint64, ok bool)
 	// Sending notes changes that are about to be sent, and gives a revision before any at which they
@@ -263,7 +263,7 @@
 			len(guards)+len(p.Guards) <= limit*tuning.GuardsPerOp &&
 			bytes+p.size() <= tuning.TxnBytes
 		for _, g := range p.Guards {
-			if s, ok := guards[g.Key]; ok && s != g.Stamp {
+			if s, ok := guards[g.Key]; ok && s != g.ModRevision {
 				fits = false
 			}
 		}
@@ -282,7 +282,7 @@
 		ops += len(p.Ops)
 		bytes += p.size()
 		for _, g := range p.Guards {
-			guards[g.Key] = g.Stamp
+			guards[g.Key] = g.ModRevision
 		}
 		for _, o := range p.Ops {
 			keys[o.Key()] = true
@@ -306,28 +306,28 @@
 		if len(batch) == 0 {
 			return
 		}
-		var txn wire.Txn
+		var txn wire.TxnRequest
 		seen, urgent := map[string]bool{}, false
 		for _, p := range batch {
 			for _, g := range p.Guards {
 				if !seen[g.Key] {
 					seen[g.Key] = true
-					txn.Guards = append(txn.Guards, g)
+					txn.Conditions = append(txn.Conditions, g)
 				}
 			}
-			txn.Apply = append(txn.Apply, p.Ops...)
+			txn.Ops = append(txn.Ops, p.Ops...)
 			urgent = urgent || p.Urgent
 		}
-		if txn.Guards == nil {
-			txn.Guards = []wire.Guard{}
+		if txn.Conditions == nil {
+			txn.Conditions = []wire.Condition{}
 		}
 		if again {
-			c.client.wrote(len(txn.Apply)) // the first try was taken off the budget before
+			c.client.wrote(len(txn.Ops)) // the first try was taken off the budget before
 		}
 		res, err := c.transact(ctx, txn, urgent)
 		switch {
 		case err == nil:
-			c.after(txn.Apply, res.Revision)
+			c.after(txn.Ops, res.Revision)
 			for _, p := range batch {
 				p.done <- outcome{rev: res.Revision}
 			}
@@ -336,7 +336,7 @@
 			n := len(batch)
 			batch = slices.DeleteFunc(batch, func(p *pending) bool {
 				for _, g := range p.Guards {
-					if slices.Contains(res.Failed, g.Key) {
+					if slices.Contains(res.FailedKeys, g.Key) {
 						p.done <- outcome{err: ErrGuard}
 						return true
 					}
@@ -370,18 +370,18 @@
 
 // transact sends a transaction. Where its answer is late, the view may show before that it was carried out:
 // an answer that is lost is no reason to wait for it, to take the outcome for unknown, and to fence a part.
-func (c *Committer) transact(ctx context.Context, txn wire.Txn, urgent bool) (wire.TxnResult, error) {
+func (c *Committer) transact(ctx context.Context, txn wire.TxnRequest, urgent bool) (wire.TxnResponse, error) {
 	if c.view == nil {
 		return c.client.Txn(ctx, txn, urgent)
 	}
 	type answer struct {
-		res wire.TxnResult
+		res wire.TxnResponse
 		err error
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	since, got := c.view.Sending(txn.Apply), make(chan answer, 1)
-	defer c.view.Sent(txn.Apply)
+	since, got := c.view.Sending(txn.Ops), make(chan answer, 1)
+	defer c.view.Sent(txn.Ops)
 	go func() {
 		res, err := c.client.Txn(ctx, txn, urgent)
 		got <- answer{res, err}
@@ -398,9 +398,9 @@
 		case <-look.C:
 			look.Reset(tuning.AnswerLook)
 		}
-		if rev, ok := c.view.Applied(txn.Apply, since); ok {
+		if rev, ok := c.view.Applied(txn.Ops, since); ok {
 			learned.Inc()
-			return wire.TxnResult{Revision: rev}, nil
+			return wire.TxnResponse{Revision: rev}, nil
 		}
 		if a.err != nil {
 			return a.res, a.err
--- a/internal/store/commit_test.go
+++ b/internal/store/commit_test.go
@@ -25,7 +25,7 @@
 
 func (s slow) RoundTrip(*http.Request) (*http.Response, error) {
 	time.Sleep(time.Duration(s))
-	body := wire.MustEncode(wire.TxnResult{Revision: 7})
+	body := wire.MustEncode(wire.TxnResponse{Revision: 7})
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(body))}, nil
 }
 
@@ -70,14 +70,14 @@
 			t.Errorf("lowered: %v a second, room %d", c.writes.Limit(), c.Room())
 		}
 		for range 100 {
-			_, _ = c.Txn(t.Context(), wire.Txn{}, false)
+			_, _ = c.Txn(t.Context(), wire.TxnRequest{}, false)
 		}
 		if got := c.writes.Limit(); got != 60*tuning.PaceCut {
 			t.Errorf("one bad moment lowered the pace to %v", got)
 		}
 		for range 30 {
 			time.Sleep(tuning.PaceHold)
-			_, _ = c.Txn(t.Context(), wire.Txn{}, false)
+			_, _ = c.Txn(t.Context(), wire.TxnRequest{}, false)
 		}
 		if got := float64(c.writes.Limit()); math.Abs(got-60*tuning.PaceLeast) > 1e-9 {
 			t.Errorf("lasting refusals left %v", got)
@@ -142,7 +142,7 @@
 					fresh++
 				}
 				go func() {
-					_, err := c.Do(ctx, Item{Guards: []wire.Guard{{Key: "p", Stamp: s}}, Ops: []wire.Op{Set(fmt.Sprint(i), 1)}})
+					_, err := c.Do(ctx, Item{Guards: []wire.Condition{{Key: "p", ModRevision: s}}, Ops: []wire.Op{Set(fmt.Sprint(i), 1)}})
 					results <- result{s < 5, err, time.Since(start)}
 				}()
 			}
@@ -168,7 +168,7 @@
 // passed is a view in which all stamps below a number have passed; it shows nothing of what is sent.
 type passed uint64
 
-func (p passed) Stale(g wire.Guard) bool                  { return g.Stamp < uint64(p) }
+func (p passed) Stale(g wire.Condition) bool              { return g.ModRevision < uint64(p) }
 func (p passed) Applied([]wire.Op, uint64) (uint64, bool) { return 0, false }
 func (p passed) Sending([]wire.Op) uint64                 { return 0 }
 func (p passed) Sent([]wire.Op)                           {}
@@ -183,16 +183,16 @@
 func (d *deafening) RoundTrip(req *http.Request) (*http.Response, error) {
 	if d.after > 0 {
 		b, _ := io.ReadAll(req.Body)
-		var txn wire.Txn
+		var txn wire.TxnRequest
 		if err := wire.Decode(b, &txn); err != nil {
 			return nil, err
 		}
 		time.Sleep(d.after)
 		d.rev++
-		news := wire.News{Revision: d.rev}
-		for _, o := range txn.Apply {
+		news := wire.WatchResponse{Revision: d.rev}
+		for _, o := range txn.Ops {
 			// The service keeps values, not our bytes.
-			if o.Set != "" {
+			if o.PutKey != "" {
 				var v any
 				if err := wire.Decode(o.Value, &v); err != nil {
 					return nil, err
@@ -200,7 +200,7 @@
 				m := v.(map[any]any)
 				o.Value = wire.MustEncode(map[string]any{"z": m["z"], "a": float64(m["a"].(uint64)), "m": m["m"]})
 			}
-			news.Events = append(news.Events, wire.Event{Set: o.Set, Drop: o.Drop, Value: o.Value, Stamp: d.rev})
+			news.Events = append(news.Events, wire.Event{PutKey: o.PutKey, DeleteKey: o.DeleteKey, Value: o.Value, ModRevision: d.rev})
 		}
 		d.cache.apply(d.rev-1, news, time.Now())
 	}
@@ -229,10 +229,10 @@
 				m := NewCommitter(client, func(_ []wire.Op, rev uint64) { told = rev })
 				m.Follow(d.cache)
 				go func() { _ = m.Run(ctx) }()
-				d.cache.apply(0, wire.News{Revision: 1, Events: []wire.Event{{Set: "s/b", Value: wire.MustEncode(1), Stamp: 1}}}, time.Now())
+				d.cache.apply(0, wire.WatchResponse{Revision: 1, Events: []wire.Event{{PutKey: "s/b", Value: wire.MustEncode(1), ModRevision: 1}}}, time.Now())
 				d.rev = 1
 				start := time.Now()
-				rev, err := m.Do(ctx, Item{Guards: []wire.Guard{{Key: "s/a"}}, Ops: []wire.Op{Set("s/a", struct {
+				rev, err := m.Do(ctx, Item{Guards: []wire.Condition{{Key: "s/a"}}, Ops: []wire.Op{Set("s/a", struct {
 					A int            `cbor:"a"`
 					M map[string]int `cbor:"m"`
 					Z []string       `cbor:"z"`
--- a/internal/upgrade/upgrade.go
+++ b/internal/upgrade/upgrade.go
@@ -116,7 +116,7 @@
 	if !leads {
 		return nil, ""
 	}
-	guards := []wire.Guard{{Key: world.LevelKey, Stamp: u.world.LevelStamp}, {Key: world.PartKey(world.Leader), Stamp: stamp}}
+	guards := []wire.Condition{{Key: world.LevelKey, ModRevision: u.world.LevelStamp}, {Key: world.PartKey(world.Leader), ModRevision: stamp}}
 	level, missing := u.newest, ""
 	for _, name := range u.set.Nodes() {
 		n, live := u.world.Nodes[name]
@@ -127,7 +127,7 @@
 			// All may read one between.
 			level, missing = min(level, n.Level), name
 		}
-		guards = append(guards, wire.Guard{Key: world.NodeKey(name), Stamp: n.Stamp})
+		guards = append(guards, wire.Condition{Key: world.NodeKey(name), ModRevision: n.Stamp})
 	}
 	if level <= u.world.Level {
 		return nil, missing
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -20,7 +20,7 @@
 type region struct {
 	t      *rapid.T
 	stamps map[string]uint64
-	rows   map[string]wire.Raw
+	rows   map[string]wire.RawValue
 	rev    uint64
 	level  int            // that each node's process reads, by name
 	runs   map[string]int // -1: it is down
@@ -30,13 +30,13 @@
 
 func (r *region) Do(_ context.Context, it store.Item) (uint64, error) {
 	for _, g := range it.Guards {
-		if r.stamps[g.Key] != g.Stamp {
+		if r.stamps[g.Key] != g.ModRevision {
 			return 0, store.ErrGuard
 		}
 	}
 	for _, o := range it.Ops {
-		r.set(o.Set, o.Value)
-		if o.Set == world.LevelKey {
+		r.set(o.PutKey, o.Value)
+		if o.PutKey == world.LevelKey {
 			var rec world.LevelRecord
 			if err := wire.Decode(o.Value, &rec); err != nil || rec.Level <= r.level {
 				r.t.Fatalf("level %d after %d: %v", rec.Level, r.level, err)
@@ -52,7 +52,7 @@
 	return r.rev, nil
 }
 
-func (r *region) set(key string, v wire.Raw) {
+func (r *region) set(key string, v wire.RawValue) {
 	r.rev++
 	r.stamps[key], r.rows[key] = r.rev, v
 }
@@ -68,7 +68,7 @@
 func TestNeverActivatedEarly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "nodes")
-		r := &region{t: t, stamps: map[string]uint64{}, rows: map[string]wire.Raw{}, runs: map[string]int{}, ops: 10}
+		r := &region{t: t, stamps: map[string]uint64{}, rows: map[string]wire.RawValue{}, runs: map[string]int{}, ops: 10}
 		set := &config.Settings{Node: "node-0"}
 		for i := 1; i < n; i++ {
 			set.Siblings = append(set.Siblings, config.Sibling{Node: fmt.Sprintf("node-%d", i)})
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -7,30 +7,30 @@
 
 // MachineType is one type of the catalog.
 type MachineType struct {
-	Name      string   `cbor:"sku"`
-	CPUs      float64  `cbor:"vcpus"`
-	GPUs      float64  `cbor:"cards"`
-	MemoryGB  float64  `cbor:"memory_gb"`
-	CacheGB   float64  `cbor:"cache_gb"`
-	FetchGBps float64  `cbor:"fetch_gb_per_s"`
-	Price     float64  `cbor:"rate"`
-	SpotPrice float64  `cbor:"market_price"`
-	BootS     float64  `cbor:"boot_s"`
-	Zones     []string `cbor:"harbors"`
+	Name           string   `cbor:"sku"`
+	CPUs           float64  `cbor:"vcpus"`
+	GPUs           float64  `cbor:"cards"`
+	MemoryGB       float64  `cbor:"memory_gb"`
+	ImageCacheGB   float64  `cbor:"cache_gb"`
+	ImageFetchGBps float64  `cbor:"fetch_gb_per_s"`
+	Price          float64  `cbor:"rate"`
+	SpotPrice      float64  `cbor:"market_price"`
+	BootSeconds    float64  `cbor:"boot_s"`
+	Zones          []string `cbor:"harbors"`
 }
 
-// Rental asks the cloud for machines.
-type Rental struct {
-	Name  string `cbor:"charter"`
-	Type  string `cbor:"hull"`
-	Zone  string `cbor:"harbor"`
-	Spot  bool   `cbor:"standby"`
-	Count int    `cbor:"how_many"`
+// RentalRequest asks the cloud for machines.
+type RentalRequest struct {
+	Name        string `cbor:"charter"`
+	MachineType string `cbor:"hull"`
+	Zone        string `cbor:"harbor"`
+	Spot        bool   `cbor:"standby"`
+	Count       int    `cbor:"how_many"`
 }
 
-// Fleet names machines: rented, or to be returned.
-type Fleet struct {
-	Machines []string `cbor:"fleet"`
+// MachineNames names machines: rented, or to be returned.
+type MachineNames struct {
+	Names []string `cbor:"fleet"`
 }
 
 // States of a listed machine.
@@ -40,19 +40,19 @@
 	MachineFailed  = "failed"
 )
 
-// Listed is a machine in the cloud's list.
-type Listed struct {
-	ID      string  `cbor:"id"`
-	Address string  `cbor:"address"`
-	Type    string  `cbor:"hull"`
-	Zone    string  `cbor:"harbor"`
-	Spot    bool    `cbor:"standby"`
-	State   string  `cbor:"status"`
-	AgeS    float64 `cbor:"held_s"`
+// CloudMachine is a machine in the cloud's list.
+type CloudMachine struct {
+	ID          string  `cbor:"id"`
+	Address     string  `cbor:"address"`
+	MachineType string  `cbor:"hull"`
+	Zone        string  `cbor:"harbor"`
+	Spot        bool    `cbor:"standby"`
+	State       string  `cbor:"status"`
+	AgeSeconds  float64 `cbor:"held_s"`
 }
 
-// List is a page of machines.
-type List struct {
-	Machines []Listed `cbor:"fleet"`
-	More     bool     `cbor:"more"`
+// MachinePage is a page of machines.
+type MachinePage struct {
+	Machines []CloudMachine `cbor:"fleet"`
+	HasMore  bool           `cbor:"more"`
 }
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -18,27 +18,27 @@
 const ContentType = "application/cbor"
 
 var (
-	enc    cbor.EncMode
-	dec    cbor.DecMode
-	strict cbor.DecMode
-	plain  cbor.DecMode
+	encodeMode        cbor.EncMode
+	decodeMode        cbor.DecMode
+	strictDecodeMode  cbor.DecMode
+	genericDecodeMode cbor.DecMode
 )
 
 func init() {
 	var err error
-	if enc, err = (cbor.EncOptions{Sort: cbor.SortNone}).EncMode(); err != nil {
+	if encodeMode, err = (cbor.EncOptions{Sort: cbor.SortNone}).EncMode(); err != nil {
 		panic(err)
 	}
 	// Bodies of our own partners: lenient about size, not about form.
-	if dec, err = (cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20, MaxNestedLevels: 32}).DecMode(); err != nil {
+	if decodeMode, err = (cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20, MaxNestedLevels: 32}).DecMode(); err != nil {
 		panic(err)
 	}
 	// Any value, in the shapes that JSON has too.
-	if plain, err = (cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20, MaxNestedLevels: 32, DefaultMapType: reflect.TypeFor[map[string]any]()}).DecMode(); err != nil {
+	if genericDecodeMode, err = (cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20, MaxNestedLevels: 32, DefaultMapType: reflect.TypeFor[map[string]any]()}).DecMode(); err != nil {
 		panic(err)
 	}
 	// Users' input: no tags, no doubled keys, little nesting, valid text.
-	if strict, err = (cbor.DecOptions{
+	if strictDecodeMode, err = (cbor.DecOptions{
 		DupMapKey: cbor.DupMapKeyEnforcedAPF, TagsMd: cbor.TagsForbidden,
 		MaxArrayElements: 4096, MaxMapPairs: 256, MaxNestedLevels: 8,
 		UTF8: cbor.UTF8RejectInvalid,
@@ -47,30 +47,30 @@
 	}
 }
 
-// Raw is an encoded value.
-type Raw = cbor.RawMessage
+// RawValue is an encoded value.
+type RawValue = cbor.RawMessage
 
 // Encode gives v in CBOR.
-func Encode(v any) ([]byte, error) {
-	b, err := enc.Marshal(v)
+func Encode(value any) ([]byte, error) {
+	encoded, err := encodeMode.Marshal(value)
 	if err != nil {
 		return nil, fmt.Errorf("encode: %w", err)
 	}
-	return b, nil
+	return encoded, nil
 }
 
 // MustEncode encodes values whose types are known to encode.
-func MustEncode(v any) Raw {
-	b, err := Encode(v)
+func MustEncode(value any) RawValue {
+	encoded, err := Encode(value)
 	if err != nil {
 		panic(err)
 	}
-	return b
+	return encoded
 }
 
 // Decode reads b into v; trailing bytes are an error.
-func Decode(b []byte, v any) error {
-	if err := dec.Unmarshal(b, v); err != nil {
+func Decode(encoded []byte, target any) error {
+	if err := decodeMode.Unmarshal(encoded, target); err != nil {
 		return fmt.Errorf("decode: %w", err)
 	}
 	return nil
@@ -78,57 +78,57 @@
 
 // JSONSize is the size of an encoded value in the form that the state service
 // measures. A value that has no such form counts as too large for any limit.
-func JSONSize(b []byte) int {
-	j, err := asJSON(b)
+func JSONSize(encoded []byte) int {
+	canonical, err := canonicalJSON(encoded)
 	if err != nil {
 		return math.MaxInt32
 	}
-	return len(j)
+	return len(canonical)
 }
 
-// Same tells whether two encoded values are the same: the state service keeps values, not our bytes.
-func Same(a, b []byte) bool {
+// EqualValues tells whether two encoded values are the same: the state service keeps values, not our bytes.
+func EqualValues(a, b []byte) bool {
 	if bytes.Equal(a, b) {
 		return true
 	}
-	x, errX := asJSON(a)
-	y, errY := asJSON(b)
-	return errX == nil && errY == nil && bytes.Equal(x, y)
+	canonicalA, errA := canonicalJSON(a)
+	canonicalB, errB := canonicalJSON(b)
+	return errA == nil && errB == nil && bytes.Equal(canonicalA, canonicalB)
 }
 
-// asJSON gives an encoded value in its JSON form, with maps in order.
-func asJSON(b []byte) ([]byte, error) {
-	var v any
-	if err := plain.Unmarshal(b, &v); err != nil {
+// canonicalJSON gives an encoded value in its JSON form, with maps in order.
+func canonicalJSON(encoded []byte) ([]byte, error) {
+	var value any
+	if err := genericDecodeMode.Unmarshal(encoded, &value); err != nil {
 		return nil, fmt.Errorf("decode: %w", err)
 	}
-	return json.Marshal(v)
+	return json.Marshal(value)
 }
 
 // ReadBody reads at most limit bytes; more is an error.
 func ReadBody(r io.Reader, limit int64) ([]byte, error) {
-	b, err := io.ReadAll(io.LimitReader(r, limit+1))
+	body, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
 		return nil, fmt.Errorf("read body: %w", err)
 	}
-	if int64(len(b)) > limit {
+	if int64(len(body)) > limit {
 		return nil, fmt.Errorf("read body: over %d bytes", limit)
 	}
-	return b, nil
+	return body, nil
 }
 
-// Reply writes v with a status; a nil v writes no body.
-func Reply(w http.ResponseWriter, status int, v any) {
-	if v == nil {
+// WriteResponse writes v with a status; a nil v writes no body.
+func WriteResponse(w http.ResponseWriter, status int, value any) {
+	if value == nil {
 		w.WriteHeader(status)
 		return
 	}
-	b, err := Encode(v)
+	body, err := Encode(value)
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", ContentType)
 	w.WriteHeader(status)
-	_, _ = w.Write(b)
+	_, _ = w.Write(body)
 }
--- a/internal/wire/transport.go
+++ b/internal/wire/transport.go
@@ -8,13 +8,13 @@
 	"sableusher/internal/tuning"
 )
 
-// Transport carries requests to one kind of outside system: dialling is
+// NewTransport carries requests to one kind of outside system: dialling is
 // bounded, and so are the connections kept for each host and for all.
-func Transport(dial time.Duration, kept, all int) http.RoundTripper {
+func NewTransport(dialTimeout time.Duration, maxIdlePerHost, maxIdle int) http.RoundTripper {
 	return &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: dial}).DialContext,
-		MaxIdleConnsPerHost: kept,
-		MaxIdleConns:        all,
+		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
+		MaxIdleConnsPerHost: maxIdlePerHost,
+		MaxIdleConns:        maxIdle,
 		IdleConnTimeout:     tuning.IdleTimeout,
 		DisableCompression:  true,
 	}
--- a/internal/wire/users_test.go
+++ b/internal/wire/user_test.go
@@ -8,40 +8,40 @@
 	"pgregory.net/rapid"
 )
 
-func goodJob() map[string]any {
+func validSubmission() map[string]any {
 	return map[string]any{"id": "run-000412", "lot": "train", "crew": "vision", "rig": "group", "precedence": "urgent", "hauls": 16,
 		"vcpus": 8.0, "cards": 1.0, "memory_gb": 64.0, "tackle": "img-07", "size_gb": 6.2, "hulls": []string{"g8"}, "harbor": nil,
 		"same_place": true, "spread": false, "standby": true, "reckon_s": 240.0, "landfall_s": 30.0, "stow_s": 4.0, "cutoff_s": 900.0}
 }
 
-func TestGoodJob(t *testing.T) {
-	j := goodJob()
+func TestDecodeValidSubmission(t *testing.T) {
+	j := validSubmission()
 	j["of_later_versions"] = map[string]any{"x": []int{1}}
-	s, err := DecodeSpec(MustEncode(j))
-	if err != nil || s.Tasks != 16 || s.Types[0] != "g8" || s.Zone != "" || s.DeadlineS != 900 {
+	s, err := DecodeSubmission(MustEncode(j))
+	if err != nil || s.TaskCount != 16 || s.MachineTypes[0] != "g8" || s.Zone != "" || s.DeadlineSeconds != 900 {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	for _, k := range []string{"hulls", "harbor", "cutoff_s"} {
-		j := goodJob()
+		j := validSubmission()
 		delete(j, k)
-		if _, err := DecodeSpec(MustEncode(j)); err != nil {
+		if _, err := DecodeSubmission(MustEncode(j)); err != nil {
 			t.Errorf("without %s, which may be null: %v", k, err)
 		}
 	}
 }
 
-// TestBadJobs spoils one field at a time: each must be refused, none may crash.
-func TestBadJobs(t *testing.T) {
+// TestDecodeRejectsInvalidFields spoils one field at a time: each must be refused, none may crash.
+func TestDecodeRejectsInvalidFields(t *testing.T) {
 	nullable := map[string]bool{"hulls": true, "harbor": true, "cutoff_s": true}
 	rapid.Check(t, func(t *rapid.T) {
-		j := goodJob()
+		j := validSubmission()
 		key := rapid.SampledFrom([]string{"id", "lot", "crew", "rig", "precedence", "hauls", "vcpus", "cards", "memory_gb", "tackle", "size_gb",
 			"hulls", "harbor", "same_place", "spread", "standby", "reckon_s", "landfall_s", "stow_s", "cutoff_s"}).Draw(t, "field")
 		if !nullable[key] && rapid.Bool().Draw(t, "drop") {
 			delete(j, key)
 		} else {
 			bad := []any{map[string]any{}, []byte{1}, []any{[]any{}}}
-			switch goodJob()[key].(type) {
+			switch validSubmission()[key].(type) {
 			case float64:
 				bad = append(bad, -1.0, math.NaN(), math.Inf(1), 1e300, "1", true)
 			case int:
@@ -64,25 +64,25 @@
 			}
 			j[key] = v
 		}
-		if s, err := DecodeSpec(MustEncode(j)); err == nil {
+		if s, err := DecodeSubmission(MustEncode(j)); err == nil {
 			t.Fatalf("accepted with %s = %v: %+v", key, j[key], s)
 		}
 	})
 }
 
-// TestAnyBytes feeds arbitrary and truncated bodies: an error, never a crash.
-func TestAnyBytes(t *testing.T) {
-	good := MustEncode(goodJob())
+// TestDecodeArbitraryBytes feeds arbitrary and truncated bodies: an error, never a crash.
+func TestDecodeArbitraryBytes(t *testing.T) {
+	good := MustEncode(validSubmission())
 	rapid.Check(t, func(t *rapid.T) {
 		b := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")
-		if _, err := DecodeSpec(b); err == nil {
+		if _, err := DecodeSubmission(b); err == nil {
 			t.Fatalf("%x accepted", b)
 		}
 		cut := rapid.IntRange(0, len(good)-1).Draw(t, "cut")
-		if _, err := DecodeSpec(good[:cut]); err == nil {
+		if _, err := DecodeSubmission(good[:cut]); err == nil {
 			t.Fatal("a truncated body was accepted")
 		}
-		if _, err := DecodeSpec(append(append([]byte{}, good...), byte(cut))); err == nil {
+		if _, err := DecodeSubmission(append(append([]byte{}, good...), byte(cut))); err == nil {
 			t.Fatal("trailing bytes were accepted")
 		}
 	})
@@ -90,8 +90,8 @@
 	for range 5000 {
 		deep = append(deep, 0x81)
 	}
-	j := maps.Clone(goodJob())
-	if _, err := DecodeSpec(append(MustEncode(j)[:0:0], deep...)); err == nil {
+	j := maps.Clone(validSubmission())
+	if _, err := DecodeSubmission(append(MustEncode(j)[:0:0], deep...)); err == nil {
 		t.Fatal("deep nesting was accepted")
 	}
 }
--- a/internal/world/awaits.go
+++ b/internal/world/awaits.go
@@ -13,7 +13,7 @@
 
 // await enters a job's awaited jobs into the index.
 func (w *World) await(id string, j *Job) {
-	for _, a := range j.Spec.Awaits {
+	for _, a := range j.Spec.Dependencies {
 		set := w.waiters[a]
 		if set == nil {
 			set = map[string]struct{}{}
@@ -26,7 +26,7 @@
 
 // unawait takes a job that is over out of the index, and what only it needed.
 func (w *World) unawait(id string, j *Job) {
-	for _, a := range j.Spec.Awaits {
+	for _, a := range j.Spec.Dependencies {
 		delete(w.waiters[a], id)
 		if len(w.waiters[a]) == 0 {
 			delete(w.waiters, a)
@@ -51,7 +51,7 @@
 		return
 	}
 	w.touchJob(id)
-	for _, a := range j.Spec.Awaits {
+	for _, a := range j.Spec.Dependencies {
 		if _, ok := j.met[a]; ok {
 			continue
 		}
@@ -91,7 +91,7 @@
 
 // Waits tells whether a job that this one needs is not known to be done. It is
 // the one guard that every binding passes.
-func (j *Job) Waits() bool { return len(j.met) < len(j.Spec.Awaits) || j.Doomed }
+func (j *Job) Waits() bool { return len(j.met) < len(j.Spec.Dependencies) || j.Doomed }
 
 // SinceMs is when the job could have started at the earliest: its submission, or
 // the end of the last job that it awaits.
@@ -112,7 +112,7 @@
 	if j.Doomed {
 		return true
 	}
-	for _, a := range j.Spec.Awaits {
+	for _, a := range j.Spec.Dependencies {
 		if _, met := j.met[a]; !met {
 			if _, ok := w.unread[a]; ok {
 				return true
--- a/internal/world/awaits_test.go
+++ b/internal/world/awaits_test.go
@@ -25,7 +25,7 @@
 		rev := uint64(0)
 		put := func(id string, mut func(*JobRecord)) {
 			rev++
-			rec := JobRecord{Spec: wire.Spec{ID: id, Team: "t", Kind: wire.KindArray, Tasks: 1, Awaits: awaits[id]}, AtMs: 5}
+			rec := JobRecord{Spec: wire.JobSpec{ID: id, Team: "t", Kind: wire.KindArray, TaskCount: 1, Dependencies: awaits[id]}, AtMs: 5}
 			mut(&rec)
 			w.Begin()
 			w.Put(JobKey(id), wire.MustEncode(rec), rev)
--- a/internal/world/compat_test.go
+++ b/internal/world/compat_test.go
@@ -196,8 +196,8 @@
 	if err := wire.Decode(b["job"], &before); err != nil {
 		t.Fatal(err)
 	}
-	if err := wire.Decode(op.Value, &after); err != nil || op.Set != "s/j/run-000412" {
-		t.Fatalf("%s: %v", op.Set, err)
+	if err := wire.Decode(op.Value, &after); err != nil || op.PutKey != "s/j/run-000412" {
+		t.Fatalf("%s: %v", op.PutKey, err)
 	}
 	want := oldTask{Index: 2, State: 1, Attempt: 1, Machine: "vm-5", Session: 1}
 	if len(after.Tasks) != len(before.Tasks)+1 || after.Tasks[2] != want || !reflect.DeepEqual(after.Spec, before.Spec) {
--- a/internal/world/layout.go
+++ b/internal/world/layout.go
@@ -81,7 +81,7 @@
 // laid tells whether a record's layout is one that can be.
 func (r *JobRecord) laid() bool {
 	return r.Width == 0 && r.Wide == 0 ||
-		r.Width >= 1 && r.Width <= tuning.ChunkTasks && tuning.ChunkTasks%r.Width == 0 && r.Wide >= 0 && r.Wide < Chunks(r.Spec.Tasks)
+		r.Width >= 1 && r.Width <= tuning.ChunkTasks && tuning.ChunkTasks%r.Width == 0 && r.Wide >= 0 && r.Wide < Chunks(r.Spec.TaskCount)
 }
 
 // fine is the number of records with the job's own width.
@@ -92,7 +92,7 @@
 	case r.Wide > 0:
 		return r.Wide * (tuning.ChunkTasks / r.Width)
 	}
-	return (r.Spec.Tasks + r.Width - 1) / r.Width
+	return (r.Spec.TaskCount + r.Width - 1) / r.Width
 }
 
 // Records is the number of records that the job's tasks may take.
@@ -100,7 +100,7 @@
 	if r.Width > 0 && r.Wide == 0 {
 		return r.fine()
 	}
-	return r.fine() + Chunks(r.Spec.Tasks) - r.Wide
+	return r.fine() + Chunks(r.Spec.TaskCount) - r.Wide
 }
 
 // RecordOf is the record that holds a task.
@@ -121,7 +121,7 @@
 	if f := r.fine(); k >= f {
 		lo, n = (k-f+r.Wide)*tuning.ChunkTasks, tuning.ChunkTasks
 	}
-	return lo, min(lo+n, r.Spec.Tasks)
+	return lo, min(lo+n, r.Spec.TaskCount)
 }
 
 // Key is a record's key.
@@ -170,7 +170,7 @@
 	default:
 		v = ChunkRecord{tasks, failures}
 	}
-	return wire.Op{Set: r.Key(k), Value: wire.MustEncode(v)}
+	return wire.Op{PutKey: r.Key(k), Value: wire.MustEncode(v)}
 }
 
 // countFailures gives the failures of tasks as their record holds them.
@@ -222,10 +222,10 @@
 
 // ChunkGuards are the conditions under which an encoded chunk may be written:
 // neither it nor the job's record has changed.
-func (j *Job) ChunkGuards(k int) []wire.Guard {
-	g := []wire.Guard{{Key: JobKey(j.Spec.ID), Stamp: j.Stamp}}
+func (j *Job) ChunkGuards(k int) []wire.Condition {
+	g := []wire.Condition{{Key: JobKey(j.Spec.ID), ModRevision: j.Stamp}}
 	if k > 0 {
-		g = append(g, wire.Guard{Key: j.Key(k), Stamp: j.stamp(k)})
+		g = append(g, wire.Condition{Key: j.Key(k), ModRevision: j.stamp(k)})
 	}
 	return g
 }
@@ -242,8 +242,8 @@
 func (j *Job) Final(status string, done int, atMs int64) []wire.Op {
 	id := j.Spec.ID
 	return []wire.Op{
-		{Set: FinalKey(id), Value: wire.MustEncode(FinalRecord{Status: status, Tasks: j.Spec.Tasks, Done: done, AtMs: atMs})},
-		{Drop: JobKey(id)},
+		{PutKey: FinalKey(id), Value: wire.MustEncode(FinalRecord{Status: status, Tasks: j.Spec.TaskCount, Done: done, AtMs: atMs})},
+		{DeleteKey: JobKey(id)},
 	}
 }
 
@@ -253,7 +253,7 @@
 	var ops []wire.Op
 	for _, key := range j.Further() {
 		if len(ops) < room {
-			ops = append(ops, wire.Op{Drop: key})
+			ops = append(ops, wire.Op{DeleteKey: key})
 		}
 	}
 	return ops
@@ -278,7 +278,7 @@
 	// What is not there yet may come.
 	rec.CancelMs, rec.Yield, rec.Width, rec.Wide, rec.Tasks, rec.Groups = max(rec.AtMs, 1), tuning.MaxTasks, tuning.ChunkTasks, tuning.MaxTasks, nil, nil
 	rec.Certain, rec.Failures = true, nil
-	if rec.Spec.Repeats != nil {
+	if rec.Spec.MaxRetries != nil {
 		rec.Failed, rec.Failures = true, []int{0, 1}
 	}
 	return wire.JSONSize(wire.MustEncode(rec))
@@ -288,7 +288,7 @@
 func (j *Job) Size(k int, change map[int]Task) int {
 	lo, hi := j.Span(k)
 	size := 8
-	if j.Spec.Repeats != nil {
+	if j.Spec.MaxRetries != nil {
 		size += len(`,"f":[]`)
 	}
 	if k == 0 {
@@ -339,14 +339,14 @@
 // tasks takes so much; 0 if none can. A gang's tasks are bound together and may
 // each have a machine to themselves; an array whose tasks are on so many finds some
 // of them waiting.
-func (f Fit) Width(s *wire.Spec, bare int) int {
+func (f Fit) Width(s *wire.JobSpec, bare int) int {
 	each := tuning.LikelyTaskBytes
 	if s.Kind == wire.KindGang {
 		each = f.Task
 	}
 	each += failureBytes(s)
 	for w := tuning.ChunkTasks; w >= tuning.LeastWidth; w /= 2 {
-		if bare+min(w, s.Tasks)*each <= f.Room {
+		if bare+min(w, s.TaskCount)*each <= f.Room {
 			return w
 		}
 	}
@@ -370,13 +370,13 @@
 
 // Holds tells whether old records of a job stay within it whatever becomes of
 // its tasks.
-func (f Fit) Holds(s *wire.Spec, bare int) bool {
-	return bare+min(s.Tasks, tuning.ChunkTasks)*(f.Task+failureBytes(s)) <= f.Room
+func (f Fit) Holds(s *wire.JobSpec, bare int) bool {
+	return bare+min(s.TaskCount, tuning.ChunkTasks)*(f.Task+failureBytes(s)) <= f.Room
 }
 
 // failureBytes is what a task of a job may take in its record beside its own state.
-func failureBytes(s *wire.Spec) int {
-	if s.Repeats == nil {
+func failureBytes(s *wire.JobSpec) int {
+	if s.MaxRetries == nil {
 		return 0
 	}
 	return tuning.FailureBytes
@@ -398,9 +398,9 @@
 // each step rewrites: a writer that still has the old layout in mind fails, and
 // readers see one layout or the other. steps bounds the absent chunks that are
 // passed over at once.
-func (j *Job) Move(f Fit, steps int) ([]wire.Guard, []wire.Op, bool) {
+func (j *Job) Move(f Fit, steps int) ([]wire.Condition, []wire.Op, bool) {
 	next := *j
-	guards := []wire.Guard{{Key: JobKey(j.Spec.ID), Stamp: j.Stamp}}
+	guards := []wire.Condition{{Key: JobKey(j.Spec.ID), ModRevision: j.Stamp}}
 	chunk := j.Wide
 	if j.Width == 0 {
 		next.Width = f.Width(&j.Spec, j.Bare)
@@ -416,24 +416,24 @@
 	var ops []wire.Op
 	if chunk > 0 {
 		k := j.RecordOf(chunk * tuning.ChunkTasks)
-		guards = append(guards, wire.Guard{Key: j.Key(k), Stamp: j.stamp(k)})
+		guards = append(guards, wire.Condition{Key: j.Key(k), ModRevision: j.stamp(k)})
 		if j.stamp(k) != 0 {
-			ops = append(ops, wire.Op{Drop: j.Key(k)})
+			ops = append(ops, wire.Op{DeleteKey: j.Key(k)})
 		}
 	}
-	for ; steps > 0 && next.Wide < Chunks(j.Spec.Tasks); steps-- {
+	for ; steps > 0 && next.Wide < Chunks(j.Spec.TaskCount); steps-- {
 		k := j.RecordOf(next.Wide * tuning.ChunkTasks)
 		if j.stamp(k) != 0 {
 			break
 		}
-		guards = append(guards, wire.Guard{Key: j.Key(k)})
+		guards = append(guards, wire.Condition{Key: j.Key(k)})
 		next.Wide++
 	}
-	if next.Wide >= Chunks(j.Spec.Tasks) {
+	if next.Wide >= Chunks(j.Spec.TaskCount) {
 		next.Wide = 0
 	}
-	ops = append(ops, next.encode(0, j.tasks(0, min(next.Width, j.Spec.Tasks), nil)))
-	end := min((chunk+1)*tuning.ChunkTasks, j.Spec.Tasks)
+	ops = append(ops, next.encode(0, j.tasks(0, min(next.Width, j.Spec.TaskCount), nil)))
+	end := min((chunk+1)*tuning.ChunkTasks, j.Spec.TaskCount)
 	for lo := max(next.Width, chunk*tuning.ChunkTasks); lo < end; lo += next.Width {
 		if tasks := j.tasks(lo, min(lo+next.Width, end), nil); len(tasks) > 0 {
 			ops = append(ops, next.encode(lo/next.Width, tasks))
--- a/internal/world/layout_test.go
+++ b/internal/world/layout_test.go
@@ -16,20 +16,20 @@
 
 // shelf is a store of records with stamps, and a view that follows it.
 type shelf struct {
-	rows   map[string]wire.Raw
+	rows   map[string]wire.RawValue
 	stamps map[string]uint64
 	rev    uint64
 	view   *World
 }
 
 func newShelf() *shelf {
-	return &shelf{rows: map[string]wire.Raw{}, stamps: map[string]uint64{}, view: New(3, slog.New(slog.NewTextHandler(io.Discard, nil)))}
+	return &shelf{rows: map[string]wire.RawValue{}, stamps: map[string]uint64{}, view: New(3, slog.New(slog.NewTextHandler(io.Discard, nil)))}
 }
 
 // commit applies a change if its guards hold; the view sees its parts in any order.
-func (s *shelf) commit(t *rapid.T, guards []wire.Guard, ops []wire.Op) bool {
+func (s *shelf) commit(t *rapid.T, guards []wire.Condition, ops []wire.Op) bool {
 	for _, g := range guards {
-		if s.stamps[g.Key] != g.Stamp {
+		if s.stamps[g.Key] != g.ModRevision {
 			return false
 		}
 	}
@@ -37,13 +37,13 @@
 	s.view.Begin()
 	defer s.view.Flush()
 	for _, i := range rapid.Permutation(indexes(len(ops))).Draw(t, "order") {
-		if o := ops[i]; o.Set != "" {
-			s.rows[o.Set], s.stamps[o.Set] = o.Value, s.rev
-			s.view.Put(o.Set, o.Value, s.rev)
+		if o := ops[i]; o.PutKey != "" {
+			s.rows[o.PutKey], s.stamps[o.PutKey] = o.Value, s.rev
+			s.view.Put(o.PutKey, o.Value, s.rev)
 		} else {
-			delete(s.rows, o.Drop)
-			delete(s.stamps, o.Drop)
-			s.view.Drop(o.Drop)
+			delete(s.rows, o.DeleteKey)
+			delete(s.stamps, o.DeleteKey)
+			s.view.Drop(o.DeleteKey)
 		}
 	}
 	return true
@@ -76,15 +76,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := newShelf()
 		fit := Fit{rapid.IntRange(900, 16000).Draw(t, "room"), tuning.TaskBytes}
-		spec := wire.Spec{ID: "run-7", Class: "c", Team: "t", Kind: rapid.SampledFrom([]string{wire.KindArray, wire.KindGang}).Draw(t, "kind"),
-			Priority: wire.PriorityNormal, Tasks: rapid.IntRange(1, 600).Draw(t, "tasks"), GPUs: 1}
+		spec := wire.JobSpec{ID: "run-7", Class: "c", Team: "t", Kind: rapid.SampledFrom([]string{wire.KindArray, wire.KindGang}).Draw(t, "kind"),
+			Priority: wire.PriorityNormal, TaskCount: rapid.IntRange(1, 600).Draw(t, "tasks"), GPUs: 1}
 		if rapid.Bool().Draw(t, "counted") {
-			spec.Repeats = new(int)
+			spec.MaxRetries = new(int)
 		}
-		s.commit(t, nil, []wire.Op{{Set: JobKey(spec.ID), Value: wire.MustEncode(JobRecord{Spec: spec, AtMs: 1764600000000})}})
+		s.commit(t, nil, []wire.Op{{PutKey: JobKey(spec.ID), Value: wire.MustEncode(JobRecord{Spec: spec, AtMs: 1764600000000})}})
 		model := map[int]Task{}
 		type write struct {
-			guards []wire.Guard
+			guards []wire.Condition
 			ops    []wire.Op
 			tasks  map[int]Task
 		}
@@ -99,7 +99,7 @@
 				for range rapid.IntRange(1, 12).Draw(t, "changed") {
 					i := rapid.IntRange(lo, hi-1).Draw(t, "task")
 					k := Task{Index: i, State: rapid.IntRange(Idle, Done).Draw(t, "state"), Attempt: uint64(rapid.IntRange(1, 3).Draw(t, "attempt"))}
-					if spec.Repeats != nil && k.State != Done {
+					if spec.MaxRetries != nil && k.State != Done {
 						k.Failures = rapid.IntRange(0, 12).Draw(t, "failures")
 					}
 					if k.State == Bound {
@@ -144,7 +144,7 @@
 			for _, w := range []*World{s.view, s.again(t)} {
 				j := w.Jobs[spec.ID]
 				bound, done, failing := 0, 0, 0
-				for i := range spec.Tasks {
+				for i := range spec.TaskCount {
 					want, ok := model[i]
 					if !ok {
 						want = Task{Index: i}
@@ -199,9 +199,9 @@
 	limit := 2048.0
 	room := int(limit * tuning.JSONShare)
 	for _, tasks := range []int{1, 32, 100, 5000} {
-		spec := wire.Spec{ID: "run-00000000000000000001", Class: "a-class-of-work", Team: "a-team-of-people", Kind: wire.KindGang, Priority: wire.PriorityProduction,
-			Tasks: tasks, CPUs: 28.123456789, GPUs: 4, MemoryGB: 200.123456789, Image: "image-000000001", ImageGB: 5.123456789012, OneZone: true,
-			EstimateS: 70.1234567891234, CheckpointS: 15, SaveS: 5, DeadlineS: 123.456789012345, Awaits: []string{"run-00000000000000000002", "run-00000000000000000003"}}
+		spec := wire.JobSpec{ID: "run-00000000000000000001", Class: "a-class-of-work", Team: "a-team-of-people", Kind: wire.KindGang, Priority: wire.PriorityProduction,
+			TaskCount: tasks, CPUs: 28.123456789, GPUs: 4, MemoryGB: 200.123456789, Image: "image-000000001", ImageSizeGB: 5.123456789012, SameZone: true,
+			RuntimeEstimateSeconds: 70.1234567891234, CheckpointIntervalSeconds: 15, CheckpointSaveSeconds: 5, DeadlineSeconds: 123.456789012345, Dependencies: []string{"run-00000000000000000002", "run-00000000000000000003"}}
 		rec := JobRecord{Spec: spec, AtMs: 1764600000000}
 		rec.Width = Fit{room, tuning.TaskBytes}.Width(&spec, BareSize(rec))
 		if rec.Width == 0 {
@@ -228,8 +228,8 @@
 		limit := rapid.SampledFrom([]float64{2048, 8192, 16384}).Draw(t, "limit")
 		room := int(limit * tuning.JSONShare)
 		repeats := tuning.MaxRepeats
-		spec := wire.Spec{ID: "run-00000000000000000001", Class: "c", Team: "t", Kind: rapid.SampledFrom([]string{wire.KindArray, wire.KindGang}).Draw(t, "kind"),
-			Priority: wire.PriorityNormal, Tasks: rapid.IntRange(1, 3000).Draw(t, "tasks"), GPUs: 1, Repeats: &repeats}
+		spec := wire.JobSpec{ID: "run-00000000000000000001", Class: "c", Team: "t", Kind: rapid.SampledFrom([]string{wire.KindArray, wire.KindGang}).Draw(t, "kind"),
+			Priority: wire.PriorityNormal, TaskCount: rapid.IntRange(1, 3000).Draw(t, "tasks"), GPUs: 1, MaxRetries: &repeats}
 		rec := JobRecord{Spec: spec, AtMs: 1764600000000}
 		bare, fit := BareSize(rec), Fit{room, tuning.TaskBytes}
 		if !fit.Holds(&spec, bare) {
--- a/internal/world/records.go
+++ b/internal/world/records.go
@@ -110,11 +110,11 @@
 // JobRecord is a live job with its first chunk of tasks. Tasks that were never
 // bound are left out.
 type JobRecord struct {
-	Spec     wire.Spec `cbor:"s"`
-	AtMs     int64     `cbor:"t"`
-	CancelMs int64     `cbor:"x,omitempty"`
-	Yield    uint64    `cbor:"y,omitempty"` // a gang's attempt that is to save and stop as a whole
-	Tasks    []Task    `cbor:"k,omitempty"`
+	Spec     wire.JobSpec `cbor:"s"`
+	AtMs     int64        `cbor:"t"`
+	CancelMs int64        `cbor:"x,omitempty"`
+	Yield    uint64       `cbor:"y,omitempty"` // a gang's attempt that is to save and stop as a whole
+	Tasks    []Task       `cbor:"k,omitempty"`
 	// From LevelPipelines on. Width is how many tasks each record holds, in Groups;
 	// 0: ChunkTasks, in Tasks. While records are moved from one to the other, those
 	// of the chunks from Wide on are still as before; 0: none is.
@@ -255,12 +255,12 @@
 }
 
 // Need is what one task of a job takes.
-func Need(s *wire.Spec) Amount { return Amount{s.CPUs, s.GPUs, s.MemoryGB} }
+func Need(s *wire.JobSpec) Amount { return Amount{s.CPUs, s.GPUs, s.MemoryGB} }
 
 // Yields tells whether a task of a job may be stopped alone for another's sake:
 // a service's user would notice, and a gang stops as a whole or not at all.
-func Yields(s *wire.Spec) bool {
-	return s.Kind == wire.KindArray || s.Kind == wire.KindGang && s.Tasks == 1
+func Yields(s *wire.JobSpec) bool {
+	return s.Kind == wire.KindArray || s.Kind == wire.KindGang && s.TaskCount == 1
 }
 
 // Capacity of a machine type.
--- a/internal/world/world.go
+++ b/internal/world/world.go
@@ -56,7 +56,7 @@
 }
 
 // Pending is the number of tasks neither bound nor done.
-func (j *Job) Pending() int { return j.Spec.Tasks - j.Bound - j.Done }
+func (j *Job) Pending() int { return j.Spec.TaskCount - j.Bound - j.Done }
 
 // Cancelled tells whether the job was cancelled.
 func (j *Job) Cancelled() bool { return j.CancelMs != 0 }
@@ -64,7 +64,7 @@
 // Complete tells whether all tasks of the job are done. That decides what it is whatever else its
 // records say: the last task of one with several records ends in a change that a cancellation at that
 // moment does not collide with, and users may have been told of it by then.
-func (j *Job) Complete() bool { return j.Known && j.Done == j.Spec.Tasks }
+func (j *Job) Complete() bool { return j.Known && j.Done == j.Spec.TaskCount }
 
 // Ending is the final state of a cancelled job: cancelled, or failed if it ended itself.
 func (j *Job) Ending() string {
@@ -142,7 +142,7 @@
 	Bound map[TaskRef]Binding
 	Used  Amount
 	// Yield is what tasks that may be stopped alone take, by rank of priority.
-	Yield [wire.Ranks]Amount
+	Yield [wire.PriorityCount]Amount
 	// Images counts the bound tasks by image.
 	Images map[string]int
 }
@@ -279,7 +279,7 @@
 	w.Types = types
 }
 
-func decode[T any](w *World, key string, v wire.Raw) (T, bool) {
+func decode[T any](w *World, key string, v wire.RawValue) (T, bool) {
 	var rec T
 	if err := wire.Decode(v, &rec); err != nil {
 		w.log.Error("unreadable record", "key", key, "err", err)
@@ -289,7 +289,7 @@
 }
 
 // Put takes in a changed record; within a group.
-func (w *World) Put(key string, v wire.Raw, stamp uint64) {
+func (w *World) Put(key string, v wire.RawValue, stamp uint64) {
 	switch {
 	case strings.HasPrefix(key, jobKeys):
 		if rec, ok := decode[JobRecord](w, key, v); ok {
@@ -594,7 +594,7 @@
 			}
 		}
 		if len(set) == 0 && m != nil {
-			m.Used, m.Yield = Amount{}, [wire.Ranks]Amount{} // no rounding is carried along
+			m.Used, m.Yield = Amount{}, [wire.PriorityCount]Amount{} // no rounding is carried along
 		}
 	}
 }
@@ -624,11 +624,11 @@
 }
 
 // use counts what n tasks of a job take.
-func (m *Machine) use(s *wire.Spec, n int) {
+func (m *Machine) use(s *wire.JobSpec, n int) {
 	need := Need(s)
 	m.Used = m.Used.Plus(need, float64(n))
 	if Yields(s) {
-		rank := wire.Rank(s.Priority)
+		rank := wire.PriorityRank(s.Priority)
 		m.Yield[rank] = m.Yield[rank].Plus(need, float64(n))
 	}
 	if m.Images[s.Image] += n; m.Images[s.Image] <= 0 {
--- a/internal/world/world_test.go
+++ b/internal/world/world_test.go
@@ -39,7 +39,7 @@
 			w.Begin()
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				w.Put(JobKey(id), wire.MustEncode(JobRecord{Spec: wire.Spec{ID: id, Team: "t", Tasks: tuning.ChunkTasks + 3, GPUs: 1}, Tasks: tasks(0, 4)}), rev+1)
+				w.Put(JobKey(id), wire.MustEncode(JobRecord{Spec: wire.JobSpec{ID: id, Team: "t", TaskCount: tuning.ChunkTasks + 3, GPUs: 1}, Tasks: tasks(0, 4)}), rev+1)
 			case 1:
 				w.Put(ChunkKey(id, 1), wire.MustEncode(ChunkRecord{Tasks: tasks(tuning.ChunkTasks, 3)}), rev+1)
 			case 2:
@@ -100,7 +100,7 @@
 // TestLargestRecordFits: a full record stays within the smallest value limit
 // seen (16 KiB as JSON), whatever its tasks have gone through.
 func TestLargestRecordFits(t *testing.T) {
-	j := &Job{Known: true, JobRecord: JobRecord{Spec: wire.Spec{ID: "run-00000000000000000001", Tasks: tuning.MaxTasks}}}
+	j := &Job{Known: true, JobRecord: JobRecord{Spec: wire.JobSpec{ID: "run-00000000000000000001", TaskCount: tuning.MaxTasks}}}
 	change := map[int]Task{}
 	for i := tuning.ChunkTasks; i < 2*tuning.ChunkTasks; i++ {
 		change[i] = Task{Index: tuning.MaxTasks, State: Bound, Attempt: 1 << 20, Machine: "vm-000000231", Session: 1 << 20}
