--- a/internal/accept/accept.go
+++ b/internal/accept/accept.go
@@ -17,7 +17,7 @@
 	if !ok {
 		return "unknown team"
 	}
-	need := world.Need(s)
+	need := world.TaskResources(s)
 	n := float64(s.TaskCount)
 	if s.Kind == wire.KindArray {
 		n = 1
@@ -35,7 +35,7 @@
 		if len(s.MachineTypes) > 0 && !slices.Contains(s.MachineTypes, name) || s.Zone != "" && !slices.Contains(t.Zones, s.Zone) {
 			continue
 		}
-		if need.Within(world.Capacity(&t)) {
+		if need.FitsIn(world.Capacity(&t)) {
 			return ""
 		}
 	}
--- a/internal/cell/choose.go
+++ b/internal/cell/choose.go
@@ -16,7 +16,7 @@
 	Type  string
 	Zone  string
 	Spot  bool
-	Free  world.Amount // on each
+	Free  world.Resources // on each
 	Count int
 }
 
@@ -43,7 +43,7 @@
 // Work is a job that could start elsewhere.
 type Work struct {
 	ID      string
-	Need    world.Amount // of each task
+	Need    world.Resources // of each task
 	Tasks   int
 	OneZone bool     // all in one zone
 	Types   []string // allowed types; none: any
--- a/internal/fit/allocate.go
+++ b/internal/fit/allocate.go
@@ -12,8 +12,8 @@
 // Request is what a job asks room for.
 type Request struct {
 	Spec      *wire.JobSpec
-	Need      world.Amount // of each task
-	Remaining int          // tasks that have no place yet in this round
+	Need      world.Resources // of each task
+	Remaining int             // tasks that have no place yet in this round
 	// StartWithinS is the time in seconds in which a replica should start; 0: nobody says.
 	StartWithinS float64
 }
@@ -62,7 +62,7 @@
 	spec := request.Spec
 	var tiers [64][]*MachineInfo
 	for _, info := range candidates {
-		if !availableTo(request, info) || filter != nil && !filter(info) || !request.Need.Within(info.Free) || !Eligible(spec, info.Machine) || !constraint.Allows(info.Machine.Zone) {
+		if !availableTo(request, info) || filter != nil && !filter(info) || !request.Need.FitsIn(info.Free) || !Eligible(spec, info.Machine) || !constraint.Allows(info.Machine.Zone) {
 			continue
 		}
 		t := 0
@@ -93,7 +93,7 @@
 			})
 		}
 		for _, info := range tier {
-			for request.Remaining > 0 && request.Need.Within(info.Free) && constraint.Allows(info.Machine.Zone) {
+			for request.Remaining > 0 && request.Need.FitsIn(info.Free) && constraint.Allows(info.Machine.Zone) {
 				if i&displacesCommonBit == 0 && inv.displacesCommon(request.Need, info) {
 					tiers[i|displacesCommonBit] = append(tiers[i|displacesCommonBit], info) // what it had left over is used
 					break
@@ -128,19 +128,19 @@
 // displacesCommon tells whether a small task takes the place of a common one: one core of a machine with
 // room for just one of those is as dear as all of it. Small machines, and what larger ones have
 // left over, are there for small tasks. On machines with GPUs, beside tells instead.
-func (inv *Inventory) displacesCommon(need world.Amount, info *MachineInfo) bool {
+func (inv *Inventory) displacesCommon(need world.Resources, info *MachineInfo) bool {
 	if inv.CommonNeed.CPUs == 0 || need.GPUs > 0 || info.Capacity.GPUs > 0 || need.CPUs >= inv.CommonNeed.CPUs {
 		return false
 	}
-	return TasksThatFit(inv.CommonNeed, info.Free) > TasksThatFit(inv.CommonNeed, info.Free.Plus(need, -1))
+	return TasksThatFit(inv.CommonNeed, info.Free) > TasksThatFit(inv.CommonNeed, info.Free.AddTimes(need, -1))
 }
 
 // leavesGPUShare tells whether a task without GPUs leaves a machine what its free GPUs
 // need: whatever stands there now could stand beside it, and a gang that takes
 // whole machines still finds this one whole.
-func (inv *Inventory) leavesGPUShare(need world.Amount, info *MachineInfo) bool {
-	keep := world.Amount{CPUs: inv.NeedPerGPU.CPUs * info.Free.GPUs, Mem: inv.NeedPerGPU.Mem * info.Free.GPUs}
-	return need.Within(info.Free.Plus(keep, -1))
+func (inv *Inventory) leavesGPUShare(need world.Resources, info *MachineInfo) bool {
+	keep := world.Resources{CPUs: inv.NeedPerGPU.CPUs * info.Free.GPUs, MemoryGB: inv.NeedPerGPU.MemoryGB * info.Free.GPUs}
+	return need.FitsIn(info.Free.AddTimes(keep, -1))
 }
 
 // Release gives back room that was taken for a job.
--- a/internal/fit/failedrequests.go
+++ b/internal/fit/failedrequests.go
@@ -12,7 +12,7 @@
 type FailedRequests []failedRequest
 
 type failedRequest struct {
-	need world.Amount
+	need world.Resources
 	spec *wire.JobSpec
 }
 
@@ -26,7 +26,7 @@
 // Covers tells whether an ask can't find anything after what was missed before.
 func (m FailedRequests) Covers(request *Request) bool {
 	for _, f := range m {
-		if f.need.Within(request.Need) && atLeastAsStrict(request.Spec, f.spec) {
+		if f.need.FitsIn(request.Need) && atLeastAsStrict(request.Spec, f.spec) {
 			return true
 		}
 	}
--- a/internal/fit/inventory.go
+++ b/internal/fit/inventory.go
@@ -18,12 +18,12 @@
 // MachineInfo is a machine as a round sees it.
 type MachineInfo struct {
 	Machine     *world.Machine
-	Capacity    world.Amount
-	Free        world.Amount // as this round leaves it
-	Owned       bool         // in a part of the caller's own
-	ReservedFor string       // the job that its free room is kept for, if any
+	Capacity    world.Resources
+	Free        world.Resources // as this round leaves it
+	Owned       bool            // in a part of the caller's own
+	ReservedFor string          // the job that its free room is kept for, if any
 
-	recordedFree world.Amount // as the records have it
+	recordedFree world.Resources // as the records have it
 	readiness    Readiness
 	modified     bool          // by this round: free or kept differ from what the records say
 	boundImages  bitset.BitSet // those of tasks bound there
@@ -45,7 +45,7 @@
 // Snapshot is what a stock is brought up to date from.
 type Snapshot struct {
 	Now           time.Time
-	State         *world.World
+	State         *world.State
 	LiveShards    []bool         // parts whose owner lives
 	FencingTokens map[int]uint64 // of the caller's own parts
 	// AssessReadiness says what a machine of a known type, neither given up nor drained, is good for.
@@ -62,15 +62,15 @@
 // waits are passed over from then on.
 type Inventory struct {
 	// NeedPerGPU is what GPU work takes beside each GPU, of cores and GB.
-	NeedPerGPU world.Amount
+	NeedPerGPU world.Resources
 	// CommonNeed is what a task of the work that asks for most cores takes, where that has no GPUs.
-	CommonNeed world.Amount
+	CommonNeed world.Resources
 
 	snapshot        Snapshot
 	builtAt         time.Time
 	machines        map[string]*MachineInfo
 	byShard         [][]*MachineInfo // by name
-	capacityByType  map[string]world.Amount
+	capacityByType  map[string]world.Resources
 	fetchRateByType map[string]float64 // GB a second that types fetch images at
 	typesDiffer     bool               // types differ in cores or in that
 	// maxFetchRate is the highest of those rates.
@@ -88,7 +88,7 @@
 	fittingBuffer  []*MachineInfo              // the list that Fitting gave last
 	pendingBins    []*pendingBin               // machines coming up
 
-	minNeed        world.Amount
+	minNeed        world.Resources
 	failedRequests FailedRequests
 	examined       int
 }
@@ -120,8 +120,8 @@
 
 func newInventory(v Snapshot) *Inventory {
 	w := v.State
-	s := &Inventory{snapshot: v, builtAt: v.Now, machines: make(map[string]*MachineInfo, len(w.Machines)), byShard: make([][]*MachineInfo, w.Size),
-		capacityByType: map[string]world.Amount{}, imageIDs: map[string]uint{}, hintsUpdatedAt: map[bool]time.Time{}, feasibleByShard: make([][]*MachineInfo, w.Size)}
+	s := &Inventory{snapshot: v, builtAt: v.Now, machines: make(map[string]*MachineInfo, len(w.Machines)), byShard: make([][]*MachineInfo, w.ShardCount),
+		capacityByType: map[string]world.Resources{}, imageIDs: map[string]uint{}, hintsUpdatedAt: map[bool]time.Time{}, feasibleByShard: make([][]*MachineInfo, w.ShardCount)}
 	s.fetchRateByType = map[string]float64{}
 	var first wire.MachineType
 	for name, t := range w.Types {
@@ -132,7 +132,7 @@
 		}
 		s.typesDiffer = s.typesDiffer || t.ImageFetchGBps != first.ImageFetchGBps || t.CPUs != first.CPUs
 	}
-	for part, list := range w.ByPart {
+	for part, list := range w.MachinesByShard {
 		nodes := make([]MachineInfo, len(list))
 		for i, m := range list {
 			n := &nodes[i]
@@ -149,16 +149,16 @@
 // evaluate finds what one machine has free and is good for.
 func (inv *Inventory) evaluate(info *MachineInfo) {
 	m := info.Machine
-	_, info.Owned = inv.snapshot.FencingTokens[m.Part]
+	_, info.Owned = inv.snapshot.FencingTokens[m.Shard]
 	capacity, ok := inv.capacityByType[m.Type]
-	info.Capacity, info.recordedFree = capacity, capacity.Plus(m.Used, -1)
+	info.Capacity, info.recordedFree = capacity, capacity.AddTimes(m.Used, -1)
 	info.Free, info.ReservedFor, info.modified = info.recordedFree, "", false
 	info.boundImages.ClearAll()
-	for image := range m.Images {
+	for image := range m.TasksByImage {
 		info.boundImages.Set(inv.imageID(image))
 	}
 	info.readiness = Unavailable
-	if !m.Gone && !m.Drain && ok {
+	if !m.Deleting && !m.Draining && ok {
 		info.readiness = inv.snapshot.AssessReadiness(m, info.Owned)
 	}
 }
@@ -174,7 +174,7 @@
 	}
 	if n != nil {
 		delete(inv.machines, name)
-		part := n.Machine.Part
+		part := n.Machine.Shard
 		if i, ok := slices.BinarySearchFunc(inv.byShard[part], name, compareName); ok {
 			inv.byShard[part] = slices.Delete(inv.byShard[part], i, i+1)
 		}
@@ -182,8 +182,8 @@
 	if m != nil {
 		n := &MachineInfo{Machine: m}
 		inv.machines[name] = n
-		i, _ := slices.BinarySearchFunc(inv.byShard[m.Part], name, compareName)
-		inv.byShard[m.Part] = slices.Insert(inv.byShard[m.Part], i, n)
+		i, _ := slices.BinarySearchFunc(inv.byShard[m.Shard], name, compareName)
+		inv.byShard[m.Shard] = slices.Insert(inv.byShard[m.Shard], i, n)
 		inv.evaluate(n)
 	}
 	return true
@@ -217,13 +217,13 @@
 }
 
 // Consume takes room on a machine in this round's play; a negative count gives it back.
-func (inv *Inventory) Consume(info *MachineInfo, need world.Amount, count float64) {
+func (inv *Inventory) Consume(info *MachineInfo, need world.Resources, count float64) {
 	inv.markModified(info)
-	info.Free = info.Free.Plus(need, -count)
+	info.Free = info.Free.AddTimes(need, -count)
 }
 
 // ConsumeByName takes room that tasks on their way to a machine need, if the machine is known.
-func (inv *Inventory) ConsumeByName(name string, amount world.Amount) {
+func (inv *Inventory) ConsumeByName(name string, amount world.Resources) {
 	if n := inv.machines[name]; n != nil {
 		inv.Consume(n, amount, 1)
 	}
@@ -242,7 +242,7 @@
 // there makes the room.
 func (inv *Inventory) ReserveAll(info *MachineInfo, job string) {
 	inv.markModified(info)
-	info.ReservedFor, info.Free = job, world.Amount{}
+	info.ReservedFor, info.Free = job, world.Resources{}
 }
 
 // ReadyMachines gives the machines of a part that are up, by name; the list is the stock's own.
@@ -263,13 +263,13 @@
 }
 
 // FilterFeasible puts aside the machines with too little room for the least that waits.
-func (inv *Inventory) FilterFeasible(needs iter.Seq[world.Amount]) {
+func (inv *Inventory) FilterFeasible(needs iter.Seq[world.Resources]) {
 	first := true
 	for need := range needs {
 		if first {
 			inv.minNeed, first = need, false
 		}
-		inv.minNeed = world.Amount{CPUs: min(inv.minNeed.CPUs, need.CPUs), GPUs: min(inv.minNeed.GPUs, need.GPUs), Mem: min(inv.minNeed.Mem, need.Mem)}
+		inv.minNeed = world.Resources{CPUs: min(inv.minNeed.CPUs, need.CPUs), GPUs: min(inv.minNeed.GPUs, need.GPUs), MemoryGB: min(inv.minNeed.MemoryGB, need.MemoryGB)}
 	}
 	if first {
 		return // nothing waits
@@ -278,8 +278,8 @@
 		inv.feasibleByShard[p] = inv.feasibleByShard[p][:0]
 	}
 	for _, info := range inv.ready {
-		if inv.minNeed.Within(info.Free) {
-			inv.feasibleByShard[info.Machine.Part] = append(inv.feasibleByShard[info.Machine.Part], info)
+		if inv.minNeed.FitsIn(info.Free) {
+			inv.feasibleByShard[info.Machine.Shard] = append(inv.feasibleByShard[info.Machine.Shard], info)
 		}
 	}
 }
@@ -287,7 +287,7 @@
 // retainFeasible gives the machines of a list that still have room for the least that waits,
 // in place: what has become full in this round is passed over from now on.
 func (inv *Inventory) retainFeasible(list []*MachineInfo) []*MachineInfo {
-	return slices.DeleteFunc(list, func(n *MachineInfo) bool { return !inv.minNeed.Within(n.Free) })
+	return slices.DeleteFunc(list, func(n *MachineInfo) bool { return !inv.minNeed.FitsIn(n.Free) })
 }
 
 // KnownInfeasible tells whether a need has found no room before in this round.
@@ -308,7 +308,7 @@
 	for _, list := range inv.feasibleByShard {
 		inv.examined += len(list)
 		for _, info := range list {
-			if request.Need.Within(info.Free) && Eligible(request.Spec, info.Machine) {
+			if request.Need.FitsIn(info.Free) && Eligible(request.Spec, info.Machine) {
 				out = append(out, info)
 			}
 		}
@@ -333,7 +333,7 @@
 		lists[p] = inv.retainFeasible(lists[p])
 		for _, m := range lists[p] {
 			inv.examined++
-			if request.Need.Within(m.Free) && Eligible(request.Spec, m.Machine) {
+			if request.Need.FitsIn(m.Free) && Eligible(request.Spec, m.Machine) {
 				any = true
 				if n += TasksThatFit(request.Need, m.Free); n >= request.Remaining {
 					return p, true, true
@@ -346,7 +346,7 @@
 
 // ShardFits tells whether a task has room on a machine of a part.
 func (inv *Inventory) ShardFits(request *Request, part int) bool {
-	return slices.ContainsFunc(inv.feasibleByShard[part], func(n *MachineInfo) bool { return request.Need.Within(n.Free) && Eligible(request.Spec, n.Machine) })
+	return slices.ContainsFunc(inv.feasibleByShard[part], func(n *MachineInfo) bool { return request.Need.FitsIn(n.Free) && Eligible(request.Spec, n.Machine) })
 }
 
 // imageID is an image's number in the nodes' sets.
@@ -426,7 +426,7 @@
 			room := FreeFraction(info.Free, info.Capacity)
 			to.Machines += room
 			to.MachinesByZone[info.Machine.Zone] += room
-			if info.Free == info.Capacity && info.ReservedFor == "" && len(info.Machine.Bound) == 0 {
+			if info.Free == info.Capacity && info.ReservedFor == "" && len(info.Machine.Bindings) == 0 {
 				to.UnusedMachines++
 				idle = append(idle, info.Machine.Name)
 			}
@@ -446,9 +446,9 @@
 }
 
 // FreeFraction is the scarcest part of a machine that is free, from 0 to 1.
-func FreeFraction(free, capacity world.Amount) float64 {
+func FreeFraction(free, capacity world.Resources) float64 {
 	s := 1.0
-	for _, d := range [][2]float64{{free.CPUs, capacity.CPUs}, {free.GPUs, capacity.GPUs}, {free.Mem, capacity.Mem}} {
+	for _, d := range [][2]float64{{free.CPUs, capacity.CPUs}, {free.GPUs, capacity.GPUs}, {free.MemoryGB, capacity.MemoryGB}} {
 		if d[1] > 0 {
 			s = min(s, d[0]/d[1])
 		}
@@ -457,9 +457,9 @@
 }
 
 // TasksThatFit is how many times need goes into free.
-func TasksThatFit(need, free world.Amount) int {
+func TasksThatFit(need, free world.Resources) int {
 	c := math.MaxInt32
-	for _, d := range [][2]float64{{need.CPUs, free.CPUs}, {need.GPUs, free.GPUs}, {need.Mem, free.Mem}} {
+	for _, d := range [][2]float64{{need.CPUs, free.CPUs}, {need.GPUs, free.GPUs}, {need.MemoryGB, free.MemoryGB}} {
 		if d[0] > 0 {
 			c = min(c, int((d[1]+1e-6)/d[0]))
 		}
--- a/internal/fit/inventory_test.go
+++ b/internal/fit/inventory_test.go
@@ -25,7 +25,7 @@
 
 // testCluster is a view with machines of one type and a job for each that is in use.
 type testCluster struct {
-	state    *world.World
+	state    *world.State
 	revision uint64
 }
 
@@ -37,21 +37,21 @@
 
 func (g *testCluster) put(key string, v any) {
 	g.revision++
-	g.state.Begin()
+	g.state.BeginUpdate()
 	g.state.Put(key, wire.MustEncode(v), g.revision)
-	g.state.Flush()
+	g.state.EndUpdate()
 }
 
 func machineName(i int) string { return fmt.Sprintf("vm-%02d", i) }
 
 // machine adds or changes a machine, with so many of its GPUs in use.
 func (g *testCluster) machine(i, zone int, spot, up bool, used int) {
-	g.put(world.MachineKey(machineName(i)), world.MachineRecord{Type: "m", Zone: testZones[zone], Spot: spot, Up: up, AtMs: 1})
+	g.put(world.MachineKey(machineName(i)), world.MachineRecord{Type: "m", Zone: testZones[zone], Spot: spot, Up: up, CreatedAtMs: 1})
 	var tasks []world.Task
 	for k := range used {
-		tasks = append(tasks, world.Task{Index: k, State: world.Bound, Attempt: 1, Machine: machineName(i), Session: 1})
+		tasks = append(tasks, world.Task{Index: k, State: world.TaskBound, Attempt: 1, Machine: machineName(i), Session: 1})
 	}
-	g.put(world.JobKey("on-"+machineName(i)), world.JobRecord{Spec: wire.JobSpec{ID: "on-" + machineName(i), Kind: wire.KindArray, TaskCount: 4, CPUs: 2, GPUs: 1, MemoryGB: 16, Image: "i"}, Tasks: tasks, AtMs: 1})
+	g.put(world.JobKey("on-"+machineName(i)), world.JobRecord{Spec: wire.JobSpec{ID: "on-" + machineName(i), Kind: wire.KindArray, TaskCount: 4, CPUs: 2, GPUs: 1, MemoryGB: 16, Image: "i"}, Tasks: tasks, SubmittedAtMs: 1})
 }
 
 func (g *testCluster) snapshot() Snapshot {
@@ -71,11 +71,11 @@
 	n := float64(rapid.IntRange(1, 4).Draw(t, "need"))
 	s := &wire.JobSpec{ID: "a", Kind: wire.KindGang, TaskCount: rapid.IntRange(1, 12).Draw(t, "tasks"), CPUs: 2 * n, GPUs: n, MemoryGB: 16 * n,
 		AllowSpot: rapid.Bool().Draw(t, "mayspot"), SameZone: rapid.Bool().Draw(t, "onezone"), Image: "i"}
-	return &Request{Spec: s, Need: world.Need(s), Remaining: s.TaskCount}
+	return &Request{Spec: s, Need: world.TaskResources(s), Remaining: s.TaskCount}
 }
 
-func freeByMachine(s *Inventory) map[string]world.Amount {
-	out := map[string]world.Amount{}
+func freeByMachine(s *Inventory) map[string]world.Resources {
+	out := map[string]world.Resources{}
 	for n, node := range s.machines {
 		out[n] = node.Free
 	}
@@ -91,7 +91,7 @@
 }
 
 func filterFor(s *Inventory, request *Request) {
-	s.FilterFeasible(slices.Values([]world.Amount{request.Need}))
+	s.FilterFeasible(slices.Values([]world.Resources{request.Need}))
 }
 
 // TestKeptStockEqualsNewOne: a stock that is kept over rounds and told only of what
@@ -99,7 +99,7 @@
 func TestRefreshedInventoryEqualsNewOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newTestCluster()
-		news := g.state.Follow()
+		news := g.state.FollowChanges()
 		for i := range 12 {
 			drawMachine(t, g, i)
 		}
@@ -109,14 +109,14 @@
 				i := rapid.IntRange(0, 15).Draw(t, "machine")
 				if rapid.IntRange(0, 4).Draw(t, "gone") == 0 {
 					g.revision++
-					g.state.Begin()
-					g.state.Drop(world.MachineKey(machineName(i)))
-					g.state.Flush()
+					g.state.BeginUpdate()
+					g.state.Delete(world.MachineKey(machineName(i)))
+					g.state.EndUpdate()
 					continue
 				}
 				drawMachine(t, g, i)
 			}
-			kept = Refresh(kept, g.snapshot(), news.Machines())
+			kept = Refresh(kept, g.snapshot(), news.TakeMachines())
 			fresh := Refresh(nil, g.snapshot())
 			if !maps.Equal(freeByMachine(kept), freeByMachine(fresh)) || !slices.Equal(machineNames(kept.ready), machineNames(fresh.ready)) || !slices.Equal(machineNames(kept.pending), machineNames(fresh.pending)) {
 				t.Fatalf("kept %v %v %v, new %v %v %v", freeByMachine(kept), machineNames(kept.ready), machineNames(kept.pending), freeByMachine(fresh), machineNames(fresh.ready), machineNames(fresh.pending))
@@ -164,7 +164,7 @@
 			}
 		}
 		for n, free := range before {
-			if want := free.Plus(a.Need, -float64(used[n])); s.machines[n].Free != want || used[n] > TasksThatFit(a.Need, free) {
+			if want := free.AddTimes(a.Need, -float64(used[n])); s.machines[n].Free != want || used[n] > TasksThatFit(a.Need, free) {
 				t.Errorf("%s has %v left of %v after %d tasks", n, s.machines[n].Free, free, used[n])
 			}
 		}
@@ -182,7 +182,7 @@
 		s := Refresh(nil, g.snapshot())
 		for range rapid.IntRange(1, 5).Draw(t, "jobs") {
 			a := drawRequest(t)
-			filterFor(s, &Request{Need: world.Amount{CPUs: 1, GPUs: 1, Mem: 1}})
+			filterFor(s, &Request{Need: world.Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}})
 			if len(s.pendingBins) == 0 {
 				s.GroupPending()
 			}
@@ -211,29 +211,29 @@
 func TestSmallTasksLeaveRoomForCommonTasks(t *testing.T) {
 	types := []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 8, ImageFetchGBps: 0.8, Zones: testZones}, {Name: "m", CPUs: 8, MemoryGB: 64, ImageFetchGBps: 0.8, Zones: testZones},
 		{Name: "l", CPUs: 32, MemoryGB: 64, ImageFetchGBps: 0.2, Zones: testZones}}
-	common := world.Amount{CPUs: 8, Mem: 13}
+	common := world.Resources{CPUs: 8, MemoryGB: 13}
 	rapid.Check(t, func(t *rapid.T) {
 		g := newTestCluster()
 		g.put("s/catalog", wire.Catalog{Types: types})
 		for i := range rapid.IntRange(1, 10).Draw(t, "machines") {
 			typ := types[rapid.IntRange(0, 2).Draw(t, "type")]
-			g.put(world.MachineKey(machineName(i)), world.MachineRecord{Type: typ.Name, Zone: "east", Up: true, AtMs: 1})
+			g.put(world.MachineKey(machineName(i)), world.MachineRecord{Type: typ.Name, Zone: "east", Up: true, CreatedAtMs: 1})
 			var tasks []world.Task
 			for k := range rapid.IntRange(0, int(typ.CPUs)).Draw(t, "used") {
-				tasks = append(tasks, world.Task{Index: k, State: world.Bound, Attempt: 1, Machine: machineName(i), Session: 1})
+				tasks = append(tasks, world.Task{Index: k, State: world.TaskBound, Attempt: 1, Machine: machineName(i), Session: 1})
 			}
-			g.put(world.JobKey("on-"+machineName(i)), world.JobRecord{Spec: wire.JobSpec{ID: "on-" + machineName(i), Kind: wire.KindService, TaskCount: 32, CPUs: 1, MemoryGB: 0.5}, Tasks: tasks, AtMs: 1})
+			g.put(world.JobKey("on-"+machineName(i)), world.JobRecord{Spec: wire.JobSpec{ID: "on-" + machineName(i), Kind: wire.KindService, TaskCount: 32, CPUs: 1, MemoryGB: 0.5}, Tasks: tasks, SubmittedAtMs: 1})
 		}
 		s := Refresh(nil, g.snapshot())
 		s.CommonNeed = common
 		spec := &wire.JobSpec{ID: "a", Kind: wire.KindService, TaskCount: rapid.IntRange(1, 30).Draw(t, "tasks"), CPUs: 1, MemoryGB: 0.5, Image: "i"}
-		a := &Request{Spec: spec, Need: world.Need(spec), Remaining: spec.TaskCount}
+		a := &Request{Spec: spec, Need: world.TaskResources(spec), Remaining: spec.TaskCount}
 		filterFor(s, a)
 		slots, harmless := 0, 0
 		for _, n := range s.ready {
 			c := TasksThatFit(common, n.Free)
 			slots += c
-			harmless += TasksThatFit(a.Need, n.Free.Plus(common, -float64(c)))
+			harmless += TasksThatFit(a.Need, n.Free.AddTimes(common, -float64(c)))
 		}
 		picks := s.Allocate(a, s.FittingMachines(a), &ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: 100}, nil)
 		left := 0
@@ -248,14 +248,14 @@
 		s = Refresh(nil, g.snapshot())
 		s.CommonNeed = common
 		filterFor(s, a)
-		quick := slices.ContainsFunc(s.ready, func(n *MachineInfo) bool { return n.Machine.Type != "l" && a.Need.Within(n.Free) })
+		quick := slices.ContainsFunc(s.ready, func(n *MachineInfo) bool { return n.Machine.Type != "l" && a.Need.FitsIn(n.Free) })
 		if late := s.Allocate(a, s.FittingMachines(a), &ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: 100}, nil); quick && late[0].Machine.Type == "l" {
 			t.Errorf("stands on %s, where its image takes 10 s", late[0].Machine.Name)
 		}
 		// The first that must spoil a place stands where its image comes fastest.
 		if harmless == 0 && len(picks) > 0 {
 			for _, n := range s.ready {
-				if s.fetchRateByType[n.Machine.Type] > s.fetchRateByType[picks[0].Machine.Type] && a.Need.Within(n.recordedFree) {
+				if s.fetchRateByType[n.Machine.Type] > s.fetchRateByType[picks[0].Machine.Type] && a.Need.FitsIn(n.recordedFree) {
 					t.Errorf("%s was chosen, %s fetches faster", picks[0].Machine.Type, n.Machine.Type)
 				}
 			}
--- a/internal/fit/pending.go
+++ b/internal/fit/pending.go
@@ -10,7 +10,7 @@
 // Hundreds that boot at once are a few bins, however many jobs are held against them.
 type pendingBin struct {
 	sample   *MachineInfo // any of them
-	free     world.Amount
+	free     world.Resources
 	machines []*MachineInfo
 }
 
@@ -19,12 +19,12 @@
 	type alike struct {
 		typ, zone string
 		spot      bool
-		free      world.Amount
+		free      world.Resources
 	}
 	inv.pendingBins = inv.pendingBins[:0]
 	found := map[alike]*pendingBin{}
 	for _, info := range inv.pending {
-		if !inv.minNeed.Within(info.Free) {
+		if !inv.minNeed.FitsIn(info.Free) {
 			continue
 		}
 		k := alike{info.Machine.Type, info.Machine.Zone, info.Machine.Spot, info.Free}
@@ -61,7 +61,7 @@
 				}
 				request.Remaining -= count * put
 				constraint.addTasks(request.Spec, zone, count*put)
-				if rest := taken[0].Free; inv.minNeed.Within(rest) {
+				if rest := taken[0].Free; inv.minNeed.FitsIn(rest) {
 					inv.pendingBins = append(inv.pendingBins, &pendingBin{sample: taken[0], free: rest, machines: taken})
 				}
 			}
--- a/internal/fleet/heartbeat_test.go
+++ b/internal/fleet/heartbeat_test.go
@@ -32,9 +32,9 @@
 				// The part goes to the other node and comes back under a higher token.
 				for _, owner := range []string{"b", "a"} {
 					token, stamp = token+1, stamp+1
-					k.state.Begin()
-					k.state.Put(world.PartKey(0), wire.MustEncode(world.PartRecord{Owner: owner, Inc: 1, Token: token}), stamp)
-					k.state.Flush()
+					k.state.BeginUpdate()
+					k.state.Put(world.ShardKey(0), wire.MustEncode(world.ShardRecord{Owner: owner, Incarnation: 1, FencingToken: token}), stamp)
+					k.state.EndUpdate()
 					if rapid.Bool().Draw(t, "swept") {
 						k.removeExpired()
 					}
@@ -80,9 +80,9 @@
 func TestHeartbeatOfSessionBeforeRecord(t *testing.T) {
 	k := newRegistryFixture(tuning.LevelCertain)
 	m := k.addMachine(0)
-	k.state.Begin()
+	k.state.BeginUpdate()
 	k.state.Put(world.MachineKey(m), wire.MustEncode(world.MachineRecord{Type: "m", Zone: "z", Address: "10.1.0.1:9000", Up: true, Session: 4}), 2)
-	k.state.Flush()
+	k.state.EndUpdate()
 	if status, _ := k.HandleHeartbeat(&wire.Heartbeat{Machine: m, Session: 3, Sequence: 90, FencingToken: 5}); status != http.StatusServiceUnavailable || len(k.RecentlyHeard([]string{m})) > 0 {
 		t.Errorf("a copy out of an earlier session counts: %d", status)
 	}
--- a/internal/fleet/lease_test.go
+++ b/internal/fleet/lease_test.go
@@ -21,7 +21,7 @@
 type registryFixture struct {
 	*Registry
 	confirmedAt, peerAnsweredAt time.Time
-	state                       *world.World
+	state                       *world.State
 }
 
 // newRegistryFixture makes the node "a" of two; it owns part 0, "b" part 1.
@@ -31,13 +31,13 @@
 	d := &set.Deployment
 	d.Size, d.Workers.ReportS, d.Workers.LeaseS, d.Workers.CancelS = 2, 6, 31, 51
 	w := world.New(2, log)
-	w.Level = level
+	w.SchemaVersion = level
 	for i, n := range []string{"a", "b"} {
-		w.Nodes[n] = world.Node{NodeRecord: world.NodeRecord{Inc: 1}}
-		w.Parts[i] = world.Part{PartRecord: world.PartRecord{Owner: n, Inc: 1, Token: 5}}
+		w.Nodes[n] = world.Node{NodeRecord: world.NodeRecord{Incarnation: 1}}
+		w.Shards[i] = world.Shard{ShardRecord: world.ShardRecord{Owner: n, Incarnation: 1, FencingToken: 5}}
 	}
-	client := store.NewClient("127.0.0.1:1", store.Limits{RPS: 1, WriteRPS: 1, ValueKB: 16, TxnOps: 32}, nil)
-	m := member.New("a", 1, []string{"a", "b"}, tuning.Level, client, nil, store.NewCache(client, world.Root, w, log), w, log)
+	client := store.NewClient("127.0.0.1:1", store.Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxValueKiB: 16, MaxTransactionOps: 32}, nil)
+	m := member.New("a", 1, []string{"a", "b"}, tuning.Level, client, nil, store.NewWatchCache(client, world.LivePrefix, w, log), w, log)
 	k := &registryFixture{state: w, confirmedAt: time.Now(), peerAnsweredAt: time.Now()}
 	k.Registry = New(set, w, m, func() time.Time { return k.confirmedAt }, log, nil)
 	k.SetPeerLastAnswered(func(string) time.Time { return k.peerAnsweredAt })
@@ -47,12 +47,12 @@
 // addMachine gives the name of a machine of a part, with a record.
 func (k *registryFixture) addMachine(part int) string {
 	name := "vm-0"
-	for world.PartOf(name, 2) != part {
+	for world.ShardOf(name, 2) != part {
 		name += "0"
 	}
-	k.state.Begin()
+	k.state.BeginUpdate()
 	k.state.Put(world.MachineKey(name), wire.MustEncode(world.MachineRecord{Type: "m", Zone: "z", Address: "10.1.0.1:9000", Up: true}), 1)
-	k.state.Flush()
+	k.state.EndUpdate()
 	return name
 }
 
@@ -107,13 +107,13 @@
 	for _, part := range []int{0, 1} {
 		k := newRegistryFixture(tuning.LevelCertain)
 		m := k.addMachine(part)
-		k.state.Begin()
+		k.state.BeginUpdate()
 		for i, cancelMs := range []int64{5, 0} {
 			id := fmt.Sprintf("run-%d", i)
-			k.state.Put(world.JobKey(id), wire.MustEncode(world.JobRecord{Spec: wire.JobSpec{ID: id, Kind: wire.KindService, TaskCount: 2}, CancelMs: cancelMs,
-				Tasks: []world.Task{{State: world.Bound, Attempt: 1, Machine: m, Session: 1}, {Index: 1, State: world.Bound, Attempt: 1, Machine: m, Session: 1}}}), 2)
+			k.state.Put(world.JobKey(id), wire.MustEncode(world.JobRecord{Spec: wire.JobSpec{ID: id, Kind: wire.KindService, TaskCount: 2}, CancelledAtMs: cancelMs,
+				Tasks: []world.Task{{State: world.TaskBound, Attempt: 1, Machine: m, Session: 1}, {Index: 1, State: world.TaskBound, Attempt: 1, Machine: m, Session: 1}}}), 2)
 		}
-		k.state.Flush()
+		k.state.EndUpdate()
 		k.confirmedAt, k.peerAnsweredAt = time.Now().Add(-time.Minute), time.Now().Add(-time.Minute)
 		status, body := k.HandleHeartbeat(&wire.Heartbeat{Machine: m, Session: 1, Sequence: 1, FencingToken: 5, Tasks: []wire.TaskStatus{
 			{Task: "run-0/0", Attempt: 1, State: wire.TaskRunning}, {Task: "run-1/0", Attempt: 1, State: wire.TaskRunning}}})
@@ -156,9 +156,9 @@
 				k := newRegistryFixture(tuning.LevelCertain)
 				k.settings.Siblings = []config.Sibling{{Node: "b"}}
 				m := k.addMachine(1)
-				clear(k.state.Parts)
+				clear(k.state.Shards)
 				clear(k.state.Machines)
-				k.confirmedAt, k.peerAnsweredAt, k.state.Level = time.Time{}, time.Time{}, 0
+				k.confirmedAt, k.peerAnsweredAt, k.state.SchemaVersion = time.Time{}, time.Time{}, 0
 				for range int(c.after / time.Second) {
 					time.Sleep(time.Second)
 					k.noteAlive(time.Now())
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -188,7 +188,7 @@
 	old := m.reportedTasks
 	m.reportedTasks = make(map[attemptKey]reportedTask, len(r.Tasks))
 	for _, t := range r.Tasks {
-		ref, ok := world.ParseRef(t.Task)
+		ref, ok := world.ParseTaskRef(t.Task)
 		if !ok {
 			continue
 		}
@@ -291,7 +291,7 @@
 		return
 	}
 	for _, o := range sent {
-		ref, _ := world.ParseRef(o.Task)
+		ref, _ := world.ParseTaskRef(o.Task)
 		k := attemptKey{ref, o.Attempt}
 		ls := m.pendingStarts[k]
 		for i := range ls {
--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -26,7 +26,7 @@
 // Registry is this node's workers.
 type Registry struct {
 	settings      *config.Settings
-	clusterState  *world.World
+	clusterState  *world.State
 	membership    *member.Member
 	completeAsOf  func() time.Time
 	logger        *slog.Logger
@@ -50,7 +50,7 @@
 }
 
 // New makes the fleet; fresh tells as of when the view is complete.
-func New(set *config.Settings, w *world.World, mem *member.Member, fresh func() time.Time, log *slog.Logger, rt http.RoundTripper) *Registry {
+func New(set *config.Settings, w *world.State, mem *member.Member, fresh func() time.Time, log *slog.Logger, rt http.RoundTripper) *Registry {
 	if rt == nil {
 		rt = wire.NewTransport(tuning.OrderTimeout, 1, max(1, int(tuning.OrderSockets*float64(set.Deployment.Limits.MaxSockets))))
 	}
@@ -112,7 +112,7 @@
 	if fresh.IsZero() || f.resumedAt.After(fresh) {
 		return false
 	}
-	return f.clusterState.Level >= tuning.LevelCertain || now.Sub(fresh) <= f.maxStateAge()
+	return f.clusterState.SchemaVersion >= tuning.LevelCertain || now.Sub(fresh) <= f.maxStateAge()
 }
 
 // renewForUnreachableOwner renews the lease of a worker whose owner is out of reach, as is this node's
@@ -120,13 +120,13 @@
 // takes an answer with the token it has seen; one that has seen a higher one has a
 // newer owner. Callers hold both locks.
 func (f *Registry) renewForUnreachableOwner(r *wire.Heartbeat, part int, now, fresh time.Time) (wire.HeartbeatResponse, bool) {
-	p, known := f.clusterState.Parts[part]
+	p, known := f.clusterState.Shards[part]
 	rec := f.clusterState.Machines[r.Machine]
-	if !known || r.FencingToken > p.Token || rec == nil || rec.Gone || now.Sub(fresh) < tuning.SessionTTL || !f.mayRenewLeases(now, fresh) ||
+	if !known || r.FencingToken > p.FencingToken || rec == nil || rec.Deleting || now.Sub(fresh) < tuning.SessionTTL || !f.mayRenewLeases(now, fresh) ||
 		f.peerLastAnswered == nil || now.Sub(f.peerLastAnswered(p.Owner)) < tuning.OwnerLost {
 		return wire.HeartbeatResponse{}, false
 	}
-	return f.stopCancelledTasks(r, rec, p.Token), true
+	return f.stopCancelledTasks(r, rec, p.FencingToken), true
 }
 
 // renewWithoutState renews the lease of a worker though this process has no view at all: it was started
@@ -164,8 +164,8 @@
 		return out
 	}
 	for _, t := range r.Tasks {
-		ref, ok := world.ParseRef(t.Task)
-		b, bound := rec.Bound[ref]
+		ref, ok := world.ParseTaskRef(t.Task)
+		b, bound := rec.Bindings[ref]
 		if ok && bound && b.Attempt == t.Attempt && b.Job.Cancelled() && t.State != wire.TaskExited && len(out.Commands) < tuning.OrdersMax {
 			grace := 0.0
 			out.Commands = append(out.Commands, wire.Command{Kind: wire.CommandStop, Task: t.Task, Attempt: t.Attempt, GraceSeconds: &grace})
@@ -207,8 +207,8 @@
 	now := time.Now()
 	f.clusterState.RLock()
 	defer f.clusterState.RUnlock()
-	part := world.PartOf(r.Machine, f.clusterState.Size)
-	token, entitled := f.membership.Entitled(part)
+	part := world.ShardOf(r.Machine, f.clusterState.ShardCount)
+	token, entitled := f.membership.MayServeAgents(part)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	fresh := f.completeAsOf()
@@ -244,7 +244,7 @@
 		return http.StatusServiceUnavailable, nil
 	}
 	rec := f.clusterState.Machines[r.Machine]
-	if rec != nil && rec.Gone {
+	if rec != nil && rec.Deleting {
 		return http.StatusServiceUnavailable, nil
 	}
 	m := f.machines[r.Machine]
@@ -277,7 +277,7 @@
 		f.notifyChanged()
 	}
 	if _, _, owns := f.membership.Owns(part); rec != nil && owns {
-		out.Commands = append(out.Commands, m.commands(rec.Bound, f.attemptEnded, f.stopRequestFor, token, r.Sequence, now)...)
+		out.Commands = append(out.Commands, m.commands(rec.Bindings, f.attemptEnded, f.stopRequestFor, token, r.Sequence, now)...)
 	}
 	return http.StatusOK, out
 }
@@ -290,11 +290,11 @@
 	if j == nil {
 		return true // starts follow durable bindings, so the job was there and is over
 	}
-	if !j.Known || ref.Index >= j.Spec.TaskCount {
+	if !j.HasRecord || ref.Index >= j.Spec.TaskCount {
 		return false
 	}
 	t := j.Task(ref.Index)
-	return t.Attempt > attempt || t.Attempt == attempt && t.State != world.Bound
+	return t.Attempt > attempt || t.Attempt == attempt && t.State != world.TaskBound
 }
 
 // stopRequestFor tells whether a bound task is to stop. Callers hold both locks.
@@ -388,11 +388,11 @@
 	now := time.Now()
 	for k, w := range f.stopRequests {
 		j := f.clusterState.Jobs[k.ref.Job]
-		if j == nil || !j.Known {
+		if j == nil || !j.HasRecord {
 			delete(f.stopRequests, k)
 			continue
 		}
-		if t := j.Task(k.ref.Index); t.State != world.Bound || t.Attempt != k.attempt {
+		if t := j.Task(k.ref.Index); t.State != world.TaskBound || t.Attempt != k.attempt {
 			if now.Sub(w.requestedAt) > time.Second {
 				delete(f.stopRequests, k)
 			}
@@ -409,7 +409,7 @@
 		}
 	}
 	for n, m := range f.machines {
-		_, owned := f.membership.Entitled(world.PartOf(n, f.clusterState.Size))
+		_, owned := f.membership.MayServeAgents(world.ShardOf(n, f.clusterState.ShardCount))
 		if f.clusterState.Machines[n] == nil && now.Sub(m.lastHeard) > f.settings.Lease() || !owned {
 			delete(f.machines, n)
 			delete(f.adoptions, n)
@@ -421,8 +421,8 @@
 func (f *Registry) dispatch(ctx context.Context, name string) {
 	f.clusterState.RLock()
 	rec := f.clusterState.Machines[name]
-	token, _, owns := f.membership.Owns(world.PartOf(name, f.clusterState.Size))
-	if rec == nil || rec.Gone || !owns || time.Since(f.completeAsOf()) > f.maxStateAge() {
+	token, _, owns := f.membership.Owns(world.ShardOf(name, f.clusterState.ShardCount))
+	if rec == nil || rec.Deleting || !owns || time.Since(f.completeAsOf()) > f.maxStateAge() {
 		f.clusterState.RUnlock()
 		return
 	}
@@ -452,7 +452,7 @@
 	cmd := wire.CommandRequest{FencingToken: token, Session: max(m.session, 1), Commands: []wire.Command{}}
 	deaf := m.inboundLost()
 	if m.session != 0 && !(overdue && failed) && !deaf {
-		cmd.Commands = append(cmd.Commands, m.commands(rec.Bound, f.attemptEnded, f.stopRequestFor, token, 0, time.Now())...)
+		cmd.Commands = append(cmd.Commands, m.commands(rec.Bindings, f.attemptEnded, f.stopRequestFor, token, 0, time.Now())...)
 	}
 	// A worker that is overdue is asked whether it is there at all.
 	if len(cmd.Commands) == 0 && m.fencingToken == token && !overdue && !deaf {
--- a/internal/intake/awaits.go
+++ b/internal/intake/awaits.go
@@ -37,7 +37,7 @@
 		in.world.RLock()
 		defer in.world.RUnlock()
 		for _, a := range spec.Dependencies {
-			if j := in.world.Jobs[a]; j == nil || !j.Known {
+			if j := in.world.Jobs[a]; j == nil || !j.HasRecord {
 				unseen = append(unseen, a)
 			} else if j.Spec.Kind == wire.KindService {
 				return "awaits " + a + ", a service, which is never done"
@@ -52,7 +52,7 @@
 		return true // what was accepted once stays so
 	}
 	// Those that this view does not hold may be newer than it, or over.
-	if in.view.Sync(ctx) != nil {
+	if in.view.WaitForReadBarrier(ctx) != nil {
 		unavailable(w, "state service away")
 		return false
 	}
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -26,16 +26,16 @@
 
 // Committer commits items.
 type Committer interface {
-	Do(ctx context.Context, it store.Item) (uint64, error)
-	// Room is what a record may take, LeastRoom under the limits known to come.
-	Room() int
-	LeastRoom() int
+	Commit(ctx context.Context, it store.Transaction) (uint64, error)
+	// MaxRecordBytes is what a record may take, LeastRoom under the limits known to come.
+	MaxRecordBytes() int
+	UpcomingMaxRecordBytes() int
 }
 
 // View is the read barrier over the world.
 type View interface {
-	Sync(ctx context.Context) error
-	Fresh() time.Time
+	WaitForReadBarrier(ctx context.Context) error
+	CompleteAsOf() time.Time
 	// Revision is the one up to which the view holds every change; changes of this
 	// node's own run ahead of it.
 	Revision() uint64
@@ -48,7 +48,7 @@
 
 // Intake is the server's handlers.
 type Intake struct {
-	world   *world.World
+	world   *world.State
 	records store.Reader
 	commit  Committer
 	view    View
@@ -65,7 +65,7 @@
 }
 
 // New makes the handlers.
-func New(set *config.Settings, op *config.Operator, w *world.World, rec store.Reader, c Committer, v View, workers Workers, log *slog.Logger) *Intake {
+func New(set *config.Settings, op *config.Operator, w *world.State, rec store.Reader, c Committer, v View, workers Workers, log *slog.Logger) *Intake {
 	in := &Intake{world: w, records: rec, commit: c, view: v, workers: workers, teams: map[string]config.Team{}, repeats: repeats.New(op.Classes), log: log,
 		slots: make(chan struct{}, tuning.BusyRequests), aborts: make(chan struct{}, tuning.AbortsWaiting), finals: map[string]world.FinalRecord{}}
 	for _, t := range set.Deployment.Teams {
@@ -108,7 +108,7 @@
 }
 
 func (in *Intake) ready(w http.ResponseWriter, _ *http.Request) {
-	fresh := in.view.Fresh()
+	fresh := in.view.CompleteAsOf()
 	if fresh.IsZero() || time.Since(fresh) > tuning.ReadyStale {
 		unavailable(w, "no view of the state service")
 		return
@@ -150,15 +150,15 @@
 	}
 	in.world.RLock()
 	live := in.world.Jobs[spec.ID]
-	known := live != nil && live.Known
+	known := live != nil && live.HasRecord
 	other := known && !sameAwaits(live.Spec.Dependencies, spec.Dependencies)
-	types, level := len(in.world.Types), in.world.Level
+	types, level := len(in.world.Types), in.world.SchemaVersion
 	why := accept.Impossible(spec, in.teams, in.world.Types)
 	limit, over := in.repeats.Limit(spec.Class, asked)
 	if why == "" {
 		why = over
 	}
-	fit := in.world.Fit(in.commit.LeastRoom())
+	fit := in.world.SizeLimits(in.commit.UpcomingMaxRecordBytes())
 	in.world.RUnlock()
 	if other {
 		wire.WriteResponse(w, http.StatusUnprocessableEntity, wire.ErrorResponse{Message: "another job has this id: it awaits other jobs"})
@@ -172,9 +172,9 @@
 			unavailable(w, "not all nodes count repeats yet")
 			return
 		}
-		rec := world.JobRecord{Spec: *spec, AtMs: time.Now().UnixMilli()}
+		rec := world.JobRecord{Spec: *spec, SubmittedAtMs: time.Now().UnixMilli()}
 		if why == "" {
-			why = rec.Lay(level, fit)
+			why = rec.ChooseLayout(level, fit)
 		}
 		// A job that is known stands, whatever the repeated request says now.
 		if why != "" {
@@ -196,16 +196,16 @@
 			return
 		}
 		key := world.JobKey(spec.ID)
-		_, err := in.commit.Do(ctx, store.Item{
-			Guards: []wire.Condition{{Key: key}, {Key: world.FinalKey(spec.ID)}},
-			Ops:    []wire.Op{store.Set(key, rec)}, Urgent: true,
+		_, err := in.commit.Commit(ctx, store.Transaction{
+			Conditions: []wire.Condition{{Key: key}, {Key: world.FinalKey(spec.ID)}},
+			Ops:        []wire.Op{store.PutOp(key, rec)}, Urgent: true,
 		})
 		if err == nil {
 			in.log.Debug("job accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "kind", spec.Kind, "tasks", spec.TaskCount, "vcpus", spec.CPUs, "cards", spec.GPUs)
 			wire.WriteResponse(w, http.StatusCreated, wire.JobResponse{ID: spec.ID, State: wire.JobPending})
 			return
 		}
-		if !errors.Is(err, store.ErrGuard) {
+		if !errors.Is(err, store.ErrConditionFailed) {
 			unavailable(w, "state service away")
 			return
 		}
@@ -245,16 +245,16 @@
 	}
 	// Another node may have told the user more than this view holds: wait for
 	// a revision fetched after the request came.
-	if err := in.view.Sync(ctx); err != nil {
+	if err := in.view.WaitForReadBarrier(ctx); err != nil {
 		return wire.JobStatus{}, fmt.Errorf("barrier: %w", err)
 	}
 	in.world.RLock()
-	if j := in.world.Jobs[id]; j != nil && j.Known && j.Guest != nil {
+	if j := in.world.Jobs[id]; j != nil && j.HasRecord && j.OffloadedFrom != nil {
 		in.world.RUnlock()
 		return wire.JobStatus{}, errGuest
 	}
-	if j := in.world.Jobs[id]; j != nil && j.Known {
-		st, undecided, doubtful := in.live(id, j), in.world.Undecided(j), in.doubtful(j)
+	if j := in.world.Jobs[id]; j != nil && j.HasRecord {
+		st, undecided, doubtful := in.live(id, j), in.world.OutcomeUndecided(j), in.doubtful(j)
 		in.world.RUnlock()
 		if doubtful || undecided && st.State != wire.JobCancelled && st.State != wire.JobFailed {
 			return wire.JobStatus{}, errUndecided
@@ -274,7 +274,7 @@
 // told at once by a version before LevelCertain, or may be the late change of one that is
 // gone. That passes with the last task. Callers hold the world's lock.
 func (in *Intake) doubtful(j *world.Job) bool {
-	return j.Cancelled() && !j.Certain && j.Bound > 0 && in.world.Level >= tuning.LevelCertain && j.Stamp > in.world.LevelStamp
+	return j.Cancelled() && !j.CancelAfterRelease && j.BoundCount > 0 && in.world.SchemaVersion >= tuning.LevelCertain && j.ModRevision > in.world.SchemaVersionModRevision
 }
 
 // errUndecided: the job falls with one that it needs, or may; until its own
@@ -286,23 +286,23 @@
 
 // live gives the state of a live job. Callers hold the world's lock.
 func (in *Intake) live(id string, j *world.Job) wire.JobStatus {
-	st := wire.JobStatus{ID: id, State: wire.JobPending, TasksDone: j.Done, TasksRunning: j.Bound}
+	st := wire.JobStatus{ID: id, State: wire.JobPending, TasksDone: j.DoneCount, TasksRunning: j.BoundCount}
 	switch {
 	case j.Complete():
 		st.State = wire.JobDone
-	case j.Cancelled() && (!j.Certain || j.Left() && in.view.Revision() >= j.Stamp):
+	case j.Cancelled() && (!j.CancelAfterRelease || j.FullyReleased() && in.view.Revision() >= j.ModRevision):
 		// Told once no task is left, never before: nothing that renews a lease
 		// somewhere behind a cut can then keep one beyond its time. A binding in a
 		// further record may lie just before the cancellation: the view holds it then.
-		st.State = j.Ending()
-	case j.Bound > 0, j.Away != nil:
+		st.State = j.CancelledStatus()
+	case j.BoundCount > 0, j.OffloadedTo != nil:
 		st.State = wire.JobRunning
 	}
 	return st
 }
 
 func finalStatus(id string, f world.FinalRecord) wire.JobStatus {
-	return wire.JobStatus{ID: id, State: f.Status, TasksDone: f.Done}
+	return wire.JobStatus{ID: id, State: f.Status, TasksDone: f.DoneCount}
 }
 
 func (in *Intake) final(id string) (world.FinalRecord, bool) {
@@ -317,7 +317,7 @@
 	if f, ok := in.final(id); ok {
 		return f, nil
 	}
-	f, err := store.Read[world.FinalRecord](ctx, in.records, world.FinalKey(id))
+	f, err := store.ReadRecord[world.FinalRecord](ctx, in.records, world.FinalKey(id))
 	if err == nil {
 		in.remember(id, f)
 	}
@@ -361,7 +361,7 @@
 			return
 		}
 		if it, sure, ok := in.cancellation(id); ok && !marked {
-			if _, err = in.commit.Do(ctx, it); errors.Is(err, store.ErrGuard) {
+			if _, err = in.commit.Commit(ctx, it); errors.Is(err, store.ErrConditionFailed) {
 				continue
 			} else if err != nil {
 				break
@@ -398,7 +398,7 @@
 	for {
 		in.world.RLock()
 		j := in.world.Jobs[id]
-		over := j == nil || !j.Known || !j.Cancelled() || j.Left()
+		over := j == nil || !j.HasRecord || !j.Cancelled() || j.FullyReleased()
 		in.world.RUnlock()
 		if over {
 			return true
@@ -415,27 +415,27 @@
 // no task can be bound under the old one afterwards. sure tells that it may be told at
 // once: no task was bound before, or leases still end in time by themselves, as not all
 // nodes are known to tell cancellations late. The record of that guards it then.
-func (in *Intake) cancellation(id string) (it store.Item, sure, ok bool) {
+func (in *Intake) cancellation(id string) (it store.Transaction, sure, ok bool) {
 	in.world.RLock()
 	defer in.world.RUnlock()
 	j := in.world.Jobs[id]
-	if j == nil || !j.Known || j.Cancelled() || j.Complete() {
-		return store.Item{}, false, false
+	if j == nil || !j.HasRecord || j.Cancelled() || j.Complete() {
+		return store.Transaction{}, false, false
 	}
 	marked := *j
-	marked.CancelMs = max(time.Now().UnixMilli(), 1)
+	marked.CancelledAtMs = max(time.Now().UnixMilli(), 1)
 	var level []wire.Condition
-	if marked.Certain = in.world.Level >= tuning.LevelCertain; marked.Certain {
-		sure = j.Left() && j.Records() == 1 // its tasks all stand in the record that is marked
+	if marked.CancelAfterRelease = in.world.SchemaVersion >= tuning.LevelCertain; marked.CancelAfterRelease {
+		sure = j.FullyReleased() && j.ChunkCount() == 1 // its tasks all stand in the record that is marked
 	} else {
-		sure, level = true, []wire.Condition{{Key: world.LevelKey, ModRevision: in.world.LevelStamp}}
+		sure, level = true, []wire.Condition{{Key: world.SchemaVersionKey, ModRevision: in.world.SchemaVersionModRevision}}
 	}
-	if fit := in.world.Fit(in.commit.Room()); in.world.Level >= tuning.LevelPipelines && j.Outgrows(fit) {
+	if fit := in.world.SizeLimits(in.commit.MaxRecordBytes()); in.world.SchemaVersion >= tuning.LevelPipelines && j.NeedsMigration(fit) {
 		// The record as it is could be too large to be written again.
-		if guards, ops, ok := marked.Move(fit, 0); ok {
-			return store.Item{Guards: append(guards, level...), Ops: ops, Urgent: true}, sure, true
+		if guards, ops, ok := marked.MigrateChunk(fit, 0); ok {
+			return store.Transaction{Conditions: append(guards, level...), Ops: ops, Urgent: true}, sure, true
 		}
 	}
-	op := marked.Encode(0, nil)
-	return store.Item{Guards: append(level, wire.Condition{Key: op.PutKey, ModRevision: j.Stamp}), Ops: []wire.Op{op}, Urgent: true}, sure, true
+	op := marked.EncodeChunk(0, nil)
+	return store.Transaction{Conditions: append(level, wire.Condition{Key: op.PutKey, ModRevision: j.ModRevision}), Ops: []wire.Op{op}, Urgent: true}, sure, true
 }
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -22,15 +22,15 @@
 
 // outside stands in for the state service behind the handlers.
 type outside struct {
-	world   *world.World
+	world   *world.State
 	finals  map[string]world.FinalRecord
 	syncErr error
 	doErr   error
 	barrier func() // what the barrier brings into the view
 	syncs   int
-	done    []store.Item
-	applied func(store.Item) // what a change brings into the view
-	seen    uint64           // the view's revision
+	done    []store.Transaction
+	applied func(store.Transaction) // what a change brings into the view
+	seen    uint64                  // the view's revision
 }
 
 func (o *outside) Get(_ context.Context, key string) (wire.KeyValue, error) {
@@ -41,7 +41,7 @@
 	return wire.KeyValue{Value: wire.MustEncode(f)}, nil
 }
 
-func (o *outside) Do(_ context.Context, it store.Item) (uint64, error) {
+func (o *outside) Commit(_ context.Context, it store.Transaction) (uint64, error) {
 	o.done = append(o.done, it)
 	if o.doErr == nil && o.applied != nil {
 		o.applied(it)
@@ -49,10 +49,10 @@
 	return 1, o.doErr
 }
 
-func (o *outside) Room() int      { return 1700 }
-func (o *outside) LeastRoom() int { return 1700 }
+func (o *outside) MaxRecordBytes() int         { return 1700 }
+func (o *outside) UpcomingMaxRecordBytes() int { return 1700 }
 
-func (o *outside) Sync(context.Context) error {
+func (o *outside) WaitForReadBarrier(context.Context) error {
 	o.syncs++
 	if o.barrier != nil {
 		o.barrier()
@@ -60,7 +60,7 @@
 	return o.syncErr
 }
 
-func (o *outside) Fresh() time.Time { return time.Now() }
+func (o *outside) CompleteAsOf() time.Time { return time.Now() }
 
 func (o *outside) Revision() uint64 { return o.seen }
 
@@ -69,9 +69,9 @@
 }
 
 func (o *outside) put(key string, v any) {
-	o.world.Begin()
+	o.world.BeginUpdate()
 	o.world.Put(key, wire.MustEncode(v), 7)
-	o.world.Flush()
+	o.world.EndUpdate()
 }
 
 func spec() wire.JobSpec {
@@ -110,7 +110,7 @@
 		return wire.MustEncode(s)
 	}
 	same := change(func(*wire.JobSpec) {})
-	over := world.FinalRecord{Status: wire.JobDone, Tasks: 2, Done: 2}
+	over := world.FinalRecord{Status: wire.JobDone, TaskCount: 2, DoneCount: 2}
 	for name, c := range map[string]struct {
 		body  []byte
 		set   func(*outside)
@@ -128,9 +128,9 @@
 		"array over limit": {change(func(s *wire.JobSpec) { s.TaskCount = 300 }), nil, false, 201, wire.JobPending},
 		"types unknown":    {same, nil, true, 503, ""},
 		"state away":       {same, func(o *outside) { o.doErr = store.ErrUnavailable }, false, 503, ""},
-		"no answer":        {same, func(o *outside) { o.doErr = store.ErrUnknown }, false, 503, ""},
+		"no answer":        {same, func(o *outside) { o.doErr = store.ErrOutcomeUnknown }, false, 503, ""},
 		"repeated later": {same, func(o *outside) {
-			o.doErr = store.ErrGuard
+			o.doErr = store.ErrConditionFailed
 			o.finals[world.FinalKey("run-000001")] = over
 		}, false, 200, wire.JobDone},
 		// The first body stands, even if the repeated one could never run.
@@ -191,7 +191,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			o, h := setupWith(true, c.op)
-			o.put(world.LevelKey, world.LevelRecord{Level: c.level})
+			o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: c.level})
 			if status, _ := ask(h, http.MethodPost, "/v1/jobs", c.body); status != c.want {
 				t.Fatalf("%d, want %d", status, c.want)
 			}
@@ -216,8 +216,8 @@
 // to those who poll and to those who cancel; until then it runs.
 func TestFailedJobIsOver(t *testing.T) {
 	o, h := setup(true)
-	rec := world.JobRecord{Spec: spec(), CancelMs: 5, Certain: true, Failed: true,
-		Tasks: []world.Task{{Index: 1, State: world.Bound, Attempt: 1, Machine: "m", Session: 1}}}
+	rec := world.JobRecord{Spec: spec(), CancelledAtMs: 5, CancelAfterRelease: true, Failed: true,
+		Tasks: []world.Task{{Index: 1, State: world.TaskBound, Attempt: 1, Machine: "m", Session: 1}}}
 	o.put(world.JobKey("run-000001"), rec)
 	if status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobRunning {
 		t.Errorf("with a task on a machine: %d %q", status, st.State)
@@ -244,7 +244,7 @@
 	o.syncErr = nil
 	// The view lags: only the barrier brings the cancellation another node told.
 	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec()})
-	o.barrier = func() { o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), CancelMs: 5}) }
+	o.barrier = func() { o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), CancelledAtMs: 5}) }
 	if status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobCancelled {
 		t.Errorf("%d %q", status, st.State)
 	}
@@ -266,10 +266,10 @@
 	if status, st := ask(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil); status != 200 || st.State != wire.JobCancelled || len(o.done) != 1 {
 		t.Errorf("live job: %d %q, %d writes", status, st.State, len(o.done))
 	}
-	if g := o.done[0].Guards; !slices.Contains(g, wire.Condition{Key: world.JobKey("run-000001"), ModRevision: 7}) {
+	if g := o.done[0].Conditions; !slices.Contains(g, wire.Condition{Key: world.JobKey("run-000001"), ModRevision: 7}) {
 		t.Errorf("guards %+v", g)
 	}
-	o.doErr = store.ErrUnknown
+	o.doErr = store.ErrOutcomeUnknown
 	if status, _ := ask(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil); status != 503 {
 		t.Errorf("no answer: %d", status)
 	}
@@ -281,7 +281,7 @@
 func TestCancellationIsToldOnceCertain(t *testing.T) { synctest.Test(t, cancellationIsToldOnceCertain) }
 
 func cancellationIsToldOnceCertain(t *testing.T) {
-	bound := []world.Task{{State: world.Bound, Attempt: 1, Machine: "vm-000001", Session: 1}}
+	bound := []world.Task{{State: world.TaskBound, Attempt: 1, Machine: "vm-000001", Session: 1}}
 	abort := func(h http.Handler) (int, wire.JobStatus) {
 		return ask(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil)
 	}
@@ -293,10 +293,10 @@
 		return st.State
 	}
 	o, h := setup(true)
-	o.put(world.LevelKey, world.LevelRecord{Level: tuning.LevelCertain})
+	o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: tuning.LevelCertain})
 	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), Tasks: bound})
-	o.applied = func(store.Item) {
-		o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), Tasks: bound, CancelMs: 5, Certain: true})
+	o.applied = func(store.Transaction) {
+		o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), Tasks: bound, CancelledAtMs: 5, CancelAfterRelease: true})
 	}
 	if status, _ := abort(h); status != 503 || len(o.done) != 1 {
 		t.Errorf("a task is on a machine: %d, %d writes", status, len(o.done))
@@ -307,7 +307,7 @@
 	if status, _ := abort(h); status != 503 || len(o.done) != 1 {
 		t.Errorf("asked again: %d, %d writes", status, len(o.done))
 	}
-	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), CancelMs: 5, Certain: true})
+	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), CancelledAtMs: 5, CancelAfterRelease: true})
 	if o.seen = 6; poll(h) == wire.JobCancelled {
 		t.Error("told though the view may lack a binding")
 	}
@@ -317,10 +317,10 @@
 	}
 	// The exit is seen while the request waits.
 	o, h = setup(true)
-	o.put(world.LevelKey, world.LevelRecord{Level: tuning.LevelCertain})
+	o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: tuning.LevelCertain})
 	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), Tasks: bound})
-	o.applied = func(store.Item) {
-		o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), CancelMs: 5, Certain: true})
+	o.applied = func(store.Transaction) {
+		o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), CancelledAtMs: 5, CancelAfterRelease: true})
 	}
 	if status, st := abort(h); status != 200 || st.State != wire.JobCancelled {
 		t.Errorf("left while it waits: %d %q", status, st.State)
@@ -337,26 +337,26 @@
 	s.TaskCount = tasks
 	first := make([]world.Task, tuning.ChunkTasks)
 	for i := range first {
-		first[i] = world.Task{Index: i, State: world.Done, Attempt: 1}
+		first[i] = world.Task{Index: i, State: world.TaskDone, Attempt: 1}
 	}
-	last := func(state int) world.ChunkRecord {
-		return world.ChunkRecord{Tasks: []world.Task{{Index: tasks - 2, State: world.Done, Attempt: 1}, {Index: tasks - 1, State: state, Attempt: 1, Machine: "vm-000001", Session: 1}}}
+	last := func(state int) world.FixedChunkRecord {
+		return world.FixedChunkRecord{Tasks: []world.Task{{Index: tasks - 2, State: world.TaskDone, Attempt: 1}, {Index: tasks - 1, State: state, Attempt: 1, Machine: "vm-000001", Session: 1}}}
 	}
-	live, marked := world.JobRecord{Spec: s, Tasks: first}, world.JobRecord{Spec: s, Tasks: first, CancelMs: 5, Certain: true}
+	live, marked := world.JobRecord{Spec: s, Tasks: first}, world.JobRecord{Spec: s, Tasks: first, CancelledAtMs: 5, CancelAfterRelease: true}
 	ended := func(o *outside) {
-		o.put(world.ChunkKey(s.ID, 1), last(world.Done))
+		o.put(world.FixedChunkKey(s.ID, 1), last(world.TaskDone))
 		o.put(world.JobKey(s.ID), marked)
 	}
 	for name, set := range map[string]func(*outside){
 		"before it is marked":    ended,
-		"while it is":            func(o *outside) { o.applied = func(store.Item) { ended(o) } },
-		"complete, not yet over": func(o *outside) { o.put(world.ChunkKey(s.ID, 1), last(world.Done)) },
+		"while it is":            func(o *outside) { o.applied = func(store.Transaction) { ended(o) } },
+		"complete, not yet over": func(o *outside) { o.put(world.FixedChunkKey(s.ID, 1), last(world.TaskDone)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			o, h := setup(true)
-			o.put(world.LevelKey, world.LevelRecord{Level: tuning.LevelCertain})
+			o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: tuning.LevelCertain})
 			o.put(world.JobKey(s.ID), live)
-			o.put(world.ChunkKey(s.ID, 1), last(world.Bound))
+			o.put(world.FixedChunkKey(s.ID, 1), last(world.TaskBound))
 			set(o)
 			for _, q := range [][2]string{{http.MethodPost, "/abort"}, {http.MethodGet, ""}, {http.MethodPost, "/abort"}} {
 				if status, st := ask(h, q[0], "/v1/jobs/"+s.ID+q[1], nil); status != 200 || st.State != wire.JobDone {
@@ -378,8 +378,8 @@
 // guards such a cancellation. What was told before stays told; of what can't be told from
 // the late change of a process that is gone neither is said.
 func TestCancellationBesideOlderVersions(t *testing.T) {
-	bound := []world.Task{{State: world.Bound, Attempt: 1, Machine: "vm-000001", Session: 1}}
-	old := world.JobRecord{Spec: spec(), Tasks: bound, CancelMs: 5}
+	bound := []world.Task{{State: world.TaskBound, Attempt: 1, Machine: "vm-000001", Session: 1}}
+	old := world.JobRecord{Spec: spec(), Tasks: bound, CancelledAtMs: 5}
 	poll := func(h http.Handler) (int, string) {
 		status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil)
 		return status, st.State
@@ -390,20 +390,20 @@
 	if status != 200 || st.State != wire.JobCancelled {
 		t.Fatalf("not all nodes tell late: %d %q", status, st.State)
 	}
-	if g := o.done[0].Guards; !slices.Contains(g, wire.Condition{Key: world.LevelKey}) {
+	if g := o.done[0].Conditions; !slices.Contains(g, wire.Condition{Key: world.SchemaVersionKey}) {
 		t.Errorf("the level does not guard it: %+v", g)
 	}
 	o.put(world.JobKey("run-000001"), old)
 	if status, st := poll(h); status != 200 || st != wire.JobCancelled {
 		t.Errorf("told by another node: %d %q", status, st)
 	}
-	o.put(world.LevelKey, world.LevelRecord{Level: tuning.LevelCertain}) // at the same stamp: after it
+	o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: tuning.LevelCertain}) // at the same stamp: after it
 	if status, st := poll(h); status != 200 || st != wire.JobCancelled {
 		t.Errorf("told before the level: %d %q", status, st)
 	}
-	o.world.Begin()
+	o.world.BeginUpdate()
 	o.world.Put(world.JobKey("run-000001"), wire.MustEncode(old), 8)
-	o.world.Flush()
+	o.world.EndUpdate()
 	if status, st := poll(h); status != 503 {
 		t.Errorf("written after the level without its mark: %d %q", status, st)
 	}
@@ -422,7 +422,7 @@
 		return func(o *outside) {
 			s := spec()
 			s.ID, s.Kind = "run-000002", kind
-			o.put(world.JobKey(s.ID), world.JobRecord{Spec: s, AtMs: 1})
+			o.put(world.JobKey(s.ID), world.JobRecord{Spec: s, SubmittedAtMs: 1})
 		}
 	}
 	for name, c := range map[string]struct {
@@ -455,7 +455,7 @@
 		// The id is taken by a job that awaits nothing: this is not its repetition.
 		"another's id": {body("run-000002"), 1, func(o *outside) {
 			live(wire.KindArray)(o)
-			o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), AtMs: 1})
+			o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), SubmittedAtMs: 1})
 		}, 422},
 		"repeated, other order": {body("run-000003", "run-000002"), 1, func(o *outside) {
 			s := spec()
@@ -463,13 +463,13 @@
 			live(wire.KindArray)(o)
 			s2 := spec()
 			s2.ID = "run-000003"
-			o.put(world.JobKey(s2.ID), world.JobRecord{Spec: s2, AtMs: 1})
-			o.put(world.JobKey(s.ID), world.JobRecord{Spec: s, AtMs: 1})
+			o.put(world.JobKey(s2.ID), world.JobRecord{Spec: s2, SubmittedAtMs: 1})
+			o.put(world.JobKey(s.ID), world.JobRecord{Spec: s, SubmittedAtMs: 1})
 		}, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o, h := setup(true)
-			o.put(world.LevelKey, world.LevelRecord{Level: c.level})
+			o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: c.level})
 			if c.set != nil {
 				c.set(o)
 			}
@@ -487,15 +487,15 @@
 	o, h := setup(true)
 	first, second := spec(), spec()
 	first.ID, second.Dependencies = "run-000002", []string{"run-000002"}
-	o.put(world.JobKey(second.ID), world.JobRecord{Spec: second, AtMs: 1})
+	o.put(world.JobKey(second.ID), world.JobRecord{Spec: second, SubmittedAtMs: 1})
 	if status, _ := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 503 {
 		t.Errorf("status %d before it is known what became of the first", status)
 	}
-	o.put(world.JobKey(first.ID), world.JobRecord{Spec: first, AtMs: 1})
+	o.put(world.JobKey(first.ID), world.JobRecord{Spec: first, SubmittedAtMs: 1})
 	if status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobPending {
 		t.Errorf("status %d, %s while the first is live", status, st.State)
 	}
-	o.put(world.JobKey(first.ID), world.JobRecord{Spec: first, AtMs: 1, CancelMs: 2})
+	o.put(world.JobKey(first.ID), world.JobRecord{Spec: first, SubmittedAtMs: 1, CancelledAtMs: 2})
 	if status, _ := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 503 {
 		t.Errorf("status %d after the first was cancelled", status)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,16 +49,16 @@
 func New(set *config.Settings, op *config.Operator, inc uint64, level int, rt http.RoundTripper, lines func(peer.Witness) (Lines, error), log *slog.Logger) (*Node, error) {
 	d := &set.Deployment
 	client := store.NewClient(set.Outside.State, store.Limits{
-		Share: tuning.StateShare / float64(d.Size), RPS: d.State.RPS, WriteRPS: d.State.WriteRPS, ValueKB: d.State.ValueKB, TxnOps: d.State.TxnOps,
+		BudgetShare: tuning.StateShare / float64(d.Size), RequestsPerSecond: d.State.RPS, WritesPerSecond: d.State.WriteRPS, MaxValueKiB: d.State.ValueKB, MaxTransactionOps: d.State.TxnOps,
 	}, rt)
 	next := set.NextState()
-	client.Expect(store.Limits{RPS: next.RPS, WriteRPS: next.WriteRPS, ValueKB: next.ValueKB, TxnOps: next.TxnOps})
+	client.SetUpcomingLimits(store.Limits{RequestsPerSecond: next.RPS, WritesPerSecond: next.WriteRPS, MaxValueKiB: next.ValueKB, MaxTransactionOps: next.TxnOps})
 	view := world.New(d.Size, log)
-	cache := store.NewCache(client, world.Root, view, log)
-	commit := store.NewCommitter(client, func(ops []wire.Op, rev uint64) { cache.Local(ops, rev) })
-	commit.Follow(cache)
+	cache := store.NewWatchCache(client, world.LivePrefix, view, log)
+	commit := store.NewCommitter(client, func(ops []wire.Op, rev uint64) { cache.ApplyOwn(ops, rev) })
+	commit.SetObserver(cache)
 	members := member.New(set.Node, inc, set.Nodes(), level, client, commit, cache, view, log)
-	workers := fleet.New(set, view, members, cache.Fresh, log, rt)
+	workers := fleet.New(set, view, members, cache.CompleteAsOf, log, rt)
 	peers, err := lines(workers)
 	if err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 	cloud := pool.NewClient(set.Outside.Cloud, d.Cloud.RPS, d.Size, rt)
 	machines := pool.New(set, op, view, members, engine, cloud, commit, log)
 	outcomes := pipeline.New(view, client, log)
-	levels := upgrade.New(set, level, view, members, commit, client, log)
+	levels := upgrade.NewActivator(set, level, view, members, commit, client, log)
 	cells := spill.New(op, d.Teams, view, members, commit, peers, log)
 	if len(op.Cells) > 0 {
 		peers.Cells(cells.Answer)
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/pipeline.go
@@ -17,14 +17,14 @@
 
 // Resolver reads the final records of awaited jobs into the view.
 type Resolver struct {
-	world  *world.World
+	world  *world.State
 	reader store.Reader
 	log    *slog.Logger
 	asked  map[string]time.Time // when a record was last not there, or not to be read
 }
 
 // New makes a resolver.
-func New(w *world.World, r store.Reader, log *slog.Logger) *Resolver {
+func New(w *world.State, r store.Reader, log *slog.Logger) *Resolver {
 	return &Resolver{world: w, reader: r, log: log, asked: map[string]time.Time{}}
 }
 
@@ -56,7 +56,7 @@
 		ok  bool
 	}
 	var ids []string
-	for _, id := range r.world.Unread() {
+	for _, id := range r.world.UnresolvedDependencies() {
 		if _, ok := r.asked[id]; !ok {
 			ids = append(ids, id)
 		}
@@ -66,7 +66,7 @@
 	g.SetLimit(tuning.OutcomeLanes)
 	for i, id := range ids {
 		g.Go(func() error {
-			rec, err := store.Read[world.FinalRecord](ctx, r.reader, world.FinalKey(id))
+			rec, err := store.ReadRecord[world.FinalRecord](ctx, r.reader, world.FinalKey(id))
 			// Not there: this view is older than the job, or the job is live again in it
 			// soon. It proves nothing either way.
 			if answers[i] = (answer{rec, err == nil}); err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -78,7 +78,7 @@
 	_ = g.Wait()
 	for i, id := range ids {
 		if answers[i].ok {
-			r.world.Over(id, answers[i].rec)
+			r.world.PutFinalRecord(id, answers[i].rec)
 		} else {
 			r.asked[id] = now
 		}
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/pipeline_test.go
@@ -30,7 +30,7 @@
 	v, ok := r.rows[key]
 	switch {
 	case r.away:
-		return wire.KeyValue{}, store.ErrUnknown
+		return wire.KeyValue{}, store.ErrOutcomeUnknown
 	case !ok:
 		return wire.KeyValue{}, store.ErrNotFound
 	}
@@ -52,9 +52,9 @@
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
 		w := world.New(3, log)
 		put := func(id string, awaits ...string) {
-			w.Begin()
-			w.Put(world.JobKey(id), wire.MustEncode(world.JobRecord{Spec: wire.JobSpec{ID: id, Team: "t", TaskCount: 1, Dependencies: awaits}, AtMs: 1}), 1)
-			w.Flush()
+			w.BeginUpdate()
+			w.Put(world.JobKey(id), wire.MustEncode(world.JobRecord{Spec: wire.JobSpec{ID: id, Team: "t", TaskCount: 1, Dependencies: awaits}, SubmittedAtMs: 1}), 1)
+			w.EndUpdate()
 		}
 		rec := &records{rows: map[string]any{}}
 		go func() { _ = New(w, rec, log).Run(ctx) }()
@@ -63,7 +63,7 @@
 			time.Sleep(3 * tuning.OutcomeRetry)
 			w.RLock()
 			defer w.RUnlock()
-			return w.Jobs["run-2"].Waits()
+			return w.Jobs["run-2"].HasUnmetDependencies()
 		}
 		if !waits() {
 			t.Error("released though nothing tells of the first")
@@ -80,13 +80,13 @@
 			if most := 3*3 + 4; rec.asked > most || rec.asked < 3 {
 				t.Errorf("asked %d times", rec.asked)
 			}
-			rec.rows[world.FinalKey("run-1")] = world.FinalRecord{Status: wire.JobDone, Tasks: 1, Done: 1, AtMs: 77}
+			rec.rows[world.FinalKey("run-1")] = world.FinalRecord{Status: wire.JobDone, TaskCount: 1, DoneCount: 1, EndedAtMs: 77}
 		})
 		if waits() {
 			t.Error("still waits for a job that is done")
 		}
-		if w.Jobs["run-2"].SinceMs() != 77 {
-			t.Errorf("counts from %d", w.Jobs["run-2"].SinceMs())
+		if w.Jobs["run-2"].ReadySinceMs() != 77 {
+			t.Errorf("counts from %d", w.Jobs["run-2"].ReadySinceMs())
 		}
 		asked := 0
 		rec.set(func() { asked = rec.asked })
--- a/internal/place/downstream.go
+++ b/internal/place/downstream.go
@@ -18,19 +18,19 @@
 // where that owner does not, any node does.
 func (r *round) doom() {
 	n := 0
-	for id := range r.cluster.Doomed() {
+	for id := range r.cluster.DependencyCancelled() {
 		j := r.cluster.Jobs[id]
 		key := world.JobKey(id)
 		if j == nil || r.keysInFlight[key] || n >= tuning.DoomRound {
 			continue
 		}
-		if _, mine := r.tokens[r.first(j)]; !mine && r.now.Sub(j.DoomAt) < tuning.DoomPatience {
+		if _, mine := r.tokens[r.first(j)]; !mine && r.now.Sub(j.DependencyCancelledAt) < tuning.DoomPatience {
 			continue
 		}
 		n++
 		fallen.Inc()
-		r.out = append(r.out, &recordChange{description: "end " + id + " with what it needs", keys: []string{key}, harmlessWhenLate: true, transaction: store.Item{
-			Guards: []wire.Condition{{Key: key, ModRevision: j.Stamp}}, Ops: r.finalOps(j, wire.JobCancelled, j.Done), Urgent: true,
+		r.out = append(r.out, &recordChange{description: "end " + id + " with what it needs", keys: []string{key}, harmlessWhenLate: true, transaction: store.Transaction{
+			Conditions: []wire.Condition{{Key: key, ModRevision: j.ModRevision}}, Ops: r.finalOps(j, wire.JobCancelled, j.DoneCount), Urgent: true,
 		}})
 		r.log.Info("job cancelled with one that it needs", "job", id)
 	}
--- a/internal/place/engine.go
+++ b/internal/place/engine.go
@@ -28,7 +28,7 @@
 type Engine struct {
 	settings   *config.Settings
 	operator   *config.Operator
-	cluster    *world.World
+	cluster    *world.State
 	membership *member.Member
 	agents     *fleet.Registry
 	committer  *store.Committer
@@ -73,7 +73,7 @@
 	cachedValues           map[string]cachedValue
 	cachedState            *learn.State // what is chosen in, as of a time
 	cachedStateAt          time.Time
-	changeFeed             *world.News
+	changeFeed             *world.ChangeFeed
 	waitingJobs            *order.Queue[*world.Job]
 	queueBuffer            []due // of the round before, its memory used again
 	retainedInventory      *fit.Inventory
@@ -85,8 +85,8 @@
 	remoteImages           map[string]map[string]bool // the other nodes' machines by image
 	remoteImagesAt         time.Time
 	wakeup                 chan struct{}
-	needPerGPU             world.Amount         // what GPU work takes beside each GPU
-	commonNeed             world.Amount         // what a task of the work that asks for most cores takes
+	needPerGPU             world.Resources      // what GPU work takes beside each GPU
+	commonNeed             world.Resources      // what a task of the work that asks for most cores takes
 	commonNeedAt           time.Time            // when it last did
 	rejectedUntil          map[string]time.Time // records that were refused as malformed, until they are tried again
 	jobsToMigrate          map[string]bool      // jobs whose records are to be moved before they are written
@@ -117,7 +117,7 @@
 }
 
 // New makes an engine.
-func New(settings *config.Settings, operator *config.Operator, cluster *world.World, members *member.Member, agents *fleet.Registry, committer *store.Committer, reader store.Reader, peers Peers, log *slog.Logger) *Engine {
+func New(settings *config.Settings, operator *config.Operator, cluster *world.State, members *member.Member, agents *fleet.Registry, committer *store.Committer, reader store.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: repeats.New(operator.Classes), log: log,
 		keysInFlight: map[string]bool{}, inFlightChanges: map[uint64]*recordChange{}, jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
@@ -125,10 +125,10 @@
 		nextReorder: map[string]time.Time{}, jobsToMigrate: map[string]bool{}, rejectedUntil: map[string]time.Time{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
 		failureDetector: silence.Detector{Timing: silence.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
 		learning: values{
-			learner: learn.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Inc, log),
+			learner: learn.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
 			runs:    learn.NewEstimates(), open: map[attempt]int64{}, began: map[attempt]time.Time{}, recent: 0.5,
 		},
-		wakeup: make(chan struct{}, 1), changeFeed: cluster.Follow(), waitingJobs: order.New[*world.Job](), machinesToRefresh: map[string]struct{}{},
+		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waitingJobs: order.New[*world.Job](), machinesToRefresh: map[string]struct{}{},
 	}
 }
 
@@ -202,7 +202,7 @@
 // recordChange is one change of records on its way.
 type recordChange struct {
 	description      string
-	transaction      store.Item
+	transaction      store.Transaction
 	keys             []string
 	shards           []int
 	bindings         []pendingBinding
@@ -216,7 +216,7 @@
 	machine      string
 	chargedShard int // whose grant it uses
 	team         string
-	need         world.Amount
+	need         world.Resources
 }
 
 // RunCycle takes in what the workers told and places what can be placed.
@@ -227,7 +227,7 @@
 	maps.Copy(e.machinesToReconcile, heardMachines)
 	maps.Copy(e.machinesToRefresh, heardMachines)
 	e.cluster.RLock()
-	changedMachines := e.changeFeed.Machines()
+	changedMachines := e.changeFeed.TakeMachines()
 	maps.Copy(e.machinesToReconcile, changedMachines)
 	maps.Copy(e.machinesToRefresh, changedMachines)
 	c := e.newCycle(now)
@@ -238,7 +238,7 @@
 		c.sweep()
 		c.deleteFailedMachines()
 		for shard := range c.tokens {
-			for _, machine := range c.cluster.ByPart[shard] {
+			for _, machine := range c.cluster.MachinesByShard[shard] {
 				e.machinesToReconcile[machine.Name] = struct{}{}
 			}
 		}
@@ -268,11 +268,11 @@
 // first, so that the change is either in the view or can never be applied.
 func (e *Engine) commitChange(id uint64, change *recordChange) {
 	ctx, cancel := context.WithTimeout(e.ctx, tuning.CommitTimeout)
-	revision, err := e.committer.Do(ctx, change.transaction)
+	revision, err := e.committer.Commit(ctx, change.transaction)
 	cancel()
-	if errors.Is(err, store.ErrRefused) {
+	if errors.Is(err, store.ErrRejected) {
 		e.log.Error("change refused as malformed", "what", change.description, "err", err)
-	} else if err != nil && !errors.Is(err, store.ErrGuard) && !errors.Is(err, store.ErrUnavailable) && !change.harmlessWhenLate {
+	} else if err != nil && !errors.Is(err, store.ErrConditionFailed) && !errors.Is(err, store.ErrUnavailable) && !change.harmlessWhenLate {
 		e.log.Info("change without an answer", "what", change.description, "err", err)
 		for _, shard := range change.shards {
 			e.membership.Fence(e.ctx, shard, false)
@@ -282,7 +282,7 @@
 	delete(e.inFlightChanges, id)
 	for _, key := range change.keys {
 		delete(e.keysInFlight, key)
-		if errors.Is(err, store.ErrRefused) {
+		if errors.Is(err, store.ErrRejected) {
 			// Not applied, and it would not be now either: at each round anew it would
 			// only take the budget from others.
 			e.rejectedUntil[key] = time.Now().Add(tuning.RefusedPause)
@@ -326,7 +326,7 @@
 	defer e.cluster.RUnlock()
 	var urgent, idle []string
 	appendOwned := func(list *[]string, name string) {
-		if _, _, ok := e.membership.Owns(world.PartOf(name, e.cluster.Size)); ok && !e.deletedMachines[name] && len(*list) < tuning.ReturnMax {
+		if _, _, ok := e.membership.Owns(world.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines[name] && len(*list) < tuning.ReturnMax {
 			*list = append(*list, name)
 		}
 	}
@@ -338,14 +338,14 @@
 	}
 	for name, machine := range e.cluster.Machines {
 		switch {
-		case machine.Gone && len(machine.Bound) > 0:
+		case machine.Deleting && len(machine.Bindings) > 0:
 			appendOwned(&urgent, name)
 		// Nothing is placed on a drained machine any more: once it is empty it can go.
-		case machine.Gone || machine.Drain && len(machine.Bound) == 0 && !bindingTargets[name]:
+		case machine.Deleting || machine.Draining && len(machine.Bindings) == 0 && !bindingTargets[name]:
 			appendOwned(&idle, name)
 		}
 	}
-	for name := range e.cluster.Orphans {
+	for name := range e.cluster.OrphanBindings {
 		appendOwned(&urgent, name)
 	}
 	names = append(urgent, idle...)
--- a/internal/place/failedmachines.go
+++ b/internal/place/failedmachines.go
@@ -35,20 +35,20 @@
 	reachableZones := r.countReachableZones()
 	for _, name := range slices.Sorted(maps.Keys(r.cluster.Machines)) {
 		machine := r.cluster.Machines[name]
-		token, owned := r.tokens[machine.Part]
-		if !owned || machine.Gone || r.deletedMachines[name] || r.keysInFlight[world.MachineKey(name)] {
+		token, owned := r.tokens[machine.Shard]
+		if !owned || machine.Deleting || r.deletedMachines[name] || r.keysInFlight[world.MachineKey(name)] {
 			continue
 		}
 		status := r.agents.MachineStatus(name, token)
-		machines = append(machines, silence.Machine{Name: name, Zone: machine.Zone, Shard: machine.Part, Up: machine.Up, Session: status.Session, LastHeard: status.LastHeard, OwnedSince: r.shardOwnedSince[machine.Part],
-			CommandUnanswered: status.CommandUnanswered, CancellationOverdue: r.cancellationOverdue(machine), BoundTasks: len(machine.Bound), ServiceMovable: r.serviceCanMove(machine, reachableZones), ControllerInZone: r.controllerInZone(machine.Zone)})
+		machines = append(machines, silence.Machine{Name: name, Zone: machine.Zone, Shard: machine.Shard, Up: machine.Up, Session: status.Session, LastHeard: status.LastHeard, OwnedSince: r.shardOwnedSince[machine.Shard],
+			CommandUnanswered: status.CommandUnanswered, CancellationOverdue: r.cancellationOverdue(machine), BoundTasks: len(machine.Bindings), ServiceMovable: r.serviceCanMove(machine, reachableZones), ControllerInZone: r.controllerInZone(machine.Zone)})
 		if status.OutboundLost {
 			outboundLost = append(outboundLost, outboundLostMachine{machine, status.LeaseExpiry})
 		}
 		if machine.Up && status.InboundLost {
 			r.recordMachineDown(machine, "hears nothing")
 		}
-		empty := len(machine.Bound) == 0 && r.moveM[name] == (world.Amount{})
+		empty := len(machine.Bindings) == 0 && r.moveM[name] == (world.Resources{})
 		switch {
 		case !machine.Up && status.LastHeard.IsZero():
 			if r.bootTimedOut(machine) && !r.failureDetector.ZoneUnstable(machine.Zone) {
@@ -59,10 +59,10 @@
 		case empty && status.FailedJobs >= tuning.MachineErrors:
 			r.deleteMachine(silence.Deletion{Machine: name, Reason: "failing"})
 		}
-		if status.UnresolvedStart && r.hasStoppingTask(machine) && r.now.Sub(r.lastFenced[machine.Part]) > tuning.FenceEvery {
+		if status.UnresolvedStart && r.hasStoppingTask(machine) && r.now.Sub(r.lastFenced[machine.Shard]) > tuning.FenceEvery {
 			// A start in doubt could still run a task that must not: raise the token.
-			r.lastFenced[machine.Part] = r.now
-			go r.membership.Fence(r.ctx, machine.Part, true)
+			r.lastFenced[machine.Shard] = r.now
+			go r.membership.Fence(r.ctx, machine.Shard, true)
 		}
 	}
 	r.evacuateOutboundLost(outboundLost, len(machines))
@@ -80,7 +80,7 @@
 		r.agents.RequestDispatch(name)
 	}
 	for shard, node := range judgement.ShardTransfers {
-		go r.membership.Give(r.ctx, shard, node)
+		go r.membership.TransferShard(r.ctx, shard, node)
 	}
 	if len(judgement.AskPeersAbout) > 0 {
 		engine := r.Engine
@@ -101,10 +101,10 @@
 // until that is over. Its owner knows; gangs and services are placed by other nodes too, to which it looked
 // like the emptiest machine there is, and what was bound to it waited until its lease had run out, over and over.
 func (r *round) recordMachineDown(machine *world.Machine, reason string) {
-	r.log.Info("machine "+reason, "machine", machine.Name, "tasks", len(machine.Bound))
+	r.log.Info("machine "+reason, "machine", machine.Name, "tasks", len(machine.Bindings))
 	machineRecord := machine.MachineRecord
 	machineRecord.Up = false
-	r.updateMachineRecord("machine "+reason+" "+machine.Name, machine.Name, machine.Part, machineRecord, machine.Stamp).Soon = true
+	r.updateMachineRecord("machine "+reason+" "+machine.Name, machine.Name, machine.Shard, machineRecord, machine.ModRevision).HighPriority = true
 	r.machinesToRefresh[machine.Name] = struct{}{}
 }
 
@@ -128,7 +128,7 @@
 		if machine.Up {
 			r.recordMachineDown(machine.Machine, "reaches no node")
 		}
-		fraction := float64(world.PartOf(machine.Name, tuning.MuteSteps)) / tuning.MuteSteps
+		fraction := float64(world.ShardOf(machine.Name, tuning.MuteSteps)) / tuning.MuteSteps
 		if delay := time.Duration(fraction * float64(leadTime-tuning.LeaseMargin)); r.now.After(machine.leaseExpiry.Add(delay - leadTime)) {
 			r.evacuateMachine(machine.Machine)
 		}
@@ -141,8 +141,8 @@
 // evacuationTasks gives what is on a machine, for the plan of its evacuation.
 func (r *round) evacuationTasks(name string) []evacuate.Task {
 	var tasks []evacuate.Task
-	for _, binding := range r.cluster.Machines[name].Bound {
-		tasks = append(tasks, evacuate.Task{JobID: binding.Ref.Job, Kind: evacuationKinds[binding.Job.Spec.Kind], PriorityRank: r.rank(binding.Job), PlacedReplicas: binding.Job.Bound})
+	for _, binding := range r.cluster.Machines[name].Bindings {
+		tasks = append(tasks, evacuate.Task{JobID: binding.Ref.Job, Kind: evacuationKinds[binding.Job.Spec.Kind], PriorityRank: r.rank(binding.Job), PlacedReplicas: binding.Job.BoundCount})
 	}
 	return tasks
 }
@@ -153,21 +153,21 @@
 	machineType := r.cluster.Types[machine.Type]
 	bootLimit := max(time.Duration(tuning.BootStuck*machineType.BootSeconds*float64(time.Second)), tuning.BootStuckMin)
 	reportLimit := tuning.FindNode + time.Duration(tuning.DeadAfter*float64(r.settings.Report()))
-	return machineType.Name != "" && r.now.Sub(time.UnixMilli(machine.AtMs)) > bootLimit && r.now.Sub(r.shardOwnedSince[machine.Part]) > reportLimit
+	return machineType.Name != "" && r.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > bootLimit && r.now.Sub(r.shardOwnedSince[machine.Shard]) > reportLimit
 }
 
 // deleteMachine marks a machine to be deleted at the cloud.
 func (r *round) deleteMachine(victim silence.Deletion) {
 	machine := r.cluster.Machines[victim.Machine]
-	r.log.Info("deleting a machine", "machine", victim.Machine, "why", victim.Reason, "tasks", len(machine.Bound))
+	r.log.Info("deleting a machine", "machine", victim.Machine, "why", victim.Reason, "tasks", len(machine.Bindings))
 	machineRecord := machine.MachineRecord
-	machineRecord.Gone = true
-	transaction := r.updateMachineRecord("delete machine "+victim.Machine, victim.Machine, machine.Part, machineRecord, machine.Stamp)
+	machineRecord.Deleting = true
+	transaction := r.updateMachineRecord("delete machine "+victim.Machine, victim.Machine, machine.Shard, machineRecord, machine.ModRevision)
 	// What it held waits for this change as for its own: behind the ends of arrays' tasks
 	// replicas once waited for seconds more.
-	for _, binding := range machine.Bound {
+	for _, binding := range machine.Bindings {
 		transaction.Urgent = transaction.Urgent || binding.Job.Spec.Kind == wire.KindService
-		transaction.Soon = transaction.Soon || r.rank(binding.Job) <= wire.PriorityRank(wire.PriorityHigh)
+		transaction.HighPriority = transaction.HighPriority || r.rank(binding.Job) <= wire.PriorityRank(wire.PriorityHigh)
 	}
 }
 
@@ -176,12 +176,12 @@
 // tasks with its lease. Where cancellations are told at once it must go in time,
 // where they are told when they are certain, before the user gives up asking.
 func (r *round) cancellationOverdue(machine *world.Machine) bool {
-	for _, binding := range machine.Bound {
+	for _, binding := range machine.Bindings {
 		limit := r.settings.Cancel()
-		if !binding.Job.Certain {
+		if !binding.Job.CancelAfterRelease {
 			limit = time.Duration(tuning.CancelShare * float64(limit))
 		}
-		if binding.Job.Cancelled() && r.now.Sub(time.UnixMilli(binding.Job.CancelMs)) > limit {
+		if binding.Job.Cancelled() && r.now.Sub(time.UnixMilli(binding.Job.CancelledAtMs)) > limit {
 			return true
 		}
 	}
@@ -190,7 +190,7 @@
 
 // controllerInZone tells whether a controller stands in a zone and would renew leases there.
 func (r *round) controllerInZone(zone string) bool {
-	if r.cluster.Level < tuning.LevelCertain {
+	if r.cluster.SchemaVersion < tuning.LevelCertain {
 		return false
 	}
 	return r.settings.Zone == zone || slices.ContainsFunc(r.settings.Siblings, func(s config.Sibling) bool { return s.Zone == zone })
@@ -215,7 +215,7 @@
 	if !r.failureDetector.ZoneUnavailable(machine.Zone) {
 		return false
 	}
-	for _, binding := range machine.Bound {
+	for _, binding := range machine.Bindings {
 		spec := &binding.Job.Spec
 		// Spread over two zones, half of the tasks may stand in the one that is left,
 		// and as a rule do.
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -21,7 +21,7 @@
 	for i := range spec.TaskCount {
 		t := r.taskState(j, i)
 		attempt = max(attempt, t.Attempt)
-		if t.State == world.Idle {
+		if t.State == world.TaskPending {
 			idle = append(idle, i)
 		} else {
 			forming = true
@@ -41,7 +41,7 @@
 	du.home = r.first(j)
 	z := r.zones(j, 0)
 	up := s.FittingMachines(&du.Request)
-	inPart := func(n *fit.MachineInfo) bool { return n.Machine.Part == du.home }
+	inPart := func(n *fit.MachineInfo) bool { return n.Machine.Shard == du.home }
 	held := func(n *fit.MachineInfo) bool { return r.stock.HasImage(spec.Image, n) }
 	var picks []*fit.MachineInfo
 	for _, also := range []func(*fit.MachineInfo) bool{
@@ -65,7 +65,7 @@
 	// All or nothing: the grant must cover it whole, and its records must hold it.
 	adds := map[int]int{} // tasks by record
 	for _, i := range idle {
-		adds[j.RecordOf(i)]++
+		adds[j.ChunkOf(i)]++
 	}
 	for k, n := range adds {
 		if r.recordFull(j, k, n, picks[0].Machine.Name) {
@@ -73,7 +73,7 @@
 			return
 		}
 	}
-	if !r.quota.Allowed(du.home, spec.Team, r.usage(du.home, spec.Team).Plus(du.Need, float64(len(picks)))) {
+	if !r.quota.Allowed(du.home, spec.Team, r.usage(du.home, spec.Team).AddTimes(du.Need, float64(len(picks)))) {
 		r.waiting(j, "its team's grant in this part", nil)
 		return
 	}
--- a/internal/place/intime.go
+++ b/internal/place/intime.go
@@ -25,20 +25,20 @@
 	waiting := map[string]int{}
 	var runs [wire.PriorityCount]float64 // of the machine time that running arrays still take
 	for id, j := range r.cluster.Jobs {
-		if j.Spec.Kind != wire.KindArray || !j.Startable() {
+		if j.Spec.Kind != wire.KindArray || !j.CanStart() {
 			continue
 		}
 		rank, share, run := r.rank(j), r.shareOf(&j.Spec), r.expected(j)
-		r.recentArrivals.RecordArrival(r.now, id, j.Spec.Class, j.Spec.Team, j.Spec.TaskCount, j.Since())
-		runs[rank] += float64(j.Bound) * share * run.Seconds() / 2 // half is left on average
-		if j.Pending() == 0 {
+		r.recentArrivals.RecordArrival(r.now, id, j.Spec.Class, j.Spec.Team, j.Spec.TaskCount, j.ReadySince())
+		runs[rank] += float64(j.BoundCount) * share * run.Seconds() / 2 // half is left on average
+		if j.PendingCount() == 0 {
 			continue
 		}
-		waiting[id] = j.Pending()
+		waiting[id] = j.PendingCount()
 		if aims[id] = r.aims(j); len(aims[id]) == 0 {
 			continue
 		}
-		w := order.WaitingJob{JobID: id, ServiceTime: time.Duration(float64(j.Pending()) * share * float64(run)), TaskRunTime: run}
+		w := order.WaitingJob{JobID: id, ServiceTime: time.Duration(float64(j.PendingCount()) * share * float64(run)), TaskRunTime: run}
 		for _, at := range aims[id] {
 			w.Objectives = append(w.Objectives, at.Sub(r.now))
 		}
@@ -84,7 +84,7 @@
 // estimate tells the jobs of one class apart, which the class's median can't.
 func (r *round) size(j *world.Job) int {
 	if j.Spec.Kind == wire.KindService && r.scarce() {
-		return 1 + j.Bound // the fewest replicas left first
+		return 1 + j.BoundCount // the fewest replicas left first
 	}
 	if j.Spec.Kind != wire.KindArray || !r.capacityShort[r.rank(j)] {
 		return 0
@@ -92,7 +92,7 @@
 	if r.floor(j) || r.lastCall(j) {
 		return -1
 	}
-	return 1 + bits.Len(uint(float64(j.Pending())*r.expected(j).Seconds()))
+	return 1 + bits.Len(uint(float64(j.PendingCount())*r.expected(j).Seconds()))
 }
 
 // scarce tells whether services have found no room of late, as after the loss of a zone. Then one
@@ -140,7 +140,7 @@
 // be in time they would wait as long as room is short, be it for hours; so every fourth
 // second they come first, the oldest of them before the others. All nodes find the same.
 func (r *round) floor(j *world.Job) bool {
-	return r.missesAllObjectives[j.Spec.ID] && r.now.Sub(j.Since()) > tuning.FloorAfter && r.now.Unix()%tuning.FloorTurns == tuning.FloorTurns-1
+	return r.missesAllObjectives[j.Spec.ID] && r.now.Sub(j.ReadySince()) > tuning.FloorAfter && r.now.Unix()%tuning.FloorTurns == tuning.FloorTurns-1
 }
 
 // behind tells whether an array stands behind those that can be in time: it can't, and it is not
@@ -153,11 +153,11 @@
 // as one with room for four, and one too small for any as well.
 func (r *round) roomFor(rank int) float64 {
 	sum := 0.0
-	for p := range r.cluster.Size {
+	for p := range r.cluster.ShardCount {
 		for _, n := range r.stock.ReadyMachines(p) {
 			free := n.Free
-			for k := rank; k < len(n.Machine.Yield); k++ {
-				free = free.Plus(n.Machine.Yield[k], 1)
+			for k := rank; k < len(n.Machine.PreemptibleByRank); k++ {
+				free = free.AddTimes(n.Machine.PreemptibleByRank[k], 1)
 			}
 			if r.commonNeed.CPUs > 0 {
 				sum += float64(fit.TasksThatFit(r.commonNeed, free))
@@ -172,15 +172,15 @@
 // shareOf is what a task takes of a machine, of the type of which it takes least, or of the room
 // for a common task; as roomFor counts.
 func (r *round) shareOf(s *wire.JobSpec) float64 {
-	need := world.Need(s)
+	need := world.TaskResources(s)
 	if r.commonNeed.CPUs > 0 {
-		return max(need.CPUs/r.commonNeed.CPUs, need.Mem/max(r.commonNeed.Mem, 1))
+		return max(need.CPUs/r.commonNeed.CPUs, need.MemoryGB/max(r.commonNeed.MemoryGB, 1))
 	}
 	best := 1.0
 	for _, t := range r.cluster.Types {
 		c := world.Capacity(&t)
-		if need.Within(c) {
-			best = min(best, 1-fit.FreeFraction(c.Plus(need, -1), c))
+		if need.FitsIn(c) {
+			best = min(best, 1-fit.FreeFraction(c.AddTimes(need, -1), c))
 		}
 	}
 	return best
--- a/internal/place/intime_test.go
+++ b/internal/place/intime_test.go
@@ -27,13 +27,13 @@
 		machines := rapid.IntRange(1, 30).Draw(t, "machines")
 		for i := range machines {
 			name := f.addMachine(i, true)
-			f.addJob(arraySpec(5000+i, 4), world.Task{State: world.Bound, Attempt: 1, Machine: name, Session: 1})
+			f.addJob(arraySpec(5000+i, 4), world.Task{State: world.TaskBound, Attempt: 1, Machine: name, Session: 1})
 		}
 		for i := range rapid.IntRange(2, 40).Draw(t, "jobs") {
 			s := arraySpec(i, rapid.IntRange(1, 180).Draw(t, "tasks"))
 			s.Team, s.Class, s.RuntimeEstimateSeconds = "t", "c", float64(rapid.IntRange(5, 90).Draw(t, "run"))
 			at := testNow.Add(-time.Duration(rapid.IntRange(0, 400).Draw(t, "age")) * time.Second)
-			f.put(world.JobKey(s.ID), world.JobRecord{Spec: s, AtMs: at.UnixMilli()})
+			f.put(world.JobKey(s.ID), world.JobRecord{Spec: s, SubmittedAtMs: at.UnixMilli()})
 		}
 		f.cluster.RLock()
 		defer f.cluster.RUnlock()
@@ -90,7 +90,7 @@
 			s := arraySpec(i, rapid.IntRange(1, 90).Draw(t, "tasks"))
 			s.Team, s.Class, s.RuntimeEstimateSeconds = "t", "c", 30
 			now = now.Add(time.Second)
-			f.put(world.JobKey(s.ID), world.JobRecord{Spec: s, AtMs: now.UnixMilli()})
+			f.put(world.JobKey(s.ID), world.JobRecord{Spec: s, SubmittedAtMs: now.UnixMilli()})
 			f.cluster.RLock()
 			r := e.newCycle(now)
 			r.stock = r.renewStock()
--- a/internal/place/place.go
+++ b/internal/place/place.go
@@ -34,7 +34,7 @@
 	At     time.Time
 	// Common is what a task of the work that asks for most cores takes, if some of it found no room:
 	// small machines, of no use to it, then keep small tasks off those that are.
-	Common world.Amount
+	Common world.Resources
 }
 
 // due is a job in the order of placement.
@@ -60,7 +60,7 @@
 	r.guaranteesAt, r.withinGuarantee, r.runningWithinGuarantee = r.now, map[string]bool{}, map[string]bool{}
 	teams := map[string][]*world.Job{}
 	for _, j := range r.cluster.Jobs {
-		if _, ok := r.quota.Guarantee(j.Spec.Team); ok && j.Startable() {
+		if _, ok := r.quota.Guarantee(j.Spec.Team); ok && j.CanStart() {
 			teams[j.Spec.Team] = append(teams[j.Spec.Team], j)
 		}
 	}
@@ -68,23 +68,23 @@
 	r.guaranteedOnArrival = make(map[string]bool, len(before))
 	for team, jobs := range teams {
 		slices.SortFunc(jobs, func(a, b *world.Job) int {
-			return cmp.Or(cmp.Compare(a.SinceMs(), b.SinceMs()), cmp.Compare(a.Spec.ID, b.Spec.ID))
+			return cmp.Or(cmp.Compare(a.ReadySinceMs(), b.ReadySinceMs()), cmp.Compare(a.Spec.ID, b.Spec.ID))
 		})
 		limit, _ := r.quota.Guarantee(team)
-		fits := func(sum *world.Amount, j *world.Job, tasks int) bool {
-			next := sum.Plus(world.Need(&j.Spec), float64(tasks))
-			next.Mem = 0
-			if !next.Within(limit) {
+		fits := func(sum *world.Resources, j *world.Job, tasks int) bool {
+			next := sum.AddTimes(world.TaskResources(&j.Spec), float64(tasks))
+			next.MemoryGB = 0
+			if !next.FitsIn(limit) {
 				return false
 			}
 			*sum = next
 			return true
 		}
-		var earlier, sum world.Amount
+		var earlier, sum world.Resources
 		full := false
 		var others []*world.Job
 		for _, j := range jobs {
-			id, all := j.Spec.ID, j.Spec.TaskCount-j.Done
+			id, all := j.Spec.ID, j.Spec.TaskCount-j.DoneCount
 			full = full || !fits(&earlier, j, all)
 			kept, known := before[id]
 			if r.guaranteedOnArrival[id] = kept || !known && !full; r.guaranteedOnArrival[id] && fits(&sum, j, all) {
@@ -94,17 +94,17 @@
 			others = append(others, j)
 		}
 		for _, j := range others {
-			if j.Bound > 0 && !fits(&sum, j, j.Bound) {
+			if j.BoundCount > 0 && !fits(&sum, j, j.BoundCount) {
 				break
 			}
-			r.runningWithinGuarantee[j.Spec.ID] = j.Bound > 0
+			r.runningWithinGuarantee[j.Spec.ID] = j.BoundCount > 0
 		}
 		slices.SortStableFunc(others, func(a, b *world.Job) int { return cmp.Compare(r.turn(a), r.turn(b)) })
 		for _, j := range others {
-			if !fits(&sum, j, j.Pending()) {
+			if !fits(&sum, j, j.PendingCount()) {
 				break
 			}
-			r.withinGuarantee[j.Spec.ID] = j.Bound == 0 || r.runningWithinGuarantee[j.Spec.ID]
+			r.withinGuarantee[j.Spec.ID] = j.BoundCount == 0 || r.runningWithinGuarantee[j.Spec.ID]
 		}
 	}
 }
@@ -121,7 +121,7 @@
 // which something changed are put where they belong, those that time or their team's
 // guarantee moves when it does, and all of them now and then, as estimates move too.
 func (r *round) queue(room bool) []due {
-	news := r.changeFeed.Jobs()
+	news := r.changeFeed.TakeJobs()
 	if r.now.Sub(r.guaranteesAt) >= tuning.AssuredEvery && (r.waitingJobs.Len() > 0 || len(news) > 0) {
 		if r.now.Sub(r.objectivesAt) >= tuning.InTimeEvery {
 			r.inTime()
@@ -144,7 +144,7 @@
 	out := r.queueBuffer[:0]
 	r.waitingJobs.Each(func(k order.Key, j *world.Job) bool {
 		if b, ok := r.jobBackoffs[k.JobID]; !ok || !r.now.Before(b.until) {
-			out = append(out, due{Request: fit.Request{Spec: &j.Spec, Need: world.Need(&j.Spec), StartWithinS: r.startWithin(&j.Spec)}, job: j, assured: k.WithinGuarantee, rank: k.PriorityRank, pressing: k.NearDeadline, key: k, home: -1})
+			out = append(out, due{Request: fit.Request{Spec: &j.Spec, Need: world.TaskResources(&j.Spec), StartWithinS: r.startWithin(&j.Spec)}, job: j, assured: k.WithinGuarantee, rank: k.PriorityRank, pressing: k.NearDeadline, key: k, home: -1})
 		}
 		return true
 	})
@@ -170,28 +170,28 @@
 // enter puts a job in line, where it belongs now, or takes it out.
 func (r *round) enter(id string) {
 	j := r.cluster.Jobs[id]
-	if j == nil || !j.Startable() || !r.ours(j) || j.Pending() == 0 {
+	if j == nil || !j.CanStart() || !r.ours(j) || j.PendingCount() == 0 {
 		r.waitingJobs.Delete(id)
 		delete(r.nextReorder, id)
 		return
 	}
 	deadline, pressing, turn := r.deadline(j)
 	r.nextReorder[id] = turn
-	r.waitingJobs.Put(order.Key{PriorityRank: r.rank(j), WithinGuarantee: r.withinGuarantee[id], Underserved: r.due(j), MissesObjectives: r.behind(j), SizeClass: r.size(j), NearDeadline: pressing, DeadlineNs: deadline.UnixNano(), EligibleSinceMs: j.SinceMs(), JobID: id}, j)
+	r.waitingJobs.Put(order.Key{PriorityRank: r.rank(j), WithinGuarantee: r.withinGuarantee[id], Underserved: r.due(j), MissesObjectives: r.behind(j), SizeClass: r.size(j), NearDeadline: pressing, DeadlineNs: deadline.UnixNano(), EligibleSinceMs: j.ReadySinceMs(), JobID: id}, j)
 }
 
 // ours tells whether the right to start a job is with this cell as it is now: a guest that was taken
 // under an earlier epoch may have been released since, in writes that are lost; and a cell
 // that lost writes starts nothing before it knows what the others hold of its own.
 func (r *round) ours(j *world.Job) bool {
-	if j.Guest != nil {
-		return r.operator.CellEpoch > 0 && j.Guest.Epoch == r.operator.CellEpoch
+	if j.OffloadedFrom != nil {
+		return r.operator.CellEpoch > 0 && j.OffloadedFrom.Epoch == r.operator.CellEpoch
 	}
 	if r.operator.CellEpoch <= 1 {
 		return true // it has lost nothing yet
 	}
 	for _, c := range r.operator.Cells {
-		if rec := r.cluster.Cells[c.Name]; rec == nil || rec.Own != r.operator.CellEpoch || !rec.Settled {
+		if rec := r.cluster.Cells[c.Name]; rec == nil || rec.OwnEpoch != r.operator.CellEpoch || !rec.InventoryReceived {
 			return false
 		}
 	}
@@ -201,19 +201,19 @@
 // besides finds what work on GPUs takes of the rest of a machine for each: the
 // most that a gang or a service takes, and what arrays take on average.
 func (r *round) besides() {
-	var most, sum world.Amount
+	var most, sum world.Resources
 	for _, j := range r.cluster.Jobs {
-		need := world.Need(&j.Spec)
+		need := world.TaskResources(&j.Spec)
 		switch {
-		case !j.Known || j.Cancelled() || need.GPUs == 0:
+		case !j.HasRecord || j.Cancelled() || need.GPUs == 0:
 		case j.Spec.Kind == wire.KindArray:
-			sum = sum.Plus(need, 1)
+			sum = sum.AddTimes(need, 1)
 		default:
-			most.CPUs, most.Mem = max(most.CPUs, need.CPUs/need.GPUs), max(most.Mem, need.Mem/need.GPUs)
+			most.CPUs, most.MemoryGB = max(most.CPUs, need.CPUs/need.GPUs), max(most.MemoryGB, need.MemoryGB/need.GPUs)
 		}
 	}
 	if sum.GPUs > 0 {
-		most.CPUs, most.Mem = max(most.CPUs, sum.CPUs/sum.GPUs), max(most.Mem, sum.Mem/sum.GPUs)
+		most.CPUs, most.MemoryGB = max(most.CPUs, sum.CPUs/sum.GPUs), max(most.MemoryGB, sum.MemoryGB/sum.GPUs)
 	}
 	r.needPerGPU = most
 }
@@ -223,23 +223,23 @@
 // is over, as the next is likely to be alike.
 func (r *round) common() {
 	type class struct {
-		need world.Amount
+		need world.Resources
 		sum  float64 // cores of all its tasks
 	}
 	var all []class
 	total := 0.0
 	for _, j := range r.cluster.Jobs {
-		if need := world.Need(&j.Spec); j.Startable() && need.GPUs == 0 {
-			c := class{need, need.CPUs * float64(j.Spec.TaskCount-j.Done)}
+		if need := world.TaskResources(&j.Spec); j.CanStart() && need.GPUs == 0 {
+			c := class{need, need.CPUs * float64(j.Spec.TaskCount-j.DoneCount)}
 			all = append(all, c)
 			total += c.sum
-		} else if j.Startable() {
-			r.commonNeed, r.commonNeedAt = world.Amount{}, r.now // GPUs are what is scarce here
+		} else if j.CanStart() {
+			r.commonNeed, r.commonNeedAt = world.Resources{}, r.now // GPUs are what is scarce here
 			return
 		}
 	}
 	slices.SortFunc(all, func(a, b class) int {
-		return cmp.Or(cmp.Compare(b.need.CPUs, a.need.CPUs), cmp.Compare(b.need.Mem, a.need.Mem))
+		return cmp.Or(cmp.Compare(b.need.CPUs, a.need.CPUs), cmp.Compare(b.need.MemoryGB, a.need.MemoryGB))
 	})
 	sum := 0.0
 	for _, c := range all {
@@ -261,7 +261,7 @@
 	maps.DeleteFunc(r.cachedValues, func(id string, _ cachedValue) bool { return over(id) })
 	maps.DeleteFunc(r.jobBackoffs, func(id string, _ jobBackoff) bool { return over(id) })
 	maps.DeleteFunc(r.ownerWaits, func(id string, _ ownerWait) bool { return over(id) })
-	maps.DeleteFunc(r.unplacedSince, func(id string, _ time.Time) bool { return over(id) || r.cluster.Jobs[id].Pending() == 0 })
+	maps.DeleteFunc(r.unplacedSince, func(id string, _ time.Time) bool { return over(id) || r.cluster.Jobs[id].PendingCount() == 0 })
 	maps.DeleteFunc(r.lastLoggedReason, func(id string, _ time.Time) bool { return over(id) })
 	maps.DeleteFunc(r.gangFormingSince, func(id string, _ time.Time) bool { return over(id) })
 	maps.DeleteFunc(r.tombstones, func(_ string, at time.Time) bool { return r.now.Sub(at) > tuning.BuriedFor })
@@ -280,7 +280,7 @@
 		return nil
 	}
 	after := func(times float64) time.Time {
-		return time.UnixMilli(j.AtMs).Add(config.Seconds(j.Spec.DeadlineSeconds * times))
+		return time.UnixMilli(j.SubmittedAtMs).Add(config.Seconds(j.Spec.DeadlineSeconds * times))
 	}
 	out := []time.Time{after(1)}
 	for _, o := range r.settings.Deployment.Objectives {
@@ -307,7 +307,7 @@
 // the jobs that need it say, the earliest first; none if nobody says any.
 func (r *round) aims(j *world.Job) []time.Time {
 	// A deadline counts from the submission, all else from when the job could start.
-	at, run, aims := j.Since(), r.run(j), r.cutoffs(j)
+	at, run, aims := j.ReadySince(), r.run(j), r.cutoffs(j)
 	for _, o := range r.settings.Deployment.Objectives {
 		switch {
 		case o.Class != j.Spec.Class || o.WithinS <= 0:
@@ -331,7 +331,7 @@
 func (r *round) deadline(j *world.Job) (by time.Time, pressing bool, turn time.Time) {
 	run, aims, never := r.run(j), r.aims(j), r.now.Add(tuning.NoDeadline)
 	if len(aims) == 0 {
-		return j.Since().Add(tuning.NoDeadline), false, never
+		return j.ReadySince().Add(tuning.NoDeadline), false, never
 	}
 	if first, ok := r.reachableObjective[j.Spec.ID]; ok {
 		if i := slices.IndexFunc(aims, func(at time.Time) bool { return !at.Before(first) }); i > 0 {
@@ -352,7 +352,7 @@
 func (r *round) zones(j *world.Job, k int) fit.ZoneConstraint {
 	z := fit.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: math.MaxInt}
 	if j.Spec.Spread {
-		lo, hi := j.Span(k)
+		lo, hi := j.TaskRange(k)
 		z.MaxPerZone = (hi - lo + 1) / 2
 	}
 	if !j.Spec.Spread && !j.Spec.SameZone {
@@ -360,7 +360,7 @@
 	}
 	for i := range j.Spec.TaskCount {
 		t := r.taskState(j, i)
-		if t.State != world.Bound {
+		if t.State != world.TaskBound {
 			continue
 		}
 		m := r.cluster.Machines[t.Machine]
@@ -371,7 +371,7 @@
 		if j.Spec.SameZone {
 			z.PinnedZone = m.Zone
 		}
-		if j.RecordOf(i) == k {
+		if j.ChunkOf(i) == k {
 			z.TasksByZone[m.Zone]++
 		}
 	}
@@ -384,15 +384,15 @@
 func (r *round) place() {
 	s := r.renewStock()
 	r.stock = s
-	if r.committer.Waiting() < tuning.PressedItems || r.now.Sub(r.lastArrayPlacement) > tuning.PressedGap {
+	if r.committer.QueueLength() < tuning.PressedItems || r.now.Sub(r.lastArrayPlacement) > tuning.PressedGap {
 		r.lastArrayPlacement = r.now
 	} else {
 		r.pressed = true
 	}
-	_, _, leads := r.membership.Owns(world.Leader)
+	_, _, leads := r.membership.Owns(world.LeaderShard)
 	r.counts = leads && r.now.Sub(r.demand.At) >= tuning.DemandEvery
 	queue := r.queue(s.HasFreeCapacity())
-	s.FilterFeasible(func(yield func(world.Amount) bool) {
+	s.FilterFeasible(func(yield func(world.Resources) bool) {
 		for i := range queue {
 			if !yield(queue[i].Need) {
 				return
@@ -402,13 +402,13 @@
 	d := Demand{At: r.now}
 	if len(queue) > 0 {
 		s.GroupPending()
-		total := map[string]world.Amount{}
-		for p := range r.cluster.Size {
-			for team, a := range r.cluster.Usage[p] {
-				total[team] = total[team].Plus(a, 1)
+		total := map[string]world.Resources{}
+		for p := range r.cluster.ShardCount {
+			for team, a := range r.cluster.UsageByShard[p] {
+				total[team] = total[team].AddTimes(a, 1)
 			}
 			for team, a := range r.moveP[p] {
-				total[team] = total[team].Plus(a, 1)
+				total[team] = total[team].AddTimes(a, 1)
 			}
 		}
 		for len(queue) > 0 {
@@ -446,7 +446,7 @@
 // dealFirst gives a service that has lost all its replicas room for one, before any has room for
 // its second. One that never had any starts whole: each start alone is a change of its record.
 func (r *round) dealFirst(du *due, s *fit.Inventory) {
-	if du.job.Spec.Kind != wire.KindService || du.job.Bound > 0 || r.taskState(du.job, 0).Attempt == 0 {
+	if du.job.Spec.Kind != wire.KindService || du.job.BoundCount > 0 || r.taskState(du.job, 0).Attempt == 0 {
 		return
 	}
 	rest := du.Remaining - 1
@@ -456,42 +456,42 @@
 }
 
 // admit finds how many tasks of a job wait that its team's limit allows.
-func (r *round) admit(du *due, total map[string]world.Amount) bool {
+func (r *round) admit(du *due, total map[string]world.Resources) bool {
 	j, spec := du.job, &du.job.Spec
 	paused := 0
-	for i := range j.Failing {
+	for i := range j.PendingRetries {
 		if r.paused(j, i) {
 			paused++
 		}
 	}
-	du.Remaining = max(0, j.Pending()-r.moveJ[spec.ID]-paused)
+	du.Remaining = max(0, j.PendingCount()-r.moveJ[spec.ID]-paused)
 	if r.ending[spec.ID] || paused > 0 && spec.Kind == wire.KindGang {
 		du.Remaining = 0 // all or none
 	}
 	du.later = r.pressed && du.rank > wire.PriorityRank(wire.PriorityHigh)
 	if limit, ok := r.quota.Limit(spec.Team); ok {
-		open := limit.Plus(total[spec.Team], -1)
-		open.Mem = tuning.MaxAmount * tuning.MaxTasks
+		open := limit.AddTimes(total[spec.Team], -1)
+		open.MemoryGB = tuning.MaxAmount * tuning.MaxTasks
 		n := fit.TasksThatFit(du.Need, open)
 		if n < du.Remaining {
 			r.waiting(j, "team's limit", nil)
 			du.Remaining = n
 			if spec.Kind == wire.KindGang {
 				du.Remaining = 0
-				if r.now.Sub(j.Since()) > tuning.StarveAfter {
+				if r.now.Sub(j.ReadySince()) > tuning.StarveAfter {
 					total[spec.Team] = limit // narrower ones would keep a wide one out for ever
 				}
 			}
 		}
 	}
-	total[spec.Team] = total[spec.Team].Plus(du.Need, float64(du.Remaining))
+	total[spec.Team] = total[spec.Team].AddTimes(du.Need, float64(du.Remaining))
 	return du.Remaining > 0 // none: not a want of machines
 }
 
 // paused tells whether a task that failed is not to be repeated yet.
 func (r *round) paused(j *world.Job, i int) bool {
-	f, ok := j.Failing[i]
-	return ok && r.now.Sub(f.At) < r.retryRules.Pause(j.Spec.Class, f.Failures)
+	f, ok := j.PendingRetries[i]
+	return ok && r.now.Sub(f.SeenAt) < r.retryRules.Pause(j.Spec.Class, f.Failures)
 }
 
 // deal gives a job's tasks room in the part that the job is dealt to, so that
@@ -556,7 +556,7 @@
 	}
 	wish := fit.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: (spec.TaskCount + 1) / 2}
 	for i := range spec.TaskCount {
-		if t := r.taskState(j, i); t.State == world.Bound && r.cluster.Machines[t.Machine] != nil {
+		if t := r.taskState(j, i); t.State == world.TaskBound && r.cluster.Machines[t.Machine] != nil {
 			wish.TasksByZone[r.cluster.Machines[t.Machine].Zone]++
 		}
 	}
@@ -580,8 +580,8 @@
 	if !j.Spec.Spread {
 		return 0
 	}
-	for k := range j.Records() {
-		if !j.Settled(k) {
+	for k := range j.ChunkCount() {
+		if !j.ChunkFullyAssigned(k) {
 			return k
 		}
 	}
@@ -600,7 +600,7 @@
 	up := s.FittingMachines(&du.Request)
 	gang := spec.Kind == wire.KindGang
 	if !gang {
-		if picks := s.Allocate(&du.Request, up, &z, func(n *fit.MachineInfo) bool { return n.Machine.Part != du.home }); len(picks) > 0 &&
+		if picks := s.Allocate(&du.Request, up, &z, func(n *fit.MachineInfo) bool { return n.Machine.Shard != du.home }); len(picks) > 0 &&
 			(du.rank <= wire.PriorityRank(wire.PriorityHigh) || r.waited(du)) {
 			r.bindOwn(du, k, picks)
 		}
@@ -626,7 +626,7 @@
 		if du.Need.CPUs >= r.commonNeed.CPUs {
 			d.Common = r.commonNeed
 		}
-		d.Groups = append(d.Groups, Group{Spec: spec, Count: du.Remaining, Zone: z.PinnedZone, Rank: du.rank, Since: j.Since()})
+		d.Groups = append(d.Groups, Group{Spec: spec, Count: du.Remaining, Zone: z.PinnedZone, Rank: du.rank, Since: j.ReadySince()})
 	}
 	if (du.assured || du.rank <= wire.PriorityRank(wire.PriorityHigh)) && (!gang || spec.TaskCount == 1) {
 		// What stands on machines coming up in the play takes no zone from what is stopped for it
@@ -647,8 +647,8 @@
 func (r *round) home(du *due) (part int, any bool) {
 	s, best, first := r.stock, -1, r.first(du.job)
 	short := r.tight(du)
-	for p, n := range du.job.Where {
-		if n > 0 && (best < 0 || n > du.job.Where[best]) && (short && r.live[p] || s.ShardFits(&du.Request, p)) {
+	for p, n := range du.job.BoundByShard {
+		if n > 0 && (best < 0 || n > du.job.BoundByShard[best]) && (short && r.live[p] || s.ShardFits(&du.Request, p)) {
 			best = p
 		}
 	}
@@ -679,9 +679,9 @@
 
 // first is the first part in a job's own order whose owner lives.
 func (r *round) first(j *world.Job) int {
-	h := world.PartOf(j.Spec.ID, r.cluster.Size)
-	for i := range r.cluster.Size {
-		if p := (h + i) % r.cluster.Size; r.live[p] {
+	h := world.ShardOf(j.Spec.ID, r.cluster.ShardCount)
+	for i := range r.cluster.ShardCount {
+		if p := (h + i) % r.cluster.ShardCount; r.live[p] {
 			return p
 		}
 	}
@@ -691,7 +691,7 @@
 // waited tells whether the owner of the part that a job was dealt to has had
 // time to take it: if it does not, whoever has room may.
 func (r *round) waited(du *due) bool {
-	id, n := du.job.Spec.ID, du.job.Pending()
+	id, n := du.job.Spec.ID, du.job.PendingCount()
 	w, ok := r.ownerWaits[id]
 	if !ok || w.pending != n || r.now.Sub(w.lastSeen) > tuning.DealHold {
 		w = ownerWait{since: r.now, pending: n} // it moved on, or there was no room in between
@@ -700,7 +700,7 @@
 	r.ownerWaits[id] = w
 	// The parts take turns: at once, all but one would fail for the record's guard.
 	turn := int(r.now.UnixMilli()/tuning.DealHold.Milliseconds()) + r.first(du.job)
-	_, mine := r.tokens[turn%r.cluster.Size]
+	_, mine := r.tokens[turn%r.cluster.ShardCount]
 	hold := tuning.DealHold
 	if r.tight(du) {
 		hold = tuning.DealHoldShort
@@ -722,19 +722,19 @@
 		return
 	}
 	looked := 0
-	start, end := j.Span(chunk)
+	start, end := j.TaskRange(chunk)
 	if !spec.Spread {
 		end = spec.TaskCount
 	}
 	for i := start; i < end && len(picks) > 0 && looked < tuning.JobSlice; i++ {
-		k := j.RecordOf(i)
-		lo, hi := j.Span(k)
-		if i == lo && (j.Settled(k) || r.keysInFlight[j.Key(k)]) {
+		k := j.ChunkOf(i)
+		lo, hi := j.TaskRange(k)
+		if i == lo && (j.ChunkFullyAssigned(k) || r.keysInFlight[j.ChunkKey(k)]) {
 			i = hi - 1 // nothing waits in this record, or it can't be changed now
 			continue
 		}
 		t := r.taskState(j, i)
-		if t.State != world.Idle || r.paused(j, i) {
+		if t.State != world.TaskPending || r.paused(j, i) {
 			continue
 		}
 		if r.recordFull(j, k, 1, picks[0].Machine.Name) {
@@ -746,7 +746,7 @@
 		n := picks[0]
 		part := charge
 		if part < 0 {
-			part = n.Machine.Part
+			part = n.Machine.Shard
 		}
 		if !r.bind(du, i, t.Attempt+1, n, part) {
 			return
@@ -763,12 +763,12 @@
 	if r.ending[j.Spec.ID] {
 		return false // in the same change as its end it would be bound to a job that is over
 	}
-	if j.Waits() || j.Away != nil || !r.ours(j) {
+	if j.HasUnmetDependencies() || j.OffloadedTo != nil || !r.ours(j) {
 		// Every way to a machine comes through here: queues may err, this may not.
 		r.log.Error("a job that waits for others, or is with another cell, was about to start", "job", j.Spec.ID)
 		return false
 	}
-	if j.Spec.Kind != wire.KindGang && r.bound >= tuning.RoundTasks || !r.quota.Allowed(charge, team, r.usage(charge, team).Plus(du.Need, 1)) {
+	if j.Spec.Kind != wire.KindGang && r.bound >= tuning.RoundTasks || !r.quota.Allowed(charge, team, r.usage(charge, team).AddTimes(du.Need, 1)) {
 		r.waiting(j, "its team's grant in this part, or the round is full", n)
 		return false
 	}
@@ -779,16 +779,16 @@
 	}
 	session := max(n.Machine.Session, 1)
 	if n.Owned {
-		session = r.agents.MachineStatus(n.Machine.Name, r.tokens[n.Machine.Part]).Session
+		session = r.agents.MachineStatus(n.Machine.Name, r.tokens[n.Machine.Shard]).Session
 	}
 	ref := world.TaskRef{Job: j.Spec.ID, Index: i}
-	t := world.Task{Index: i, State: world.Bound, Attempt: attempt, Machine: n.Machine.Name, Session: session, Failures: r.taskState(j, i).Failures}
-	if charge != n.Machine.Part {
-		t.Charge = charge + 1
+	t := world.Task{Index: i, State: world.TaskBound, Attempt: attempt, Machine: n.Machine.Name, Session: session, Failures: r.taskState(j, i).Failures}
+	if charge != n.Machine.Shard {
+		t.ChargedShard = charge + 1
 	}
 	ed.tasks[i] = t
 	ed.shards[charge] = true
-	ed.shards[n.Machine.Part] = true
+	ed.shards[n.Machine.Shard] = true
 	ed.encodedSize += maxBindingBytes(n.Machine.Name)
 	b := pendingBinding{ref, n.Machine.Name, charge, team, du.Need}
 	ed.bindings = append(ed.bindings, b)
@@ -815,5 +815,5 @@
 	if n != nil {
 		machine = n.Machine.Name
 	}
-	r.log.Debug("job waits", "job", j.Spec.ID, "why", why, "machine", machine, "pending", j.Pending())
+	r.log.Debug("job waits", "job", j.Spec.ID, "why", why, "machine", machine, "pending", j.PendingCount())
 }
--- a/internal/place/preemption.go
+++ b/internal/place/preemption.go
@@ -22,9 +22,9 @@
 	if r.stops >= tuning.RoundStops || r.rigid[queued.rank].Covers(&queued.Request) {
 		return false
 	}
-	first := (r.first(queued.job) + taskIndex + r.shardRotation(queued)) % r.cluster.Size
-	for offset := range r.cluster.Size {
-		shard := (first + offset) % r.cluster.Size
+	first := (r.first(queued.job) + taskIndex + r.shardRotation(queued)) % r.cluster.ShardCount
+	for offset := range r.cluster.ShardCount {
+		shard := (first + offset) % r.cluster.ShardCount
 		_, owned := r.tokens[shard]
 		limit := 1 // that there is one is all that matters where another node decides
 		if owned {
@@ -74,8 +74,8 @@
 func (r *round) preemptibleTasks(candidate *fit.MachineInfo, queued *due) []preempt.Victim {
 	preemptor := preempt.Preemptor{Rank: queued.rank, WithinGuarantee: queued.assured, GuaranteedOnArrival: r.guaranteedOnArrival[queued.job.Spec.ID], Team: queued.job.Spec.Team, Need: queued.Need}
 	var victims []preempt.Victim
-	for _, binding := range candidate.Machine.Bound {
-		if preemptor.MayPreempt(r.runningJob(binding.Job)) && !binding.Job.Cancelled() && world.Yields(&binding.Job.Spec) && !r.agents.StopRequested(binding) {
+	for _, binding := range candidate.Machine.Bindings {
+		if preemptor.MayPreempt(r.runningJob(binding.Job)) && !binding.Job.Cancelled() && world.TaskPreemptible(&binding.Job.Spec) && !r.agents.StopRequested(binding) {
 			victims = append(victims, preempt.Victim{Binding: binding, Rank: r.rank(binding.Job), LostMachineSeconds: r.lostMachineSeconds(binding, candidate)})
 		}
 	}
@@ -107,7 +107,7 @@
 
 // lostMachineSeconds is the work lost when a task is stopped, in machine seconds.
 func (r *round) lostMachineSeconds(binding world.Binding, candidate *fit.MachineInfo) float64 {
-	task := r.agents.ObserveTask(binding, candidate.Machine.Name, r.tokens[candidate.Machine.Part])
+	task := r.agents.ObserveTask(binding, candidate.Machine.Name, r.tokens[candidate.Machine.Shard])
 	ran := 0.0
 	if task.State == wire.TaskRunning {
 		ran = r.now.Sub(task.Since).Seconds()
--- a/internal/place/reconcile.go
+++ b/internal/place/reconcile.go
@@ -24,20 +24,20 @@
 		return nil
 	}
 	task := r.taskState(binding.Job, binding.Ref.Index)
-	if task.State != world.Bound || task.Attempt != binding.Attempt || task.Machine != machineName {
+	if task.State != world.TaskBound || task.Attempt != binding.Attempt || task.Machine != machineName {
 		return nil
 	}
 	released := world.Task{Index: binding.Ref.Index, State: state, Attempt: binding.Attempt}
-	if state != world.Done {
+	if state != world.TaskDone {
 		released.Failures = task.Failures
 	}
 	edit.tasks[binding.Ref.Index] = released
 	// A gang's tasks end together, also those in other nodes' parts: there the
 	// job's record alone is the guard, as this node doesn't own the part.
-	if shard := world.PartOf(machineName, r.cluster.Size); r.stamps[shard] != 0 {
+	if shard := world.ShardOf(machineName, r.cluster.ShardCount); r.stamps[shard] != 0 {
 		edit.shards[shard] = true
 	}
-	r.ended(binding, state == world.Done, machineName)
+	r.ended(binding, state == world.TaskDone, machineName)
 	r.log.Debug("task leaves machine", "task", binding.Ref, "attempt", binding.Attempt, "machine", machineName, "why", reason)
 	return edit
 }
@@ -65,7 +65,7 @@
 		if machine == nil {
 			continue
 		}
-		token, owned := r.tokens[machine.Part]
+		token, owned := r.tokens[machine.Shard]
 		if !owned {
 			continue
 		}
@@ -73,10 +73,10 @@
 		if status := r.agents.MachineStatus(name, token); !status.ReclaimAt.IsZero() {
 			r.evacuateMachine(machine)
 		}
-		deleted := (machine.Gone || machine.Drain) && r.deletedMachines[name]
-		for _, binding := range machine.Bound {
+		deleted := (machine.Deleting || machine.Draining) && r.deletedMachines[name]
+		for _, binding := range machine.Bindings {
 			if deleted {
-				r.releaseTask(binding, name, world.Idle, "machine deleted")
+				r.releaseTask(binding, name, world.TaskPending, "machine deleted")
 				continue
 			}
 			r.reconcileTask(binding, name, token)
@@ -84,26 +84,26 @@
 		if r.blocked || deleted {
 			r.machinesToReconcile[name] = struct{}{}
 		}
-		if deleted && len(machine.Bound) == 0 && machine.Stamp != 0 && !r.cluster.Rented(name) && !r.keysInFlight[world.MachineKey(name)] {
+		if deleted && len(machine.Bindings) == 0 && machine.ModRevision != 0 && !r.cluster.ListedInRental(name) && !r.keysInFlight[world.MachineKey(name)] {
 			r.out = append(r.out, &recordChange{
-				description: "forget machine " + name, keys: []string{world.MachineKey(name)}, shards: []int{machine.Part},
-				transaction: store.Item{
-					Guards: []wire.Condition{{Key: world.PartKey(machine.Part), ModRevision: r.stamps[machine.Part]}, {Key: world.MachineKey(name), ModRevision: machine.Stamp}},
-					Ops:    []wire.Op{store.Drop(world.MachineKey(name))},
-					Lazy:   true, // its record says that it is being deleted, so nobody counts on it
+				description: "forget machine " + name, keys: []string{world.MachineKey(name)}, shards: []int{machine.Shard},
+				transaction: store.Transaction{
+					Conditions: []wire.Condition{{Key: world.ShardKey(machine.Shard), ModRevision: r.stamps[machine.Shard]}, {Key: world.MachineKey(name), ModRevision: machine.ModRevision}},
+					Ops:        []wire.Op{store.DeleteOp(world.MachineKey(name))},
+					Background: true, // its record says that it is being deleted, so nobody counts on it
 				},
 			})
 		}
 	}
-	for name, bindings := range r.cluster.Orphans {
-		if _, owned := r.tokens[world.PartOf(name, r.cluster.Size)]; owned && r.deletedMachines[name] {
+	for name, bindings := range r.cluster.OrphanBindings {
+		if _, owned := r.tokens[world.ShardOf(name, r.cluster.ShardCount)]; owned && r.deletedMachines[name] {
 			for _, binding := range bindings {
-				r.releaseTask(binding, name, world.Idle, "machine deleted")
+				r.releaseTask(binding, name, world.TaskPending, "machine deleted")
 			}
 		}
 	}
 	for name := range r.deletedMachines {
-		if r.cluster.Machines[name] == nil && r.cluster.Orphans[name] == nil {
+		if r.cluster.Machines[name] == nil && r.cluster.OrphanBindings[name] == nil {
 			delete(r.deletedMachines, name)
 		}
 	}
@@ -139,7 +139,7 @@
 	switch {
 	case decision.WholeGang:
 		for taskIndex := range spec.TaskCount {
-			if other := r.taskState(binding.Job, taskIndex); other.State == world.Bound && other.Attempt == binding.Attempt {
+			if other := r.taskState(binding.Job, taskIndex); other.State == world.TaskBound && other.Attempt == binding.Attempt {
 				r.releaseTask(world.Binding{Ref: world.TaskRef{Job: spec.ID, Index: taskIndex}, Job: binding.Job, Attempt: other.Attempt, Session: other.Session}, other.Machine, decision.NextState, "done with its gang")
 			}
 		}
@@ -153,7 +153,7 @@
 	if spec.Kind != wire.KindGang || task.Presence == fleet.PresenceExited || task.Presence == fleet.PresenceSessionEnded {
 		return
 	}
-	if binding.Job.Yield == binding.Attempt {
+	if binding.Job.PreemptedAttempt == binding.Attempt {
 		r.agents.RequestStop(binding, machineName, stopGraceSeconds(spec))
 	}
 	if !r.agents.StopRequested(binding) && r.gangBroken(binding) {
@@ -194,7 +194,7 @@
 // left every machine, where no change of a single record could end them. Only
 // the leader does so; it also sweeps chunks left by long jobs.
 func (r *round) finishJobs() {
-	if _, _, leads := r.membership.Owns(world.Leader); !leads {
+	if _, _, leads := r.membership.Owns(world.LeaderShard); !leads {
 		return
 	}
 	for id, job := range r.cluster.Jobs {
@@ -202,23 +202,23 @@
 		if r.keysInFlight[key] {
 			continue
 		}
-		if job.Spec.Kind == wire.KindGang && job.Done > 0 && job.Bound == 0 && job.Known && !job.Complete() && !job.Cancelled() {
+		if job.Spec.Kind == wire.KindGang && job.DoneCount > 0 && job.BoundCount == 0 && job.HasRecord && !job.Complete() && !job.Cancelled() {
 			r.completeGang(job)
 			continue
 		}
 		var ops []wire.Op
-		condition := wire.Condition{Key: key, ModRevision: job.Stamp}
+		condition := wire.Condition{Key: key, ModRevision: job.ModRevision}
 		switch {
-		case !job.Known:
+		case !job.HasRecord:
 			ops, condition.ModRevision = r.deleteRecordOps(job, 0), 0
 		case job.Complete():
-			ops = r.finalOps(job, wire.JobDone, job.Done)
+			ops = r.finalOps(job, wire.JobDone, job.DoneCount)
 		// No task can be bound after the cancellation, and the view holds all before it.
-		case job.Cancelled() && job.Left() && r.membership.Seen(job.Stamp):
-			ops = r.finalOps(job, job.Ending(), job.Done)
+		case job.Cancelled() && job.FullyReleased() && r.membership.HasReached(job.ModRevision):
+			ops = r.finalOps(job, job.CancelledStatus(), job.DoneCount)
 		}
 		if len(ops) > 0 {
-			r.out = append(r.out, &recordChange{description: "finish " + id, keys: []string{key}, transaction: store.Item{Guards: []wire.Condition{condition}, Ops: ops}})
+			r.out = append(r.out, &recordChange{description: "finish " + id, keys: []string{key}, transaction: store.Transaction{Conditions: []wire.Condition{condition}, Ops: ops}})
 		}
 	}
 }
@@ -229,13 +229,13 @@
 // gang once stood still for ever, since its last attempt looked as if it had not left.
 func (r *round) completeGang(job *world.Job) {
 	for taskIndex := range job.Spec.TaskCount {
-		if task := r.taskState(job, taskIndex); task.State == world.Idle {
+		if task := r.taskState(job, taskIndex); task.State == world.TaskPending {
 			if edit := r.editRecord(job, taskIndex); edit != nil {
-				edit.tasks[taskIndex] = world.Task{Index: taskIndex, State: world.Done, Attempt: task.Attempt}
+				edit.tasks[taskIndex] = world.Task{Index: taskIndex, State: world.TaskDone, Attempt: task.Attempt}
 			}
 		}
 	}
-	r.log.Info("gang completed by the report of some of its tasks", "job", job.Spec.ID, "done", job.Done, "tasks", job.Spec.TaskCount)
+	r.log.Info("gang completed by the report of some of its tasks", "job", job.Spec.ID, "done", job.DoneCount, "tasks", job.Spec.TaskCount)
 }
 
 // adoptMachines records machines that reported and whose records are missing or behind.
@@ -249,10 +249,10 @@
 	})
 	for _, name := range names {
 		report := reports[name]
-		shard := world.PartOf(name, r.cluster.Size)
+		shard := world.ShardOf(name, r.cluster.ShardCount)
 		key := world.MachineKey(name)
 		machine := r.cluster.Machines[name]
-		if _, owned := r.stamps[shard]; !owned || r.keysInFlight[key] || machine != nil && machine.Gone {
+		if _, owned := r.stamps[shard]; !owned || r.keysInFlight[key] || machine != nil && machine.Deleting {
 			continue
 		}
 		// A report that a cut has held back may come long after its machine was deleted:
@@ -260,10 +260,10 @@
 		if _, tombstone := r.tombstones[name]; machine == nil && tombstone {
 			continue
 		}
-		machineRecord := world.MachineRecord{AtMs: r.now.UnixMilli()}
+		machineRecord := world.MachineRecord{CreatedAtMs: r.now.UnixMilli()}
 		var modRevision uint64
 		if machine != nil {
-			machineRecord, modRevision = machine.MachineRecord, machine.Stamp
+			machineRecord, modRevision = machine.MachineRecord, machine.ModRevision
 		} else {
 			r.log.Info("adopting a machine", "machine", name, "type", report.MachineType, "zone", report.Zone)
 		}
@@ -281,7 +281,7 @@
 		// session can't: others bind gangs and services to the one on record, which
 		// this node ends at once, and both over and over. After a zone's leases had run
 		// out that used up the whole budget, so that the records were never mended.
-		transaction.Urgent, transaction.Lazy = newSession, machine != nil && !newSession
+		transaction.Urgent, transaction.Background = newSession, machine != nil && !newSession
 	}
 }
 
@@ -289,7 +289,7 @@
 // that can save do so, services start again elsewhere at once. What can't save
 // may still end in time, and a gang of several tasks must be stopped as a whole.
 func (r *round) evacuateMachine(machine *world.Machine) {
-	for _, binding := range machine.Bound {
+	for _, binding := range machine.Bindings {
 		spec := &binding.Job.Spec
 		switch {
 		case r.agents.StopRequested(binding):
@@ -310,24 +310,24 @@
 // gang's saves must begin.
 func (r *round) requestGangStop(binding world.Binding, machine *world.Machine) {
 	key := world.JobKey(binding.Ref.Job)
-	if binding.Job.Yield == binding.Attempt || r.keysInFlight[key] || r.edits[recordKey{binding.Job, 0}] != nil || r.needsMigration(binding.Job) {
+	if binding.Job.PreemptedAttempt == binding.Attempt || r.keysInFlight[key] || r.edits[recordKey{binding.Job, 0}] != nil || r.needsMigration(binding.Job) {
 		return
 	}
 	r.keysInFlight[key] = true
 	marked := *binding.Job
-	marked.Yield = binding.Attempt
-	op := marked.Encode(0, nil)
+	marked.PreemptedAttempt = binding.Attempt
+	op := marked.EncodeChunk(0, nil)
 	r.out = append(r.out, &recordChange{
-		description: "stop gang " + binding.Ref.Job, keys: []string{key}, shards: []int{machine.Part},
-		transaction: store.Item{
-			Guards: []wire.Condition{{Key: key, ModRevision: binding.Job.Stamp}, {Key: world.PartKey(machine.Part), ModRevision: r.stamps[machine.Part]}},
-			Ops:    []wire.Op{op}, Urgent: true,
+		description: "stop gang " + binding.Ref.Job, keys: []string{key}, shards: []int{machine.Shard},
+		transaction: store.Transaction{
+			Conditions: []wire.Condition{{Key: key, ModRevision: binding.Job.ModRevision}, {Key: world.ShardKey(machine.Shard), ModRevision: r.stamps[machine.Shard]}},
+			Ops:        []wire.Op{op}, Urgent: true,
 		},
 	})
 }
 
 func (r *round) hasStoppingTask(machine *world.Machine) bool {
-	for _, binding := range machine.Bound {
+	for _, binding := range machine.Bindings {
 		if r.agents.StopRequested(binding) {
 			return true
 		}
--- a/internal/place/recordchange.go
+++ b/internal/place/recordchange.go
@@ -20,8 +20,8 @@
 	stamps  map[int]uint64
 	edits   map[recordKey]*recordEdit
 	out     []*recordChange
-	moveM   map[string]world.Amount // on their way, by machine
-	moveP   map[int]map[string]world.Amount
+	moveM   map[string]world.Resources // on their way, by machine
+	moveP   map[int]map[string]world.Resources
 	moveJ   map[string]int // tasks on their way, by job
 	live    []bool         // parts whose owner lives
 	bound   int
@@ -62,24 +62,24 @@
 
 func (e *Engine) newCycle(now time.Time) *round {
 	c := &round{Engine: e, now: now, tokens: map[int]uint64{}, stamps: map[int]uint64{}, edits: map[recordKey]*recordEdit{}, gangs: map[gangAttempt]bool{}, ending: map[string]bool{},
-		moveM: map[string]world.Amount{}, moveP: map[int]map[string]world.Amount{}, moveJ: map[string]int{},
-		live: make([]bool, e.cluster.Size), freeing: make(map[world.TaskRef]bool, len(e.reservations))}
+		moveM: map[string]world.Resources{}, moveP: map[int]map[string]world.Resources{}, moveJ: map[string]int{},
+		live: make([]bool, e.cluster.ShardCount), freeing: make(map[world.TaskRef]bool, len(e.reservations))}
 	for _, reservation := range e.reservations {
 		c.freeing[reservation.task] = true
 	}
-	for shard := range e.cluster.Size {
+	for shard := range e.cluster.ShardCount {
 		_, c.live[shard] = e.membership.OwnerOf(shard)
-		c.moveP[shard] = map[string]world.Amount{}
+		c.moveP[shard] = map[string]world.Resources{}
 		if token, modRevision, ok := e.membership.Owns(shard); ok {
 			c.tokens[shard], c.stamps[shard] = token, modRevision
 			if _, known := e.shardOwnedSince[shard]; !known {
 				e.shardOwnedSince[shard] = now
 				// A new owner hears of its machines at once rather than at their next report.
-				for _, machine := range e.cluster.ByPart[shard] {
+				for _, machine := range e.cluster.MachinesByShard[shard] {
 					e.agents.RequestDispatch(machine.Name)
 				}
 			}
-		} else if _, entitled := e.membership.Entitled(shard); !entitled {
+		} else if _, entitled := e.membership.MayServeAgents(shard); !entitled {
 			delete(e.shardOwnedSince, shard)
 		}
 	}
@@ -92,21 +92,21 @@
 }
 
 func (r *round) addInFlight(binding pendingBinding) {
-	r.moveM[binding.machine] = r.moveM[binding.machine].Plus(binding.need, 1)
-	r.moveP[binding.chargedShard][binding.team] = r.moveP[binding.chargedShard][binding.team].Plus(binding.need, 1)
+	r.moveM[binding.machine] = r.moveM[binding.machine].AddTimes(binding.need, 1)
+	r.moveP[binding.chargedShard][binding.team] = r.moveP[binding.chargedShard][binding.team].AddTimes(binding.need, 1)
 	r.moveJ[binding.task.Job]++
 }
 
 // usage is what a team's tasks of a part take, those on their way included.
-func (r *round) usage(shard int, team string) world.Amount {
-	return r.cluster.Usage[shard][team].Plus(r.moveP[shard][team], 1)
+func (r *round) usage(shard int, team string) world.Resources {
+	return r.cluster.UsageByShard[shard][team].AddTimes(r.moveP[shard][team], 1)
 }
 
 // editRecord opens the record that holds a task; nil while a change of it is on its
 // way, or while it has to be moved first.
 func (r *round) editRecord(job *world.Job, taskIndex int) *recordEdit {
-	recordIndex := job.RecordOf(taskIndex)
-	if _, ok := r.rejectedUntil[job.Key(recordIndex)]; ok || r.keysInFlight[job.Key(recordIndex)] || recordIndex > 0 && r.keysInFlight[job.Key(0)] && job.Spec.SameZone || r.needsMigration(job) {
+	recordIndex := job.ChunkOf(taskIndex)
+	if _, ok := r.rejectedUntil[job.ChunkKey(recordIndex)]; ok || r.keysInFlight[job.ChunkKey(recordIndex)] || recordIndex > 0 && r.keysInFlight[job.ChunkKey(0)] && job.Spec.SameZone || r.needsMigration(job) {
 		return nil
 	}
 	edit := r.edits[recordKey{job, recordIndex}]
@@ -120,7 +120,7 @@
 // needsMigration tells whether a job's records have to be moved before they are written
 // again, and asks for it.
 func (r *round) needsMigration(job *world.Job) bool {
-	if r.cluster.Level < tuning.LevelPipelines || !job.Outgrows(r.cluster.Fit(r.committer.Room())) {
+	if r.cluster.SchemaVersion < tuning.LevelPipelines || !job.NeedsMigration(r.cluster.SizeLimits(r.committer.MaxRecordBytes())) {
 		return false
 	}
 	r.jobsToMigrate[job.Spec.ID] = true
@@ -133,8 +133,8 @@
 // recordFull tells whether a record has no room for so many more bound tasks. Without
 // the check a state service with a small limit would refuse the record over and over.
 func (r *round) recordFull(job *world.Job, recordIndex, added int, machine string) bool {
-	limit := r.committer.Room()
-	if r.cluster.Fit(limit).Holds(&job.Spec, job.Bare) {
+	limit := r.committer.MaxRecordBytes()
+	if r.cluster.SizeLimits(limit).FixedChunksFit(&job.Spec, job.EncodedBaseSize) {
 		return false
 	}
 	edit := r.edits[recordKey{job, recordIndex}]
@@ -142,14 +142,14 @@
 		edit = &recordEdit{} // nothing of it has changed in this round
 	}
 	if edit.encodedSize == 0 {
-		edit.encodedSize = job.Size(recordIndex, edit.tasks)
+		edit.encodedSize = job.MaxChunkSize(recordIndex, edit.tasks)
 	}
 	return edit.encodedSize+added*maxBindingBytes(machine) > limit
 }
 
 // taskState is a task's state with this round's changes.
 func (r *round) taskState(job *world.Job, taskIndex int) world.Task {
-	if edit := r.edits[recordKey{job, job.RecordOf(taskIndex)}]; edit != nil {
+	if edit := r.edits[recordKey{job, job.ChunkOf(taskIndex)}]; edit != nil {
 		if task, ok := edit.tasks[taskIndex]; ok {
 			return task
 		}
@@ -160,20 +160,20 @@
 // finalOps gives the ops that turn a job's records into its final one.
 func (r *round) finalOps(job *world.Job, status string, done int) []wire.Op {
 	id := job.Spec.ID
-	if guest := job.Guest; guest != nil {
+	if guest := job.OffloadedFrom; guest != nil {
 		// Its home alone answers its user, and is told from this until it has it.
-		record := world.OverRecord{Job: id, Status: status, Done: done}
-		ops := []wire.Op{store.Set(world.OverKey(guest.Cell, guest.Number), record), store.Drop(world.JobKey(id))}
+		record := world.GuestOutcomeRecord{JobID: id, Status: status, DoneCount: done}
+		ops := []wire.Op{store.PutOp(world.GuestOutcomeKey(guest.Cell, guest.Number), record), store.DeleteOp(world.JobKey(id))}
 		return append(ops, r.deleteRecordOps(job, len(ops))...)
 	}
-	ops := job.Final(status, done, r.now.UnixMilli())
+	ops := job.FinalizeOps(status, done, r.now.UnixMilli())
 	return append(ops, r.deleteRecordOps(job, len(ops))...)
 }
 
 // deleteRecordOps removes as many of a job's further records as a transaction with so many
 // changes has room for; what stays is swept later.
 func (r *round) deleteRecordOps(job *world.Job, opCount int) []wire.Op {
-	return job.DropFurther(r.committer.TxnOps() - opCount)
+	return job.DeleteFurtherChunks(r.committer.MaxTransactionOps() - opCount)
 }
 
 // buildChanges turns the edits into changes.
@@ -201,87 +201,87 @@
 // maxRecordsPerTxn is how many records of a job one transaction may write, with the job's
 // own beside them.
 func (r *round) maxRecordsPerTxn(job *world.Job) int {
-	if job.Width == 0 {
-		return min(tuning.GangRecords, r.committer.TxnOps()-1)
+	if job.ChunkWidth == 0 {
+		return min(tuning.GangRecords, r.committer.MaxTransactionOps()-1)
 	}
-	return min(tuning.TxnBytes/max(r.committer.Room(), 1), r.committer.TxnOps()-1)
+	return min(tuning.TxnBytes/max(r.committer.MaxRecordBytes(), 1), r.committer.MaxTransactionOps()-1)
 }
 
 func (r *round) emitChange(id string, job *world.Job, edits []*recordEdit) {
 	change := &recordChange{description: "tasks of " + id}
-	shards, done, bound, writesJobRecord := map[int]bool{}, job.Done, job.Bound, false
+	shards, done, bound, writesJobRecord := map[int]bool{}, job.DoneCount, job.BoundCount, false
 	failsJob := slices.ContainsFunc(edits, func(edit *recordEdit) bool { return edit.failsJob })
 	if failsJob {
 		// Marked as cancelled, so that all that holds for such jobs holds: nothing starts
 		// any more, what runs is stopped, what awaits it falls.
 		failed := *job
-		failed.CancelMs, failed.Certain, failed.Failed = max(r.now.UnixMilli(), 1), true, true
+		failed.CancelledAtMs, failed.CancelAfterRelease, failed.Failed = max(r.now.UnixMilli(), 1), true, true
 		job = &failed
 	}
 	conditions := map[string]uint64{}
 	for _, edit := range edits {
 		for taskIndex, task := range edit.tasks {
 			switch old := job.Task(taskIndex); old.State {
-			case world.Bound:
+			case world.TaskBound:
 				bound--
-			case world.Done:
+			case world.TaskDone:
 				done--
 			}
 			switch task.State {
-			case world.Bound:
+			case world.TaskBound:
 				bound++
-			case world.Done:
+			case world.TaskDone:
 				done++
 			}
 		}
 		maps.Copy(shards, edit.shards)
-		for _, condition := range job.ChunkGuards(edit.recordIndex) {
+		for _, condition := range job.ChunkConditions(edit.recordIndex) {
 			conditions[condition.Key] = condition.ModRevision
 		}
-		op := job.Encode(edit.recordIndex, edit.tasks)
+		op := job.EncodeChunk(edit.recordIndex, edit.tasks)
 		change.transaction.Ops = append(change.transaction.Ops, op)
 		change.keys = append(change.keys, op.PutKey)
 		change.bindings = append(change.bindings, edit.bindings...)
 		writesJobRecord = writesJobRecord || edit.recordIndex == 0
 	}
-	onlyRecord := len(job.Further()) == 0 && job.Records() == 1
+	onlyRecord := len(job.FurtherChunkKeys()) == 0 && job.ChunkCount() == 1
 	switch {
 	case onlyRecord && done == job.Spec.TaskCount:
 		change.transaction.Ops = r.finalOps(job, wire.JobDone, done)
 	case onlyRecord && job.Cancelled() && bound == 0:
-		change.transaction.Ops = r.finalOps(job, job.Ending(), done)
+		change.transaction.Ops = r.finalOps(job, job.CancelledStatus(), done)
 	case !writesJobRecord && (failsJob || !onlyRecord && job.Spec.SameZone && len(change.bindings) > 0):
 		// The mark stands in the job's own record; and bindings of different records must
 		// not choose different zones at once.
-		op := job.Encode(0, nil)
+		op := job.EncodeChunk(0, nil)
 		change.transaction.Ops = append(change.transaction.Ops, op)
 		change.keys = append(change.keys, op.PutKey)
 	}
 	for _, shard := range slices.Sorted(maps.Keys(shards)) {
 		if modRevision, owned := r.stamps[shard]; owned {
 			change.shards = append(change.shards, shard)
-			conditions[world.PartKey(shard)] = modRevision
+			conditions[world.ShardKey(shard)] = modRevision
 		} else {
 			// A gang's machine in another node's part, while that node owns it.
-			conditions[world.PartKey(shard)] = r.cluster.Parts[shard].Stamp
+			conditions[world.ShardKey(shard)] = r.cluster.Shards[shard].ModRevision
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(conditions)) {
-		change.transaction.Guards = append(change.transaction.Guards, wire.Condition{Key: key, ModRevision: conditions[key]})
+		change.transaction.Conditions = append(change.transaction.Conditions, wire.Condition{Key: key, ModRevision: conditions[key]})
 	}
 	change.transaction.Urgent = job.Spec.Priority == wire.PriorityProduction
-	change.transaction.Soon = r.rank(job) <= wire.PriorityRank(wire.PriorityHigh)
+	change.transaction.HighPriority = r.rank(job) <= wire.PriorityRank(wire.PriorityHigh)
 	r.out = append(r.out, change)
 }
 
 // updateMachineRecord adds a change of a machine's record, and gives it for its place in the queue.
-func (r *round) updateMachineRecord(description, name string, shard int, machineRecord world.MachineRecord, modRevision uint64) *store.Item {
+func (r *round) updateMachineRecord(description, name string, shard int, machineRecord world.MachineRecord, modRevision uint64) *store.Transaction {
 	key := world.MachineKey(name)
 	change := &recordChange{
 		description: description, keys: []string{key}, shards: []int{shard}, harmlessWhenLate: true,
-		transaction: store.Item{
-			Guards: []wire.Condition{{Key: world.PartKey(shard), ModRevision: r.stamps[shard]}, {Key: key, ModRevision: modRevision}},
-			Ops:    []wire.Op{store.Set(key, machineRecord)},
+		transaction: store.Transaction{
+			Conditions: []wire.Condition{{Key: world.ShardKey(shard), ModRevision: r.stamps[shard]}, {Key: key, ModRevision: modRevision}},
+			Ops:        []wire.Op{store.PutOp(key, machineRecord)},
 		},
 	}
 	r.out = append(r.out, change)
--- a/internal/place/scale_test.go
+++ b/internal/place/scale_test.go
@@ -17,7 +17,7 @@
 		name := f.addMachine(i, i%2 == 0)
 		if i%5 != 0 {
 			s := gangSpec(1000000+i, 1)
-			f.addJob(s, world.Task{State: world.Bound, Attempt: 1, Machine: name, Session: 1})
+			f.addJob(s, world.Task{State: world.TaskBound, Attempt: 1, Machine: name, Session: 1})
 		}
 	}
 	for i := range n / 8 {
@@ -47,7 +47,7 @@
 			f := crowd(b, n)
 			for i := 0; i < n; i += 5 {
 				s := gangSpec(1000000+i, 1)
-				f.addJob(s, world.Task{State: world.Bound, Attempt: 1, Machine: fmt.Sprintf("vm-%06d", i), Session: 1})
+				f.addJob(s, world.Task{State: world.TaskBound, Attempt: 1, Machine: fmt.Sprintf("vm-%06d", i), Session: 1})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -69,7 +69,7 @@
 					continue
 				}
 				name := fmt.Sprintf("vm-%06d", i)
-				f.put(world.MachineKey(name), world.MachineRecord{Type: "m", Zone: testZones[i%len(testZones)], Spot: i%2 == 0, AtMs: testNow.UnixMilli()})
+				f.put(world.MachineKey(name), world.MachineRecord{Type: "m", Zone: testZones[i%len(testZones)], Spot: i%2 == 0, CreatedAtMs: testNow.UnixMilli()})
 			}
 			for i := range n / 6 {
 				s := arraySpec(i, 40)
--- a/internal/place/scheduler_test.go
+++ b/internal/place/scheduler_test.go
@@ -34,7 +34,7 @@
 
 // testCluster is a view of a region that several nodes share, each with an engine.
 type testCluster struct {
-	cluster  *world.World
+	cluster  *world.State
 	engines  []*Engine
 	agents   []*fleet.Registry
 	revision uint64
@@ -53,10 +53,10 @@
 	}
 	fixture.put("s/catalog", wire.Catalog{Types: []wire.MachineType{testType}})
 	for i, node := range nodes {
-		fixture.cluster.Nodes[node] = world.Node{NodeRecord: world.NodeRecord{Inc: 1}}
-		fixture.cluster.Parts[i] = world.Part{PartRecord: world.PartRecord{Owner: node, Inc: 1, Token: 7}}
+		fixture.cluster.Nodes[node] = world.Node{NodeRecord: world.NodeRecord{Incarnation: 1}}
+		fixture.cluster.Shards[i] = world.Shard{ShardRecord: world.ShardRecord{Owner: node, Incarnation: 1, FencingToken: 7}}
 	}
-	fixture.cluster.Parts[world.Leader] = world.Part{PartRecord: world.PartRecord{Owner: nodes[0], Inc: 1, Token: 7}}
+	fixture.cluster.Shards[world.LeaderShard] = world.Shard{ShardRecord: world.ShardRecord{Owner: nodes[0], Incarnation: 1, FencingToken: 7}}
 	for _, node := range nodes {
 		settings := &config.Settings{Node: node}
 		deployment := &settings.Deployment
@@ -64,9 +64,9 @@
 		deployment.Teams = []config.Team{{Name: "t"}}
 		deployment.Workers.ReportS, deployment.Workers.LeaseS, deployment.Workers.CancelS = 8, 45, 65
 		deployment.State.TxnOps = 32
-		client := store.NewClient("127.0.0.1:1", store.Limits{RPS: 1, WriteRPS: 1, ValueKB: 16, TxnOps: 32}, nil)
+		client := store.NewClient("127.0.0.1:1", store.Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxValueKiB: 16, MaxTransactionOps: 32}, nil)
 		committer := store.NewCommitter(client, func([]wire.Op, uint64) {})
-		cache := store.NewCache(client, world.Root, fixture.cluster, log)
+		cache := store.NewWatchCache(client, world.LivePrefix, fixture.cluster, log)
 		members := member.New(node, 1, nodes, tuning.Level, client, committer, cache, fixture.cluster, log)
 		agents := fleet.New(settings, fixture.cluster, members, func() time.Time { return testNow }, log, nil)
 		fixture.agents = append(fixture.agents, agents)
@@ -79,23 +79,23 @@
 
 func (fixture *testCluster) put(key string, value any) {
 	fixture.revision++
-	fixture.cluster.Begin()
+	fixture.cluster.BeginUpdate()
 	fixture.cluster.Put(key, wire.MustEncode(value), fixture.revision)
-	fixture.cluster.Flush()
+	fixture.cluster.EndUpdate()
 }
 
 // addMachine adds a machine that is up and has reported to its part's owner.
 func (fixture *testCluster) addMachine(index int, spot bool) string {
 	name := fmt.Sprintf("vm-%06d", index)
-	machineRecord := world.MachineRecord{Type: "m", Zone: testZones[index%len(testZones)], Spot: spot, Address: "10.1.0.1:9000", AtMs: 1, Up: true}
+	machineRecord := world.MachineRecord{Type: "m", Zone: testZones[index%len(testZones)], Spot: spot, Address: "10.1.0.1:9000", CreatedAtMs: 1, Up: true}
 	fixture.put(world.MachineKey(name), machineRecord)
-	fixture.agents[world.PartOf(name, testShards)].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: machineRecord.Address, MachineType: "m", Zone: machineRecord.Zone, Spot: spot, Session: 1, Sequence: 1, FencingToken: 7})
+	fixture.agents[world.ShardOf(name, testShards)].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: machineRecord.Address, MachineType: "m", Zone: machineRecord.Zone, Spot: spot, Session: 1, Sequence: 1, FencingToken: 7})
 	return name
 }
 
 func (fixture *testCluster) addJob(spec wire.JobSpec, tasks ...world.Task) {
 	spec.Team, spec.Class = "t", "c"
-	fixture.put(world.JobKey(spec.ID), world.JobRecord{Spec: spec, AtMs: testNow.UnixMilli(), Tasks: tasks})
+	fixture.put(world.JobKey(spec.ID), world.JobRecord{Spec: spec, SubmittedAtMs: testNow.UnixMilli(), Tasks: tasks})
 }
 
 // runCycle plays one node's placement and gives what it bound.
@@ -128,7 +128,7 @@
 	var tasks []world.Task
 	for i := range machines {
 		name := fixture.addMachine(i, false)
-		tasks = append(tasks, world.Task{Index: i % 100, State: world.Bound, Attempt: 1, Machine: name, Session: 1})
+		tasks = append(tasks, world.Task{Index: i % 100, State: world.TaskBound, Attempt: 1, Machine: name, Session: 1})
 		if len(tasks) == 100 {
 			spec := gangSpec(100000+i, 100)
 			spec.SameZone = false
@@ -175,7 +175,7 @@
 				}
 			}
 			for _, b := range bound {
-				if world.PartOf(b.machine, testShards) != i {
+				if world.ShardOf(b.machine, testShards) != i {
 					t.Errorf("node %d binds %s", i, b.machine)
 				}
 			}
@@ -200,7 +200,7 @@
 			zone[name] = testZones[i%len(testZones)]
 			if rapid.IntRange(0, 2).Draw(t, "used") == 0 {
 				spec := arraySpec(5000+i, 1)
-				fixture.addJob(spec, world.Task{State: world.Bound, Attempt: 1, Machine: name, Session: 1})
+				fixture.addJob(spec, world.Task{State: world.TaskBound, Attempt: 1, Machine: name, Session: 1})
 			} else {
 				free[zone[name]]++
 			}
@@ -220,7 +220,7 @@
 			total += len(bound)
 			seen := map[string]bool{}
 			guards := map[string]bool{}
-			for _, g := range c.out[0].transaction.Guards {
+			for _, g := range c.out[0].transaction.Conditions {
 				guards[g.Key] = true
 			}
 			for _, b := range bound {
@@ -228,7 +228,7 @@
 					t.Errorf("%s twice or in another zone", b.machine)
 				}
 				seen[b.machine] = true
-				if !guards[world.PartKey(world.PartOf(b.machine, testShards))] || !guards[world.PartKey(b.chargedShard)] {
+				if !guards[world.ShardKey(world.ShardOf(b.machine, testShards))] || !guards[world.ShardKey(b.chargedShard)] {
 					t.Errorf("no guard for the parts of %v: %v", b, guards)
 				}
 				if b.chargedShard != i {
@@ -250,7 +250,7 @@
 		fixture.addMachine(i, false)
 	}
 	engine := fixture.engines[0]
-	engine.machinesToReconcile = engine.changeFeed.Machines()
+	engine.machinesToReconcile = engine.changeFeed.TakeMachines()
 	fixture.cluster.RLock()
 	c := engine.newCycle(testNow)
 	c.reconcileMachines()
@@ -267,7 +267,7 @@
 func TestNewOwnerKeepsRunningMachines(t *testing.T) {
 	fixture := newTestCluster(t)
 	for i := range 40 {
-		fixture.put(world.MachineKey(fmt.Sprintf("vm-%06d", i)), world.MachineRecord{Type: "m", Zone: "east", AtMs: 1})
+		fixture.put(world.MachineKey(fmt.Sprintf("vm-%06d", i)), world.MachineRecord{Type: "m", Zone: "east", CreatedAtMs: 1})
 	}
 	for _, owned := range []time.Duration{time.Second, time.Hour} {
 		deleted := 0
@@ -294,7 +294,7 @@
 		name := fixture.addMachine(i, i%2 == 0)
 		if i%5 != 0 {
 			spec := gangSpec(100000+i, 1)
-			fixture.addJob(spec, world.Task{State: world.Bound, Attempt: 1, Machine: name, Session: 1})
+			fixture.addJob(spec, world.Task{State: world.TaskBound, Attempt: 1, Machine: name, Session: 1})
 		}
 	}
 	for i := range 200 {
@@ -313,7 +313,7 @@
 	fixture := newTestCluster(t)
 	deleted, unknown := "vm-000001", "vm-000002"
 	for _, name := range []string{deleted, unknown} {
-		shard := world.PartOf(name, testShards)
+		shard := world.ShardOf(name, testShards)
 		fixture.engines[shard].ConfirmDeleted([]string{deleted})
 		fixture.agents[shard].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", MachineType: "m", Zone: "east", Session: 1, Sequence: 1, FencingToken: 7})
 		fixture.cluster.RLock()
@@ -333,9 +333,9 @@
 func TestNewSessionIsRecordedFirst(t *testing.T) {
 	fixture := newTestCluster(t)
 	name := fixture.addMachine(1, false)
-	shard := world.PartOf(name, testShards)
-	heartbeat := func(session uint64, up bool) store.Item {
-		fixture.put(world.MachineKey(name), world.MachineRecord{Type: "m", Zone: "east", Address: "10.1.0.1:9000", AtMs: 1, Up: up})
+	shard := world.ShardOf(name, testShards)
+	heartbeat := func(session uint64, up bool) store.Transaction {
+		fixture.put(world.MachineKey(name), world.MachineRecord{Type: "m", Zone: "east", Address: "10.1.0.1:9000", CreatedAtMs: 1, Up: up})
 		fixture.engines[shard].agents.TakeAdoptions()
 		fixture.agents[shard].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", MachineType: "m", Zone: "east", Session: session, Sequence: 2, FencingToken: 7})
 		fixture.cluster.RLock()
@@ -346,10 +346,10 @@
 		}
 		return c.out[0].transaction
 	}
-	if transaction := heartbeat(1, false); transaction.Urgent || !transaction.Lazy {
+	if transaction := heartbeat(1, false); transaction.Urgent || !transaction.Background {
 		t.Errorf("up: %+v", transaction)
 	}
-	if transaction := heartbeat(2, true); !transaction.Urgent || transaction.Lazy {
+	if transaction := heartbeat(2, true); !transaction.Urgent || transaction.Background {
 		t.Errorf("a new session: %+v", transaction)
 	}
 }
@@ -358,7 +358,7 @@
 // gang had completed, the other's report tells it of both. The job once waited for ever.
 func TestGangIsDoneWithOneOfItsTasks(t *testing.T) {
 	fixture := newTestCluster(t)
-	fixture.addJob(gangSpec(1, 2), world.Task{Index: 0, State: world.Done, Attempt: 1}, world.Task{Index: 1, Attempt: 1})
+	fixture.addJob(gangSpec(1, 2), world.Task{Index: 0, State: world.TaskDone, Attempt: 1}, world.Task{Index: 1, Attempt: 1})
 	ended := 0
 	for i := range testShards {
 		fixture.cluster.RLock()
@@ -370,7 +370,7 @@
 			if op := change.transaction.Ops[0]; op.PutKey == world.FinalKey("run-1") {
 				ended++
 				var rec world.FinalRecord
-				if err := wire.Decode(op.Value, &rec); err != nil || rec.Status != wire.JobDone || rec.Done != 2 {
+				if err := wire.Decode(op.Value, &rec); err != nil || rec.Status != wire.JobDone || rec.DoneCount != 2 {
 					t.Errorf("%+v, %v", rec, err)
 				}
 			}
@@ -389,7 +389,7 @@
 	for i := range 60 {
 		if name := fixture.addMachine(i, false); i < 9 {
 			held["g"][name] = true
-			fixture.agents[world.PartOf(name, testShards)].RecordImageUse(name, "g", 4, 50)
+			fixture.agents[world.ShardOf(name, testShards)].RecordImageUse(name, "g", 4, 50)
 		}
 	}
 	fixture.addJob(gangSpec(1, 3))
@@ -422,12 +422,12 @@
 		if i%3 == 2 {
 			continue // of three zones two are used
 		}
-		on = append(on, world.Task{Index: len(on), State: world.Bound, Attempt: 1, Machine: fixture.addMachine(i, false), Session: 1})
+		on = append(on, world.Task{Index: len(on), State: world.TaskBound, Attempt: 1, Machine: fixture.addMachine(i, false), Session: 1})
 	}
 	fixture.addJob(busy, on...)
 	for i := range 30 {
 		if i%3 != 2 {
-			fixture.put(world.MachineKey(fmt.Sprintf("vm-1%05d", i)), world.MachineRecord{Type: "m", Zone: testZones[i%3], AtMs: testNow.UnixMilli()})
+			fixture.put(world.MachineKey(fmt.Sprintf("vm-1%05d", i)), world.MachineRecord{Type: "m", Zone: testZones[i%3], CreatedAtMs: testNow.UnixMilli()})
 		}
 	}
 	service := wire.JobSpec{ID: "run-000002", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 4, CPUs: 5, GPUs: 1, MemoryGB: 38, Spread: true}
@@ -482,11 +482,11 @@
 		fixture := newTestCluster(t)
 		spec := gangSpec(1, 2)
 		spec.Team, spec.Class = "t", "c"
-		rec := world.JobRecord{Spec: spec, AtMs: 1, CancelMs: cancelMs, Certain: cancelMs != 0,
-			Tasks: []world.Task{{Index: 0, State: world.Done, Attempt: 1}, {Index: 1, State: world.Idle, Attempt: 1}}}
-		fixture.cluster.Begin()
+		rec := world.JobRecord{Spec: spec, SubmittedAtMs: 1, CancelledAtMs: cancelMs, CancelAfterRelease: cancelMs != 0,
+			Tasks: []world.Task{{Index: 0, State: world.TaskDone, Attempt: 1}, {Index: 1, State: world.TaskPending, Attempt: 1}}}
+		fixture.cluster.BeginUpdate()
 		fixture.cluster.Put(world.JobKey(spec.ID), wire.MustEncode(rec), 0) // the view holds all up to it
-		fixture.cluster.Flush()
+		fixture.cluster.EndUpdate()
 		fixture.cluster.RLock()
 		c := fixture.engines[0].newCycle(testNow)
 		c.finishJobs()
@@ -550,19 +550,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newTestCluster(t)
 		name := fixture.addMachine(1, false)
-		shard := world.PartOf(name, testShards)
+		shard := world.ShardOf(name, testShards)
 		engine := fixture.engines[shard]
 		transport := &unansweredBindings{engine: engine}
-		client := store.NewClient("10.0.0.1:1", store.Limits{RPS: 1000, WriteRPS: 1000, ValueKB: 16, TxnOps: 32}, transport)
+		client := store.NewClient("10.0.0.1:1", store.Limits{RequestsPerSecond: 1000, WritesPerSecond: 1000, MaxValueKiB: 16, MaxTransactionOps: 32}, transport)
 		engine.committer = store.NewCommitter(client, func([]wire.Op, uint64) {})
 		node := fmt.Sprintf("node-%d", shard)
-		engine.membership = member.New(node, 1, []string{node}, tuning.Level, client, engine.committer, store.NewCache(client, world.Root, fixture.cluster, slog.New(slog.DiscardHandler)), fixture.cluster, slog.New(slog.DiscardHandler))
+		engine.membership = member.New(node, 1, []string{node}, tuning.Level, client, engine.committer, store.NewWatchCache(client, world.LivePrefix, fixture.cluster, slog.New(slog.DiscardHandler)), fixture.cluster, slog.New(slog.DiscardHandler))
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = engine.committer.Run(ctx) }()
 		engine.ctx = ctx
 		change := &recordChange{description: "tasks of run-1", keys: []string{world.JobKey("run-1")}, shards: []int{shard},
-			bindings:    []pendingBinding{{world.TaskRef{Job: "run-1"}, name, shard, "t", world.Amount{GPUs: 1}}},
-			transaction: store.Item{Guards: []wire.Condition{{Key: world.PartKey(shard)}}, Ops: []wire.Op{store.Set(world.JobKey("run-1"), 1)}}}
+			bindings:    []pendingBinding{{world.TaskRef{Job: "run-1"}, name, shard, "t", world.Resources{GPUs: 1}}},
+			transaction: store.Transaction{Conditions: []wire.Condition{{Key: world.ShardKey(shard)}}, Ops: []wire.Op{store.PutOp(world.JobKey("run-1"), 1)}}}
 		engine.mu.Lock()
 		engine.keysInFlight[change.keys[0]], engine.inFlightChanges[0] = true, change
 		engine.mu.Unlock()
@@ -593,12 +593,12 @@
 		spec.SameZone, spec.Team, spec.Class, spec.CPUs, spec.GPUs, spec.MemoryGB = true, "t", "c", 1, 0, 1
 		var first []world.Task
 		for i := range tuning.ChunkTasks {
-			first = append(first, world.Task{Index: i, State: world.Done, Attempt: 1})
+			first = append(first, world.Task{Index: i, State: world.TaskDone, Attempt: 1})
 		}
 		if lost {
-			first[0] = world.Task{Index: 0, State: world.Bound, Attempt: 1, Machine: "vm-999999", Session: 1}
+			first[0] = world.Task{Index: 0, State: world.TaskBound, Attempt: 1, Machine: "vm-999999", Session: 1}
 		}
-		fixture.put(world.JobKey(spec.ID), world.JobRecord{Spec: spec, AtMs: testNow.UnixMilli(), Tasks: first})
+		fixture.put(world.JobKey(spec.ID), world.JobRecord{Spec: spec, SubmittedAtMs: testNow.UnixMilli(), Tasks: first})
 		bound := 0
 		for i := range fixture.engines {
 			c, binds := fixture.runCycle(i)
--- a/internal/place/value.go
+++ b/internal/place/value.go
@@ -59,7 +59,7 @@
 		fade := math.Pow(0.5, dt.Seconds()/tuning.UtilizationFade.Seconds())
 		held := 0
 		for p := range r.stamps {
-			held += len(r.cluster.ByPart[p])
+			held += len(r.cluster.MachinesByShard[p])
 		}
 		v.finished, v.paid = v.finished*fade, v.paid*fade+float64(held)*dt.Seconds()
 	}
@@ -77,7 +77,7 @@
 		r.learning.began[k] = t.Since
 	}
 	if id, ok := r.learning.open[k]; ok && b.Job.Spec.Kind == wire.KindService && r.now.Sub(t.Since) > tuning.ServicePayoff {
-		waited := t.Since.Sub(b.Job.Since()).Seconds()
+		waited := t.Since.Sub(b.Job.ReadySince()).Seconds()
 		ran := tuning.ServicePayoff.Seconds()
 		r.pay(id, k, ran/(ran+max(0, waited)))
 	}
@@ -94,14 +94,14 @@
 	responsiveness := 0.0
 	if done && ran {
 		run := r.now.Sub(began).Seconds()
-		total := max(run, r.now.Sub(b.Job.Since()).Seconds())
+		total := max(run, r.now.Sub(b.Job.ReadySince()).Seconds())
 		if total > 0 {
 			responsiveness = run / total
 		}
 		if m := r.cluster.Machines[machine]; m != nil {
 			if typ, ok := r.cluster.Types[m.Type]; ok {
 				c := world.Capacity(&typ)
-				r.learning.finished += run * (1 - fit.FreeFraction(c.Plus(world.Need(spec), -1), c))
+				r.learning.finished += run * (1 - fit.FreeFraction(c.AddTimes(world.TaskResources(spec), -1), c))
 			}
 		}
 		if b.Attempt == 1 { // a later attempt may have resumed saved work
@@ -133,7 +133,7 @@
 // find the same but for their estimates of what lies between.
 func (r *round) pulled(id string) pulled {
 	out := pulled{rank: wire.PriorityCount}
-	waiters := r.cluster.Waiters(id)
+	waiters := r.cluster.Dependents(id)
 	if len(waiters) == 0 {
 		return out
 	}
@@ -142,7 +142,7 @@
 	}
 	for w := range waiters {
 		j := r.cluster.Jobs[w]
-		if j == nil || !j.Known || j.Cancelled() || j.Doomed {
+		if j == nil || !j.HasRecord || j.Cancelled() || j.DependencyCancelled {
 			continue
 		}
 		up := r.pulled(w)
@@ -179,16 +179,16 @@
 	s := learn.State{Shares: map[string]float64{}, NextFreeS: math.Inf(1)}
 	waiting := 0.0
 	for _, j := range r.cluster.Jobs {
-		if !j.Startable() {
+		if !j.CanStart() {
 			continue
 		}
 		run := r.learning.runs.RunS(j.Spec.Class, j.Spec.RuntimeEstimateSeconds)
 		// Half of a task's run time is left on average.
-		s.RunningS += float64(j.Bound) * run / 2
-		if j.Bound > 0 && run > 0 {
-			s.NextFreeS = min(s.NextFreeS, run/2/float64(j.Bound))
+		s.RunningS += float64(j.BoundCount) * run / 2
+		if j.BoundCount > 0 && run > 0 {
+			s.NextFreeS = min(s.NextFreeS, run/2/float64(j.BoundCount))
 		}
-		if n := float64(j.Pending()); n > 0 {
+		if n := float64(j.PendingCount()); n > 0 {
 			s.BacklogS += n * run
 			s.Shares[j.Spec.Team]++
 			waiting++
@@ -198,7 +198,7 @@
 		s.Shares[team] /= waiting
 	}
 	for _, m := range r.cluster.Machines {
-		if m.Up && len(m.Bound) == 0 {
+		if m.Up && len(m.Bindings) == 0 {
 			s.Idle++
 		}
 	}
@@ -290,7 +290,7 @@
 
 // Learn keeps the readout fitted and saved until ctx ends.
 func (e *Engine) Learn(ctx context.Context) error {
-	key := world.LearnKey(e.settings.Node)
+	key := world.LearnerCheckpointKey(e.settings.Node)
 	e.restore(ctx, key)
 	refit := time.NewTicker(config.Seconds(e.operator.RefitS))
 	defer refit.Stop()
@@ -309,7 +309,7 @@
 			s := e.learning.learner.Save()
 			e.learning.runs.Save(&s)
 			cctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
-			if _, err := e.committer.Do(cctx, store.Item{Ops: e.saving(key, s)}); err != nil {
+			if _, err := e.committer.Commit(cctx, store.Transaction{Ops: e.saving(key, s)}); err != nil {
 				e.log.Debug("values not saved", "err", err)
 			}
 			cancel()
@@ -320,14 +320,14 @@
 // saving gives the changes that save what was learned, in the form that is written.
 func (e *Engine) saving(key string, s learn.Saved) []wire.Op {
 	e.cluster.RLock()
-	level := e.cluster.Level
+	level := e.cluster.SchemaVersion
 	e.cluster.RUnlock()
 	if level < tuning.LevelPipelines {
-		return []wire.Op{store.Set(key, s)}
+		return []wire.Op{store.PutOp(key, s)}
 	}
 	var ops []wire.Op
-	for i, piece := range s.Split(e.committer.Room(), time.Now().UnixMilli()) {
-		ops = append(ops, store.Set(world.LearnPieceKey(e.settings.Node, i), piece))
+	for i, piece := range s.Split(e.committer.MaxRecordBytes(), time.Now().UnixMilli()) {
+		ops = append(ops, store.PutOp(world.LearnerCheckpointPieceKey(e.settings.Node, i), piece))
 	}
 	return ops
 }
@@ -353,13 +353,13 @@
 // saved reads the values saved under the node's name: in pieces, or as one
 // record, as they were before LevelPipelines.
 func (e *Engine) saved(ctx context.Context, key string) (learn.Saved, error) {
-	s, err := e.read(ctx, world.LearnPieceKey(e.settings.Node, 0))
+	s, err := e.read(ctx, world.LearnerCheckpointPieceKey(e.settings.Node, 0))
 	if errors.Is(err, store.ErrNotFound) {
 		return e.read(ctx, key)
 	}
 	for i := 1; i < s.Of && err == nil; i++ {
 		var piece learn.Saved
-		if piece, err = e.read(ctx, world.LearnPieceKey(e.settings.Node, i)); err == nil {
+		if piece, err = e.read(ctx, world.LearnerCheckpointPieceKey(e.settings.Node, i)); err == nil {
 			err = s.Join(piece)
 		}
 	}
@@ -391,7 +391,7 @@
 	defer e.cluster.RUnlock()
 	stale := func(k attempt) bool {
 		j := e.cluster.Jobs[k.ref.Job]
-		return j == nil || !j.Known || j.Task(k.ref.Index).Attempt > k.n
+		return j == nil || !j.HasRecord || j.Task(k.ref.Index).Attempt > k.n
 	}
 	for k := range e.learning.open {
 		if stale(k) {
--- a/internal/pool/autoscaler.go
+++ b/internal/pool/autoscaler.go
@@ -29,7 +29,7 @@
 type Autoscaler struct {
 	settings  *config.Settings
 	operator  *config.Operator
-	state     *world.World
+	state     *world.State
 	members   *member.Member
 	scheduler *place.Engine
 	cloud     *Client
@@ -76,7 +76,7 @@
 }
 
 // New makes a pool.
-func New(set *config.Settings, op *config.Operator, w *world.World, m *member.Member, e *place.Engine, c *Client, commit *store.Committer, log *slog.Logger) *Autoscaler {
+func New(set *config.Settings, op *config.Operator, w *world.State, m *member.Member, e *place.Engine, c *Client, commit *store.Committer, log *slog.Logger) *Autoscaler {
 	return &Autoscaler{settings: set, operator: op, state: w, members: m, scheduler: e, cloud: c, committer: commit, log: log,
 		refusals: map[machineKind]refusal{}, insufficientUntil: map[machineKind]time.Time{}, idleSince: map[string]time.Time{}, unknownSince: map[string]time.Time{}, missedListings: map[string]int{}, arrivals: map[string]arrival{}}
 }
@@ -109,7 +109,7 @@
 	var last time.Time
 	return func(ctx context.Context) {
 		a.state.RLock()
-		known, stamp := len(a.state.Types) > 0, a.state.CatStamp
+		known, stamp := len(a.state.Types) > 0, a.state.CatalogModRevision
 		lead, leads := a.leadership()
 		a.state.RUnlock()
 		if known && (!leads || time.Since(last) < tuning.CatalogEvery) || !leads && time.Since(last) < 5*time.Second {
@@ -126,7 +126,7 @@
 			guards = append(guards, lead)
 		}
 		for _, ops := range a.catalogOps(cat) {
-			if _, err := a.commit(ctx, store.Item{Guards: guards, Ops: ops}); err != nil {
+			if _, err := a.commit(ctx, store.Transaction{Conditions: guards, Ops: ops}); err != nil {
 				a.log.Debug("catalog not written", "err", err)
 			}
 		}
@@ -137,31 +137,31 @@
 // or where that would be too long, one for each type. Once it is kept by type it
 // stays so, as those records count first.
 func (a *Autoscaler) catalogOps(cat wire.Catalog) [][]wire.Op {
-	whole := store.Set(world.CatalogKey, cat)
+	whole := store.PutOp(world.CatalogKey, cat)
 	a.state.RLock()
-	level, byType := a.state.Level, a.state.ByType()
+	level, byType := a.state.SchemaVersion, a.state.CatalogByType()
 	a.state.RUnlock()
-	if level < tuning.LevelPipelines || !byType && wire.JSONSize(whole.Value) <= a.committer.Room() {
+	if level < tuning.LevelPipelines || !byType && wire.JSONSize(whole.Value) <= a.committer.MaxRecordBytes() {
 		return [][]wire.Op{{whole}}
 	}
 	var ops []wire.Op
 	for _, t := range cat.Types {
-		ops = append(ops, store.Set(world.TypeKey(t.Name), t))
+		ops = append(ops, store.PutOp(world.MachineTypeKey(t.Name), t))
 	}
-	return slices.Collect(slices.Chunk(ops, a.committer.TxnOps()))
+	return slices.Collect(slices.Chunk(ops, a.committer.MaxTransactionOps()))
 }
 
-func (a *Autoscaler) commit(ctx context.Context, it store.Item) (uint64, error) {
+func (a *Autoscaler) commit(ctx context.Context, it store.Transaction) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
 	defer cancel()
-	return a.committer.Do(ctx, it)
+	return a.committer.Commit(ctx, it)
 }
 
 // leadership tells whether this node leads, with the guard of what a leader writes.
 // Callers hold the world's lock.
 func (a *Autoscaler) leadership() (wire.Condition, bool) {
-	_, stamp, ok := a.members.Owns(world.Leader)
-	return wire.Condition{Key: world.PartKey(world.Leader), ModRevision: stamp}, ok
+	_, stamp, ok := a.members.Owns(world.LeaderShard)
+	return wire.Condition{Key: world.ShardKey(world.LeaderShard), ModRevision: stamp}, ok
 }
 
 // returnMachines deletes machines marked for it, of this node's parts. Those whose tasks wait for it
@@ -184,7 +184,7 @@
 // plannedMachine is a machine to be rented.
 type plannedMachine struct {
 	machineKind
-	free     world.Amount
+	free     world.Resources
 	required bool // for work of high priority, or for the minimum
 }
 
@@ -273,7 +273,7 @@
 	machinesInZone := map[string]int{}
 	total := 0
 	for _, m := range a.state.Machines {
-		if !m.Gone {
+		if !m.Deleting {
 			machinesInZone[m.Zone]++
 			total++
 		}
@@ -293,7 +293,7 @@
 		return &out[len(out)-1]
 	}
 	for _, g := range demand.Groups {
-		s, need := g.Spec, world.Need(g.Spec)
+		s, need := g.Spec, world.TaskResources(g.Spec)
 		late, rank = now.Sub(g.Since) > tuning.StarveAfter, g.Rank
 		zone, count := s.Zone, g.Count
 		perZone := map[string]int{}
@@ -307,7 +307,7 @@
 		for range count {
 			var b *plannedMachine
 			for ; at < len(out); at++ {
-				if o := &out[at]; need.Within(o.free) && (zone == "" || o.zone == zone) && (s.AllowSpot || !o.spot) &&
+				if o := &out[at]; need.FitsIn(o.free) && (zone == "" || o.zone == zone) && (s.AllowSpot || !o.spot) &&
 					(len(s.MachineTypes) == 0 || slices.Contains(s.MachineTypes, o.machineType)) && allowed(o.machineKind) {
 					b = o
 					break
@@ -319,7 +319,7 @@
 			if b == nil {
 				break
 			}
-			b.free = b.free.Plus(need, -1)
+			b.free = b.free.AddTimes(need, -1)
 			perZone[b.zone]++
 			if s.SameZone {
 				zone = b.zone
@@ -393,10 +393,10 @@
 // apart, as none can use the room kept for another. Callers hold the world's lock.
 func (a *Autoscaler) headroomTarget(now time.Time) headroom {
 	for id, j := range a.state.Jobs {
-		if _, ok := a.arrivals[id]; ok || !j.Known || j.Waits() {
+		if _, ok := a.arrivals[id]; ok || !j.HasRecord || j.HasUnmetDependencies() {
 			continue
 		}
-		at := j.Since()
+		at := j.ReadySince()
 		if now.Sub(at) > tuning.ArrivalWindow {
 			continue
 		}
@@ -441,7 +441,7 @@
 	}
 	held, most := map[string]float64{}, 0.0
 	for _, m := range a.state.Machines {
-		for _, b := range m.Bound {
+		for _, b := range m.Bindings {
 			if s := &b.Job.Spec; s.Kind == wire.KindService && s.Zone == "" {
 				held[m.Zone] += a.machineEquivalents(s) / float64(s.TaskCount)
 				most = max(most, held[m.Zone])
@@ -491,12 +491,12 @@
 // cheapestKind picks the cheapest kind for a task, in the allowed zone with the
 // fewest machines, leaving out what was refused lately and zones that are cut off.
 func (a *Autoscaler) cheapestKind(spec *wire.JobSpec, zone string, machinesInZone map[string]int, now time.Time, allowed func(machineKind) bool) (machineKind, bool) {
-	need := world.Need(spec)
+	need := world.TaskResources(spec)
 	var cheapest machineKind
 	lowestPrice, found := 0.0, false
 	for _, name := range slices.Sorted(maps.Keys(a.state.Types)) {
 		t := a.state.Types[name]
-		if len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, name) || !need.Within(world.Capacity(&t)) {
+		if len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, name) || !need.FitsIn(world.Capacity(&t)) {
 			continue
 		}
 		for _, z := range t.Zones {
@@ -550,8 +550,8 @@
 func (a *Autoscaler) maxMachinesPerRental() int {
 	a.state.RLock()
 	defer a.state.RUnlock()
-	longest := max(tuning.NameBytes, a.state.LongestName())
-	return max(1, min(tuning.RentMax, (a.committer.Room()-tuning.RentalBytes)/(longest+len(`"",`))))
+	longest := max(tuning.NameBytes, a.state.LongestMachineName())
+	return max(1, min(tuning.RentMax, (a.committer.MaxRecordBytes()-tuning.RentalBytes)/(longest+len(`"",`))))
 }
 
 // rent writes a request's name, asks the cloud, and records the machines.
@@ -559,15 +559,15 @@
 	a.mu.Lock()
 	refused := a.isRefused(kind, time.Now())
 	a.rentalSerial++
-	name := fmt.Sprintf("r-%s-%x-%d", a.members.Self, a.members.Inc, a.rentalSerial)
+	name := fmt.Sprintf("r-%s-%x-%d", a.members.NodeName, a.members.Incarnation, a.rentalSerial)
 	a.mu.Unlock()
 	if refused {
 		return // meanwhile
 	}
-	rec := world.RentalRecord{Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: count, AtMs: time.Now().UnixMilli()}
+	rec := world.RentalRecord{Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: count, RequestedAtMs: time.Now().UnixMilli()}
 	key := world.RentalKey(name)
-	rev, err := a.commit(ctx, store.Item{
-		Guards: []wire.Condition{{Key: key, ModRevision: 0}, leader}, Ops: []wire.Op{store.Set(key, rec)},
+	rev, err := a.commit(ctx, store.Transaction{
+		Conditions: []wire.Condition{{Key: key, ModRevision: 0}, leader}, Ops: []wire.Op{store.PutOp(key, rec)},
 	})
 	if err != nil {
 		a.log.Info("rental not recorded", "err", err)
@@ -581,21 +581,21 @@
 func (a *Autoscaler) resumeRentals(ctx context.Context, leader wire.Condition) bool {
 	a.state.RLock()
 	open := map[string]world.Rental{}
-	var done []store.Item
+	var done []store.Transaction
 	for name, r := range a.state.Rentals {
 		if len(r.Machines) == 0 {
 			open[name] = r
 			continue
 		}
-		if !slices.ContainsFunc(r.Machines, func(n string) bool { m := a.state.Machines[n]; return m != nil && m.Stamp == 0 }) {
+		if !slices.ContainsFunc(r.Machines, func(n string) bool { m := a.state.Machines[n]; return m != nil && m.ModRevision == 0 }) {
 			key := world.RentalKey(name)
-			done = append(done, store.Item{Guards: []wire.Condition{leader, {Key: key, ModRevision: r.Stamp}}, Ops: []wire.Op{store.Drop(key)}})
+			done = append(done, store.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: r.ModRevision}}, Ops: []wire.Op{store.DeleteOp(key)}})
 		}
 	}
 	a.state.RUnlock()
 	a.commitAll(ctx, done, "rental record stays")
 	for _, name := range slices.Sorted(maps.Keys(open)) {
-		if a.requestMachines(ctx, name, open[name].RentalRecord, open[name].Stamp) != nil {
+		if a.requestMachines(ctx, name, open[name].RentalRecord, open[name].ModRevision) != nil {
 			break // the cloud is away: the others wait as well
 		}
 	}
@@ -603,7 +603,7 @@
 }
 
 // commitAll makes changes that don't depend on each other, in few transactions.
-func (a *Autoscaler) commitAll(ctx context.Context, items []store.Item, failed string) {
+func (a *Autoscaler) commitAll(ctx context.Context, items []store.Transaction, failed string) {
 	var wg sync.WaitGroup
 	for _, it := range items {
 		wg.Go(func() {
@@ -633,11 +633,11 @@
 	}
 	// A change that fails is tried again later: the same name gives the same machines.
 	key := world.RentalKey(name)
-	op := store.Drop(key)
+	op := store.DeleteOp(key)
 	if rec.Machines = names; len(names) > 0 {
-		op = store.Set(key, rec)
+		op = store.PutOp(key, rec)
 	}
-	if _, err := a.commit(ctx, store.Item{Guards: []wire.Condition{{Key: key, ModRevision: stamp}}, Ops: []wire.Op{op}}); err != nil {
+	if _, err := a.commit(ctx, store.Transaction{Conditions: []wire.Condition{{Key: key, ModRevision: stamp}}, Ops: []wire.Op{op}}); err != nil {
 		a.log.Debug("rental record stays", "rental", name, "err", err)
 	}
 	return nil
@@ -669,7 +669,7 @@
 	machineCounts := map[machineKind]int{}
 	a.state.RLock()
 	for _, m := range a.state.Machines {
-		if !m.Gone {
+		if !m.Deleting {
 			machineCounts[machineKind{m.Type, m.Zone, m.Spot}]++
 		}
 	}
@@ -705,11 +705,11 @@
 	a.state.RLock()
 	total := 0
 	for _, m := range a.state.Machines {
-		if !m.Gone && !m.Drain {
+		if !m.Deleting && !m.Draining {
 			total++
 		}
 	}
-	var items []store.Item
+	var items []store.Transaction
 	step := a.headroomTarget(now)
 	reserve, zones := a.zoneReserve(), map[string]float64{}
 	maps.Copy(zones, demand.Spare.MachinesByZone)
@@ -719,17 +719,17 @@
 		if total <= a.operator.PoolMin {
 			break
 		}
-		if m == nil || !m.Up || m.Drain || wanted[machineKind{m.Type, m.Zone, m.Spot}] || left[m.Spot] < 1 || !m.Spot && reserve[m.Zone] > 0 && zones[m.Zone]-1 < reserve[m.Zone] || now.Sub(a.idleSince[n]) < config.Seconds(a.operator.PoolHoldS) {
+		if m == nil || !m.Up || m.Draining || wanted[machineKind{m.Type, m.Zone, m.Spot}] || left[m.Spot] < 1 || !m.Spot && reserve[m.Zone] > 0 && zones[m.Zone]-1 < reserve[m.Zone] || now.Sub(a.idleSince[n]) < config.Seconds(a.operator.PoolHoldS) {
 			continue
 		}
 		if t := a.state.Types[m.Type]; demand.Common.CPUs > t.CPUs {
 			continue // small tasks on it leave common ones theirs
 		}
 		rec := m.MachineRecord
-		rec.Drain = true
-		items = append(items, store.Item{
-			Guards: []wire.Condition{leader, {Key: world.MachineKey(n), ModRevision: m.Stamp}},
-			Ops:    []wire.Op{store.Set(world.MachineKey(n), rec)},
+		rec.Draining = true
+		items = append(items, store.Transaction{
+			Conditions: []wire.Condition{leader, {Key: world.MachineKey(n), ModRevision: m.ModRevision}},
+			Ops:        []wire.Op{store.PutOp(world.MachineKey(n), rec)},
 		})
 		left[m.Spot]--
 		if !m.Spot {
@@ -755,17 +755,17 @@
 	}
 	now := time.Now()
 	seen := map[string]bool{}
-	var items []store.Item
+	var items []store.Transaction
 	a.state.RLock()
 	for _, l := range listing {
 		key := world.MachineKey(l.ID)
 		m := a.state.Machines[l.ID]
 		switch {
-		case m != nil && l.State == wire.MachineFailed && !m.Gone:
+		case m != nil && l.State == wire.MachineFailed && !m.Deleting:
 			rec := m.MachineRecord
-			rec.Gone = true
+			rec.Deleting = true
 			a.log.Info("machine failed", "machine", l.ID)
-			items = append(items, store.Item{Guards: []wire.Condition{leader, {Key: key, ModRevision: m.Stamp}}, Ops: []wire.Op{store.Set(key, rec)}})
+			items = append(items, store.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: m.ModRevision}}, Ops: []wire.Op{store.PutOp(key, rec)}})
 		case m == nil:
 			seen[l.ID] = true
 			if _, ok := a.unknownSince[l.ID]; !ok {
@@ -775,8 +775,8 @@
 			if now.Sub(a.unknownSince[l.ID]) > config.Seconds(2*a.settings.Deployment.Cloud.ListLagS)+tuning.ListEvery {
 				a.log.Info("recording an unknown machine", "machine", l.ID)
 				rec := world.MachineRecord{Type: l.MachineType, Zone: l.Zone, Spot: l.Spot, Address: l.Address,
-					AtMs: now.Add(-config.Seconds(l.AgeSeconds)).UnixMilli(), Gone: l.State == wire.MachineFailed}
-				items = append(items, store.Item{Guards: []wire.Condition{leader, {Key: key, ModRevision: 0}}, Ops: []wire.Op{store.Set(key, rec)}})
+					CreatedAtMs: now.Add(-config.Seconds(l.AgeSeconds)).UnixMilli(), Deleting: l.State == wire.MachineFailed}
+				items = append(items, store.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: 0}}, Ops: []wire.Op{store.PutOp(key, rec)}})
 			}
 		}
 	}
@@ -790,14 +790,14 @@
 // listed until it is gone. Silence alone can't tell the loss of all machines at once from a cut of
 // our own, and gave up none for ever. That they are gone is proved by their deletion, as
 // ever. Callers hold the world's lock.
-func (a *Autoscaler) deleteUnlisted(leader wire.Condition, listing []wire.CloudMachine, now time.Time) (items []store.Item) {
+func (a *Autoscaler) deleteUnlisted(leader wire.Condition, listing []wire.CloudMachine, now time.Time) (items []store.Transaction) {
 	listed := make(map[string]bool, len(listing))
 	for _, l := range listing {
 		listed[l.ID] = true
 	}
 	listedBefore := config.Seconds(2*a.settings.Deployment.Cloud.ListLagS) + tuning.ListMissing*tuning.ListEvery
 	for name, m := range a.state.Machines {
-		if listed[name] || m.Gone || m.Stamp == 0 || now.Sub(time.UnixMilli(m.AtMs)) < listedBefore {
+		if listed[name] || m.Deleting || m.ModRevision == 0 || now.Sub(time.UnixMilli(m.CreatedAtMs)) < listedBefore {
 			delete(a.missedListings, name)
 			continue
 		}
@@ -805,9 +805,9 @@
 			continue
 		}
 		rec, key := m.MachineRecord, world.MachineKey(name)
-		rec.Gone = true
-		a.log.Info("machine is not listed any more", "machine", name, "tasks", len(m.Bound))
-		items = append(items, store.Item{Guards: []wire.Condition{leader, {Key: key, ModRevision: m.Stamp}}, Ops: []wire.Op{store.Set(key, rec)}})
+		rec.Deleting = true
+		a.log.Info("machine is not listed any more", "machine", name, "tasks", len(m.Bindings))
+		items = append(items, store.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: m.ModRevision}}, Ops: []wire.Op{store.PutOp(key, rec)}})
 	}
 	maps.DeleteFunc(a.missedListings, func(n string, _ int) bool { return a.state.Machines[n] == nil })
 	return items
--- a/internal/pool/autoscaler_test.go
+++ b/internal/pool/autoscaler_test.go
@@ -104,10 +104,10 @@
 		job := &world.Job{JobRecord: world.JobRecord{Spec: wire.JobSpec{ID: "run-1", Kind: wire.KindService, TaskCount: 8, CPUs: 8, GPUs: 1, MemoryGB: 60}}}
 		for i := range rapid.IntRange(0, 40).Draw(t, "machines") {
 			m := &world.Machine{Name: fmt.Sprintf("vm-%d", i), MachineRecord: world.MachineRecord{Type: "m", Zone: rapid.SampledFrom(testZones).Draw(t, "zone"), Up: true}}
-			m.Bound = map[world.TaskRef]world.Binding{}
+			m.Bindings = map[world.TaskRef]world.Binding{}
 			for k := range rapid.IntRange(0, 4).Draw(t, "replicas") {
 				ref := world.TaskRef{Job: fmt.Sprintf("run-%d", i), Index: k}
-				m.Bound[ref] = world.Binding{Ref: ref, Job: job}
+				m.Bindings[ref] = world.Binding{Ref: ref, Job: job}
 				held[m.Zone] += 0.25
 			}
 			p.state.Machines[m.Name] = m
--- a/internal/preempt/preemption.go
+++ b/internal/preempt/preemption.go
@@ -23,7 +23,7 @@
 	// comes to lie within it later, as the team's earlier work ends, has its turn in order.
 	GuaranteedOnArrival bool
 	Team                string
-	Need                world.Amount // of each task
+	Need                world.Resources // of each task
 }
 
 // RunningJob is what a running job has to say for itself.
@@ -53,14 +53,14 @@
 	var candidates []*fit.MachineInfo
 	for _, machine := range machines {
 		// What costs least to see is asked first: most machines fall out by it.
-		if machine.ReservedFor != "" || request.Need.Within(machine.Free) {
+		if machine.ReservedFor != "" || request.Need.FitsIn(machine.Free) {
 			continue
 		}
 		free := machine.Free
-		for lowerRank := rank; lowerRank < len(machine.Machine.Yield); lowerRank++ {
-			free = free.Plus(machine.Machine.Yield[lowerRank], 1)
+		for lowerRank := rank; lowerRank < len(machine.Machine.PreemptibleByRank); lowerRank++ {
+			free = free.AddTimes(machine.Machine.PreemptibleByRank[lowerRank], 1)
 		}
-		if !request.Need.Within(free) || !fit.Eligible(request.Spec, machine.Machine) || !zones.Allows(machine.Machine.Zone) {
+		if !request.Need.FitsIn(free) || !fit.Eligible(request.Spec, machine.Machine) || !zones.Allows(machine.Machine.Zone) {
 			continue
 		}
 		if candidates = append(candidates, machine); len(candidates) >= limit {
@@ -87,20 +87,20 @@
 
 // MinimalVictims gives the first of some tasks in order that make room for a need together with
 // what is free, and their cost; ok is false if all of them don't.
-func MinimalVictims(need, free world.Amount, victims []Victim) (chosen []Victim, cost float64, ok bool) {
+func MinimalVictims(need, free world.Resources, victims []Victim) (chosen []Victim, cost float64, ok bool) {
 	for i, victim := range victims {
-		if need.Within(free) {
+		if need.FitsIn(free) {
 			return victims[:i], cost, true
 		}
-		free = free.Plus(world.Need(&victim.Binding.Job.Spec), 1)
+		free = free.AddTimes(world.TaskResources(&victim.Binding.Job.Spec), 1)
 		cost += victim.LostMachineSeconds
 	}
-	return victims, cost, need.Within(free)
+	return victims, cost, need.FitsIn(free)
 }
 
 // CheapestMachine finds among machines the one where making room costs least; tasks gives those
 // that may be stopped on one. It gives nil if none makes room.
-func CheapestMachine(need world.Amount, machines []*fit.MachineInfo, victimsOn func(*fit.MachineInfo) []Victim) (*fit.MachineInfo, []Victim) {
+func CheapestMachine(need world.Resources, machines []*fit.MachineInfo, victimsOn func(*fit.MachineInfo) []Victim) (*fit.MachineInfo, []Victim) {
 	var best *fit.MachineInfo
 	var chosen []Victim
 	leastCost := math.Inf(1)
--- a/internal/preempt/preemption_test.go
+++ b/internal/preempt/preemption_test.go
@@ -57,11 +57,11 @@
 // chosen, the tasks stopped make room, and none of them could be spared.
 func TestCheapestMachineIsMinimal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		need := world.Amount{GPUs: float64(rapid.IntRange(1, 4).Draw(t, "need"))}
+		need := world.Resources{GPUs: float64(rapid.IntRange(1, 4).Draw(t, "need"))}
 		tasks := map[*fit.MachineInfo][]Victim{}
 		var machines []*fit.MachineInfo
 		for i := range rapid.IntRange(1, 6).Draw(t, "machines") {
-			machine := &fit.MachineInfo{Machine: &world.Machine{Name: fmt.Sprint("m", i)}, Free: world.Amount{GPUs: float64(rapid.IntRange(0, 2).Draw(t, "free"))}}
+			machine := &fit.MachineInfo{Machine: &world.Machine{Name: fmt.Sprint("m", i)}, Free: world.Resources{GPUs: float64(rapid.IntRange(0, 2).Draw(t, "free"))}}
 			machines = append(machines, machine)
 			for k := range rapid.IntRange(0, 4).Draw(t, "tasks") {
 				job := &world.Job{}
@@ -76,26 +76,26 @@
 			cost = 0
 			freed := best.Free
 			for i, victim := range stop {
-				if need.Within(freed) {
+				if need.FitsIn(freed) {
 					t.Errorf("task %d is stopped for nothing", i)
 				}
-				freed = freed.Plus(world.Need(&victim.Binding.Job.Spec), 1)
+				freed = freed.AddTimes(world.TaskResources(&victim.Binding.Job.Spec), 1)
 				cost += victim.LostMachineSeconds
 			}
-			if !need.Within(freed) {
+			if !need.FitsIn(freed) {
 				t.Errorf("%v freed for %v", freed, need)
 			}
 		}
 		for _, machine := range machines {
 			sum, free := 0.0, machine.Free
 			for _, x := range tasks[machine] { // in order by now
-				if need.Within(free) {
+				if need.FitsIn(free) {
 					break
 				}
 				sum += x.LostMachineSeconds
-				free = free.Plus(world.Need(&x.Binding.Job.Spec), 1)
+				free = free.AddTimes(world.TaskResources(&x.Binding.Job.Spec), 1)
 			}
-			if need.Within(free) && sum < cost {
+			if need.FitsIn(free) && sum < cost {
 				t.Errorf("%s makes room for %v, chosen for %v", machine.Machine.Name, sum, cost)
 			}
 		}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -18,10 +18,10 @@
 // the world's lock; Finish may come at any time between them.
 type Keeper struct {
 	teams map[string]config.Team
-	world *world.World
+	world *world.State
 
-	wants    map[slot]world.Amount
-	lowered  map[slot]world.Amount // grants being lowered: count as lower already
+	wants    map[slot]world.Resources
+	lowered  map[slot]world.Resources // grants being lowered: count as lower already
 	busy     map[string]bool
 	surplus  map[slot]time.Time
 	finished chan finish
@@ -38,8 +38,8 @@
 }
 
 // New makes a keeper of the teams' limits.
-func New(teams []config.Team, w *world.World) *Keeper {
-	k := &Keeper{teams: map[string]config.Team{}, world: w, wants: map[slot]world.Amount{}, lowered: map[slot]world.Amount{},
+func New(teams []config.Team, w *world.State) *Keeper {
+	k := &Keeper{teams: map[string]config.Team{}, world: w, wants: map[slot]world.Resources{}, lowered: map[slot]world.Resources{},
 		busy: map[string]bool{}, surplus: map[slot]time.Time{}, finished: make(chan finish, 1024)}
 	for _, t := range teams {
 		k.teams[t.Name] = t
@@ -48,25 +48,25 @@
 }
 
 // Limit gives a team's limit; a dimension without one is unbounded.
-func (k *Keeper) Limit(team string) (world.Amount, bool) {
+func (k *Keeper) Limit(team string) (world.Resources, bool) {
 	t, ok := k.teams[team]
 	if !ok || t.CPUsMax == 0 && t.GPUsMax == 0 {
-		return world.Amount{}, false
+		return world.Resources{}, false
 	}
 	return limits(t.CPUsMax, t.GPUsMax), true
 }
 
 // Guarantee gives what a team need not wait for others within.
-func (k *Keeper) Guarantee(team string) (world.Amount, bool) {
+func (k *Keeper) Guarantee(team string) (world.Resources, bool) {
 	t, ok := k.teams[team]
 	if !ok || t.CPUs == 0 && t.GPUs == 0 {
-		return world.Amount{}, false
+		return world.Resources{}, false
 	}
 	return limits(t.CPUs, t.GPUs), true
 }
 
-func limits(cpus, gpus float64) world.Amount {
-	l := world.Amount{CPUs: cpus, GPUs: gpus, Mem: tuning.MaxAmount}
+func limits(cpus, gpus float64) world.Resources {
+	l := world.Resources{CPUs: cpus, GPUs: gpus, MemoryGB: tuning.MaxAmount}
 	if cpus == 0 {
 		l.CPUs = tuning.MaxAmount
 	}
@@ -76,11 +76,11 @@
 	return l
 }
 
-func bare(a world.Amount) world.Amount { return world.Amount{CPUs: a.CPUs, GPUs: a.GPUs} }
+func bare(a world.Resources) world.Resources { return world.Resources{CPUs: a.CPUs, GPUs: a.GPUs} }
 
 // Allowed tells whether a part may let a team use so much. Without a
 // sufficient grant the wish is kept for the next Review.
-func (k *Keeper) Allowed(part int, team string, use world.Amount) bool {
+func (k *Keeper) Allowed(part int, team string, use world.Resources) bool {
 	if _, limited := k.Limit(team); !limited {
 		return true
 	}
@@ -90,18 +90,18 @@
 	if low, ok := k.lowered[s]; ok {
 		grant = low
 	}
-	if use.Within(grant) {
+	if use.FitsIn(grant) {
 		return true
 	}
 	w := k.wants[s]
-	k.wants[s] = world.Amount{CPUs: max(w.CPUs, use.CPUs), GPUs: max(w.GPUs, use.GPUs)}
+	k.wants[s] = world.Resources{CPUs: max(w.CPUs, use.CPUs), GPUs: max(w.GPUs, use.GPUs)}
 	return false
 }
 
 // Change is a change of a team's grants to be committed. Done is to be called
 // with the outcome settled: never while it may still be applied.
 type Change struct {
-	Item store.Item
+	Item store.Transaction
 	Part int
 	Done func()
 }
@@ -109,7 +109,7 @@
 // Review gives the changes of grants due now. owned gives the guard of each
 // part of this node, use what a team's tasks of a part take, those on their
 // way included.
-func (k *Keeper) Review(now time.Time, owned map[int]uint64, use func(part int, team string) world.Amount) []Change {
+func (k *Keeper) Review(now time.Time, owned map[int]uint64, use func(part int, team string) world.Resources) []Change {
 	for {
 		select {
 		case f := <-k.finished:
@@ -129,15 +129,15 @@
 			continue
 		}
 		q := k.world.Quotas[s.team]
-		var others world.Amount
+		var others world.Resources
 		for p, g := range q.Grants {
 			if p != strconv.Itoa(s.part) {
-				others = others.Plus(g, 1)
+				others = others.AddTimes(g, 1)
 			}
 		}
 		grant := q.Grants[strconv.Itoa(s.part)]
 		lot := k.lot(limit)
-		next := world.Amount{
+		next := world.Resources{
 			CPUs: raise(grant.CPUs, want.CPUs, lot.CPUs, limit.CPUs-others.CPUs, limit.CPUs),
 			GPUs: raise(grant.GPUs, want.GPUs, lot.GPUs, limit.GPUs-others.GPUs, limit.GPUs),
 		}
@@ -158,17 +158,17 @@
 			stamp, mine := owned[part]
 			used := bare(use(part, team))
 			if limited {
-				used = used.Plus(lot, 0.5)
-				used = world.Amount{CPUs: min(used.CPUs, g.CPUs), GPUs: min(used.GPUs, g.GPUs)}
+				used = used.AddTimes(lot, 0.5)
+				used = world.Resources{CPUs: min(used.CPUs, g.CPUs), GPUs: min(used.GPUs, g.GPUs)}
 			}
-			if !mine || k.busy[team] || g.Within(used) {
+			if !mine || k.busy[team] || g.FitsIn(used) {
 				delete(k.surplus, s)
 				continue
 			}
 			since, ok := k.surplus[s]
 			if !ok {
 				k.surplus[s] = now
-			} else if idle := now.Sub(since); idle > tuning.GrantSlow || idle > tuning.GrantIdle && (!limited || !g.Within(used.Plus(lot, 0.5))) {
+			} else if idle := now.Sub(since); idle > tuning.GrantSlow || idle > tuning.GrantIdle && (!limited || !g.FitsIn(used.AddTimes(lot, 0.5))) {
 				delete(k.surplus, s)
 				c := k.change(s, q, stamp, used)
 				k.lowered[s] = used
@@ -180,9 +180,9 @@
 }
 
 // lot is the room a part is granted above what it needs.
-func (k *Keeper) lot(limit world.Amount) world.Amount {
-	f := tuning.GrantLot / float64(k.world.Size)
-	return world.Amount{CPUs: math.Floor(limit.CPUs * f), GPUs: math.Floor(limit.GPUs * f)}
+func (k *Keeper) lot(limit world.Resources) world.Resources {
+	f := tuning.GrantLot / float64(k.world.ShardCount)
+	return world.Resources{CPUs: math.Floor(limit.CPUs * f), GPUs: math.Floor(limit.GPUs * f)}
 }
 
 // raise gives a grant that covers a want and a lot more, within what is left;
@@ -193,20 +193,20 @@
 }
 
 // ample tells whether enough of a limit is ungranted for whoever wants more.
-func (k *Keeper) ample(q world.Quota, limit world.Amount) bool {
-	var sum world.Amount
+func (k *Keeper) ample(q world.Quota, limit world.Resources) bool {
+	var sum world.Resources
 	for _, g := range q.Grants {
-		sum = sum.Plus(g, 1)
+		sum = sum.AddTimes(g, 1)
 	}
 	return sum.CPUs <= (1-tuning.GrantRest)*limit.CPUs && sum.GPUs <= (1-tuning.GrantRest)*limit.GPUs
 }
 
-func (k *Keeper) change(s slot, q world.Quota, stamp uint64, next world.Amount) Change {
-	grants := map[string]world.Amount{}
+func (k *Keeper) change(s slot, q world.Quota, stamp uint64, next world.Resources) Change {
+	grants := map[string]world.Resources{}
 	for p, g := range q.Grants {
 		grants[p] = g
 	}
-	if next == (world.Amount{}) {
+	if next == (world.Resources{}) {
 		delete(grants, strconv.Itoa(s.part))
 	} else {
 		grants[strconv.Itoa(s.part)] = next
@@ -214,9 +214,9 @@
 	k.busy[s.team] = true
 	key := world.QuotaKey(s.team)
 	return Change{
-		Item: store.Item{
-			Guards: []wire.Condition{{Key: key, ModRevision: q.Stamp}, {Key: world.PartKey(s.part), ModRevision: stamp}},
-			Ops:    []wire.Op{store.Set(key, world.QuotaRecord{Grants: grants})},
+		Item: store.Transaction{
+			Conditions: []wire.Condition{{Key: key, ModRevision: q.ModRevision}, {Key: world.ShardKey(s.part), ModRevision: stamp}},
+			Ops:        []wire.Op{store.PutOp(key, world.QuotaRecord{Grants: grants})},
 		},
 		Part: s.part,
 		Done: func() { k.finished <- finish{s.team, s} },
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -39,15 +39,15 @@
 			p := rapid.IntRange(0, parts-1).Draw(t, "part")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0: // bind one more task, if the grant allows
-				if keepers[p].Allowed(p, "t", world.Amount{GPUs: used[p] + 2}) {
+				if keepers[p].Allowed(p, "t", world.Resources{GPUs: used[p] + 2}) {
 					used[p] += 2
 				}
 			case 1:
 				used[p] = max(0, used[p]-2)
 			case 2:
-				use := func(part int, _ string) world.Amount { return world.Amount{GPUs: used[part]} }
+				use := func(part int, _ string) world.Resources { return world.Resources{GPUs: used[part]} }
 				for _, c := range keepers[p].Review(now, map[int]uint64{p: 1}, use) {
-					flights = append(flights, flight{c, c.Item.Guards[0].ModRevision})
+					flights = append(flights, flight{c, c.Item.Conditions[0].ModRevision})
 				}
 			case 3: // one change arrives, or is refused
 				if len(flights) == 0 {
@@ -56,11 +56,11 @@
 				i := rapid.IntRange(0, len(flights)-1).Draw(t, "flight")
 				f := flights[i]
 				flights = append(flights[:i], flights[i+1:]...)
-				if w.Quotas["t"].Stamp == f.stamp {
+				if w.Quotas["t"].ModRevision == f.stamp {
 					rev++
-					w.Begin()
+					w.BeginUpdate()
 					w.Put(key, f.c.Item.Ops[0].Value, rev)
-					w.Flush()
+					w.EndUpdate()
 				}
 				f.c.Done()
 			}
--- a/internal/settle/reconcile.go
+++ b/internal/settle/reconcile.go
@@ -54,7 +54,7 @@
 }
 
 func releaseToPending(reason string) Decision {
-	return Decision{Release: true, NextState: world.Idle, Reason: reason}
+	return Decision{Release: true, NextState: world.TaskPending, Reason: reason}
 }
 
 func decideExited(task BoundTask) Decision {
@@ -69,7 +69,7 @@
 			decision.Reason = "done after its cancellation"
 		default:
 			// A gang completes together: one done task tells it of all.
-			decision.Reason, decision.NextState, decision.WholeGang = "done", world.Done, task.JobKind == wire.KindGang
+			decision.Reason, decision.NextState, decision.WholeGang = "done", world.TaskDone, task.JobKind == wire.KindGang
 		}
 	case wire.ExitCauseError:
 		// Its class paces the repeats of what is counted.
@@ -98,9 +98,9 @@
 	for i := range taskCount {
 		task := taskAt(i)
 		switch {
-		case task.State == world.Done:
+		case task.State == world.TaskDone:
 			return GangWhole
-		case task.State == world.Bound && task.Attempt == attempt:
+		case task.State == world.TaskBound && task.Attempt == attempt:
 		case task.Attempt >= attempt:
 			return GangBroken
 		default:
--- a/internal/settle/reconcile_test.go
+++ b/internal/settle/reconcile_test.go
@@ -27,7 +27,7 @@
 						t.Errorf("%+v: %+v", task, decision)
 					}
 					done := presence == fleet.PresenceExited && cause == wire.ExitCauseDone && kind != wire.KindService && !task.JobCancelled
-					if (decision.NextState == world.Done) != done || decision.WholeGang != (done && kind == wire.KindGang) {
+					if (decision.NextState == world.TaskDone) != done || decision.WholeGang != (done && kind == wire.KindGang) {
 						t.Errorf("%+v: %+v", task, decision)
 					}
 					failed := presence == fleet.PresenceExited && cause == wire.ExitCauseError
@@ -54,14 +54,14 @@
 		tasks := make([]world.Task, n)
 		bound, ended, done := 0, false, false
 		for i := range tasks {
-			tasks[i] = world.Task{Index: i, State: rapid.SampledFrom([]int{world.Idle, world.Bound}).Draw(t, "state"), Attempt: rapid.Uint64Range(1, 3).Draw(t, "attempt")}
+			tasks[i] = world.Task{Index: i, State: rapid.SampledFrom([]int{world.TaskPending, world.TaskBound}).Draw(t, "state"), Attempt: rapid.Uint64Range(1, 3).Draw(t, "attempt")}
 			if rapid.IntRange(0, 9).Draw(t, "done") == 0 {
-				tasks[i].State = world.Done
+				tasks[i].State = world.TaskDone
 			}
 			switch {
-			case tasks[i].State == world.Done:
+			case tasks[i].State == world.TaskDone:
 				done = true
-			case tasks[i].State == world.Bound && tasks[i].Attempt == 2:
+			case tasks[i].State == world.TaskBound && tasks[i].Attempt == 2:
 				bound++
 			case tasks[i].Attempt >= 2:
 				ended = true
