--- a/internal/spill/home.go
+++ b/internal/spill/home.go
@@ -23,8 +23,8 @@
 // home is a job as the machine sees it.
 func home(j *world.Job) cell.Home {
 	h := cell.Home{Cancelled: j.Cancelled()}
-	if j.Away != nil {
-		h.State, h.Number, h.Recalled = cell.Away, j.Away.Number, j.Away.Recalled
+	if j.OffloadedTo != nil {
+		h.State, h.Number, h.Recalled = cell.Away, j.OffloadedTo.Number, j.OffloadedTo.Recalled
 	}
 	return h
 }
@@ -39,13 +39,13 @@
 	s.mu.Unlock()
 	s.world.RLock()
 	rec := s.record(c.Name)
-	line := cell.Line{Own: s.op.CellEpoch, Other: rec.Other}
+	line := cell.Line{Own: s.op.CellEpoch, Other: rec.PeerEpoch}
 	m := Message{Cell: s.op.CellName, From: line.Own, To: line.Other, Draining: s.op.CellDrain, Have: have, Want: !s.settled(rec)}
 	if s.settled(rec) {
 		jobs := s.away(c.Name)
 		for _, n := range s.turns(h, jobs) {
 			j := jobs[n]
-			m.Asks = append(m.Asks, Ask{Number: n, Cancelled: j.Cancelled(), Recalled: j.Away.Recalled, AtMs: j.AtMs, Spec: j.Spec})
+			m.Asks = append(m.Asks, Ask{Number: n, Cancelled: j.Cancelled(), Recalled: j.OffloadedTo.Recalled, AtMs: j.SubmittedAtMs, Spec: j.Spec})
 		}
 	}
 	s.world.RUnlock()
@@ -83,12 +83,14 @@
 }
 
 // settled tells whether the inventory of a cell is in, under this cell's epoch.
-func (s *Spill) settled(rec world.CellRecord) bool { return rec.Own == s.op.CellEpoch && rec.Settled }
+func (s *Spill) settled(rec world.CellRecord) bool {
+	return rec.OwnEpoch == s.op.CellEpoch && rec.InventoryReceived
+}
 
 // under is a record as it counts under this cell's epoch: what was settled before is not now.
 func (s *Spill) under(rec world.CellRecord) world.CellRecord {
-	if rec.Own != s.op.CellEpoch {
-		rec.Own, rec.Settled = s.op.CellEpoch, false
+	if rec.OwnEpoch != s.op.CellEpoch {
+		rec.OwnEpoch, rec.InventoryReceived = s.op.CellEpoch, false
 	}
 	return rec
 }
@@ -98,7 +100,7 @@
 func (s *Spill) take(ctx context.Context, name string, line cell.Line, m Message, sent []uint64) error {
 	line, counts := line.Takes(cell.Envelope{From: m.From, To: m.To})
 	s.world.RLock()
-	counts = counts && m.From > s.record(name).Fenced
+	counts = counts && m.From > s.record(name).FencedEpoch
 	s.world.RUnlock()
 	now := time.Now()
 	s.mu.Lock()
@@ -149,20 +151,20 @@
 	m := member(name, next).Step(time.Now(), cell.Heard{Named: true, At: h.at, Epoch: h.epoch, Draining: h.draining, Settled: settled})
 	if m.Standing != cell.Standing(rec.Standing) {
 		s.log.Info("cell changes", "cell", name, "standing", m.Standing, "before", cell.Standing(rec.Standing), "epoch", m.Epoch, "waits for", m.Waits(time.Now()))
-		next.SinceMs = m.Since.UnixMilli()
+		next.StandingSinceMs = m.Since.UnixMilli()
 		for _, s := range cell.Standings {
 			standing.WithLabelValues(name, s.String()).Set(map[bool]float64{true: 1}[s == m.Standing])
 		}
 	}
-	next.Standing, next.Returns, next.Settled = int(m.Standing), m.Returns, m.Settled
-	next.Other = max(next.Other, m.Epoch, line.Other)
+	next.Standing, next.Returns, next.InventoryReceived = int(m.Standing), m.Returns, m.Settled
+	next.PeerEpoch = max(next.PeerEpoch, m.Epoch, line.Other)
 	if list != nil && settled {
-		next.Next = max(next.Next, list.High)
+		next.LastSentTransfer = max(next.LastSentTransfer, list.High)
 	}
 	if next == rec {
 		return nil
 	}
-	return s.do(ctx, guards, []wire.Op{store.Set(world.CellKey(name), next)})
+	return s.do(ctx, guards, []wire.Op{store.PutOp(world.CellKey(name), next)})
 }
 
 // word takes in what another cell says of one transfer.
@@ -191,16 +193,16 @@
 	var ops []wire.Op
 	switch {
 	case after.State == cell.Here:
-		g, op := rewrite(j, func(r *world.JobRecord) { r.Away = nil })
+		g, op := rewrite(j, func(r *world.JobRecord) { r.OffloadedTo = nil })
 		guards, ops = append(guards, g), append(ops, op)
 	case after.State == cell.Ended:
 		status, done := w.Final, w.Done
 		if status == "" {
-			status = j.Ending() // refused or sent home after its user had cancelled it
+			status = j.CancelledStatus() // refused or sent home after its user had cancelled it
 		}
-		guards = append(guards, wire.Condition{Key: world.JobKey(j.Spec.ID), ModRevision: j.Stamp})
-		ops = j.Final(status, done, time.Now().UnixMilli())
-		ops = append(ops, j.DropFurther(s.commit.TxnOps()-len(ops))...)
+		guards = append(guards, wire.Condition{Key: world.JobKey(j.Spec.ID), ModRevision: j.ModRevision})
+		ops = j.FinalizeOps(status, done, time.Now().UnixMilli())
+		ops = append(ops, j.DeleteFurtherChunks(s.commit.MaxTransactionOps()-len(ops))...)
 	}
 	s.world.RUnlock()
 	if len(ops) == 0 || !leads {
@@ -231,25 +233,25 @@
 		case !leads:
 			s.world.RUnlock()
 			return false, ErrNotLeader
-		case j != nil && j.Known && j.Away != nil && j.Away.Number == a.Number && j.Away.Cell == name:
+		case j != nil && j.HasRecord && j.OffloadedTo != nil && j.OffloadedTo.Number == a.Number && j.OffloadedTo.Cell == name:
 			s.world.RUnlock()
 			continue
-		case j != nil && j.Known && (j.Bound > 0 || j.Away != nil && j.Away.Cell != name):
+		case j != nil && j.HasRecord && (j.BoundCount > 0 || j.OffloadedTo != nil && j.OffloadedTo.Cell != name):
 			// Its tasks leave first: their machines are gone, as this cell's epoch says.
 			s.world.RUnlock()
 			ok = false
 			continue
-		case j != nil && j.Known:
-			g, o := rewrite(j, func(r *world.JobRecord) { r.Away = there })
+		case j != nil && j.HasRecord:
+			g, o := rewrite(j, func(r *world.JobRecord) { r.OffloadedTo = there })
 			guards, op = append(guards, g), o
 		default:
 			// Accepted in writes that are lost.
-			rec := world.JobRecord{Spec: a.Spec, AtMs: a.AtMs, Away: there}
-			if why := rec.Lay(s.world.Level, s.world.Fit(s.commit.LeastRoom())); why != "" {
+			rec := world.JobRecord{Spec: a.Spec, SubmittedAtMs: a.AtMs, OffloadedTo: there}
+			if why := rec.ChooseLayout(s.world.SchemaVersion, s.world.SizeLimits(s.commit.UpcomingMaxRecordBytes())); why != "" {
 				s.log.Error("job of another cell's inventory can't be recorded", "job", a.Spec.ID, "why", why)
 			}
 			guards = append(guards, wire.Condition{Key: world.JobKey(a.Spec.ID)}, wire.Condition{Key: world.FinalKey(a.Spec.ID)})
-			op = store.Set(world.JobKey(a.Spec.ID), rec)
+			op = store.PutOp(world.JobKey(a.Spec.ID), rec)
 		}
 		s.world.RUnlock()
 		s.log.Info("job is with another cell, as that one tells", "job", a.Spec.ID, "cell", name, "number", a.Number)
@@ -269,18 +271,18 @@
 	m := member(f.Name, rec)
 	var ops []wire.Op
 	var back []string
-	if rec.Fenced < f.Epoch {
+	if rec.FencedEpoch < f.Epoch {
 		after, err := m.Forget(f.Epoch, time.Now())
 		if err != nil {
 			s.world.RUnlock()
 			return fmt.Errorf("not forgotten: %w", err)
 		}
-		rec.Fenced, rec.Standing, rec.SinceMs, rec.Settled = after.Fenced, int(after.Standing), after.Since.UnixMilli(), after.Settled
-		ops = append(ops, store.Set(world.CellKey(f.Name), rec))
-	} else if rec.Other <= rec.Fenced {
+		rec.FencedEpoch, rec.Standing, rec.StandingSinceMs, rec.InventoryReceived = after.Fenced, int(after.Standing), after.Since.UnixMilli(), after.Settled
+		ops = append(ops, store.PutOp(world.CellKey(f.Name), rec))
+	} else if rec.PeerEpoch <= rec.FencedEpoch {
 		for _, j := range s.away(f.Name) {
-			if len(ops) < s.commit.TxnOps() {
-				g, op := rewrite(j, func(r *world.JobRecord) { r.Away = nil })
+			if len(ops) < s.commit.MaxTransactionOps() {
+				g, op := rewrite(j, func(r *world.JobRecord) { r.OffloadedTo = nil })
 				guards, ops, back = append(guards, g), append(ops, op), append(back, j.Spec.ID)
 			}
 		}
@@ -298,8 +300,8 @@
 
 // member is a cell's record as the machine of members sees it.
 func member(name string, rec world.CellRecord) cell.Member {
-	return cell.Member{Name: name, Epoch: rec.Other, Standing: cell.Standing(rec.Standing), Since: time.UnixMilli(rec.SinceMs), Returns: rec.Returns,
-		Settled: rec.Settled, Fenced: rec.Fenced}
+	return cell.Member{Name: name, Epoch: rec.PeerEpoch, Standing: cell.Standing(rec.Standing), Since: time.UnixMilli(rec.StandingSinceMs), Returns: rec.Returns,
+		Settled: rec.InventoryReceived, Fenced: rec.FencedEpoch}
 }
 
 // offer gives away what is expected to start sooner elsewhere.
@@ -323,9 +325,9 @@
 	}
 	for _, j := range s.world.Jobs {
 		// What was given since the digest came is on its way.
-		if j.Known && j.Away != nil {
-			if i := slices.IndexFunc(list, func(c cell.Candidate) bool { return c.Name == j.Away.Cell }); i >= 0 && time.UnixMilli(j.AwayMs).After(list[i].Digest.At.Add(-tuning.CellExchange)) {
-				flight[j.Away.Cell] += j.Spec.TaskCount
+		if j.HasRecord && j.OffloadedTo != nil {
+			if i := slices.IndexFunc(list, func(c cell.Candidate) bool { return c.Name == j.OffloadedTo.Cell }); i >= 0 && time.UnixMilli(j.OffloadedAtMs).After(list[i].Digest.At.Add(-tuning.CellExchange)) {
+				flight[j.OffloadedTo.Cell] += j.Spec.TaskCount
 			}
 		}
 	}
@@ -337,7 +339,7 @@
 	wait := map[int]float64{}
 	for _, id := range slices.Sorted(maps.Keys(s.world.Jobs)) {
 		j := s.world.Jobs[id]
-		if len(gifts) >= tuning.CellGifts || !j.Startable() || !s.mayLeave(j) {
+		if len(gifts) >= tuning.CellGifts || !j.CanStart() || !s.mayLeave(j) {
 			continue
 		}
 		rank := wire.PriorityRank(j.Spec.Priority)
@@ -347,8 +349,8 @@
 		for i := range list {
 			list[i].Flight = flight[list[i].Name]
 		}
-		w := cell.Work{ID: id, Need: world.Need(&j.Spec), Tasks: j.Spec.TaskCount, OneZone: j.Spec.SameZone, Types: j.Spec.MachineTypes,
-			Spot: j.Spec.AllowSpot, Rank: rank, Image: j.Spec.Image, ImageGB: j.Spec.ImageSizeGB, HereS: max(wait[rank], now.Sub(j.Since()).Seconds()), Guest: j.Guest != nil}
+		w := cell.Work{ID: id, Need: world.TaskResources(&j.Spec), Tasks: j.Spec.TaskCount, OneZone: j.Spec.SameZone, Types: j.Spec.MachineTypes,
+			Spot: j.Spec.AllowSpot, Rank: rank, Image: j.Spec.Image, ImageGB: j.Spec.ImageSizeGB, HereS: max(wait[rank], now.Sub(j.ReadySince()).Seconds()), Guest: j.OffloadedFrom != nil}
 		if to, ok := cell.Choose(now, &w, list, rand.New(rand.NewPCG(rand.Uint64(), 1))); ok {
 			gifts = append(gifts, gift{j, to})
 			flight[to] += j.Spec.TaskCount
@@ -362,13 +364,13 @@
 			rec = s.record(g.to)
 			guards[g.to], _ = s.guards(g.to)
 		}
-		if _, ok := home(g.job).Give(rec.Next + 1); !ok || len(ops[g.to]) >= s.commit.TxnOps()-1 {
+		if _, ok := home(g.job).Give(rec.LastSentTransfer + 1); !ok || len(ops[g.to]) >= s.commit.MaxTransactionOps()-1 {
 			continue
 		}
-		rec.Next++
+		rec.LastSentTransfer++
 		next[g.to] = rec
 		guard, op := rewrite(g.job, func(r *world.JobRecord) {
-			r.Away, r.AwayMs = &world.Transfer{Cell: g.to, Number: rec.Next, Epoch: s.op.CellEpoch}, now.UnixMilli()
+			r.OffloadedTo, r.OffloadedAtMs = &world.Transfer{Cell: g.to, Number: rec.LastSentTransfer, Epoch: s.op.CellEpoch}, now.UnixMilli()
 		})
 		guards[g.to], ops[g.to] = append(guards[g.to], guard), append(ops[g.to], op)
 		given[g.to] = append(given[g.to], g.job.Spec.ID)
@@ -376,7 +378,7 @@
 	s.world.RUnlock()
 	var errs []error
 	for to, list := range ops {
-		err := s.do(ctx, guards[to], append(list, store.Set(world.CellKey(to), next[to])))
+		err := s.do(ctx, guards[to], append(list, store.PutOp(world.CellKey(to), next[to])))
 		if errs = append(errs, err); err == nil {
 			s.log.Info("jobs given to another cell", "cell", to, "jobs", given[to])
 		}
@@ -388,7 +390,7 @@
 // says all of it, and nothing but its own team's room holds it here. Callers hold the lock.
 func (s *Spill) mayLeave(j *world.Job) bool {
 	t, ok := s.teams[j.Spec.Team]
-	return ok && t.GPUsMax == 0 && t.CPUsMax == 0 && t.GPUs == 0 && t.CPUs == 0 && j.Spec.Kind != wire.KindService && j.Guest == nil && j.Away == nil &&
-		j.Bound == 0 && j.Done == 0 && len(j.Spec.Dependencies) == 0 && j.Spec.Zone == "" && j.Records() == 1 && len(j.Further()) == 0 &&
-		time.Since(j.Since()) > tuning.SpillAfter && j.Spec.MaxRetries == nil
+	return ok && t.GPUsMax == 0 && t.CPUsMax == 0 && t.GPUs == 0 && t.CPUs == 0 && j.Spec.Kind != wire.KindService && j.OffloadedFrom == nil && j.OffloadedTo == nil &&
+		j.BoundCount == 0 && j.DoneCount == 0 && len(j.Spec.Dependencies) == 0 && j.Spec.Zone == "" && j.ChunkCount() == 1 && len(j.FurtherChunkKeys()) == 0 &&
+		time.Since(j.ReadySince()) > tuning.SpillAfter && j.Spec.MaxRetries == nil
 }
--- a/internal/spill/host.go
+++ b/internal/spill/host.go
@@ -35,23 +35,23 @@
 	s.world.RLock()
 	rec := s.record(m.Cell)
 	guards, leads := s.guards(m.Cell)
-	on := s.world.Level >= tuning.LevelCells
+	on := s.world.SchemaVersion >= tuning.LevelCells
 	s.world.RUnlock()
 	if !leads || !on {
 		return Message{}, ErrNotLeader
 	}
-	line, counts := cell.Line{Own: s.op.CellEpoch, Other: rec.Other}.Takes(cell.Envelope{From: m.From, To: m.To})
-	if line.Other != rec.Other {
+	line, counts := cell.Line{Own: s.op.CellEpoch, Other: rec.PeerEpoch}.Takes(cell.Envelope{From: m.From, To: m.To})
+	if line.Other != rec.PeerEpoch {
 		// Known before anything is said under it: a late message of an epoch before counts
 		// no more.
 		next := s.under(rec)
-		next.Other = line.Other
-		if err := s.do(ctx, guards, []wire.Op{store.Set(world.CellKey(m.Cell), next)}); err != nil {
+		next.PeerEpoch = line.Other
+		if err := s.do(ctx, guards, []wire.Op{store.PutOp(world.CellKey(m.Cell), next)}); err != nil {
 			return Message{}, err
 		}
 	}
 	reply := Message{Cell: s.op.CellName, From: line.Own, To: line.Other, Draining: s.op.CellDrain}
-	if !counts || m.From <= rec.Fenced {
+	if !counts || m.From <= rec.FencedEpoch {
 		return reply, nil
 	}
 	if err := s.clean(ctx, m.Cell); err != nil {
@@ -62,7 +62,7 @@
 	}
 	s.world.RLock()
 	defer s.world.RUnlock()
-	if _, _, leads := s.owner.Owns(world.Leader); !leads {
+	if _, _, leads := s.owner.Owns(world.LeaderShard); !leads {
 		return Message{}, ErrNotLeader
 	}
 	s.tell(&reply, &m)
@@ -78,9 +78,9 @@
 	var ops []wire.Op
 	kept := guests.Clean(s.op.CellEpoch)
 	for n, j := range jobs {
-		if kept.Word(n).Status == cell.Absent && j.Bound == 0 && len(ops) < s.commit.TxnOps() {
-			guards = append(guards, wire.Condition{Key: world.JobKey(j.Spec.ID), ModRevision: j.Stamp})
-			ops = append(ops, store.Drop(world.JobKey(j.Spec.ID)))
+		if kept.Word(n).Status == cell.Absent && j.BoundCount == 0 && len(ops) < s.commit.MaxTransactionOps() {
+			guards = append(guards, wire.Condition{Key: world.JobKey(j.Spec.ID), ModRevision: j.ModRevision})
+			ops = append(ops, store.DeleteOp(world.JobKey(j.Spec.ID)))
 		}
 	}
 	left := len(guests.List) - len(kept.List) - len(ops)
@@ -105,7 +105,7 @@
 	rec := s.record(m.Cell)
 	next := rec
 	var ops []wire.Op
-	budget := s.commit.TxnOps() - 1
+	budget := s.commit.MaxTransactionOps() - 1
 	change := func(g wire.Condition, op wire.Op) { guards, ops = append(guards, g), append(ops, op) }
 	room := s.room()
 	var told []func() // once it is durable
@@ -119,46 +119,46 @@
 		before := guests.Word(a.Number)
 		after, word := guests.Hear(cell.Ask{Number: a.Number, Cancelled: a.Cancelled, Recalled: a.Recalled}, s.op.CellEpoch, fits)
 		guests = after
-		next.High = max(next.High, guests.High)
+		next.LastReceivedTransfer = max(next.LastReceivedTransfer, guests.High)
 		switch {
 		case j == nil && word.Status == cell.Held && before.Status == cell.Absent:
-			rec := world.JobRecord{Spec: spec, AtMs: a.AtMs, Guest: &world.Transfer{Cell: m.Cell, Number: a.Number, Epoch: s.op.CellEpoch}}
-			if rec.Lay(s.world.Level, s.world.Fit(s.commit.LeastRoom())) != "" {
+			rec := world.JobRecord{Spec: spec, SubmittedAtMs: a.AtMs, OffloadedFrom: &world.Transfer{Cell: m.Cell, Number: a.Number, Epoch: s.op.CellEpoch}}
+			if rec.ChooseLayout(s.world.SchemaVersion, s.world.SizeLimits(s.commit.UpcomingMaxRecordBytes())) != "" {
 				guests, _ = guests.Release(a.Number, 0)
 				continue
 			}
 			room -= spec.TaskCount
-			change(wire.Condition{Key: world.JobKey(spec.ID)}, store.Set(world.JobKey(spec.ID), rec))
+			change(wire.Condition{Key: world.JobKey(spec.ID)}, store.PutOp(world.JobKey(spec.ID), rec))
 			told = append(told, func() {
 				s.log.Info("job taken from another cell", "job", spec.ID, "cell", m.Cell, "number", a.Number)
 			})
 		case j == nil:
-		case (a.Recalled || s.op.CellDrain) && !j.Cancelled() && j.Bound == 0 && j.Done == 0:
-			if _, ok := guests.Release(a.Number, j.Bound); ok {
-				change(wire.Condition{Key: world.JobKey(spec.ID), ModRevision: j.Stamp}, store.Drop(world.JobKey(spec.ID)))
-				ops = append(ops, j.DropFurther(budget-len(ops))...)
+		case (a.Recalled || s.op.CellDrain) && !j.Cancelled() && j.BoundCount == 0 && j.DoneCount == 0:
+			if _, ok := guests.Release(a.Number, j.BoundCount); ok {
+				change(wire.Condition{Key: world.JobKey(spec.ID), ModRevision: j.ModRevision}, store.DeleteOp(world.JobKey(spec.ID)))
+				ops = append(ops, j.DeleteFurtherChunks(budget-len(ops))...)
 				told = append(told, func() { s.log.Info("job sent home", "job", spec.ID, "cell", m.Cell, "number", a.Number) })
 			}
 		case a.Cancelled && !j.Cancelled():
-			change(rewrite(j, func(r *world.JobRecord) { r.CancelMs, r.Certain = max(time.Now().UnixMilli(), 1), true }))
-		case a.Recalled && !j.Guest.Recalled:
+			change(rewrite(j, func(r *world.JobRecord) { r.CancelledAtMs, r.CancelAfterRelease = max(time.Now().UnixMilli(), 1), true }))
+		case a.Recalled && !j.OffloadedFrom.Recalled:
 			change(rewrite(j, func(r *world.JobRecord) {
-				back := *r.Guest
+				back := *r.OffloadedFrom
 				back.Recalled = true
-				r.Guest = &back
+				r.OffloadedFrom = &back
 			}))
 		}
 	}
 	if c := s.world.Cells[m.Cell]; c != nil {
 		for _, n := range m.Have {
-			if o, ok := c.Over[n]; ok && len(ops) < budget {
-				change(wire.Condition{Key: world.OverKey(m.Cell, n), ModRevision: o.Stamp}, store.Drop(world.OverKey(m.Cell, n)))
+			if o, ok := c.GuestOutcomes[n]; ok && len(ops) < budget {
+				change(wire.Condition{Key: world.GuestOutcomeKey(m.Cell, n), ModRevision: o.ModRevision}, store.DeleteOp(world.GuestOutcomeKey(m.Cell, n)))
 			}
 		}
 	}
 	s.world.RUnlock()
 	if next != rec {
-		ops = append(ops, store.Set(world.CellKey(m.Cell), next))
+		ops = append(ops, store.PutOp(world.CellKey(m.Cell), next))
 	}
 	if len(ops) == 0 {
 		return nil
@@ -186,11 +186,11 @@
 	word := func(n uint64) Word {
 		out := Word{Number: n, Status: int(guests.Word(n).Status)}
 		if j := jobs[n]; j != nil {
-			out.Done = j.Done
+			out.Done = j.DoneCount
 		}
 		if c := s.world.Cells[m.Cell]; c != nil {
-			if o, ok := c.Over[n]; ok {
-				out.Final, out.Done = o.Status, o.Done
+			if o, ok := c.GuestOutcomes[n]; ok {
+				out.Final, out.Done = o.Status, o.DoneCount
 			}
 		}
 		return out
@@ -212,7 +212,7 @@
 		list := &Inventory{High: guests.High}
 		for _, g := range guests.List {
 			if j := jobs[g.Number]; j != nil {
-				list.Held = append(list.Held, Ask{Number: g.Number, AtMs: j.AtMs, Spec: j.Spec})
+				list.Held = append(list.Held, Ask{Number: g.Number, AtMs: j.SubmittedAtMs, Spec: j.Spec})
 			} else {
 				list.Over = append(list.Over, word(g.Number))
 			}
@@ -229,8 +229,8 @@
 	}
 	held := 0
 	for _, j := range s.world.Jobs {
-		if j.Known && j.Guest != nil {
-			held += j.Spec.TaskCount - j.Done
+		if j.HasRecord && j.OffloadedFrom != nil {
+			held += j.Spec.TaskCount - j.DoneCount
 		}
 	}
 	return max(s.op.CellGuests-held, 0)
@@ -241,7 +241,7 @@
 	type like struct {
 		typ, zone string
 		spot      bool
-		free      world.Amount
+		free      world.Resources
 	}
 	count, images, up := map[like]int{}, map[string]int{}, 0
 	fetch, boot := 0.0, 0.0
@@ -250,20 +250,20 @@
 	}
 	for _, m := range s.world.Machines {
 		t, ok := s.world.Types[m.Type]
-		if !ok || !m.Up || m.Gone || m.Drain {
+		if !ok || !m.Up || m.Deleting || m.Draining {
 			continue
 		}
 		up++
 		if t.ImageFetchGBps > 0 {
 			fetch = max(fetch, 1/t.ImageFetchGBps)
 		}
-		for image := range m.Images {
+		for image := range m.TasksByImage {
 			images[image]++
 		}
-		free := world.Capacity(&t).Plus(m.Used, -1)
+		free := world.Capacity(&t).AddTimes(m.Used, -1)
 		if free.GPUs > 0 || t.GPUs == 0 && free.CPUs > 0 {
 			// Whole GPUs, cores in fours and GB in sixteens: what is told need not be exact.
-			free = world.Amount{CPUs: float64(int(free.CPUs/4)) * 4, GPUs: float64(int(free.GPUs)), Mem: float64(int(free.Mem/16)) * 16}
+			free = world.Resources{CPUs: float64(int(free.CPUs/4)) * 4, GPUs: float64(int(free.GPUs)), MemoryGB: float64(int(free.MemoryGB/16)) * 16}
 			count[like{m.Type, m.Zone, m.Spot, free}]++
 		}
 	}
@@ -272,7 +272,7 @@
 		d.Rooms = append(d.Rooms, cell.Room{Type: l.typ, Zone: l.zone, Spot: l.spot, Free: l.free, Count: n})
 	}
 	slices.SortFunc(d.Rooms, func(a, b cell.Room) int {
-		return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Free.GPUs, b.Free.GPUs), cmp.Compare(a.Free.CPUs, b.Free.CPUs), cmp.Compare(a.Free.Mem, b.Free.Mem))
+		return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Free.GPUs, b.Free.GPUs), cmp.Compare(a.Free.CPUs, b.Free.CPUs), cmp.Compare(a.Free.MemoryGB, b.Free.MemoryGB))
 	})
 	d.Rooms = cell.Shrink(d.Rooms)
 	for _, image := range slices.Sorted(maps.Keys(images)) {
@@ -292,11 +292,11 @@
 func (s *Spill) wait(rank int) float64 {
 	waits, runs := 0.0, 0.0
 	for _, j := range s.world.Jobs {
-		if !j.Known || j.Cancelled() || j.Away != nil || wire.PriorityRank(j.Spec.Priority) > rank || j.Spec.Kind == wire.KindService {
+		if !j.HasRecord || j.Cancelled() || j.OffloadedTo != nil || wire.PriorityRank(j.Spec.Priority) > rank || j.Spec.Kind == wire.KindService {
 			continue
 		}
-		waits += float64(j.Pending()) * j.Spec.RuntimeEstimateSeconds
-		runs += float64(j.Bound)
+		waits += float64(j.PendingCount()) * j.Spec.RuntimeEstimateSeconds
+		runs += float64(j.BoundCount)
 	}
 	if waits == 0 {
 		return 0
--- a/internal/spill/spill.go
+++ b/internal/spill/spill.go
@@ -39,9 +39,9 @@
 
 // Committer commits items.
 type Committer interface {
-	Do(ctx context.Context, it store.Item) (uint64, error)
-	TxnOps() int
-	LeastRoom() int
+	Commit(ctx context.Context, it store.Transaction) (uint64, error)
+	MaxTransactionOps() int
+	UpcomingMaxRecordBytes() int
 }
 
 // Owner tells what this node owns. Callers hold the world's lock.
@@ -55,7 +55,7 @@
 // Spill is one node's part in the exchange.
 type Spill struct {
 	op     *config.Operator
-	world  *world.World
+	world  *world.State
 	owner  Owner
 	commit Committer
 	line   Line
@@ -79,7 +79,7 @@
 }
 
 // New makes a node's part; without cells in the operators' settings it does nothing.
-func New(op *config.Operator, teams []config.Team, w *world.World, o Owner, c Committer, l Line, log *slog.Logger) *Spill {
+func New(op *config.Operator, teams []config.Team, w *world.State, o Owner, c Committer, l Line, log *slog.Logger) *Spill {
 	s := &Spill{op: op, world: w, owner: o, commit: c, line: l, teams: map[string]config.Team{}, log: log, heard: map[string]*heard{}, busy: make(chan struct{}, 1)}
 	for _, t := range teams {
 		s.teams[t.Name] = t
@@ -105,8 +105,8 @@
 		case <-tick.C:
 		}
 		s.world.RLock()
-		_, _, leads := s.owner.Owns(world.Leader)
-		on := leads && s.world.Level >= tuning.LevelCells
+		_, _, leads := s.owner.Owns(world.LeaderShard)
+		on := leads && s.world.SchemaVersion >= tuning.LevelCells
 		s.world.RUnlock()
 		if !on {
 			continue
@@ -138,10 +138,10 @@
 // guards are the conditions of what a leader writes about another cell. Callers hold the
 // world's lock.
 func (s *Spill) guards(name string) ([]wire.Condition, bool) {
-	_, stamp, leads := s.owner.Owns(world.Leader)
-	out := []wire.Condition{{Key: world.PartKey(world.Leader), ModRevision: stamp}, {Key: world.CellKey(name)}}
+	_, stamp, leads := s.owner.Owns(world.LeaderShard)
+	out := []wire.Condition{{Key: world.ShardKey(world.LeaderShard), ModRevision: stamp}, {Key: world.CellKey(name)}}
 	if c := s.world.Cells[name]; c != nil {
-		out[1].ModRevision = c.Stamp
+		out[1].ModRevision = c.ModRevision
 	}
 	return out, leads
 }
@@ -157,7 +157,7 @@
 func (s *Spill) do(ctx context.Context, guards []wire.Condition, ops []wire.Op) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
 	defer cancel()
-	_, err := s.commit.Do(ctx, store.Item{Guards: guards, Ops: ops, Soon: true})
+	_, err := s.commit.Commit(ctx, store.Transaction{Conditions: guards, Ops: ops, HighPriority: true})
 	return err
 }
 
@@ -165,8 +165,8 @@
 func (s *Spill) away(name string) map[uint64]*world.Job {
 	out := map[uint64]*world.Job{}
 	for _, j := range s.world.Jobs {
-		if j.Known && j.Away != nil && j.Away.Cell == name {
-			out[j.Away.Number] = j
+		if j.HasRecord && j.OffloadedTo != nil && j.OffloadedTo.Cell == name {
+			out[j.OffloadedTo.Number] = j
 		}
 	}
 	return out
@@ -175,15 +175,15 @@
 // guests gives what is held of a cell's, for the machine to decide by. Callers hold the world's
 // lock.
 func (s *Spill) guests(name string) (cell.Guests, map[uint64]*world.Job) {
-	g, jobs := cell.Guests{High: s.record(name).High}, map[uint64]*world.Job{}
+	g, jobs := cell.Guests{High: s.record(name).LastReceivedTransfer}, map[uint64]*world.Job{}
 	for _, j := range s.world.Jobs {
-		if j.Known && j.Guest != nil && j.Guest.Cell == name {
-			jobs[j.Guest.Number] = j
-			g.List = append(g.List, cell.Guest{Number: j.Guest.Number, Epoch: j.Guest.Epoch, Status: cell.Held, Cancelled: j.Cancelled(), Recalled: j.Guest.Recalled})
+		if j.HasRecord && j.OffloadedFrom != nil && j.OffloadedFrom.Cell == name {
+			jobs[j.OffloadedFrom.Number] = j
+			g.List = append(g.List, cell.Guest{Number: j.OffloadedFrom.Number, Epoch: j.OffloadedFrom.Epoch, Status: cell.Held, Cancelled: j.Cancelled(), Recalled: j.OffloadedFrom.Recalled})
 		}
 	}
 	if c := s.world.Cells[name]; c != nil {
-		for n := range c.Over {
+		for n := range c.GuestOutcomes {
 			g.List = append(g.List, cell.Guest{Number: n, Status: cell.Over})
 		}
 	}
@@ -195,5 +195,5 @@
 func rewrite(j *world.Job, change func(*world.JobRecord)) (wire.Condition, wire.Op) {
 	marked := *j
 	change(&marked.JobRecord)
-	return wire.Condition{Key: world.JobKey(j.Spec.ID), ModRevision: j.Stamp}, marked.Encode(0, nil)
+	return wire.Condition{Key: world.JobKey(j.Spec.ID), ModRevision: j.ModRevision}, marked.EncodeChunk(0, nil)
 }
--- a/internal/standin/fakeagent.go
+++ b/internal/standin/fakeagent.go
@@ -162,7 +162,7 @@
 func (a *fakeAgent) executeCommands(orders []wire.Command) {
 	now := time.Now()
 	for _, o := range orders {
-		ref, ok := world.ParseRef(o.Task)
+		ref, ok := world.ParseTaskRef(o.Task)
 		if !ok {
 			a.region.Checker.AddViolation("format: task " + o.Task)
 			continue
@@ -202,17 +202,17 @@
 		a.exitTask(k, t, wire.ExitCauseUnknownTask, false)
 		return
 	}
-	used := world.Amount{}
+	used := world.Resources{}
 	for o, x := range a.tasks {
 		if x.State != wire.TaskExited && o != k {
-			used = used.Plus(world.Need(&x.spec), 1)
+			used = used.AddTimes(world.TaskResources(&x.spec), 1)
 			if o.task == k.task {
 				a.exitTask(k, t, wire.ExitCauseAlreadyRunning, false)
 				return
 			}
 		}
 	}
-	if !used.Plus(world.Need(&spec), 1).Within(world.Capacity(&a.machineType)) {
+	if !used.AddTimes(world.TaskResources(&spec), 1).FitsIn(world.Capacity(&a.machineType)) {
 		a.exitTask(k, t, wire.ExitCauseNoCapacity, false)
 		return
 	}
--- a/internal/standin/fakeuser.go
+++ b/internal/standin/fakeuser.go
@@ -99,7 +99,7 @@
 // cancelMarked tells whether a job's record says that it is cancelled.
 func (r *Region) cancelMarked(id string) bool {
 	var rec world.JobRecord
-	return wire.Decode(r.KV.Row(world.JobKey(id)).Value, &rec) == nil && rec.CancelMs != 0
+	return wire.Decode(r.KV.Row(world.JobKey(id)).Value, &rec) == nil && rec.CancelledAtMs != 0
 }
 
 // QueryUnknownJobs asks about jobs that nobody submitted.
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -87,12 +87,12 @@
 }
 
 // leaderToken gives the leader's token.
-func (r *Region) leaderToken() uint64 { return r.shardOwner(world.Leader).Token }
+func (r *Region) leaderToken() uint64 { return r.shardOwner(world.LeaderShard).FencingToken }
 
 // shardOwner gives the record of a part's owner.
-func (r *Region) shardOwner(part int) world.PartRecord {
-	var p world.PartRecord
-	_ = wire.Decode(r.KV.Row(world.PartKey(part)).Value, &p)
+func (r *Region) shardOwner(part int) world.ShardRecord {
+	var p world.ShardRecord
+	_ = wire.Decode(r.KV.Row(world.ShardKey(part)).Value, &p)
 	return p
 }
 
@@ -106,7 +106,7 @@
 		free := world.Capacity(&w.machineType)
 		for _, t := range w.tasks {
 			if t.State != wire.TaskExited {
-				free = free.Plus(world.Need(&t.spec), -1)
+				free = free.AddTimes(world.TaskResources(&t.spec), -1)
 			}
 		}
 		out = append(out, FreeCapacity{w.placement(), free})
@@ -188,7 +188,7 @@
 // shardTokenSum adds the parts' tokens up: it rises with each of them.
 func (r *Region) shardTokenSum() (sum uint64) {
 	for p := range r.Settings.Deployment.Size {
-		sum += r.shardOwner(p).Token
+		sum += r.shardOwner(p).FencingToken
 	}
 	return sum
 }
--- a/internal/standin/invariants.go
+++ b/internal/standin/invariants.go
@@ -257,7 +257,7 @@
 // FreeCapacity is what is free on a machine that can be reached.
 type FreeCapacity struct {
 	Placement
-	Free world.Amount
+	Free world.Resources
 }
 
 // maxStartableWait is how long a job may wait beside room that fits, all troubles over.
@@ -303,7 +303,7 @@
 			}
 		}
 	}
-	need, minTasks := world.Need(spec), 1
+	need, minTasks := world.TaskResources(spec), 1
 	if spec.Kind == wire.KindGang {
 		minTasks = spec.TaskCount
 	}
@@ -315,7 +315,7 @@
 		if pinnedZone != "" && r.Zone != pinnedZone || r.Spot && !spec.AllowSpot || len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, r.Type) {
 			continue
 		}
-		for free := r.Free; need.Within(free) && fits[r.Zone] < minTasks; free = free.Plus(need, -1) {
+		for free := r.Free; need.FitsIn(free) && fits[r.Zone] < minTasks; free = free.AddTimes(need, -1) {
 			if spec.Spread && inZone[r.Zone]+fits[r.Zone] >= (spec.TaskCount+1)/2 {
 				break
 			}
@@ -333,7 +333,7 @@
 
 // withinTeamLimit tells whether a team may run so many more tasks of a job. Callers hold the lock.
 func (c *InvariantChecker) withinTeamLimit(s *wire.JobSpec, tasks int) bool {
-	use := c.teamUsage(s.Team).Plus(world.Need(s), float64(tasks))
+	use := c.teamUsage(s.Team).AddTimes(world.TaskResources(s), float64(tasks))
 	for _, t := range c.settings.Deployment.Teams {
 		if t.Name == s.Team && (t.GPUsMax > 0 && use.GPUs > t.GPUsMax+1e-6 || t.CPUsMax > 0 && use.CPUs > t.CPUsMax+1e-6) {
 			return false
@@ -343,11 +343,11 @@
 }
 
 // teamUsage is what a team's tasks take. Callers hold the lock.
-func (c *InvariantChecker) teamUsage(team string) world.Amount {
-	var use world.Amount
+func (c *InvariantChecker) teamUsage(team string) world.Resources {
+	var use world.Resources
 	for ref, at := range c.placements {
 		if s := &c.jobs[ref.Job].spec; s.Team == team {
-			use = use.Plus(world.Need(s), float64(len(at)))
+			use = use.AddTimes(world.TaskResources(s), float64(len(at)))
 		}
 	}
 	return use
--- a/internal/standin/region.go
+++ b/internal/standin/region.go
@@ -564,7 +564,7 @@
 func (r *Region) LeaderIndex() int {
 	most, at := -1, 0
 	owners := map[string]int{}
-	owners[r.shardOwner(world.Leader).Owner] = len(r.controllers) + 1
+	owners[r.shardOwner(world.LeaderShard).Owner] = len(r.controllers) + 1
 	for p := range r.Settings.Deployment.Size {
 		owners[r.shardOwner(p).Owner]++
 	}
--- a/internal/standin/region_test.go
+++ b/internal/standin/region_test.go
@@ -399,19 +399,19 @@
 // TestOracleLeavesAlone: a job that waits for room that is not there for it is not left waiting.
 func TestCheckerAllowsJustifiedWaiting(t *testing.T) {
 	place := func(zone string, spot bool) Placement { return Placement{"a", "large", zone, spot} }
-	gpu := world.Amount{GPUs: 1}
+	gpu := world.Resources{GPUs: 1}
 	for name, c := range map[string]struct {
 		spec  func(*wire.JobSpec)
 		rooms []FreeCapacity
 	}{
-		"no room":          {nil, []FreeCapacity{{place("east", false), world.Amount{}}}},
+		"no room":          {nil, []FreeCapacity{{place("east", false), world.Resources{}}}},
 		"spot":             {nil, []FreeCapacity{{place("east", true), gpu}}},
 		"another zone":     {func(s *wire.JobSpec) { s.Zone = "west" }, []FreeCapacity{{place("east", false), gpu}}},
 		"another type":     {func(s *wire.JobSpec) { s.MachineTypes = []string{"small"} }, []FreeCapacity{{place("east", false), gpu}}},
-		"spread":           {func(s *wire.JobSpec) { s.Kind, s.TaskCount, s.Spread = wire.KindGang, 4, true }, []FreeCapacity{{place("east", false), world.Amount{GPUs: 4}}}},
+		"spread":           {func(s *wire.JobSpec) { s.Kind, s.TaskCount, s.Spread = wire.KindGang, 4, true }, []FreeCapacity{{place("east", false), world.Resources{GPUs: 4}}}},
 		"zones apart":      {func(s *wire.JobSpec) { s.Kind, s.TaskCount, s.SameZone = wire.KindGang, 2, true }, []FreeCapacity{{place("east", false), gpu}, {place("west", false), gpu}}},
-		"over its limit":   {func(s *wire.JobSpec) { s.GPUs = 7 }, []FreeCapacity{{place("east", false), world.Amount{GPUs: 8}}}},
-		"half of the gang": {func(s *wire.JobSpec) { s.Kind, s.TaskCount = wire.KindGang, 4 }, []FreeCapacity{{place("east", false), world.Amount{GPUs: 3}}}},
+		"over its limit":   {func(s *wire.JobSpec) { s.GPUs = 7 }, []FreeCapacity{{place("east", false), world.Resources{GPUs: 8}}}},
+		"half of the gang": {func(s *wire.JobSpec) { s.Kind, s.TaskCount = wire.KindGang, 4 }, []FreeCapacity{{place("east", false), world.Resources{GPUs: 3}}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -481,10 +481,10 @@
 		}}},
 		"left": {
 			{"beside room", nil, func(o *InvariantChecker) {
-				waitBesideCapacity(o, FreeCapacity{at("a", "large", "east", false), world.Amount{CPUs: 8, GPUs: 1}})
+				waitBesideCapacity(o, FreeCapacity{at("a", "large", "east", false), world.Resources{CPUs: 8, GPUs: 1}})
 			}},
 			{"a gang beside room in its zone", func(s *wire.JobSpec) { s.Kind, s.TaskCount, s.SameZone = wire.KindGang, 2, true }, func(o *InvariantChecker) {
-				waitBesideCapacity(o, FreeCapacity{at("a", "large", "west", false), world.Amount{GPUs: 1}}, FreeCapacity{at("b", "large", "east", false), world.Amount{GPUs: 1}}, FreeCapacity{at("c", "large", "east", false), world.Amount{GPUs: 1}})
+				waitBesideCapacity(o, FreeCapacity{at("a", "large", "west", false), world.Resources{GPUs: 1}}, FreeCapacity{at("b", "large", "east", false), world.Resources{GPUs: 1}}, FreeCapacity{at("c", "large", "east", false), world.Resources{GPUs: 1}})
 			}},
 		},
 		"forgotten": {{"404", nil, func(o *InvariantChecker) {
--- a/internal/standin/sessionrecord_test.go
+++ b/internal/standin/sessionrecord_test.go
@@ -37,13 +37,13 @@
 			time.Sleep(25 * time.Second)
 			rows := r.KV.Snapshot()
 			var node world.NodeRecord
-			var home world.PartRecord
+			var home world.ShardRecord
 			row, there := rows[world.NodeKey("node-0")]
 			if there {
 				_ = wire.Decode(row.Value, &node)
 			}
-			_ = wire.Decode(rows[world.PartKey(0)].Value, &home)
-			if !there || home.Owner != "node-0" || home.Inc != node.Inc {
+			_ = wire.Decode(rows[world.ShardKey(0)].Value, &home)
+			if !there || home.Owner != "node-0" || home.Incarnation != node.Incarnation {
 				t.Errorf("seed %d: session there %v (%+v), its part is %+v", seed, there, node, home)
 			}
 		}
--- a/internal/standin/upgrade_test.go
+++ b/internal/standin/upgrade_test.go
@@ -79,7 +79,7 @@
 	r.KV.OnWrite = func(key string, v wire.RawValue) {
 		var job world.JobRecord
 		switch {
-		case key == world.LevelKey:
+		case key == world.SchemaVersionKey:
 			active = true
 			for _, c := range r.controllers {
 				if c.SchemaVersion < tuning.LevelPipelines {
@@ -89,7 +89,7 @@
 		case strings.HasPrefix(key, "s/u/") && !active, strings.HasPrefix(key, "s/catalog/") && !active:
 			r.KV.Violations = append(r.KV.Violations, "new form before activation: "+key)
 		case strings.HasPrefix(key, "s/j/"):
-			if wire.Decode(v, &job) == nil && !active && (job.Width > 0 || len(job.Groups) > 0 || len(job.Spec.Dependencies) > 0) {
+			if wire.Decode(v, &job) == nil && !active && (job.ChunkWidth > 0 || len(job.Groups) > 0 || len(job.Spec.Dependencies) > 0) {
 				r.KV.Violations = append(r.KV.Violations, "new form before activation: "+key)
 			}
 		}
--- a/internal/store/cache_test.go
+++ b/internal/store/watchcache_test.go
@@ -17,15 +17,15 @@
 // mapSink keeps what the cache tells.
 type mapSink map[string]string
 
-func (m mapSink) Begin()                                    {}
-func (m mapSink) Flush()                                    {}
+func (m mapSink) BeginUpdate()                              {}
+func (m mapSink) EndUpdate()                                {}
 func (m mapSink) Put(key string, v wire.RawValue, _ uint64) { m[key] = string(v) }
-func (m mapSink) Drop(key string)                           { delete(m, key) }
+func (m mapSink) Delete(key string)                         { delete(m, key) }
 
-// TestCacheFollowsHistory applies overlapping watch answers and our own writes
+// TestWatchCacheFollowsHistory applies overlapping watch answers and our own writes
 // in generated orders. The cache must never show a key that was dropped at or
 // below its revision: a late answer once brought a finished job back to life.
-func TestCacheFollowsHistory(t *testing.T) {
+func TestWatchCacheFollowsHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type change struct {
 			key  string
@@ -51,15 +51,15 @@
 			states = append(states, next)
 		}
 		sink := mapSink{}
-		c := NewCache(NewClient("127.0.0.1:1", Limits{RPS: 1, WriteRPS: 1, TxnOps: 1}, nil), "s/", sink, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		c := NewWatchCache(NewClient("127.0.0.1:1", Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxTransactionOps: 1}, nil), "s/", sink, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		var local []uint64
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "own") && len(log) > 0 {
 				e := rapid.SampledFrom(log).Draw(t, "write")
-				c.Local([]wire.Op{{PutKey: e.PutKey, Value: e.Value, DeleteKey: e.DeleteKey}}, e.ModRevision)
+				c.ApplyOwn([]wire.Op{{PutKey: e.PutKey, Value: e.Value, DeleteKey: e.DeleteKey}}, e.ModRevision)
 				local = append(local, e.ModRevision)
 			} else {
-				after := rapid.Uint64Range(0, c.rev).Draw(t, "after")
+				after := rapid.Uint64Range(0, c.revision).Draw(t, "after")
 				upTo := rapid.Uint64Range(after, uint64(n)).Draw(t, "upto")
 				news := wire.WatchResponse{Revision: upTo}
 				for _, e := range log {
@@ -67,10 +67,10 @@
 						news.Events = append(news.Events, e)
 					}
 				}
-				c.apply(after, news, time.Now())
+				c.applyWatch(after, news, time.Now())
 			}
 			// A guard that counts as passed can hold in no state from the one that is known on.
-			seen := c.rev
+			seen := c.revision
 			for _, l := range local {
 				seen = max(seen, l)
 			}
@@ -83,8 +83,8 @@
 							stamp = 0
 						}
 					}
-					if e.ModRevision >= seen && c.Stale(wire.Condition{Key: k, ModRevision: stamp}) {
-						t.Fatalf("revision %d: a guard of %s at %d counts as passed at %d", c.rev, k, stamp, e.ModRevision)
+					if e.ModRevision >= seen && c.IsOutdated(wire.Condition{Key: k, ModRevision: stamp}) {
+						t.Fatalf("revision %d: a guard of %s at %d counts as passed at %d", c.revision, k, stamp, e.ModRevision)
 					}
 				}
 			}
@@ -92,14 +92,14 @@
 			ahead := map[string]bool{}
 			for _, e := range log {
 				for _, l := range local {
-					if e.ModRevision == l && e.ModRevision > c.rev {
+					if e.ModRevision == l && e.ModRevision > c.revision {
 						ahead[e.PutKey+e.DeleteKey] = true
 					}
 				}
 			}
 			for _, k := range []string{"s/a", "s/b", "s/c"} {
-				if want := states[c.rev][k]; !ahead[k] && sink[k] != want {
-					t.Fatalf("revision %d: %s is %q, want %q", c.rev, k, sink[k], want)
+				if want := states[c.revision][k]; !ahead[k] && sink[k] != want {
+					t.Fatalf("revision %d: %s is %q, want %q", c.revision, k, sink[k], want)
 				}
 			}
 		}
@@ -109,13 +109,13 @@
 // TestAppliedIsNeverGuessed: a view of a generated history says that changes were made together only if some
 // transaction made them all, with these values, that this node did not know of when it sent them, be it in
 // its view or as a change of its own that ran ahead; and it says so of each as it comes.
-func TestAppliedIsNeverGuessed(t *testing.T) {
+func TestFindAppliedNeverGuesses(t *testing.T) {
 	ops := func(t *rapid.T, what string) (out []wire.Op) {
 		for _, k := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"s/a", "s/b", "s/c", "f/d"}), 1, 3, rapid.ID).Draw(t, what) {
 			if rapid.IntRange(0, 3).Draw(t, "drop") == 0 {
-				out = append(out, Drop(k))
+				out = append(out, DeleteOp(k))
 			} else {
-				out = append(out, Set(k, rapid.IntRange(0, 2).Draw(t, "value")))
+				out = append(out, PutOp(k, rapid.IntRange(0, 2).Draw(t, "value")))
 			}
 		}
 		return out
@@ -131,7 +131,7 @@
 		return true
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		c := NewCache(NewClient("127.0.0.1:1", Limits{RPS: 1, WriteRPS: 1, TxnOps: 1}, nil), "s/", mapSink{}, slog.New(slog.DiscardHandler))
+		c := NewWatchCache(NewClient("127.0.0.1:1", Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxTransactionOps: 1}, nil), "s/", mapSink{}, slog.New(slog.DiscardHandler))
 		begin := rapid.Uint64Range(0, 6).Draw(t, "sent after")
 		since := uint64(0)
 		asked := ops(t, "asked")
@@ -144,8 +144,8 @@
 				txn = asked
 			}
 			if rev == begin+1 {
-				since = c.Sending(asked)
-				for r := range c.rev {
+				since = c.TrackInFlight(asked)
+				for r := range c.revision {
 					known[r+1] = true
 				}
 			}
@@ -156,25 +156,25 @@
 				there[o.Key()] = o.PutKey != ""
 			}
 			if rapid.Bool().Draw(t, "own") {
-				c.Local(txn, rev)
+				c.ApplyOwn(txn, rev)
 				known[rev] = rev <= begin
 			}
 			if rapid.IntRange(0, 2).Draw(t, "the watch lags") == 0 && rev < 12 {
 				continue
 			}
 			news := wire.WatchResponse{Revision: rev}
-			for at := c.rev + 1; at <= rev; at++ {
+			for at := c.revision + 1; at <= rev; at++ {
 				for _, o := range history[at-1] {
 					if strings.HasPrefix(o.Key(), "s/") {
 						news.Events = append(news.Events, wire.Event{PutKey: o.PutKey, DeleteKey: o.DeleteKey, Value: o.Value, ModRevision: at})
 					}
 				}
 			}
-			c.apply(c.rev, news, time.Now())
+			c.applyWatch(c.revision, news, time.Now())
 			if rev <= begin {
 				continue
 			}
-			got, ok := c.Applied(asked, since)
+			got, ok := c.FindApplied(asked, since)
 			if ok && (known[got] || !holds(history[got-1], asked)) {
 				t.Fatalf("at %d: said to be made at %d, by %v", rev, got, history[got-1])
 			}
@@ -185,23 +185,23 @@
 	})
 }
 
-// TestBatchesKeepKeysApart checks that one transaction never touches a key twice
+// TestBatchNeverChangesAKeyTwice checks that one transaction never touches a key twice
 // and stays within the limits, whatever is queued.
-func TestBatchesKeepKeysApart(t *testing.T) {
+func TestBatchNeverChangesAKeyTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := NewCommitter(NewClient("127.0.0.1:1", Limits{RPS: 1, WriteRPS: 1, TxnOps: 8}, nil), func([]wire.Op, uint64) {})
+		c := NewCommitter(NewClient("127.0.0.1:1", Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxTransactionOps: 8}, nil), func([]wire.Op, uint64) {})
 		n := rapid.IntRange(1, 40).Draw(t, "items")
 		for range n {
-			it := Item{}
+			it := Transaction{}
 			for _, k := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "f"}), 1, 3, rapid.ID).Draw(t, "keys") {
-				it.Ops = append(it.Ops, Set(k, 1))
-				it.Guards = append(it.Guards, wire.Condition{Key: k, ModRevision: rapid.Uint64Range(0, 2).Draw(t, "stamp")})
+				it.Ops = append(it.Ops, PutOp(k, 1))
+				it.Conditions = append(it.Conditions, wire.Condition{Key: k, ModRevision: rapid.Uint64Range(0, 2).Draw(t, "stamp")})
 			}
-			c.queue = append(c.queue, &pending{Item: it})
+			c.queue = append(c.queue, &pendingTransaction{Transaction: it})
 		}
 		left := n
 		for len(c.queue) > 0 {
-			batch := c.take(8)
+			batch := c.takeBatch(8)
 			if len(batch) == 0 {
 				t.Fatal("an empty batch would stall the queue")
 			}
@@ -215,7 +215,7 @@
 					keys[o.Key()] = true
 					ops++
 				}
-				for _, g := range p.Guards {
+				for _, g := range p.Conditions {
 					if s, ok := guards[g.Key]; ok && s != g.ModRevision {
 						t.Fatalf("guards of one transaction contradict each other")
 					}
--- a/internal/world/compat_test.go
+++ b/internal/world/compatibility_test.go
@@ -126,8 +126,8 @@
 	}
 )
 
-// written reads the records as the version before wrote them.
-func written(t *testing.T) map[string][]byte {
+// readFixture reads the records as the version before wrote them.
+func readFixture(t *testing.T) map[string][]byte {
 	b, err := os.ReadFile("testdata/level0.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -142,9 +142,9 @@
 	return out
 }
 
-// both decodes a record as it was written into the old type and the new one, and
+// roundTripBoth decodes a record as it was written into the old type and the new one, and
 // what the new one encodes to into the old type again: nothing may be lost.
-func both[Old, New any](t *testing.T, name string, b []byte) New {
+func roundTripBoth[Old, New any](t *testing.T, name string, b []byte) New {
 	t.Helper()
 	var old, again Old
 	var rec New
@@ -161,37 +161,37 @@
 
 // TestRecordsOfTheVersionBefore: each kind of record passes from the version before
 // to this one and back.
-func TestRecordsOfTheVersionBefore(t *testing.T) {
-	b := written(t)
-	both[oldJob, world.JobRecord](t, "job", b["job"])
-	both[oldJob, world.JobRecord](t, "job-cancelled", b["job-cancelled"])
-	both[oldChunk, world.ChunkRecord](t, "chunk", b["chunk"])
-	both[oldMachine, world.MachineRecord](t, "machine", b["machine"])
-	both[oldPart, world.PartRecord](t, "part", b["part"])
-	both[oldNode, world.NodeRecord](t, "node", b["node"])
-	both[oldQuota, world.QuotaRecord](t, "quota", b["quota"])
-	both[oldRental, world.RentalRecord](t, "rental", b["rental"])
-	both[oldFinal, world.FinalRecord](t, "final", b["final"])
-	both[oldCatalog, wire.Catalog](t, "catalog", b["catalog"])
-	both[oldLearned, learn.Saved](t, "learned", b["learned"])
+func TestOldRecordsRoundTrip(t *testing.T) {
+	b := readFixture(t)
+	roundTripBoth[oldJob, world.JobRecord](t, "job", b["job"])
+	roundTripBoth[oldJob, world.JobRecord](t, "job-cancelled", b["job-cancelled"])
+	roundTripBoth[oldChunk, world.FixedChunkRecord](t, "chunk", b["chunk"])
+	roundTripBoth[oldMachine, world.MachineRecord](t, "machine", b["machine"])
+	roundTripBoth[oldPart, world.ShardRecord](t, "part", b["part"])
+	roundTripBoth[oldNode, world.NodeRecord](t, "node", b["node"])
+	roundTripBoth[oldQuota, world.QuotaRecord](t, "quota", b["quota"])
+	roundTripBoth[oldRental, world.RentalRecord](t, "rental", b["rental"])
+	roundTripBoth[oldFinal, world.FinalRecord](t, "final", b["final"])
+	roundTripBoth[oldCatalog, wire.Catalog](t, "catalog", b["catalog"])
+	roundTripBoth[oldLearned, learn.Saved](t, "learned", b["learned"])
 
 	// What a node tells of its level must not disturb one that knows of none.
 	var n oldNode
-	if err := wire.Decode(wire.MustEncode(world.NodeRecord{Inc: 77, Level: 3}), &n); err != nil || n.Inc != 77 {
+	if err := wire.Decode(wire.MustEncode(world.NodeRecord{Incarnation: 77, SchemaVersion: 3}), &n); err != nil || n.Inc != 77 {
 		t.Errorf("session with a level: %+v, %v", n, err)
 	}
 }
 
 // TestRewrittenAsBefore: a job read from the version before is written again in a
 // form that it reads, as long as nothing was moved: same keys, same layout.
-func TestRewrittenAsBefore(t *testing.T) {
-	b := written(t)
+func TestOldJobKeepsItsLayout(t *testing.T) {
+	b := readFixture(t)
 	w := world.New(3, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	w.Begin()
+	w.BeginUpdate()
 	w.Put(world.JobKey("run-000412"), b["job"], 9)
-	w.Flush()
+	w.EndUpdate()
 	j := w.Jobs["run-000412"]
-	op := j.Encode(0, map[int]world.Task{2: {Index: 2, State: world.Bound, Attempt: 1, Machine: "vm-5", Session: 1}})
+	op := j.EncodeChunk(0, map[int]world.Task{2: {Index: 2, State: world.TaskBound, Attempt: 1, Machine: "vm-5", Session: 1}})
 	var before, after oldJob
 	if err := wire.Decode(b["job"], &before); err != nil {
 		t.Fatal(err)
@@ -204,7 +204,7 @@
 		t.Errorf("%+v became %+v", before, after)
 	}
 	// An older node neither rewrites nor minds what stands under keys of its own.
-	for _, key := range []string{world.LevelKey, world.FineKey("run-000412", 1), world.TypeKey("g8")} {
+	for _, key := range []string{world.SchemaVersionKey, world.GroupedChunkKey("run-000412", 1), world.MachineTypeKey("g8")} {
 		for _, known := range []string{"s/j/", "s/t/", "s/m/", "s/p/", "s/n/", "s/q/", "s/r/", "f/", "l/"} {
 			if strings.HasPrefix(key, known) || key == "s/catalog" {
 				t.Errorf("%s would be read as another record", key)
--- a/internal/world/awaits_test.go
+++ b/internal/world/dependencies_test.go
@@ -11,10 +11,10 @@
 	"sableusher/internal/wire"
 )
 
-// TestAwaitedJobs drives graphs of jobs through submission, completion,
+// TestDependenciesMatchModel drives graphs of jobs through submission, completion,
 // cancellation and the loss of live records, with final records read late or not
 // at all, and compares what may start and what falls with a plain model.
-func TestAwaitedJobs(t *testing.T) {
+func TestDependenciesMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := New(3, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		awaits := map[string][]string{}
@@ -25,17 +25,17 @@
 		rev := uint64(0)
 		put := func(id string, mut func(*JobRecord)) {
 			rev++
-			rec := JobRecord{Spec: wire.JobSpec{ID: id, Team: "t", Kind: wire.KindArray, TaskCount: 1, Dependencies: awaits[id]}, AtMs: 5}
+			rec := JobRecord{Spec: wire.JobSpec{ID: id, Team: "t", Kind: wire.KindArray, TaskCount: 1, Dependencies: awaits[id]}, SubmittedAtMs: 5}
 			mut(&rec)
-			w.Begin()
+			w.BeginUpdate()
 			w.Put(JobKey(id), wire.MustEncode(rec), rev)
-			w.Flush()
+			w.EndUpdate()
 		}
 		drop := func(id, status string) {
 			live[id], final[id] = false, status
-			w.Begin()
-			w.Drop(JobKey(id))
-			w.Flush()
+			w.BeginUpdate()
+			w.Delete(JobKey(id))
+			w.EndUpdate()
 		}
 		// falls tells whether a job that one needs is cancelled.
 		var falls func(id string) bool
@@ -56,9 +56,9 @@
 			return true
 		}
 		read := func() {
-			for _, a := range w.Unread() {
+			for _, a := range w.UnresolvedDependencies() {
 				if status, ok := final[a]; ok {
-					w.Over(a, FinalRecord{Status: status, Tasks: 1, AtMs: 9})
+					w.PutFinalRecord(a, FinalRecord{Status: status, TaskCount: 1, EndedAtMs: 9})
 				}
 			}
 		}
@@ -81,21 +81,21 @@
 				switch {
 				case what == 1 && live[id] && fate[id] == "" && ready(id): // its task completes, the live record stays for a while
 					fate[id] = wire.JobDone
-					put(id, func(r *JobRecord) { r.Tasks = []Task{{State: Done, Attempt: 1}} })
+					put(id, func(r *JobRecord) { r.Tasks = []Task{{State: TaskDone, Attempt: 1}} })
 				case what == 2 && live[id] && fate[id] == "" && ready(id): // it is over in one step
 					fate[id] = wire.JobDone
 					drop(id, wire.JobDone)
 				case what == 3 && live[id] && fate[id] == "":
 					fate[id] = wire.JobCancelled
-					put(id, func(r *JobRecord) { r.CancelMs = 7 })
+					put(id, func(r *JobRecord) { r.CancelledAtMs = 7 })
 				case what == 4 && live[id] && fate[id] != "":
 					drop(id, fate[id])
 				case what == 5:
 					read()
 				case what == 6 && live[id] && fate[id] == wire.JobDone: // cancelled at its end: it is done all the same
-					put(id, func(r *JobRecord) { r.CancelMs, r.Tasks = 7, []Task{{State: Done, Attempt: 1}} })
+					put(id, func(r *JobRecord) { r.CancelledAtMs, r.Tasks = 7, []Task{{State: TaskDone, Attempt: 1}} })
 				}
-				if _, ok := w.Doomed()[id]; ok && live[id] && fate[id] == "" && rapid.Bool().Draw(t, "sweep") {
+				if _, ok := w.DependencyCancelled()[id]; ok && live[id] && fate[id] == "" && rapid.Bool().Draw(t, "sweep") {
 					fate[id] = wire.JobCancelled
 					drop(id, wire.JobCancelled)
 				}
@@ -105,10 +105,10 @@
 				if !live[id] {
 					continue
 				}
-				if !j.Waits() && !ready(id) {
+				if !j.HasUnmetDependencies() && !ready(id) {
 					t.Fatalf("%s may start before what it awaits is done", id)
 				}
-				if j.Doomed && !falls(id) {
+				if j.DependencyCancelled && !falls(id) {
 					t.Fatalf("%s falls though nothing that it needs is cancelled", id)
 				}
 			}
@@ -118,45 +118,45 @@
 			read()
 		}
 		fresh := New(3, w.log) // and so for a node that starts from the records alone
-		fresh.Begin()
+		fresh.BeginUpdate()
 		for _, id := range ids {
 			if live[id] {
 				rec := w.Jobs[id].JobRecord
-				rec.Tasks = w.Jobs[id].tasks(0, 1, nil)
+				rec.Tasks = w.Jobs[id].startedTasks(0, 1, nil)
 				fresh.Put(JobKey(id), wire.MustEncode(rec), 1)
 			}
 		}
-		fresh.Flush()
+		fresh.EndUpdate()
 		for range len(ids) + 1 {
-			for _, a := range fresh.Unread() {
-				fresh.Over(a, FinalRecord{Status: final[a], Tasks: 1, AtMs: 9})
+			for _, a := range fresh.UnresolvedDependencies() {
+				fresh.PutFinalRecord(a, FinalRecord{Status: final[a], TaskCount: 1, EndedAtMs: 9})
 			}
 		}
-		for _, view := range []*World{w, fresh} {
+		for _, view := range []*State{w, fresh} {
 			for _, id := range ids {
 				if !live[id] {
 					continue
 				}
 				j := view.Jobs[id]
-				if j.Waits() == (ready(id) && !falls(id)) {
-					t.Errorf("%s waits: %v, though all done: %v, falls: %v", id, j.Waits(), ready(id), falls(id))
+				if j.HasUnmetDependencies() == (ready(id) && !falls(id)) {
+					t.Errorf("%s waits: %v, though all done: %v, falls: %v", id, j.HasUnmetDependencies(), ready(id), falls(id))
 				}
-				if j.Doomed != falls(id) {
-					t.Errorf("%s falls: %v, want %v", id, j.Doomed, falls(id))
+				if j.DependencyCancelled != falls(id) {
+					t.Errorf("%s falls: %v, want %v", id, j.DependencyCancelled, falls(id))
 				}
-				if view.Undecided(j) != j.Doomed {
-					t.Errorf("%s undecided: %v", id, view.Undecided(j))
+				if view.OutcomeUndecided(j) != j.DependencyCancelled {
+					t.Errorf("%s undecided: %v", id, view.OutcomeUndecided(j))
 				}
 			}
 		}
-		w.Begin()
+		w.BeginUpdate()
 		for _, id := range ids {
 			if live[id] {
-				w.Drop(JobKey(id))
+				w.Delete(JobKey(id))
 			}
 		}
-		w.Flush()
-		if n := len(w.waiters) + len(w.over) + len(w.unread) + len(w.doomed) + len(w.Jobs); n != 0 {
+		w.EndUpdate()
+		if n := len(w.dependentsOf) + len(w.finalRecords) + len(w.unresolvedDependencies) + len(w.dependencyCancelled) + len(w.Jobs); n != 0 {
 			t.Errorf("%d entries are kept of jobs that are over", n)
 		}
 	})
--- a/internal/world/layout_test.go
+++ b/internal/world/layout_test.go
@@ -14,42 +14,42 @@
 	"sableusher/internal/wire"
 )
 
-// shelf is a store of records with stamps, and a view that follows it.
-type shelf struct {
-	rows   map[string]wire.RawValue
-	stamps map[string]uint64
-	rev    uint64
-	view   *World
+// recordStore is a store of records with stamps, and a view that follows it.
+type recordStore struct {
+	records      map[string]wire.RawValue
+	modRevisions map[string]uint64
+	revision     uint64
+	view         *State
 }
 
-func newShelf() *shelf {
-	return &shelf{rows: map[string]wire.RawValue{}, stamps: map[string]uint64{}, view: New(3, slog.New(slog.NewTextHandler(io.Discard, nil)))}
+func newRecordStore() *recordStore {
+	return &recordStore{records: map[string]wire.RawValue{}, modRevisions: map[string]uint64{}, view: New(3, slog.New(slog.NewTextHandler(io.Discard, nil)))}
 }
 
 // commit applies a change if its guards hold; the view sees its parts in any order.
-func (s *shelf) commit(t *rapid.T, guards []wire.Condition, ops []wire.Op) bool {
+func (s *recordStore) commit(t *rapid.T, guards []wire.Condition, ops []wire.Op) bool {
 	for _, g := range guards {
-		if s.stamps[g.Key] != g.ModRevision {
+		if s.modRevisions[g.Key] != g.ModRevision {
 			return false
 		}
 	}
-	s.rev++
-	s.view.Begin()
-	defer s.view.Flush()
-	for _, i := range rapid.Permutation(indexes(len(ops))).Draw(t, "order") {
+	s.revision++
+	s.view.BeginUpdate()
+	defer s.view.EndUpdate()
+	for _, i := range rapid.Permutation(indexesUpTo(len(ops))).Draw(t, "order") {
 		if o := ops[i]; o.PutKey != "" {
-			s.rows[o.PutKey], s.stamps[o.PutKey] = o.Value, s.rev
-			s.view.Put(o.PutKey, o.Value, s.rev)
+			s.records[o.PutKey], s.modRevisions[o.PutKey] = o.Value, s.revision
+			s.view.Put(o.PutKey, o.Value, s.revision)
 		} else {
-			delete(s.rows, o.DeleteKey)
-			delete(s.stamps, o.DeleteKey)
-			s.view.Drop(o.DeleteKey)
+			delete(s.records, o.DeleteKey)
+			delete(s.modRevisions, o.DeleteKey)
+			s.view.Delete(o.DeleteKey)
 		}
 	}
 	return true
 }
 
-func indexes(n int) []int {
+func indexesUpTo(n int) []int {
 	out := make([]int, n)
 	for i := range out {
 		out[i] = i
@@ -57,31 +57,31 @@
 	return out
 }
 
-// again reads all records anew, in any order, as a node does that starts.
-func (s *shelf) again(t *rapid.T) *World {
+// reload reads all records anew, in any order, as a node does that starts.
+func (s *recordStore) reload(t *rapid.T) *State {
 	w := New(3, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	w.Begin()
-	for _, k := range rapid.Permutation(slices.Sorted(maps.Keys(s.rows))).Draw(t, "listed") {
-		w.Put(k, s.rows[k], s.stamps[k])
+	w.BeginUpdate()
+	for _, k := range rapid.Permutation(slices.Sorted(maps.Keys(s.records))).Draw(t, "listed") {
+		w.Put(k, s.records[k], s.modRevisions[k])
 	}
-	w.Flush()
+	w.EndUpdate()
 	return w
 }
 
-// TestRecordsMoveUnderWrites changes tasks of jobs of every size in every layout
+// TestMigrationUnderConcurrentWrites changes tasks of jobs of every size in every layout
 // while their records are moved, with writers that look away in between, and
 // compares with a plain map: nothing is lost, nothing written twice, and what is
 // written after the move stays within the limit.
-func TestRecordsMoveUnderWrites(t *testing.T) {
+func TestMigrationUnderConcurrentWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newShelf()
-		fit := Fit{rapid.IntRange(900, 16000).Draw(t, "room"), tuning.TaskBytes}
+		s := newRecordStore()
+		fit := SizeLimits{rapid.IntRange(900, 16000).Draw(t, "room"), tuning.TaskBytes}
 		spec := wire.JobSpec{ID: "run-7", Class: "c", Team: "t", Kind: rapid.SampledFrom([]string{wire.KindArray, wire.KindGang}).Draw(t, "kind"),
 			Priority: wire.PriorityNormal, TaskCount: rapid.IntRange(1, 600).Draw(t, "tasks"), GPUs: 1}
 		if rapid.Bool().Draw(t, "counted") {
 			spec.MaxRetries = new(int)
 		}
-		s.commit(t, nil, []wire.Op{{PutKey: JobKey(spec.ID), Value: wire.MustEncode(JobRecord{Spec: spec, AtMs: 1764600000000})}})
+		s.commit(t, nil, []wire.Op{{PutKey: JobKey(spec.ID), Value: wire.MustEncode(JobRecord{Spec: spec, SubmittedAtMs: 1764600000000})}})
 		model := map[int]Task{}
 		type write struct {
 			guards []wire.Condition
@@ -94,23 +94,23 @@
 			j := s.view.Jobs[spec.ID]
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1: // some tasks of one record change
-				lo, hi := j.Span(rapid.IntRange(0, j.Records()-1).Draw(t, "record"))
+				lo, hi := j.TaskRange(rapid.IntRange(0, j.ChunkCount()-1).Draw(t, "record"))
 				change := map[int]Task{}
 				for range rapid.IntRange(1, 12).Draw(t, "changed") {
 					i := rapid.IntRange(lo, hi-1).Draw(t, "task")
-					k := Task{Index: i, State: rapid.IntRange(Idle, Done).Draw(t, "state"), Attempt: uint64(rapid.IntRange(1, 3).Draw(t, "attempt"))}
-					if spec.MaxRetries != nil && k.State != Done {
+					k := Task{Index: i, State: rapid.IntRange(TaskPending, TaskDone).Draw(t, "state"), Attempt: uint64(rapid.IntRange(1, 3).Draw(t, "attempt"))}
+					if spec.MaxRetries != nil && k.State != TaskDone {
 						k.Failures = rapid.IntRange(0, 12).Draw(t, "failures")
 					}
-					if k.State == Bound {
+					if k.State == TaskBound {
 						k.Machine, k.Session = fmt.Sprintf("vm-%06d", rapid.IntRange(0, 5).Draw(t, "machine")), 1
 					}
 					change[i] = k
 				}
-				k := j.RecordOf(lo)
-				w := write{j.ChunkGuards(k), []wire.Op{j.Encode(k, change)}, change}
-				if size := wire.JSONSize(w.ops[0].Value); j.Size(k, change) < size {
-					t.Fatalf("record takes %d bytes, %d were expected", size, j.Size(k, change))
+				k := j.ChunkOf(lo)
+				w := write{j.ChunkConditions(k), []wire.Op{j.EncodeChunk(k, change)}, change}
+				if size := wire.JSONSize(w.ops[0].Value); j.MaxChunkSize(k, change) < size {
+					t.Fatalf("record takes %d bytes, %d were expected", size, j.MaxChunkSize(k, change))
 				}
 				if rapid.Bool().Draw(t, "late") {
 					late = append(late, w) // it is applied later, if its guards still hold
@@ -118,10 +118,10 @@
 					maps.Copy(model, change)
 				}
 			case 2:
-				if !j.Outgrows(fit) {
+				if !j.NeedsMigration(fit) {
 					break
 				}
-				guards, ops, ok := j.Move(fit, 4)
+				guards, ops, ok := j.MigrateChunk(fit, 4)
 				if !ok {
 					break
 				}
@@ -141,7 +141,7 @@
 					}
 				}
 			}
-			for _, w := range []*World{s.view, s.again(t)} {
+			for _, w := range []*State{s.view, s.reload(t)} {
 				j := w.Jobs[spec.ID]
 				bound, done, failing := 0, 0, 0
 				for i := range spec.TaskCount {
@@ -150,43 +150,43 @@
 						want = Task{Index: i}
 					}
 					if got := j.Task(i); got != want {
-						t.Fatalf("task %d is %+v, want %+v (width %d, wide %d)", i, got, want, j.Width, j.Wide)
+						t.Fatalf("task %d is %+v, want %+v (width %d, wide %d)", i, got, want, j.ChunkWidth, j.FirstFixedChunk)
 					}
-					if want.State == Idle && want.Failures > 0 {
+					if want.State == TaskPending && want.Failures > 0 {
 						failing++
-						if j.Failing[i].Failures != want.Failures {
-							t.Fatalf("task %d waits to be repeated after %d failures, known as %+v", i, want.Failures, j.Failing[i])
+						if j.PendingRetries[i].Failures != want.Failures {
+							t.Fatalf("task %d waits to be repeated after %d failures, known as %+v", i, want.Failures, j.PendingRetries[i])
 						}
 					}
 					switch want.State {
-					case Bound:
+					case TaskBound:
 						bound++
-					case Done:
+					case TaskDone:
 						done++
 					}
 				}
-				if len(j.Failing) != failing {
-					t.Fatalf("%d tasks wait to be repeated, want %d", len(j.Failing), failing)
+				if len(j.PendingRetries) != failing {
+					t.Fatalf("%d tasks wait to be repeated, want %d", len(j.PendingRetries), failing)
 				}
-				if j.Bound != bound || j.Done != done {
-					t.Fatalf("%d bound, %d done, want %d and %d", j.Bound, j.Done, bound, done)
+				if j.BoundCount != bound || j.DoneCount != done {
+					t.Fatalf("%d bound, %d done, want %d and %d", j.BoundCount, j.DoneCount, bound, done)
 				}
 			}
 		}
 		for range 20 {
-			if j := s.view.Jobs[spec.ID]; moving && j.Outgrows(fit) {
-				guards, ops, _ := j.Move(fit, 4)
+			if j := s.view.Jobs[spec.ID]; moving && j.NeedsMigration(fit) {
+				guards, ops, _ := j.MigrateChunk(fit, 4)
 				s.commit(t, guards, ops)
 			}
 		}
-		if j := s.view.Jobs[spec.ID]; moving && (j.Width == 0 || j.Wide != 0) {
-			t.Fatalf("records were not moved to the end: width %d, wide %d", j.Width, j.Wide)
+		if j := s.view.Jobs[spec.ID]; moving && (j.ChunkWidth == 0 || j.FirstFixedChunk != 0) {
+			t.Fatalf("records were not moved to the end: width %d, wide %d", j.ChunkWidth, j.FirstFixedChunk)
 		}
-		s.view.Begin()
-		for _, k := range slices.Sorted(maps.Keys(s.rows)) {
-			s.view.Drop(k)
+		s.view.BeginUpdate()
+		for _, k := range slices.Sorted(maps.Keys(s.records)) {
+			s.view.Delete(k)
 		}
-		s.view.Flush()
+		s.view.EndUpdate()
 		if len(s.view.Jobs) != 0 {
 			t.Fatal("a job without records is left")
 		}
@@ -195,26 +195,26 @@
 
 // TestWidestRecordsFit: a gang of the widest kind with a machine for each task, and
 // a full record of an array, are written within a limit of 2 KiB.
-func TestWidestRecordsFit(t *testing.T) {
+func TestGangRecordsFitSmallLimit(t *testing.T) {
 	limit := 2048.0
 	room := int(limit * tuning.JSONShare)
 	for _, tasks := range []int{1, 32, 100, 5000} {
 		spec := wire.JobSpec{ID: "run-00000000000000000001", Class: "a-class-of-work", Team: "a-team-of-people", Kind: wire.KindGang, Priority: wire.PriorityProduction,
 			TaskCount: tasks, CPUs: 28.123456789, GPUs: 4, MemoryGB: 200.123456789, Image: "image-000000001", ImageSizeGB: 5.123456789012, SameZone: true,
 			RuntimeEstimateSeconds: 70.1234567891234, CheckpointIntervalSeconds: 15, CheckpointSaveSeconds: 5, DeadlineSeconds: 123.456789012345, Dependencies: []string{"run-00000000000000000002", "run-00000000000000000003"}}
-		rec := JobRecord{Spec: spec, AtMs: 1764600000000}
-		rec.Width = Fit{room, tuning.TaskBytes}.Width(&spec, BareSize(rec))
-		if rec.Width == 0 {
+		rec := JobRecord{Spec: spec, SubmittedAtMs: 1764600000000}
+		rec.ChunkWidth = SizeLimits{room, tuning.TaskBytes}.ChunkWidth(&spec, EncodedBaseSize(rec))
+		if rec.ChunkWidth == 0 {
 			t.Fatalf("%d tasks: no width", tasks)
 		}
-		j := &Job{JobRecord: rec, Known: true, Bare: BareSize(rec)}
-		for k := range min(j.Records(), 3) {
+		j := &Job{JobRecord: rec, HasRecord: true, EncodedBaseSize: EncodedBaseSize(rec)}
+		for k := range min(j.ChunkCount(), 3) {
 			change := map[int]Task{}
-			lo, hi := j.Span(k)
+			lo, hi := j.TaskRange(k)
 			for i := lo; i < hi; i++ {
-				change[i] = Task{Index: i, State: Bound, Attempt: 1234, Machine: fmt.Sprintf("vm-%09d", i), Session: 12, Charge: 3}
+				change[i] = Task{Index: i, State: TaskBound, Attempt: 1234, Machine: fmt.Sprintf("vm-%09d", i), Session: 12, ChargedShard: 3}
 			}
-			if n := wire.JSONSize(j.Encode(k, change).Value); n > 2048 {
+			if n := wire.JSONSize(j.EncodeChunk(k, change).Value); n > 2048 {
 				t.Errorf("%d tasks: record %d takes %d bytes", tasks, k, n)
 			}
 		}
@@ -223,38 +223,38 @@
 
 // TestCountedRecordsFit: where every task of a job waits to be repeated, its records still
 // have room for a task to be bound again: else the job would stand still for ever.
-func TestCountedRecordsFit(t *testing.T) {
+func TestRecordsWithFailuresFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.SampledFrom([]float64{2048, 8192, 16384}).Draw(t, "limit")
 		room := int(limit * tuning.JSONShare)
 		repeats := tuning.MaxRepeats
 		spec := wire.JobSpec{ID: "run-00000000000000000001", Class: "c", Team: "t", Kind: rapid.SampledFrom([]string{wire.KindArray, wire.KindGang}).Draw(t, "kind"),
 			Priority: wire.PriorityNormal, TaskCount: rapid.IntRange(1, 3000).Draw(t, "tasks"), GPUs: 1, MaxRetries: &repeats}
-		rec := JobRecord{Spec: spec, AtMs: 1764600000000}
-		bare, fit := BareSize(rec), Fit{room, tuning.TaskBytes}
-		if !fit.Holds(&spec, bare) {
-			if rec.Width = fit.Width(&spec, bare); rec.Width == 0 {
+		rec := JobRecord{Spec: spec, SubmittedAtMs: 1764600000000}
+		bare, fit := EncodedBaseSize(rec), SizeLimits{room, tuning.TaskBytes}
+		if !fit.FixedChunksFit(&spec, bare) {
+			if rec.ChunkWidth = fit.ChunkWidth(&spec, bare); rec.ChunkWidth == 0 {
 				t.Fatal("no width")
 			}
 		}
-		j := &Job{JobRecord: rec, Known: true, Bare: bare}
-		lo, hi := j.Span(rapid.IntRange(0, j.Records()-1).Draw(t, "record"))
+		j := &Job{JobRecord: rec, HasRecord: true, EncodedBaseSize: bare}
+		lo, hi := j.TaskRange(rapid.IntRange(0, j.ChunkCount()-1).Draw(t, "record"))
 		change := map[int]Task{}
 		for i := lo; i < hi; i++ {
 			change[i] = Task{Index: i, Attempt: 999, Failures: repeats}
 		}
-		change[lo] = Task{Index: lo, State: Bound, Attempt: 1000, Machine: "vm-000000000", Session: 99, Charge: 3, Failures: repeats}
-		if n := wire.JSONSize(j.Encode(j.RecordOf(lo), change).Value); n > room {
-			t.Errorf("width %d: a record takes %d bytes of %d", rec.Width, n, room)
+		change[lo] = Task{Index: lo, State: TaskBound, Attempt: 1000, Machine: "vm-000000000", Session: 99, ChargedShard: 3, Failures: repeats}
+		if n := wire.JSONSize(j.EncodeChunk(j.ChunkOf(lo), change).Value); n > room {
+			t.Errorf("width %d: a record takes %d bytes of %d", rec.ChunkWidth, n, room)
 		}
 	})
 }
 
 // TestGroupsRefuseNonsense: a record with numbers out of range is unreadable, not a
 // way to fill the memory.
-func TestGroupsRefuseNonsense(t *testing.T) {
+func TestInvalidTaskGroupsAreRefused(t *testing.T) {
 	for _, spans := range [][]int{{1}, {-1, 0}, {0, -1}, {0, tuning.ChunkTasks}, {tuning.MaxTasks, 0}, {0, 1 << 40}, {0, 100, 0, 100}} {
-		if tasks, err := ungroup([]Group{{State: Bound, Spans: spans}}); err == nil {
+		if tasks, err := expandGroups([]TaskGroup{{State: TaskBound, IndexRuns: spans}}); err == nil {
 			t.Errorf("%v gave %d tasks", spans, len(tasks))
 		}
 	}
--- /dev/null
+++ b/internal/world/state.go
@@ -0,0 +1,776 @@
+package world
+
+import (
+	"cmp"
+	"log/slog"
+	"maps"
+	"slices"
+	"strconv"
+	"strings"
+	"sync"
+	"time"
+
+	"sableusher/internal/wire"
+)
+
+// Chunk is the run of a job's tasks that one record holds.
+type Chunk struct {
+	ModRevision  uint64
+	Tasks        []Task // by position; empty until a task of it was bound
+	pendingCount int    // tasks neither bound nor done
+}
+
+// orphanChunk is a record of tasks that the job's own record does not place (yet).
+type orphanChunk struct {
+	tasks       []Task
+	modRevision uint64
+}
+
+// Job is a live job.
+type Job struct {
+	JobRecord
+	ModRevision uint64
+	HasRecord   bool // the job's own record was seen, not only chunks
+	Chunks      []Chunk
+	BoundCount  int
+	DoneCount   int
+	// BoundByShard counts the bound tasks by part.
+	BoundByShard []int
+
+	orphanChunks    map[string]orphanChunk
+	EncodedBaseSize int // size of the job's own record without tasks, as JSON
+
+	metDependencies       map[string]int64 // the jobs it awaits that are done, and since when
+	DependencyCancelled   bool             // a job that it needs is cancelled: it never runs
+	DependencyCancelledAt time.Time        // since when this node knows
+	DependenciesMetAtMs   int64            // when the last job that it awaits was done
+
+	// PendingRetries holds the tasks that failed by themselves and wait to be repeated.
+	PendingRetries map[int]PendingRetry
+}
+
+// PendingRetry is a task that waits to be repeated.
+type PendingRetry struct {
+	Failures int
+	SeenAt   time.Time // when this node saw the last one, or the record for the first time
+}
+
+// PendingCount is the number of tasks neither bound nor done.
+func (j *Job) PendingCount() int { return j.Spec.TaskCount - j.BoundCount - j.DoneCount }
+
+// Cancelled tells whether the job was cancelled.
+func (j *Job) Cancelled() bool { return j.CancelledAtMs != 0 }
+
+// Complete tells whether all tasks of the job are done. That decides what it is whatever else its
+// records say: the last task of one with several records ends in a change that a cancellation at that
+// moment does not collide with, and users may have been told of it by then.
+func (j *Job) Complete() bool { return j.HasRecord && j.DoneCount == j.Spec.TaskCount }
+
+// CancelledStatus is the final state of a cancelled job: cancelled, or failed if it ended itself.
+func (j *Job) CancelledStatus() string {
+	if j.Failed {
+		return wire.JobFailed
+	}
+	return wire.JobCancelled
+}
+
+// trackRetry keeps in mind whether a task waits to be repeated.
+func (j *Job) trackRetry(t Task) {
+	if t.State != TaskPending || t.Failures == 0 {
+		delete(j.PendingRetries, t.Index)
+		return
+	}
+	if j.PendingRetries[t.Index].Failures == t.Failures {
+		return
+	}
+	if j.PendingRetries == nil {
+		j.PendingRetries = map[int]PendingRetry{}
+	}
+	j.PendingRetries[t.Index] = PendingRetry{t.Failures, time.Now()}
+}
+
+// Task gives the durable state of task i.
+func (j *Job) Task(i int) Task {
+	if k := j.ChunkOf(i); k < len(j.Chunks) {
+		if c := &j.Chunks[k]; len(c.Tasks) > 0 {
+			lo, _ := j.TaskRange(k)
+			return c.Tasks[i-lo]
+		}
+	}
+	return Task{Index: i}
+}
+
+// CanStart tells whether tasks of the job may start, as far as its records go. One that is away
+// may not: another cell may.
+func (j *Job) CanStart() bool {
+	return j.HasRecord && !j.Cancelled() && !j.HasUnmetDependencies() && j.OffloadedTo == nil && (j.OffloadedFrom == nil || !j.OffloadedFrom.Recalled)
+}
+
+// FullyReleased tells whether no task of the job is on a machine here, and none can be elsewhere.
+func (j *Job) FullyReleased() bool { return j.BoundCount == 0 && j.OffloadedTo == nil }
+
+// ChunkFullyAssigned tells whether no task of a record waits.
+func (j *Job) ChunkFullyAssigned(k int) bool {
+	return k < len(j.Chunks) && len(j.Chunks[k].Tasks) > 0 && j.Chunks[k].pendingCount == 0
+}
+
+// ForEachStartedTask calls f for every task that was ever bound.
+func (j *Job) ForEachStartedTask(f func(Task)) {
+	for k := range j.Chunks {
+		for _, t := range j.Chunks[k].Tasks {
+			if t.State != TaskPending || t.Attempt != 0 {
+				f(t)
+			}
+		}
+	}
+}
+
+// Binding is a task bound to a machine.
+type Binding struct {
+	Ref     TaskRef
+	Job     *Job
+	Attempt uint64
+	Session uint64
+}
+
+// Machine is a known machine.
+type Machine struct {
+	MachineRecord
+	Name        string
+	Shard       int
+	ModRevision uint64
+	Bindings    map[TaskRef]Binding
+	Used        Resources
+	// PreemptibleByRank is what tasks that may be stopped alone take, by rank of priority.
+	PreemptibleByRank [wire.PriorityCount]Resources
+	// TasksByImage counts the bound tasks by image.
+	TasksByImage map[string]int
+}
+
+// Shard is a part's ownership.
+type Shard struct {
+	ShardRecord
+	ModRevision uint64
+}
+
+// Node is a live session.
+type Node struct {
+	NodeRecord
+	ModRevision uint64
+}
+
+// Quota is a team's grants.
+type Quota struct {
+	QuotaRecord
+	ModRevision uint64
+}
+
+// Rental is an open rental request.
+type Rental struct {
+	RentalRecord
+	ModRevision uint64
+}
+
+// Cell is what is kept of another cell, with the guests of it that are over.
+type Cell struct {
+	CellRecord
+	ModRevision   uint64
+	GuestOutcomes map[uint64]GuestOutcome
+}
+
+// GuestOutcome is a guest's end.
+type GuestOutcome struct {
+	GuestOutcomeRecord
+	ModRevision uint64
+}
+
+// State is the view. Its lock guards everything in it; holders of the lock may
+// read the maps but only Put and Drop change them.
+type State struct {
+	sync.RWMutex
+	ShardCount int
+
+	Jobs               map[string]*Job
+	Machines           map[string]*Machine
+	Shards             map[int]Shard
+	Nodes              map[string]Node
+	Quotas             map[string]Quota
+	Rentals            map[string]Rental
+	Cells              map[string]*Cell
+	Types              map[string]wire.MachineType
+	CatalogModRevision uint64
+	// SchemaVersion is the form of records that all nodes read, LevelStamp its record's.
+	SchemaVersion            int
+	SchemaVersionModRevision uint64
+	// UsageByShard is what bound tasks take, by part and team.
+	UsageByShard []map[string]Resources
+	// MachinesByShard lists the machines of each part by name.
+	MachinesByShard [][]*Machine
+	changeFeeds     []*ChangeFeed
+	// OrphanBindings are bindings to machines that no record knows.
+	OrphanBindings map[string]map[TaskRef]Binding
+
+	rentalByMachine map[string]string // of machines that an open rental lists
+
+	longestMachineName int // of the machines' names so far
+
+	catalogTypes       []wire.MachineType          // as one record, and
+	machineTypeRecords map[string]wire.MachineType // where that is too long, one by one
+
+	dependentsOf           map[string]map[string]struct{} // live jobs by the job that they await
+	finalRecords           map[string]FinalRecord         // final records of awaited jobs
+	unresolvedDependencies map[string]struct{}            // awaited jobs that are not live, their final record not read
+	dependencyCancelled    map[string]struct{}            // live jobs that fall with one that they need
+	log                    *slog.Logger
+	subscribers            []chan struct{}
+}
+
+// New makes an empty view of a region with so many parts.
+func New(size int, log *slog.Logger) *State {
+	w := &State{
+		ShardCount: size, Jobs: map[string]*Job{}, Machines: map[string]*Machine{}, Shards: map[int]Shard{},
+		Nodes: map[string]Node{}, Quotas: map[string]Quota{}, Rentals: map[string]Rental{}, Cells: map[string]*Cell{},
+		Types: map[string]wire.MachineType{}, OrphanBindings: map[string]map[TaskRef]Binding{}, log: log,
+		rentalByMachine: map[string]string{}, MachinesByShard: make([][]*Machine, size),
+		machineTypeRecords: map[string]wire.MachineType{}, dependentsOf: map[string]map[string]struct{}{}, finalRecords: map[string]FinalRecord{},
+		unresolvedDependencies: map[string]struct{}{}, dependencyCancelled: map[string]struct{}{},
+	}
+	for range size {
+		w.UsageByShard = append(w.UsageByShard, map[string]Resources{})
+	}
+	return w
+}
+
+// Subscribe gives a channel that is poked after changes.
+func (w *State) Subscribe() <-chan struct{} {
+	ch := make(chan struct{}, 1)
+	w.Lock()
+	defer w.Unlock()
+	w.subscribers = append(w.subscribers, ch)
+	return ch
+}
+
+// BeginUpdate starts a group of changes that readers see as one.
+func (w *State) BeginUpdate() { w.Lock() }
+
+// EndUpdate ends the group and pokes the subscribers.
+func (w *State) EndUpdate() {
+	subs := w.subscribers
+	w.Unlock()
+	for _, ch := range subs {
+		select {
+		case ch <- struct{}{}:
+		default:
+		}
+	}
+}
+
+// CatalogByType tells whether the catalog is kept by type. Callers hold the lock.
+func (w *State) CatalogByType() bool { return len(w.machineTypeRecords) > 0 }
+
+// rebuildTypes puts the machine types of all records together.
+func (w *State) rebuildTypes() {
+	types := maps.Clone(w.machineTypeRecords)
+	for _, t := range w.catalogTypes {
+		if _, ok := types[t.Name]; !ok || w.CatalogModRevision == 0 {
+			types[t.Name] = t
+		}
+	}
+	w.Types = types
+}
+
+func decodeRecord[T any](w *State, key string, v wire.RawValue) (T, bool) {
+	var rec T
+	if err := wire.Decode(v, &rec); err != nil {
+		w.log.Error("unreadable record", "key", key, "err", err)
+		return rec, false
+	}
+	return rec, true
+}
+
+// Put takes in a changed record; within a group.
+func (w *State) Put(key string, v wire.RawValue, stamp uint64) {
+	switch {
+	case strings.HasPrefix(key, jobPrefix):
+		if rec, ok := decodeRecord[JobRecord](w, key, v); ok {
+			tasks, ok := w.expandGroups(key, rec.Groups)
+			if !ok || !rec.validLayout() {
+				w.log.Error("unreadable record", "key", key)
+				return
+			}
+			rec.Tasks, rec.Groups = attachFailures(append(rec.Tasks, tasks...), rec.Failures), nil
+			rec.Failures = nil
+			w.putJob(rec, stamp)
+		}
+	case strings.HasPrefix(key, fixedChunkPrefix):
+		if id, _, ok := parseChunkKey(key); ok {
+			if rec, ok := decodeRecord[FixedChunkRecord](w, key, v); ok {
+				w.putChunk(id, key, attachFailures(rec.Tasks, rec.Failures), stamp)
+			}
+		}
+	case strings.HasPrefix(key, groupedChunkPrefix):
+		if id, _, ok := parseChunkKey(key); ok {
+			if rec, ok := decodeRecord[GroupedChunkRecord](w, key, v); ok {
+				if tasks, ok := w.expandGroups(key, rec.Groups); ok {
+					w.putChunk(id, key, attachFailures(tasks, rec.Failures), stamp)
+				}
+			}
+		}
+	case strings.HasPrefix(key, machinePrefix):
+		if rec, ok := decodeRecord[MachineRecord](w, key, v); ok {
+			w.putMachine(strings.TrimPrefix(key, machinePrefix), rec, stamp)
+		}
+	case strings.HasPrefix(key, shardPrefix):
+		if rec, ok := decodeRecord[ShardRecord](w, key, v); ok {
+			w.Shards[parseShardKey(key)] = Shard{rec, stamp}
+		}
+	case strings.HasPrefix(key, nodePrefix):
+		if rec, ok := decodeRecord[NodeRecord](w, key, v); ok {
+			w.Nodes[strings.TrimPrefix(key, nodePrefix)] = Node{rec, stamp}
+		}
+	case strings.HasPrefix(key, quotaPrefix):
+		if rec, ok := decodeRecord[QuotaRecord](w, key, v); ok {
+			w.Quotas[strings.TrimPrefix(key, quotaPrefix)] = Quota{rec, stamp}
+		}
+	case strings.HasPrefix(key, rentalPrefix):
+		if rec, ok := decodeRecord[RentalRecord](w, key, v); ok {
+			w.putRental(strings.TrimPrefix(key, rentalPrefix), rec, stamp)
+		}
+	case strings.HasPrefix(key, cellPrefix):
+		if rec, ok := decodeRecord[CellRecord](w, key, v); ok {
+			c := w.cellEntry(strings.TrimPrefix(key, cellPrefix))
+			c.CellRecord, c.ModRevision = rec, stamp
+		}
+	case strings.HasPrefix(key, guestOutcomePrefix):
+		if cell, n, ok := parseGuestOutcomeKey(key); ok {
+			if rec, ok := decodeRecord[GuestOutcomeRecord](w, key, v); ok {
+				w.cellEntry(cell).GuestOutcomes[n] = GuestOutcome{rec, stamp}
+			}
+		}
+	case key == CatalogKey:
+		if rec, ok := decodeRecord[wire.Catalog](w, key, v); ok {
+			w.catalogTypes, w.CatalogModRevision = rec.Types, stamp
+			w.rebuildTypes()
+		}
+	case strings.HasPrefix(key, machineTypePrefix):
+		if rec, ok := decodeRecord[wire.MachineType](w, key, v); ok {
+			w.machineTypeRecords[rec.Name] = rec
+			w.rebuildTypes()
+		}
+	case key == SchemaVersionKey:
+		if rec, ok := decodeRecord[SchemaVersionRecord](w, key, v); ok {
+			w.SchemaVersion, w.SchemaVersionModRevision = max(w.SchemaVersion, rec.Version), stamp
+		}
+	}
+}
+
+// Delete takes in a removed record; within a group.
+func (w *State) Delete(key string) {
+	switch {
+	case strings.HasPrefix(key, jobPrefix):
+		w.deleteJob(strings.TrimPrefix(key, jobPrefix))
+	case strings.HasPrefix(key, fixedChunkPrefix), strings.HasPrefix(key, groupedChunkPrefix):
+		if id, _, ok := parseChunkKey(key); ok {
+			w.deleteChunk(id, key)
+		}
+	case strings.HasPrefix(key, machinePrefix):
+		w.deleteMachine(strings.TrimPrefix(key, machinePrefix))
+	case strings.HasPrefix(key, shardPrefix):
+		delete(w.Shards, parseShardKey(key))
+	case strings.HasPrefix(key, nodePrefix):
+		delete(w.Nodes, strings.TrimPrefix(key, nodePrefix))
+	case strings.HasPrefix(key, quotaPrefix):
+		delete(w.Quotas, strings.TrimPrefix(key, quotaPrefix))
+	case strings.HasPrefix(key, rentalPrefix):
+		w.deleteRental(strings.TrimPrefix(key, rentalPrefix))
+	case strings.HasPrefix(key, cellPrefix):
+		c := w.cellEntry(strings.TrimPrefix(key, cellPrefix))
+		c.CellRecord, c.ModRevision = CellRecord{}, 0
+	case strings.HasPrefix(key, guestOutcomePrefix):
+		if cell, n, ok := parseGuestOutcomeKey(key); ok {
+			delete(w.cellEntry(cell).GuestOutcomes, n)
+		}
+	}
+}
+
+// cellEntry gives what is kept of another cell, made if it is not there.
+func (w *State) cellEntry(name string) *Cell {
+	c := w.Cells[name]
+	if c == nil {
+		c = &Cell{GuestOutcomes: map[uint64]GuestOutcome{}}
+		w.Cells[name] = c
+	}
+	return c
+}
+
+// parseGuestOutcomeKey reads the key of a guest's end.
+func parseGuestOutcomeKey(key string) (cell string, number uint64, ok bool) {
+	cell, n, ok := strings.Cut(strings.TrimPrefix(key, guestOutcomePrefix), "/")
+	number, err := strconv.ParseUint(n, 10, 64)
+	return cell, number, ok && err == nil
+}
+
+func parseShardKey(key string) int {
+	p := 0
+	for _, c := range strings.TrimPrefix(key, shardPrefix) {
+		if c == '-' {
+			return LeaderShard
+		}
+		p = p*10 + int(c-'0')
+	}
+	return p
+}
+
+func (w *State) jobEntry(id string) *Job {
+	j := w.Jobs[id]
+	if j == nil {
+		j = &Job{}
+		w.Jobs[id] = j
+	}
+	return j
+}
+
+func (w *State) putJob(rec JobRecord, stamp uint64) {
+	id := rec.Spec.ID
+	w.markJobChanged(id)
+	j := w.jobEntry(id)
+	tasks := rec.Tasks
+	rec.Tasks = nil
+	if rec.CancelledAtMs != j.CancelledAtMs || rec.PreemptedAttempt != j.PreemptedAttempt {
+		j.ForEachStartedTask(func(t Task) {
+			if t.State == TaskBound {
+				w.markMachineChanged(t.Machine)
+			}
+		})
+	}
+	first, moved := !j.HasRecord, rec.ChunkWidth != j.ChunkWidth || rec.FirstFixedChunk != j.FirstFixedChunk
+	if moved {
+		w.orphanChunks(j)
+	}
+	if first {
+		j.EncodedBaseSize = EncodedBaseSize(rec)
+	}
+	j.JobRecord, j.ModRevision, j.HasRecord = rec, stamp, true
+	if first || moved {
+		for key, s := range j.orphanChunks {
+			if k, ok := j.chunkIndexOf(key); ok {
+				delete(j.orphanChunks, key)
+				w.setChunk(j, k, s.tasks, s.modRevision)
+			}
+		}
+	}
+	w.setChunk(j, 0, tasks, stamp)
+	if first {
+		w.addDependencies(id, j)
+	}
+	w.updateDependents(id)
+}
+
+// putChunk takes in a further record of a job's tasks. One that the job's own
+// record does not place is kept aside until that one changes: both change in one
+// transaction, but one comes first.
+func (w *State) putChunk(id, key string, tasks []Task, stamp uint64) {
+	w.markJobChanged(id)
+	j := w.jobEntry(id)
+	if k, ok := j.chunkIndexOf(key); ok && j.HasRecord {
+		w.setChunk(j, k, tasks, stamp)
+		w.updateDependents(id)
+		return
+	}
+	if j.orphanChunks == nil {
+		j.orphanChunks = map[string]orphanChunk{}
+	}
+	j.orphanChunks[key] = orphanChunk{tasks, stamp}
+}
+
+func (w *State) deleteChunk(id, key string) {
+	j := w.Jobs[id]
+	if j == nil {
+		return
+	}
+	w.markJobChanged(id)
+	delete(j.orphanChunks, key)
+	if k, ok := j.chunkIndexOf(key); ok && j.HasRecord {
+		w.setChunk(j, k, nil, 0)
+	}
+	w.forgetIfEmpty(id, j)
+}
+
+// orphanChunks puts the further records of a job aside, as its own record is about to
+// place them anew.
+func (w *State) orphanChunks(j *Job) {
+	for k := range j.Chunks {
+		c := j.Chunks[k]
+		for _, t := range c.Tasks {
+			w.indexTask(j, t, -1)
+		}
+		if k == 0 || c.ModRevision == 0 {
+			continue
+		}
+		if j.orphanChunks == nil {
+			j.orphanChunks = map[string]orphanChunk{}
+		}
+		j.orphanChunks[j.ChunkKey(k)] = orphanChunk{c.Tasks, c.ModRevision}
+	}
+	j.Chunks = nil
+}
+
+// setChunk replaces a chunk's tasks and keeps the indexes in step.
+func (w *State) setChunk(j *Job, k int, tasks []Task, stamp uint64) {
+	for len(j.Chunks) <= k {
+		j.Chunks = append(j.Chunks, Chunk{})
+	}
+	c := &j.Chunks[k]
+	old := c.Tasks
+	c.ModRevision, c.Tasks = stamp, nil
+	if len(tasks) == 0 {
+		for _, t := range old {
+			w.indexTask(j, t, -1)
+		}
+		return
+	}
+	base, end := j.TaskRange(k)
+	c.Tasks = make([]Task, end-base)
+	for i := range c.Tasks {
+		c.Tasks[i].Index = base + i
+	}
+	for _, t := range tasks {
+		if i := t.Index - base; i >= 0 && i < len(c.Tasks) {
+			c.Tasks[i] = t
+		}
+	}
+	c.pendingCount = 0
+	// Only what differs is taken out of the indexes and put in again: a record
+	// of many tasks is written again for each of them.
+	for i, t := range c.Tasks {
+		if t.State == TaskPending {
+			c.pendingCount++
+		}
+		if i < len(old) {
+			if old[i] == t {
+				continue
+			}
+			w.indexTask(j, old[i], -1)
+		}
+		j.trackRetry(t)
+		w.indexTask(j, t, 1)
+	}
+}
+
+func (w *State) indexTask(j *Job, t Task, n int) {
+	switch t.State {
+	case TaskDone:
+		j.DoneCount += n
+	case TaskBound:
+		j.BoundCount += n
+		ref := TaskRef{j.Spec.ID, t.Index}
+		need := TaskResources(&j.Spec)
+		part := ShardOf(t.Machine, w.ShardCount)
+		usage := w.UsageByShard[part]
+		if t.ChargedShard > 0 && t.ChargedShard <= w.ShardCount {
+			usage = w.UsageByShard[t.ChargedShard-1]
+		}
+		usage[j.Spec.Team] = usage[j.Spec.Team].AddTimes(need, float64(n))
+		if j.BoundByShard == nil {
+			j.BoundByShard = make([]int, w.ShardCount)
+		}
+		j.BoundByShard[part] += n
+		w.markMachineChanged(t.Machine)
+		m := w.Machines[t.Machine]
+		var set map[TaskRef]Binding
+		if m != nil {
+			set = m.Bindings
+			m.addUsage(&j.Spec, n)
+		} else if set = w.OrphanBindings[t.Machine]; set == nil {
+			set = map[TaskRef]Binding{}
+			w.OrphanBindings[t.Machine] = set
+		}
+		if n > 0 {
+			set[ref] = Binding{ref, j, t.Attempt, t.Session}
+		} else {
+			delete(set, ref)
+			if m == nil && len(set) == 0 {
+				delete(w.OrphanBindings, t.Machine)
+			}
+		}
+		if len(set) == 0 && m != nil {
+			m.Used, m.PreemptibleByRank = Resources{}, [wire.PriorityCount]Resources{} // no rounding is carried along
+		}
+	}
+}
+
+func (w *State) deleteJob(id string) {
+	j := w.Jobs[id]
+	if j == nil {
+		return
+	}
+	w.markJobChanged(id)
+	nj := &Job{orphanChunks: j.orphanChunks}
+	if j.HasRecord {
+		w.orphanChunks(j)
+		nj.orphanChunks = j.orphanChunks
+		w.removeDependencies(id, j)
+	}
+	w.Jobs[id] = nj
+	w.forgetIfEmpty(id, nj)
+	w.updateDependents(id)
+}
+
+// forgetIfEmpty forgets a job of which no record is left.
+func (w *State) forgetIfEmpty(id string, j *Job) {
+	if !j.HasRecord && len(j.orphanChunks) == 0 {
+		delete(w.Jobs, id)
+	}
+}
+
+// addUsage counts what n tasks of a job take.
+func (m *Machine) addUsage(s *wire.JobSpec, n int) {
+	need := TaskResources(s)
+	m.Used = m.Used.AddTimes(need, float64(n))
+	if TaskPreemptible(s) {
+		rank := wire.PriorityRank(s.Priority)
+		m.PreemptibleByRank[rank] = m.PreemptibleByRank[rank].AddTimes(need, float64(n))
+	}
+	if m.TasksByImage[s.Image] += n; m.TasksByImage[s.Image] <= 0 {
+		delete(m.TasksByImage, s.Image)
+	}
+}
+
+// machineEntry gives a machine's entry, made if it is not there.
+func (w *State) machineEntry(name string) *Machine {
+	m := w.Machines[name]
+	if m != nil {
+		return m
+	}
+	m = &Machine{Name: name, Shard: ShardOf(name, w.ShardCount), Bindings: map[TaskRef]Binding{}, TasksByImage: map[string]int{}}
+	w.Machines[name] = m
+	w.longestMachineName = max(w.longestMachineName, len(name))
+	list := w.MachinesByShard[m.Shard]
+	at, _ := slices.BinarySearchFunc(list, name, compareMachineName)
+	w.MachinesByShard[m.Shard] = slices.Insert(list, at, m)
+	if set := w.OrphanBindings[name]; set != nil {
+		m.Bindings = set
+		for _, b := range set {
+			m.addUsage(&b.Job.Spec, 1)
+		}
+		delete(w.OrphanBindings, name)
+	}
+	return m
+}
+
+func compareMachineName(m *Machine, name string) int { return cmp.Compare(m.Name, name) }
+
+func (w *State) putMachine(name string, rec MachineRecord, stamp uint64) {
+	m := w.machineEntry(name)
+	m.MachineRecord, m.ModRevision = rec, stamp
+	w.markMachineChanged(name)
+}
+
+func (w *State) deleteMachine(name string) {
+	m := w.Machines[name]
+	if m == nil {
+		return
+	}
+	w.markMachineChanged(name)
+	if rental, ok := w.Rentals[w.rentalByMachine[name]]; ok {
+		// Its rental still lists it: it counts as not yet up.
+		m.MachineRecord, m.ModRevision = rental.machineRecord(), 0
+		return
+	}
+	w.removeMachine(name, m)
+}
+
+func (w *State) removeMachine(name string, m *Machine) {
+	delete(w.Machines, name)
+	list := w.MachinesByShard[m.Shard]
+	if at, ok := slices.BinarySearchFunc(list, name, compareMachineName); ok {
+		w.MachinesByShard[m.Shard] = slices.Delete(list, at, at+1)
+	}
+	if len(m.Bindings) > 0 {
+		w.OrphanBindings[name] = maps.Clone(m.Bindings)
+	}
+}
+
+// machineRecord is what a rental tells of its machines until they have records of
+// their own: a fleet's worth of machines is recorded by its few rentals.
+func (r *RentalRecord) machineRecord() MachineRecord {
+	return MachineRecord{Type: r.Type, Zone: r.Zone, Spot: r.Spot, CreatedAtMs: r.RequestedAtMs}
+}
+
+func (w *State) putRental(name string, rec RentalRecord, stamp uint64) {
+	if old, ok := w.Rentals[name]; ok && len(old.Machines) > 0 {
+		w.deleteRental(name)
+	}
+	w.Rentals[name] = Rental{rec, stamp}
+	for _, n := range rec.Machines {
+		w.rentalByMachine[n] = name
+		if w.Machines[n] == nil {
+			w.machineEntry(n).MachineRecord = rec.machineRecord()
+			w.markMachineChanged(n)
+		}
+	}
+}
+
+func (w *State) deleteRental(name string) {
+	r := w.Rentals[name]
+	delete(w.Rentals, name)
+	for _, n := range r.Machines {
+		delete(w.rentalByMachine, n)
+		if m := w.Machines[n]; m != nil && m.ModRevision == 0 {
+			w.removeMachine(n, m)
+		}
+	}
+}
+
+// ListedInRental tells whether an open rental lists a machine: its own record must
+// stay until the rental is dropped, or it would count as coming up again.
+func (w *State) ListedInRental(name string) bool { return w.rentalByMachine[name] != "" }
+
+// ChangeFeed names what changed since it was last taken: machines whose record or bindings
+// did, and jobs of which any record did or what they await. Work that follows it costs
+// what changed, not what there is.
+type ChangeFeed struct {
+	machines, jobs map[string]struct{}
+}
+
+// FollowChanges gives the news from now on, which its caller takes now and then.
+func (w *State) FollowChanges() *ChangeFeed {
+	w.Lock()
+	defer w.Unlock()
+	n := &ChangeFeed{map[string]struct{}{}, map[string]struct{}{}}
+	for name := range w.Machines {
+		n.machines[name] = struct{}{}
+	}
+	for id := range w.Jobs {
+		n.jobs[id] = struct{}{}
+	}
+	w.changeFeeds = append(w.changeFeeds, n)
+	return n
+}
+
+// TakeMachines takes the machines of the news. Callers hold the lock, at least for reading,
+// and no two take at once.
+func (n *ChangeFeed) TakeMachines() map[string]struct{} {
+	out := n.machines
+	n.machines = map[string]struct{}{}
+	return out
+}
+
+// TakeJobs takes the jobs of the news; as Machines.
+func (n *ChangeFeed) TakeJobs() map[string]struct{} {
+	out := n.jobs
+	n.jobs = map[string]struct{}{}
+	return out
+}
+
+func (w *State) markMachineChanged(name string) {
+	for _, n := range w.changeFeeds {
+		n.machines[name] = struct{}{}
+	}
+}
+
+func (w *State) markJobChanged(id string) {
+	for _, n := range w.changeFeeds {
+		n.jobs[id] = struct{}{}
+	}
+}
--- a/internal/world/world_test.go
+++ b/internal/world/state_test.go
@@ -26,8 +26,8 @@
 				if rapid.Bool().Draw(t, "skip") {
 					continue
 				}
-				k := Task{Index: base + i, State: rapid.IntRange(Idle, Done).Draw(t, "state"), Attempt: 1}
-				if k.State == Bound {
+				k := Task{Index: base + i, State: rapid.IntRange(TaskPending, TaskDone).Draw(t, "state"), Attempt: 1}
+				if k.State == TaskBound {
 					k.Machine = rapid.SampledFrom(machines).Draw(t, "machine")
 				}
 				out = append(out, k)
@@ -36,56 +36,56 @@
 		}
 		for rev := range uint64(rapid.IntRange(1, 60).Draw(t, "steps")) {
 			id := rapid.SampledFrom(ids).Draw(t, "job")
-			w.Begin()
+			w.BeginUpdate()
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
 				w.Put(JobKey(id), wire.MustEncode(JobRecord{Spec: wire.JobSpec{ID: id, Team: "t", TaskCount: tuning.ChunkTasks + 3, GPUs: 1}, Tasks: tasks(0, 4)}), rev+1)
 			case 1:
-				w.Put(ChunkKey(id, 1), wire.MustEncode(ChunkRecord{Tasks: tasks(tuning.ChunkTasks, 3)}), rev+1)
+				w.Put(FixedChunkKey(id, 1), wire.MustEncode(FixedChunkRecord{Tasks: tasks(tuning.ChunkTasks, 3)}), rev+1)
 			case 2:
-				w.Drop(JobKey(id))
+				w.Delete(JobKey(id))
 			case 3:
-				w.Drop(ChunkKey(id, 1))
+				w.Delete(FixedChunkKey(id, 1))
 			case 4:
 				w.Put(MachineKey(rapid.SampledFrom(machines).Draw(t, "m")), wire.MustEncode(MachineRecord{Type: "x"}), rev+1)
 			case 5:
-				w.Drop(MachineKey(rapid.SampledFrom(machines).Draw(t, "m")))
+				w.Delete(MachineKey(rapid.SampledFrom(machines).Draw(t, "m")))
 			}
-			w.Flush()
+			w.EndUpdate()
 			use := make([]float64, size)
 			on := map[string]int{}
 			for _, j := range w.Jobs {
-				if !j.Known {
+				if !j.HasRecord {
 					continue
 				}
 				bound, done := 0, 0
-				j.Each(func(k Task) {
+				j.ForEachStartedTask(func(k Task) {
 					switch k.State {
-					case Bound:
+					case TaskBound:
 						bound++
 						on[k.Machine]++
-						use[PartOf(k.Machine, size)]++
-					case Done:
+						use[ShardOf(k.Machine, size)]++
+					case TaskDone:
 						done++
 					}
 				})
-				if bound != j.Bound || done != j.Done {
-					t.Fatalf("job counts %d/%d, want %d/%d", j.Bound, j.Done, bound, done)
+				if bound != j.BoundCount || done != j.DoneCount {
+					t.Fatalf("job counts %d/%d, want %d/%d", j.BoundCount, j.DoneCount, bound, done)
 				}
 			}
 			for p := range size {
-				if got := w.Usage[p]["t"].GPUs; math.Abs(got-use[p]) > 1e-9 {
+				if got := w.UsageByShard[p]["t"].GPUs; math.Abs(got-use[p]) > 1e-9 {
 					t.Fatalf("part %d uses %v, want %v", p, got, use[p])
 				}
 			}
 			for _, name := range machines {
-				got := len(w.Orphans[name])
+				got := len(w.OrphanBindings[name])
 				if m := w.Machines[name]; m != nil {
-					got = len(m.Bound)
+					got = len(m.Bindings)
 					if math.Abs(m.Used.GPUs-float64(on[name])) > 1e-9 {
 						t.Fatalf("%s: used %v, want %d", name, m.Used.GPUs, on[name])
 					}
-					if w.Orphans[name] != nil {
+					if w.OrphanBindings[name] != nil {
 						t.Fatalf("%s is known and orphaned", name)
 					}
 				}
@@ -99,22 +99,22 @@
 
 // TestLargestRecordFits: a full record stays within the smallest value limit
 // seen (16 KiB as JSON), whatever its tasks have gone through.
-func TestLargestRecordFits(t *testing.T) {
-	j := &Job{Known: true, JobRecord: JobRecord{Spec: wire.JobSpec{ID: "run-00000000000000000001", TaskCount: tuning.MaxTasks}}}
+func TestLargestFixedChunkFits(t *testing.T) {
+	j := &Job{HasRecord: true, JobRecord: JobRecord{Spec: wire.JobSpec{ID: "run-00000000000000000001", TaskCount: tuning.MaxTasks}}}
 	change := map[int]Task{}
 	for i := tuning.ChunkTasks; i < 2*tuning.ChunkTasks; i++ {
-		change[i] = Task{Index: tuning.MaxTasks, State: Bound, Attempt: 1 << 20, Machine: "vm-000000231", Session: 1 << 20}
+		change[i] = Task{Index: tuning.MaxTasks, State: TaskBound, Attempt: 1 << 20, Machine: "vm-000000231", Session: 1 << 20}
 	}
-	if op := j.Encode(1, change); float64(len(op.Value)) > tuning.ValueFraction*16*1024 {
+	if op := j.EncodeChunk(1, change); float64(len(op.Value)) > tuning.ValueFraction*16*1024 {
 		t.Fatalf("%d bytes", len(op.Value))
 	}
 }
 
 // TestPartsAreEven: names that count up must not crowd into one part.
-func TestPartsAreEven(t *testing.T) {
+func TestShardsAreBalanced(t *testing.T) {
 	count := make([]int, 3)
 	for i := range 300 {
-		count[PartOf("vm-"+string(rune('0'+i/100))+string(rune('0'+i/10%10))+string(rune('0'+i%10)), 3)]++
+		count[ShardOf("vm-"+string(rune('0'+i/100))+string(rune('0'+i/10%10))+string(rune('0'+i%10)), 3)]++
 	}
 	for p, c := range count {
 		if c < 70 || c > 130 {
