--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -75,7 +75,7 @@
 	}
 	users := intake.New(set, op, view, client, commit, cache, workers, log)
 	return &Node{handler: users.Handler(), runs: []func(context.Context) error{
-		cache.Run, commit.Run, members.Run, workers.Run, engine.Run, engine.Learn, engine.TrackRemoteImages, machines.Run, peers.Run, outcomes.Run, levels.Run, cells.Run,
+		cache.Run, commit.Run, members.Run, workers.Run, engine.Run, engine.RunLearner, engine.TrackRemoteImages, machines.Run, peers.Run, outcomes.Run, levels.Run, cells.Run,
 	}}, nil
 }
 
--- a/internal/place/engine.go
+++ b/internal/place/engine.go
@@ -75,11 +75,11 @@
 	cachedStateAt          time.Time
 	changeFeed             *world.ChangeFeed
 	waitingJobs            *order.Queue[*world.Job]
-	queueBuffer            []due // of the round before, its memory used again
+	queueBuffer            []queuedJob // of the round before, its memory used again
 	retainedInventory      *fit.Inventory
 	machinesToRefresh      map[string]struct{} // machines whose workers told something that the stock has not taken in
-	demand                 Demand
-	learning               values
+	demand                 UnmetDemand
+	learning               learning
 	reader                 store.Reader
 	peers                  Peers
 	remoteImages           map[string]map[string]bool // the other nodes' machines by image
@@ -124,9 +124,9 @@
 		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: map[string]reservation{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: map[string]bool{}, tombstones: map[string]time.Time{},
 		nextReorder: map[string]time.Time{}, jobsToMigrate: map[string]bool{}, rejectedUntil: map[string]time.Time{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
 		failureDetector: silence.Detector{Timing: silence.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
-		learning: values{
-			learner: learn.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
-			runs:    learn.NewEstimates(), open: map[attempt]int64{}, began: map[attempt]time.Time{}, recent: 0.5,
+		learning: learning{
+			learner:  learn.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
+			runTimes: learn.NewEstimates(), pendingRewards: map[taskAttempt]int64{}, startedAt: map[taskAttempt]time.Time{}, recentResponsiveness: 0.5,
 		},
 		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waitingJobs: order.New[*world.Job](), machinesToRefresh: map[string]struct{}{},
 	}
@@ -234,26 +234,26 @@
 	c.adoptMachines()
 	if now.Sub(e.lastSweep) >= tuning.SweepEvery {
 		e.lastSweep = now
-		c.clock()
-		c.sweep()
+		c.accrueMachineTime()
+		c.pruneState()
 		c.deleteFailedMachines()
-		for shard := range c.tokens {
+		for shard := range c.fencingTokens {
 			for _, machine := range c.cluster.MachinesByShard[shard] {
 				e.machinesToReconcile[machine.Name] = struct{}{}
 			}
 		}
 	}
 	c.reconcileMachines()
-	c.place()
+	c.schedule()
 	c.buildChanges()
 	c.migrateRecords()
-	c.doom()
-	for _, grant := range e.quota.Review(now, c.stamps, c.usage) {
+	c.cancelDependents()
+	for _, grant := range e.quota.Review(now, c.shardRevisions, c.usage) {
 		change := &recordChange{description: "grant", transaction: grant.Item, shards: []int{grant.Part}, onResult: func(bool) { grant.Done() }}
-		c.out = append(c.out, change)
+		c.outgoing = append(c.outgoing, change)
 	}
 	e.cluster.RUnlock()
-	for _, change := range c.out {
+	for _, change := range c.outgoing {
 		id := e.nextChangeID
 		e.nextChangeID++
 		e.inFlightChanges[id] = change
@@ -353,7 +353,7 @@
 }
 
 // Demand is what could not be placed, for the pool.
-func (e *Engine) Demand() Demand {
+func (e *Engine) Demand() UnmetDemand {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.demand
--- a/internal/place/failedmachines.go
+++ b/internal/place/failedmachines.go
@@ -29,61 +29,61 @@
 }
 
 // deleteFailedMachines deletes machines that are silent, stuck or failing.
-func (r *round) deleteFailedMachines() {
+func (c *cycle) deleteFailedMachines() {
 	var machines []silence.Machine
 	var outboundLost []outboundLostMachine
-	reachableZones := r.countReachableZones()
-	for _, name := range slices.Sorted(maps.Keys(r.cluster.Machines)) {
-		machine := r.cluster.Machines[name]
-		token, owned := r.tokens[machine.Shard]
-		if !owned || machine.Deleting || r.deletedMachines[name] || r.keysInFlight[world.MachineKey(name)] {
+	reachableZones := c.countReachableZones()
+	for _, name := range slices.Sorted(maps.Keys(c.cluster.Machines)) {
+		machine := c.cluster.Machines[name]
+		token, owned := c.fencingTokens[machine.Shard]
+		if !owned || machine.Deleting || c.deletedMachines[name] || c.keysInFlight[world.MachineKey(name)] {
 			continue
 		}
-		status := r.agents.MachineStatus(name, token)
-		machines = append(machines, silence.Machine{Name: name, Zone: machine.Zone, Shard: machine.Shard, Up: machine.Up, Session: status.Session, LastHeard: status.LastHeard, OwnedSince: r.shardOwnedSince[machine.Shard],
-			CommandUnanswered: status.CommandUnanswered, CancellationOverdue: r.cancellationOverdue(machine), BoundTasks: len(machine.Bindings), ServiceMovable: r.serviceCanMove(machine, reachableZones), ControllerInZone: r.controllerInZone(machine.Zone)})
+		status := c.agents.MachineStatus(name, token)
+		machines = append(machines, silence.Machine{Name: name, Zone: machine.Zone, Shard: machine.Shard, Up: machine.Up, Session: status.Session, LastHeard: status.LastHeard, OwnedSince: c.shardOwnedSince[machine.Shard],
+			CommandUnanswered: status.CommandUnanswered, CancellationOverdue: c.cancellationOverdue(machine), BoundTasks: len(machine.Bindings), ServiceMovable: c.serviceCanMove(machine, reachableZones), ControllerInZone: c.controllerInZone(machine.Zone)})
 		if status.OutboundLost {
 			outboundLost = append(outboundLost, outboundLostMachine{machine, status.LeaseExpiry})
 		}
 		if machine.Up && status.InboundLost {
-			r.recordMachineDown(machine, "hears nothing")
+			c.recordMachineDown(machine, "hears nothing")
 		}
-		empty := len(machine.Bindings) == 0 && r.moveM[name] == (world.Resources{})
+		empty := len(machine.Bindings) == 0 && c.inFlightByMachine[name] == (world.Resources{})
 		switch {
 		case !machine.Up && status.LastHeard.IsZero():
-			if r.bootTimedOut(machine) && !r.failureDetector.ZoneUnstable(machine.Zone) {
-				r.deleteMachine(silence.Deletion{Machine: name, Reason: "never came up"})
+			if c.bootTimedOut(machine) && !c.failureDetector.ZoneUnstable(machine.Zone) {
+				c.deleteMachine(silence.Deletion{Machine: name, Reason: "never came up"})
 			}
-		case !machine.Up && empty && !status.OneWaySince.IsZero() && r.now.Sub(status.OneWaySince) > tuning.OneWayLife && !r.failureDetector.ZoneUnstable(machine.Zone):
-			r.deleteMachine(silence.Deletion{Machine: name, Reason: "reached in one direction only"})
+		case !machine.Up && empty && !status.OneWaySince.IsZero() && c.now.Sub(status.OneWaySince) > tuning.OneWayLife && !c.failureDetector.ZoneUnstable(machine.Zone):
+			c.deleteMachine(silence.Deletion{Machine: name, Reason: "reached in one direction only"})
 		case empty && status.FailedJobs >= tuning.MachineErrors:
-			r.deleteMachine(silence.Deletion{Machine: name, Reason: "failing"})
+			c.deleteMachine(silence.Deletion{Machine: name, Reason: "failing"})
 		}
-		if status.UnresolvedStart && r.hasStoppingTask(machine) && r.now.Sub(r.lastFenced[machine.Shard]) > tuning.FenceEvery {
+		if status.UnresolvedStart && c.hasStoppingTask(machine) && c.now.Sub(c.lastFenced[machine.Shard]) > tuning.FenceEvery {
 			// A start in doubt could still run a task that must not: raise the token.
-			r.lastFenced[machine.Shard] = r.now
-			go r.membership.Fence(r.ctx, machine.Shard, true)
+			c.lastFenced[machine.Shard] = c.now
+			go c.membership.Fence(c.ctx, machine.Shard, true)
 		}
 	}
-	r.evacuateOutboundLost(outboundLost, len(machines))
-	judgement := r.failureDetector.Assess(r.now, machines, func(machine *silence.Machine) []evacuate.Task { return r.evacuationTasks(machine.Name) })
+	c.evacuateOutboundLost(outboundLost, len(machines))
+	judgement := c.failureDetector.Assess(c.now, machines, func(machine *silence.Machine) []evacuate.Task { return c.evacuationTasks(machine.Name) })
 	for _, change := range judgement.ZoneChanges {
-		r.log.Info("zone changes", "zone", change.Zone, "state", change.To, "before", change.From, "after", change.TimeInFormerState.Round(time.Second), "waits for", change.WaitingFor)
+		c.log.Info("zone changes", "zone", change.Zone, "state", change.To, "before", change.From, "after", change.TimeInFormerState.Round(time.Second), "waits for", change.WaitingFor)
 		for _, status := range zone.States {
 			zoneStateGauge.WithLabelValues(change.Zone, status.String()).Set(map[bool]float64{true: 1}[status == change.To])
 		}
 	}
 	for name, summary := range judgement.ZoneReturns {
-		r.log.Info("zone is back", "zone", name, "worked on", summary.Continued, "restarted", summary.Restarted, "gone", summary.Deleted, "new", summary.Added)
+		c.log.Info("zone is back", "zone", name, "worked on", summary.Continued, "restarted", summary.Restarted, "gone", summary.Deleted, "new", summary.Added)
 	}
 	for _, name := range judgement.ProbeMachines {
-		r.agents.RequestDispatch(name)
+		c.agents.RequestDispatch(name)
 	}
 	for shard, node := range judgement.ShardTransfers {
-		go r.membership.TransferShard(r.ctx, shard, node)
+		go c.membership.TransferShard(c.ctx, shard, node)
 	}
 	if len(judgement.AskPeersAbout) > 0 {
-		engine := r.Engine
+		engine := c.Engine
 		go func() {
 			heard := engine.peers.Ask(engine.ctx, judgement.AskPeersAbout)
 			engine.mu.Lock()
@@ -93,19 +93,19 @@
 		}()
 	}
 	for _, victim := range judgement.Deletions {
-		r.deleteMachine(victim)
+		c.deleteMachine(victim)
 	}
 }
 
 // recordMachineDown records that a machine which reports but hears nothing, or hears but reaches no node, is not up
 // until that is over. Its owner knows; gangs and services are placed by other nodes too, to which it looked
 // like the emptiest machine there is, and what was bound to it waited until its lease had run out, over and over.
-func (r *round) recordMachineDown(machine *world.Machine, reason string) {
-	r.log.Info("machine "+reason, "machine", machine.Name, "tasks", len(machine.Bindings))
+func (c *cycle) recordMachineDown(machine *world.Machine, reason string) {
+	c.log.Info("machine "+reason, "machine", machine.Name, "tasks", len(machine.Bindings))
 	machineRecord := machine.MachineRecord
 	machineRecord.Up = false
-	r.updateMachineRecord("machine "+reason+" "+machine.Name, machine.Name, machine.Shard, machineRecord, machine.ModRevision).HighPriority = true
-	r.machinesToRefresh[machine.Name] = struct{}{}
+	c.updateMachineRecord("machine "+reason+" "+machine.Name, machine.Name, machine.Shard, machineRecord, machine.ModRevision).HighPriority = true
+	c.machinesToRefresh[machine.Name] = struct{}{}
 }
 
 // outboundLostMachine is a mute machine, and when its lease ends.
@@ -119,18 +119,18 @@
 // start elsewhere leaves ahead of it, spread over what is left of the lease, as replicas that all end
 // at once find less room. Where most machines of this node seem to be mute it is this node that can't be
 // reached, and its parts go to one that can.
-func (r *round) evacuateOutboundLost(machines []outboundLostMachine, machineCount int) {
+func (c *cycle) evacuateOutboundLost(machines []outboundLostMachine, machineCount int) {
 	if 2*len(machines) > machineCount {
 		return
 	}
-	leadTime := time.Duration(tuning.MuteLeaves * float64(r.settings.Lease()))
+	leadTime := time.Duration(tuning.MuteLeaves * float64(c.settings.Lease()))
 	for _, machine := range machines {
 		if machine.Up {
-			r.recordMachineDown(machine.Machine, "reaches no node")
+			c.recordMachineDown(machine.Machine, "reaches no node")
 		}
 		fraction := float64(world.ShardOf(machine.Name, tuning.MuteSteps)) / tuning.MuteSteps
-		if delay := time.Duration(fraction * float64(leadTime-tuning.LeaseMargin)); r.now.After(machine.leaseExpiry.Add(delay - leadTime)) {
-			r.evacuateMachine(machine.Machine)
+		if delay := time.Duration(fraction * float64(leadTime-tuning.LeaseMargin)); c.now.After(machine.leaseExpiry.Add(delay - leadTime)) {
+			c.evacuateMachine(machine.Machine)
 		}
 	}
 }
@@ -139,35 +139,35 @@
 var evacuationKinds = map[string]evacuate.WorkloadKind{wire.KindService: evacuate.Service, wire.KindGang: evacuate.Gang, wire.KindArray: evacuate.Array}
 
 // evacuationTasks gives what is on a machine, for the plan of its evacuation.
-func (r *round) evacuationTasks(name string) []evacuate.Task {
+func (c *cycle) evacuationTasks(name string) []evacuate.Task {
 	var tasks []evacuate.Task
-	for _, binding := range r.cluster.Machines[name].Bindings {
-		tasks = append(tasks, evacuate.Task{JobID: binding.Ref.Job, Kind: evacuationKinds[binding.Job.Spec.Kind], PriorityRank: r.rank(binding.Job), PlacedReplicas: binding.Job.BoundCount})
+	for _, binding := range c.cluster.Machines[name].Bindings {
+		tasks = append(tasks, evacuate.Task{JobID: binding.Ref.Job, Kind: evacuationKinds[binding.Job.Spec.Kind], PriorityRank: c.effectiveRank(binding.Job), PlacedReplicas: binding.Job.BoundCount})
 	}
 	return tasks
 }
 
 // bootTimedOut tells whether a machine should have come up long ago. A new owner has heard
 // of none of its machines yet, and the record of one that has long been up may not say so.
-func (r *round) bootTimedOut(machine *world.Machine) bool {
-	machineType := r.cluster.Types[machine.Type]
+func (c *cycle) bootTimedOut(machine *world.Machine) bool {
+	machineType := c.cluster.Types[machine.Type]
 	bootLimit := max(time.Duration(tuning.BootStuck*machineType.BootSeconds*float64(time.Second)), tuning.BootStuckMin)
-	reportLimit := tuning.FindNode + time.Duration(tuning.DeadAfter*float64(r.settings.Report()))
-	return machineType.Name != "" && r.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > bootLimit && r.now.Sub(r.shardOwnedSince[machine.Shard]) > reportLimit
+	reportLimit := tuning.FindNode + time.Duration(tuning.DeadAfter*float64(c.settings.Report()))
+	return machineType.Name != "" && c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > bootLimit && c.now.Sub(c.shardOwnedSince[machine.Shard]) > reportLimit
 }
 
 // deleteMachine marks a machine to be deleted at the cloud.
-func (r *round) deleteMachine(victim silence.Deletion) {
-	machine := r.cluster.Machines[victim.Machine]
-	r.log.Info("deleting a machine", "machine", victim.Machine, "why", victim.Reason, "tasks", len(machine.Bindings))
+func (c *cycle) deleteMachine(victim silence.Deletion) {
+	machine := c.cluster.Machines[victim.Machine]
+	c.log.Info("deleting a machine", "machine", victim.Machine, "why", victim.Reason, "tasks", len(machine.Bindings))
 	machineRecord := machine.MachineRecord
 	machineRecord.Deleting = true
-	transaction := r.updateMachineRecord("delete machine "+victim.Machine, victim.Machine, machine.Shard, machineRecord, machine.ModRevision)
+	transaction := c.updateMachineRecord("delete machine "+victim.Machine, victim.Machine, machine.Shard, machineRecord, machine.ModRevision)
 	// What it held waits for this change as for its own: behind the ends of arrays' tasks
 	// replicas once waited for seconds more.
 	for _, binding := range machine.Bindings {
 		transaction.Urgent = transaction.Urgent || binding.Job.Spec.Kind == wire.KindService
-		transaction.HighPriority = transaction.HighPriority || r.rank(binding.Job) <= wire.PriorityRank(wire.PriorityHigh)
+		transaction.HighPriority = transaction.HighPriority || c.effectiveRank(binding.Job) <= wire.PriorityRank(wire.PriorityHigh)
 	}
 }
 
@@ -175,13 +175,13 @@
 // ago that only the machine's deletion ends it: a worker that hangs does not end its
 // tasks with its lease. Where cancellations are told at once it must go in time,
 // where they are told when they are certain, before the user gives up asking.
-func (r *round) cancellationOverdue(machine *world.Machine) bool {
+func (c *cycle) cancellationOverdue(machine *world.Machine) bool {
 	for _, binding := range machine.Bindings {
-		limit := r.settings.Cancel()
+		limit := c.settings.Cancel()
 		if !binding.Job.CancelAfterRelease {
 			limit = time.Duration(tuning.CancelShare * float64(limit))
 		}
-		if binding.Job.Cancelled() && r.now.Sub(time.UnixMilli(binding.Job.CancelledAtMs)) > limit {
+		if binding.Job.Cancelled() && c.now.Sub(time.UnixMilli(binding.Job.CancelledAtMs)) > limit {
 			return true
 		}
 	}
@@ -189,19 +189,19 @@
 }
 
 // controllerInZone tells whether a controller stands in a zone and would renew leases there.
-func (r *round) controllerInZone(zone string) bool {
-	if r.cluster.SchemaVersion < tuning.LevelCertain {
+func (c *cycle) controllerInZone(zone string) bool {
+	if c.cluster.SchemaVersion < tuning.LevelCertain {
 		return false
 	}
-	return r.settings.Zone == zone || slices.ContainsFunc(r.settings.Siblings, func(s config.Sibling) bool { return s.Zone == zone })
+	return c.settings.Zone == zone || slices.ContainsFunc(c.settings.Siblings, func(s config.Sibling) bool { return s.Zone == zone })
 }
 
 // countReachableZones counts the zones that are not cut off.
-func (r *round) countReachableZones() int {
+func (c *cycle) countReachableZones() int {
 	reachable := map[string]bool{}
-	for _, machineType := range r.cluster.Types {
+	for _, machineType := range c.cluster.Types {
 		for _, zone := range machineType.Zones {
-			if !r.failureDetector.ZoneUnavailable(zone) {
+			if !c.failureDetector.ZoneUnavailable(zone) {
 				reachable[zone] = true
 			}
 		}
@@ -211,8 +211,8 @@
 
 // serviceCanMove tells whether a service on a machine in a zone that is cut off could start
 // in another one of so many open zones.
-func (r *round) serviceCanMove(machine *world.Machine, reachableZones int) bool {
-	if !r.failureDetector.ZoneUnavailable(machine.Zone) {
+func (c *cycle) serviceCanMove(machine *world.Machine, reachableZones int) bool {
+	if !c.failureDetector.ZoneUnavailable(machine.Zone) {
 		return false
 	}
 	for _, binding := range machine.Bindings {
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -13,24 +13,24 @@
 // the part that the gang is dealt to, whose grant it uses. The owners of its
 // machines start the tasks as they see them bound. Where an owner has used the
 // room meanwhile, its worker refuses and the gang is placed anew.
-func (r *round) placeGang(du *due, s *fit.Inventory) {
-	j, spec := du.job, &du.job.Spec
+func (c *cycle) placeGang(queued *queuedJob, inventory *fit.Inventory) {
+	job, spec := queued.job, &queued.job.Spec
 	var attempt uint64
 	var idle []int
 	forming := false
 	for i := range spec.TaskCount {
-		t := r.taskState(j, i)
-		attempt = max(attempt, t.Attempt)
-		if t.State == world.TaskPending {
+		task := c.taskState(job, i)
+		attempt = max(attempt, task.Attempt)
+		if task.State == world.TaskPending {
 			idle = append(idle, i)
 		} else {
 			forming = true
 		}
 	}
-	du.Remaining = len(idle)
-	if r.keysInFlight[world.JobKey(spec.ID)] || r.needsMigration(j) || forming && slices.ContainsFunc(idle, func(i int) bool { return r.taskState(j, i).Attempt >= attempt }) {
-		r.waiting(j, "its last attempt has not left yet, or a change is on its way", nil)
-		du.Remaining = 0
+	queued.Remaining = len(idle)
+	if c.keysInFlight[world.JobKey(spec.ID)] || c.needsMigration(job) || forming && slices.ContainsFunc(idle, func(i int) bool { return c.taskState(job, i).Attempt >= attempt }) {
+		c.logWaiting(job, "its last attempt has not left yet, or a change is on its way", nil)
+		queued.Remaining = 0
 		return
 	}
 	if !forming { // else one too long for a transaction is completed
@@ -38,46 +38,46 @@
 	}
 	// One that finds its image at once goes first, then one that has room in its
 	// own part, where no other node places.
-	du.home = r.first(j)
-	z := r.zones(j, 0)
-	up := s.FittingMachines(&du.Request)
-	inPart := func(n *fit.MachineInfo) bool { return n.Machine.Shard == du.home }
-	held := func(n *fit.MachineInfo) bool { return r.stock.HasImage(spec.Image, n) }
+	queued.homeShard = c.firstLiveShard(job)
+	zones := c.zoneConstraint(job, 0)
+	candidates := inventory.FittingMachines(&queued.Request)
+	inPart := func(n *fit.MachineInfo) bool { return n.Machine.Shard == queued.homeShard }
+	held := func(n *fit.MachineInfo) bool { return c.inventory.HasImage(spec.Image, n) }
 	var picks []*fit.MachineInfo
 	for _, also := range []func(*fit.MachineInfo) bool{
 		func(n *fit.MachineInfo) bool { return inPart(n) && held(n) },
 		func(n *fit.MachineInfo) bool { return n.SessionKnown() && held(n) },
 		inPart, (*fit.MachineInfo).SessionKnown,
 	} {
-		if picks = s.AllocateGang(&du.Request, up, z, also); picks != nil {
+		if picks = inventory.AllocateGang(&queued.Request, candidates, zones, also); picks != nil {
 			break
 		}
 	}
 	if picks == nil {
-		r.waiting(j, "no room for all its tasks", nil)
+		c.logWaiting(job, "no room for all its tasks", nil)
 		return
 	}
-	du.Remaining = 0
-	_, mine := r.tokens[du.home]
-	if !mine || r.bound+len(picks) > tuning.RoundTasks && r.bound > 0 {
+	queued.Remaining = 0
+	_, owned := c.fencingTokens[queued.homeShard]
+	if !owned || c.tasksBound+len(picks) > tuning.RoundTasks && c.tasksBound > 0 {
 		return
 	}
 	// All or nothing: the grant must cover it whole, and its records must hold it.
 	adds := map[int]int{} // tasks by record
 	for _, i := range idle {
-		adds[j.ChunkOf(i)]++
+		adds[job.ChunkOf(i)]++
 	}
 	for k, n := range adds {
-		if r.recordFull(j, k, n, picks[0].Machine.Name) {
-			r.waiting(j, "its records are full", nil)
+		if c.recordFull(job, k, n, picks[0].Machine.Name) {
+			c.logWaiting(job, "its records are full", nil)
 			return
 		}
 	}
-	if !r.quota.Allowed(du.home, spec.Team, r.usage(du.home, spec.Team).AddTimes(du.Need, float64(len(picks)))) {
-		r.waiting(j, "its team's grant in this part", nil)
+	if !c.quota.Allowed(queued.homeShard, spec.Team, c.usage(queued.homeShard, spec.Team).AddTimes(queued.Need, float64(len(picks)))) {
+		c.logWaiting(job, "its team's grant in this part", nil)
 		return
 	}
 	for x, n := range picks {
-		r.bind(du, idle[x], attempt, n, du.home)
+		c.bindTask(queued, idle[x], attempt, n, queued.homeShard)
 	}
 }
--- /dev/null
+++ b/internal/place/inventory.go
@@ -0,0 +1,76 @@
+package place
+
+import (
+	"time"
+
+	"sableusher/internal/fit"
+	"sableusher/internal/tuning"
+	"sableusher/internal/world"
+)
+
+// refreshInventory brings the room that is kept from round to round up to date: what changed,
+// what is on its way, what is being freed, and which images are believed to be where.
+func (c *cycle) refreshInventory() *fit.Inventory {
+	names := c.changeFeed.TakeMachines()
+	inventory := fit.Refresh(c.retainedInventory, fit.Snapshot{Now: c.now, State: c.cluster, LiveShards: c.liveShards, FencingTokens: c.fencingTokens, AssessReadiness: c.readiness}, names, c.machinesToRefresh)
+	c.retainedInventory = inventory
+	inventory.NeedPerGPU, inventory.CommonNeed = c.needPerGPU, c.commonNeed
+	clear(c.machinesToRefresh)
+	for name, amount := range c.inFlightByMachine {
+		inventory.ConsumeByName(name, amount)
+	}
+	for name, reservation := range c.reservations {
+		if !c.now.After(reservation.expiresAt) {
+			inventory.ReserveFor(name, reservation.task.Job)
+		}
+	}
+	if c.now.Sub(inventory.HintsUpdatedAt(true)) >= tuning.HoldersLife {
+		inventory.SetImageHints(true, c.now, func(yield func(image, name string) bool) {
+			for image, names := range c.agents.MachinesByImage() {
+				for _, name := range names {
+					if !yield(image, name) {
+						return
+					}
+				}
+			}
+		})
+	}
+	if inventory.HintsUpdatedAt(false) != c.remoteImagesAt {
+		inventory.SetImageHints(false, c.remoteImagesAt, func(yield func(image, name string) bool) {
+			for image, names := range c.remoteImages {
+				for name := range names {
+					if !yield(image, name) {
+						return
+					}
+				}
+			}
+		})
+	}
+	return inventory
+}
+
+// readiness is what a machine is good for in this node's rounds.
+func (c *cycle) readiness(machine *world.Machine, owned bool) fit.Readiness {
+	switch {
+	case c.failureDetector.ZoneUnavailable(machine.Zone):
+		return fit.Unavailable // nothing starts there before the cut is over
+	case owned && c.agents.MachineStatus(machine.Name, c.fencingTokens[machine.Shard]).Schedulable, !owned && c.liveShards[machine.Shard] && (machine.Up || c.likelyBooted(machine)):
+		return fit.Ready
+	case !machine.Up && c.bootOverdue(machine):
+		return fit.Unavailable // others are rented rather than waited for
+	default:
+		return fit.Pending
+	}
+}
+
+// bootOverdue tells whether a machine should have come up long ago.
+func (c *cycle) bootOverdue(machine *world.Machine) bool {
+	late := time.Duration(tuning.BootLate * c.cluster.Types[machine.Type].BootSeconds * float64(time.Second))
+	return c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > max(late, tuning.BootLateMin)
+}
+
+// likelyBooted tells whether a machine should be up by now.
+func (c *cycle) likelyBooted(machine *world.Machine) bool {
+	boot := tuning.BootLikely * c.cluster.Types[machine.Type].BootSeconds * float64(time.Second)
+	return machine.CreatedAtMs > 0 && c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > time.Duration(boot) && !c.bootOverdue(machine)
+}
--- a/internal/place/recordchange.go
+++ b/internal/place/recordchange.go
@@ -12,29 +12,29 @@
 	"sableusher/internal/world"
 )
 
-// round is one look at the view; it collects the changes to make.
-type round struct {
+// cycle is one look at the view; it collects the changes to make.
+type cycle struct {
 	*Engine
-	now     time.Time
-	tokens  map[int]uint64
-	stamps  map[int]uint64
-	edits   map[recordKey]*recordEdit
-	out     []*recordChange
-	moveM   map[string]world.Resources // on their way, by machine
-	moveP   map[int]map[string]world.Resources
-	moveJ   map[string]int // tasks on their way, by job
-	live    []bool         // parts whose owner lives
-	bound   int
-	stock   *fit.Inventory
-	pressed bool                                   // the state service's budget is the bottleneck
-	stops   int                                    // machines on which room is being freed in this round
-	counts  bool                                   // this round counts the demand for the pool
-	freeing map[world.TaskRef]bool                 // tasks that room is being freed for
-	rigid   [wire.PriorityCount]fit.FailedRequests // needs for which nothing could be stopped anywhere, by rank
-	blocked bool                                   // a task's end could not be written yet
-	ending  map[string]bool                        // jobs that a change of this round ends as failed
-	gangs   map[gangAttempt]bool                   // whether an attempt is broken, looked at once a round
-	pulls   map[string]pulled                      // what jobs that need others ask of them
+	now                     time.Time
+	fencingTokens           map[int]uint64
+	shardRevisions          map[int]uint64
+	recordEdits             map[recordKey]*recordEdit
+	outgoing                []*recordChange
+	inFlightByMachine       map[string]world.Resources // on their way, by machine
+	inFlightByShard         map[int]map[string]world.Resources
+	inFlightByJob           map[string]int // tasks on their way, by job
+	liveShards              []bool         // parts whose owner lives
+	tasksBound              int
+	inventory               *fit.Inventory
+	storeSaturated          bool                                   // the state service's budget is the bottleneck
+	machinesPreempted       int                                    // machines on which room is being freed in this round
+	collectsDemand          bool                                   // this round counts the demand for the pool
+	tasksAwaitingPreemption map[world.TaskRef]bool                 // tasks that room is being freed for
+	preemptionMisses        [wire.PriorityCount]fit.FailedRequests // needs for which nothing could be stopped anywhere, by rank
+	releaseBlocked          bool                                   // a task's end could not be written yet
+	failingJobs             map[string]bool                        // jobs that a change of this round ends as failed
+	brokenAttempts          map[gangAttempt]bool                   // whether an attempt is broken, looked at once a round
+	dependentNeedsByJob     map[string]dependentNeeds              // what jobs that need others ask of them
 }
 
 // recordKey names one record of a job.
@@ -60,18 +60,18 @@
 	failsJob    bool // a task of it has no repeat left: the job fails
 }
 
-func (e *Engine) newCycle(now time.Time) *round {
-	c := &round{Engine: e, now: now, tokens: map[int]uint64{}, stamps: map[int]uint64{}, edits: map[recordKey]*recordEdit{}, gangs: map[gangAttempt]bool{}, ending: map[string]bool{},
-		moveM: map[string]world.Resources{}, moveP: map[int]map[string]world.Resources{}, moveJ: map[string]int{},
-		live: make([]bool, e.cluster.ShardCount), freeing: make(map[world.TaskRef]bool, len(e.reservations))}
+func (e *Engine) newCycle(now time.Time) *cycle {
+	c := &cycle{Engine: e, now: now, fencingTokens: map[int]uint64{}, shardRevisions: map[int]uint64{}, recordEdits: map[recordKey]*recordEdit{}, brokenAttempts: map[gangAttempt]bool{}, failingJobs: map[string]bool{},
+		inFlightByMachine: map[string]world.Resources{}, inFlightByShard: map[int]map[string]world.Resources{}, inFlightByJob: map[string]int{},
+		liveShards: make([]bool, e.cluster.ShardCount), tasksAwaitingPreemption: make(map[world.TaskRef]bool, len(e.reservations))}
 	for _, reservation := range e.reservations {
-		c.freeing[reservation.task] = true
+		c.tasksAwaitingPreemption[reservation.task] = true
 	}
 	for shard := range e.cluster.ShardCount {
-		_, c.live[shard] = e.membership.OwnerOf(shard)
-		c.moveP[shard] = map[string]world.Resources{}
+		_, c.liveShards[shard] = e.membership.OwnerOf(shard)
+		c.inFlightByShard[shard] = map[string]world.Resources{}
 		if token, modRevision, ok := e.membership.Owns(shard); ok {
-			c.tokens[shard], c.stamps[shard] = token, modRevision
+			c.fencingTokens[shard], c.shardRevisions[shard] = token, modRevision
 			if _, known := e.shardOwnedSince[shard]; !known {
 				e.shardOwnedSince[shard] = now
 				// A new owner hears of its machines at once rather than at their next report.
@@ -91,39 +91,39 @@
 	return c
 }
 
-func (r *round) addInFlight(binding pendingBinding) {
-	r.moveM[binding.machine] = r.moveM[binding.machine].AddTimes(binding.need, 1)
-	r.moveP[binding.chargedShard][binding.team] = r.moveP[binding.chargedShard][binding.team].AddTimes(binding.need, 1)
-	r.moveJ[binding.task.Job]++
+func (c *cycle) addInFlight(binding pendingBinding) {
+	c.inFlightByMachine[binding.machine] = c.inFlightByMachine[binding.machine].AddTimes(binding.need, 1)
+	c.inFlightByShard[binding.chargedShard][binding.team] = c.inFlightByShard[binding.chargedShard][binding.team].AddTimes(binding.need, 1)
+	c.inFlightByJob[binding.task.Job]++
 }
 
 // usage is what a team's tasks of a part take, those on their way included.
-func (r *round) usage(shard int, team string) world.Resources {
-	return r.cluster.UsageByShard[shard][team].AddTimes(r.moveP[shard][team], 1)
+func (c *cycle) usage(shard int, team string) world.Resources {
+	return c.cluster.UsageByShard[shard][team].AddTimes(c.inFlightByShard[shard][team], 1)
 }
 
 // editRecord opens the record that holds a task; nil while a change of it is on its
 // way, or while it has to be moved first.
-func (r *round) editRecord(job *world.Job, taskIndex int) *recordEdit {
+func (c *cycle) editRecord(job *world.Job, taskIndex int) *recordEdit {
 	recordIndex := job.ChunkOf(taskIndex)
-	if _, ok := r.rejectedUntil[job.ChunkKey(recordIndex)]; ok || r.keysInFlight[job.ChunkKey(recordIndex)] || recordIndex > 0 && r.keysInFlight[job.ChunkKey(0)] && job.Spec.SameZone || r.needsMigration(job) {
+	if _, ok := c.rejectedUntil[job.ChunkKey(recordIndex)]; ok || c.keysInFlight[job.ChunkKey(recordIndex)] || recordIndex > 0 && c.keysInFlight[job.ChunkKey(0)] && job.Spec.SameZone || c.needsMigration(job) {
 		return nil
 	}
-	edit := r.edits[recordKey{job, recordIndex}]
+	edit := c.recordEdits[recordKey{job, recordIndex}]
 	if edit == nil {
 		edit = &recordEdit{job: job, recordIndex: recordIndex, tasks: map[int]world.Task{}, shards: map[int]bool{}}
-		r.edits[recordKey{job, recordIndex}] = edit
+		c.recordEdits[recordKey{job, recordIndex}] = edit
 	}
 	return edit
 }
 
 // needsMigration tells whether a job's records have to be moved before they are written
 // again, and asks for it.
-func (r *round) needsMigration(job *world.Job) bool {
-	if r.cluster.SchemaVersion < tuning.LevelPipelines || !job.NeedsMigration(r.cluster.SizeLimits(r.committer.MaxRecordBytes())) {
+func (c *cycle) needsMigration(job *world.Job) bool {
+	if c.cluster.SchemaVersion < tuning.LevelPipelines || !job.NeedsMigration(c.cluster.SizeLimits(c.committer.MaxRecordBytes())) {
 		return false
 	}
-	r.jobsToMigrate[job.Spec.ID] = true
+	c.jobsToMigrate[job.Spec.ID] = true
 	return true
 }
 
@@ -132,12 +132,12 @@
 
 // recordFull tells whether a record has no room for so many more bound tasks. Without
 // the check a state service with a small limit would refuse the record over and over.
-func (r *round) recordFull(job *world.Job, recordIndex, added int, machine string) bool {
-	limit := r.committer.MaxRecordBytes()
-	if r.cluster.SizeLimits(limit).FixedChunksFit(&job.Spec, job.EncodedBaseSize) {
+func (c *cycle) recordFull(job *world.Job, recordIndex, added int, machine string) bool {
+	limit := c.committer.MaxRecordBytes()
+	if c.cluster.SizeLimits(limit).FixedChunksFit(&job.Spec, job.EncodedBaseSize) {
 		return false
 	}
-	edit := r.edits[recordKey{job, recordIndex}]
+	edit := c.recordEdits[recordKey{job, recordIndex}]
 	if edit == nil {
 		edit = &recordEdit{} // nothing of it has changed in this round
 	}
@@ -148,8 +148,8 @@
 }
 
 // taskState is a task's state with this round's changes.
-func (r *round) taskState(job *world.Job, taskIndex int) world.Task {
-	if edit := r.edits[recordKey{job, job.ChunkOf(taskIndex)}]; edit != nil {
+func (c *cycle) taskState(job *world.Job, taskIndex int) world.Task {
+	if edit := c.recordEdits[recordKey{job, job.ChunkOf(taskIndex)}]; edit != nil {
 		if task, ok := edit.tasks[taskIndex]; ok {
 			return task
 		}
@@ -158,56 +158,56 @@
 }
 
 // finalOps gives the ops that turn a job's records into its final one.
-func (r *round) finalOps(job *world.Job, status string, done int) []wire.Op {
+func (c *cycle) finalOps(job *world.Job, status string, done int) []wire.Op {
 	id := job.Spec.ID
 	if guest := job.OffloadedFrom; guest != nil {
 		// Its home alone answers its user, and is told from this until it has it.
 		record := world.GuestOutcomeRecord{JobID: id, Status: status, DoneCount: done}
 		ops := []wire.Op{store.PutOp(world.GuestOutcomeKey(guest.Cell, guest.Number), record), store.DeleteOp(world.JobKey(id))}
-		return append(ops, r.deleteRecordOps(job, len(ops))...)
+		return append(ops, c.deleteRecordOps(job, len(ops))...)
 	}
-	ops := job.FinalizeOps(status, done, r.now.UnixMilli())
-	return append(ops, r.deleteRecordOps(job, len(ops))...)
+	ops := job.FinalizeOps(status, done, c.now.UnixMilli())
+	return append(ops, c.deleteRecordOps(job, len(ops))...)
 }
 
 // deleteRecordOps removes as many of a job's further records as a transaction with so many
 // changes has room for; what stays is swept later.
-func (r *round) deleteRecordOps(job *world.Job, opCount int) []wire.Op {
-	return job.DeleteFurtherChunks(r.committer.MaxTransactionOps() - opCount)
+func (c *cycle) deleteRecordOps(job *world.Job, opCount int) []wire.Op {
+	return job.DeleteFurtherChunks(c.committer.MaxTransactionOps() - opCount)
 }
 
 // buildChanges turns the edits into changes.
-func (r *round) buildChanges() {
+func (c *cycle) buildChanges() {
 	byJob := map[string][]*recordEdit{}
-	for _, edit := range r.edits {
+	for _, edit := range c.recordEdits {
 		if len(edit.tasks) > 0 {
 			byJob[edit.job.Spec.ID] = append(byJob[edit.job.Spec.ID], edit)
 		}
 	}
 	for id, edits := range byJob {
 		job := edits[0].job
-		if job.Spec.Kind == wire.KindGang && len(edits) > 1 && len(edits) <= r.maxRecordsPerTxn(job) {
+		if job.Spec.Kind == wire.KindGang && len(edits) > 1 && len(edits) <= c.maxRecordsPerTxn(job) {
 			// A gang's tasks are bound together. One too long for a transaction is
 			// bound record by record and withdrawn if it does not become whole.
-			r.emitChange(id, job, edits)
+			c.emitChange(id, job, edits)
 			continue
 		}
 		for _, edit := range edits {
-			r.emitChange(id, job, []*recordEdit{edit})
+			c.emitChange(id, job, []*recordEdit{edit})
 		}
 	}
 }
 
 // maxRecordsPerTxn is how many records of a job one transaction may write, with the job's
 // own beside them.
-func (r *round) maxRecordsPerTxn(job *world.Job) int {
+func (c *cycle) maxRecordsPerTxn(job *world.Job) int {
 	if job.ChunkWidth == 0 {
-		return min(tuning.GangRecords, r.committer.MaxTransactionOps()-1)
+		return min(tuning.GangRecords, c.committer.MaxTransactionOps()-1)
 	}
-	return min(tuning.TxnBytes/max(r.committer.MaxRecordBytes(), 1), r.committer.MaxTransactionOps()-1)
+	return min(tuning.TxnBytes/max(c.committer.MaxRecordBytes(), 1), c.committer.MaxTransactionOps()-1)
 }
 
-func (r *round) emitChange(id string, job *world.Job, edits []*recordEdit) {
+func (c *cycle) emitChange(id string, job *world.Job, edits []*recordEdit) {
 	change := &recordChange{description: "tasks of " + id}
 	shards, done, bound, writesJobRecord := map[int]bool{}, job.DoneCount, job.BoundCount, false
 	failsJob := slices.ContainsFunc(edits, func(edit *recordEdit) bool { return edit.failsJob })
@@ -215,7 +215,7 @@
 		// Marked as cancelled, so that all that holds for such jobs holds: nothing starts
 		// any more, what runs is stopped, what awaits it falls.
 		failed := *job
-		failed.CancelledAtMs, failed.CancelAfterRelease, failed.Failed = max(r.now.UnixMilli(), 1), true, true
+		failed.CancelledAtMs, failed.CancelAfterRelease, failed.Failed = max(c.now.UnixMilli(), 1), true, true
 		job = &failed
 	}
 	conditions := map[string]uint64{}
@@ -247,9 +247,9 @@
 	onlyRecord := len(job.FurtherChunkKeys()) == 0 && job.ChunkCount() == 1
 	switch {
 	case onlyRecord && done == job.Spec.TaskCount:
-		change.transaction.Ops = r.finalOps(job, wire.JobDone, done)
+		change.transaction.Ops = c.finalOps(job, wire.JobDone, done)
 	case onlyRecord && job.Cancelled() && bound == 0:
-		change.transaction.Ops = r.finalOps(job, job.CancelledStatus(), done)
+		change.transaction.Ops = c.finalOps(job, job.CancelledStatus(), done)
 	case !writesJobRecord && (failsJob || !onlyRecord && job.Spec.SameZone && len(change.bindings) > 0):
 		// The mark stands in the job's own record; and bindings of different records must
 		// not choose different zones at once.
@@ -258,32 +258,32 @@
 		change.keys = append(change.keys, op.PutKey)
 	}
 	for _, shard := range slices.Sorted(maps.Keys(shards)) {
-		if modRevision, owned := r.stamps[shard]; owned {
+		if modRevision, owned := c.shardRevisions[shard]; owned {
 			change.shards = append(change.shards, shard)
 			conditions[world.ShardKey(shard)] = modRevision
 		} else {
 			// A gang's machine in another node's part, while that node owns it.
-			conditions[world.ShardKey(shard)] = r.cluster.Shards[shard].ModRevision
+			conditions[world.ShardKey(shard)] = c.cluster.Shards[shard].ModRevision
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(conditions)) {
 		change.transaction.Conditions = append(change.transaction.Conditions, wire.Condition{Key: key, ModRevision: conditions[key]})
 	}
 	change.transaction.Urgent = job.Spec.Priority == wire.PriorityProduction
-	change.transaction.HighPriority = r.rank(job) <= wire.PriorityRank(wire.PriorityHigh)
-	r.out = append(r.out, change)
+	change.transaction.HighPriority = c.effectiveRank(job) <= wire.PriorityRank(wire.PriorityHigh)
+	c.outgoing = append(c.outgoing, change)
 }
 
 // updateMachineRecord adds a change of a machine's record, and gives it for its place in the queue.
-func (r *round) updateMachineRecord(description, name string, shard int, machineRecord world.MachineRecord, modRevision uint64) *store.Transaction {
+func (c *cycle) updateMachineRecord(description, name string, shard int, machineRecord world.MachineRecord, modRevision uint64) *store.Transaction {
 	key := world.MachineKey(name)
 	change := &recordChange{
 		description: description, keys: []string{key}, shards: []int{shard}, harmlessWhenLate: true,
 		transaction: store.Transaction{
-			Conditions: []wire.Condition{{Key: world.ShardKey(shard), ModRevision: r.stamps[shard]}, {Key: key, ModRevision: modRevision}},
+			Conditions: []wire.Condition{{Key: world.ShardKey(shard), ModRevision: c.shardRevisions[shard]}, {Key: key, ModRevision: modRevision}},
 			Ops:        []wire.Op{store.PutOp(key, machineRecord)},
 		},
 	}
-	r.out = append(r.out, change)
+	c.outgoing = append(c.outgoing, change)
 	return &change.transaction
 }
--- a/internal/place/recordmigration.go
+++ b/internal/place/recordmigration.go
@@ -16,25 +16,25 @@
 // migrateRecords brings old records that could outgrow the state service's limit into
 // the new form: those that are waited for at once, the others in paced steps while
 // the budget is free.
-func (r *round) migrateRecords() {
-	if r.cluster.SchemaVersion < tuning.LevelPipelines {
+func (c *cycle) migrateRecords() {
+	if c.cluster.SchemaVersion < tuning.LevelPipelines {
 		return
 	}
-	layout, migrated := r.cluster.SizeLimits(r.committer.MaxRecordBytes()), 0
+	layout, migrated := c.cluster.SizeLimits(c.committer.MaxRecordBytes()), 0
 	migrate := func(id string) {
-		delete(r.jobsToMigrate, id)
-		job := r.cluster.Jobs[id]
-		if job == nil || !job.HasRecord || !job.NeedsMigration(layout) || r.keysInFlight[world.JobKey(id)] || migrated >= tuning.MoveRound {
+		delete(c.jobsToMigrate, id)
+		job := c.cluster.Jobs[id]
+		if job == nil || !job.HasRecord || !job.NeedsMigration(layout) || c.keysInFlight[world.JobKey(id)] || migrated >= tuning.MoveRound {
 			return
 		}
 		for recordIndex := range job.Chunks {
-			if edit := r.edits[recordKey{job, recordIndex}]; edit != nil && len(edit.tasks) > 0 || r.keysInFlight[job.ChunkKey(recordIndex)] {
+			if edit := c.recordEdits[recordKey{job, recordIndex}]; edit != nil && len(edit.tasks) > 0 || c.keysInFlight[job.ChunkKey(recordIndex)] {
 				return
 			}
 		}
 		conditions, ops, ok := job.MigrateChunk(layout, tuning.MoveRound)
-		if !ok || len(ops) > r.committer.MaxTransactionOps() {
-			r.waiting(job, "its records can't be split far enough", nil)
+		if !ok || len(ops) > c.committer.MaxTransactionOps() {
+			c.logWaiting(job, "its records can't be split far enough", nil)
 			return
 		}
 		migrated++
@@ -43,21 +43,21 @@
 		for _, condition := range conditions {
 			change.keys = append(change.keys, condition.Key)
 		}
-		r.out = append(r.out, change)
+		c.outgoing = append(c.outgoing, change)
 	}
-	for id := range r.jobsToMigrate {
+	for id := range c.jobsToMigrate {
 		migrate(id)
 	}
-	if r.now.Sub(r.lastMigration) < tuning.MoveGap || r.committer.QueueLength() >= tuning.PressedItems {
+	if c.now.Sub(c.lastMigration) < tuning.MoveGap || c.committer.QueueLength() >= tuning.PressedItems {
 		return
 	}
-	r.lastMigration = r.now
-	for id, job := range r.cluster.Jobs {
+	c.lastMigration = c.now
+	for id, job := range c.cluster.Jobs {
 		if migrated >= tuning.MoveRound {
 			break
 		}
-		if job.HasRecord && job.NeedsMigration(layout) && r.now.Sub(time.UnixMilli(job.SubmittedAtMs)) > tuning.MoveGap {
-			if _, owned := r.tokens[r.first(job)]; owned {
+		if job.HasRecord && job.NeedsMigration(layout) && c.now.Sub(time.UnixMilli(job.SubmittedAtMs)) > tuning.MoveGap {
+			if _, owned := c.fencingTokens[c.firstLiveShard(job)]; owned {
 				migrate(id)
 			}
 		}
--- a/internal/place/scheduler_test.go
+++ b/internal/place/scheduler_test.go
@@ -99,14 +99,14 @@
 }
 
 // runCycle plays one node's placement and gives what it bound.
-func (fixture *testCluster) runCycle(index int) (*round, []pendingBinding) {
+func (fixture *testCluster) runCycle(index int) (*cycle, []pendingBinding) {
 	fixture.cluster.RLock()
 	defer fixture.cluster.RUnlock()
 	c := fixture.engines[index].newCycle(testNow)
-	c.place()
+	c.schedule()
 	c.buildChanges()
 	var bindings []pendingBinding
-	for _, change := range c.out {
+	for _, change := range c.outgoing {
 		bindings = append(bindings, change.bindings...)
 	}
 	return c, bindings
@@ -145,8 +145,8 @@
 	if len(bound) != 0 {
 		t.Fatalf("%d tasks bound without room", len(bound))
 	}
-	if c.stock.Examined() > 2*machines {
-		t.Errorf("%d machines examined for %d jobs on %d machines", c.stock.Examined(), jobs, machines)
+	if c.inventory.Examined() > 2*machines {
+		t.Errorf("%d machines examined for %d jobs on %d machines", c.inventory.Examined(), jobs, machines)
 	}
 	if n := len(c.demand.Groups); n != jobs {
 		t.Errorf("demand names %d of %d jobs", n, jobs)
@@ -170,8 +170,8 @@
 			c, bound := fixture.runCycle(i)
 			if len(bound) > 0 {
 				writers++
-				if len(c.out) != 1 {
-					t.Errorf("%d changes", len(c.out))
+				if len(c.outgoing) != 1 {
+					t.Errorf("%d changes", len(c.outgoing))
 				}
 			}
 			for _, b := range bound {
@@ -220,7 +220,7 @@
 			total += len(bound)
 			seen := map[string]bool{}
 			guards := map[string]bool{}
-			for _, g := range c.out[0].transaction.Conditions {
+			for _, g := range c.outgoing[0].transaction.Conditions {
 				guards[g.Key] = true
 			}
 			for _, b := range bound {
@@ -255,8 +255,8 @@
 	c := engine.newCycle(testNow)
 	c.reconcileMachines()
 	fixture.cluster.RUnlock()
-	if len(engine.machinesToReconcile) != 0 || len(c.out) != 0 {
-		t.Errorf("%d machines are still looked at, %d changes", len(engine.machinesToReconcile), len(c.out))
+	if len(engine.machinesToReconcile) != 0 || len(c.outgoing) != 0 {
+		t.Errorf("%d machines are still looked at, %d changes", len(engine.machinesToReconcile), len(c.outgoing))
 	}
 }
 
@@ -274,12 +274,12 @@
 		for _, engine := range fixture.engines {
 			fixture.cluster.RLock()
 			c := engine.newCycle(testNow)
-			for p := range c.tokens {
+			for p := range c.fencingTokens {
 				engine.shardOwnedSince[p] = testNow.Add(-owned)
 			}
 			c.deleteFailedMachines()
 			fixture.cluster.RUnlock()
-			deleted += len(c.out)
+			deleted += len(c.outgoing)
 		}
 		if want := map[time.Duration]int{time.Hour: 40}[owned]; deleted != want {
 			t.Errorf("owned for %v: %d machines deleted, want %d", owned, deleted, want)
@@ -320,7 +320,7 @@
 		c := fixture.engines[shard].newCycle(testNow)
 		c.adoptMachines()
 		fixture.cluster.RUnlock()
-		if got, want := len(c.out), map[string]int{deleted: 0, unknown: 1}[name]; got != want {
+		if got, want := len(c.outgoing), map[string]int{deleted: 0, unknown: 1}[name]; got != want {
 			t.Errorf("%s: %d records written, want %d", name, got, want)
 		}
 	}
@@ -341,10 +341,10 @@
 		fixture.cluster.RLock()
 		defer fixture.cluster.RUnlock()
 		c := fixture.engines[shard].newCycle(testNow)
-		if c.adoptMachines(); len(c.out) != 1 {
-			t.Fatalf("%d records written", len(c.out))
+		if c.adoptMachines(); len(c.outgoing) != 1 {
+			t.Fatalf("%d records written", len(c.outgoing))
 		}
-		return c.out[0].transaction
+		return c.outgoing[0].transaction
 	}
 	if transaction := heartbeat(1, false); transaction.Urgent || !transaction.Background {
 		t.Errorf("up: %+v", transaction)
@@ -366,7 +366,7 @@
 		c.reconcileMachines()
 		c.buildChanges()
 		fixture.cluster.RUnlock()
-		for _, change := range c.out {
+		for _, change := range c.outgoing {
 			if op := change.transaction.Ops[0]; op.PutKey == world.FinalKey("run-1") {
 				ended++
 				var rec world.FinalRecord
@@ -497,7 +497,7 @@
 			want = wire.JobCancelled
 		}
 		var final world.FinalRecord
-		for _, change := range c.out {
+		for _, change := range c.outgoing {
 			for _, o := range change.transaction.Ops {
 				if o.PutKey == world.FinalKey(spec.ID) {
 					_ = wire.Decode(o.Value, &final)
@@ -603,7 +603,7 @@
 		for i := range fixture.engines {
 			c, binds := fixture.runCycle(i)
 			bound += len(binds)
-			for _, change := range c.out {
+			for _, change := range c.outgoing {
 				own := slices.ContainsFunc(change.transaction.Ops, func(o wire.Op) bool { return o.PutKey == world.JobKey(spec.ID) })
 				if len(change.bindings) > 0 && !own {
 					t.Errorf("node %d binds %d tasks without the job's own record: %v", i, len(change.bindings), change.keys)
--- a/internal/pool/autoscaler.go
+++ b/internal/pool/autoscaler.go
@@ -209,12 +209,12 @@
 	now := time.Now()
 	if now.Sub(a.decidedAt) >= config.Seconds(a.operator.PoolHoldS) {
 		if a.pendingDecision != 0 {
-			l.Pay(a.pendingDecision, a.scheduler.SizePayoff())
+			l.Pay(a.pendingDecision, a.scheduler.ProvisioningReward())
 		}
 		a.state.RLock()
 		have := len(a.state.Machines)
 		a.state.RUnlock()
-		s := a.scheduler.SizeState()
+		s := a.scheduler.ProvisioningState()
 		var choices []learn.Choice
 		best := 0
 		for i, f := range tuning.SizeFractions {
@@ -254,7 +254,7 @@
 	}
 	demand := a.scheduler.Demand()
 	a.unavailableZones = a.scheduler.PartitionedZones()
-	if time.Since(demand.At) > tuning.DemandStale || demand.At.Before(a.lastScaleOut) {
+	if time.Since(demand.ComputedAt) > tuning.DemandStale || demand.ComputedAt.Before(a.lastScaleOut) {
 		return // what was rented since is not counted in it
 	}
 	planned := a.limitByLearner(a.planScaleOut(demand))
@@ -267,7 +267,7 @@
 
 // planScaleOut packs what found no room into machines to be rented, and adds the step
 // and the minimum.
-func (a *Autoscaler) planScaleOut(demand place.Demand) []plannedMachine {
+func (a *Autoscaler) planScaleOut(demand place.UnmetDemand) []plannedMachine {
 	a.state.RLock()
 	defer a.state.RUnlock()
 	machinesInZone := map[string]int{}
@@ -294,7 +294,7 @@
 	}
 	for _, g := range demand.Groups {
 		s, need := g.Spec, world.TaskResources(g.Spec)
-		late, rank = now.Sub(g.Since) > tuning.StarveAfter, g.Rank
+		late, rank = now.Sub(g.SubmittedAt) > tuning.StarveAfter, g.Rank
 		zone, count := s.Zone, g.Count
 		perZone := map[string]int{}
 		allowed := func(k machineKind) bool { return !s.Spread || perZone[k.zone] < (count+1)/2 }
@@ -329,7 +329,7 @@
 	late, rank = false, wire.PriorityCount
 	step := a.headroomTarget(now)
 	short := a.operator.PoolMin - total - len(out)
-	spare := max(short, int(math.Ceil(step.onDemand-demand.Spare.Machines-0.5)), int(math.Ceil(step.unusedMachines-float64(demand.Spare.UnusedMachines)-0.5)))
+	spare := max(short, int(math.Ceil(step.onDemand-demand.SpareOnDemand.Machines-0.5)), int(math.Ceil(step.unusedMachines-float64(demand.SpareOnDemand.UnusedMachines)-0.5)))
 	for i := range spare {
 		b := openMachine(&wire.JobSpec{}, "", anyKind)
 		if b == nil {
@@ -339,13 +339,13 @@
 	}
 	reserve := a.zoneReserve()
 	for _, z := range slices.Sorted(maps.Keys(reserve)) {
-		for range int(math.Ceil(reserve[z] - demand.Spare.MachinesByZone[z])) {
+		for range int(math.Ceil(reserve[z] - demand.SpareOnDemand.MachinesByZone[z])) {
 			if openMachine(&wire.JobSpec{}, z, anyKind) == nil {
 				break
 			}
 		}
 	}
-	for range int(math.Ceil(step.spot - demand.Spot.Machines - 0.5)) {
+	for range int(math.Ceil(step.spot - demand.SpareSpot.Machines - 0.5)) {
 		if openMachine(&wire.JobSpec{AllowSpot: true}, "", anyKind) == nil {
 			break
 		}
@@ -360,7 +360,7 @@
 // while that zone refuses, if another is not known to have less than the whole. It is
 // none if every zone is short: asking one after the other would get a machine here and
 // one there, return each as idle, and never make up a gang.
-func (a *Autoscaler) chooseGangZone(group place.Group, machinesInZone map[string]int, now time.Time) (zone string, count int) {
+func (a *Autoscaler) chooseGangZone(group place.UnplacedGroup, machinesInZone map[string]int, now time.Time) (zone string, count int) {
 	ample := func(k machineKind) bool { return !now.Before(a.insufficientUntil[k]) }
 	s := group.Spec
 	if group.Zone != "" {
@@ -681,10 +681,10 @@
 }
 
 // scaleIn marks machines that stood idle for the hold, beyond step and minimum.
-func (a *Autoscaler) scaleIn(ctx context.Context, leader wire.Condition, demand place.Demand, planned []plannedMachine) {
+func (a *Autoscaler) scaleIn(ctx context.Context, leader wire.Condition, demand place.UnmetDemand, planned []plannedMachine) {
 	now := time.Now()
 	idle := map[string]bool{}
-	for _, n := range demand.Idle {
+	for _, n := range demand.IdleMachines {
 		idle[n] = true
 		if _, ok := a.idleSince[n]; !ok {
 			a.idleSince[n] = now
@@ -712,8 +712,8 @@
 	var items []store.Transaction
 	step := a.headroomTarget(now)
 	reserve, zones := a.zoneReserve(), map[string]float64{}
-	maps.Copy(zones, demand.Spare.MachinesByZone)
-	left := map[bool]float64{true: demand.Spot.Machines - step.spot, false: min(demand.Spare.Machines-step.onDemand, float64(demand.Spare.UnusedMachines)-step.unusedMachines)}
+	maps.Copy(zones, demand.SpareOnDemand.MachinesByZone)
+	left := map[bool]float64{true: demand.SpareSpot.Machines - step.spot, false: min(demand.SpareOnDemand.Machines-step.onDemand, float64(demand.SpareOnDemand.UnusedMachines)-step.unusedMachines)}
 	for _, n := range names {
 		m := a.state.Machines[n]
 		if total <= a.operator.PoolMin {
@@ -722,7 +722,7 @@
 		if m == nil || !m.Up || m.Draining || wanted[machineKind{m.Type, m.Zone, m.Spot}] || left[m.Spot] < 1 || !m.Spot && reserve[m.Zone] > 0 && zones[m.Zone]-1 < reserve[m.Zone] || now.Sub(a.idleSince[n]) < config.Seconds(a.operator.PoolHoldS) {
 			continue
 		}
-		if t := a.state.Types[m.Type]; demand.Common.CPUs > t.CPUs {
+		if t := a.state.Types[m.Type]; demand.CommonTask.CPUs > t.CPUs {
 			continue // small tasks on it leave common ones theirs
 		}
 		rec := m.MachineRecord
