--- a/internal/place/cycle.go
+++ b/internal/place/cycle.go
@@ -770,7 +770,7 @@
 		c.log.Error("a job that waits for others, or is with another cell, was about to start", "job", job.Spec.ID)
 		return false
 	}
-	if job.Spec.Kind != wire.KindGang && c.tasksBound >= tuning.RoundTasks || !c.quota.Allowed(charged, team, c.usage(charged, team).AddTimes(queued.Need, 1)) {
+	if job.Spec.Kind != wire.KindGang && c.tasksBound >= tuning.RoundTasks || !c.quota.Allows(charged, team, c.usage(charged, team).AddTimes(queued.Need, 1)) {
 		c.logWaiting(job, "its team's grant in this part, or the round is full", candidate)
 		return false
 	}
--- a/internal/place/engine.go
+++ b/internal/place/engine.go
@@ -32,7 +32,7 @@
 	membership *member.Member
 	agents     *fleet.Registry
 	committer  *store.Committer
-	quota      *quota.Keeper
+	quota      *quota.GrantManager
 	// retryRules paces tasks that failed by themselves.
 	retryRules repeats.Rules
 	log        *slog.Logger
@@ -248,8 +248,8 @@
 	c.buildChanges()
 	c.migrateRecords()
 	c.cancelDependents()
-	for _, grant := range e.quota.Review(now, c.shardRevisions, c.usage) {
-		change := &recordChange{description: "grant", transaction: grant.Item, shards: []int{grant.Part}, onResult: func(bool) { grant.Done() }}
+	for _, grant := range e.quota.PlanChanges(now, c.shardRevisions, c.usage) {
+		change := &recordChange{description: "grant", transaction: grant.Transaction, shards: []int{grant.Shard}, onResult: func(bool) { grant.Done() }}
 		c.outgoing = append(c.outgoing, change)
 	}
 	e.cluster.RUnlock()
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -73,7 +73,7 @@
 			return
 		}
 	}
-	if !c.quota.Allowed(queued.homeShard, spec.Team, c.usage(queued.homeShard, spec.Team).AddTimes(queued.Need, float64(len(picks)))) {
+	if !c.quota.Allows(queued.homeShard, spec.Team, c.usage(queued.homeShard, spec.Team).AddTimes(queued.Need, float64(len(picks)))) {
 		c.logWaiting(job, "its team's grant in this part", nil)
 		return
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -14,211 +14,213 @@
 	"sableusher/internal/world"
 )
 
-// Keeper decides on grants. Its methods are called by one routine, which holds
+// GrantManager decides on grants. Its methods are called by one routine, which holds
 // the world's lock; Finish may come at any time between them.
-type Keeper struct {
+type GrantManager struct {
 	teams map[string]config.Team
-	world *world.State
+	state *world.State
 
-	wants    map[slot]world.Resources
-	lowered  map[slot]world.Resources // grants being lowered: count as lower already
-	busy     map[string]bool
-	surplus  map[slot]time.Time
-	finished chan finish
+	requested         map[grantKey]world.Resources
+	pendingReductions map[grantKey]world.Resources // grants being lowered: count as lower already
+	teamsInFlight     map[string]bool
+	surplusSince      map[grantKey]time.Time
+	completions       chan completion
 }
 
-type slot struct {
-	part int
-	team string
+type grantKey struct {
+	shard int
+	team  string
 }
 
-type finish struct {
+type completion struct {
 	team string
-	slot slot
+	key  grantKey
 }
 
 // New makes a keeper of the teams' limits.
-func New(teams []config.Team, w *world.State) *Keeper {
-	k := &Keeper{teams: map[string]config.Team{}, world: w, wants: map[slot]world.Resources{}, lowered: map[slot]world.Resources{},
-		busy: map[string]bool{}, surplus: map[slot]time.Time{}, finished: make(chan finish, 1024)}
-	for _, t := range teams {
-		k.teams[t.Name] = t
+func New(teams []config.Team, state *world.State) *GrantManager {
+	manager := &GrantManager{teams: map[string]config.Team{}, state: state, requested: map[grantKey]world.Resources{}, pendingReductions: map[grantKey]world.Resources{},
+		teamsInFlight: map[string]bool{}, surplusSince: map[grantKey]time.Time{}, completions: make(chan completion, 1024)}
+	for _, team := range teams {
+		manager.teams[team.Name] = team
 	}
-	return k
+	return manager
 }
 
 // Limit gives a team's limit; a dimension without one is unbounded.
-func (k *Keeper) Limit(team string) (world.Resources, bool) {
-	t, ok := k.teams[team]
-	if !ok || t.CPUsMax == 0 && t.GPUsMax == 0 {
+func (m *GrantManager) Limit(team string) (world.Resources, bool) {
+	limits, ok := m.teams[team]
+	if !ok || limits.CPUsMax == 0 && limits.GPUsMax == 0 {
 		return world.Resources{}, false
 	}
-	return limits(t.CPUsMax, t.GPUsMax), true
+	return amountOrUnbounded(limits.CPUsMax, limits.GPUsMax), true
 }
 
 // Guarantee gives what a team need not wait for others within.
-func (k *Keeper) Guarantee(team string) (world.Resources, bool) {
-	t, ok := k.teams[team]
-	if !ok || t.CPUs == 0 && t.GPUs == 0 {
+func (m *GrantManager) Guarantee(team string) (world.Resources, bool) {
+	limits, ok := m.teams[team]
+	if !ok || limits.CPUs == 0 && limits.GPUs == 0 {
 		return world.Resources{}, false
 	}
-	return limits(t.CPUs, t.GPUs), true
+	return amountOrUnbounded(limits.CPUs, limits.GPUs), true
 }
 
-func limits(cpus, gpus float64) world.Resources {
-	l := world.Resources{CPUs: cpus, GPUs: gpus, MemoryGB: tuning.MaxAmount}
+func amountOrUnbounded(cpus, gpus float64) world.Resources {
+	amount := world.Resources{CPUs: cpus, GPUs: gpus, MemoryGB: tuning.MaxAmount}
 	if cpus == 0 {
-		l.CPUs = tuning.MaxAmount
+		amount.CPUs = tuning.MaxAmount
 	}
 	if gpus == 0 {
-		l.GPUs = tuning.MaxAmount
+		amount.GPUs = tuning.MaxAmount
 	}
-	return l
+	return amount
 }
 
-func bare(a world.Resources) world.Resources { return world.Resources{CPUs: a.CPUs, GPUs: a.GPUs} }
+func withoutMemory(amount world.Resources) world.Resources {
+	return world.Resources{CPUs: amount.CPUs, GPUs: amount.GPUs}
+}
 
-// Allowed tells whether a part may let a team use so much. Without a
+// Allows tells whether a part may let a team use so much. Without a
 // sufficient grant the wish is kept for the next Review.
-func (k *Keeper) Allowed(part int, team string, use world.Resources) bool {
-	if _, limited := k.Limit(team); !limited {
+func (m *GrantManager) Allows(shard int, team string, usage world.Resources) bool {
+	if _, limited := m.Limit(team); !limited {
 		return true
 	}
-	s := slot{part, team}
-	use = bare(use)
-	grant := k.world.Quotas[team].Grants[strconv.Itoa(part)]
-	if low, ok := k.lowered[s]; ok {
-		grant = low
+	key := grantKey{shard, team}
+	usage = withoutMemory(usage)
+	grant := m.state.Quotas[team].Grants[strconv.Itoa(shard)]
+	if reduced, ok := m.pendingReductions[key]; ok {
+		grant = reduced
 	}
-	if use.FitsIn(grant) {
+	if usage.FitsIn(grant) {
 		return true
 	}
-	w := k.wants[s]
-	k.wants[s] = world.Resources{CPUs: max(w.CPUs, use.CPUs), GPUs: max(w.GPUs, use.GPUs)}
+	requested := m.requested[key]
+	m.requested[key] = world.Resources{CPUs: max(requested.CPUs, usage.CPUs), GPUs: max(requested.GPUs, usage.GPUs)}
 	return false
 }
 
 // Change is a change of a team's grants to be committed. Done is to be called
 // with the outcome settled: never while it may still be applied.
 type Change struct {
-	Item store.Transaction
-	Part int
-	Done func()
+	Transaction store.Transaction
+	Shard       int
+	Done        func()
 }
 
-// Review gives the changes of grants due now. owned gives the guard of each
+// PlanChanges gives the changes of grants due now. owned gives the guard of each
 // part of this node, use what a team's tasks of a part take, those on their
 // way included.
-func (k *Keeper) Review(now time.Time, owned map[int]uint64, use func(part int, team string) world.Resources) []Change {
+func (m *GrantManager) PlanChanges(now time.Time, owned map[int]uint64, usage func(shard int, team string) world.Resources) []Change {
 	for {
 		select {
-		case f := <-k.finished:
-			delete(k.busy, f.team)
-			delete(k.lowered, f.slot)
+		case completed := <-m.completions:
+			delete(m.teamsInFlight, completed.team)
+			delete(m.pendingReductions, completed.key)
 			continue
 		default:
 		}
 		break
 	}
-	var out []Change
-	for s, want := range k.wants {
-		delete(k.wants, s)
-		limit, _ := k.Limit(s.team)
-		stamp, mine := owned[s.part]
-		if !mine || k.busy[s.team] {
+	var changes []Change
+	for key, want := range m.requested {
+		delete(m.requested, key)
+		limit, _ := m.Limit(key.team)
+		revision, mine := owned[key.shard]
+		if !mine || m.teamsInFlight[key.team] {
 			continue
 		}
-		q := k.world.Quotas[s.team]
+		quota := m.state.Quotas[key.team]
 		var others world.Resources
-		for p, g := range q.Grants {
-			if p != strconv.Itoa(s.part) {
-				others = others.AddTimes(g, 1)
+		for shardName, shardGrant := range quota.Grants {
+			if shardName != strconv.Itoa(key.shard) {
+				others = others.AddTimes(shardGrant, 1)
 			}
 		}
-		grant := q.Grants[strconv.Itoa(s.part)]
-		lot := k.lot(limit)
+		grant := quota.Grants[strconv.Itoa(key.shard)]
+		headroom := m.headroom(limit)
 		next := world.Resources{
-			CPUs: raise(grant.CPUs, want.CPUs, lot.CPUs, limit.CPUs-others.CPUs, limit.CPUs),
-			GPUs: raise(grant.GPUs, want.GPUs, lot.GPUs, limit.GPUs-others.GPUs, limit.GPUs),
+			CPUs: raisedGrant(grant.CPUs, want.CPUs, headroom.CPUs, limit.CPUs-others.CPUs, limit.CPUs),
+			GPUs: raisedGrant(grant.GPUs, want.GPUs, headroom.GPUs, limit.GPUs-others.GPUs, limit.GPUs),
 		}
 		if next != grant {
-			out = append(out, k.change(s, q, stamp, next))
+			changes = append(changes, m.newChange(key, quota, revision, next))
 		}
-		delete(k.surplus, s)
+		delete(m.surplusSince, key)
 	}
-	for team, q := range k.world.Quotas {
-		limit, limited := k.Limit(team)
-		if limited && k.busy[team] || limited && k.ample(q, limit) {
+	for team, quota := range m.state.Quotas {
+		limit, limited := m.Limit(team)
+		if limited && m.teamsInFlight[team] || limited && m.hasAmpleRest(quota, limit) {
 			continue // nobody needs what is not used
 		}
-		lot := k.lot(limit)
-		for p, g := range q.Grants {
-			part, _ := strconv.Atoi(p)
-			s := slot{part, team}
-			stamp, mine := owned[part]
-			used := bare(use(part, team))
+		headroom := m.headroom(limit)
+		for shardName, shardGrant := range quota.Grants {
+			shard, _ := strconv.Atoi(shardName)
+			key := grantKey{shard, team}
+			revision, mine := owned[shard]
+			used := withoutMemory(usage(shard, team))
 			if limited {
-				used = used.AddTimes(lot, 0.5)
-				used = world.Resources{CPUs: min(used.CPUs, g.CPUs), GPUs: min(used.GPUs, g.GPUs)}
+				used = used.AddTimes(headroom, 0.5)
+				used = world.Resources{CPUs: min(used.CPUs, shardGrant.CPUs), GPUs: min(used.GPUs, shardGrant.GPUs)}
 			}
-			if !mine || k.busy[team] || g.FitsIn(used) {
-				delete(k.surplus, s)
+			if !mine || m.teamsInFlight[team] || shardGrant.FitsIn(used) {
+				delete(m.surplusSince, key)
 				continue
 			}
-			since, ok := k.surplus[s]
+			since, ok := m.surplusSince[key]
 			if !ok {
-				k.surplus[s] = now
-			} else if idle := now.Sub(since); idle > tuning.GrantSlow || idle > tuning.GrantIdle && (!limited || !g.FitsIn(used.AddTimes(lot, 0.5))) {
-				delete(k.surplus, s)
-				c := k.change(s, q, stamp, used)
-				k.lowered[s] = used
-				out = append(out, c)
+				m.surplusSince[key] = now
+			} else if idle := now.Sub(since); idle > tuning.GrantSlow || idle > tuning.GrantIdle && (!limited || !shardGrant.FitsIn(used.AddTimes(headroom, 0.5))) {
+				delete(m.surplusSince, key)
+				c := m.newChange(key, quota, revision, used)
+				m.pendingReductions[key] = used
+				changes = append(changes, c)
 			}
 		}
 	}
-	return out
+	return changes
 }
 
-// lot is the room a part is granted above what it needs.
-func (k *Keeper) lot(limit world.Resources) world.Resources {
-	f := tuning.GrantLot / float64(k.world.ShardCount)
-	return world.Resources{CPUs: math.Floor(limit.CPUs * f), GPUs: math.Floor(limit.GPUs * f)}
+// headroom is the room a part is granted above what it needs.
+func (m *GrantManager) headroom(limit world.Resources) world.Resources {
+	fraction := tuning.GrantLot / float64(m.state.ShardCount)
+	return world.Resources{CPUs: math.Floor(limit.CPUs * fraction), GPUs: math.Floor(limit.GPUs * fraction)}
 }
 
-// raise gives a grant that covers a want and a lot more, within what is left;
+// raisedGrant gives a grant that covers a want and a lot more, within what is left;
 // what only the lot asks for leaves the rest that others may want.
-func raise(grant, want, lot, left, limit float64) float64 {
-	more := min(want+lot, left-tuning.GrantRest*limit)
-	return max(grant, min(max(want, more), left))
+func raisedGrant(grant, want, headroom, left, limit float64) float64 {
+	generous := min(want+headroom, left-tuning.GrantRest*limit)
+	return max(grant, min(max(want, generous), left))
 }
 
-// ample tells whether enough of a limit is ungranted for whoever wants more.
-func (k *Keeper) ample(q world.Quota, limit world.Resources) bool {
-	var sum world.Resources
-	for _, g := range q.Grants {
-		sum = sum.AddTimes(g, 1)
+// hasAmpleRest tells whether enough of a limit is ungranted for whoever wants more.
+func (m *GrantManager) hasAmpleRest(quota world.Quota, limit world.Resources) bool {
+	var granted world.Resources
+	for _, grant := range quota.Grants {
+		granted = granted.AddTimes(grant, 1)
 	}
-	return sum.CPUs <= (1-tuning.GrantRest)*limit.CPUs && sum.GPUs <= (1-tuning.GrantRest)*limit.GPUs
+	return granted.CPUs <= (1-tuning.GrantRest)*limit.CPUs && granted.GPUs <= (1-tuning.GrantRest)*limit.GPUs
 }
 
-func (k *Keeper) change(s slot, q world.Quota, stamp uint64, next world.Resources) Change {
+func (m *GrantManager) newChange(grant grantKey, quota world.Quota, revision uint64, next world.Resources) Change {
 	grants := map[string]world.Resources{}
-	for p, g := range q.Grants {
-		grants[p] = g
+	for shard, amount := range quota.Grants {
+		grants[shard] = amount
 	}
 	if next == (world.Resources{}) {
-		delete(grants, strconv.Itoa(s.part))
+		delete(grants, strconv.Itoa(grant.shard))
 	} else {
-		grants[strconv.Itoa(s.part)] = next
+		grants[strconv.Itoa(grant.shard)] = next
 	}
-	k.busy[s.team] = true
-	key := world.QuotaKey(s.team)
+	m.teamsInFlight[grant.team] = true
+	key := world.QuotaKey(grant.team)
 	return Change{
-		Item: store.Transaction{
-			Conditions: []wire.Condition{{Key: key, ModRevision: q.ModRevision}, {Key: world.ShardKey(s.part), ModRevision: stamp}},
+		Transaction: store.Transaction{
+			Conditions: []wire.Condition{{Key: key, ModRevision: quota.ModRevision}, {Key: world.ShardKey(grant.shard), ModRevision: revision}},
 			Ops:        []wire.Op{store.PutOp(key, world.QuotaRecord{Grants: grants})},
 		},
-		Part: s.part,
-		Done: func() { k.finished <- finish{s.team, s} },
+		Shard: grant.shard,
+		Done:  func() { m.completions <- completion{grant.team, grant} },
 	}
 }
