--- a/cmd/sableusher/graph.go
+++ b/cmd/sableusher/graph.go
@@ -87,7 +87,7 @@
 			if err != nil {
 				return err
 			}
-			rules.Repeats = repeats.New(op.Classes)
+			rules.Repeats = repeats.NewPolicies(op.Classes)
 			given, err := parseParams(params)
 			if err != nil {
 				return err
--- a/internal/graph/compile.go
+++ b/internal/graph/compile.go
@@ -29,7 +29,7 @@
 type Rules struct {
 	Teams   map[string]config.Team
 	Types   map[string]wire.MachineType
-	Repeats repeats.Rules
+	Repeats repeats.Policies
 }
 
 // Job is one instance of a task, as a native job.
@@ -228,13 +228,13 @@
 		g.fault(out, path, "as a job: %v", err)
 		return s
 	}
-	limit, why := rules.Repeats.Limit(s.Class, asked)
+	limit, why := rules.Repeats.MaxRetries(s.Class, asked)
 	if why != "" {
 		g.fault(out, path+"/retries", "%s", why)
 	}
 	s.MaxRetries = limit
 	if rules.Teams != nil {
-		if why := accept.Impossible(&s, rules.Teams, rules.Types); why != "" {
+		if why := accept.Validate(&s, rules.Teams, rules.Types); why != "" {
 			g.fault(out, path, "%s", why)
 		}
 	}
--- a/internal/intake/awaits.go
+++ b/internal/intake/dependencies.go
@@ -11,17 +11,17 @@
 	"sableusher/internal/wire"
 )
 
-// sameAwaits tells whether two submissions await the same jobs, in any order.
-func sameAwaits(a, b []string) bool {
+// sameDependencies tells whether two submissions await the same jobs, in any order.
+func sameDependencies(a, b []string) bool {
 	return len(a) == len(b) && slices.Equal(slices.Sorted(slices.Values(a)), slices.Sorted(slices.Values(b)))
 }
 
-// awaits checks the jobs that a submission awaits: each must have been accepted,
+// checkDependencies checks the jobs that a submission awaits: each must have been accepted,
 // by any node and any version. It answers the request if it may not go on.
-func (in *Intake) awaits(ctx context.Context, w http.ResponseWriter, spec *wire.JobSpec, level int) bool {
+func (s *Server) checkDependencies(ctx context.Context, w http.ResponseWriter, spec *wire.JobSpec, level int) bool {
 	if level < tuning.LevelPipelines {
 		// A node that runs the version before would lose the field and start the job.
-		unavailable(w, "not all nodes know of awaited jobs yet")
+		writeUnavailable(w, "not all nodes know of awaited jobs yet")
 		return false
 	}
 	refuse := func(why string) bool {
@@ -34,10 +34,10 @@
 	var unseen []string
 	look := func() string {
 		unseen = unseen[:0]
-		in.world.RLock()
-		defer in.world.RUnlock()
+		s.clusterState.RLock()
+		defer s.clusterState.RUnlock()
 		for _, a := range spec.Dependencies {
-			if j := in.world.Jobs[a]; j == nil || !j.HasRecord {
+			if j := s.clusterState.Jobs[a]; j == nil || !j.HasRecord {
 				unseen = append(unseen, a)
 			} else if j.Spec.Kind == wire.KindService {
 				return "awaits " + a + ", a service, which is never done"
@@ -52,19 +52,19 @@
 		return true // what was accepted once stays so
 	}
 	// Those that this view does not hold may be newer than it, or over.
-	if in.view.WaitForReadBarrier(ctx) != nil {
-		unavailable(w, "state service away")
+	if s.barrier.WaitForReadBarrier(ctx) != nil {
+		writeUnavailable(w, "state service away")
 		return false
 	}
 	if why := look(); why != "" {
 		return refuse(why)
 	}
 	for _, a := range unseen {
-		switch _, err := in.readFinal(ctx, a); {
+		switch _, err := s.readFinalRecord(ctx, a); {
 		case errors.Is(err, store.ErrNotFound):
 			return refuse("awaits " + a + ", which was never accepted")
 		case err != nil:
-			unavailable(w, "state service away")
+			writeUnavailable(w, "state service away")
 			return false
 		}
 	}
--- a/internal/intake/intake_test.go
+++ b/internal/intake/server_test.go
@@ -20,79 +20,81 @@
 	"sableusher/internal/world"
 )
 
-// outside stands in for the state service behind the handlers.
-type outside struct {
-	world   *world.State
-	finals  map[string]world.FinalRecord
-	syncErr error
-	doErr   error
-	barrier func() // what the barrier brings into the view
-	syncs   int
-	done    []store.Transaction
-	applied func(store.Transaction) // what a change brings into the view
-	seen    uint64                  // the view's revision
+// fakeBackend stands in for the state service behind the handlers.
+type fakeBackend struct {
+	state        *world.State
+	finalRecords map[string]world.FinalRecord
+	barrierErr   error
+	commitErr    error
+	onBarrier    func() // what the barrier brings into the view
+	barriers     int
+	committed    []store.Transaction
+	onCommit     func(store.Transaction) // what a change brings into the view
+	revision     uint64                  // the view's revision
 }
 
-func (o *outside) Get(_ context.Context, key string) (wire.KeyValue, error) {
-	f, ok := o.finals[key]
+func (o *fakeBackend) Get(_ context.Context, key string) (wire.KeyValue, error) {
+	f, ok := o.finalRecords[key]
 	if !ok {
 		return wire.KeyValue{}, store.ErrNotFound
 	}
 	return wire.KeyValue{Value: wire.MustEncode(f)}, nil
 }
 
-func (o *outside) Commit(_ context.Context, it store.Transaction) (uint64, error) {
-	o.done = append(o.done, it)
-	if o.doErr == nil && o.applied != nil {
-		o.applied(it)
+func (o *fakeBackend) Commit(_ context.Context, it store.Transaction) (uint64, error) {
+	o.committed = append(o.committed, it)
+	if o.commitErr == nil && o.onCommit != nil {
+		o.onCommit(it)
 	}
-	return 1, o.doErr
+	return 1, o.commitErr
 }
 
-func (o *outside) MaxRecordBytes() int         { return 1700 }
-func (o *outside) UpcomingMaxRecordBytes() int { return 1700 }
+func (o *fakeBackend) MaxRecordBytes() int         { return 1700 }
+func (o *fakeBackend) UpcomingMaxRecordBytes() int { return 1700 }
 
-func (o *outside) WaitForReadBarrier(context.Context) error {
-	o.syncs++
-	if o.barrier != nil {
-		o.barrier()
+func (o *fakeBackend) WaitForReadBarrier(context.Context) error {
+	o.barriers++
+	if o.onBarrier != nil {
+		o.onBarrier()
 	}
-	return o.syncErr
+	return o.barrierErr
 }
 
-func (o *outside) CompleteAsOf() time.Time { return time.Now() }
+func (o *fakeBackend) CompleteAsOf() time.Time { return time.Now() }
 
-func (o *outside) Revision() uint64 { return o.seen }
+func (o *fakeBackend) Revision() uint64 { return o.revision }
 
-func (o *outside) HandleHeartbeat(*wire.Heartbeat) (int, any) {
+func (o *fakeBackend) HandleHeartbeat(*wire.Heartbeat) (int, any) {
 	return http.StatusOK, wire.HeartbeatResponse{FencingToken: 1}
 }
 
-func (o *outside) put(key string, v any) {
-	o.world.BeginUpdate()
-	o.world.Put(key, wire.MustEncode(v), 7)
-	o.world.EndUpdate()
+func (o *fakeBackend) put(key string, v any) {
+	o.state.BeginUpdate()
+	o.state.Put(key, wire.MustEncode(v), 7)
+	o.state.EndUpdate()
 }
 
-func spec() wire.JobSpec {
+func testSpec() wire.JobSpec {
 	return wire.JobSpec{ID: "run-000001", Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: 2,
 		CPUs: 4, GPUs: 1, MemoryGB: 8, Image: "i", ImageSizeGB: 1}
 }
 
-func setup(catalog bool) (*outside, http.Handler) { return setupWith(catalog, &config.Operator{}) }
+func newTestServer(catalog bool) (*fakeBackend, http.Handler) {
+	return newTestServerWith(catalog, &config.Operator{})
+}
 
-func setupWith(catalog bool, op *config.Operator) (*outside, http.Handler) {
+func newTestServerWith(catalog bool, op *config.Operator) (*fakeBackend, http.Handler) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	o := &outside{world: world.New(3, log), finals: map[string]world.FinalRecord{}, seen: 7}
+	o := &fakeBackend{state: world.New(3, log), finalRecords: map[string]world.FinalRecord{}, revision: 7}
 	set := &config.Settings{}
 	set.Deployment.Teams = []config.Team{{Name: "t", GPUsMax: 2}}
 	if catalog {
 		o.put(world.CatalogKey, wire.Catalog{Types: []wire.MachineType{{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, Zones: []string{"z"}}}})
 	}
-	return o, New(set, op, o.world, o, o, o, o, log).Handler()
+	return o, New(set, op, o.state, o, o, o, o, log).Handler()
 }
 
-func ask(h http.Handler, method, path string, body []byte) (int, wire.JobStatus) {
+func send(h http.Handler, method, path string, body []byte) (int, wire.JobStatus) {
 	rec := httptest.NewRecorder()
 	h.ServeHTTP(rec, httptest.NewRequest(method, path, bytes.NewReader(body)))
 	var st wire.JobStatus
@@ -105,7 +107,7 @@
 
 func TestSubmissions(t *testing.T) {
 	change := func(f func(*wire.JobSpec)) []byte {
-		s := spec()
+		s := testSpec()
 		f(&s)
 		return wire.MustEncode(s)
 	}
@@ -113,7 +115,7 @@
 	over := world.FinalRecord{Status: wire.JobDone, TaskCount: 2, DoneCount: 2}
 	for name, c := range map[string]struct {
 		body  []byte
-		set   func(*outside)
+		set   func(*fakeBackend)
 		bare  bool
 		want  int
 		state string
@@ -127,24 +129,24 @@
 		"gang over limit":  {change(func(s *wire.JobSpec) { s.Kind, s.TaskCount = wire.KindGang, 3 }), nil, false, 422, ""},
 		"array over limit": {change(func(s *wire.JobSpec) { s.TaskCount = 300 }), nil, false, 201, wire.JobPending},
 		"types unknown":    {same, nil, true, 503, ""},
-		"state away":       {same, func(o *outside) { o.doErr = store.ErrUnavailable }, false, 503, ""},
-		"no answer":        {same, func(o *outside) { o.doErr = store.ErrOutcomeUnknown }, false, 503, ""},
-		"repeated later": {same, func(o *outside) {
-			o.doErr = store.ErrConditionFailed
-			o.finals[world.FinalKey("run-000001")] = over
+		"state away":       {same, func(o *fakeBackend) { o.commitErr = store.ErrUnavailable }, false, 503, ""},
+		"no answer":        {same, func(o *fakeBackend) { o.commitErr = store.ErrOutcomeUnknown }, false, 503, ""},
+		"repeated later": {same, func(o *fakeBackend) {
+			o.commitErr = store.ErrConditionFailed
+			o.finalRecords[world.FinalKey("run-000001")] = over
 		}, false, 200, wire.JobDone},
 		// The first body stands, even if the repeated one could never run.
-		"repeated otherwise": {change(func(s *wire.JobSpec) { s.CPUs = 99 }), func(o *outside) {
-			o.finals[world.FinalKey("run-000001")] = over
+		"repeated otherwise": {change(func(s *wire.JobSpec) { s.CPUs = 99 }), func(o *fakeBackend) {
+			o.finalRecords[world.FinalKey("run-000001")] = over
 		}, false, 200, wire.JobDone},
-		"repeated otherwise, unsure": {change(func(s *wire.JobSpec) { s.CPUs = 99 }), func(o *outside) { o.syncErr = store.ErrUnavailable }, false, 503, ""},
+		"repeated otherwise, unsure": {change(func(s *wire.JobSpec) { s.CPUs = 99 }), func(o *fakeBackend) { o.barrierErr = store.ErrUnavailable }, false, 503, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o, h := setup(!c.bare)
+			o, h := newTestServer(!c.bare)
 			if c.set != nil {
 				c.set(o)
 			}
-			if status, st := ask(h, http.MethodPost, "/v1/jobs", c.body); status != c.want || st.State != c.state {
+			if status, st := send(h, http.MethodPost, "/v1/jobs", c.body); status != c.want || st.State != c.state {
 				t.Errorf("%d %q, want %d %q", status, st.State, c.want, c.state)
 			}
 		})
@@ -154,11 +156,11 @@
 // TestRepeats: a job may ask for as many repeats as its class allows or fewer; more is
 // refused as any job that can never run. Nothing is accepted with a limit before all nodes
 // count, and where no class limits repeats the field means nothing, as before.
-func TestRepeats(t *testing.T) {
+func TestRetryLimits(t *testing.T) {
 	limited := &config.Operator{Classes: []config.Class{{Name: "c", Repeats: 3}}}
 	body := func(class string, repeats any) []byte {
 		var fields map[string]any
-		s := spec()
+		s := testSpec()
 		s.Class = class
 		if err := wire.Decode(wire.MustEncode(s), &fields); err != nil {
 			t.Fatal(err)
@@ -190,15 +192,15 @@
 		"off, no number":       {&config.Operator{}, tuning.LevelRepeats, body("c", "3"), 201, -1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o, h := setupWith(true, c.op)
+			o, h := newTestServerWith(true, c.op)
 			o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: c.level})
-			if status, _ := ask(h, http.MethodPost, "/v1/jobs", c.body); status != c.want {
+			if status, _ := send(h, http.MethodPost, "/v1/jobs", c.body); status != c.want {
 				t.Fatalf("%d, want %d", status, c.want)
 			}
 			limit := -1
 			if c.want == 201 {
 				var rec world.JobRecord
-				if err := wire.Decode(o.done[0].Ops[0].Value, &rec); err != nil {
+				if err := wire.Decode(o.committed[0].Ops[0].Value, &rec); err != nil {
 					t.Fatal(err)
 				}
 				if rec.Spec.MaxRetries != nil {
@@ -214,63 +216,63 @@
 
 // TestFailedJobIsOver: a job that ended itself is called failed once no task of it is left,
 // to those who poll and to those who cancel; until then it runs.
-func TestFailedJobIsOver(t *testing.T) {
-	o, h := setup(true)
-	rec := world.JobRecord{Spec: spec(), CancelledAtMs: 5, CancelAfterRelease: true, Failed: true,
+func TestFailedJobIsFinalWithoutTasks(t *testing.T) {
+	o, h := newTestServer(true)
+	rec := world.JobRecord{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true, Failed: true,
 		Tasks: []world.Task{{Index: 1, State: world.TaskBound, Attempt: 1, Machine: "m", Session: 1}}}
 	o.put(world.JobKey("run-000001"), rec)
-	if status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobRunning {
+	if status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobRunning {
 		t.Errorf("with a task on a machine: %d %q", status, st.State)
 	}
 	rec.Tasks = nil
 	o.put(world.JobKey("run-000001"), rec)
-	if status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobFailed {
+	if status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobFailed {
 		t.Errorf("%d %q", status, st.State)
 	}
-	if status, st := ask(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil); status != 200 || st.State != wire.JobFailed {
+	if status, st := send(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil); status != 200 || st.State != wire.JobFailed {
 		t.Errorf("cancelled: %d %q", status, st.State)
 	}
 }
 
-func TestPolls(t *testing.T) {
-	o, h := setup(true)
-	if status, _ := ask(h, http.MethodGet, "/v1/jobs/run-000009", nil); status != 404 || o.syncs != 1 {
-		t.Errorf("unknown job: %d after %d barriers", status, o.syncs)
+func TestStatusRequests(t *testing.T) {
+	o, h := newTestServer(true)
+	if status, _ := send(h, http.MethodGet, "/v1/jobs/run-000009", nil); status != 404 || o.barriers != 1 {
+		t.Errorf("unknown job: %d after %d barriers", status, o.barriers)
 	}
-	o.syncErr = store.ErrUnavailable
-	if status, _ := ask(h, http.MethodGet, "/v1/jobs/run-000009", nil); status != 503 {
+	o.barrierErr = store.ErrUnavailable
+	if status, _ := send(h, http.MethodGet, "/v1/jobs/run-000009", nil); status != 503 {
 		t.Errorf("unsure: %d", status)
 	}
-	o.syncErr = nil
+	o.barrierErr = nil
 	// The view lags: only the barrier brings the cancellation another node told.
-	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec()})
-	o.barrier = func() { o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), CancelledAtMs: 5}) }
-	if status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobCancelled {
+	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec()})
+	o.onBarrier = func() { o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec(), CancelledAtMs: 5}) }
+	if status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobCancelled {
 		t.Errorf("%d %q", status, st.State)
 	}
-	if status, _ := ask(h, http.MethodGet, "/v1/jobs/nonsense", nil); status != 404 {
+	if status, _ := send(h, http.MethodGet, "/v1/jobs/nonsense", nil); status != 404 {
 		t.Errorf("bad id: %d", status)
 	}
 }
 
 func TestCancellations(t *testing.T) {
-	o, h := setup(true)
-	if status, _ := ask(h, http.MethodPost, "/v1/jobs/run-000009/abort", nil); status != 404 {
+	o, h := newTestServer(true)
+	if status, _ := send(h, http.MethodPost, "/v1/jobs/run-000009/abort", nil); status != 404 {
 		t.Errorf("unknown job: %d", status)
 	}
-	o.finals[world.FinalKey("run-000002")] = world.FinalRecord{Status: wire.JobDone}
-	if status, st := ask(h, http.MethodPost, "/v1/jobs/run-000002/abort", nil); status != 200 || st.State != wire.JobDone {
+	o.finalRecords[world.FinalKey("run-000002")] = world.FinalRecord{Status: wire.JobDone}
+	if status, st := send(h, http.MethodPost, "/v1/jobs/run-000002/abort", nil); status != 200 || st.State != wire.JobDone {
 		t.Errorf("done job: %d %q", status, st.State)
 	}
-	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec()})
-	if status, st := ask(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil); status != 200 || st.State != wire.JobCancelled || len(o.done) != 1 {
-		t.Errorf("live job: %d %q, %d writes", status, st.State, len(o.done))
+	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec()})
+	if status, st := send(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil); status != 200 || st.State != wire.JobCancelled || len(o.committed) != 1 {
+		t.Errorf("live job: %d %q, %d writes", status, st.State, len(o.committed))
 	}
-	if g := o.done[0].Conditions; !slices.Contains(g, wire.Condition{Key: world.JobKey("run-000001"), ModRevision: 7}) {
+	if g := o.committed[0].Conditions; !slices.Contains(g, wire.Condition{Key: world.JobKey("run-000001"), ModRevision: 7}) {
 		t.Errorf("guards %+v", g)
 	}
-	o.doErr = store.ErrOutcomeUnknown
-	if status, _ := ask(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil); status != 503 {
+	o.commitErr = store.ErrOutcomeUnknown
+	if status, _ := send(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil); status != 503 {
 		t.Errorf("no answer: %d", status)
 	}
 }
@@ -278,49 +280,51 @@
 // TestCancellationIsToldOnceCertain: while a task of the job may be on a machine, or the
 // view may lack a binding from just before the cancellation, neither the request
 // nor a poll is told `cancelled`: a controller behind a cut might be renewing its lease.
-func TestCancellationIsToldOnceCertain(t *testing.T) { synctest.Test(t, cancellationIsToldOnceCertain) }
+func TestCancellationIsConfirmedAfterRelease(t *testing.T) {
+	synctest.Test(t, cancellationIsConfirmedAfterRelease)
+}
 
-func cancellationIsToldOnceCertain(t *testing.T) {
+func cancellationIsConfirmedAfterRelease(t *testing.T) {
 	bound := []world.Task{{State: world.TaskBound, Attempt: 1, Machine: "vm-000001", Session: 1}}
 	abort := func(h http.Handler) (int, wire.JobStatus) {
-		return ask(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil)
+		return send(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil)
 	}
 	poll := func(h http.Handler) string {
-		status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil)
+		status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil)
 		if status == http.StatusServiceUnavailable {
 			return "unsure"
 		}
 		return st.State
 	}
-	o, h := setup(true)
+	o, h := newTestServer(true)
 	o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: tuning.LevelCertain})
-	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), Tasks: bound})
-	o.applied = func(store.Transaction) {
-		o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), Tasks: bound, CancelledAtMs: 5, CancelAfterRelease: true})
+	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec(), Tasks: bound})
+	o.onCommit = func(store.Transaction) {
+		o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec(), Tasks: bound, CancelledAtMs: 5, CancelAfterRelease: true})
 	}
-	if status, _ := abort(h); status != 503 || len(o.done) != 1 {
-		t.Errorf("a task is on a machine: %d, %d writes", status, len(o.done))
+	if status, _ := abort(h); status != 503 || len(o.committed) != 1 {
+		t.Errorf("a task is on a machine: %d, %d writes", status, len(o.committed))
 	}
 	if st := poll(h); st != wire.JobRunning {
 		t.Errorf("a task is on a machine: %q", st)
 	}
-	if status, _ := abort(h); status != 503 || len(o.done) != 1 {
-		t.Errorf("asked again: %d, %d writes", status, len(o.done))
+	if status, _ := abort(h); status != 503 || len(o.committed) != 1 {
+		t.Errorf("asked again: %d, %d writes", status, len(o.committed))
 	}
-	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), CancelledAtMs: 5, CancelAfterRelease: true})
-	if o.seen = 6; poll(h) == wire.JobCancelled {
+	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true})
+	if o.revision = 6; poll(h) == wire.JobCancelled {
 		t.Error("told though the view may lack a binding")
 	}
-	o.seen = 7
+	o.revision = 7
 	if status, st := abort(h); status != 200 || st.State != wire.JobCancelled || poll(h) != wire.JobCancelled {
 		t.Errorf("no task is left: %d %q", status, st.State)
 	}
 	// The exit is seen while the request waits.
-	o, h = setup(true)
+	o, h = newTestServer(true)
 	o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: tuning.LevelCertain})
-	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), Tasks: bound})
-	o.applied = func(store.Transaction) {
-		o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), CancelledAtMs: 5, CancelAfterRelease: true})
+	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec(), Tasks: bound})
+	o.onCommit = func(store.Transaction) {
+		o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true})
 	}
 	if status, st := abort(h); status != 200 || st.State != wire.JobCancelled {
 		t.Errorf("left while it waits: %d %q", status, st.State)
@@ -331,9 +335,9 @@
 // with which a cancellation at that moment does not collide. Such a job is done, for every node and every
 // question, since users may have been told so before it was marked; what awaits it may start. Once it was
 // called cancelled, and done when the leader had ended it.
-func TestCancelledAtItsEnd(t *testing.T) {
+func TestCancellationAtCompletion(t *testing.T) {
 	const tasks = tuning.ChunkTasks + 2
-	s := spec()
+	s := testSpec()
 	s.TaskCount = tasks
 	first := make([]world.Task, tuning.ChunkTasks)
 	for i := range first {
@@ -343,30 +347,30 @@
 		return world.FixedChunkRecord{Tasks: []world.Task{{Index: tasks - 2, State: world.TaskDone, Attempt: 1}, {Index: tasks - 1, State: state, Attempt: 1, Machine: "vm-000001", Session: 1}}}
 	}
 	live, marked := world.JobRecord{Spec: s, Tasks: first}, world.JobRecord{Spec: s, Tasks: first, CancelledAtMs: 5, CancelAfterRelease: true}
-	ended := func(o *outside) {
+	ended := func(o *fakeBackend) {
 		o.put(world.FixedChunkKey(s.ID, 1), last(world.TaskDone))
 		o.put(world.JobKey(s.ID), marked)
 	}
-	for name, set := range map[string]func(*outside){
+	for name, set := range map[string]func(*fakeBackend){
 		"before it is marked":    ended,
-		"while it is":            func(o *outside) { o.applied = func(store.Transaction) { ended(o) } },
-		"complete, not yet over": func(o *outside) { o.put(world.FixedChunkKey(s.ID, 1), last(world.TaskDone)) },
+		"while it is":            func(o *fakeBackend) { o.onCommit = func(store.Transaction) { ended(o) } },
+		"complete, not yet over": func(o *fakeBackend) { o.put(world.FixedChunkKey(s.ID, 1), last(world.TaskDone)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			o, h := setup(true)
+			o, h := newTestServer(true)
 			o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: tuning.LevelCertain})
 			o.put(world.JobKey(s.ID), live)
 			o.put(world.FixedChunkKey(s.ID, 1), last(world.TaskBound))
 			set(o)
 			for _, q := range [][2]string{{http.MethodPost, "/abort"}, {http.MethodGet, ""}, {http.MethodPost, "/abort"}} {
-				if status, st := ask(h, q[0], "/v1/jobs/"+s.ID+q[1], nil); status != 200 || st.State != wire.JobDone {
+				if status, st := send(h, q[0], "/v1/jobs/"+s.ID+q[1], nil); status != 200 || st.State != wire.JobDone {
 					t.Errorf("%s%s: %d %q, want done", q[0], q[1], status, st.State)
 				}
 			}
-			o.world.RLock()
-			defer o.world.RUnlock()
-			if want := name == "while it is"; want != (len(o.done) == 1) {
-				t.Errorf("%d changes", len(o.done))
+			o.state.RLock()
+			defer o.state.RUnlock()
+			if want := name == "while it is"; want != (len(o.committed) == 1) {
+				t.Errorf("%d changes", len(o.committed))
 			}
 		})
 	}
@@ -377,20 +381,20 @@
 // job running that was called cancelled, as it did on days with an upgrade; the level
 // guards such a cancellation. What was told before stays told; of what can't be told from
 // the late change of a process that is gone neither is said.
-func TestCancellationBesideOlderVersions(t *testing.T) {
+func TestCancellationWithOlderVersions(t *testing.T) {
 	bound := []world.Task{{State: world.TaskBound, Attempt: 1, Machine: "vm-000001", Session: 1}}
-	old := world.JobRecord{Spec: spec(), Tasks: bound, CancelledAtMs: 5}
+	old := world.JobRecord{Spec: testSpec(), Tasks: bound, CancelledAtMs: 5}
 	poll := func(h http.Handler) (int, string) {
-		status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil)
+		status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil)
 		return status, st.State
 	}
-	o, h := setup(true)
-	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), Tasks: bound})
-	status, st := ask(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil)
+	o, h := newTestServer(true)
+	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec(), Tasks: bound})
+	status, st := send(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil)
 	if status != 200 || st.State != wire.JobCancelled {
 		t.Fatalf("not all nodes tell late: %d %q", status, st.State)
 	}
-	if g := o.done[0].Conditions; !slices.Contains(g, wire.Condition{Key: world.SchemaVersionKey}) {
+	if g := o.committed[0].Conditions; !slices.Contains(g, wire.Condition{Key: world.SchemaVersionKey}) {
 		t.Errorf("the level does not guard it: %+v", g)
 	}
 	o.put(world.JobKey("run-000001"), old)
@@ -401,9 +405,9 @@
 	if status, st := poll(h); status != 200 || st != wire.JobCancelled {
 		t.Errorf("told before the level: %d %q", status, st)
 	}
-	o.world.BeginUpdate()
-	o.world.Put(world.JobKey("run-000001"), wire.MustEncode(old), 8)
-	o.world.EndUpdate()
+	o.state.BeginUpdate()
+	o.state.Put(world.JobKey("run-000001"), wire.MustEncode(old), 8)
+	o.state.EndUpdate()
 	if status, st := poll(h); status != 503 {
 		t.Errorf("written after the level without its mark: %d %q", status, st)
 	}
@@ -412,15 +416,15 @@
 // TestAwaits: what a submission awaits must have been accepted, by live or final
 // record after a barrier; unsure is 503, never 422. Before all nodes know of
 // awaited jobs none is accepted.
-func TestAwaits(t *testing.T) {
+func TestDependencies(t *testing.T) {
 	body := func(ids ...string) []byte {
-		s := spec()
+		s := testSpec()
 		s.Dependencies = ids
 		return wire.MustEncode(s)
 	}
-	live := func(kind string) func(*outside) {
-		return func(o *outside) {
-			s := spec()
+	live := func(kind string) func(*fakeBackend) {
+		return func(o *fakeBackend) {
+			s := testSpec()
 			s.ID, s.Kind = "run-000002", kind
 			o.put(world.JobKey(s.ID), world.JobRecord{Spec: s, SubmittedAtMs: 1})
 		}
@@ -428,20 +432,22 @@
 	for name, c := range map[string]struct {
 		body  []byte
 		level int
-		set   func(*outside)
+		set   func(*fakeBackend)
 		want  int
 	}{
 		"too soon":               {body("run-000002"), 0, live(wire.KindArray), 503},
 		"none":                   {body(), 0, nil, 201},
 		"live":                   {body("run-000002"), 1, live(wire.KindArray), 201},
-		"live after the barrier": {body("run-000002"), 1, func(o *outside) { o.barrier = func() { live(wire.KindGang)(o) } }, 201},
-		"over":                   {body("run-000002"), 1, func(o *outside) { o.finals[world.FinalKey("run-000002")] = world.FinalRecord{Status: wire.JobDone} }, 201},
-		"over by cancellation": {body("run-000002"), 1, func(o *outside) {
-			o.finals[world.FinalKey("run-000002")] = world.FinalRecord{Status: wire.JobCancelled}
+		"live after the barrier": {body("run-000002"), 1, func(o *fakeBackend) { o.onBarrier = func() { live(wire.KindGang)(o) } }, 201},
+		"over": {body("run-000002"), 1, func(o *fakeBackend) {
+			o.finalRecords[world.FinalKey("run-000002")] = world.FinalRecord{Status: wire.JobDone}
+		}, 201},
+		"over by cancellation": {body("run-000002"), 1, func(o *fakeBackend) {
+			o.finalRecords[world.FinalKey("run-000002")] = world.FinalRecord{Status: wire.JobCancelled}
 		}, 201},
 		"never accepted":     {body("run-000002"), 1, nil, 422},
 		"one never accepted": {body("run-000002", "run-000003"), 1, live(wire.KindArray), 422},
-		"unsure":             {body("run-000002"), 1, func(o *outside) { o.syncErr = store.ErrUnavailable }, 503},
+		"unsure":             {body("run-000002"), 1, func(o *fakeBackend) { o.barrierErr = store.ErrUnavailable }, 503},
 		"service":            {body("run-000002"), 1, live(wire.KindService), 422},
 		"itself":             {body("run-000001"), 1, nil, 422},
 		"twice":              {body("run-000002", "run-000002"), 1, live(wire.KindArray), 400},
@@ -453,29 +459,29 @@
 			return
 		}()...), 1, nil, 422},
 		// The id is taken by a job that awaits nothing: this is not its repetition.
-		"another's id": {body("run-000002"), 1, func(o *outside) {
+		"another's id": {body("run-000002"), 1, func(o *fakeBackend) {
 			live(wire.KindArray)(o)
-			o.put(world.JobKey("run-000001"), world.JobRecord{Spec: spec(), SubmittedAtMs: 1})
+			o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec(), SubmittedAtMs: 1})
 		}, 422},
-		"repeated, other order": {body("run-000003", "run-000002"), 1, func(o *outside) {
-			s := spec()
+		"repeated, other order": {body("run-000003", "run-000002"), 1, func(o *fakeBackend) {
+			s := testSpec()
 			s.Dependencies = []string{"run-000002", "run-000003"}
 			live(wire.KindArray)(o)
-			s2 := spec()
+			s2 := testSpec()
 			s2.ID = "run-000003"
 			o.put(world.JobKey(s2.ID), world.JobRecord{Spec: s2, SubmittedAtMs: 1})
 			o.put(world.JobKey(s.ID), world.JobRecord{Spec: s, SubmittedAtMs: 1})
 		}, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
-			o, h := setup(true)
+			o, h := newTestServer(true)
 			o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: c.level})
 			if c.set != nil {
 				c.set(o)
 			}
-			status, _ := ask(h, http.MethodPost, "/v1/jobs", c.body)
-			if status != c.want || (status == 201) != (len(o.done) == 1) {
-				t.Errorf("status %d with %d changes, want %d", status, len(o.done), c.want)
+			status, _ := send(h, http.MethodPost, "/v1/jobs", c.body)
+			if status != c.want || (status == 201) != (len(o.committed) == 1) {
+				t.Errorf("status %d with %d changes, want %d", status, len(o.committed), c.want)
 			}
 		})
 	}
@@ -483,20 +489,20 @@
 
 // TestFallingJobIsNotCalledWaiting: between the cancellation of a job and the record
 // of one that needs it, a poll must not call that one pending.
-func TestFallingJobIsNotCalledWaiting(t *testing.T) {
-	o, h := setup(true)
-	first, second := spec(), spec()
+func TestDependentOfCancelledJobIsNotPending(t *testing.T) {
+	o, h := newTestServer(true)
+	first, second := testSpec(), testSpec()
 	first.ID, second.Dependencies = "run-000002", []string{"run-000002"}
 	o.put(world.JobKey(second.ID), world.JobRecord{Spec: second, SubmittedAtMs: 1})
-	if status, _ := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 503 {
+	if status, _ := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 503 {
 		t.Errorf("status %d before it is known what became of the first", status)
 	}
 	o.put(world.JobKey(first.ID), world.JobRecord{Spec: first, SubmittedAtMs: 1})
-	if status, st := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobPending {
+	if status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobPending {
 		t.Errorf("status %d, %s while the first is live", status, st.State)
 	}
 	o.put(world.JobKey(first.ID), world.JobRecord{Spec: first, SubmittedAtMs: 1, CancelledAtMs: 2})
-	if status, _ := ask(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 503 {
+	if status, _ := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 503 {
 		t.Errorf("status %d after the first was cancelled", status)
 	}
 }
--- /dev/null
+++ b/internal/node/controller.go
@@ -0,0 +1,92 @@
+// Package node puts the slices of one controller together.
+package node
+
+import (
+	"context"
+	"log/slog"
+	"net/http"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"sableusher/internal/config"
+	"sableusher/internal/fleet"
+	"sableusher/internal/intake"
+	"sableusher/internal/member"
+	"sableusher/internal/peer"
+	"sableusher/internal/pipeline"
+	"sableusher/internal/place"
+	"sableusher/internal/pool"
+	"sableusher/internal/spill"
+	"sableusher/internal/store"
+	"sableusher/internal/tuning"
+	"sableusher/internal/upgrade"
+	"sableusher/internal/wire"
+	"sableusher/internal/world"
+)
+
+// Controller is a controller.
+type Controller struct {
+	handler http.Handler
+	loops   []func(context.Context) error
+}
+
+// PeerTransport are a node's lines to the other nodes.
+type PeerTransport interface {
+	place.Peers
+	// LastAnswered tells when a node last answered this one.
+	LastAnswered(node string) time.Time
+	Run(ctx context.Context) error
+	spill.Line
+	// SetCellHandler sets what answers other cells.
+	SetCellHandler(a peer.CellHandler)
+}
+
+// New makes a controller. inc tells this process from all others under its
+// name; level is the newest form of records that it reads, tuning.Level but for
+// tests of upgrades; rt carries its requests, nil for the network; lines makes the lines to
+// the other nodes.
+func New(settings *config.Settings, operator *config.Operator, incarnation uint64, schemaVersion int, transport http.RoundTripper, connectPeers func(peer.AgentRegistry) (PeerTransport, error), logger *slog.Logger) (*Controller, error) {
+	deployment := &settings.Deployment
+	client := store.NewClient(settings.Outside.State, store.Limits{
+		BudgetShare: tuning.StateShare / float64(deployment.Size), RequestsPerSecond: deployment.State.RPS, WritesPerSecond: deployment.State.WriteRPS, MaxValueKiB: deployment.State.ValueKB, MaxTransactionOps: deployment.State.TxnOps,
+	}, transport)
+	upcoming := settings.NextState()
+	client.SetUpcomingLimits(store.Limits{RequestsPerSecond: upcoming.RPS, WritesPerSecond: upcoming.WriteRPS, MaxValueKiB: upcoming.ValueKB, MaxTransactionOps: upcoming.TxnOps})
+	state := world.New(deployment.Size, logger)
+	cache := store.NewWatchCache(client, world.LivePrefix, state, logger)
+	committer := store.NewCommitter(client, func(ops []wire.Op, rev uint64) { cache.ApplyOwn(ops, rev) })
+	committer.SetObserver(cache)
+	members := member.New(settings.Node, incarnation, settings.Nodes(), schemaVersion, client, committer, cache, state, logger)
+	agents := fleet.New(settings, state, members, cache.CompleteAsOf, logger, transport)
+	peers, err := connectPeers(agents)
+	if err != nil {
+		return nil, err
+	}
+	agents.SetPeerLastAnswered(peers.LastAnswered)
+	engine := place.New(settings, operator, state, members, agents, committer, client, peers, logger)
+	cloud := pool.NewClient(settings.Outside.Cloud, deployment.Cloud.RPS, deployment.Size, transport)
+	scaler := pool.New(settings, operator, state, members, engine, cloud, committer, logger)
+	dependencies := pipeline.NewResolver(state, client, logger)
+	versions := upgrade.NewActivator(settings, schemaVersion, state, members, committer, client, logger)
+	offloads := spill.New(operator, deployment.Teams, state, members, committer, peers, logger)
+	if len(operator.Cells) > 0 {
+		peers.SetCellHandler(offloads.Answer)
+	}
+	server := intake.New(settings, operator, state, client, committer, cache, agents, logger)
+	return &Controller{handler: server.Handler(), loops: []func(context.Context) error{
+		cache.Run, committer.Run, members.Run, agents.Run, engine.Run, engine.RunLearner, engine.TrackRemoteImages, scaler.Run, peers.Run, dependencies.Run, versions.Run, offloads.Run,
+	}}, nil
+}
+
+// Handler serves users, workers and health checks.
+func (c *Controller) Handler() http.Handler { return c.handler }
+
+// Run keeps the node's duties until ctx ends or one of them fails.
+func (c *Controller) Run(ctx context.Context) error {
+	group, ctx := errgroup.WithContext(ctx)
+	for _, run := range c.loops {
+		group.Go(func() error { return run(ctx) })
+	}
+	return group.Wait()
+}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/transport_test.go
@@ -18,54 +18,56 @@
 	"sableusher/internal/wire"
 )
 
-// told is a witness that has heard of some machines.
-type told struct {
-	heard  []string
-	fresh  bool
-	images map[string][]string
+// fakeRegistry is a witness that has heard of some machines.
+type fakeRegistry struct {
+	recentlyHeard []string
+	freshState    bool
+	images        map[string][]string
 }
 
-func (w told) HasFreshState() bool                  { return w.fresh }
-func (w told) MachinesByImage() map[string][]string { return w.images }
+func (w fakeRegistry) HasFreshState() bool                  { return w.freshState }
+func (w fakeRegistry) MachinesByImage() map[string][]string { return w.images }
 
-func (w told) RecentlyHeard(machines []string) []string {
-	return slices.DeleteFunc(slices.Clone(machines), func(m string) bool { return !slices.Contains(w.heard, m) })
+func (w fakeRegistry) RecentlyHeard(machines []string) []string {
+	return slices.DeleteFunc(slices.Clone(machines), func(m string) bool { return !slices.Contains(w.recentlyHeard, m) })
 }
 
-// serveWitness answers for a node on a port of its own.
-func serveWitness(t *testing.T, w Witness) string { return serve(t, &server{witness: w}) }
+// serveRegistry answers for a node on a port of its own.
+func serveRegistry(t *testing.T, registry AgentRegistry) string {
+	return serve(t, &server{registry: registry})
+}
 
-func serve(t *testing.T, s *server) string {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+func serve(t *testing.T, service *server) string {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := grpc.NewServer()
-	peerpb.RegisterPeerServer(srv, s)
-	peerpb.RegisterCellsServer(srv, s)
-	go func() { _ = srv.Serve(l) }()
-	t.Cleanup(srv.Stop)
-	return l.Addr().String()
+	grpcServer := grpc.NewServer()
+	peerpb.RegisterPeerServer(grpcServer, service)
+	peerpb.RegisterCellsServer(grpcServer, service)
+	go func() { _ = grpcServer.Serve(listener) }()
+	t.Cleanup(grpcServer.Stop)
+	return listener.Addr().String()
 }
 
-// TestPeersAnswers asks two nodes: one whose view is stale must not vouch for
+// TestQueriesCombinePeerAnswers asks two nodes: one whose view is stale must not vouch for
 // machines, images are put together, and a node that does not answer is left out.
-func TestPeersAnswers(t *testing.T) {
+func TestQueriesCombinePeerAnswers(t *testing.T) {
 	set := &config.Settings{Node: "a", Siblings: []config.Sibling{
-		{Node: "b", Endpoint: serveWitness(t, told{[]string{"vm-1"}, true, map[string][]string{"i": {"vm-1"}}})},
-		{Node: "c", Endpoint: serveWitness(t, told{[]string{"vm-2"}, false, map[string][]string{"i": {"vm-2"}, "j": {"vm-3"}}})},
+		{Node: "b", Endpoint: serveRegistry(t, fakeRegistry{[]string{"vm-1"}, true, map[string][]string{"i": {"vm-1"}}})},
+		{Node: "c", Endpoint: serveRegistry(t, fakeRegistry{[]string{"vm-2"}, false, map[string][]string{"i": {"vm-2"}, "j": {"vm-3"}}})},
 		{Node: "d", Endpoint: "127.0.0.1:1"},
 	}}
-	p, err := New(set, told{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	p, err := New(set, fakeRegistry{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.patience = time.Minute
-	heard := p.Ask(context.Background(), []string{"vm-1", "vm-2", "vm-9"})
+	p.callTimeout = time.Minute
+	heard := p.QueryRecentlyHeard(context.Background(), []string{"vm-1", "vm-2", "vm-9"})
 	if len(heard) != 1 || heard["vm-1"] != "b" {
 		t.Errorf("heard %v", heard)
 	}
-	images := p.Images(context.Background())
+	images := p.QueryImages(context.Background())
 	if len(images) != 2 || !images["i"]["vm-1"] || !images["i"]["vm-2"] || !images["j"]["vm-3"] {
 		t.Errorf("images %v", images)
 	}
@@ -73,7 +75,7 @@
 
 // TestExchangeFindsTheLeader: of a cell's nodes one is away, one does not lead and one names no
 // cells; the leader's answer comes through whole, and it is asked first the next time.
-func TestExchangeFindsTheLeader(t *testing.T) {
+func TestExchangeFindsTheCellLeader(t *testing.T) {
 	asked := 0
 	other := func(context.Context, spill.Message) (spill.Message, error) {
 		asked++
@@ -82,13 +84,13 @@
 	leader := func(_ context.Context, m spill.Message) (spill.Message, error) {
 		return spill.Message{Cell: "b", From: 3, To: m.From, Words: []spill.Word{{Number: m.Asks[0].Number, Status: 2, Final: "done", Done: 4}}}, nil
 	}
-	nodes := []string{"127.0.0.1:1", serve(t, &server{answer: func() Answer { return nil }}), serve(t, &server{answer: func() Answer { return other }}),
-		serve(t, &server{answer: func() Answer { return leader }})}
-	p, err := New(&config.Settings{Node: "a-0"}, told{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	nodes := []string{"127.0.0.1:1", serve(t, &server{cellHandler: func() CellHandler { return nil }}), serve(t, &server{cellHandler: func() CellHandler { return other }}),
+		serve(t, &server{cellHandler: func() CellHandler { return leader }})}
+	p, err := New(&config.Settings{Node: "a-0"}, fakeRegistry{}, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.patience = time.Minute
+	p.callTimeout = time.Minute
 	to := config.Cell{Name: "b", Nodes: strings.Join(nodes, " ")}
 	for range 2 {
 		m, err := p.Exchange(context.Background(), to, spill.Message{Cell: "a", From: 2, To: 3, Asks: []spill.Ask{{Number: 7, Spec: wire.JobSpec{ID: "run-1", TaskCount: 4}}}})
--- a/internal/pipeline/pipeline.go
+++ b/internal/pipeline/resolver.go
@@ -17,38 +17,38 @@
 
 // Resolver reads the final records of awaited jobs into the view.
 type Resolver struct {
-	world  *world.State
-	reader store.Reader
-	log    *slog.Logger
-	asked  map[string]time.Time // when a record was last not there, or not to be read
+	clusterState *world.State
+	reader       store.Reader
+	logger       *slog.Logger
+	failedAt     map[string]time.Time // when a record was last not there, or not to be read
 }
 
-// New makes a resolver.
-func New(w *world.State, r store.Reader, log *slog.Logger) *Resolver {
-	return &Resolver{world: w, reader: r, log: log, asked: map[string]time.Time{}}
+// NewResolver makes a resolver.
+func NewResolver(state *world.State, reader store.Reader, logger *slog.Logger) *Resolver {
+	return &Resolver{clusterState: state, reader: reader, logger: logger, failedAt: map[string]time.Time{}}
 }
 
 // Run reads what is missing after each change of the view, until ctx ends.
 func (r *Resolver) Run(ctx context.Context) error {
-	changed := r.world.Subscribe()
-	again := time.NewTicker(tuning.OutcomeRetry)
-	defer again.Stop()
+	changed := r.clusterState.Subscribe()
+	retryTicker := time.NewTicker(tuning.OutcomeRetry)
+	defer retryTicker.Stop()
 	for {
-		r.look(ctx)
+		r.readMissing(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-changed:
-		case <-again.C:
+		case <-retryTicker.C:
 		}
 	}
 }
 
-func (r *Resolver) look(ctx context.Context) {
+func (r *Resolver) readMissing(ctx context.Context) {
 	now := time.Now()
-	for id, at := range r.asked {
+	for id, at := range r.failedAt {
 		if now.Sub(at) >= tuning.OutcomeRetry {
-			delete(r.asked, id)
+			delete(r.failedAt, id)
 		}
 	}
 	type answer struct {
@@ -56,8 +56,8 @@
 		ok  bool
 	}
 	var ids []string
-	for _, id := range r.world.UnresolvedDependencies() {
-		if _, ok := r.asked[id]; !ok {
+	for _, id := range r.clusterState.UnresolvedDependencies() {
+		if _, ok := r.failedAt[id]; !ok {
 			ids = append(ids, id)
 		}
 	}
@@ -70,7 +70,7 @@
 			// Not there: this view is older than the job, or the job is live again in it
 			// soon. It proves nothing either way.
 			if answers[i] = (answer{rec, err == nil}); err != nil && !errors.Is(err, store.ErrNotFound) {
-				r.log.Debug("final record not read", "job", id, "err", err)
+				r.logger.Debug("final record not read", "job", id, "err", err)
 			}
 			return nil
 		})
@@ -78,9 +78,9 @@
 	_ = g.Wait()
 	for i, id := range ids {
 		if answers[i].ok {
-			r.world.PutFinalRecord(id, answers[i].rec)
+			r.clusterState.PutFinalRecord(id, answers[i].rec)
 		} else {
-			r.asked[id] = now
+			r.failedAt[id] = now
 		}
 	}
 }
--- a/internal/pipeline/pipeline_test.go
+++ b/internal/pipeline/resolver_test.go
@@ -15,21 +15,21 @@
 	"sableusher/internal/world"
 )
 
-// records answers with what it holds, or with an error while it is away.
-type records struct {
-	mu    sync.Mutex
-	away  bool
-	rows  map[string]any
-	asked int
+// fakeReader answers with what it holds, or with an error while it is away.
+type fakeReader struct {
+	mu          sync.Mutex
+	unavailable bool
+	values      map[string]any
+	reads       int
 }
 
-func (r *records) Get(_ context.Context, key string) (wire.KeyValue, error) {
+func (r *fakeReader) Get(_ context.Context, key string) (wire.KeyValue, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.asked++
-	v, ok := r.rows[key]
+	r.reads++
+	v, ok := r.values[key]
 	switch {
-	case r.away:
+	case r.unavailable:
 		return wire.KeyValue{}, store.ErrOutcomeUnknown
 	case !ok:
 		return wire.KeyValue{}, store.ErrNotFound
@@ -37,7 +37,7 @@
 	return wire.KeyValue{Value: wire.MustEncode(v)}, nil
 }
 
-func (r *records) set(f func()) {
+func (r *fakeReader) set(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
@@ -46,7 +46,7 @@
 // TestNothingIsConcludedFromSilence: a final record that is not there, can't be
 // read or is damaged proves nothing; a job waits until it is read, is asked for
 // again at a bounded pace, and not at all once it is known.
-func TestNothingIsConcludedFromSilence(t *testing.T) {
+func TestMissingRecordsProveNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -56,8 +56,8 @@
 			w.Put(world.JobKey(id), wire.MustEncode(world.JobRecord{Spec: wire.JobSpec{ID: id, Team: "t", TaskCount: 1, Dependencies: awaits}, SubmittedAtMs: 1}), 1)
 			w.EndUpdate()
 		}
-		rec := &records{rows: map[string]any{}}
-		go func() { _ = New(w, rec, log).Run(ctx) }()
+		rec := &fakeReader{values: map[string]any{}}
+		go func() { _ = NewResolver(w, rec, log).Run(ctx) }()
 		put("run-2", "run-1")
 		waits := func() bool {
 			time.Sleep(3 * tuning.OutcomeRetry)
@@ -68,19 +68,19 @@
 		if !waits() {
 			t.Error("released though nothing tells of the first")
 		}
-		rec.set(func() { rec.away = true })
+		rec.set(func() { rec.unavailable = true })
 		if !waits() {
 			t.Error("released while records can't be read")
 		}
-		rec.set(func() { rec.away, rec.rows[world.FinalKey("run-1")] = false, "damaged" })
+		rec.set(func() { rec.unavailable, rec.values[world.FinalKey("run-1")] = false, "damaged" })
 		if !waits() {
 			t.Error("released by a damaged record")
 		}
 		rec.set(func() {
-			if most := 3*3 + 4; rec.asked > most || rec.asked < 3 {
-				t.Errorf("asked %d times", rec.asked)
+			if most := 3*3 + 4; rec.reads > most || rec.reads < 3 {
+				t.Errorf("asked %d times", rec.reads)
 			}
-			rec.rows[world.FinalKey("run-1")] = world.FinalRecord{Status: wire.JobDone, TaskCount: 1, DoneCount: 1, EndedAtMs: 77}
+			rec.values[world.FinalKey("run-1")] = world.FinalRecord{Status: wire.JobDone, TaskCount: 1, DoneCount: 1, EndedAtMs: 77}
 		})
 		if waits() {
 			t.Error("still waits for a job that is done")
@@ -89,11 +89,11 @@
 			t.Errorf("counts from %d", w.Jobs["run-2"].ReadySinceMs())
 		}
 		asked := 0
-		rec.set(func() { asked = rec.asked })
+		rec.set(func() { asked = rec.reads })
 		put("run-2", "run-1")
 		waits()
 		rec.set(func() {
-			if rec.asked != asked {
+			if rec.reads != asked {
 				t.Error("asked again for what is known")
 			}
 		})
--- a/internal/place/cycle.go
+++ b/internal/place/cycle.go
@@ -491,7 +491,7 @@
 // inRetryBackoff tells whether a task that failed is not to be repeated yet.
 func (c *cycle) inRetryBackoff(job *world.Job, i int) bool {
 	failing, ok := job.PendingRetries[i]
-	return ok && c.now.Sub(failing.SeenAt) < c.retryRules.Pause(job.Spec.Class, failing.Failures)
+	return ok && c.now.Sub(failing.SeenAt) < c.retryRules.Backoff(job.Spec.Class, failing.Failures)
 }
 
 // placeInHomeShard gives a job's tasks room in the part that the job is dealt to, so that
--- a/internal/place/engine.go
+++ b/internal/place/engine.go
@@ -34,7 +34,7 @@
 	committer  *store.Committer
 	quota      *quota.GrantManager
 	// retryRules paces tasks that failed by themselves.
-	retryRules repeats.Rules
+	retryRules repeats.Policies
 	log        *slog.Logger
 
 	mu                  sync.Mutex
@@ -119,7 +119,7 @@
 // New makes an engine.
 func New(settings *config.Settings, operator *config.Operator, cluster *world.State, members *member.Member, agents *fleet.Registry, committer *store.Committer, reader store.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
-		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: repeats.New(operator.Classes), log: log,
+		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: repeats.NewPolicies(operator.Classes), log: log,
 		keysInFlight: map[string]bool{}, inFlightChanges: map[uint64]*recordChange{}, jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
 		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: map[string]reservation{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: map[string]bool{}, tombstones: map[string]time.Time{},
 		nextReorder: map[string]time.Time{}, jobsToMigrate: map[string]bool{}, rejectedUntil: map[string]time.Time{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
@@ -184,7 +184,7 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		if images := e.peers.Images(ctx); len(images) > 0 {
+		if images := e.peers.QueryImages(ctx); len(images) > 0 {
 			e.mu.Lock()
 			e.remoteImages, e.remoteImagesAt = images, time.Now()
 			e.mu.Unlock()
--- a/internal/place/failedmachines.go
+++ b/internal/place/failedmachines.go
@@ -23,9 +23,9 @@
 
 // Peers asks the other nodes which workers they have heard from.
 type Peers interface {
-	Ask(ctx context.Context, machines []string) map[string]string
-	// Images asks which machines of theirs are believed to hold which images.
-	Images(ctx context.Context) map[string]map[string]bool
+	QueryRecentlyHeard(ctx context.Context, machines []string) map[string]string
+	// QueryImages asks which machines of theirs are believed to hold which images.
+	QueryImages(ctx context.Context) map[string]map[string]bool
 }
 
 // deleteFailedMachines deletes machines that are silent, stuck or failing.
@@ -85,7 +85,7 @@
 	if len(judgement.AskPeersAbout) > 0 {
 		engine := c.Engine
 		go func() {
-			heard := engine.peers.Ask(engine.ctx, judgement.AskPeersAbout)
+			heard := engine.peers.QueryRecentlyHeard(engine.ctx, judgement.AskPeersAbout)
 			engine.mu.Lock()
 			defer engine.mu.Unlock()
 			engine.failureDetector.RecordPeerAnswers(time.Now(), judgement.AskPeersAbout, heard)
--- a/internal/place/reconcile.go
+++ b/internal/place/reconcile.go
@@ -114,7 +114,7 @@
 func (c *cycle) reconcileTask(binding world.Binding, machineName string, token uint64) {
 	spec := &binding.Job.Spec
 	task := settle.BoundTask{TaskObservation: c.agents.ObserveTask(binding, machineName, token), JobKind: spec.Kind, JobCancelled: binding.Job.Cancelled(), StopRequested: c.agents.StopRequested(binding),
-		RetriesLimited: spec.MaxRetries != nil, RetriesExhausted: repeats.Spent(spec.MaxRetries, c.taskState(binding.Job, binding.Ref.Index).Failures)}
+		RetriesLimited: spec.MaxRetries != nil, RetriesExhausted: repeats.Exhausted(spec.MaxRetries, c.taskState(binding.Job, binding.Ref.Index).Failures)}
 	decision := settle.Decide(task)
 	if decision.ResendCommands {
 		c.agents.RequestDispatch(machineName)
--- a/internal/standin/region.go
+++ b/internal/standin/region.go
@@ -26,14 +26,14 @@
 
 // Controller is a node under test, with the process that runs it.
 type Controller struct {
-	answer        peer.Answer // to other cells, if it is one of several
+	answer        peer.CellHandler // to other cells, if it is one of several
 	Settings      *config.Settings
 	Address       string
 	SchemaVersion int // of the version that it runs; set before Start
 	stop          context.CancelFunc
 	alive         *atomic.Bool
 	exited        chan struct{}
-	witness       peer.Witness
+	witness       peer.AgentRegistry
 }
 
 // fakePeers stands in for gRPC between controllers.
@@ -42,8 +42,8 @@
 	self   *Controller
 }
 
-// Cells keeps what answers other cells.
-func (p fakePeers) Cells(a peer.Answer) {
+// SetCellHandler keeps what answers other cells.
+func (p fakePeers) SetCellHandler(a peer.CellHandler) {
 	p.region.mu.Lock()
 	defer p.region.mu.Unlock()
 	p.self.answer = a
@@ -63,10 +63,10 @@
 }
 
 // reachableWitnesses gives the witnesses of the nodes that can be reached.
-func (p fakePeers) reachableWitnesses() map[string]peer.Witness {
+func (p fakePeers) reachableWitnesses() map[string]peer.AgentRegistry {
 	p.region.mu.Lock()
 	defer p.region.mu.Unlock()
-	out := map[string]peer.Witness{}
+	out := map[string]peer.AgentRegistry{}
 	for _, c := range p.region.controllers {
 		if c != p.self && c.alive != nil && c.alive.Load() {
 			if _, cut := p.region.Network.activePartition(p.self.Settings.Node, c.Settings.Node); !cut {
@@ -77,14 +77,14 @@
 	return out
 }
 
-func (p fakePeers) Reached(node string) time.Time {
+func (p fakePeers) LastAnswered(node string) time.Time {
 	if _, ok := p.reachableWitnesses()[node]; ok {
 		return time.Now()
 	}
 	return time.Time{}
 }
 
-func (p fakePeers) Ask(_ context.Context, machines []string) map[string]string {
+func (p fakePeers) QueryRecentlyHeard(_ context.Context, machines []string) map[string]string {
 	out := map[string]string{}
 	for node, w := range p.reachableWitnesses() {
 		if !w.HasFreshState() {
@@ -97,7 +97,7 @@
 	return out
 }
 
-func (p fakePeers) Images(context.Context) map[string]map[string]bool {
+func (p fakePeers) QueryImages(context.Context) map[string]map[string]bool {
 	out := map[string]map[string]bool{}
 	for _, w := range p.reachableWitnesses() {
 		for image, machines := range w.MachinesByImage() {
@@ -219,8 +219,8 @@
 	r.mu.Lock()
 	incarnation := r.random.Uint64N(1<<40) + 1
 	r.mu.Unlock()
-	var witness peer.Witness
-	n, err := node.New(controller.Settings, operator, incarnation, controller.SchemaVersion, r.Network.Transport(controller.Settings.Node, alive.Load), func(w peer.Witness) (node.Lines, error) {
+	var witness peer.AgentRegistry
+	n, err := node.New(controller.Settings, operator, incarnation, controller.SchemaVersion, r.Network.Transport(controller.Settings.Node, alive.Load), func(w peer.AgentRegistry) (node.PeerTransport, error) {
 		witness = w
 		return fakePeers{r, controller}, nil
 	}, r.Log.With("node", controller.Settings.Node))
