--- a/internal/accept/admission.go
+++ b/internal/accept/admission.go
@@ -5,9 +5,9 @@
 import (
 	"slices"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // Validate says why a job can never run; empty if it can. Where the machine types are
@@ -17,7 +17,7 @@
 	if !ok {
 		return "unknown team"
 	}
-	need := world.TaskResources(spec)
+	need := clusterstate.TaskResources(spec)
 	taskCount := float64(spec.TaskCount)
 	if spec.Kind == wire.KindArray {
 		taskCount = 1
@@ -35,7 +35,7 @@
 		if len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, name) || spec.Zone != "" && !slices.Contains(machineType.Zones, spec.Zone) {
 			continue
 		}
-		if need.FitsIn(world.Capacity(&machineType)) {
+		if need.FitsIn(clusterstate.Capacity(&machineType)) {
 			return ""
 		}
 	}
--- a/internal/cell/choose.go
+++ b/internal/cell/choose.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/fit"
 	"sableusher/internal/tuning"
-	"sableusher/internal/world"
 )
 
 // Room is a number of like machines of a cell with like free room.
@@ -16,7 +16,7 @@
 	Type  string
 	Zone  string
 	Spot  bool
-	Free  world.Resources // on each
+	Free  clusterstate.Resources // on each
 	Count int
 }
 
@@ -43,7 +43,7 @@
 // Work is a job that could start elsewhere.
 type Work struct {
 	ID      string
-	Need    world.Resources // of each task
+	Need    clusterstate.Resources // of each task
 	Tasks   int
 	OneZone bool     // all in one zone
 	Types   []string // allowed types; none: any
--- a/internal/world/records.go
+++ b/internal/clusterstate/records.go
@@ -1,4 +1,4 @@
-package world
+package clusterstate
 
 import (
 	"fmt"
--- a/internal/fit/failedrequests.go
+++ b/internal/fit/failedrequests.go
@@ -1,9 +1,9 @@
 package fit
 
 import (
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // FailedRequests are needs that found nothing on any machine they may use. What asks for as much
@@ -12,7 +12,7 @@
 type FailedRequests []failedRequest
 
 type failedRequest struct {
-	need world.Resources
+	need clusterstate.Resources
 	spec *wire.JobSpec
 }
 
--- a/internal/fleet/heartbeat_test.go
+++ b/internal/fleet/heartbeat_test.go
@@ -10,9 +10,9 @@
 
 	"pgregory.net/rapid"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // TestDelayedHeartbeatCopies delivers reports of a worker's sessions late, twice and out of order, while its
@@ -22,8 +22,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		k := newRegistryFixture(tuning.LevelCertain)
 		m := k.addMachine(0)
-		ref := world.TaskRef{Job: "run-1"}
-		b := world.Binding{Ref: ref, Attempt: 2, Session: 2}
+		ref := clusterstate.TaskRef{Job: "run-1"}
+		b := clusterstate.Binding{Ref: ref, Attempt: 2, Session: 2}
 		type id struct{ session, seq uint64 }
 		var newest id
 		stamp, token, seen := uint64(10), uint64(5), uint64(1)
@@ -33,7 +33,7 @@
 				for _, owner := range []string{"b", "a"} {
 					token, stamp = token+1, stamp+1
 					k.state.BeginUpdate()
-					k.state.Put(world.ShardKey(0), wire.MustEncode(world.ShardRecord{Owner: owner, Incarnation: 1, FencingToken: token}), stamp)
+					k.state.Put(clusterstate.ShardKey(0), wire.MustEncode(clusterstate.ShardRecord{Owner: owner, Incarnation: 1, FencingToken: token}), stamp)
 					k.state.EndUpdate()
 					if rapid.Bool().Draw(t, "swept") {
 						k.removeExpired()
@@ -81,7 +81,7 @@
 	k := newRegistryFixture(tuning.LevelCertain)
 	m := k.addMachine(0)
 	k.state.BeginUpdate()
-	k.state.Put(world.MachineKey(m), wire.MustEncode(world.MachineRecord{Type: "m", Zone: "z", Address: "10.1.0.1:9000", Up: true, Session: 4}), 2)
+	k.state.Put(clusterstate.MachineKey(m), wire.MustEncode(clusterstate.MachineRecord{Type: "m", Zone: "z", Address: "10.1.0.1:9000", Up: true, Session: 4}), 2)
 	k.state.EndUpdate()
 	if status, _ := k.HandleHeartbeat(&wire.Heartbeat{Machine: m, Session: 3, Sequence: 90, FencingToken: 5}); status != http.StatusServiceUnavailable || len(k.RecentlyHeard([]string{m})) > 0 {
 		t.Errorf("a copy out of an earlier session counts: %d", status)
--- a/internal/fleet/lease_test.go
+++ b/internal/fleet/lease_test.go
@@ -9,19 +9,19 @@
 	"testing/synctest"
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/member"
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // registryFixture is a node that answers reports on a view of some age.
 type registryFixture struct {
 	*Registry
 	confirmedAt, peerAnsweredAt time.Time
-	state                       *world.State
+	state                       *clusterstate.State
 }
 
 // newRegistryFixture makes the node "a" of two; it owns part 0, "b" part 1.
@@ -30,14 +30,14 @@
 	set := &config.Settings{Node: "a", Siblings: []config.Sibling{{Node: "b"}}}
 	d := &set.Deployment
 	d.Size, d.Workers.ReportS, d.Workers.LeaseS, d.Workers.CancelS = 2, 6, 31, 51
-	w := world.New(2, log)
+	w := clusterstate.New(2, log)
 	w.SchemaVersion = level
 	for i, n := range []string{"a", "b"} {
-		w.Nodes[n] = world.Node{NodeRecord: world.NodeRecord{Incarnation: 1}}
-		w.Shards[i] = world.Shard{ShardRecord: world.ShardRecord{Owner: n, Incarnation: 1, FencingToken: 5}}
+		w.Nodes[n] = clusterstate.Node{NodeRecord: clusterstate.NodeRecord{Incarnation: 1}}
+		w.Shards[i] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: n, Incarnation: 1, FencingToken: 5}}
 	}
 	client := store.NewClient("127.0.0.1:1", store.Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxValueKiB: 16, MaxTransactionOps: 32}, nil)
-	m := member.New("a", 1, []string{"a", "b"}, tuning.Level, client, nil, store.NewWatchCache(client, world.LivePrefix, w, log), w, log)
+	m := member.New("a", 1, []string{"a", "b"}, tuning.Level, client, nil, store.NewWatchCache(client, clusterstate.LivePrefix, w, log), w, log)
 	k := &registryFixture{state: w, confirmedAt: time.Now(), peerAnsweredAt: time.Now()}
 	k.Registry = New(set, w, m, func() time.Time { return k.confirmedAt }, log, nil)
 	k.SetPeerLastAnswered(func(string) time.Time { return k.peerAnsweredAt })
@@ -47,11 +47,11 @@
 // addMachine gives the name of a machine of a part, with a record.
 func (k *registryFixture) addMachine(part int) string {
 	name := "vm-0"
-	for world.ShardOf(name, 2) != part {
+	for clusterstate.ShardOf(name, 2) != part {
 		name += "0"
 	}
 	k.state.BeginUpdate()
-	k.state.Put(world.MachineKey(name), wire.MustEncode(world.MachineRecord{Type: "m", Zone: "z", Address: "10.1.0.1:9000", Up: true}), 1)
+	k.state.Put(clusterstate.MachineKey(name), wire.MustEncode(clusterstate.MachineRecord{Type: "m", Zone: "z", Address: "10.1.0.1:9000", Up: true}), 1)
 	k.state.EndUpdate()
 	return name
 }
@@ -110,8 +110,8 @@
 		k.state.BeginUpdate()
 		for i, cancelMs := range []int64{5, 0} {
 			id := fmt.Sprintf("run-%d", i)
-			k.state.Put(world.JobKey(id), wire.MustEncode(world.JobRecord{Spec: wire.JobSpec{ID: id, Kind: wire.KindService, TaskCount: 2}, CancelledAtMs: cancelMs,
-				Tasks: []world.Task{{State: world.TaskBound, Attempt: 1, Machine: m, Session: 1}, {Index: 1, State: world.TaskBound, Attempt: 1, Machine: m, Session: 1}}}), 2)
+			k.state.Put(clusterstate.JobKey(id), wire.MustEncode(clusterstate.JobRecord{Spec: wire.JobSpec{ID: id, Kind: wire.KindService, TaskCount: 2}, CancelledAtMs: cancelMs,
+				Tasks: []clusterstate.Task{{State: clusterstate.TaskBound, Attempt: 1, Machine: m, Session: 1}, {Index: 1, State: clusterstate.TaskBound, Attempt: 1, Machine: m, Session: 1}}}), 2)
 		}
 		k.state.EndUpdate()
 		k.confirmedAt, k.peerAnsweredAt = time.Now().Add(-time.Minute), time.Now().Add(-time.Minute)
--- a/internal/fleet/machine.go
+++ b/internal/fleet/machine.go
@@ -3,14 +3,14 @@
 import (
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // attemptKey names one attempt of a task.
 type attemptKey struct {
-	ref     world.TaskRef
+	ref     clusterstate.TaskRef
 	attempt uint64
 }
 
@@ -188,7 +188,7 @@
 	old := m.reportedTasks
 	m.reportedTasks = make(map[attemptKey]reportedTask, len(r.Tasks))
 	for _, t := range r.Tasks {
-		ref, ok := world.ParseTaskRef(t.Task)
+		ref, ok := clusterstate.ParseTaskRef(t.Task)
 		if !ok {
 			continue
 		}
@@ -228,8 +228,8 @@
 // commands compares what the worker reports with what is bound to it. It marks
 // the starts it gives as on their way; seq is the report answered, 0 for a
 // direct command.
-func (m *machine) commands(bound map[world.TaskRef]world.Binding, known func(ref world.TaskRef, attempt uint64) bool,
-	wish func(b world.Binding) (stopRequest, bool), token, seq uint64, now time.Time) []wire.Command {
+func (m *machine) commands(bound map[clusterstate.TaskRef]clusterstate.Binding, known func(ref clusterstate.TaskRef, attempt uint64) bool,
+	wish func(b clusterstate.Binding) (stopRequest, bool), token, seq uint64, now time.Time) []wire.Command {
 	var out []wire.Command
 	for k, s := range m.reportedTasks {
 		if len(out) >= tuning.OrdersMax {
@@ -291,7 +291,7 @@
 		return
 	}
 	for _, o := range sent {
-		ref, _ := world.ParseTaskRef(o.Task)
+		ref, _ := clusterstate.ParseTaskRef(o.Task)
 		k := attemptKey{ref, o.Attempt}
 		ls := m.pendingStarts[k]
 		for i := range ls {
@@ -325,7 +325,7 @@
 )
 
 // presence tells what the worker's last report says of a binding.
-func (m *machine) presence(b world.Binding, token uint64) (TaskPresence, reportedTask) {
+func (m *machine) presence(b clusterstate.Binding, token uint64) (TaskPresence, reportedTask) {
 	if m.session > b.Session {
 		return PresenceSessionEnded, reportedTask{}
 	}
--- a/internal/fleet/machine_test.go
+++ b/internal/fleet/machine_test.go
@@ -4,22 +4,22 @@
 	"testing"
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 func newReport(session, seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{Machine: "m", Session: session, Sequence: seq, FencingToken: token, Tasks: tasks}
 }
 
-func bindingOf(session uint64) (map[world.TaskRef]world.Binding, world.Binding) {
-	b := world.Binding{Ref: world.TaskRef{Job: "run-1"}, Job: &world.Job{}, Attempt: 1, Session: session}
-	return map[world.TaskRef]world.Binding{b.Ref: b}, b
+func bindingOf(session uint64) (map[clusterstate.TaskRef]clusterstate.Binding, clusterstate.Binding) {
+	b := clusterstate.Binding{Ref: clusterstate.TaskRef{Job: "run-1"}, Job: &clusterstate.Job{}, Attempt: 1, Session: session}
+	return map[clusterstate.TaskRef]clusterstate.Binding{b.Ref: b}, b
 }
 
-func attemptAlwaysEnded(world.TaskRef, uint64) bool { return true }
+func attemptAlwaysEnded(clusterstate.TaskRef, uint64) bool { return true }
 
-func noStopRequest(world.Binding) (stopRequest, bool) { return stopRequest{}, false }
+func noStopRequest(clusterstate.Binding) (stopRequest, bool) { return stopRequest{}, false }
 
 // TestStartInDoubt: a direct start without an answer may arrive minutes later.
 // Until it is fenced the task counts as there, and its exit is not forgotten.
--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -13,11 +13,11 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 	"golang.org/x/sync/semaphore"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/member"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 var heartbeatsDropped = promauto.NewCounterVec(prometheus.CounterOpts{Name: "sableusher_reports_dropped_total",
@@ -26,7 +26,7 @@
 // Registry is this node's workers.
 type Registry struct {
 	settings      *config.Settings
-	clusterState  *world.State
+	clusterState  *clusterstate.State
 	membership    *member.Member
 	completeAsOf  func() time.Time
 	logger        *slog.Logger
@@ -50,7 +50,7 @@
 }
 
 // New makes the fleet; fresh tells as of when the view is complete.
-func New(set *config.Settings, w *world.State, mem *member.Member, fresh func() time.Time, log *slog.Logger, rt http.RoundTripper) *Registry {
+func New(set *config.Settings, w *clusterstate.State, mem *member.Member, fresh func() time.Time, log *slog.Logger, rt http.RoundTripper) *Registry {
 	if rt == nil {
 		rt = wire.NewTransport(tuning.OrderTimeout, 1, max(1, int(tuning.OrderSockets*float64(set.Deployment.Limits.MaxSockets))))
 	}
@@ -158,13 +158,13 @@
 
 // stopCancelledTasks are the orders on a view that may be old: nothing starts, but what it knows to be
 // cancelled ends. Callers hold both locks.
-func (f *Registry) stopCancelledTasks(r *wire.Heartbeat, rec *world.Machine, token uint64) wire.HeartbeatResponse {
+func (f *Registry) stopCancelledTasks(r *wire.Heartbeat, rec *clusterstate.Machine, token uint64) wire.HeartbeatResponse {
 	out := wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}
 	if rec == nil {
 		return out
 	}
 	for _, t := range r.Tasks {
-		ref, ok := world.ParseTaskRef(t.Task)
+		ref, ok := clusterstate.ParseTaskRef(t.Task)
 		b, bound := rec.Bindings[ref]
 		if ok && bound && b.Attempt == t.Attempt && b.Job.Cancelled() && t.State != wire.TaskExited && len(out.Commands) < tuning.OrdersMax {
 			grace := 0.0
@@ -207,7 +207,7 @@
 	now := time.Now()
 	f.clusterState.RLock()
 	defer f.clusterState.RUnlock()
-	part := world.ShardOf(r.Machine, f.clusterState.ShardCount)
+	part := clusterstate.ShardOf(r.Machine, f.clusterState.ShardCount)
 	token, entitled := f.membership.MayServeAgents(part)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -285,7 +285,7 @@
 // attemptEnded tells whether the records have reached this attempt of the task: it is
 // bound elsewhere, was given up, or its job is over. Otherwise the view is
 // older than the report. Callers hold both locks.
-func (f *Registry) attemptEnded(ref world.TaskRef, attempt uint64) bool {
+func (f *Registry) attemptEnded(ref clusterstate.TaskRef, attempt uint64) bool {
 	j := f.clusterState.Jobs[ref.Job]
 	if j == nil {
 		return true // starts follow durable bindings, so the job was there and is over
@@ -294,11 +294,11 @@
 		return false
 	}
 	t := j.Task(ref.Index)
-	return t.Attempt > attempt || t.Attempt == attempt && t.State != world.TaskBound
+	return t.Attempt > attempt || t.Attempt == attempt && t.State != clusterstate.TaskBound
 }
 
 // stopRequestFor tells whether a bound task is to stop. Callers hold both locks.
-func (f *Registry) stopRequestFor(b world.Binding) (stopRequest, bool) {
+func (f *Registry) stopRequestFor(b clusterstate.Binding) (stopRequest, bool) {
 	if b.Job.Cancelled() {
 		return stopRequest{}, true
 	}
@@ -307,7 +307,7 @@
 }
 
 // RequestStop asks for a bound task to be stopped with a grace.
-func (f *Registry) RequestStop(b world.Binding, machine string, graceS float64) {
+func (f *Registry) RequestStop(b clusterstate.Binding, machine string, graceS float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k := attemptKey{b.Ref, b.Attempt}
@@ -319,7 +319,7 @@
 }
 
 // StopRequested tells whether a stop was asked for.
-func (f *Registry) StopRequested(b world.Binding) bool {
+func (f *Registry) StopRequested(b clusterstate.Binding) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	_, ok := f.stopRequestFor(b)
@@ -392,7 +392,7 @@
 			delete(f.stopRequests, k)
 			continue
 		}
-		if t := j.Task(k.ref.Index); t.State != world.TaskBound || t.Attempt != k.attempt {
+		if t := j.Task(k.ref.Index); t.State != clusterstate.TaskBound || t.Attempt != k.attempt {
 			if now.Sub(w.requestedAt) > time.Second {
 				delete(f.stopRequests, k)
 			}
@@ -409,7 +409,7 @@
 		}
 	}
 	for n, m := range f.machines {
-		_, owned := f.membership.MayServeAgents(world.ShardOf(n, f.clusterState.ShardCount))
+		_, owned := f.membership.MayServeAgents(clusterstate.ShardOf(n, f.clusterState.ShardCount))
 		if f.clusterState.Machines[n] == nil && now.Sub(m.lastHeard) > f.settings.Lease() || !owned {
 			delete(f.machines, n)
 			delete(f.adoptions, n)
@@ -421,7 +421,7 @@
 func (f *Registry) dispatch(ctx context.Context, name string) {
 	f.clusterState.RLock()
 	rec := f.clusterState.Machines[name]
-	token, _, owns := f.membership.Owns(world.ShardOf(name, f.clusterState.ShardCount))
+	token, _, owns := f.membership.Owns(clusterstate.ShardOf(name, f.clusterState.ShardCount))
 	if rec == nil || rec.Deleting || !owns || time.Since(f.completeAsOf()) > f.maxStateAge() {
 		f.clusterState.RUnlock()
 		return
@@ -606,7 +606,7 @@
 }
 
 // ObserveTask tells what became of a binding.
-func (f *Registry) ObserveTask(b world.Binding, name string, token uint64) TaskObservation {
+func (f *Registry) ObserveTask(b clusterstate.Binding, name string, token uint64) TaskObservation {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.machines[name]
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -16,12 +16,12 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"sableusher/internal/accept"
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/repeats"
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // Committer commits items.
@@ -48,7 +48,7 @@
 
 // Server is the server's handlers.
 type Server struct {
-	clusterState      *world.State
+	clusterState      *clusterstate.State
 	reader            store.Reader
 	committer         Committer
 	barrier           ReadBarrier
@@ -60,14 +60,14 @@
 	cancellationSlots chan struct{} // cancellations that wait for tasks to leave
 
 	mu               sync.Mutex
-	finalRecords     map[string]world.FinalRecord
+	finalRecords     map[string]clusterstate.FinalRecord
 	finalRecordOrder []string
 }
 
 // New makes the handlers.
-func New(settings *config.Settings, operator *config.Operator, state *world.State, reader store.Reader, committer Committer, barrier ReadBarrier, agents AgentRegistry, logger *slog.Logger) *Server {
+func New(settings *config.Settings, operator *config.Operator, state *clusterstate.State, reader store.Reader, committer Committer, barrier ReadBarrier, agents AgentRegistry, logger *slog.Logger) *Server {
 	server := &Server{clusterState: state, reader: reader, committer: committer, barrier: barrier, agents: agents, teamsByName: map[string]config.Team{}, retryPolicies: repeats.NewPolicies(operator.Classes), logger: logger,
-		requestSlots: make(chan struct{}, tuning.BusyRequests), cancellationSlots: make(chan struct{}, tuning.AbortsWaiting), finalRecords: map[string]world.FinalRecord{}}
+		requestSlots: make(chan struct{}, tuning.BusyRequests), cancellationSlots: make(chan struct{}, tuning.AbortsWaiting), finalRecords: map[string]clusterstate.FinalRecord{}}
 	for _, team := range settings.Deployment.Teams {
 		server.teamsByName[team.Name] = team
 	}
@@ -172,7 +172,7 @@
 			writeUnavailable(w, "not all nodes count repeats yet")
 			return
 		}
-		rec := world.JobRecord{Spec: *spec, SubmittedAtMs: time.Now().UnixMilli()}
+		rec := clusterstate.JobRecord{Spec: *spec, SubmittedAtMs: time.Now().UnixMilli()}
 		if why == "" {
 			why = rec.ChooseLayout(level, fit)
 		}
@@ -195,9 +195,9 @@
 		if len(spec.Dependencies) > 0 && !s.checkDependencies(ctx, w, spec, level) {
 			return
 		}
-		key := world.JobKey(spec.ID)
+		key := clusterstate.JobKey(spec.ID)
 		_, err := s.committer.Commit(ctx, store.Transaction{
-			Conditions: []wire.Condition{{Key: key}, {Key: world.FinalKey(spec.ID)}},
+			Conditions: []wire.Condition{{Key: key}, {Key: clusterstate.FinalKey(spec.ID)}},
 			Ops:        []wire.Op{store.PutOp(key, rec)}, Urgent: true,
 		})
 		if err == nil {
@@ -273,7 +273,7 @@
 // isCancellationUncertain tells whether a cancellation may neither be told nor denied: it may have been
 // told at once by a version before LevelCertain, or may be the late change of one that is
 // gone. That passes with the last task. Callers hold the world's lock.
-func (s *Server) isCancellationUncertain(job *world.Job) bool {
+func (s *Server) isCancellationUncertain(job *clusterstate.Job) bool {
 	return job.Cancelled() && !job.CancelAfterRelease && job.BoundCount > 0 && s.clusterState.SchemaVersion >= tuning.LevelCertain && job.ModRevision > s.clusterState.SchemaVersionModRevision
 }
 
@@ -285,7 +285,7 @@
 var errOwnedByOtherCell = errors.New("another cell answers for it")
 
 // liveStatus gives the state of a live job. Callers hold the world's lock.
-func (s *Server) liveStatus(id string, job *world.Job) wire.JobStatus {
+func (s *Server) liveStatus(id string, job *clusterstate.Job) wire.JobStatus {
 	status := wire.JobStatus{ID: id, State: wire.JobPending, TasksDone: job.DoneCount, TasksRunning: job.BoundCount}
 	switch {
 	case job.Complete():
@@ -301,11 +301,11 @@
 	return status
 }
 
-func finalStatus(id string, f world.FinalRecord) wire.JobStatus {
+func finalStatus(id string, f clusterstate.FinalRecord) wire.JobStatus {
 	return wire.JobStatus{ID: id, State: f.Status, TasksDone: f.DoneCount}
 }
 
-func (s *Server) cachedFinalRecord(id string) (world.FinalRecord, bool) {
+func (s *Server) cachedFinalRecord(id string) (clusterstate.FinalRecord, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f, ok := s.finalRecords[id]
@@ -313,11 +313,11 @@
 }
 
 // readFinalRecord gives a job's final record, which is read once.
-func (s *Server) readFinalRecord(ctx context.Context, id string) (world.FinalRecord, error) {
+func (s *Server) readFinalRecord(ctx context.Context, id string) (clusterstate.FinalRecord, error) {
 	if f, ok := s.cachedFinalRecord(id); ok {
 		return f, nil
 	}
-	f, err := store.ReadRecord[world.FinalRecord](ctx, s.reader, world.FinalKey(id))
+	f, err := store.ReadRecord[clusterstate.FinalRecord](ctx, s.reader, clusterstate.FinalKey(id))
 	if err == nil {
 		s.cacheFinalRecord(id, f)
 	}
@@ -325,7 +325,7 @@
 }
 
 // cacheFinalRecord keeps the newest final records; they never change.
-func (s *Server) cacheFinalRecord(id string, f world.FinalRecord) {
+func (s *Server) cacheFinalRecord(id string, f clusterstate.FinalRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.finalRecords[id]; ok {
@@ -428,7 +428,7 @@
 	if marked.CancelAfterRelease = s.clusterState.SchemaVersion >= tuning.LevelCertain; marked.CancelAfterRelease {
 		confirmed = job.FullyReleased() && job.ChunkCount() == 1 // its tasks all stand in the record that is marked
 	} else {
-		confirmed, versionConditions = true, []wire.Condition{{Key: world.SchemaVersionKey, ModRevision: s.clusterState.SchemaVersionModRevision}}
+		confirmed, versionConditions = true, []wire.Condition{{Key: clusterstate.SchemaVersionKey, ModRevision: s.clusterState.SchemaVersionModRevision}}
 	}
 	if fit := s.clusterState.SizeLimits(s.committer.MaxRecordBytes()); s.clusterState.SchemaVersion >= tuning.LevelPipelines && job.NeedsMigration(fit) {
 		// The record as it is could be too large to be written again.
--- a/internal/intake/server_test.go
+++ b/internal/intake/server_test.go
@@ -13,17 +13,17 @@
 	"testing/synctest"
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // fakeBackend stands in for the state service behind the handlers.
 type fakeBackend struct {
-	state        *world.State
-	finalRecords map[string]world.FinalRecord
+	state        *clusterstate.State
+	finalRecords map[string]clusterstate.FinalRecord
 	barrierErr   error
 	commitErr    error
 	onBarrier    func() // what the barrier brings into the view
@@ -85,11 +85,11 @@
 
 func newTestServerWith(catalog bool, op *config.Operator) (*fakeBackend, http.Handler) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	o := &fakeBackend{state: world.New(3, log), finalRecords: map[string]world.FinalRecord{}, revision: 7}
+	o := &fakeBackend{state: clusterstate.New(3, log), finalRecords: map[string]clusterstate.FinalRecord{}, revision: 7}
 	set := &config.Settings{}
 	set.Deployment.Teams = []config.Team{{Name: "t", GPUsMax: 2}}
 	if catalog {
-		o.put(world.CatalogKey, wire.Catalog{Types: []wire.MachineType{{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, Zones: []string{"z"}}}})
+		o.put(clusterstate.CatalogKey, wire.Catalog{Types: []wire.MachineType{{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, Zones: []string{"z"}}}})
 	}
 	return o, New(set, op, o.state, o, o, o, o, log).Handler()
 }
@@ -112,7 +112,7 @@
 		return wire.MustEncode(s)
 	}
 	same := change(func(*wire.JobSpec) {})
-	over := world.FinalRecord{Status: wire.JobDone, TaskCount: 2, DoneCount: 2}
+	over := clusterstate.FinalRecord{Status: wire.JobDone, TaskCount: 2, DoneCount: 2}
 	for name, c := range map[string]struct {
 		body  []byte
 		set   func(*fakeBackend)
@@ -133,11 +133,11 @@
 		"no answer":        {same, func(o *fakeBackend) { o.commitErr = store.ErrOutcomeUnknown }, false, 503, ""},
 		"repeated later": {same, func(o *fakeBackend) {
 			o.commitErr = store.ErrConditionFailed
-			o.finalRecords[world.FinalKey("run-000001")] = over
+			o.finalRecords[clusterstate.FinalKey("run-000001")] = over
 		}, false, 200, wire.JobDone},
 		// The first body stands, even if the repeated one could never run.
 		"repeated otherwise": {change(func(s *wire.JobSpec) { s.CPUs = 99 }), func(o *fakeBackend) {
-			o.finalRecords[world.FinalKey("run-000001")] = over
+			o.finalRecords[clusterstate.FinalKey("run-000001")] = over
 		}, false, 200, wire.JobDone},
 		"repeated otherwise, unsure": {change(func(s *wire.JobSpec) { s.CPUs = 99 }), func(o *fakeBackend) { o.barrierErr = store.ErrUnavailable }, false, 503, ""},
 	} {
@@ -193,13 +193,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			o, h := newTestServerWith(true, c.op)
-			o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: c.level})
+			o.put(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: c.level})
 			if status, _ := send(h, http.MethodPost, "/v1/jobs", c.body); status != c.want {
 				t.Fatalf("%d, want %d", status, c.want)
 			}
 			limit := -1
 			if c.want == 201 {
-				var rec world.JobRecord
+				var rec clusterstate.JobRecord
 				if err := wire.Decode(o.committed[0].Ops[0].Value, &rec); err != nil {
 					t.Fatal(err)
 				}
@@ -218,14 +218,14 @@
 // to those who poll and to those who cancel; until then it runs.
 func TestFailedJobIsFinalWithoutTasks(t *testing.T) {
 	o, h := newTestServer(true)
-	rec := world.JobRecord{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true, Failed: true,
-		Tasks: []world.Task{{Index: 1, State: world.TaskBound, Attempt: 1, Machine: "m", Session: 1}}}
-	o.put(world.JobKey("run-000001"), rec)
+	rec := clusterstate.JobRecord{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true, Failed: true,
+		Tasks: []clusterstate.Task{{Index: 1, State: clusterstate.TaskBound, Attempt: 1, Machine: "m", Session: 1}}}
+	o.put(clusterstate.JobKey("run-000001"), rec)
 	if status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobRunning {
 		t.Errorf("with a task on a machine: %d %q", status, st.State)
 	}
 	rec.Tasks = nil
-	o.put(world.JobKey("run-000001"), rec)
+	o.put(clusterstate.JobKey("run-000001"), rec)
 	if status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobFailed {
 		t.Errorf("%d %q", status, st.State)
 	}
@@ -245,8 +245,10 @@
 	}
 	o.barrierErr = nil
 	// The view lags: only the barrier brings the cancellation another node told.
-	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec()})
-	o.onBarrier = func() { o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec(), CancelledAtMs: 5}) }
+	o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec()})
+	o.onBarrier = func() {
+		o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), CancelledAtMs: 5})
+	}
 	if status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobCancelled {
 		t.Errorf("%d %q", status, st.State)
 	}
@@ -260,15 +262,15 @@
 	if status, _ := send(h, http.MethodPost, "/v1/jobs/run-000009/abort", nil); status != 404 {
 		t.Errorf("unknown job: %d", status)
 	}
-	o.finalRecords[world.FinalKey("run-000002")] = world.FinalRecord{Status: wire.JobDone}
+	o.finalRecords[clusterstate.FinalKey("run-000002")] = clusterstate.FinalRecord{Status: wire.JobDone}
 	if status, st := send(h, http.MethodPost, "/v1/jobs/run-000002/abort", nil); status != 200 || st.State != wire.JobDone {
 		t.Errorf("done job: %d %q", status, st.State)
 	}
-	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec()})
+	o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec()})
 	if status, st := send(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil); status != 200 || st.State != wire.JobCancelled || len(o.committed) != 1 {
 		t.Errorf("live job: %d %q, %d writes", status, st.State, len(o.committed))
 	}
-	if g := o.committed[0].Conditions; !slices.Contains(g, wire.Condition{Key: world.JobKey("run-000001"), ModRevision: 7}) {
+	if g := o.committed[0].Conditions; !slices.Contains(g, wire.Condition{Key: clusterstate.JobKey("run-000001"), ModRevision: 7}) {
 		t.Errorf("guards %+v", g)
 	}
 	o.commitErr = store.ErrOutcomeUnknown
@@ -285,7 +287,7 @@
 }
 
 func cancellationIsConfirmedAfterRelease(t *testing.T) {
-	bound := []world.Task{{State: world.TaskBound, Attempt: 1, Machine: "vm-000001", Session: 1}}
+	bound := []clusterstate.Task{{State: clusterstate.TaskBound, Attempt: 1, Machine: "vm-000001", Session: 1}}
 	abort := func(h http.Handler) (int, wire.JobStatus) {
 		return send(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil)
 	}
@@ -297,10 +299,10 @@
 		return st.State
 	}
 	o, h := newTestServer(true)
-	o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: tuning.LevelCertain})
-	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec(), Tasks: bound})
+	o.put(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: tuning.LevelCertain})
+	o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), Tasks: bound})
 	o.onCommit = func(store.Transaction) {
-		o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec(), Tasks: bound, CancelledAtMs: 5, CancelAfterRelease: true})
+		o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), Tasks: bound, CancelledAtMs: 5, CancelAfterRelease: true})
 	}
 	if status, _ := abort(h); status != 503 || len(o.committed) != 1 {
 		t.Errorf("a task is on a machine: %d, %d writes", status, len(o.committed))
@@ -311,7 +313,7 @@
 	if status, _ := abort(h); status != 503 || len(o.committed) != 1 {
 		t.Errorf("asked again: %d, %d writes", status, len(o.committed))
 	}
-	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true})
+	o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true})
 	if o.revision = 6; poll(h) == wire.JobCancelled {
 		t.Error("told though the view may lack a binding")
 	}
@@ -321,10 +323,10 @@
 	}
 	// The exit is seen while the request waits.
 	o, h = newTestServer(true)
-	o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: tuning.LevelCertain})
-	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec(), Tasks: bound})
+	o.put(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: tuning.LevelCertain})
+	o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), Tasks: bound})
 	o.onCommit = func(store.Transaction) {
-		o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true})
+		o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true})
 	}
 	if status, st := abort(h); status != 200 || st.State != wire.JobCancelled {
 		t.Errorf("left while it waits: %d %q", status, st.State)
@@ -339,28 +341,28 @@
 	const tasks = tuning.ChunkTasks + 2
 	s := testSpec()
 	s.TaskCount = tasks
-	first := make([]world.Task, tuning.ChunkTasks)
+	first := make([]clusterstate.Task, tuning.ChunkTasks)
 	for i := range first {
-		first[i] = world.Task{Index: i, State: world.TaskDone, Attempt: 1}
+		first[i] = clusterstate.Task{Index: i, State: clusterstate.TaskDone, Attempt: 1}
 	}
-	last := func(state int) world.FixedChunkRecord {
-		return world.FixedChunkRecord{Tasks: []world.Task{{Index: tasks - 2, State: world.TaskDone, Attempt: 1}, {Index: tasks - 1, State: state, Attempt: 1, Machine: "vm-000001", Session: 1}}}
+	last := func(state int) clusterstate.FixedChunkRecord {
+		return clusterstate.FixedChunkRecord{Tasks: []clusterstate.Task{{Index: tasks - 2, State: clusterstate.TaskDone, Attempt: 1}, {Index: tasks - 1, State: state, Attempt: 1, Machine: "vm-000001", Session: 1}}}
 	}
-	live, marked := world.JobRecord{Spec: s, Tasks: first}, world.JobRecord{Spec: s, Tasks: first, CancelledAtMs: 5, CancelAfterRelease: true}
+	live, marked := clusterstate.JobRecord{Spec: s, Tasks: first}, clusterstate.JobRecord{Spec: s, Tasks: first, CancelledAtMs: 5, CancelAfterRelease: true}
 	ended := func(o *fakeBackend) {
-		o.put(world.FixedChunkKey(s.ID, 1), last(world.TaskDone))
-		o.put(world.JobKey(s.ID), marked)
+		o.put(clusterstate.FixedChunkKey(s.ID, 1), last(clusterstate.TaskDone))
+		o.put(clusterstate.JobKey(s.ID), marked)
 	}
 	for name, set := range map[string]func(*fakeBackend){
 		"before it is marked":    ended,
 		"while it is":            func(o *fakeBackend) { o.onCommit = func(store.Transaction) { ended(o) } },
-		"complete, not yet over": func(o *fakeBackend) { o.put(world.FixedChunkKey(s.ID, 1), last(world.TaskDone)) },
+		"complete, not yet over": func(o *fakeBackend) { o.put(clusterstate.FixedChunkKey(s.ID, 1), last(clusterstate.TaskDone)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			o, h := newTestServer(true)
-			o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: tuning.LevelCertain})
-			o.put(world.JobKey(s.ID), live)
-			o.put(world.FixedChunkKey(s.ID, 1), last(world.TaskBound))
+			o.put(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: tuning.LevelCertain})
+			o.put(clusterstate.JobKey(s.ID), live)
+			o.put(clusterstate.FixedChunkKey(s.ID, 1), last(clusterstate.TaskBound))
 			set(o)
 			for _, q := range [][2]string{{http.MethodPost, "/abort"}, {http.MethodGet, ""}, {http.MethodPost, "/abort"}} {
 				if status, st := send(h, q[0], "/v1/jobs/"+s.ID+q[1], nil); status != 200 || st.State != wire.JobDone {
@@ -382,31 +384,31 @@
 // guards such a cancellation. What was told before stays told; of what can't be told from
 // the late change of a process that is gone neither is said.
 func TestCancellationWithOlderVersions(t *testing.T) {
-	bound := []world.Task{{State: world.TaskBound, Attempt: 1, Machine: "vm-000001", Session: 1}}
-	old := world.JobRecord{Spec: testSpec(), Tasks: bound, CancelledAtMs: 5}
+	bound := []clusterstate.Task{{State: clusterstate.TaskBound, Attempt: 1, Machine: "vm-000001", Session: 1}}
+	old := clusterstate.JobRecord{Spec: testSpec(), Tasks: bound, CancelledAtMs: 5}
 	poll := func(h http.Handler) (int, string) {
 		status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil)
 		return status, st.State
 	}
 	o, h := newTestServer(true)
-	o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec(), Tasks: bound})
+	o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), Tasks: bound})
 	status, st := send(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil)
 	if status != 200 || st.State != wire.JobCancelled {
 		t.Fatalf("not all nodes tell late: %d %q", status, st.State)
 	}
-	if g := o.committed[0].Conditions; !slices.Contains(g, wire.Condition{Key: world.SchemaVersionKey}) {
+	if g := o.committed[0].Conditions; !slices.Contains(g, wire.Condition{Key: clusterstate.SchemaVersionKey}) {
 		t.Errorf("the level does not guard it: %+v", g)
 	}
-	o.put(world.JobKey("run-000001"), old)
+	o.put(clusterstate.JobKey("run-000001"), old)
 	if status, st := poll(h); status != 200 || st != wire.JobCancelled {
 		t.Errorf("told by another node: %d %q", status, st)
 	}
-	o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: tuning.LevelCertain}) // at the same stamp: after it
+	o.put(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: tuning.LevelCertain}) // at the same stamp: after it
 	if status, st := poll(h); status != 200 || st != wire.JobCancelled {
 		t.Errorf("told before the level: %d %q", status, st)
 	}
 	o.state.BeginUpdate()
-	o.state.Put(world.JobKey("run-000001"), wire.MustEncode(old), 8)
+	o.state.Put(clusterstate.JobKey("run-000001"), wire.MustEncode(old), 8)
 	o.state.EndUpdate()
 	if status, st := poll(h); status != 503 {
 		t.Errorf("written after the level without its mark: %d %q", status, st)
@@ -426,7 +428,7 @@
 		return func(o *fakeBackend) {
 			s := testSpec()
 			s.ID, s.Kind = "run-000002", kind
-			o.put(world.JobKey(s.ID), world.JobRecord{Spec: s, SubmittedAtMs: 1})
+			o.put(clusterstate.JobKey(s.ID), clusterstate.JobRecord{Spec: s, SubmittedAtMs: 1})
 		}
 	}
 	for name, c := range map[string]struct {
@@ -440,10 +442,10 @@
 		"live":                   {body("run-000002"), 1, live(wire.KindArray), 201},
 		"live after the barrier": {body("run-000002"), 1, func(o *fakeBackend) { o.onBarrier = func() { live(wire.KindGang)(o) } }, 201},
 		"over": {body("run-000002"), 1, func(o *fakeBackend) {
-			o.finalRecords[world.FinalKey("run-000002")] = world.FinalRecord{Status: wire.JobDone}
+			o.finalRecords[clusterstate.FinalKey("run-000002")] = clusterstate.FinalRecord{Status: wire.JobDone}
 		}, 201},
 		"over by cancellation": {body("run-000002"), 1, func(o *fakeBackend) {
-			o.finalRecords[world.FinalKey("run-000002")] = world.FinalRecord{Status: wire.JobCancelled}
+			o.finalRecords[clusterstate.FinalKey("run-000002")] = clusterstate.FinalRecord{Status: wire.JobCancelled}
 		}, 201},
 		"never accepted":     {body("run-000002"), 1, nil, 422},
 		"one never accepted": {body("run-000002", "run-000003"), 1, live(wire.KindArray), 422},
@@ -461,7 +463,7 @@
 		// The id is taken by a job that awaits nothing: this is not its repetition.
 		"another's id": {body("run-000002"), 1, func(o *fakeBackend) {
 			live(wire.KindArray)(o)
-			o.put(world.JobKey("run-000001"), world.JobRecord{Spec: testSpec(), SubmittedAtMs: 1})
+			o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), SubmittedAtMs: 1})
 		}, 422},
 		"repeated, other order": {body("run-000003", "run-000002"), 1, func(o *fakeBackend) {
 			s := testSpec()
@@ -469,13 +471,13 @@
 			live(wire.KindArray)(o)
 			s2 := testSpec()
 			s2.ID = "run-000003"
-			o.put(world.JobKey(s2.ID), world.JobRecord{Spec: s2, SubmittedAtMs: 1})
-			o.put(world.JobKey(s.ID), world.JobRecord{Spec: s, SubmittedAtMs: 1})
+			o.put(clusterstate.JobKey(s2.ID), clusterstate.JobRecord{Spec: s2, SubmittedAtMs: 1})
+			o.put(clusterstate.JobKey(s.ID), clusterstate.JobRecord{Spec: s, SubmittedAtMs: 1})
 		}, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o, h := newTestServer(true)
-			o.put(world.SchemaVersionKey, world.SchemaVersionRecord{Version: c.level})
+			o.put(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: c.level})
 			if c.set != nil {
 				c.set(o)
 			}
@@ -493,15 +495,15 @@
 	o, h := newTestServer(true)
 	first, second := testSpec(), testSpec()
 	first.ID, second.Dependencies = "run-000002", []string{"run-000002"}
-	o.put(world.JobKey(second.ID), world.JobRecord{Spec: second, SubmittedAtMs: 1})
+	o.put(clusterstate.JobKey(second.ID), clusterstate.JobRecord{Spec: second, SubmittedAtMs: 1})
 	if status, _ := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 503 {
 		t.Errorf("status %d before it is known what became of the first", status)
 	}
-	o.put(world.JobKey(first.ID), world.JobRecord{Spec: first, SubmittedAtMs: 1})
+	o.put(clusterstate.JobKey(first.ID), clusterstate.JobRecord{Spec: first, SubmittedAtMs: 1})
 	if status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobPending {
 		t.Errorf("status %d, %s while the first is live", status, st.State)
 	}
-	o.put(world.JobKey(first.ID), world.JobRecord{Spec: first, SubmittedAtMs: 1, CancelledAtMs: 2})
+	o.put(clusterstate.JobKey(first.ID), clusterstate.JobRecord{Spec: first, SubmittedAtMs: 1, CancelledAtMs: 2})
 	if status, _ := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 503 {
 		t.Errorf("status %d after the first was cancelled", status)
 	}
--- a/internal/member/ownership.go
+++ b/internal/member/ownership.go
@@ -11,10 +11,10 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // Member is this node's membership.
@@ -27,7 +27,7 @@
 	client       *store.Client
 	committer    *store.Committer
 	cache        *store.WatchCache
-	clusterState *world.State
+	clusterState *clusterstate.State
 	logger       *slog.Logger
 
 	mu            sync.Mutex
@@ -39,7 +39,7 @@
 
 // New makes the membership of node self among nodes, by a process that reads
 // records up to a level.
-func New(self string, incarnation uint64, nodeNames []string, schemaVersion int, c *store.Client, committer *store.Committer, cache *store.WatchCache, w *world.State, log *slog.Logger) *Member {
+func New(self string, incarnation uint64, nodeNames []string, schemaVersion int, c *store.Client, committer *store.Committer, cache *store.WatchCache, w *clusterstate.State, log *slog.Logger) *Member {
 	return &Member{NodeName: self, Incarnation: incarnation, nodeNames: nodeNames, schemaVersion: schemaVersion, client: c, committer: committer, cache: cache, clusterState: w, logger: log,
 		orphanedSince: map[int]time.Time{}, sessionSince: map[string]time.Time{}, fencesRunning: map[int]bool{}, ownedSince: map[int]time.Time{}}
 }
@@ -111,12 +111,12 @@
 // before: a process that ended before it had an answer leaves a registration that may be carried out
 // seconds later, and must not take the place of the one that follows it.
 func (m *Member) register(ctx context.Context, hold uint64) (uint64, error) {
-	key := world.NodeKey(m.NodeName)
+	key := clusterstate.NodeKey(m.NodeName)
 	row, err := m.client.Get(ctx, key)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return 0, err
 	}
-	op := store.PutOp(key, world.NodeRecord{Incarnation: m.Incarnation, SchemaVersion: m.schemaVersion})
+	op := store.PutOp(key, clusterstate.NodeRecord{Incarnation: m.Incarnation, SchemaVersion: m.schemaVersion})
 	op.LeaseID = hold
 	return m.committer.Commit(ctx, store.Transaction{Conditions: []wire.Condition{{Key: key, ModRevision: row.ModRevision}}, Ops: []wire.Op{op}, Urgent: true})
 }
@@ -146,14 +146,14 @@
 
 // homeNode is the node a part belongs to when all are well.
 func (m *Member) homeNode(shard int) string {
-	if shard == world.LeaderShard {
+	if shard == clusterstate.LeaderShard {
 		return m.nodeNames[0]
 	}
 	return m.nodeNames[shard%len(m.nodeNames)]
 }
 
 // ownedBySelf tells whether the record names this process.
-func (m *Member) ownedBySelf(p world.Shard) bool {
+func (m *Member) ownedBySelf(p clusterstate.Shard) bool {
 	return p.Owner == m.NodeName && p.Incarnation == m.Incarnation
 }
 
@@ -194,7 +194,7 @@
 
 type ownershipChange struct {
 	shard         int
-	record        world.ShardRecord
+	record        clusterstate.ShardRecord
 	transaction   store.Transaction
 	previousOwner string
 }
@@ -206,7 +206,7 @@
 	}
 	claims, unmarked := m.ownershipChanges()
 	m.client.SetBudgetShare(m.budgetShare())
-	if unmarked != world.LeaderShard {
+	if unmarked != clusterstate.LeaderShard {
 		m.Fence(ctx, unmarked, true)
 	}
 	for _, c := range claims {
@@ -260,7 +260,7 @@
 			delete(m.sessionSince, n)
 		}
 	}
-	unmarked := world.LeaderShard
+	unmarked := clusterstate.LeaderShard
 	if !live || self.Incarnation != m.Incarnation {
 		return nil, unmarked
 	}
@@ -271,7 +271,7 @@
 		}
 	}
 	for part, p := range m.clusterState.Shards {
-		if part != world.LeaderShard && m.ownedBySelf(p) && nextFencingToken(p.FencingToken, level) > p.FencingToken+1 {
+		if part != clusterstate.LeaderShard && m.ownedBySelf(p) && nextFencingToken(p.FencingToken, level) > p.FencingToken+1 {
 			unmarked = part
 		}
 		if _, ok := m.ownedSince[part]; !m.ownedBySelf(p) {
@@ -281,8 +281,8 @@
 		}
 	}
 	var out []ownershipChange
-	selfGuard := wire.Condition{Key: world.NodeKey(m.NodeName), ModRevision: self.ModRevision}
-	for part := world.LeaderShard; part < m.clusterState.ShardCount; part++ {
+	selfGuard := wire.Condition{Key: clusterstate.NodeKey(m.NodeName), ModRevision: self.ModRevision}
+	for part := clusterstate.LeaderShard; part < m.clusterState.ShardCount; part++ {
 		p, known := m.clusterState.Shards[part]
 		owner, alive := m.clusterState.Nodes[p.Owner]
 		ownerLives := known && alive && owner.Incarnation == p.Incarnation
@@ -312,13 +312,13 @@
 		if now.Sub(since) < wait {
 			continue
 		}
-		rec := world.ShardRecord{Owner: m.NodeName, Incarnation: m.Incarnation, FencingToken: nextFencingToken(p.FencingToken, level)}
-		guards := []wire.Condition{{Key: world.ShardKey(part), ModRevision: p.ModRevision}, selfGuard}
+		rec := clusterstate.ShardRecord{Owner: m.NodeName, Incarnation: m.Incarnation, FencingToken: nextFencingToken(p.FencingToken, level)}
+		guards := []wire.Condition{{Key: clusterstate.ShardKey(part), ModRevision: p.ModRevision}, selfGuard}
 		if p.Owner != m.NodeName && p.Owner != "" {
 			// Absent, or present as another process: either way the owner's session is gone.
-			guards = append(guards, wire.Condition{Key: world.NodeKey(p.Owner), ModRevision: owner.ModRevision})
+			guards = append(guards, wire.Condition{Key: clusterstate.NodeKey(p.Owner), ModRevision: owner.ModRevision})
 		}
-		out = append(out, ownershipChange{part, rec, store.Transaction{Conditions: guards, Ops: []wire.Op{store.PutOp(world.ShardKey(part), rec)}, Urgent: true}, p.Owner})
+		out = append(out, ownershipChange{part, rec, store.Transaction{Conditions: guards, Ops: []wire.Op{store.PutOp(clusterstate.ShardKey(part), rec)}, Urgent: true}, p.Owner})
 		owned++
 	}
 	return out, unmarked
@@ -326,9 +326,9 @@
 
 // handBack returns a part to its home once that node has been back for a while,
 // so that a crash does not leave all parts with one node.
-func (m *Member) handBack(part int, p world.Shard, selfGuard wire.Condition, now time.Time) (ownershipChange, bool) {
+func (m *Member) handBack(part int, p clusterstate.Shard, selfGuard wire.Condition, now time.Time) (ownershipChange, bool) {
 	home, level := m.homeNode(part), m.clusterState.SchemaVersion
-	if part == world.LeaderShard || !m.ownedBySelf(p) || home == m.NodeName || m.isFencing(part) {
+	if part == clusterstate.LeaderShard || !m.ownedBySelf(p) || home == m.NodeName || m.isFencing(part) {
 		return ownershipChange{}, false
 	}
 	h, ok := m.clusterState.Nodes[home]
@@ -339,10 +339,10 @@
 	if !ok || now.Sub(m.sessionSince[home]) < wait || now.Sub(m.ownedSince[part]) < wait {
 		return ownershipChange{}, false
 	}
-	rec := world.ShardRecord{Owner: home, Incarnation: h.Incarnation, FencingToken: nextFencingToken(p.FencingToken, level)}
+	rec := clusterstate.ShardRecord{Owner: home, Incarnation: h.Incarnation, FencingToken: nextFencingToken(p.FencingToken, level)}
 	return ownershipChange{part, rec, store.Transaction{
-		Conditions: []wire.Condition{{Key: world.ShardKey(part), ModRevision: p.ModRevision}, selfGuard, {Key: world.NodeKey(home), ModRevision: h.ModRevision}},
-		Ops:        []wire.Op{store.PutOp(world.ShardKey(part), rec)}, Urgent: true,
+		Conditions: []wire.Condition{{Key: clusterstate.ShardKey(part), ModRevision: p.ModRevision}, selfGuard, {Key: clusterstate.NodeKey(home), ModRevision: h.ModRevision}},
+		Ops:        []wire.Op{store.PutOp(clusterstate.ShardKey(part), rec)}, Urgent: true,
 	}, m.NodeName}, true
 }
 
@@ -388,8 +388,8 @@
 		}
 		tctx, cancel := context.WithTimeout(ctx, 2*tuning.StateTimeout)
 		_, err := m.committer.Commit(tctx, store.Transaction{
-			Conditions: []wire.Condition{{Key: world.ShardKey(shard), ModRevision: p.ModRevision}},
-			Ops:        []wire.Op{store.PutOp(world.ShardKey(shard), rec)}, Urgent: true,
+			Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard), ModRevision: p.ModRevision}},
+			Ops:        []wire.Op{store.PutOp(clusterstate.ShardKey(shard), rec)}, Urgent: true,
 		})
 		if err == nil {
 			err = m.cache.WaitForReadBarrier(tctx)
@@ -419,12 +419,12 @@
 	if !known || !live || !m.ownedBySelf(p) || m.isFencing(shard) {
 		return
 	}
-	rec := world.ShardRecord{Owner: to, Incarnation: n.Incarnation, FencingToken: nextFencingToken(p.FencingToken, level), HandedOff: true}
+	rec := clusterstate.ShardRecord{Owner: to, Incarnation: n.Incarnation, FencingToken: nextFencingToken(p.FencingToken, level), HandedOff: true}
 	ctx, cancel := context.WithTimeout(ctx, 2*tuning.StateTimeout)
 	defer cancel()
 	_, err := m.committer.Commit(ctx, store.Transaction{
-		Conditions: []wire.Condition{{Key: world.ShardKey(shard), ModRevision: p.ModRevision}, {Key: world.NodeKey(to), ModRevision: n.ModRevision}},
-		Ops:        []wire.Op{store.PutOp(world.ShardKey(shard), rec)}, Urgent: true,
+		Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard), ModRevision: p.ModRevision}, {Key: clusterstate.NodeKey(to), ModRevision: n.ModRevision}},
+		Ops:        []wire.Op{store.PutOp(clusterstate.ShardKey(shard), rec)}, Urgent: true,
 	})
 	m.logger.Info("part given away: its workers report elsewhere", "part", shard, "to", to, "err", err)
 }
--- a/internal/member/ownership_test.go
+++ b/internal/member/ownership_test.go
@@ -8,16 +8,16 @@
 
 	"pgregory.net/rapid"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // newTestCluster is one view that several nodes share.
-func newTestCluster(nodes int) (*world.State, []*Member) {
+func newTestCluster(nodes int) (*clusterstate.State, []*Member) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	w := world.New(nodes, log)
+	w := clusterstate.New(nodes, log)
 	var names []string
 	for i := range nodes {
 		names = append(names, fmt.Sprintf("node-%d", i))
@@ -25,7 +25,7 @@
 	var out []*Member
 	for _, n := range names {
 		c := store.NewClient("127.0.0.1:1", store.Limits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxTransactionOps: 8}, nil)
-		cache := store.NewWatchCache(c, world.LivePrefix, w, log)
+		cache := store.NewWatchCache(c, clusterstate.LivePrefix, w, log)
 		out = append(out, New(n, 1, names, tuning.Level, c, store.NewCommitter(c, func([]wire.Op, uint64) {}), cache, w, log))
 	}
 	return w, out
@@ -40,11 +40,11 @@
 		w, members := newTestCluster(n)
 		live := rapid.IntRange(1, n).Draw(t, "live")
 		for i := range live {
-			w.Nodes[members[i].NodeName] = world.Node{NodeRecord: world.NodeRecord{Incarnation: 1}}
+			w.Nodes[members[i].NodeName] = clusterstate.Node{NodeRecord: clusterstate.NodeRecord{Incarnation: 1}}
 		}
-		for p := world.LeaderShard; p < n; p++ {
+		for p := clusterstate.LeaderShard; p < n; p++ {
 			if o := rapid.IntRange(-1, live-1).Draw(t, "owner"); o >= 0 || live == 1 {
-				w.Shards[p] = world.Shard{ShardRecord: world.ShardRecord{Owner: members[max(o, 0)].NodeName, Incarnation: 1, FencingToken: 1}}
+				w.Shards[p] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: members[max(o, 0)].NodeName, Incarnation: 1, FencingToken: 1}}
 			}
 		}
 		sum := 0.0
@@ -76,13 +76,13 @@
 	})
 	w, members := newTestCluster(3)
 	m := members[1]
-	w.Nodes[m.NodeName] = world.Node{NodeRecord: world.NodeRecord{Incarnation: 1}, ModRevision: 5}
-	for p := world.LeaderShard; p < 3; p++ {
-		w.Shards[p] = world.Shard{ShardRecord: world.ShardRecord{Owner: m.NodeName, Incarnation: 1, FencingToken: tuning.CertainToken + 4}, ModRevision: 3}
+	w.Nodes[m.NodeName] = clusterstate.Node{NodeRecord: clusterstate.NodeRecord{Incarnation: 1}, ModRevision: 5}
+	for p := clusterstate.LeaderShard; p < 3; p++ {
+		w.Shards[p] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: m.NodeName, Incarnation: 1, FencingToken: tuning.CertainToken + 4}, ModRevision: 3}
 	}
-	w.Shards[2] = world.Shard{ShardRecord: world.ShardRecord{Owner: m.NodeName, Incarnation: 1, FencingToken: 4}, ModRevision: 3}
-	w.Shards[world.LeaderShard] = world.Shard{ShardRecord: world.ShardRecord{Owner: m.NodeName, Incarnation: 1, FencingToken: 4}, ModRevision: 3}
-	for level, want := range map[int]int{0: world.LeaderShard, tuning.LevelCertain: 2} {
+	w.Shards[2] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: m.NodeName, Incarnation: 1, FencingToken: 4}, ModRevision: 3}
+	w.Shards[clusterstate.LeaderShard] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: m.NodeName, Incarnation: 1, FencingToken: 4}, ModRevision: 3}
+	for level, want := range map[int]int{0: clusterstate.LeaderShard, tuning.LevelCertain: 2} {
 		w.SchemaVersion = level
 		if _, part := m.ownershipChanges(); part != want {
 			t.Errorf("level %d: part %d is raised, want %d", level, part, want)
@@ -95,9 +95,9 @@
 func TestShardHasOneOwner(t *testing.T) {
 	w, members := newTestCluster(3)
 	for _, m := range members {
-		w.Nodes[m.NodeName] = world.Node{NodeRecord: world.NodeRecord{Incarnation: 1}, ModRevision: 5}
+		w.Nodes[m.NodeName] = clusterstate.Node{NodeRecord: clusterstate.NodeRecord{Incarnation: 1}, ModRevision: 5}
 	}
-	w.Shards[0] = world.Shard{ShardRecord: world.ShardRecord{Owner: members[0].NodeName, Incarnation: 9, FencingToken: 4}, ModRevision: 3}
+	w.Shards[0] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: members[0].NodeName, Incarnation: 9, FencingToken: 4}, ModRevision: 3}
 	claimed := 0
 	for _, m := range members {
 		for _, c := range changesOnly(m.ownershipChanges()) {
@@ -108,7 +108,7 @@
 			if m != members[0] {
 				t.Errorf("%s takes a part whose home is back at once", m.NodeName)
 			}
-			if c.record.FencingToken != 5 || c.transaction.Conditions[0] != (wire.Condition{Key: world.ShardKey(0), ModRevision: 3}) {
+			if c.record.FencingToken != 5 || c.transaction.Conditions[0] != (wire.Condition{Key: clusterstate.ShardKey(0), ModRevision: 3}) {
 				t.Errorf("claim %+v with guards %v", c.record, c.transaction.Conditions)
 			}
 		}
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -9,6 +9,7 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/fleet"
 	"sableusher/internal/intake"
@@ -22,7 +23,6 @@
 	"sableusher/internal/tuning"
 	"sableusher/internal/upgrade"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // Controller is a controller.
@@ -53,8 +53,8 @@
 	}, transport)
 	upcoming := settings.NextState()
 	client.SetUpcomingLimits(store.Limits{RequestsPerSecond: upcoming.RPS, WritesPerSecond: upcoming.WriteRPS, MaxValueKiB: upcoming.ValueKB, MaxTransactionOps: upcoming.TxnOps})
-	state := world.New(deployment.Size, logger)
-	cache := store.NewWatchCache(client, world.LivePrefix, state, logger)
+	state := clusterstate.New(deployment.Size, logger)
+	cache := store.NewWatchCache(client, clusterstate.LivePrefix, state, logger)
 	committer := store.NewCommitter(client, func(ops []wire.Op, rev uint64) { cache.ApplyOwn(ops, rev) })
 	committer.SetObserver(cache)
 	members := member.New(settings.Node, incarnation, settings.Nodes(), schemaVersion, client, committer, cache, state, logger)
--- a/internal/pipeline/resolver.go
+++ b/internal/pipeline/resolver.go
@@ -10,21 +10,21 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
-	"sableusher/internal/world"
 )
 
 // Resolver reads the final records of awaited jobs into the view.
 type Resolver struct {
-	clusterState *world.State
+	clusterState *clusterstate.State
 	reader       store.Reader
 	logger       *slog.Logger
 	failedAt     map[string]time.Time // when a record was last not there, or not to be read
 }
 
 // NewResolver makes a resolver.
-func NewResolver(state *world.State, reader store.Reader, logger *slog.Logger) *Resolver {
+func NewResolver(state *clusterstate.State, reader store.Reader, logger *slog.Logger) *Resolver {
 	return &Resolver{clusterState: state, reader: reader, logger: logger, failedAt: map[string]time.Time{}}
 }
 
@@ -52,7 +52,7 @@
 		}
 	}
 	type answer struct {
-		rec world.FinalRecord
+		rec clusterstate.FinalRecord
 		ok  bool
 	}
 	var ids []string
@@ -66,7 +66,7 @@
 	g.SetLimit(tuning.OutcomeLanes)
 	for i, id := range ids {
 		g.Go(func() error {
-			rec, err := store.ReadRecord[world.FinalRecord](ctx, r.reader, world.FinalKey(id))
+			rec, err := store.ReadRecord[clusterstate.FinalRecord](ctx, r.reader, clusterstate.FinalKey(id))
 			// Not there: this view is older than the job, or the job is live again in it
 			// soon. It proves nothing either way.
 			if answers[i] = (answer{rec, err == nil}); err != nil && !errors.Is(err, store.ErrNotFound) {
--- a/internal/pipeline/resolver_test.go
+++ b/internal/pipeline/resolver_test.go
@@ -9,10 +9,10 @@
 	"testing/synctest"
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // fakeReader answers with what it holds, or with an error while it is away.
@@ -50,10 +50,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		w := world.New(3, log)
+		w := clusterstate.New(3, log)
 		put := func(id string, awaits ...string) {
 			w.BeginUpdate()
-			w.Put(world.JobKey(id), wire.MustEncode(world.JobRecord{Spec: wire.JobSpec{ID: id, Team: "t", TaskCount: 1, Dependencies: awaits}, SubmittedAtMs: 1}), 1)
+			w.Put(clusterstate.JobKey(id), wire.MustEncode(clusterstate.JobRecord{Spec: wire.JobSpec{ID: id, Team: "t", TaskCount: 1, Dependencies: awaits}, SubmittedAtMs: 1}), 1)
 			w.EndUpdate()
 		}
 		rec := &fakeReader{values: map[string]any{}}
@@ -72,7 +72,7 @@
 		if !waits() {
 			t.Error("released while records can't be read")
 		}
-		rec.set(func() { rec.unavailable, rec.values[world.FinalKey("run-1")] = false, "damaged" })
+		rec.set(func() { rec.unavailable, rec.values[clusterstate.FinalKey("run-1")] = false, "damaged" })
 		if !waits() {
 			t.Error("released by a damaged record")
 		}
@@ -80,7 +80,7 @@
 			if most := 3*3 + 4; rec.reads > most || rec.reads < 3 {
 				t.Errorf("asked %d times", rec.reads)
 			}
-			rec.values[world.FinalKey("run-1")] = world.FinalRecord{Status: wire.JobDone, TaskCount: 1, DoneCount: 1, EndedAtMs: 77}
+			rec.values[clusterstate.FinalKey("run-1")] = clusterstate.FinalRecord{Status: wire.JobDone, TaskCount: 1, DoneCount: 1, EndedAtMs: 77}
 		})
 		if waits() {
 			t.Error("still waits for a job that is done")
--- a/internal/place/cycle.go
+++ b/internal/place/cycle.go
@@ -8,12 +8,12 @@
 	"slices"
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/fit"
 	"sableusher/internal/order"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // UnplacedGroup is a number of like tasks that found no room.
@@ -34,13 +34,13 @@
 	ComputedAt    time.Time
 	// CommonTask is what a task of the work that asks for most cores takes, if some of it found no room:
 	// small machines, of no use to it, then keep small tasks off those that are.
-	CommonTask world.Resources
+	CommonTask clusterstate.Resources
 }
 
 // queuedJob is a job in the order of placement.
 type queuedJob struct {
 	fit.Request
-	job             *world.Job
+	job             *clusterstate.Job
 	rank            int
 	withinGuarantee bool // within its team's guarantee
 	nearDeadline    bool // its deadline can still be met, but not for long
@@ -58,7 +58,7 @@
 // large job that is late would keep out the team's later ones until they are late as well.
 func (c *cycle) updateGuarantees() {
 	c.guaranteesAt, c.withinGuarantee, c.runningWithinGuarantee = c.now, map[string]bool{}, map[string]bool{}
-	teams := map[string][]*world.Job{}
+	teams := map[string][]*clusterstate.Job{}
 	for _, job := range c.cluster.Jobs {
 		if _, ok := c.quota.Guarantee(job.Spec.Team); ok && job.CanStart() {
 			teams[job.Spec.Team] = append(teams[job.Spec.Team], job)
@@ -67,12 +67,12 @@
 	given := c.guaranteedOnArrival
 	c.guaranteedOnArrival = make(map[string]bool, len(given))
 	for team, jobs := range teams {
-		slices.SortFunc(jobs, func(a, b *world.Job) int {
+		slices.SortFunc(jobs, func(a, b *clusterstate.Job) int {
 			return cmp.Or(cmp.Compare(a.ReadySinceMs(), b.ReadySinceMs()), cmp.Compare(a.Spec.ID, b.Spec.ID))
 		})
 		limit, _ := c.quota.Guarantee(team)
-		reserve := func(reserved *world.Resources, job *world.Job, tasks int) bool {
-			total := reserved.AddTimes(world.TaskResources(&job.Spec), float64(tasks))
+		reserve := func(reserved *clusterstate.Resources, job *clusterstate.Job, tasks int) bool {
+			total := reserved.AddTimes(clusterstate.TaskResources(&job.Spec), float64(tasks))
 			total.MemoryGB = 0
 			if !total.FitsIn(limit) {
 				return false
@@ -80,9 +80,9 @@
 			*reserved = total
 			return true
 		}
-		var earlierReserved, reserved world.Resources
+		var earlierReserved, reserved clusterstate.Resources
 		exhausted := false
-		var others []*world.Job
+		var others []*clusterstate.Job
 		for _, job := range jobs {
 			id, unfinished := job.Spec.ID, job.Spec.TaskCount-job.DoneCount
 			exhausted = exhausted || !reserve(&earlierReserved, job, unfinished)
@@ -99,7 +99,7 @@
 			}
 			c.runningWithinGuarantee[job.Spec.ID] = job.BoundCount > 0
 		}
-		slices.SortStableFunc(others, func(a, b *world.Job) int { return cmp.Compare(c.guaranteeOrder(a), c.guaranteeOrder(b)) })
+		slices.SortStableFunc(others, func(a, b *clusterstate.Job) int { return cmp.Compare(c.guaranteeOrder(a), c.guaranteeOrder(b)) })
 		for _, job := range others {
 			if !reserve(&reserved, job, job.PendingCount()) {
 				break
@@ -110,7 +110,7 @@
 }
 
 // guaranteeOrder orders the waiting jobs of a team within what its guarantee has left.
-func (c *cycle) guaranteeOrder(job *world.Job) int {
+func (c *cycle) guaranteeOrder(job *clusterstate.Job) int {
 	if c.missesObjectives(job) {
 		return math.MaxInt
 	}
@@ -131,7 +131,7 @@
 		if rebuild {
 			c.lastFullReorder = c.now
 		}
-		c.waitingJobs.Each(func(key order.Key, job *world.Job) bool {
+		c.waitingJobs.Each(func(key order.Key, job *clusterstate.Job) bool {
 			if rebuild || key.WithinGuarantee != c.withinGuarantee[key.JobID] || key.Underserved != c.hasUnderservedTurn(job) || key.MissesObjectives != c.missesObjectives(job) || key.SizeClass != c.sizeClass(job) || c.now.After(c.nextReorder[key.JobID]) {
 				changed[key.JobID] = struct{}{}
 			}
@@ -142,9 +142,9 @@
 		c.updateQueueEntry(id)
 	}
 	queue := c.queueBuffer[:0]
-	c.waitingJobs.Each(func(key order.Key, job *world.Job) bool {
+	c.waitingJobs.Each(func(key order.Key, job *clusterstate.Job) bool {
 		if backoff, ok := c.jobBackoffs[key.JobID]; !ok || !c.now.Before(backoff.until) {
-			queue = append(queue, queuedJob{Request: fit.Request{Spec: &job.Spec, Need: world.TaskResources(&job.Spec), StartWithinS: c.startObjectiveS(&job.Spec)}, job: job, withinGuarantee: key.WithinGuarantee, rank: key.PriorityRank, nearDeadline: key.NearDeadline, key: key, homeShard: -1})
+			queue = append(queue, queuedJob{Request: fit.Request{Spec: &job.Spec, Need: clusterstate.TaskResources(&job.Spec), StartWithinS: c.startObjectiveS(&job.Spec)}, job: job, withinGuarantee: key.WithinGuarantee, rank: key.PriorityRank, nearDeadline: key.NearDeadline, key: key, homeShard: -1})
 		}
 		return true
 	})
@@ -183,7 +183,7 @@
 // holdsStartRight tells whether the right to start a job is with this cell as it is now: a guest that was taken
 // under an earlier epoch may have been released since, in writes that are lost; and a cell
 // that lost writes starts nothing before it knows what the others hold of its own.
-func (c *cycle) holdsStartRight(job *world.Job) bool {
+func (c *cycle) holdsStartRight(job *clusterstate.Job) bool {
 	if job.OffloadedFrom != nil {
 		return c.operator.CellEpoch > 0 && job.OffloadedFrom.Epoch == c.operator.CellEpoch
 	}
@@ -201,9 +201,9 @@
 // updateNeedPerGPU finds what work on GPUs takes of the rest of a machine for each: the
 // most that a gang or a service takes, and what arrays take on average.
 func (c *cycle) updateNeedPerGPU() {
-	var most, arrays world.Resources
+	var most, arrays clusterstate.Resources
 	for _, job := range c.cluster.Jobs {
-		need := world.TaskResources(&job.Spec)
+		need := clusterstate.TaskResources(&job.Spec)
 		switch {
 		case !job.HasRecord || job.Cancelled() || need.GPUs == 0:
 		case job.Spec.Kind == wire.KindArray:
@@ -223,18 +223,18 @@
 // is over, as the next is likely to be alike.
 func (c *cycle) updateCommonTask() {
 	type class struct {
-		need       world.Resources
+		need       clusterstate.Resources
 		cumulative float64 // cores of all its tasks
 	}
 	var sizes []class
 	total := 0.0
 	for _, job := range c.cluster.Jobs {
-		if need := world.TaskResources(&job.Spec); job.CanStart() && need.GPUs == 0 {
+		if need := clusterstate.TaskResources(&job.Spec); job.CanStart() && need.GPUs == 0 {
 			size := class{need, need.CPUs * float64(job.Spec.TaskCount-job.DoneCount)}
 			sizes = append(sizes, size)
 			total += size.cumulative
 		} else if job.CanStart() {
-			c.commonNeed, c.commonNeedAt = world.Resources{}, c.now // GPUs are what is scarce here
+			c.commonNeed, c.commonNeedAt = clusterstate.Resources{}, c.now // GPUs are what is scarce here
 			return
 		}
 	}
@@ -269,13 +269,13 @@
 }
 
 // predictedRunTime is how long a task of a job is expected to run.
-func (c *cycle) predictedRunTime(job *world.Job) time.Duration {
+func (c *cycle) predictedRunTime(job *clusterstate.Job) time.Duration {
 	return config.Seconds(c.learning.runTimes.RunS(job.Spec.Class, job.Spec.RuntimeEstimateSeconds))
 }
 
 // deadlineObjectives are a job's own deadline and the multiples of it that its class's aims
 // name, counted from its submission, the earliest first; none without a deadline.
-func (c *cycle) deadlineObjectives(job *world.Job) []time.Time {
+func (c *cycle) deadlineObjectives(job *clusterstate.Job) []time.Time {
 	if job.Spec.DeadlineSeconds <= 0 {
 		return nil
 	}
@@ -305,7 +305,7 @@
 
 // objectiveTimes are the times by which a job should be over by what its user, its class's aims and
 // the jobs that need it say, the earliest first; none if nobody says any.
-func (c *cycle) objectiveTimes(job *world.Job) []time.Time {
+func (c *cycle) objectiveTimes(job *clusterstate.Job) []time.Time {
 	// A deadline counts from the submission, all else from when the job could start.
 	startable, runTime, objectives := job.ReadySince(), c.predictedRunTime(job), c.deadlineObjectives(job)
 	for _, objective := range c.settings.Deployment.Objectives {
@@ -328,7 +328,7 @@
 // effectiveDeadline is when a job should be over: the next of its aims that can still be met, with
 // the room there is if that was looked at, else the last. It is pressing when little slack is
 // left. turn is until when that holds, if nothing but time moves.
-func (c *cycle) effectiveDeadline(job *world.Job) (deadline time.Time, nearDeadline bool, validUntil time.Time) {
+func (c *cycle) effectiveDeadline(job *clusterstate.Job) (deadline time.Time, nearDeadline bool, validUntil time.Time) {
 	runTime, objectives, never := c.predictedRunTime(job), c.objectiveTimes(job), c.now.Add(tuning.NoDeadline)
 	if len(objectives) == 0 {
 		return job.ReadySince().Add(tuning.NoDeadline), false, never
@@ -349,7 +349,7 @@
 	}
 }
 
-func (c *cycle) zoneConstraint(job *world.Job, record int) fit.ZoneConstraint {
+func (c *cycle) zoneConstraint(job *clusterstate.Job, record int) fit.ZoneConstraint {
 	zones := fit.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: math.MaxInt}
 	if job.Spec.Spread {
 		lo, hi := job.TaskRange(record)
@@ -360,7 +360,7 @@
 	}
 	for i := range job.Spec.TaskCount {
 		task := c.taskState(job, i)
-		if task.State != world.TaskBound {
+		if task.State != clusterstate.TaskBound {
 			continue
 		}
 		machine := c.cluster.Machines[task.Machine]
@@ -389,10 +389,10 @@
 	} else {
 		c.storeSaturated = true
 	}
-	_, _, isLeader := c.membership.Owns(world.LeaderShard)
+	_, _, isLeader := c.membership.Owns(clusterstate.LeaderShard)
 	c.collectsDemand = isLeader && c.now.Sub(c.demand.ComputedAt) >= tuning.DemandEvery
 	queue := c.buildQueue(inventory.HasFreeCapacity())
-	inventory.FilterFeasible(func(yield func(world.Resources) bool) {
+	inventory.FilterFeasible(func(yield func(clusterstate.Resources) bool) {
 		for i := range queue {
 			if !yield(queue[i].Need) {
 				return
@@ -402,7 +402,7 @@
 	demand := UnmetDemand{ComputedAt: c.now}
 	if len(queue) > 0 {
 		inventory.GroupPending()
-		usage := map[string]world.Resources{}
+		usage := map[string]clusterstate.Resources{}
 		for shard := range c.cluster.ShardCount {
 			for team, amount := range c.cluster.UsageByShard[shard] {
 				usage[team] = usage[team].AddTimes(amount, 1)
@@ -456,7 +456,7 @@
 }
 
 // countPlaceable finds how many tasks of a job wait that its team's limit allows.
-func (c *cycle) countPlaceable(queued *queuedJob, usage map[string]world.Resources) bool {
+func (c *cycle) countPlaceable(queued *queuedJob, usage map[string]clusterstate.Resources) bool {
 	job, spec := queued.job, &queued.job.Spec
 	paused := 0
 	for i := range job.PendingRetries {
@@ -489,7 +489,7 @@
 }
 
 // inRetryBackoff tells whether a task that failed is not to be repeated yet.
-func (c *cycle) inRetryBackoff(job *world.Job, i int) bool {
+func (c *cycle) inRetryBackoff(job *clusterstate.Job, i int) bool {
 	failing, ok := job.PendingRetries[i]
 	return ok && c.now.Sub(failing.SeenAt) < c.retryRules.Backoff(job.Spec.Class, failing.Failures)
 }
@@ -556,7 +556,7 @@
 	}
 	preferred := fit.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: (spec.TaskCount + 1) / 2}
 	for i := range spec.TaskCount {
-		if task := c.taskState(job, i); task.State == world.TaskBound && c.cluster.Machines[task.Machine] != nil {
+		if task := c.taskState(job, i); task.State == clusterstate.TaskBound && c.cluster.Machines[task.Machine] != nil {
 			preferred.TasksByZone[c.cluster.Machines[task.Machine].Zone]++
 		}
 	}
@@ -578,7 +578,7 @@
 
 // recordToPlace is the record of a job whose tasks are placed in this round: where the
 // tasks of each record must be spread, the first in which one waits.
-func (c *cycle) recordToPlace(job *world.Job) int {
+func (c *cycle) recordToPlace(job *clusterstate.Job) int {
 	if !job.Spec.Spread {
 		return 0
 	}
@@ -680,8 +680,8 @@
 }
 
 // firstLiveShard is the first part in a job's own order whose owner lives.
-func (c *cycle) firstLiveShard(job *world.Job) int {
-	home := world.ShardOf(job.Spec.ID, c.cluster.ShardCount)
+func (c *cycle) firstLiveShard(job *clusterstate.Job) int {
+	home := clusterstate.ShardOf(job.Spec.ID, c.cluster.ShardCount)
 	for i := range c.cluster.ShardCount {
 		if shard := (home + i) % c.cluster.ShardCount; c.liveShards[shard] {
 			return shard
@@ -736,7 +736,7 @@
 			continue
 		}
 		task := c.taskState(job, i)
-		if task.State != world.TaskPending || c.inRetryBackoff(job, i) {
+		if task.State != clusterstate.TaskPending || c.inRetryBackoff(job, i) {
 			continue
 		}
 		if c.recordFull(job, record, 1, picks[0].Machine.Name) {
@@ -783,8 +783,8 @@
 	if candidate.Owned {
 		session = c.agents.MachineStatus(candidate.Machine.Name, c.fencingTokens[candidate.Machine.Shard]).Session
 	}
-	ref := world.TaskRef{Job: job.Spec.ID, Index: index}
-	task := world.Task{Index: index, State: world.TaskBound, Attempt: attempt, Machine: candidate.Machine.Name, Session: session, Failures: c.taskState(job, index).Failures}
+	ref := clusterstate.TaskRef{Job: job.Spec.ID, Index: index}
+	task := clusterstate.Task{Index: index, State: clusterstate.TaskBound, Attempt: attempt, Machine: candidate.Machine.Name, Session: session, Failures: c.taskState(job, index).Failures}
 	if charged != candidate.Machine.Shard {
 		task.ChargedShard = charged + 1
 	}
@@ -808,7 +808,7 @@
 }
 
 // logWaiting logs now and then why a job waits.
-func (c *cycle) logWaiting(job *world.Job, reason string, candidate *fit.MachineInfo) {
+func (c *cycle) logWaiting(job *clusterstate.Job, reason string, candidate *fit.MachineInfo) {
 	if !c.log.Enabled(c.ctx, slog.LevelDebug) || c.now.Sub(c.lastLoggedReason[job.Spec.ID]) < tuning.WhyEvery {
 		return
 	}
--- a/internal/place/dependents.go
+++ b/internal/place/dependents.go
@@ -4,10 +4,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promauto"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 var jobsCancelledWithDependency = promauto.NewCounter(prometheus.CounterOpts{Name: "sableusher_jobs_fallen_total", Help: "Jobs cancelled with one that they need."})
@@ -20,7 +20,7 @@
 	cancelled := 0
 	for id := range c.cluster.DependencyCancelled() {
 		job := c.cluster.Jobs[id]
-		key := world.JobKey(id)
+		key := clusterstate.JobKey(id)
 		if job == nil || c.keysInFlight[key] || cancelled >= tuning.DoomRound {
 			continue
 		}
--- a/internal/place/engine.go
+++ b/internal/place/engine.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/fit"
 	"sableusher/internal/fleet"
@@ -21,14 +22,13 @@
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // Engine runs the placement rounds of this node's parts.
 type Engine struct {
 	settings   *config.Settings
 	operator   *config.Operator
-	cluster    *world.State
+	cluster    *clusterstate.State
 	membership *member.Member
 	agents     *fleet.Registry
 	committer  *store.Committer
@@ -73,8 +73,8 @@
 	cachedValues           map[string]cachedValue
 	cachedState            *learn.State // what is chosen in, as of a time
 	cachedStateAt          time.Time
-	changeFeed             *world.ChangeFeed
-	waitingJobs            *order.Queue[*world.Job]
+	changeFeed             *clusterstate.ChangeFeed
+	waitingJobs            *order.Queue[*clusterstate.Job]
 	queueBuffer            []queuedJob // of the round before, its memory used again
 	retainedInventory      *fit.Inventory
 	machinesToRefresh      map[string]struct{} // machines whose workers told something that the stock has not taken in
@@ -85,12 +85,12 @@
 	remoteImages           map[string]map[string]bool // the other nodes' machines by image
 	remoteImagesAt         time.Time
 	wakeup                 chan struct{}
-	needPerGPU             world.Resources      // what GPU work takes beside each GPU
-	commonNeed             world.Resources      // what a task of the work that asks for most cores takes
-	commonNeedAt           time.Time            // when it last did
-	rejectedUntil          map[string]time.Time // records that were refused as malformed, until they are tried again
-	jobsToMigrate          map[string]bool      // jobs whose records are to be moved before they are written
-	lastMigration          time.Time            // when records that nothing asked for were last moved
+	needPerGPU             clusterstate.Resources // what GPU work takes beside each GPU
+	commonNeed             clusterstate.Resources // what a task of the work that asks for most cores takes
+	commonNeedAt           time.Time              // when it last did
+	rejectedUntil          map[string]time.Time   // records that were refused as malformed, until they are tried again
+	jobsToMigrate          map[string]bool        // jobs whose records are to be moved before they are written
+	lastMigration          time.Time              // when records that nothing asked for were last moved
 }
 
 // cachedValue is a job's value as of a time.
@@ -112,12 +112,12 @@
 }
 
 type reservation struct {
-	task      world.TaskRef
+	task      clusterstate.TaskRef
 	expiresAt time.Time
 }
 
 // New makes an engine.
-func New(settings *config.Settings, operator *config.Operator, cluster *world.State, members *member.Member, agents *fleet.Registry, committer *store.Committer, reader store.Reader, peers Peers, log *slog.Logger) *Engine {
+func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *member.Member, agents *fleet.Registry, committer *store.Committer, reader store.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: repeats.NewPolicies(operator.Classes), log: log,
 		keysInFlight: map[string]bool{}, inFlightChanges: map[uint64]*recordChange{}, jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
@@ -128,7 +128,7 @@
 			learner:  learn.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
 			runTimes: learn.NewEstimates(), pendingRewards: map[taskAttempt]int64{}, startedAt: map[taskAttempt]time.Time{}, recentResponsiveness: 0.5,
 		},
-		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waitingJobs: order.New[*world.Job](), machinesToRefresh: map[string]struct{}{},
+		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waitingJobs: order.New[*clusterstate.Job](), machinesToRefresh: map[string]struct{}{},
 	}
 }
 
@@ -212,11 +212,11 @@
 
 // pendingBinding is a task on its way to a machine.
 type pendingBinding struct {
-	task         world.TaskRef
+	task         clusterstate.TaskRef
 	machine      string
 	chargedShard int // whose grant it uses
 	team         string
-	need         world.Resources
+	need         clusterstate.Resources
 }
 
 // RunCycle takes in what the workers told and places what can be placed.
@@ -326,7 +326,7 @@
 	defer e.cluster.RUnlock()
 	var urgent, idle []string
 	appendOwned := func(list *[]string, name string) {
-		if _, _, ok := e.membership.Owns(world.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines[name] && len(*list) < tuning.ReturnMax {
+		if _, _, ok := e.membership.Owns(clusterstate.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines[name] && len(*list) < tuning.ReturnMax {
 			*list = append(*list, name)
 		}
 	}
--- a/internal/place/failedmachines.go
+++ b/internal/place/failedmachines.go
@@ -9,12 +9,12 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promauto"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/evacuate"
 	"sableusher/internal/silence"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 	"sableusher/internal/zone"
 )
 
@@ -36,7 +36,7 @@
 	for _, name := range slices.Sorted(maps.Keys(c.cluster.Machines)) {
 		machine := c.cluster.Machines[name]
 		token, owned := c.fencingTokens[machine.Shard]
-		if !owned || machine.Deleting || c.deletedMachines[name] || c.keysInFlight[world.MachineKey(name)] {
+		if !owned || machine.Deleting || c.deletedMachines[name] || c.keysInFlight[clusterstate.MachineKey(name)] {
 			continue
 		}
 		status := c.agents.MachineStatus(name, token)
@@ -48,7 +48,7 @@
 		if machine.Up && status.InboundLost {
 			c.recordMachineDown(machine, "hears nothing")
 		}
-		empty := len(machine.Bindings) == 0 && c.inFlightByMachine[name] == (world.Resources{})
+		empty := len(machine.Bindings) == 0 && c.inFlightByMachine[name] == (clusterstate.Resources{})
 		switch {
 		case !machine.Up && status.LastHeard.IsZero():
 			if c.bootTimedOut(machine) && !c.failureDetector.ZoneUnstable(machine.Zone) {
@@ -100,7 +100,7 @@
 // recordMachineDown records that a machine which reports but hears nothing, or hears but reaches no node, is not up
 // until that is over. Its owner knows; gangs and services are placed by other nodes too, to which it looked
 // like the emptiest machine there is, and what was bound to it waited until its lease had run out, over and over.
-func (c *cycle) recordMachineDown(machine *world.Machine, reason string) {
+func (c *cycle) recordMachineDown(machine *clusterstate.Machine, reason string) {
 	c.log.Info("machine "+reason, "machine", machine.Name, "tasks", len(machine.Bindings))
 	machineRecord := machine.MachineRecord
 	machineRecord.Up = false
@@ -110,7 +110,7 @@
 
 // outboundLostMachine is a mute machine, and when its lease ends.
 type outboundLostMachine struct {
-	*world.Machine
+	*clusterstate.Machine
 	leaseExpiry time.Time
 }
 
@@ -128,7 +128,7 @@
 		if machine.Up {
 			c.recordMachineDown(machine.Machine, "reaches no node")
 		}
-		fraction := float64(world.ShardOf(machine.Name, tuning.MuteSteps)) / tuning.MuteSteps
+		fraction := float64(clusterstate.ShardOf(machine.Name, tuning.MuteSteps)) / tuning.MuteSteps
 		if delay := time.Duration(fraction * float64(leadTime-tuning.LeaseMargin)); c.now.After(machine.leaseExpiry.Add(delay - leadTime)) {
 			c.evacuateMachine(machine.Machine)
 		}
@@ -149,7 +149,7 @@
 
 // bootTimedOut tells whether a machine should have come up long ago. A new owner has heard
 // of none of its machines yet, and the record of one that has long been up may not say so.
-func (c *cycle) bootTimedOut(machine *world.Machine) bool {
+func (c *cycle) bootTimedOut(machine *clusterstate.Machine) bool {
 	machineType := c.cluster.Types[machine.Type]
 	bootLimit := max(time.Duration(tuning.BootStuck*machineType.BootSeconds*float64(time.Second)), tuning.BootStuckMin)
 	reportLimit := tuning.FindNode + time.Duration(tuning.DeadAfter*float64(c.settings.Report()))
@@ -175,7 +175,7 @@
 // ago that only the machine's deletion ends it: a worker that hangs does not end its
 // tasks with its lease. Where cancellations are told at once it must go in time,
 // where they are told when they are certain, before the user gives up asking.
-func (c *cycle) cancellationOverdue(machine *world.Machine) bool {
+func (c *cycle) cancellationOverdue(machine *clusterstate.Machine) bool {
 	for _, binding := range machine.Bindings {
 		limit := c.settings.Cancel()
 		if !binding.Job.CancelAfterRelease {
@@ -211,7 +211,7 @@
 
 // serviceCanMove tells whether a service on a machine in a zone that is cut off could start
 // in another one of so many open zones.
-func (c *cycle) serviceCanMove(machine *world.Machine, reachableZones int) bool {
+func (c *cycle) serviceCanMove(machine *clusterstate.Machine, reachableZones int) bool {
 	if !c.failureDetector.ZoneUnavailable(machine.Zone) {
 		return false
 	}
--- a/internal/place/gang.go
+++ b/internal/place/gang.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/fit"
 	"sableusher/internal/tuning"
-	"sableusher/internal/world"
 )
 
 // placeGang gives a gang room for all its tasks or none. One node does so for
@@ -21,14 +21,14 @@
 	for i := range spec.TaskCount {
 		task := c.taskState(job, i)
 		attempt = max(attempt, task.Attempt)
-		if task.State == world.TaskPending {
+		if task.State == clusterstate.TaskPending {
 			idle = append(idle, i)
 		} else {
 			forming = true
 		}
 	}
 	queued.Remaining = len(idle)
-	if c.keysInFlight[world.JobKey(spec.ID)] || c.needsMigration(job) || forming && slices.ContainsFunc(idle, func(i int) bool { return c.taskState(job, i).Attempt >= attempt }) {
+	if c.keysInFlight[clusterstate.JobKey(spec.ID)] || c.needsMigration(job) || forming && slices.ContainsFunc(idle, func(i int) bool { return c.taskState(job, i).Attempt >= attempt }) {
 		c.logWaiting(job, "its last attempt has not left yet, or a change is on its way", nil)
 		queued.Remaining = 0
 		return
--- a/internal/place/inventory.go
+++ b/internal/place/inventory.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/fit"
 	"sableusher/internal/tuning"
-	"sableusher/internal/world"
 )
 
 // refreshInventory brings the room that is kept from round to round up to date: what changed,
@@ -50,7 +50,7 @@
 }
 
 // readiness is what a machine is good for in this node's rounds.
-func (c *cycle) readiness(machine *world.Machine, owned bool) fit.Readiness {
+func (c *cycle) readiness(machine *clusterstate.Machine, owned bool) fit.Readiness {
 	switch {
 	case c.failureDetector.ZoneUnavailable(machine.Zone):
 		return fit.Unavailable // nothing starts there before the cut is over
@@ -64,13 +64,13 @@
 }
 
 // bootOverdue tells whether a machine should have come up long ago.
-func (c *cycle) bootOverdue(machine *world.Machine) bool {
+func (c *cycle) bootOverdue(machine *clusterstate.Machine) bool {
 	late := time.Duration(tuning.BootLate * c.cluster.Types[machine.Type].BootSeconds * float64(time.Second))
 	return c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > max(late, tuning.BootLateMin)
 }
 
 // likelyBooted tells whether a machine should be up by now.
-func (c *cycle) likelyBooted(machine *world.Machine) bool {
+func (c *cycle) likelyBooted(machine *clusterstate.Machine) bool {
 	boot := tuning.BootLikely * c.cluster.Types[machine.Type].BootSeconds * float64(time.Second)
 	return machine.CreatedAtMs > 0 && c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > time.Duration(boot) && !c.bootOverdue(machine)
 }
--- a/internal/place/learning.go
+++ b/internal/place/learning.go
@@ -8,6 +8,7 @@
 	"slices"
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/fit"
 	"sableusher/internal/fleet"
@@ -15,12 +16,11 @@
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // taskAttempt names one start of a task.
 type taskAttempt struct {
-	task    world.TaskRef
+	task    clusterstate.TaskRef
 	attempt uint64
 }
 
@@ -68,7 +68,7 @@
 
 // recordRunning notes when a task began to run, and pays a service's start once it has
 // run for a while: it never completes.
-func (c *cycle) recordRunning(binding world.Binding, task fleet.TaskObservation) {
+func (c *cycle) recordRunning(binding clusterstate.Binding, task fleet.TaskObservation) {
 	if task.State != wire.TaskRunning {
 		return
 	}
@@ -86,7 +86,7 @@
 // recordEnd pays the start of a task that left its machine. Responsiveness is run
 // time over run time plus all other time since submission; a start that did not
 // lead to the end has none of it.
-func (c *cycle) recordEnd(binding world.Binding, done bool, machine string) {
+func (c *cycle) recordEnd(binding clusterstate.Binding, done bool, machine string) {
 	start := taskAttempt{binding.Ref, binding.Attempt}
 	began, ran := c.learning.startedAt[start]
 	delete(c.learning.startedAt, start)
@@ -100,8 +100,8 @@
 		}
 		if record := c.cluster.Machines[machine]; record != nil {
 			if typ, ok := c.cluster.Types[record.Type]; ok {
-				capacity := world.Capacity(&typ)
-				c.learning.finishedMachineSeconds += run * (1 - fit.FreeFraction(capacity.AddTimes(world.TaskResources(spec), -1), capacity))
+				capacity := clusterstate.Capacity(&typ)
+				c.learning.finishedMachineSeconds += run * (1 - fit.FreeFraction(capacity.AddTimes(clusterstate.TaskResources(spec), -1), capacity))
 			}
 		}
 		if binding.Attempt == 1 { // a later attempt may have resumed saved work
@@ -170,7 +170,7 @@
 // effectiveRank is a job's priority, raised to that of a job that needs it. Production
 // stays for services that users watch: what only leads to something is never
 // above high, so that a long pipeline can't push them aside.
-func (c *cycle) effectiveRank(job *world.Job) int {
+func (c *cycle) effectiveRank(job *clusterstate.Job) int {
 	return min(wire.PriorityRank(job.Spec.Priority), max(c.needsOfDependents(job.Spec.ID).rank, wire.PriorityRank(wire.PriorityHigh)))
 }
 
@@ -242,13 +242,13 @@
 	}
 }
 
-func (c *cycle) learnerAction(job *world.Job) *learn.Action {
+func (c *cycle) learnerAction(job *clusterstate.Job) *learn.Action {
 	return &learn.Action{Class: job.Spec.Class, Team: job.Spec.Team, RunS: c.learning.runTimes.RunS(job.Spec.Class, job.Spec.RuntimeEstimateSeconds),
 		Interactive: c.effectiveRank(job) <= wire.PriorityRank(wire.PriorityHigh)}
 }
 
 // scoreAction values a job in the state of this round.
-func (c *cycle) scoreAction(job *world.Job) learn.Choice {
+func (c *cycle) scoreAction(job *clusterstate.Job) learn.Choice {
 	if c.cachedState == nil || c.now.Sub(c.cachedStateAt) > tuning.ValueLife {
 		state := c.learnerState()
 		c.cachedState, c.cachedStateAt = &state, c.now
@@ -290,7 +290,7 @@
 
 // RunLearner keeps the readout fitted and saved until ctx ends.
 func (e *Engine) RunLearner(ctx context.Context) error {
-	key := world.LearnerCheckpointKey(e.settings.Node)
+	key := clusterstate.LearnerCheckpointKey(e.settings.Node)
 	e.restoreCheckpoint(ctx, key)
 	refit := time.NewTicker(config.Seconds(e.operator.RefitS))
 	defer refit.Stop()
@@ -327,7 +327,7 @@
 	}
 	var ops []wire.Op
 	for i, piece := range checkpoint.Split(e.committer.MaxRecordBytes(), time.Now().UnixMilli()) {
-		ops = append(ops, store.PutOp(world.LearnerCheckpointPieceKey(e.settings.Node, i), piece))
+		ops = append(ops, store.PutOp(clusterstate.LearnerCheckpointPieceKey(e.settings.Node, i), piece))
 	}
 	return ops
 }
@@ -353,13 +353,13 @@
 // loadCheckpoint reads the values saved under the node's name: in pieces, or as one
 // record, as they were before LevelPipelines.
 func (e *Engine) loadCheckpoint(ctx context.Context, key string) (learn.Saved, error) {
-	checkpoint, err := e.readCheckpoint(ctx, world.LearnerCheckpointPieceKey(e.settings.Node, 0))
+	checkpoint, err := e.readCheckpoint(ctx, clusterstate.LearnerCheckpointPieceKey(e.settings.Node, 0))
 	if errors.Is(err, store.ErrNotFound) {
 		return e.readCheckpoint(ctx, key)
 	}
 	for i := 1; i < checkpoint.Of && err == nil; i++ {
 		var piece learn.Saved
-		if piece, err = e.readCheckpoint(ctx, world.LearnerCheckpointPieceKey(e.settings.Node, i)); err == nil {
+		if piece, err = e.readCheckpoint(ctx, clusterstate.LearnerCheckpointPieceKey(e.settings.Node, i)); err == nil {
 			err = checkpoint.Join(piece)
 		}
 	}
--- a/internal/place/objectives.go
+++ b/internal/place/objectives.go
@@ -4,13 +4,13 @@
 	"math/bits"
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/fit"
 	"sableusher/internal/floor"
 	"sableusher/internal/order"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // assignObjectives finds which aim each waiting array can meet with the room there is: the room that
@@ -82,7 +82,7 @@
 // Various optimizers for single-stage production, Naval Research Logistics 3, 1956), and with
 // it the payoff's responsiveness highest. Within a class danger and value decide. The owner's
 // estimate tells the jobs of one class apart, which the class's median can't.
-func (c *cycle) sizeClass(job *world.Job) int {
+func (c *cycle) sizeClass(job *clusterstate.Job) int {
 	if job.Spec.Kind == wire.KindService && c.serviceCapacityScarce() {
 		return 1 + job.BoundCount // the fewest replicas left first
 	}
@@ -104,7 +104,7 @@
 // nearLastObjective tells whether an array has to start soon to be in time for the last of its aims, which
 // it can be. Behind smaller ones that keep coming the large would miss it though there is room for
 // all by then: one in a hundred did where room was a little short.
-func (c *cycle) nearLastObjective(job *world.Job) bool {
+func (c *cycle) nearLastObjective(job *clusterstate.Job) bool {
 	if _, ok := c.reachableObjective[job.Spec.ID]; !ok {
 		return false
 	}
@@ -114,7 +114,7 @@
 }
 
 // estimatedRunTime is how long a task of a job runs as far as its owner knows, else as its class does.
-func (c *cycle) estimatedRunTime(job *world.Job) time.Duration {
+func (c *cycle) estimatedRunTime(job *clusterstate.Job) time.Duration {
 	if job.Spec.RuntimeEstimateSeconds > 0 {
 		return config.Seconds(job.Spec.RuntimeEstimateSeconds)
 	}
@@ -125,7 +125,7 @@
 // while room is short. By size alone a class of large arrays would wait for as long as smaller
 // ones keep coming; so of every four seconds two are for classes that are owed, as they differ
 // most, and one for teams; then their arrays come first, in the order that holds among all.
-func (c *cycle) hasUnderservedTurn(job *world.Job) bool {
+func (c *cycle) hasUnderservedTurn(job *clusterstate.Job) bool {
 	if len(c.underserved) == 0 || job.Spec.Kind != wire.KindArray || !c.capacityShort[c.effectiveRank(job)] {
 		return false
 	}
@@ -141,13 +141,13 @@
 // hasOverdueTurn tells whether it is the turn of arrays that have been late for long. Behind what can
 // be in time they would wait as long as room is short, be it for hours; so every fourth
 // second they come first, the oldest of them before the others. All nodes find the same.
-func (c *cycle) hasOverdueTurn(job *world.Job) bool {
+func (c *cycle) hasOverdueTurn(job *clusterstate.Job) bool {
 	return c.missesAllObjectives[job.Spec.ID] && c.now.Sub(job.ReadySince()) > tuning.FloorAfter && c.now.Unix()%tuning.FloorTurns == tuning.FloorTurns-1
 }
 
 // missesObjectives tells whether an array stands behind those that can be in time: it can't, and it is not
 // its turn.
-func (c *cycle) missesObjectives(job *world.Job) bool {
+func (c *cycle) missesObjectives(job *clusterstate.Job) bool {
 	return c.missesAllObjectives[job.Spec.ID] && !c.hasOverdueTurn(job)
 }
 
@@ -176,13 +176,13 @@
 // machineShare is what a task takes of a machine, of the type of which it takes least, or of the room
 // for a common task; as roomFor counts.
 func (c *cycle) machineShare(spec *wire.JobSpec) float64 {
-	need := world.TaskResources(spec)
+	need := clusterstate.TaskResources(spec)
 	if c.commonNeed.CPUs > 0 {
 		return max(need.CPUs/c.commonNeed.CPUs, need.MemoryGB/max(c.commonNeed.MemoryGB, 1))
 	}
 	best := 1.0
 	for _, typ := range c.cluster.Types {
-		capacity := world.Capacity(&typ)
+		capacity := clusterstate.Capacity(&typ)
 		if need.FitsIn(capacity) {
 			best = min(best, 1-fit.FreeFraction(capacity.AddTimes(need, -1), capacity))
 		}
--- a/internal/place/preemption.go
+++ b/internal/place/preemption.go
@@ -1,11 +1,11 @@
 package place
 
 import (
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/fit"
 	"sableusher/internal/preempt"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // preemptFor frees room for a task of higher priority on the machine of this
@@ -15,7 +15,7 @@
 // once there is none, like needs of the same rank are not looked at again in this round:
 // hundreds of arrays that wait behind a full fleet would each pass all of its machines.
 func (c *cycle) preemptFor(queued *queuedJob, taskIndex int, inventory *fit.Inventory, zones *fit.ZoneConstraint) bool {
-	task := world.TaskRef{Job: queued.job.Spec.ID, Index: taskIndex}
+	task := clusterstate.TaskRef{Job: queued.job.Spec.ID, Index: taskIndex}
 	if c.tasksAwaitingPreemption[task] {
 		return true // room is being freed for it already
 	}
@@ -75,7 +75,7 @@
 	preemptor := preempt.Preemptor{Rank: queued.rank, WithinGuarantee: queued.withinGuarantee, GuaranteedOnArrival: c.guaranteedOnArrival[queued.job.Spec.ID], Team: queued.job.Spec.Team, Need: queued.Need}
 	var victims []preempt.Victim
 	for _, binding := range candidate.Machine.Bindings {
-		if preemptor.MayPreempt(c.runningJob(binding.Job)) && !binding.Job.Cancelled() && world.TaskPreemptible(&binding.Job.Spec) && !c.agents.StopRequested(binding) {
+		if preemptor.MayPreempt(c.runningJob(binding.Job)) && !binding.Job.Cancelled() && clusterstate.TaskPreemptible(&binding.Job.Spec) && !c.agents.StopRequested(binding) {
 			victims = append(victims, preempt.Victim{Binding: binding, Rank: c.effectiveRank(binding.Job), LostMachineSeconds: c.lostMachineSeconds(binding, candidate)})
 		}
 	}
@@ -83,7 +83,7 @@
 }
 
 // preemptTasks stops tasks on a machine until another has room there, and keeps the room.
-func (c *cycle) preemptTasks(candidate *fit.MachineInfo, queued *queuedJob, task world.TaskRef, victims []preempt.Victim) {
+func (c *cycle) preemptTasks(candidate *fit.MachineInfo, queued *queuedJob, task clusterstate.TaskRef, victims []preempt.Victim) {
 	c.machinesPreempted++
 	c.inventory.ReserveAll(candidate, task.Job)
 	c.reservations[candidate.Machine.Name] = reservation{task, c.now.Add(tuning.PreemptHold)}
@@ -99,14 +99,14 @@
 }
 
 // runningJob is what a running job has to say for itself.
-func (c *cycle) runningJob(job *world.Job) preempt.RunningJob {
+func (c *cycle) runningJob(job *clusterstate.Job) preempt.RunningJob {
 	_, guaranteed := c.quota.Guarantee(job.Spec.Team)
 	return preempt.RunningJob{Rank: c.effectiveRank(job), WithinGuarantee: c.runningWithinGuarantee[job.Spec.ID], TeamHasGuarantee: guaranteed, Team: job.Spec.Team,
 		EndsSoon: job.Spec.Kind == wire.KindArray && c.predictedRunTime(job) < tuning.Passing}
 }
 
 // lostMachineSeconds is the work lost when a task is stopped, in machine seconds.
-func (c *cycle) lostMachineSeconds(binding world.Binding, candidate *fit.MachineInfo) float64 {
+func (c *cycle) lostMachineSeconds(binding clusterstate.Binding, candidate *fit.MachineInfo) float64 {
 	task := c.agents.ObserveTask(binding, candidate.Machine.Name, c.fencingTokens[candidate.Machine.Shard])
 	ran := 0.0
 	if task.State == wire.TaskRunning {
--- a/internal/place/reconcile.go
+++ b/internal/place/reconcile.go
@@ -6,45 +6,45 @@
 	"slices"
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/fleet"
 	"sableusher/internal/repeats"
 	"sableusher/internal/settle"
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // releaseTask ends a binding in the record.
 // It gives the change that it is part of; nil if it is none, or can't be made just now.
-func (c *cycle) releaseTask(binding world.Binding, machineName string, state int, reason string) *recordEdit {
+func (c *cycle) releaseTask(binding clusterstate.Binding, machineName string, state int, reason string) *recordEdit {
 	c.releaseBlocked = true
 	edit := c.editRecord(binding.Job, binding.Ref.Index)
 	if edit == nil {
 		return nil
 	}
 	task := c.taskState(binding.Job, binding.Ref.Index)
-	if task.State != world.TaskBound || task.Attempt != binding.Attempt || task.Machine != machineName {
+	if task.State != clusterstate.TaskBound || task.Attempt != binding.Attempt || task.Machine != machineName {
 		return nil
 	}
-	released := world.Task{Index: binding.Ref.Index, State: state, Attempt: binding.Attempt}
-	if state != world.TaskDone {
+	released := clusterstate.Task{Index: binding.Ref.Index, State: state, Attempt: binding.Attempt}
+	if state != clusterstate.TaskDone {
 		released.Failures = task.Failures
 	}
 	edit.tasks[binding.Ref.Index] = released
 	// A gang's tasks end together, also those in other nodes' parts: there the
 	// job's record alone is the guard, as this node doesn't own the part.
-	if shard := world.ShardOf(machineName, c.cluster.ShardCount); c.shardRevisions[shard] != 0 {
+	if shard := clusterstate.ShardOf(machineName, c.cluster.ShardCount); c.shardRevisions[shard] != 0 {
 		edit.shards[shard] = true
 	}
-	c.recordEnd(binding, state == world.TaskDone, machineName)
+	c.recordEnd(binding, state == clusterstate.TaskDone, machineName)
 	c.log.Debug("task leaves machine", "task", binding.Ref, "attempt", binding.Attempt, "machine", machineName, "why", reason)
 	return edit
 }
 
 // countFailure counts a failure with the change that ends its attempt: it is in the records or
 // it has not been told, whoever ends in between. With the last repeat the job ends.
-func (c *cycle) countFailure(binding world.Binding, edit *recordEdit, lastRetry bool) {
+func (c *cycle) countFailure(binding clusterstate.Binding, edit *recordEdit, lastRetry bool) {
 	task := edit.tasks[binding.Ref.Index]
 	task.Failures++
 	edit.tasks[binding.Ref.Index] = task
@@ -76,7 +76,7 @@
 		deleted := (machine.Deleting || machine.Draining) && c.deletedMachines[name]
 		for _, binding := range machine.Bindings {
 			if deleted {
-				c.releaseTask(binding, name, world.TaskPending, "machine deleted")
+				c.releaseTask(binding, name, clusterstate.TaskPending, "machine deleted")
 				continue
 			}
 			c.reconcileTask(binding, name, token)
@@ -84,21 +84,21 @@
 		if c.releaseBlocked || deleted {
 			c.machinesToReconcile[name] = struct{}{}
 		}
-		if deleted && len(machine.Bindings) == 0 && machine.ModRevision != 0 && !c.cluster.ListedInRental(name) && !c.keysInFlight[world.MachineKey(name)] {
+		if deleted && len(machine.Bindings) == 0 && machine.ModRevision != 0 && !c.cluster.ListedInRental(name) && !c.keysInFlight[clusterstate.MachineKey(name)] {
 			c.outgoing = append(c.outgoing, &recordChange{
-				description: "forget machine " + name, keys: []string{world.MachineKey(name)}, shards: []int{machine.Shard},
+				description: "forget machine " + name, keys: []string{clusterstate.MachineKey(name)}, shards: []int{machine.Shard},
 				transaction: store.Transaction{
-					Conditions: []wire.Condition{{Key: world.ShardKey(machine.Shard), ModRevision: c.shardRevisions[machine.Shard]}, {Key: world.MachineKey(name), ModRevision: machine.ModRevision}},
-					Ops:        []wire.Op{store.DeleteOp(world.MachineKey(name))},
+					Conditions: []wire.Condition{{Key: clusterstate.ShardKey(machine.Shard), ModRevision: c.shardRevisions[machine.Shard]}, {Key: clusterstate.MachineKey(name), ModRevision: machine.ModRevision}},
+					Ops:        []wire.Op{store.DeleteOp(clusterstate.MachineKey(name))},
 					Background: true, // its record says that it is being deleted, so nobody counts on it
 				},
 			})
 		}
 	}
 	for name, bindings := range c.cluster.OrphanBindings {
-		if _, owned := c.fencingTokens[world.ShardOf(name, c.cluster.ShardCount)]; owned && c.deletedMachines[name] {
+		if _, owned := c.fencingTokens[clusterstate.ShardOf(name, c.cluster.ShardCount)]; owned && c.deletedMachines[name] {
 			for _, binding := range bindings {
-				c.releaseTask(binding, name, world.TaskPending, "machine deleted")
+				c.releaseTask(binding, name, clusterstate.TaskPending, "machine deleted")
 			}
 		}
 	}
@@ -111,7 +111,7 @@
 }
 
 // reconcileTask carries out what is to become of one bound task.
-func (c *cycle) reconcileTask(binding world.Binding, machineName string, token uint64) {
+func (c *cycle) reconcileTask(binding clusterstate.Binding, machineName string, token uint64) {
 	spec := &binding.Job.Spec
 	task := settle.BoundTask{TaskObservation: c.agents.ObserveTask(binding, machineName, token), JobKind: spec.Kind, JobCancelled: binding.Job.Cancelled(), StopRequested: c.agents.StopRequested(binding),
 		RetriesLimited: spec.MaxRetries != nil, RetriesExhausted: repeats.Exhausted(spec.MaxRetries, c.taskState(binding.Job, binding.Ref.Index).Failures)}
@@ -139,8 +139,8 @@
 	switch {
 	case decision.WholeGang:
 		for taskIndex := range spec.TaskCount {
-			if other := c.taskState(binding.Job, taskIndex); other.State == world.TaskBound && other.Attempt == binding.Attempt {
-				c.releaseTask(world.Binding{Ref: world.TaskRef{Job: spec.ID, Index: taskIndex}, Job: binding.Job, Attempt: other.Attempt, Session: other.Session}, other.Machine, decision.NextState, "done with its gang")
+			if other := c.taskState(binding.Job, taskIndex); other.State == clusterstate.TaskBound && other.Attempt == binding.Attempt {
+				c.releaseTask(clusterstate.Binding{Ref: clusterstate.TaskRef{Job: spec.ID, Index: taskIndex}, Job: binding.Job, Attempt: other.Attempt, Session: other.Session}, other.Machine, decision.NextState, "done with its gang")
 			}
 		}
 	case decision.Release:
@@ -163,7 +163,7 @@
 
 // gangBroken tells whether a gang's attempt can no longer run whole: a task of it
 // has ended, or it was not bound whole in time.
-func (c *cycle) gangBroken(binding world.Binding) bool {
+func (c *cycle) gangBroken(binding clusterstate.Binding) bool {
 	attempt := gangAttempt{binding.Job, binding.Attempt}
 	broken, ok := c.brokenAttempts[attempt]
 	if !ok {
@@ -173,9 +173,9 @@
 	return broken
 }
 
-func (c *cycle) checkGang(binding world.Binding) bool {
+func (c *cycle) checkGang(binding clusterstate.Binding) bool {
 	job := binding.Job
-	switch settle.GangStateOf(job.Spec.TaskCount, func(i int) world.Task { return c.taskState(job, i) }, binding.Attempt) {
+	switch settle.GangStateOf(job.Spec.TaskCount, func(i int) clusterstate.Task { return c.taskState(job, i) }, binding.Attempt) {
 	case settle.GangBroken:
 		return true
 	case settle.GangWhole:
@@ -194,11 +194,11 @@
 // left every machine, where no change of a single record could end them. Only
 // the leader does so; it also sweeps chunks left by long jobs.
 func (c *cycle) finishJobs() {
-	if _, _, leads := c.membership.Owns(world.LeaderShard); !leads {
+	if _, _, leads := c.membership.Owns(clusterstate.LeaderShard); !leads {
 		return
 	}
 	for id, job := range c.cluster.Jobs {
-		key := world.JobKey(id)
+		key := clusterstate.JobKey(id)
 		if c.keysInFlight[key] {
 			continue
 		}
@@ -227,11 +227,11 @@
 // more. A gang completes together, so they are done as well: their own reports of it were
 // lost, with a worker's session or its machine, before the first one came through. Such a
 // gang once stood still for ever, since its last attempt looked as if it had not left.
-func (c *cycle) completeGang(job *world.Job) {
+func (c *cycle) completeGang(job *clusterstate.Job) {
 	for taskIndex := range job.Spec.TaskCount {
-		if task := c.taskState(job, taskIndex); task.State == world.TaskPending {
+		if task := c.taskState(job, taskIndex); task.State == clusterstate.TaskPending {
 			if edit := c.editRecord(job, taskIndex); edit != nil {
-				edit.tasks[taskIndex] = world.Task{Index: taskIndex, State: world.TaskDone, Attempt: task.Attempt}
+				edit.tasks[taskIndex] = clusterstate.Task{Index: taskIndex, State: clusterstate.TaskDone, Attempt: task.Attempt}
 			}
 		}
 	}
@@ -249,8 +249,8 @@
 	})
 	for _, name := range names {
 		report := reports[name]
-		shard := world.ShardOf(name, c.cluster.ShardCount)
-		key := world.MachineKey(name)
+		shard := clusterstate.ShardOf(name, c.cluster.ShardCount)
+		key := clusterstate.MachineKey(name)
 		machine := c.cluster.Machines[name]
 		if _, owned := c.shardRevisions[shard]; !owned || c.keysInFlight[key] || machine != nil && machine.Deleting {
 			continue
@@ -260,7 +260,7 @@
 		if _, tombstone := c.tombstones[name]; machine == nil && tombstone {
 			continue
 		}
-		machineRecord := world.MachineRecord{CreatedAtMs: c.now.UnixMilli()}
+		machineRecord := clusterstate.MachineRecord{CreatedAtMs: c.now.UnixMilli()}
 		var modRevision uint64
 		if machine != nil {
 			machineRecord, modRevision = machine.MachineRecord, machine.ModRevision
@@ -288,7 +288,7 @@
 // evacuateMachine stops what gains by it on a machine that the cloud takes away: tasks
 // that can save do so, services start again elsewhere at once. What can't save
 // may still end in time, and a gang of several tasks must be stopped as a whole.
-func (c *cycle) evacuateMachine(machine *world.Machine) {
+func (c *cycle) evacuateMachine(machine *clusterstate.Machine) {
 	for _, binding := range machine.Bindings {
 		spec := &binding.Job.Spec
 		switch {
@@ -308,8 +308,8 @@
 // requestGangStop marks a gang's attempt to be stopped as a whole. The owners of all its
 // tasks see the record at once and tell their workers within the time in which a
 // gang's saves must begin.
-func (c *cycle) requestGangStop(binding world.Binding, machine *world.Machine) {
-	key := world.JobKey(binding.Ref.Job)
+func (c *cycle) requestGangStop(binding clusterstate.Binding, machine *clusterstate.Machine) {
+	key := clusterstate.JobKey(binding.Ref.Job)
 	if binding.Job.PreemptedAttempt == binding.Attempt || c.keysInFlight[key] || c.recordEdits[recordKey{binding.Job, 0}] != nil || c.needsMigration(binding.Job) {
 		return
 	}
@@ -320,13 +320,13 @@
 	c.outgoing = append(c.outgoing, &recordChange{
 		description: "stop gang " + binding.Ref.Job, keys: []string{key}, shards: []int{machine.Shard},
 		transaction: store.Transaction{
-			Conditions: []wire.Condition{{Key: key, ModRevision: binding.Job.ModRevision}, {Key: world.ShardKey(machine.Shard), ModRevision: c.shardRevisions[machine.Shard]}},
+			Conditions: []wire.Condition{{Key: key, ModRevision: binding.Job.ModRevision}, {Key: clusterstate.ShardKey(machine.Shard), ModRevision: c.shardRevisions[machine.Shard]}},
 			Ops:        []wire.Op{op}, Urgent: true,
 		},
 	})
 }
 
-func (c *cycle) hasStoppingTask(machine *world.Machine) bool {
+func (c *cycle) hasStoppingTask(machine *clusterstate.Machine) bool {
 	for _, binding := range machine.Bindings {
 		if c.agents.StopRequested(binding) {
 			return true
--- a/internal/place/recordchange.go
+++ b/internal/place/recordchange.go
@@ -5,11 +5,11 @@
 	"slices"
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/fit"
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // cycle is one look at the view; it collects the changes to make.
@@ -20,8 +20,8 @@
 	shardRevisions          map[int]uint64
 	recordEdits             map[recordKey]*recordEdit
 	outgoing                []*recordChange
-	inFlightByMachine       map[string]world.Resources // on their way, by machine
-	inFlightByShard         map[int]map[string]world.Resources
+	inFlightByMachine       map[string]clusterstate.Resources // on their way, by machine
+	inFlightByShard         map[int]map[string]clusterstate.Resources
 	inFlightByJob           map[string]int // tasks on their way, by job
 	liveShards              []bool         // parts whose owner lives
 	tasksBound              int
@@ -29,7 +29,7 @@
 	storeSaturated          bool                                   // the state service's budget is the bottleneck
 	machinesPreempted       int                                    // machines on which room is being freed in this round
 	collectsDemand          bool                                   // this round counts the demand for the pool
-	tasksAwaitingPreemption map[world.TaskRef]bool                 // tasks that room is being freed for
+	tasksAwaitingPreemption map[clusterstate.TaskRef]bool          // tasks that room is being freed for
 	preemptionMisses        [wire.PriorityCount]fit.FailedRequests // needs for which nothing could be stopped anywhere, by rank
 	releaseBlocked          bool                                   // a task's end could not be written yet
 	failingJobs             map[string]bool                        // jobs that a change of this round ends as failed
@@ -39,21 +39,21 @@
 
 // recordKey names one record of a job.
 type recordKey struct {
-	job         *world.Job
+	job         *clusterstate.Job
 	recordIndex int
 }
 
 // gangAttempt names one attempt of a gang.
 type gangAttempt struct {
-	job     *world.Job
+	job     *clusterstate.Job
 	attempt uint64
 }
 
 // recordEdit gathers the changes of one record of a job.
 type recordEdit struct {
-	job         *world.Job
+	job         *clusterstate.Job
 	recordIndex int
-	tasks       map[int]world.Task
+	tasks       map[int]clusterstate.Task
 	shards      map[int]bool
 	bindings    []pendingBinding
 	encodedSize int  // what the record takes, as JSON; 0: not measured yet
@@ -62,14 +62,14 @@
 
 func (e *Engine) newCycle(now time.Time) *cycle {
 	c := &cycle{Engine: e, now: now, fencingTokens: map[int]uint64{}, shardRevisions: map[int]uint64{}, recordEdits: map[recordKey]*recordEdit{}, brokenAttempts: map[gangAttempt]bool{}, failingJobs: map[string]bool{},
-		inFlightByMachine: map[string]world.Resources{}, inFlightByShard: map[int]map[string]world.Resources{}, inFlightByJob: map[string]int{},
-		liveShards: make([]bool, e.cluster.ShardCount), tasksAwaitingPreemption: make(map[world.TaskRef]bool, len(e.reservations))}
+		inFlightByMachine: map[string]clusterstate.Resources{}, inFlightByShard: map[int]map[string]clusterstate.Resources{}, inFlightByJob: map[string]int{},
+		liveShards: make([]bool, e.cluster.ShardCount), tasksAwaitingPreemption: make(map[clusterstate.TaskRef]bool, len(e.reservations))}
 	for _, reservation := range e.reservations {
 		c.tasksAwaitingPreemption[reservation.task] = true
 	}
 	for shard := range e.cluster.ShardCount {
 		_, c.liveShards[shard] = e.membership.OwnerOf(shard)
-		c.inFlightByShard[shard] = map[string]world.Resources{}
+		c.inFlightByShard[shard] = map[string]clusterstate.Resources{}
 		if token, modRevision, ok := e.membership.Owns(shard); ok {
 			c.fencingTokens[shard], c.shardRevisions[shard] = token, modRevision
 			if _, known := e.shardOwnedSince[shard]; !known {
@@ -98,20 +98,20 @@
 }
 
 // usage is what a team's tasks of a part take, those on their way included.
-func (c *cycle) usage(shard int, team string) world.Resources {
+func (c *cycle) usage(shard int, team string) clusterstate.Resources {
 	return c.cluster.UsageByShard[shard][team].AddTimes(c.inFlightByShard[shard][team], 1)
 }
 
 // editRecord opens the record that holds a task; nil while a change of it is on its
 // way, or while it has to be moved first.
-func (c *cycle) editRecord(job *world.Job, taskIndex int) *recordEdit {
+func (c *cycle) editRecord(job *clusterstate.Job, taskIndex int) *recordEdit {
 	recordIndex := job.ChunkOf(taskIndex)
 	if _, ok := c.rejectedUntil[job.ChunkKey(recordIndex)]; ok || c.keysInFlight[job.ChunkKey(recordIndex)] || recordIndex > 0 && c.keysInFlight[job.ChunkKey(0)] && job.Spec.SameZone || c.needsMigration(job) {
 		return nil
 	}
 	edit := c.recordEdits[recordKey{job, recordIndex}]
 	if edit == nil {
-		edit = &recordEdit{job: job, recordIndex: recordIndex, tasks: map[int]world.Task{}, shards: map[int]bool{}}
+		edit = &recordEdit{job: job, recordIndex: recordIndex, tasks: map[int]clusterstate.Task{}, shards: map[int]bool{}}
 		c.recordEdits[recordKey{job, recordIndex}] = edit
 	}
 	return edit
@@ -119,7 +119,7 @@
 
 // needsMigration tells whether a job's records have to be moved before they are written
 // again, and asks for it.
-func (c *cycle) needsMigration(job *world.Job) bool {
+func (c *cycle) needsMigration(job *clusterstate.Job) bool {
 	if c.cluster.SchemaVersion < tuning.LevelPipelines || !job.NeedsMigration(c.cluster.SizeLimits(c.committer.MaxRecordBytes())) {
 		return false
 	}
@@ -132,7 +132,7 @@
 
 // recordFull tells whether a record has no room for so many more bound tasks. Without
 // the check a state service with a small limit would refuse the record over and over.
-func (c *cycle) recordFull(job *world.Job, recordIndex, added int, machine string) bool {
+func (c *cycle) recordFull(job *clusterstate.Job, recordIndex, added int, machine string) bool {
 	limit := c.committer.MaxRecordBytes()
 	if c.cluster.SizeLimits(limit).FixedChunksFit(&job.Spec, job.EncodedBaseSize) {
 		return false
@@ -148,7 +148,7 @@
 }
 
 // taskState is a task's state with this round's changes.
-func (c *cycle) taskState(job *world.Job, taskIndex int) world.Task {
+func (c *cycle) taskState(job *clusterstate.Job, taskIndex int) clusterstate.Task {
 	if edit := c.recordEdits[recordKey{job, job.ChunkOf(taskIndex)}]; edit != nil {
 		if task, ok := edit.tasks[taskIndex]; ok {
 			return task
@@ -158,12 +158,12 @@
 }
 
 // finalOps gives the ops that turn a job's records into its final one.
-func (c *cycle) finalOps(job *world.Job, status string, done int) []wire.Op {
+func (c *cycle) finalOps(job *clusterstate.Job, status string, done int) []wire.Op {
 	id := job.Spec.ID
 	if guest := job.OffloadedFrom; guest != nil {
 		// Its home alone answers its user, and is told from this until it has it.
-		record := world.GuestOutcomeRecord{JobID: id, Status: status, DoneCount: done}
-		ops := []wire.Op{store.PutOp(world.GuestOutcomeKey(guest.Cell, guest.Number), record), store.DeleteOp(world.JobKey(id))}
+		record := clusterstate.GuestOutcomeRecord{JobID: id, Status: status, DoneCount: done}
+		ops := []wire.Op{store.PutOp(clusterstate.GuestOutcomeKey(guest.Cell, guest.Number), record), store.DeleteOp(clusterstate.JobKey(id))}
 		return append(ops, c.deleteRecordOps(job, len(ops))...)
 	}
 	ops := job.FinalizeOps(status, done, c.now.UnixMilli())
@@ -172,7 +172,7 @@
 
 // deleteRecordOps removes as many of a job's further records as a transaction with so many
 // changes has room for; what stays is swept later.
-func (c *cycle) deleteRecordOps(job *world.Job, opCount int) []wire.Op {
+func (c *cycle) deleteRecordOps(job *clusterstate.Job, opCount int) []wire.Op {
 	return job.DeleteFurtherChunks(c.committer.MaxTransactionOps() - opCount)
 }
 
@@ -200,14 +200,14 @@
 
 // maxRecordsPerTxn is how many records of a job one transaction may write, with the job's
 // own beside them.
-func (c *cycle) maxRecordsPerTxn(job *world.Job) int {
+func (c *cycle) maxRecordsPerTxn(job *clusterstate.Job) int {
 	if job.ChunkWidth == 0 {
 		return min(tuning.GangRecords, c.committer.MaxTransactionOps()-1)
 	}
 	return min(tuning.TxnBytes/max(c.committer.MaxRecordBytes(), 1), c.committer.MaxTransactionOps()-1)
 }
 
-func (c *cycle) emitChange(id string, job *world.Job, edits []*recordEdit) {
+func (c *cycle) emitChange(id string, job *clusterstate.Job, edits []*recordEdit) {
 	change := &recordChange{description: "tasks of " + id}
 	shards, done, bound, writesJobRecord := map[int]bool{}, job.DoneCount, job.BoundCount, false
 	failsJob := slices.ContainsFunc(edits, func(edit *recordEdit) bool { return edit.failsJob })
@@ -222,15 +222,15 @@
 	for _, edit := range edits {
 		for taskIndex, task := range edit.tasks {
 			switch old := job.Task(taskIndex); old.State {
-			case world.TaskBound:
+			case clusterstate.TaskBound:
 				bound--
-			case world.TaskDone:
+			case clusterstate.TaskDone:
 				done--
 			}
 			switch task.State {
-			case world.TaskBound:
+			case clusterstate.TaskBound:
 				bound++
-			case world.TaskDone:
+			case clusterstate.TaskDone:
 				done++
 			}
 		}
@@ -260,10 +260,10 @@
 	for _, shard := range slices.Sorted(maps.Keys(shards)) {
 		if modRevision, owned := c.shardRevisions[shard]; owned {
 			change.shards = append(change.shards, shard)
-			conditions[world.ShardKey(shard)] = modRevision
+			conditions[clusterstate.ShardKey(shard)] = modRevision
 		} else {
 			// A gang's machine in another node's part, while that node owns it.
-			conditions[world.ShardKey(shard)] = c.cluster.Shards[shard].ModRevision
+			conditions[clusterstate.ShardKey(shard)] = c.cluster.Shards[shard].ModRevision
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(conditions)) {
@@ -275,12 +275,12 @@
 }
 
 // updateMachineRecord adds a change of a machine's record, and gives it for its place in the queue.
-func (c *cycle) updateMachineRecord(description, name string, shard int, machineRecord world.MachineRecord, modRevision uint64) *store.Transaction {
-	key := world.MachineKey(name)
+func (c *cycle) updateMachineRecord(description, name string, shard int, machineRecord clusterstate.MachineRecord, modRevision uint64) *store.Transaction {
+	key := clusterstate.MachineKey(name)
 	change := &recordChange{
 		description: description, keys: []string{key}, shards: []int{shard}, harmlessWhenLate: true,
 		transaction: store.Transaction{
-			Conditions: []wire.Condition{{Key: world.ShardKey(shard), ModRevision: c.shardRevisions[shard]}, {Key: key, ModRevision: modRevision}},
+			Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard), ModRevision: c.shardRevisions[shard]}, {Key: key, ModRevision: modRevision}},
 			Ops:        []wire.Op{store.PutOp(key, machineRecord)},
 		},
 	}
--- a/internal/place/recordmigration.go
+++ b/internal/place/recordmigration.go
@@ -6,9 +6,9 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promauto"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
-	"sableusher/internal/world"
 )
 
 var migrationSteps = promauto.NewCounter(prometheus.CounterOpts{Name: "sableusher_records_moved_total", Help: "Steps in which old job records were split."})
@@ -24,7 +24,7 @@
 	migrate := func(id string) {
 		delete(c.jobsToMigrate, id)
 		job := c.cluster.Jobs[id]
-		if job == nil || !job.HasRecord || !job.NeedsMigration(layout) || c.keysInFlight[world.JobKey(id)] || migrated >= tuning.MoveRound {
+		if job == nil || !job.HasRecord || !job.NeedsMigration(layout) || c.keysInFlight[clusterstate.JobKey(id)] || migrated >= tuning.MoveRound {
 			return
 		}
 		for recordIndex := range job.Chunks {
--- a/internal/place/scheduler_test.go
+++ b/internal/place/scheduler_test.go
@@ -15,13 +15,13 @@
 
 	"pgregory.net/rapid"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/fleet"
 	"sableusher/internal/member"
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 const testShards = 5
@@ -34,7 +34,7 @@
 
 // testCluster is a view of a region that several nodes share, each with an engine.
 type testCluster struct {
-	cluster  *world.State
+	cluster  *clusterstate.State
 	engines  []*Engine
 	agents   []*fleet.Registry
 	revision uint64
@@ -42,7 +42,7 @@
 
 func newTestCluster(tb testing.TB) *testCluster {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	fixture := &testCluster{cluster: world.New(testShards, log)}
+	fixture := &testCluster{cluster: clusterstate.New(testShards, log)}
 	operator, err := config.LoadOperator("")
 	if err != nil {
 		tb.Fatal(err)
@@ -53,10 +53,10 @@
 	}
 	fixture.put("s/catalog", wire.Catalog{Types: []wire.MachineType{testType}})
 	for i, node := range nodes {
-		fixture.cluster.Nodes[node] = world.Node{NodeRecord: world.NodeRecord{Incarnation: 1}}
-		fixture.cluster.Shards[i] = world.Shard{ShardRecord: world.ShardRecord{Owner: node, Incarnation: 1, FencingToken: 7}}
+		fixture.cluster.Nodes[node] = clusterstate.Node{NodeRecord: clusterstate.NodeRecord{Incarnation: 1}}
+		fixture.cluster.Shards[i] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: node, Incarnation: 1, FencingToken: 7}}
 	}
-	fixture.cluster.Shards[world.LeaderShard] = world.Shard{ShardRecord: world.ShardRecord{Owner: nodes[0], Incarnation: 1, FencingToken: 7}}
+	fixture.cluster.Shards[clusterstate.LeaderShard] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: nodes[0], Incarnation: 1, FencingToken: 7}}
 	for _, node := range nodes {
 		settings := &config.Settings{Node: node}
 		deployment := &settings.Deployment
@@ -66,7 +66,7 @@
 		deployment.State.TxnOps = 32
 		client := store.NewClient("127.0.0.1:1", store.Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxValueKiB: 16, MaxTransactionOps: 32}, nil)
 		committer := store.NewCommitter(client, func([]wire.Op, uint64) {})
-		cache := store.NewWatchCache(client, world.LivePrefix, fixture.cluster, log)
+		cache := store.NewWatchCache(client, clusterstate.LivePrefix, fixture.cluster, log)
 		members := member.New(node, 1, nodes, tuning.Level, client, committer, cache, fixture.cluster, log)
 		agents := fleet.New(settings, fixture.cluster, members, func() time.Time { return testNow }, log, nil)
 		fixture.agents = append(fixture.agents, agents)
@@ -87,15 +87,15 @@
 // addMachine adds a machine that is up and has reported to its part's owner.
 func (fixture *testCluster) addMachine(index int, spot bool) string {
 	name := fmt.Sprintf("vm-%06d", index)
-	machineRecord := world.MachineRecord{Type: "m", Zone: testZones[index%len(testZones)], Spot: spot, Address: "10.1.0.1:9000", CreatedAtMs: 1, Up: true}
-	fixture.put(world.MachineKey(name), machineRecord)
-	fixture.agents[world.ShardOf(name, testShards)].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: machineRecord.Address, MachineType: "m", Zone: machineRecord.Zone, Spot: spot, Session: 1, Sequence: 1, FencingToken: 7})
+	machineRecord := clusterstate.MachineRecord{Type: "m", Zone: testZones[index%len(testZones)], Spot: spot, Address: "10.1.0.1:9000", CreatedAtMs: 1, Up: true}
+	fixture.put(clusterstate.MachineKey(name), machineRecord)
+	fixture.agents[clusterstate.ShardOf(name, testShards)].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: machineRecord.Address, MachineType: "m", Zone: machineRecord.Zone, Spot: spot, Session: 1, Sequence: 1, FencingToken: 7})
 	return name
 }
 
-func (fixture *testCluster) addJob(spec wire.JobSpec, tasks ...world.Task) {
+func (fixture *testCluster) addJob(spec wire.JobSpec, tasks ...clusterstate.Task) {
 	spec.Team, spec.Class = "t", "c"
-	fixture.put(world.JobKey(spec.ID), world.JobRecord{Spec: spec, SubmittedAtMs: testNow.UnixMilli(), Tasks: tasks})
+	fixture.put(clusterstate.JobKey(spec.ID), clusterstate.JobRecord{Spec: spec, SubmittedAtMs: testNow.UnixMilli(), Tasks: tasks})
 }
 
 // runCycle plays one node's placement and gives what it bound.
@@ -125,10 +125,10 @@
 func TestLongQueueBehindFullFleet(t *testing.T) {
 	fixture := newTestCluster(t)
 	const machines, jobs = 1500, 500
-	var tasks []world.Task
+	var tasks []clusterstate.Task
 	for i := range machines {
 		name := fixture.addMachine(i, false)
-		tasks = append(tasks, world.Task{Index: i % 100, State: world.TaskBound, Attempt: 1, Machine: name, Session: 1})
+		tasks = append(tasks, clusterstate.Task{Index: i % 100, State: clusterstate.TaskBound, Attempt: 1, Machine: name, Session: 1})
 		if len(tasks) == 100 {
 			spec := gangSpec(100000+i, 100)
 			spec.SameZone = false
@@ -175,7 +175,7 @@
 				}
 			}
 			for _, b := range bound {
-				if world.ShardOf(b.machine, testShards) != i {
+				if clusterstate.ShardOf(b.machine, testShards) != i {
 					t.Errorf("node %d binds %s", i, b.machine)
 				}
 			}
@@ -200,7 +200,7 @@
 			zone[name] = testZones[i%len(testZones)]
 			if rapid.IntRange(0, 2).Draw(t, "used") == 0 {
 				spec := arraySpec(5000+i, 1)
-				fixture.addJob(spec, world.Task{State: world.TaskBound, Attempt: 1, Machine: name, Session: 1})
+				fixture.addJob(spec, clusterstate.Task{State: clusterstate.TaskBound, Attempt: 1, Machine: name, Session: 1})
 			} else {
 				free[zone[name]]++
 			}
@@ -228,7 +228,7 @@
 					t.Errorf("%s twice or in another zone", b.machine)
 				}
 				seen[b.machine] = true
-				if !guards[world.ShardKey(world.ShardOf(b.machine, testShards))] || !guards[world.ShardKey(b.chargedShard)] {
+				if !guards[clusterstate.ShardKey(clusterstate.ShardOf(b.machine, testShards))] || !guards[clusterstate.ShardKey(b.chargedShard)] {
 					t.Errorf("no guard for the parts of %v: %v", b, guards)
 				}
 				if b.chargedShard != i {
@@ -267,7 +267,7 @@
 func TestNewOwnerKeepsRunningMachines(t *testing.T) {
 	fixture := newTestCluster(t)
 	for i := range 40 {
-		fixture.put(world.MachineKey(fmt.Sprintf("vm-%06d", i)), world.MachineRecord{Type: "m", Zone: "east", CreatedAtMs: 1})
+		fixture.put(clusterstate.MachineKey(fmt.Sprintf("vm-%06d", i)), clusterstate.MachineRecord{Type: "m", Zone: "east", CreatedAtMs: 1})
 	}
 	for _, owned := range []time.Duration{time.Second, time.Hour} {
 		deleted := 0
@@ -294,7 +294,7 @@
 		name := fixture.addMachine(i, i%2 == 0)
 		if i%5 != 0 {
 			spec := gangSpec(100000+i, 1)
-			fixture.addJob(spec, world.Task{State: world.TaskBound, Attempt: 1, Machine: name, Session: 1})
+			fixture.addJob(spec, clusterstate.Task{State: clusterstate.TaskBound, Attempt: 1, Machine: name, Session: 1})
 		}
 	}
 	for i := range 200 {
@@ -313,7 +313,7 @@
 	fixture := newTestCluster(t)
 	deleted, unknown := "vm-000001", "vm-000002"
 	for _, name := range []string{deleted, unknown} {
-		shard := world.ShardOf(name, testShards)
+		shard := clusterstate.ShardOf(name, testShards)
 		fixture.engines[shard].ConfirmDeleted([]string{deleted})
 		fixture.agents[shard].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", MachineType: "m", Zone: "east", Session: 1, Sequence: 1, FencingToken: 7})
 		fixture.cluster.RLock()
@@ -333,9 +333,9 @@
 func TestNewSessionIsRecordedFirst(t *testing.T) {
 	fixture := newTestCluster(t)
 	name := fixture.addMachine(1, false)
-	shard := world.ShardOf(name, testShards)
+	shard := clusterstate.ShardOf(name, testShards)
 	heartbeat := func(session uint64, up bool) store.Transaction {
-		fixture.put(world.MachineKey(name), world.MachineRecord{Type: "m", Zone: "east", Address: "10.1.0.1:9000", CreatedAtMs: 1, Up: up})
+		fixture.put(clusterstate.MachineKey(name), clusterstate.MachineRecord{Type: "m", Zone: "east", Address: "10.1.0.1:9000", CreatedAtMs: 1, Up: up})
 		fixture.engines[shard].agents.TakeAdoptions()
 		fixture.agents[shard].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", MachineType: "m", Zone: "east", Session: session, Sequence: 2, FencingToken: 7})
 		fixture.cluster.RLock()
@@ -358,7 +358,7 @@
 // gang had completed, the other's report tells it of both. The job once waited for ever.
 func TestGangIsDoneWithOneOfItsTasks(t *testing.T) {
 	fixture := newTestCluster(t)
-	fixture.addJob(gangSpec(1, 2), world.Task{Index: 0, State: world.TaskDone, Attempt: 1}, world.Task{Index: 1, Attempt: 1})
+	fixture.addJob(gangSpec(1, 2), clusterstate.Task{Index: 0, State: clusterstate.TaskDone, Attempt: 1}, clusterstate.Task{Index: 1, Attempt: 1})
 	ended := 0
 	for i := range testShards {
 		fixture.cluster.RLock()
@@ -367,9 +367,9 @@
 		c.buildChanges()
 		fixture.cluster.RUnlock()
 		for _, change := range c.outgoing {
-			if op := change.transaction.Ops[0]; op.PutKey == world.FinalKey("run-1") {
+			if op := change.transaction.Ops[0]; op.PutKey == clusterstate.FinalKey("run-1") {
 				ended++
-				var rec world.FinalRecord
+				var rec clusterstate.FinalRecord
 				if err := wire.Decode(op.Value, &rec); err != nil || rec.Status != wire.JobDone || rec.DoneCount != 2 {
 					t.Errorf("%+v, %v", rec, err)
 				}
@@ -389,7 +389,7 @@
 	for i := range 60 {
 		if name := fixture.addMachine(i, false); i < 9 {
 			held["g"][name] = true
-			fixture.agents[world.ShardOf(name, testShards)].RecordImageUse(name, "g", 4, 50)
+			fixture.agents[clusterstate.ShardOf(name, testShards)].RecordImageUse(name, "g", 4, 50)
 		}
 	}
 	fixture.addJob(gangSpec(1, 3))
@@ -417,17 +417,17 @@
 	busy := arraySpec(1, 40)
 	busy.Priority = wire.PriorityNormal
 	busy.CPUs, busy.GPUs = 28, 4
-	var on []world.Task
+	var on []clusterstate.Task
 	for i := range 60 {
 		if i%3 == 2 {
 			continue // of three zones two are used
 		}
-		on = append(on, world.Task{Index: len(on), State: world.TaskBound, Attempt: 1, Machine: fixture.addMachine(i, false), Session: 1})
+		on = append(on, clusterstate.Task{Index: len(on), State: clusterstate.TaskBound, Attempt: 1, Machine: fixture.addMachine(i, false), Session: 1})
 	}
 	fixture.addJob(busy, on...)
 	for i := range 30 {
 		if i%3 != 2 {
-			fixture.put(world.MachineKey(fmt.Sprintf("vm-1%05d", i)), world.MachineRecord{Type: "m", Zone: testZones[i%3], CreatedAtMs: testNow.UnixMilli()})
+			fixture.put(clusterstate.MachineKey(fmt.Sprintf("vm-1%05d", i)), clusterstate.MachineRecord{Type: "m", Zone: testZones[i%3], CreatedAtMs: testNow.UnixMilli()})
 		}
 	}
 	service := wire.JobSpec{ID: "run-000002", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 4, CPUs: 5, GPUs: 1, MemoryGB: 38, Spread: true}
@@ -482,10 +482,10 @@
 		fixture := newTestCluster(t)
 		spec := gangSpec(1, 2)
 		spec.Team, spec.Class = "t", "c"
-		rec := world.JobRecord{Spec: spec, SubmittedAtMs: 1, CancelledAtMs: cancelMs, CancelAfterRelease: cancelMs != 0,
-			Tasks: []world.Task{{Index: 0, State: world.TaskDone, Attempt: 1}, {Index: 1, State: world.TaskPending, Attempt: 1}}}
+		rec := clusterstate.JobRecord{Spec: spec, SubmittedAtMs: 1, CancelledAtMs: cancelMs, CancelAfterRelease: cancelMs != 0,
+			Tasks: []clusterstate.Task{{Index: 0, State: clusterstate.TaskDone, Attempt: 1}, {Index: 1, State: clusterstate.TaskPending, Attempt: 1}}}
 		fixture.cluster.BeginUpdate()
-		fixture.cluster.Put(world.JobKey(spec.ID), wire.MustEncode(rec), 0) // the view holds all up to it
+		fixture.cluster.Put(clusterstate.JobKey(spec.ID), wire.MustEncode(rec), 0) // the view holds all up to it
 		fixture.cluster.EndUpdate()
 		fixture.cluster.RLock()
 		c := fixture.engines[0].newCycle(testNow)
@@ -496,10 +496,10 @@
 		if cancelMs != 0 {
 			want = wire.JobCancelled
 		}
-		var final world.FinalRecord
+		var final clusterstate.FinalRecord
 		for _, change := range c.outgoing {
 			for _, o := range change.transaction.Ops {
-				if o.PutKey == world.FinalKey(spec.ID) {
+				if o.PutKey == clusterstate.FinalKey(spec.ID) {
 					_ = wire.Decode(o.Value, &final)
 				}
 			}
@@ -530,12 +530,12 @@
 		return nil, err
 	}
 	for _, o := range txn.Ops {
-		if strings.HasPrefix(o.PutKey, world.JobKey("")) {
+		if strings.HasPrefix(o.PutKey, clusterstate.JobKey("")) {
 			<-req.Context().Done()
 			return nil, req.Context().Err()
 		}
 		f.engine.mu.Lock()
-		if f.fenced = true; !f.engine.keysInFlight[world.JobKey("run-1")] || len(f.engine.inFlightChanges) == 0 {
+		if f.fenced = true; !f.engine.keysInFlight[clusterstate.JobKey("run-1")] || len(f.engine.inFlightChanges) == 0 {
 			f.releasedEarly = true
 		}
 		f.engine.mu.Unlock()
@@ -550,19 +550,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newTestCluster(t)
 		name := fixture.addMachine(1, false)
-		shard := world.ShardOf(name, testShards)
+		shard := clusterstate.ShardOf(name, testShards)
 		engine := fixture.engines[shard]
 		transport := &unansweredBindings{engine: engine}
 		client := store.NewClient("10.0.0.1:1", store.Limits{RequestsPerSecond: 1000, WritesPerSecond: 1000, MaxValueKiB: 16, MaxTransactionOps: 32}, transport)
 		engine.committer = store.NewCommitter(client, func([]wire.Op, uint64) {})
 		node := fmt.Sprintf("node-%d", shard)
-		engine.membership = member.New(node, 1, []string{node}, tuning.Level, client, engine.committer, store.NewWatchCache(client, world.LivePrefix, fixture.cluster, slog.New(slog.DiscardHandler)), fixture.cluster, slog.New(slog.DiscardHandler))
+		engine.membership = member.New(node, 1, []string{node}, tuning.Level, client, engine.committer, store.NewWatchCache(client, clusterstate.LivePrefix, fixture.cluster, slog.New(slog.DiscardHandler)), fixture.cluster, slog.New(slog.DiscardHandler))
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = engine.committer.Run(ctx) }()
 		engine.ctx = ctx
-		change := &recordChange{description: "tasks of run-1", keys: []string{world.JobKey("run-1")}, shards: []int{shard},
-			bindings:    []pendingBinding{{world.TaskRef{Job: "run-1"}, name, shard, "t", world.Resources{GPUs: 1}}},
-			transaction: store.Transaction{Conditions: []wire.Condition{{Key: world.ShardKey(shard)}}, Ops: []wire.Op{store.PutOp(world.JobKey("run-1"), 1)}}}
+		change := &recordChange{description: "tasks of run-1", keys: []string{clusterstate.JobKey("run-1")}, shards: []int{shard},
+			bindings:    []pendingBinding{{clusterstate.TaskRef{Job: "run-1"}, name, shard, "t", clusterstate.Resources{GPUs: 1}}},
+			transaction: store.Transaction{Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard)}}, Ops: []wire.Op{store.PutOp(clusterstate.JobKey("run-1"), 1)}}}
 		engine.mu.Lock()
 		engine.keysInFlight[change.keys[0]], engine.inFlightChanges[0] = true, change
 		engine.mu.Unlock()
@@ -591,20 +591,20 @@
 		}
 		spec := arraySpec(1, tuning.ChunkTasks+4)
 		spec.SameZone, spec.Team, spec.Class, spec.CPUs, spec.GPUs, spec.MemoryGB = true, "t", "c", 1, 0, 1
-		var first []world.Task
+		var first []clusterstate.Task
 		for i := range tuning.ChunkTasks {
-			first = append(first, world.Task{Index: i, State: world.TaskDone, Attempt: 1})
+			first = append(first, clusterstate.Task{Index: i, State: clusterstate.TaskDone, Attempt: 1})
 		}
 		if lost {
-			first[0] = world.Task{Index: 0, State: world.TaskBound, Attempt: 1, Machine: "vm-999999", Session: 1}
+			first[0] = clusterstate.Task{Index: 0, State: clusterstate.TaskBound, Attempt: 1, Machine: "vm-999999", Session: 1}
 		}
-		fixture.put(world.JobKey(spec.ID), world.JobRecord{Spec: spec, SubmittedAtMs: testNow.UnixMilli(), Tasks: first})
+		fixture.put(clusterstate.JobKey(spec.ID), clusterstate.JobRecord{Spec: spec, SubmittedAtMs: testNow.UnixMilli(), Tasks: first})
 		bound := 0
 		for i := range fixture.engines {
 			c, binds := fixture.runCycle(i)
 			bound += len(binds)
 			for _, change := range c.outgoing {
-				own := slices.ContainsFunc(change.transaction.Ops, func(o wire.Op) bool { return o.PutKey == world.JobKey(spec.ID) })
+				own := slices.ContainsFunc(change.transaction.Ops, func(o wire.Op) bool { return o.PutKey == clusterstate.JobKey(spec.ID) })
 				if len(change.bindings) > 0 && !own {
 					t.Errorf("node %d binds %d tasks without the job's own record: %v", i, len(change.bindings), change.keys)
 				}
--- a/internal/pool/autoscaler.go
+++ b/internal/pool/autoscaler.go
@@ -14,6 +14,7 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/learn"
 	"sableusher/internal/member"
@@ -21,7 +22,6 @@
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // Autoscaler is this node's part in keeping the fleet: every node returns the
@@ -29,7 +29,7 @@
 type Autoscaler struct {
 	settings  *config.Settings
 	operator  *config.Operator
-	state     *world.State
+	state     *clusterstate.State
 	members   *member.Member
 	scheduler *place.Engine
 	cloud     *Client
@@ -76,7 +76,7 @@
 }
 
 // New makes a pool.
-func New(set *config.Settings, op *config.Operator, w *world.State, m *member.Member, e *place.Engine, c *Client, commit *store.Committer, log *slog.Logger) *Autoscaler {
+func New(set *config.Settings, op *config.Operator, w *clusterstate.State, m *member.Member, e *place.Engine, c *Client, commit *store.Committer, log *slog.Logger) *Autoscaler {
 	return &Autoscaler{settings: set, operator: op, state: w, members: m, scheduler: e, cloud: c, committer: commit, log: log,
 		refusals: map[machineKind]refusal{}, insufficientUntil: map[machineKind]time.Time{}, idleSince: map[string]time.Time{}, unknownSince: map[string]time.Time{}, missedListings: map[string]int{}, arrivals: map[string]arrival{}}
 }
@@ -121,7 +121,7 @@
 			a.log.Info("catalog not read", "err", err)
 			return
 		}
-		guards := []wire.Condition{{Key: world.CatalogKey, ModRevision: stamp}}
+		guards := []wire.Condition{{Key: clusterstate.CatalogKey, ModRevision: stamp}}
 		if leads {
 			guards = append(guards, lead)
 		}
@@ -137,7 +137,7 @@
 // or where that would be too long, one for each type. Once it is kept by type it
 // stays so, as those records count first.
 func (a *Autoscaler) catalogOps(cat wire.Catalog) [][]wire.Op {
-	whole := store.PutOp(world.CatalogKey, cat)
+	whole := store.PutOp(clusterstate.CatalogKey, cat)
 	a.state.RLock()
 	level, byType := a.state.SchemaVersion, a.state.CatalogByType()
 	a.state.RUnlock()
@@ -146,7 +146,7 @@
 	}
 	var ops []wire.Op
 	for _, t := range cat.Types {
-		ops = append(ops, store.PutOp(world.MachineTypeKey(t.Name), t))
+		ops = append(ops, store.PutOp(clusterstate.MachineTypeKey(t.Name), t))
 	}
 	return slices.Collect(slices.Chunk(ops, a.committer.MaxTransactionOps()))
 }
@@ -160,8 +160,8 @@
 // leadership tells whether this node leads, with the guard of what a leader writes.
 // Callers hold the world's lock.
 func (a *Autoscaler) leadership() (wire.Condition, bool) {
-	_, stamp, ok := a.members.Owns(world.LeaderShard)
-	return wire.Condition{Key: world.ShardKey(world.LeaderShard), ModRevision: stamp}, ok
+	_, stamp, ok := a.members.Owns(clusterstate.LeaderShard)
+	return wire.Condition{Key: clusterstate.ShardKey(clusterstate.LeaderShard), ModRevision: stamp}, ok
 }
 
 // returnMachines deletes machines marked for it, of this node's parts. Those whose tasks wait for it
@@ -184,7 +184,7 @@
 // plannedMachine is a machine to be rented.
 type plannedMachine struct {
 	machineKind
-	free     world.Resources
+	free     clusterstate.Resources
 	required bool // for work of high priority, or for the minimum
 }
 
@@ -288,12 +288,12 @@
 			return nil
 		}
 		t := a.state.Types[k.machineType]
-		out = append(out, plannedMachine{k, world.Capacity(&t), rank <= wire.PriorityRank(wire.PriorityHigh) || late})
+		out = append(out, plannedMachine{k, clusterstate.Capacity(&t), rank <= wire.PriorityRank(wire.PriorityHigh) || late})
 		machinesInZone[k.zone]++
 		return &out[len(out)-1]
 	}
 	for _, g := range demand.Groups {
-		s, need := g.Spec, world.TaskResources(g.Spec)
+		s, need := g.Spec, clusterstate.TaskResources(g.Spec)
 		late, rank = now.Sub(g.SubmittedAt) > tuning.StarveAfter, g.Rank
 		zone, count := s.Zone, g.Count
 		perZone := map[string]int{}
@@ -491,12 +491,12 @@
 // cheapestKind picks the cheapest kind for a task, in the allowed zone with the
 // fewest machines, leaving out what was refused lately and zones that are cut off.
 func (a *Autoscaler) cheapestKind(spec *wire.JobSpec, zone string, machinesInZone map[string]int, now time.Time, allowed func(machineKind) bool) (machineKind, bool) {
-	need := world.TaskResources(spec)
+	need := clusterstate.TaskResources(spec)
 	var cheapest machineKind
 	lowestPrice, found := 0.0, false
 	for _, name := range slices.Sorted(maps.Keys(a.state.Types)) {
 		t := a.state.Types[name]
-		if len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, name) || !need.FitsIn(world.Capacity(&t)) {
+		if len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, name) || !need.FitsIn(clusterstate.Capacity(&t)) {
 			continue
 		}
 		for _, z := range t.Zones {
@@ -564,8 +564,8 @@
 	if refused {
 		return // meanwhile
 	}
-	rec := world.RentalRecord{Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: count, RequestedAtMs: time.Now().UnixMilli()}
-	key := world.RentalKey(name)
+	rec := clusterstate.RentalRecord{Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: count, RequestedAtMs: time.Now().UnixMilli()}
+	key := clusterstate.RentalKey(name)
 	rev, err := a.commit(ctx, store.Transaction{
 		Conditions: []wire.Condition{{Key: key, ModRevision: 0}, leader}, Ops: []wire.Op{store.PutOp(key, rec)},
 	})
@@ -580,7 +580,7 @@
 // machines all have records of their own.
 func (a *Autoscaler) resumeRentals(ctx context.Context, leader wire.Condition) bool {
 	a.state.RLock()
-	open := map[string]world.Rental{}
+	open := map[string]clusterstate.Rental{}
 	var done []store.Transaction
 	for name, r := range a.state.Rentals {
 		if len(r.Machines) == 0 {
@@ -588,7 +588,7 @@
 			continue
 		}
 		if !slices.ContainsFunc(r.Machines, func(n string) bool { m := a.state.Machines[n]; return m != nil && m.ModRevision == 0 }) {
-			key := world.RentalKey(name)
+			key := clusterstate.RentalKey(name)
 			done = append(done, store.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: r.ModRevision}}, Ops: []wire.Op{store.DeleteOp(key)}})
 		}
 	}
@@ -615,7 +615,7 @@
 	wg.Wait()
 }
 
-func (a *Autoscaler) requestMachines(ctx context.Context, name string, rec world.RentalRecord, stamp uint64) error {
+func (a *Autoscaler) requestMachines(ctx context.Context, name string, rec clusterstate.RentalRecord, stamp uint64) error {
 	k := machineKind{rec.Type, rec.Zone, rec.Spot}
 	names, err := a.cloud.Rent(ctx, wire.RentalRequest{Name: name, MachineType: rec.Type, Zone: rec.Zone, Spot: rec.Spot, Count: rec.Count})
 	switch {
@@ -632,7 +632,7 @@
 		}
 	}
 	// A change that fails is tried again later: the same name gives the same machines.
-	key := world.RentalKey(name)
+	key := clusterstate.RentalKey(name)
 	op := store.DeleteOp(key)
 	if rec.Machines = names; len(names) > 0 {
 		op = store.PutOp(key, rec)
@@ -728,8 +728,8 @@
 		rec := m.MachineRecord
 		rec.Draining = true
 		items = append(items, store.Transaction{
-			Conditions: []wire.Condition{leader, {Key: world.MachineKey(n), ModRevision: m.ModRevision}},
-			Ops:        []wire.Op{store.PutOp(world.MachineKey(n), rec)},
+			Conditions: []wire.Condition{leader, {Key: clusterstate.MachineKey(n), ModRevision: m.ModRevision}},
+			Ops:        []wire.Op{store.PutOp(clusterstate.MachineKey(n), rec)},
 		})
 		left[m.Spot]--
 		if !m.Spot {
@@ -758,7 +758,7 @@
 	var items []store.Transaction
 	a.state.RLock()
 	for _, l := range listing {
-		key := world.MachineKey(l.ID)
+		key := clusterstate.MachineKey(l.ID)
 		m := a.state.Machines[l.ID]
 		switch {
 		case m != nil && l.State == wire.MachineFailed && !m.Deleting:
@@ -774,7 +774,7 @@
 			// Lists lag: only one that stays unknown is a stray.
 			if now.Sub(a.unknownSince[l.ID]) > config.Seconds(2*a.settings.Deployment.Cloud.ListLagS)+tuning.ListEvery {
 				a.log.Info("recording an unknown machine", "machine", l.ID)
-				rec := world.MachineRecord{Type: l.MachineType, Zone: l.Zone, Spot: l.Spot, Address: l.Address,
+				rec := clusterstate.MachineRecord{Type: l.MachineType, Zone: l.Zone, Spot: l.Spot, Address: l.Address,
 					CreatedAtMs: now.Add(-config.Seconds(l.AgeSeconds)).UnixMilli(), Deleting: l.State == wire.MachineFailed}
 				items = append(items, store.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: 0}}, Ops: []wire.Op{store.PutOp(key, rec)}})
 			}
@@ -804,7 +804,7 @@
 		if a.missedListings[name]++; a.missedListings[name] < tuning.ListMissing {
 			continue
 		}
-		rec, key := m.MachineRecord, world.MachineKey(name)
+		rec, key := m.MachineRecord, clusterstate.MachineKey(name)
 		rec.Deleting = true
 		a.log.Info("machine is not listed any more", "machine", name, "tasks", len(m.Bindings))
 		items = append(items, store.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: m.ModRevision}}, Ops: []wire.Op{store.PutOp(key, rec)}})
--- a/internal/pool/autoscaler_test.go
+++ b/internal/pool/autoscaler_test.go
@@ -10,19 +10,19 @@
 
 	"pgregory.net/rapid"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/fit"
 	"sableusher/internal/place"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 var testZones = []string{"east", "west"}
 
 func newTestAutoscaler(tb testing.TB) *Autoscaler {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	w := world.New(3, log)
+	w := clusterstate.New(3, log)
 	w.Types["m"] = wire.MachineType{Name: "m", CPUs: 32, GPUs: 4, MemoryGB: 256, Price: 10, SpotPrice: 4, BootSeconds: 30, Zones: testZones}
 	op, err := config.LoadOperator("")
 	if err != nil {
@@ -101,13 +101,13 @@
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
 		p.operator.ZoneReserve = share
 		held := map[string]float64{}
-		job := &world.Job{JobRecord: world.JobRecord{Spec: wire.JobSpec{ID: "run-1", Kind: wire.KindService, TaskCount: 8, CPUs: 8, GPUs: 1, MemoryGB: 60}}}
+		job := &clusterstate.Job{JobRecord: clusterstate.JobRecord{Spec: wire.JobSpec{ID: "run-1", Kind: wire.KindService, TaskCount: 8, CPUs: 8, GPUs: 1, MemoryGB: 60}}}
 		for i := range rapid.IntRange(0, 40).Draw(t, "machines") {
-			m := &world.Machine{Name: fmt.Sprintf("vm-%d", i), MachineRecord: world.MachineRecord{Type: "m", Zone: rapid.SampledFrom(testZones).Draw(t, "zone"), Up: true}}
-			m.Bindings = map[world.TaskRef]world.Binding{}
+			m := &clusterstate.Machine{Name: fmt.Sprintf("vm-%d", i), MachineRecord: clusterstate.MachineRecord{Type: "m", Zone: rapid.SampledFrom(testZones).Draw(t, "zone"), Up: true}}
+			m.Bindings = map[clusterstate.TaskRef]clusterstate.Binding{}
 			for k := range rapid.IntRange(0, 4).Draw(t, "replicas") {
-				ref := world.TaskRef{Job: fmt.Sprintf("run-%d", i), Index: k}
-				m.Bindings[ref] = world.Binding{Ref: ref, Job: job}
+				ref := clusterstate.TaskRef{Job: fmt.Sprintf("run-%d", i), Index: k}
+				m.Bindings[ref] = clusterstate.Binding{Ref: ref, Job: job}
 				held[m.Zone] += 0.25
 			}
 			p.state.Machines[m.Name] = m
--- a/internal/preempt/preemption.go
+++ b/internal/preempt/preemption.go
@@ -10,9 +10,9 @@
 	"math"
 	"slices"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/fit"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // Preemptor is what a waiting job brings against others.
@@ -23,7 +23,7 @@
 	// comes to lie within it later, as the team's earlier work ends, has its turn in order.
 	GuaranteedOnArrival bool
 	Team                string
-	Need                world.Resources // of each task
+	Need                clusterstate.Resources // of each task
 }
 
 // RunningJob is what a running job has to say for itself.
@@ -72,7 +72,7 @@
 
 // Victim is a running task that may be stopped.
 type Victim struct {
-	Binding            world.Binding
+	Binding            clusterstate.Binding
 	Rank               int
 	LostMachineSeconds float64 // work lost when it is stopped, in machine seconds
 }
@@ -87,12 +87,12 @@
 
 // MinimalVictims gives the first of some tasks in order that make room for a need together with
 // what is free, and their cost; ok is false if all of them don't.
-func MinimalVictims(need, free world.Resources, victims []Victim) (chosen []Victim, cost float64, ok bool) {
+func MinimalVictims(need, free clusterstate.Resources, victims []Victim) (chosen []Victim, cost float64, ok bool) {
 	for i, victim := range victims {
 		if need.FitsIn(free) {
 			return victims[:i], cost, true
 		}
-		free = free.AddTimes(world.TaskResources(&victim.Binding.Job.Spec), 1)
+		free = free.AddTimes(clusterstate.TaskResources(&victim.Binding.Job.Spec), 1)
 		cost += victim.LostMachineSeconds
 	}
 	return victims, cost, need.FitsIn(free)
@@ -100,7 +100,7 @@
 
 // CheapestMachine finds among machines the one where making room costs least; tasks gives those
 // that may be stopped on one. It gives nil if none makes room.
-func CheapestMachine(need world.Resources, machines []*fit.MachineInfo, victimsOn func(*fit.MachineInfo) []Victim) (*fit.MachineInfo, []Victim) {
+func CheapestMachine(need clusterstate.Resources, machines []*fit.MachineInfo, victimsOn func(*fit.MachineInfo) []Victim) (*fit.MachineInfo, []Victim) {
 	var best *fit.MachineInfo
 	var chosen []Victim
 	leastCost := math.Inf(1)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -9,9 +9,9 @@
 
 	"pgregory.net/rapid"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // TestGrantsStayWithinLimit lets three parts raise and release grants of one
@@ -20,7 +20,7 @@
 func TestGrantsStayWithinLimit(t *testing.T) {
 	const parts, limit = 3, 12.0
 	rapid.Check(t, func(t *rapid.T) {
-		state := world.New(parts, slog.New(slog.NewTextHandler(io.Discard, nil)))
+		state := clusterstate.New(parts, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		var managers []*GrantManager
 		for range parts {
 			managers = append(managers, New([]config.Team{{Name: "t", GPUsMax: limit}}, state))
@@ -33,19 +33,19 @@
 			stamp  uint64
 		}
 		var flights []flight
-		key := world.QuotaKey("t")
+		key := clusterstate.QuotaKey("t")
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now = now.Add(700 * time.Millisecond)
 			shard := rapid.IntRange(0, parts-1).Draw(t, "part")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0: // bind one more task, if the grant allows
-				if managers[shard].Allows(shard, "t", world.Resources{GPUs: used[shard] + 2}) {
+				if managers[shard].Allows(shard, "t", clusterstate.Resources{GPUs: used[shard] + 2}) {
 					used[shard] += 2
 				}
 			case 1:
 				used[shard] = max(0, used[shard]-2)
 			case 2:
-				usage := func(part int, _ string) world.Resources { return world.Resources{GPUs: used[part]} }
+				usage := func(part int, _ string) clusterstate.Resources { return clusterstate.Resources{GPUs: used[part]} }
 				for _, change := range managers[shard].PlanChanges(now, map[int]uint64{shard: 1}, usage) {
 					flights = append(flights, flight{change, change.Transaction.Conditions[0].ModRevision})
 				}
@@ -65,7 +65,7 @@
 				arriving.change.Done()
 			}
 			sum := 0.0
-			var record world.QuotaRecord
+			var record clusterstate.QuotaRecord
 			_ = wire.Decode(wire.MustEncode(state.Quotas["t"].QuotaRecord), &record)
 			for shard := range parts {
 				grant := record.Grants[strconv.Itoa(shard)].GPUs
--- a/internal/settle/reconcile.go
+++ b/internal/settle/reconcile.go
@@ -5,9 +5,9 @@
 package settle
 
 import (
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/fleet"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // BoundTask is a bound task as its part's owner sees it.
@@ -54,7 +54,7 @@
 }
 
 func releaseToPending(reason string) Decision {
-	return Decision{Release: true, NextState: world.TaskPending, Reason: reason}
+	return Decision{Release: true, NextState: clusterstate.TaskPending, Reason: reason}
 }
 
 func decideExited(task BoundTask) Decision {
@@ -69,7 +69,7 @@
 			decision.Reason = "done after its cancellation"
 		default:
 			// A gang completes together: one done task tells it of all.
-			decision.Reason, decision.NextState, decision.WholeGang = "done", world.TaskDone, task.JobKind == wire.KindGang
+			decision.Reason, decision.NextState, decision.WholeGang = "done", clusterstate.TaskDone, task.JobKind == wire.KindGang
 		}
 	case wire.ExitCauseError:
 		// Its class paces the repeats of what is counted.
@@ -93,14 +93,14 @@
 )
 
 // GangStateOf tells the shape of a gang's attempt of so many tasks.
-func GangStateOf(taskCount int, taskAt func(int) world.Task, attempt uint64) GangState {
+func GangStateOf(taskCount int, taskAt func(int) clusterstate.Task, attempt uint64) GangState {
 	state := GangWhole
 	for i := range taskCount {
 		task := taskAt(i)
 		switch {
-		case task.State == world.TaskDone:
+		case task.State == clusterstate.TaskDone:
 			return GangWhole
-		case task.State == world.TaskBound && task.Attempt == attempt:
+		case task.State == clusterstate.TaskBound && task.Attempt == attempt:
 		case task.Attempt >= attempt:
 			return GangBroken
 		default:
--- a/internal/settle/reconcile_test.go
+++ b/internal/settle/reconcile_test.go
@@ -5,9 +5,9 @@
 
 	"pgregory.net/rapid"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/fleet"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // TestDecideEveryObservation goes through all fates, causes and kinds: a binding ends only by proof,
@@ -27,7 +27,7 @@
 						t.Errorf("%+v: %+v", task, decision)
 					}
 					done := presence == fleet.PresenceExited && cause == wire.ExitCauseDone && kind != wire.KindService && !task.JobCancelled
-					if (decision.NextState == world.TaskDone) != done || decision.WholeGang != (done && kind == wire.KindGang) {
+					if (decision.NextState == clusterstate.TaskDone) != done || decision.WholeGang != (done && kind == wire.KindGang) {
 						t.Errorf("%+v: %+v", task, decision)
 					}
 					failed := presence == fleet.PresenceExited && cause == wire.ExitCauseError
@@ -51,23 +51,23 @@
 func TestGangStateOf(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "tasks")
-		tasks := make([]world.Task, n)
+		tasks := make([]clusterstate.Task, n)
 		bound, ended, done := 0, false, false
 		for i := range tasks {
-			tasks[i] = world.Task{Index: i, State: rapid.SampledFrom([]int{world.TaskPending, world.TaskBound}).Draw(t, "state"), Attempt: rapid.Uint64Range(1, 3).Draw(t, "attempt")}
+			tasks[i] = clusterstate.Task{Index: i, State: rapid.SampledFrom([]int{clusterstate.TaskPending, clusterstate.TaskBound}).Draw(t, "state"), Attempt: rapid.Uint64Range(1, 3).Draw(t, "attempt")}
 			if rapid.IntRange(0, 9).Draw(t, "done") == 0 {
-				tasks[i].State = world.TaskDone
+				tasks[i].State = clusterstate.TaskDone
 			}
 			switch {
-			case tasks[i].State == world.TaskDone:
+			case tasks[i].State == clusterstate.TaskDone:
 				done = true
-			case tasks[i].State == world.TaskBound && tasks[i].Attempt == 2:
+			case tasks[i].State == clusterstate.TaskBound && tasks[i].Attempt == 2:
 				bound++
 			case tasks[i].Attempt >= 2:
 				ended = true
 			}
 		}
-		got := GangStateOf(n, func(i int) world.Task { return tasks[i] }, 2)
+		got := GangStateOf(n, func(i int) clusterstate.Task { return tasks[i] }, 2)
 		switch {
 		case done: // a done task tells it of all; records that also say otherwise are not written
 		case ended && got != GangBroken, !ended && bound == n && got != GangWhole, !ended && bound < n && got != GangForming:
--- a/internal/spill/home.go
+++ b/internal/spill/home.go
@@ -10,18 +10,18 @@
 	"time"
 
 	"sableusher/internal/cell"
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // This file is home's side: what is given away, what is asked of it, and what its host's
 // words lead to.
 
 // home is a job as the machine sees it.
-func home(j *world.Job) cell.Home {
+func home(j *clusterstate.Job) cell.Home {
 	h := cell.Home{Cancelled: j.Cancelled()}
 	if j.OffloadedTo != nil {
 		h.State, h.Number, h.Recalled = cell.Away, j.OffloadedTo.Number, j.OffloadedTo.Recalled
@@ -62,7 +62,7 @@
 // turns gives the transfers that the next message asks about, in order: first the lowest of those
 // not known to be held, as the receiver refuses what comes below the highest that it took,
 // then the others by turns.
-func (s *Spill) turns(h *heard, jobs map[uint64]*world.Job) []uint64 {
+func (s *Spill) turns(h *heard, jobs map[uint64]*clusterstate.Job) []uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	maps.DeleteFunc(h.held, func(n uint64, _ bool) bool { return jobs[n] == nil })
@@ -83,12 +83,12 @@
 }
 
 // settled tells whether the inventory of a cell is in, under this cell's epoch.
-func (s *Spill) settled(rec world.CellRecord) bool {
+func (s *Spill) settled(rec clusterstate.CellRecord) bool {
 	return rec.OwnEpoch == s.op.CellEpoch && rec.InventoryReceived
 }
 
 // under is a record as it counts under this cell's epoch: what was settled before is not now.
-func (s *Spill) under(rec world.CellRecord) world.CellRecord {
+func (s *Spill) under(rec clusterstate.CellRecord) clusterstate.CellRecord {
 	if rec.OwnEpoch != s.op.CellEpoch {
 		rec.OwnEpoch, rec.InventoryReceived = s.op.CellEpoch, false
 	}
@@ -164,7 +164,7 @@
 	if next == rec {
 		return nil
 	}
-	return s.do(ctx, guards, []wire.Op{store.PutOp(world.CellKey(name), next)})
+	return s.do(ctx, guards, []wire.Op{store.PutOp(clusterstate.CellKey(name), next)})
 }
 
 // word takes in what another cell says of one transfer.
@@ -193,14 +193,14 @@
 	var ops []wire.Op
 	switch {
 	case after.State == cell.Here:
-		g, op := rewrite(j, func(r *world.JobRecord) { r.OffloadedTo = nil })
+		g, op := rewrite(j, func(r *clusterstate.JobRecord) { r.OffloadedTo = nil })
 		guards, ops = append(guards, g), append(ops, op)
 	case after.State == cell.Ended:
 		status, done := w.Final, w.Done
 		if status == "" {
 			status = j.CancelledStatus() // refused or sent home after its user had cancelled it
 		}
-		guards = append(guards, wire.Condition{Key: world.JobKey(j.Spec.ID), ModRevision: j.ModRevision})
+		guards = append(guards, wire.Condition{Key: clusterstate.JobKey(j.Spec.ID), ModRevision: j.ModRevision})
 		ops = j.FinalizeOps(status, done, time.Now().UnixMilli())
 		ops = append(ops, j.DeleteFurtherChunks(s.commit.MaxTransactionOps()-len(ops))...)
 	}
@@ -228,7 +228,7 @@
 		guards, leads := s.guards(name)
 		j := s.world.Jobs[a.Spec.ID]
 		var op wire.Op
-		there := &world.Transfer{Cell: name, Number: a.Number, Epoch: s.op.CellEpoch}
+		there := &clusterstate.Transfer{Cell: name, Number: a.Number, Epoch: s.op.CellEpoch}
 		switch {
 		case !leads:
 			s.world.RUnlock()
@@ -242,16 +242,16 @@
 			ok = false
 			continue
 		case j != nil && j.HasRecord:
-			g, o := rewrite(j, func(r *world.JobRecord) { r.OffloadedTo = there })
+			g, o := rewrite(j, func(r *clusterstate.JobRecord) { r.OffloadedTo = there })
 			guards, op = append(guards, g), o
 		default:
 			// Accepted in writes that are lost.
-			rec := world.JobRecord{Spec: a.Spec, SubmittedAtMs: a.AtMs, OffloadedTo: there}
+			rec := clusterstate.JobRecord{Spec: a.Spec, SubmittedAtMs: a.AtMs, OffloadedTo: there}
 			if why := rec.ChooseLayout(s.world.SchemaVersion, s.world.SizeLimits(s.commit.UpcomingMaxRecordBytes())); why != "" {
 				s.log.Error("job of another cell's inventory can't be recorded", "job", a.Spec.ID, "why", why)
 			}
-			guards = append(guards, wire.Condition{Key: world.JobKey(a.Spec.ID)}, wire.Condition{Key: world.FinalKey(a.Spec.ID)})
-			op = store.PutOp(world.JobKey(a.Spec.ID), rec)
+			guards = append(guards, wire.Condition{Key: clusterstate.JobKey(a.Spec.ID)}, wire.Condition{Key: clusterstate.FinalKey(a.Spec.ID)})
+			op = store.PutOp(clusterstate.JobKey(a.Spec.ID), rec)
 		}
 		s.world.RUnlock()
 		s.log.Info("job is with another cell, as that one tells", "job", a.Spec.ID, "cell", name, "number", a.Number)
@@ -278,11 +278,11 @@
 			return fmt.Errorf("not forgotten: %w", err)
 		}
 		rec.FencedEpoch, rec.Standing, rec.StandingSinceMs, rec.InventoryReceived = after.Fenced, int(after.Standing), after.Since.UnixMilli(), after.Settled
-		ops = append(ops, store.PutOp(world.CellKey(f.Name), rec))
+		ops = append(ops, store.PutOp(clusterstate.CellKey(f.Name), rec))
 	} else if rec.PeerEpoch <= rec.FencedEpoch {
 		for _, j := range s.away(f.Name) {
 			if len(ops) < s.commit.MaxTransactionOps() {
-				g, op := rewrite(j, func(r *world.JobRecord) { r.OffloadedTo = nil })
+				g, op := rewrite(j, func(r *clusterstate.JobRecord) { r.OffloadedTo = nil })
 				guards, ops, back = append(guards, g), append(ops, op), append(back, j.Spec.ID)
 			}
 		}
@@ -299,7 +299,7 @@
 }
 
 // member is a cell's record as the machine of members sees it.
-func member(name string, rec world.CellRecord) cell.Member {
+func member(name string, rec clusterstate.CellRecord) cell.Member {
 	return cell.Member{Name: name, Epoch: rec.PeerEpoch, Standing: cell.Standing(rec.Standing), Since: time.UnixMilli(rec.StandingSinceMs), Returns: rec.Returns,
 		Settled: rec.InventoryReceived, Fenced: rec.FencedEpoch}
 }
@@ -332,7 +332,7 @@
 		}
 	}
 	type gift struct {
-		job *world.Job
+		job *clusterstate.Job
 		to  string
 	}
 	var gifts []gift
@@ -349,14 +349,14 @@
 		for i := range list {
 			list[i].Flight = flight[list[i].Name]
 		}
-		w := cell.Work{ID: id, Need: world.TaskResources(&j.Spec), Tasks: j.Spec.TaskCount, OneZone: j.Spec.SameZone, Types: j.Spec.MachineTypes,
+		w := cell.Work{ID: id, Need: clusterstate.TaskResources(&j.Spec), Tasks: j.Spec.TaskCount, OneZone: j.Spec.SameZone, Types: j.Spec.MachineTypes,
 			Spot: j.Spec.AllowSpot, Rank: rank, Image: j.Spec.Image, ImageGB: j.Spec.ImageSizeGB, HereS: max(wait[rank], now.Sub(j.ReadySince()).Seconds()), Guest: j.OffloadedFrom != nil}
 		if to, ok := cell.Choose(now, &w, list, rand.New(rand.NewPCG(rand.Uint64(), 1))); ok {
 			gifts = append(gifts, gift{j, to})
 			flight[to] += j.Spec.TaskCount
 		}
 	}
-	next, given := map[string]world.CellRecord{}, map[string][]string{}
+	next, given := map[string]clusterstate.CellRecord{}, map[string][]string{}
 	ops, guards := map[string][]wire.Op{}, map[string][]wire.Condition{}
 	for _, g := range gifts {
 		rec, ok := next[g.to]
@@ -369,8 +369,8 @@
 		}
 		rec.LastSentTransfer++
 		next[g.to] = rec
-		guard, op := rewrite(g.job, func(r *world.JobRecord) {
-			r.OffloadedTo, r.OffloadedAtMs = &world.Transfer{Cell: g.to, Number: rec.LastSentTransfer, Epoch: s.op.CellEpoch}, now.UnixMilli()
+		guard, op := rewrite(g.job, func(r *clusterstate.JobRecord) {
+			r.OffloadedTo, r.OffloadedAtMs = &clusterstate.Transfer{Cell: g.to, Number: rec.LastSentTransfer, Epoch: s.op.CellEpoch}, now.UnixMilli()
 		})
 		guards[g.to], ops[g.to] = append(guards[g.to], guard), append(ops[g.to], op)
 		given[g.to] = append(given[g.to], g.job.Spec.ID)
@@ -378,7 +378,7 @@
 	s.world.RUnlock()
 	var errs []error
 	for to, list := range ops {
-		err := s.do(ctx, guards[to], append(list, store.PutOp(world.CellKey(to), next[to])))
+		err := s.do(ctx, guards[to], append(list, store.PutOp(clusterstate.CellKey(to), next[to])))
 		if errs = append(errs, err); err == nil {
 			s.log.Info("jobs given to another cell", "cell", to, "jobs", given[to])
 		}
@@ -388,7 +388,7 @@
 
 // mayLeave tells whether a job is one that may be given away: nothing of it has started, one record
 // says all of it, and nothing but its own team's room holds it here. Callers hold the lock.
-func (s *Spill) mayLeave(j *world.Job) bool {
+func (s *Spill) mayLeave(j *clusterstate.Job) bool {
 	t, ok := s.teams[j.Spec.Team]
 	return ok && t.GPUsMax == 0 && t.CPUsMax == 0 && t.GPUs == 0 && t.CPUs == 0 && j.Spec.Kind != wire.KindService && j.OffloadedFrom == nil && j.OffloadedTo == nil &&
 		j.BoundCount == 0 && j.DoneCount == 0 && len(j.Spec.Dependencies) == 0 && j.Spec.Zone == "" && j.ChunkCount() == 1 && len(j.FurtherChunkKeys()) == 0 &&
--- a/internal/spill/spill.go
+++ b/internal/spill/spill.go
@@ -21,11 +21,11 @@
 	"golang.org/x/sync/errgroup"
 
 	"sableusher/internal/cell"
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 var standing = promauto.NewGaugeVec(prometheus.GaugeOpts{Name: "sableusher_cell_standing",
@@ -55,7 +55,7 @@
 // Spill is one node's part in the exchange.
 type Spill struct {
 	op     *config.Operator
-	world  *world.State
+	world  *clusterstate.State
 	owner  Owner
 	commit Committer
 	line   Line
@@ -79,7 +79,7 @@
 }
 
 // New makes a node's part; without cells in the operators' settings it does nothing.
-func New(op *config.Operator, teams []config.Team, w *world.State, o Owner, c Committer, l Line, log *slog.Logger) *Spill {
+func New(op *config.Operator, teams []config.Team, w *clusterstate.State, o Owner, c Committer, l Line, log *slog.Logger) *Spill {
 	s := &Spill{op: op, world: w, owner: o, commit: c, line: l, teams: map[string]config.Team{}, log: log, heard: map[string]*heard{}, busy: make(chan struct{}, 1)}
 	for _, t := range teams {
 		s.teams[t.Name] = t
@@ -105,7 +105,7 @@
 		case <-tick.C:
 		}
 		s.world.RLock()
-		_, _, leads := s.owner.Owns(world.LeaderShard)
+		_, _, leads := s.owner.Owns(clusterstate.LeaderShard)
 		on := leads && s.world.SchemaVersion >= tuning.LevelCells
 		s.world.RUnlock()
 		if !on {
@@ -138,8 +138,8 @@
 // guards are the conditions of what a leader writes about another cell. Callers hold the
 // world's lock.
 func (s *Spill) guards(name string) ([]wire.Condition, bool) {
-	_, stamp, leads := s.owner.Owns(world.LeaderShard)
-	out := []wire.Condition{{Key: world.ShardKey(world.LeaderShard), ModRevision: stamp}, {Key: world.CellKey(name)}}
+	_, stamp, leads := s.owner.Owns(clusterstate.LeaderShard)
+	out := []wire.Condition{{Key: clusterstate.ShardKey(clusterstate.LeaderShard), ModRevision: stamp}, {Key: clusterstate.CellKey(name)}}
 	if c := s.world.Cells[name]; c != nil {
 		out[1].ModRevision = c.ModRevision
 	}
@@ -147,11 +147,11 @@
 }
 
 // record gives what is kept of another cell. Callers hold the world's lock.
-func (s *Spill) record(name string) world.CellRecord {
+func (s *Spill) record(name string) clusterstate.CellRecord {
 	if c := s.world.Cells[name]; c != nil {
 		return c.CellRecord
 	}
-	return world.CellRecord{}
+	return clusterstate.CellRecord{}
 }
 
 func (s *Spill) do(ctx context.Context, guards []wire.Condition, ops []wire.Op) error {
@@ -162,8 +162,8 @@
 }
 
 // away lists the jobs that are with a cell, by number. Callers hold the world's lock.
-func (s *Spill) away(name string) map[uint64]*world.Job {
-	out := map[uint64]*world.Job{}
+func (s *Spill) away(name string) map[uint64]*clusterstate.Job {
+	out := map[uint64]*clusterstate.Job{}
 	for _, j := range s.world.Jobs {
 		if j.HasRecord && j.OffloadedTo != nil && j.OffloadedTo.Cell == name {
 			out[j.OffloadedTo.Number] = j
@@ -174,8 +174,8 @@
 
 // guests gives what is held of a cell's, for the machine to decide by. Callers hold the world's
 // lock.
-func (s *Spill) guests(name string) (cell.Guests, map[uint64]*world.Job) {
-	g, jobs := cell.Guests{High: s.record(name).LastReceivedTransfer}, map[uint64]*world.Job{}
+func (s *Spill) guests(name string) (cell.Guests, map[uint64]*clusterstate.Job) {
+	g, jobs := cell.Guests{High: s.record(name).LastReceivedTransfer}, map[uint64]*clusterstate.Job{}
 	for _, j := range s.world.Jobs {
 		if j.HasRecord && j.OffloadedFrom != nil && j.OffloadedFrom.Cell == name {
 			jobs[j.OffloadedFrom.Number] = j
@@ -192,8 +192,8 @@
 }
 
 // rewrite is a job's own record with a change.
-func rewrite(j *world.Job, change func(*world.JobRecord)) (wire.Condition, wire.Op) {
+func rewrite(j *clusterstate.Job, change func(*clusterstate.JobRecord)) (wire.Condition, wire.Op) {
 	marked := *j
 	change(&marked.JobRecord)
-	return wire.Condition{Key: world.JobKey(j.Spec.ID), ModRevision: j.ModRevision}, marked.EncodeChunk(0, nil)
+	return wire.Condition{Key: clusterstate.JobKey(j.Spec.ID), ModRevision: j.ModRevision}, marked.EncodeChunk(0, nil)
 }
--- a/internal/standin/fakeagent.go
+++ b/internal/standin/fakeagent.go
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // agentStep is the step in which workers carry on.
@@ -41,7 +41,7 @@
 }
 
 type attempt struct {
-	task   world.TaskRef
+	task   clusterstate.TaskRef
 	number uint64
 }
 
@@ -116,7 +116,7 @@
 				for _, m := range mates {
 					m.agent.statusChanged = true
 					m.task.State = wire.TaskRunning
-					m.task.readyAt = now.Add(a.region.remainingRunTime(world.TaskRef{Job: k.task.Job}, &t.spec))
+					m.task.readyAt = now.Add(a.region.remainingRunTime(clusterstate.TaskRef{Job: k.task.Job}, &t.spec))
 				}
 			} else if now.After(t.readyAt) {
 				a.exitTask(k, t, wire.ExitCauseGangIncomplete, false)
@@ -162,7 +162,7 @@
 func (a *fakeAgent) executeCommands(orders []wire.Command) {
 	now := time.Now()
 	for _, o := range orders {
-		ref, ok := world.ParseTaskRef(o.Task)
+		ref, ok := clusterstate.ParseTaskRef(o.Task)
 		if !ok {
 			a.region.Checker.AddViolation("format: task " + o.Task)
 			continue
@@ -202,17 +202,17 @@
 		a.exitTask(k, t, wire.ExitCauseUnknownTask, false)
 		return
 	}
-	used := world.Resources{}
+	used := clusterstate.Resources{}
 	for o, x := range a.tasks {
 		if x.State != wire.TaskExited && o != k {
-			used = used.AddTimes(world.TaskResources(&x.spec), 1)
+			used = used.AddTimes(clusterstate.TaskResources(&x.spec), 1)
 			if o.task == k.task {
 				a.exitTask(k, t, wire.ExitCauseAlreadyRunning, false)
 				return
 			}
 		}
 	}
-	if !used.AddTimes(world.TaskResources(&spec), 1).FitsIn(world.Capacity(&a.machineType)) {
+	if !used.AddTimes(clusterstate.TaskResources(&spec), 1).FitsIn(clusterstate.Capacity(&a.machineType)) {
 		a.exitTask(k, t, wire.ExitCauseNoCapacity, false)
 		return
 	}
--- a/internal/standin/fakeuser.go
+++ b/internal/standin/fakeuser.go
@@ -8,8 +8,8 @@
 	"net/http"
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // randomController draws a node.
@@ -98,8 +98,8 @@
 
 // cancelMarked tells whether a job's record says that it is cancelled.
 func (r *Region) cancelMarked(id string) bool {
-	var rec world.JobRecord
-	return wire.Decode(r.KV.Row(world.JobKey(id)).Value, &rec) == nil && rec.CancelledAtMs != 0
+	var rec clusterstate.JobRecord
+	return wire.Decode(r.KV.Row(clusterstate.JobKey(id)).Value, &rec) == nil && rec.CancelledAtMs != 0
 }
 
 // QueryUnknownJobs asks about jobs that nobody submitted.
--- a/internal/standin/sessionrecord_test.go
+++ b/internal/standin/sessionrecord_test.go
@@ -6,8 +6,8 @@
 	"testing/synctest"
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // TestSessionOutlivesALateOne: a process registers its session, ends before the answer, and is
@@ -22,7 +22,7 @@
 		replaced := 0
 		r.KV.mu.Lock()
 		r.KV.OnWrite = func(key string, _ wire.RawValue) {
-			if key == world.NodeKey("node-0") && r.KV.lateWrites.random != nil && !time.Now().Before(r.KV.lateWrites.until) {
+			if key == clusterstate.NodeKey("node-0") && r.KV.lateWrites.random != nil && !time.Now().Before(r.KV.lateWrites.until) {
 				replaced++
 			}
 		}
@@ -36,13 +36,13 @@
 			r.StartController(0)
 			time.Sleep(25 * time.Second)
 			rows := r.KV.Snapshot()
-			var node world.NodeRecord
-			var home world.ShardRecord
-			row, there := rows[world.NodeKey("node-0")]
+			var node clusterstate.NodeRecord
+			var home clusterstate.ShardRecord
+			row, there := rows[clusterstate.NodeKey("node-0")]
 			if there {
 				_ = wire.Decode(row.Value, &node)
 			}
-			_ = wire.Decode(rows[world.ShardKey(0)].Value, &home)
+			_ = wire.Decode(rows[clusterstate.ShardKey(0)].Value, &home)
 			if !there || home.Owner != "node-0" || home.Incarnation != node.Incarnation {
 				t.Errorf("seed %d: session there %v (%+v), its part is %+v", seed, there, node, home)
 			}
--- a/internal/standin/upgrade_test.go
+++ b/internal/standin/upgrade_test.go
@@ -13,10 +13,10 @@
 	"testing/synctest"
 	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // randomJobGraph draws a pipeline: each job awaits some of those before it.
@@ -77,9 +77,9 @@
 	r := NewRegion(ctx, settings(0), testTypes, 12, rand.New(rand.NewPCG(seed, 18)), log)
 	active := false
 	r.KV.OnWrite = func(key string, v wire.RawValue) {
-		var job world.JobRecord
+		var job clusterstate.JobRecord
 		switch {
-		case key == world.SchemaVersionKey:
+		case key == clusterstate.SchemaVersionKey:
 			active = true
 			for _, c := range r.controllers {
 				if c.SchemaVersion < tuning.LevelPipelines {
--- a/internal/upgrade/activator.go
+++ b/internal/upgrade/activator.go
@@ -12,11 +12,11 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promauto"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 var activeVersionGauge = promauto.NewGauge(prometheus.GaugeOpts{Name: "sableusher_record_level",
@@ -41,7 +41,7 @@
 // Activator is this node's part in it.
 type Activator struct {
 	settings          *config.Settings
-	clusterState      *world.State
+	clusterState      *clusterstate.State
 	ownership         Owner
 	committer         Committer
 	limits            LimitSwitcher
@@ -52,7 +52,7 @@
 }
 
 // NewActivator makes the duty of a process that reads records up to a level.
-func NewActivator(settings *config.Settings, supportedVersion int, w *world.State, o Owner, c Committer, l LimitSwitcher, log *slog.Logger) *Activator {
+func NewActivator(settings *config.Settings, supportedVersion int, w *clusterstate.State, o Owner, c Committer, l LimitSwitcher, log *slog.Logger) *Activator {
 	return &Activator{settings: settings, supportedVersion: supportedVersion, clusterState: w, ownership: o, committer: c, limits: l, logger: log}
 }
 
@@ -112,11 +112,11 @@
 	if u.clusterState.SchemaVersion >= u.supportedVersion {
 		return nil, ""
 	}
-	_, stamp, leads := u.ownership.Owns(world.LeaderShard)
+	_, stamp, leads := u.ownership.Owns(clusterstate.LeaderShard)
 	if !leads {
 		return nil, ""
 	}
-	guards := []wire.Condition{{Key: world.SchemaVersionKey, ModRevision: u.clusterState.SchemaVersionModRevision}, {Key: world.ShardKey(world.LeaderShard), ModRevision: stamp}}
+	guards := []wire.Condition{{Key: clusterstate.SchemaVersionKey, ModRevision: u.clusterState.SchemaVersionModRevision}, {Key: clusterstate.ShardKey(clusterstate.LeaderShard), ModRevision: stamp}}
 	level, missing := u.supportedVersion, ""
 	for _, name := range u.settings.Nodes() {
 		n, live := u.clusterState.Nodes[name]
@@ -127,7 +127,7 @@
 			// All may read one between.
 			level, missing = min(level, n.SchemaVersion), name
 		}
-		guards = append(guards, wire.Condition{Key: world.NodeKey(name), ModRevision: n.ModRevision})
+		guards = append(guards, wire.Condition{Key: clusterstate.NodeKey(name), ModRevision: n.ModRevision})
 	}
 	if level <= u.clusterState.SchemaVersion {
 		return nil, missing
@@ -135,5 +135,5 @@
 	if len(guards) > tuning.GuardsPerOp*u.limits.MaxTransactionOps() {
 		return nil, "more nodes than one transaction has conditions"
 	}
-	return &store.Transaction{Conditions: guards, Ops: []wire.Op{store.PutOp(world.SchemaVersionKey, world.SchemaVersionRecord{Version: level})}, Urgent: true}, missing
+	return &store.Transaction{Conditions: guards, Ops: []wire.Op{store.PutOp(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: level})}, Urgent: true}, missing
 }
--- a/internal/upgrade/activator_test.go
+++ b/internal/upgrade/activator_test.go
@@ -9,11 +9,11 @@
 
 	"pgregory.net/rapid"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/world"
 )
 
 // fakeCluster is a state service, and the views of nodes that lag behind it.
@@ -36,8 +36,8 @@
 	}
 	for _, o := range it.Ops {
 		r.set(o.PutKey, o.Value)
-		if o.PutKey == world.SchemaVersionKey {
-			var rec world.SchemaVersionRecord
+		if o.PutKey == clusterstate.SchemaVersionKey {
+			var rec clusterstate.SchemaVersionRecord
 			if err := wire.Decode(o.Value, &rec); err != nil || rec.Version <= r.activeVersion {
 				r.t.Fatalf("level %d after %d: %v", rec.Version, r.activeVersion, err)
 			}
@@ -74,15 +74,15 @@
 			set.Siblings = append(set.Siblings, config.Sibling{Node: fmt.Sprintf("node-%d", i)})
 		}
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		view := world.New(n, log)
+		view := clusterstate.New(n, log)
 		u := NewActivator(set, tuning.Level, view, r, r, r, log)
 		seen := map[string]uint64{}
 		catchUp := func(only string) {
 			view.BeginUpdate()
 			for _, name := range append(set.Nodes(), "level") {
-				key := world.NodeKey(name)
+				key := clusterstate.NodeKey(name)
 				if name == "level" {
-					key = world.SchemaVersionKey
+					key = clusterstate.SchemaVersionKey
 				}
 				if only != "" && only != key || seen[key] == r.modRevisions[key] {
 					continue
@@ -97,7 +97,7 @@
 		}
 		start := func(name string, level int) {
 			r.nodeVersions[name] = level
-			r.set(world.NodeKey(name), wire.MustEncode(world.NodeRecord{Incarnation: r.revision + 1, SchemaVersion: level}))
+			r.set(clusterstate.NodeKey(name), wire.MustEncode(clusterstate.NodeRecord{Incarnation: r.revision + 1, SchemaVersion: level}))
 		}
 		for _, name := range set.Nodes() {
 			start(name, 0)
@@ -111,14 +111,14 @@
 				start(name, rapid.IntRange(r.activeVersion, tuning.Level).Draw(t, "level"))
 			case 2: // its session ends with it
 				r.nodeVersions[name] = -1
-				delete(r.modRevisions, world.NodeKey(name))
-				delete(r.values, world.NodeKey(name))
+				delete(r.modRevisions, clusterstate.NodeKey(name))
+				delete(r.values, clusterstate.NodeKey(name))
 			case 3:
-				catchUp(world.NodeKey(name))
+				catchUp(clusterstate.NodeKey(name))
 			case 4:
 				u.check(t.Context())
 			}
-			if r.activeVersion != 0 && len(r.values[world.SchemaVersionKey]) == 0 {
+			if r.activeVersion != 0 && len(r.values[clusterstate.SchemaVersionKey]) == 0 {
 				t.Fatal("taken back")
 			}
 		}
