--- a/internal/intake/dependencies.go
+++ b/internal/intake/dependencies.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"slices"
 
-	"sableusher/internal/store"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -61,7 +61,7 @@
 	}
 	for _, a := range unseen {
 		switch _, err := s.readFinalRecord(ctx, a); {
-		case errors.Is(err, store.ErrNotFound):
+		case errors.Is(err, kvstore.ErrNotFound):
 			return refuse("awaits " + a + ", which was never accepted")
 		case err != nil:
 			writeUnavailable(w, "state service away")
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -18,15 +18,15 @@
 	"sableusher/internal/accept"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/repeats"
-	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
 
 // Committer commits items.
 type Committer interface {
-	Commit(ctx context.Context, it store.Transaction) (uint64, error)
+	Commit(ctx context.Context, it kvstore.Transaction) (uint64, error)
 	// MaxRecordBytes is what a record may take, LeastRoom under the limits known to come.
 	MaxRecordBytes() int
 	UpcomingMaxRecordBytes() int
@@ -49,7 +49,7 @@
 // Server is the server's handlers.
 type Server struct {
 	clusterState      *clusterstate.State
-	reader            store.Reader
+	reader            kvstore.Reader
 	committer         Committer
 	barrier           ReadBarrier
 	agents            AgentRegistry
@@ -65,7 +65,7 @@
 }
 
 // New makes the handlers.
-func New(settings *config.Settings, operator *config.Operator, state *clusterstate.State, reader store.Reader, committer Committer, barrier ReadBarrier, agents AgentRegistry, logger *slog.Logger) *Server {
+func New(settings *config.Settings, operator *config.Operator, state *clusterstate.State, reader kvstore.Reader, committer Committer, barrier ReadBarrier, agents AgentRegistry, logger *slog.Logger) *Server {
 	server := &Server{clusterState: state, reader: reader, committer: committer, barrier: barrier, agents: agents, teamsByName: map[string]config.Team{}, retryPolicies: repeats.NewPolicies(operator.Classes), logger: logger,
 		requestSlots: make(chan struct{}, tuning.BusyRequests), cancellationSlots: make(chan struct{}, tuning.AbortsWaiting), finalRecords: map[string]clusterstate.FinalRecord{}}
 	for _, team := range settings.Deployment.Teams {
@@ -181,7 +181,7 @@
 			switch status, err := s.jobStatus(ctx, spec.ID); {
 			case err == nil:
 				wire.WriteResponse(w, http.StatusOK, wire.JobResponse{ID: spec.ID, State: status.State})
-			case errors.Is(err, store.ErrNotFound):
+			case errors.Is(err, kvstore.ErrNotFound):
 				wire.WriteResponse(w, http.StatusUnprocessableEntity, wire.ErrorResponse{Message: why})
 			default:
 				writeUnavailable(w, "state service away")
@@ -196,16 +196,16 @@
 			return
 		}
 		key := clusterstate.JobKey(spec.ID)
-		_, err := s.committer.Commit(ctx, store.Transaction{
+		_, err := s.committer.Commit(ctx, kvstore.Transaction{
 			Conditions: []wire.Condition{{Key: key}, {Key: clusterstate.FinalKey(spec.ID)}},
-			Ops:        []wire.Op{store.PutOp(key, rec)}, Urgent: true,
+			Ops:        []wire.Op{kvstore.PutOp(key, rec)}, Urgent: true,
 		})
 		if err == nil {
 			s.logger.Debug("job accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "kind", spec.Kind, "tasks", spec.TaskCount, "vcpus", spec.CPUs, "cards", spec.GPUs)
 			wire.WriteResponse(w, http.StatusCreated, wire.JobResponse{ID: spec.ID, State: wire.JobPending})
 			return
 		}
-		if !errors.Is(err, store.ErrConditionFailed) {
+		if !errors.Is(err, kvstore.ErrConditionFailed) {
 			writeUnavailable(w, "state service away")
 			return
 		}
@@ -230,7 +230,7 @@
 	switch {
 	case err == nil:
 		wire.WriteResponse(w, http.StatusOK, status)
-	case errors.Is(err, store.ErrNotFound):
+	case errors.Is(err, kvstore.ErrNotFound):
 		wire.WriteResponse(w, http.StatusNotFound, wire.ErrorResponse{Message: "no such job"})
 	default:
 		writeUnavailable(w, "state service away")
@@ -317,7 +317,7 @@
 	if f, ok := s.cachedFinalRecord(id); ok {
 		return f, nil
 	}
-	f, err := store.ReadRecord[clusterstate.FinalRecord](ctx, s.reader, clusterstate.FinalKey(id))
+	f, err := kvstore.ReadRecord[clusterstate.FinalRecord](ctx, s.reader, clusterstate.FinalKey(id))
 	if err == nil {
 		s.cacheFinalRecord(id, f)
 	}
@@ -349,7 +349,7 @@
 	}
 	for marked := false; ctx.Err() == nil; {
 		status, err := s.jobStatus(ctx, id)
-		if errors.Is(err, store.ErrNotFound) {
+		if errors.Is(err, kvstore.ErrNotFound) {
 			wire.WriteResponse(w, http.StatusNotFound, wire.ErrorResponse{Message: "no such job"})
 			return
 		}
@@ -361,7 +361,7 @@
 			return
 		}
 		if transaction, confirmed, ok := s.cancellationOf(id); ok && !marked {
-			if _, err = s.committer.Commit(ctx, transaction); errors.Is(err, store.ErrConditionFailed) {
+			if _, err = s.committer.Commit(ctx, transaction); errors.Is(err, kvstore.ErrConditionFailed) {
 				continue
 			} else if err != nil {
 				break
@@ -415,12 +415,12 @@
 // no task can be bound under the old one afterwards. sure tells that it may be told at
 // once: no task was bound before, or leases still end in time by themselves, as not all
 // nodes are known to tell cancellations late. The record of that guards it then.
-func (s *Server) cancellationOf(id string) (transaction store.Transaction, confirmed, ok bool) {
+func (s *Server) cancellationOf(id string) (transaction kvstore.Transaction, confirmed, ok bool) {
 	s.clusterState.RLock()
 	defer s.clusterState.RUnlock()
 	job := s.clusterState.Jobs[id]
 	if job == nil || !job.HasRecord || job.Cancelled() || job.Complete() {
-		return store.Transaction{}, false, false
+		return kvstore.Transaction{}, false, false
 	}
 	marked := *job
 	marked.CancelledAtMs = max(time.Now().UnixMilli(), 1)
@@ -433,9 +433,9 @@
 	if fit := s.clusterState.SizeLimits(s.committer.MaxRecordBytes()); s.clusterState.SchemaVersion >= tuning.LevelPipelines && job.NeedsMigration(fit) {
 		// The record as it is could be too large to be written again.
 		if guards, ops, ok := marked.MigrateChunk(fit, 0); ok {
-			return store.Transaction{Conditions: append(guards, versionConditions...), Ops: ops, Urgent: true}, confirmed, true
+			return kvstore.Transaction{Conditions: append(guards, versionConditions...), Ops: ops, Urgent: true}, confirmed, true
 		}
 	}
 	op := marked.EncodeChunk(0, nil)
-	return store.Transaction{Conditions: append(versionConditions, wire.Condition{Key: op.PutKey, ModRevision: job.ModRevision}), Ops: []wire.Op{op}, Urgent: true}, confirmed, true
+	return kvstore.Transaction{Conditions: append(versionConditions, wire.Condition{Key: op.PutKey, ModRevision: job.ModRevision}), Ops: []wire.Op{op}, Urgent: true}, confirmed, true
 }
--- a/internal/intake/server_test.go
+++ b/internal/intake/server_test.go
@@ -15,7 +15,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/store"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -28,20 +28,20 @@
 	commitErr    error
 	onBarrier    func() // what the barrier brings into the view
 	barriers     int
-	committed    []store.Transaction
-	onCommit     func(store.Transaction) // what a change brings into the view
-	revision     uint64                  // the view's revision
+	committed    []kvstore.Transaction
+	onCommit     func(kvstore.Transaction) // what a change brings into the view
+	revision     uint64                    // the view's revision
 }
 
 func (o *fakeBackend) Get(_ context.Context, key string) (wire.KeyValue, error) {
 	f, ok := o.finalRecords[key]
 	if !ok {
-		return wire.KeyValue{}, store.ErrNotFound
+		return wire.KeyValue{}, kvstore.ErrNotFound
 	}
 	return wire.KeyValue{Value: wire.MustEncode(f)}, nil
 }
 
-func (o *fakeBackend) Commit(_ context.Context, it store.Transaction) (uint64, error) {
+func (o *fakeBackend) Commit(_ context.Context, it kvstore.Transaction) (uint64, error) {
 	o.committed = append(o.committed, it)
 	if o.commitErr == nil && o.onCommit != nil {
 		o.onCommit(it)
@@ -129,17 +129,17 @@
 		"gang over limit":  {change(func(s *wire.JobSpec) { s.Kind, s.TaskCount = wire.KindGang, 3 }), nil, false, 422, ""},
 		"array over limit": {change(func(s *wire.JobSpec) { s.TaskCount = 300 }), nil, false, 201, wire.JobPending},
 		"types unknown":    {same, nil, true, 503, ""},
-		"state away":       {same, func(o *fakeBackend) { o.commitErr = store.ErrUnavailable }, false, 503, ""},
-		"no answer":        {same, func(o *fakeBackend) { o.commitErr = store.ErrOutcomeUnknown }, false, 503, ""},
+		"state away":       {same, func(o *fakeBackend) { o.commitErr = kvstore.ErrUnavailable }, false, 503, ""},
+		"no answer":        {same, func(o *fakeBackend) { o.commitErr = kvstore.ErrOutcomeUnknown }, false, 503, ""},
 		"repeated later": {same, func(o *fakeBackend) {
-			o.commitErr = store.ErrConditionFailed
+			o.commitErr = kvstore.ErrConditionFailed
 			o.finalRecords[clusterstate.FinalKey("run-000001")] = over
 		}, false, 200, wire.JobDone},
 		// The first body stands, even if the repeated one could never run.
 		"repeated otherwise": {change(func(s *wire.JobSpec) { s.CPUs = 99 }), func(o *fakeBackend) {
 			o.finalRecords[clusterstate.FinalKey("run-000001")] = over
 		}, false, 200, wire.JobDone},
-		"repeated otherwise, unsure": {change(func(s *wire.JobSpec) { s.CPUs = 99 }), func(o *fakeBackend) { o.barrierErr = store.ErrUnavailable }, false, 503, ""},
+		"repeated otherwise, unsure": {change(func(s *wire.JobSpec) { s.CPUs = 99 }), func(o *fakeBackend) { o.barrierErr = kvstore.ErrUnavailable }, false, 503, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o, h := newTestServer(!c.bare)
@@ -239,7 +239,7 @@
 	if status, _ := send(h, http.MethodGet, "/v1/jobs/run-000009", nil); status != 404 || o.barriers != 1 {
 		t.Errorf("unknown job: %d after %d barriers", status, o.barriers)
 	}
-	o.barrierErr = store.ErrUnavailable
+	o.barrierErr = kvstore.ErrUnavailable
 	if status, _ := send(h, http.MethodGet, "/v1/jobs/run-000009", nil); status != 503 {
 		t.Errorf("unsure: %d", status)
 	}
@@ -273,7 +273,7 @@
 	if g := o.committed[0].Conditions; !slices.Contains(g, wire.Condition{Key: clusterstate.JobKey("run-000001"), ModRevision: 7}) {
 		t.Errorf("guards %+v", g)
 	}
-	o.commitErr = store.ErrOutcomeUnknown
+	o.commitErr = kvstore.ErrOutcomeUnknown
 	if status, _ := send(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil); status != 503 {
 		t.Errorf("no answer: %d", status)
 	}
@@ -301,7 +301,7 @@
 	o, h := newTestServer(true)
 	o.put(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: tuning.LevelCertain})
 	o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), Tasks: bound})
-	o.onCommit = func(store.Transaction) {
+	o.onCommit = func(kvstore.Transaction) {
 		o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), Tasks: bound, CancelledAtMs: 5, CancelAfterRelease: true})
 	}
 	if status, _ := abort(h); status != 503 || len(o.committed) != 1 {
@@ -325,7 +325,7 @@
 	o, h = newTestServer(true)
 	o.put(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: tuning.LevelCertain})
 	o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), Tasks: bound})
-	o.onCommit = func(store.Transaction) {
+	o.onCommit = func(kvstore.Transaction) {
 		o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true})
 	}
 	if status, st := abort(h); status != 200 || st.State != wire.JobCancelled {
@@ -355,7 +355,7 @@
 	}
 	for name, set := range map[string]func(*fakeBackend){
 		"before it is marked":    ended,
-		"while it is":            func(o *fakeBackend) { o.onCommit = func(store.Transaction) { ended(o) } },
+		"while it is":            func(o *fakeBackend) { o.onCommit = func(kvstore.Transaction) { ended(o) } },
 		"complete, not yet over": func(o *fakeBackend) { o.put(clusterstate.FixedChunkKey(s.ID, 1), last(clusterstate.TaskDone)) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -449,7 +449,7 @@
 		}, 201},
 		"never accepted":     {body("run-000002"), 1, nil, 422},
 		"one never accepted": {body("run-000002", "run-000003"), 1, live(wire.KindArray), 422},
-		"unsure":             {body("run-000002"), 1, func(o *fakeBackend) { o.barrierErr = store.ErrUnavailable }, 503},
+		"unsure":             {body("run-000002"), 1, func(o *fakeBackend) { o.barrierErr = kvstore.ErrUnavailable }, 503},
 		"service":            {body("run-000002"), 1, live(wire.KindService), 422},
 		"itself":             {body("run-000001"), 1, nil, 422},
 		"twice":              {body("run-000002", "run-000002"), 1, live(wire.KindArray), 400},
--- a/internal/store/client.go
+++ b/internal/kvstore/client.go
@@ -1,6 +1,6 @@
-// Package store is the client of the state service: paced requests, group
+// Package kvstore is the client of the state service: paced requests, group
 // commit and a watched cache.
-package store
+package kvstore
 
 import (
 	"bytes"
--- a/internal/store/watchcache_test.go
+++ b/internal/kvstore/watchcache_test.go
@@ -1,4 +1,4 @@
-package store
+package kvstore
 
 import (
 	"io"
--- a/internal/member/ownership.go
+++ b/internal/member/ownership.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/store"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -24,9 +24,9 @@
 	nodeNames     []string
 	schemaVersion int // the newest form of records that this process reads
 
-	client       *store.Client
-	committer    *store.Committer
-	cache        *store.WatchCache
+	client       *kvstore.Client
+	committer    *kvstore.Committer
+	cache        *kvstore.WatchCache
 	clusterState *clusterstate.State
 	logger       *slog.Logger
 
@@ -39,7 +39,7 @@
 
 // New makes the membership of node self among nodes, by a process that reads
 // records up to a level.
-func New(self string, incarnation uint64, nodeNames []string, schemaVersion int, c *store.Client, committer *store.Committer, cache *store.WatchCache, w *clusterstate.State, log *slog.Logger) *Member {
+func New(self string, incarnation uint64, nodeNames []string, schemaVersion int, c *kvstore.Client, committer *kvstore.Committer, cache *kvstore.WatchCache, w *clusterstate.State, log *slog.Logger) *Member {
 	return &Member{NodeName: self, Incarnation: incarnation, nodeNames: nodeNames, schemaVersion: schemaVersion, client: c, committer: committer, cache: cache, clusterState: w, logger: log,
 		orphanedSince: map[int]time.Time{}, sessionSince: map[string]time.Time{}, fencesRunning: map[int]bool{}, ownedSince: map[int]time.Time{}}
 }
@@ -75,7 +75,7 @@
 		if hold == 0 {
 			hold, err = m.client.GrantLease(ctx, tuning.SessionTTL)
 			registered = 0
-		} else if err = m.client.RenewLease(ctx, hold); errors.Is(err, store.ErrNotFound) {
+		} else if err = m.client.RenewLease(ctx, hold); errors.Is(err, kvstore.ErrNotFound) {
 			m.logger.Info("session ended, opening another")
 			hold = 0
 			continue
@@ -89,9 +89,9 @@
 			switch {
 			case err == nil:
 				m.logger.Info("session open", "node", m.NodeName, "incarnation", m.Incarnation)
-			case errors.Is(err, store.ErrConditionFailed):
+			case errors.Is(err, kvstore.ErrConditionFailed):
 				continue // the session before has just ended
-			case errors.Is(err, store.ErrRejected):
+			case errors.Is(err, kvstore.ErrRejected):
 				hold = 0
 			}
 		}
@@ -113,12 +113,12 @@
 func (m *Member) register(ctx context.Context, hold uint64) (uint64, error) {
 	key := clusterstate.NodeKey(m.NodeName)
 	row, err := m.client.Get(ctx, key)
-	if err != nil && !errors.Is(err, store.ErrNotFound) {
+	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return 0, err
 	}
-	op := store.PutOp(key, clusterstate.NodeRecord{Incarnation: m.Incarnation, SchemaVersion: m.schemaVersion})
+	op := kvstore.PutOp(key, clusterstate.NodeRecord{Incarnation: m.Incarnation, SchemaVersion: m.schemaVersion})
 	op.LeaseID = hold
-	return m.committer.Commit(ctx, store.Transaction{Conditions: []wire.Condition{{Key: key, ModRevision: row.ModRevision}}, Ops: []wire.Op{op}, Urgent: true})
+	return m.committer.Commit(ctx, kvstore.Transaction{Conditions: []wire.Condition{{Key: key, ModRevision: row.ModRevision}}, Ops: []wire.Op{op}, Urgent: true})
 }
 
 // registrationReplaced tells whether the view, which holds this process's registration, shows another or none
@@ -195,7 +195,7 @@
 type ownershipChange struct {
 	shard         int
 	record        clusterstate.ShardRecord
-	transaction   store.Transaction
+	transaction   kvstore.Transaction
 	previousOwner string
 }
 
@@ -318,7 +318,7 @@
 			// Absent, or present as another process: either way the owner's session is gone.
 			guards = append(guards, wire.Condition{Key: clusterstate.NodeKey(p.Owner), ModRevision: owner.ModRevision})
 		}
-		out = append(out, ownershipChange{part, rec, store.Transaction{Conditions: guards, Ops: []wire.Op{store.PutOp(clusterstate.ShardKey(part), rec)}, Urgent: true}, p.Owner})
+		out = append(out, ownershipChange{part, rec, kvstore.Transaction{Conditions: guards, Ops: []wire.Op{kvstore.PutOp(clusterstate.ShardKey(part), rec)}, Urgent: true}, p.Owner})
 		owned++
 	}
 	return out, unmarked
@@ -340,9 +340,9 @@
 		return ownershipChange{}, false
 	}
 	rec := clusterstate.ShardRecord{Owner: home, Incarnation: h.Incarnation, FencingToken: nextFencingToken(p.FencingToken, level)}
-	return ownershipChange{part, rec, store.Transaction{
+	return ownershipChange{part, rec, kvstore.Transaction{
 		Conditions: []wire.Condition{{Key: clusterstate.ShardKey(part), ModRevision: p.ModRevision}, selfGuard, {Key: clusterstate.NodeKey(home), ModRevision: h.ModRevision}},
-		Ops:        []wire.Op{store.PutOp(clusterstate.ShardKey(part), rec)}, Urgent: true,
+		Ops:        []wire.Op{kvstore.PutOp(clusterstate.ShardKey(part), rec)}, Urgent: true,
 	}, m.NodeName}, true
 }
 
@@ -387,9 +387,9 @@
 			rec.FencingToken = nextFencingToken(rec.FencingToken, level)
 		}
 		tctx, cancel := context.WithTimeout(ctx, 2*tuning.StateTimeout)
-		_, err := m.committer.Commit(tctx, store.Transaction{
+		_, err := m.committer.Commit(tctx, kvstore.Transaction{
 			Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard), ModRevision: p.ModRevision}},
-			Ops:        []wire.Op{store.PutOp(clusterstate.ShardKey(shard), rec)}, Urgent: true,
+			Ops:        []wire.Op{kvstore.PutOp(clusterstate.ShardKey(shard), rec)}, Urgent: true,
 		})
 		if err == nil {
 			err = m.cache.WaitForReadBarrier(tctx)
@@ -422,9 +422,9 @@
 	rec := clusterstate.ShardRecord{Owner: to, Incarnation: n.Incarnation, FencingToken: nextFencingToken(p.FencingToken, level), HandedOff: true}
 	ctx, cancel := context.WithTimeout(ctx, 2*tuning.StateTimeout)
 	defer cancel()
-	_, err := m.committer.Commit(ctx, store.Transaction{
+	_, err := m.committer.Commit(ctx, kvstore.Transaction{
 		Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard), ModRevision: p.ModRevision}, {Key: clusterstate.NodeKey(to), ModRevision: n.ModRevision}},
-		Ops:        []wire.Op{store.PutOp(clusterstate.ShardKey(shard), rec)}, Urgent: true,
+		Ops:        []wire.Op{kvstore.PutOp(clusterstate.ShardKey(shard), rec)}, Urgent: true,
 	})
 	m.logger.Info("part given away: its workers report elsewhere", "part", shard, "to", to, "err", err)
 }
--- a/internal/member/ownership_test.go
+++ b/internal/member/ownership_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/store"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -24,9 +24,9 @@
 	}
 	var out []*Member
 	for _, n := range names {
-		c := store.NewClient("127.0.0.1:1", store.Limits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxTransactionOps: 8}, nil)
-		cache := store.NewWatchCache(c, clusterstate.LivePrefix, w, log)
-		out = append(out, New(n, 1, names, tuning.Level, c, store.NewCommitter(c, func([]wire.Op, uint64) {}), cache, w, log))
+		c := kvstore.NewClient("127.0.0.1:1", kvstore.Limits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxTransactionOps: 8}, nil)
+		cache := kvstore.NewWatchCache(c, clusterstate.LivePrefix, w, log)
+		out = append(out, New(n, 1, names, tuning.Level, c, kvstore.NewCommitter(c, func([]wire.Op, uint64) {}), cache, w, log))
 	}
 	return w, out
 }
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -13,13 +13,13 @@
 	"sableusher/internal/config"
 	"sableusher/internal/fleet"
 	"sableusher/internal/intake"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/member"
 	"sableusher/internal/peer"
 	"sableusher/internal/pipeline"
 	"sableusher/internal/place"
 	"sableusher/internal/pool"
 	"sableusher/internal/spill"
-	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/upgrade"
 	"sableusher/internal/wire"
@@ -48,14 +48,14 @@
 // the other nodes.
 func New(settings *config.Settings, operator *config.Operator, incarnation uint64, schemaVersion int, transport http.RoundTripper, connectPeers func(peer.AgentRegistry) (PeerTransport, error), logger *slog.Logger) (*Controller, error) {
 	deployment := &settings.Deployment
-	client := store.NewClient(settings.Outside.State, store.Limits{
+	client := kvstore.NewClient(settings.Outside.State, kvstore.Limits{
 		BudgetShare: tuning.StateShare / float64(deployment.Size), RequestsPerSecond: deployment.State.RPS, WritesPerSecond: deployment.State.WriteRPS, MaxValueKiB: deployment.State.ValueKB, MaxTransactionOps: deployment.State.TxnOps,
 	}, transport)
 	upcoming := settings.NextState()
-	client.SetUpcomingLimits(store.Limits{RequestsPerSecond: upcoming.RPS, WritesPerSecond: upcoming.WriteRPS, MaxValueKiB: upcoming.ValueKB, MaxTransactionOps: upcoming.TxnOps})
+	client.SetUpcomingLimits(kvstore.Limits{RequestsPerSecond: upcoming.RPS, WritesPerSecond: upcoming.WriteRPS, MaxValueKiB: upcoming.ValueKB, MaxTransactionOps: upcoming.TxnOps})
 	state := clusterstate.New(deployment.Size, logger)
-	cache := store.NewWatchCache(client, clusterstate.LivePrefix, state, logger)
-	committer := store.NewCommitter(client, func(ops []wire.Op, rev uint64) { cache.ApplyOwn(ops, rev) })
+	cache := kvstore.NewWatchCache(client, clusterstate.LivePrefix, state, logger)
+	committer := kvstore.NewCommitter(client, func(ops []wire.Op, rev uint64) { cache.ApplyOwn(ops, rev) })
 	committer.SetObserver(cache)
 	members := member.New(settings.Node, incarnation, settings.Nodes(), schemaVersion, client, committer, cache, state, logger)
 	agents := fleet.New(settings, state, members, cache.CompleteAsOf, logger, transport)
--- a/internal/pipeline/resolver.go
+++ b/internal/pipeline/resolver.go
@@ -11,20 +11,20 @@
 	"golang.org/x/sync/errgroup"
 
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/store"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 )
 
 // Resolver reads the final records of awaited jobs into the view.
 type Resolver struct {
 	clusterState *clusterstate.State
-	reader       store.Reader
+	reader       kvstore.Reader
 	logger       *slog.Logger
 	failedAt     map[string]time.Time // when a record was last not there, or not to be read
 }
 
 // NewResolver makes a resolver.
-func NewResolver(state *clusterstate.State, reader store.Reader, logger *slog.Logger) *Resolver {
+func NewResolver(state *clusterstate.State, reader kvstore.Reader, logger *slog.Logger) *Resolver {
 	return &Resolver{clusterState: state, reader: reader, logger: logger, failedAt: map[string]time.Time{}}
 }
 
@@ -66,10 +66,10 @@
 	g.SetLimit(tuning.OutcomeLanes)
 	for i, id := range ids {
 		g.Go(func() error {
-			rec, err := store.ReadRecord[clusterstate.FinalRecord](ctx, r.reader, clusterstate.FinalKey(id))
+			rec, err := kvstore.ReadRecord[clusterstate.FinalRecord](ctx, r.reader, clusterstate.FinalKey(id))
 			// Not there: this view is older than the job, or the job is live again in it
 			// soon. It proves nothing either way.
-			if answers[i] = (answer{rec, err == nil}); err != nil && !errors.Is(err, store.ErrNotFound) {
+			if answers[i] = (answer{rec, err == nil}); err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 				r.logger.Debug("final record not read", "job", id, "err", err)
 			}
 			return nil
--- a/internal/pipeline/resolver_test.go
+++ b/internal/pipeline/resolver_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/store"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -30,9 +30,9 @@
 	v, ok := r.values[key]
 	switch {
 	case r.unavailable:
-		return wire.KeyValue{}, store.ErrOutcomeUnknown
+		return wire.KeyValue{}, kvstore.ErrOutcomeUnknown
 	case !ok:
-		return wire.KeyValue{}, store.ErrNotFound
+		return wire.KeyValue{}, kvstore.ErrNotFound
 	}
 	return wire.KeyValue{Value: wire.MustEncode(v)}, nil
 }
--- a/internal/place/dependents.go
+++ b/internal/place/dependents.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/store"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -29,7 +29,7 @@
 		}
 		cancelled++
 		jobsCancelledWithDependency.Inc()
-		c.outgoing = append(c.outgoing, &recordChange{description: "end " + id + " with what it needs", keys: []string{key}, harmlessWhenLate: true, transaction: store.Transaction{
+		c.outgoing = append(c.outgoing, &recordChange{description: "end " + id + " with what it needs", keys: []string{key}, harmlessWhenLate: true, transaction: kvstore.Transaction{
 			Conditions: []wire.Condition{{Key: key, ModRevision: job.ModRevision}}, Ops: c.finalOps(job, wire.JobCancelled, job.DoneCount), Urgent: true,
 		}})
 		c.log.Info("job cancelled with one that it needs", "job", id)
--- a/internal/place/engine.go
+++ b/internal/place/engine.go
@@ -13,13 +13,13 @@
 	"sableusher/internal/fit"
 	"sableusher/internal/fleet"
 	"sableusher/internal/floor"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/learn"
 	"sableusher/internal/member"
 	"sableusher/internal/order"
 	"sableusher/internal/quota"
 	"sableusher/internal/repeats"
 	"sableusher/internal/silence"
-	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -31,7 +31,7 @@
 	cluster    *clusterstate.State
 	membership *member.Member
 	agents     *fleet.Registry
-	committer  *store.Committer
+	committer  *kvstore.Committer
 	quota      *quota.GrantManager
 	// retryRules paces tasks that failed by themselves.
 	retryRules repeats.Policies
@@ -80,7 +80,7 @@
 	machinesToRefresh      map[string]struct{} // machines whose workers told something that the stock has not taken in
 	demand                 UnmetDemand
 	learning               learning
-	reader                 store.Reader
+	reader                 kvstore.Reader
 	peers                  Peers
 	remoteImages           map[string]map[string]bool // the other nodes' machines by image
 	remoteImagesAt         time.Time
@@ -117,7 +117,7 @@
 }
 
 // New makes an engine.
-func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *member.Member, agents *fleet.Registry, committer *store.Committer, reader store.Reader, peers Peers, log *slog.Logger) *Engine {
+func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *member.Member, agents *fleet.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: repeats.NewPolicies(operator.Classes), log: log,
 		keysInFlight: map[string]bool{}, inFlightChanges: map[uint64]*recordChange{}, jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
@@ -202,7 +202,7 @@
 // recordChange is one change of records on its way.
 type recordChange struct {
 	description      string
-	transaction      store.Transaction
+	transaction      kvstore.Transaction
 	keys             []string
 	shards           []int
 	bindings         []pendingBinding
@@ -270,9 +270,9 @@
 	ctx, cancel := context.WithTimeout(e.ctx, tuning.CommitTimeout)
 	revision, err := e.committer.Commit(ctx, change.transaction)
 	cancel()
-	if errors.Is(err, store.ErrRejected) {
+	if errors.Is(err, kvstore.ErrRejected) {
 		e.log.Error("change refused as malformed", "what", change.description, "err", err)
-	} else if err != nil && !errors.Is(err, store.ErrConditionFailed) && !errors.Is(err, store.ErrUnavailable) && !change.harmlessWhenLate {
+	} else if err != nil && !errors.Is(err, kvstore.ErrConditionFailed) && !errors.Is(err, kvstore.ErrUnavailable) && !change.harmlessWhenLate {
 		e.log.Info("change without an answer", "what", change.description, "err", err)
 		for _, shard := range change.shards {
 			e.membership.Fence(e.ctx, shard, false)
@@ -282,7 +282,7 @@
 	delete(e.inFlightChanges, id)
 	for _, key := range change.keys {
 		delete(e.keysInFlight, key)
-		if errors.Is(err, store.ErrRejected) {
+		if errors.Is(err, kvstore.ErrRejected) {
 			// Not applied, and it would not be now either: at each round anew it would
 			// only take the budget from others.
 			e.rejectedUntil[key] = time.Now().Add(tuning.RefusedPause)
--- a/internal/place/learning.go
+++ b/internal/place/learning.go
@@ -12,8 +12,8 @@
 	"sableusher/internal/config"
 	"sableusher/internal/fit"
 	"sableusher/internal/fleet"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/learn"
-	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -309,7 +309,7 @@
 			checkpoint := e.learning.learner.Save()
 			e.learning.runTimes.Save(&checkpoint)
 			saveCtx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
-			if _, err := e.committer.Commit(saveCtx, store.Transaction{Ops: e.checkpointOps(key, checkpoint)}); err != nil {
+			if _, err := e.committer.Commit(saveCtx, kvstore.Transaction{Ops: e.checkpointOps(key, checkpoint)}); err != nil {
 				e.log.Debug("values not saved", "err", err)
 			}
 			cancel()
@@ -323,11 +323,11 @@
 	level := e.cluster.SchemaVersion
 	e.cluster.RUnlock()
 	if level < tuning.LevelPipelines {
-		return []wire.Op{store.PutOp(key, checkpoint)}
+		return []wire.Op{kvstore.PutOp(key, checkpoint)}
 	}
 	var ops []wire.Op
 	for i, piece := range checkpoint.Split(e.committer.MaxRecordBytes(), time.Now().UnixMilli()) {
-		ops = append(ops, store.PutOp(clusterstate.LearnerCheckpointPieceKey(e.settings.Node, i), piece))
+		ops = append(ops, kvstore.PutOp(clusterstate.LearnerCheckpointPieceKey(e.settings.Node, i), piece))
 	}
 	return ops
 }
@@ -340,7 +340,7 @@
 		switch {
 		case err == nil:
 			return checkpoint, wire.Decode(row.Value, &checkpoint)
-		case errors.Is(err, store.ErrNotFound) || ctx.Err() != nil:
+		case errors.Is(err, kvstore.ErrNotFound) || ctx.Err() != nil:
 			return checkpoint, err
 		}
 		select {
@@ -354,7 +354,7 @@
 // record, as they were before LevelPipelines.
 func (e *Engine) loadCheckpoint(ctx context.Context, key string) (learn.Saved, error) {
 	checkpoint, err := e.readCheckpoint(ctx, clusterstate.LearnerCheckpointPieceKey(e.settings.Node, 0))
-	if errors.Is(err, store.ErrNotFound) {
+	if errors.Is(err, kvstore.ErrNotFound) {
 		return e.readCheckpoint(ctx, key)
 	}
 	for i := 1; i < checkpoint.Of && err == nil; i++ {
@@ -374,7 +374,7 @@
 		err = e.learning.learner.Restore(checkpoint)
 	}
 	switch {
-	case errors.Is(err, store.ErrNotFound) || ctx.Err() != nil:
+	case errors.Is(err, kvstore.ErrNotFound) || ctx.Err() != nil:
 	case err != nil:
 		e.log.Info("saved values ignored", "err", err)
 	default:
--- a/internal/place/reconcile.go
+++ b/internal/place/reconcile.go
@@ -8,9 +8,9 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/fleet"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/repeats"
 	"sableusher/internal/settle"
-	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -87,9 +87,9 @@
 		if deleted && len(machine.Bindings) == 0 && machine.ModRevision != 0 && !c.cluster.ListedInRental(name) && !c.keysInFlight[clusterstate.MachineKey(name)] {
 			c.outgoing = append(c.outgoing, &recordChange{
 				description: "forget machine " + name, keys: []string{clusterstate.MachineKey(name)}, shards: []int{machine.Shard},
-				transaction: store.Transaction{
+				transaction: kvstore.Transaction{
 					Conditions: []wire.Condition{{Key: clusterstate.ShardKey(machine.Shard), ModRevision: c.shardRevisions[machine.Shard]}, {Key: clusterstate.MachineKey(name), ModRevision: machine.ModRevision}},
-					Ops:        []wire.Op{store.DeleteOp(clusterstate.MachineKey(name))},
+					Ops:        []wire.Op{kvstore.DeleteOp(clusterstate.MachineKey(name))},
 					Background: true, // its record says that it is being deleted, so nobody counts on it
 				},
 			})
@@ -218,7 +218,7 @@
 			ops = c.finalOps(job, job.CancelledStatus(), job.DoneCount)
 		}
 		if len(ops) > 0 {
-			c.outgoing = append(c.outgoing, &recordChange{description: "finish " + id, keys: []string{key}, transaction: store.Transaction{Conditions: []wire.Condition{condition}, Ops: ops}})
+			c.outgoing = append(c.outgoing, &recordChange{description: "finish " + id, keys: []string{key}, transaction: kvstore.Transaction{Conditions: []wire.Condition{condition}, Ops: ops}})
 		}
 	}
 }
@@ -319,7 +319,7 @@
 	op := marked.EncodeChunk(0, nil)
 	c.outgoing = append(c.outgoing, &recordChange{
 		description: "stop gang " + binding.Ref.Job, keys: []string{key}, shards: []int{machine.Shard},
-		transaction: store.Transaction{
+		transaction: kvstore.Transaction{
 			Conditions: []wire.Condition{{Key: key, ModRevision: binding.Job.ModRevision}, {Key: clusterstate.ShardKey(machine.Shard), ModRevision: c.shardRevisions[machine.Shard]}},
 			Ops:        []wire.Op{op}, Urgent: true,
 		},
--- a/internal/place/recordchange.go
+++ b/internal/place/recordchange.go
@@ -7,7 +7,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/fit"
-	"sableusher/internal/store"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -163,7 +163,7 @@
 	if guest := job.OffloadedFrom; guest != nil {
 		// Its home alone answers its user, and is told from this until it has it.
 		record := clusterstate.GuestOutcomeRecord{JobID: id, Status: status, DoneCount: done}
-		ops := []wire.Op{store.PutOp(clusterstate.GuestOutcomeKey(guest.Cell, guest.Number), record), store.DeleteOp(clusterstate.JobKey(id))}
+		ops := []wire.Op{kvstore.PutOp(clusterstate.GuestOutcomeKey(guest.Cell, guest.Number), record), kvstore.DeleteOp(clusterstate.JobKey(id))}
 		return append(ops, c.deleteRecordOps(job, len(ops))...)
 	}
 	ops := job.FinalizeOps(status, done, c.now.UnixMilli())
@@ -275,13 +275,13 @@
 }
 
 // updateMachineRecord adds a change of a machine's record, and gives it for its place in the queue.
-func (c *cycle) updateMachineRecord(description, name string, shard int, machineRecord clusterstate.MachineRecord, modRevision uint64) *store.Transaction {
+func (c *cycle) updateMachineRecord(description, name string, shard int, machineRecord clusterstate.MachineRecord, modRevision uint64) *kvstore.Transaction {
 	key := clusterstate.MachineKey(name)
 	change := &recordChange{
 		description: description, keys: []string{key}, shards: []int{shard}, harmlessWhenLate: true,
-		transaction: store.Transaction{
+		transaction: kvstore.Transaction{
 			Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard), ModRevision: c.shardRevisions[shard]}, {Key: key, ModRevision: modRevision}},
-			Ops:        []wire.Op{store.PutOp(key, machineRecord)},
+			Ops:        []wire.Op{kvstore.PutOp(key, machineRecord)},
 		},
 	}
 	c.outgoing = append(c.outgoing, change)
--- a/internal/place/recordmigration.go
+++ b/internal/place/recordmigration.go
@@ -7,7 +7,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/store"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 )
 
@@ -39,7 +39,7 @@
 		}
 		migrated++
 		migrationSteps.Inc()
-		change := &recordChange{description: "move records of " + id, harmlessWhenLate: true, transaction: store.Transaction{Conditions: conditions, Ops: ops}}
+		change := &recordChange{description: "move records of " + id, harmlessWhenLate: true, transaction: kvstore.Transaction{Conditions: conditions, Ops: ops}}
 		for _, condition := range conditions {
 			change.keys = append(change.keys, condition.Key)
 		}
--- a/internal/place/scheduler_test.go
+++ b/internal/place/scheduler_test.go
@@ -18,8 +18,8 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/fleet"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/member"
-	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -64,9 +64,9 @@
 		deployment.Teams = []config.Team{{Name: "t"}}
 		deployment.Workers.ReportS, deployment.Workers.LeaseS, deployment.Workers.CancelS = 8, 45, 65
 		deployment.State.TxnOps = 32
-		client := store.NewClient("127.0.0.1:1", store.Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxValueKiB: 16, MaxTransactionOps: 32}, nil)
-		committer := store.NewCommitter(client, func([]wire.Op, uint64) {})
-		cache := store.NewWatchCache(client, clusterstate.LivePrefix, fixture.cluster, log)
+		client := kvstore.NewClient("127.0.0.1:1", kvstore.Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxValueKiB: 16, MaxTransactionOps: 32}, nil)
+		committer := kvstore.NewCommitter(client, func([]wire.Op, uint64) {})
+		cache := kvstore.NewWatchCache(client, clusterstate.LivePrefix, fixture.cluster, log)
 		members := member.New(node, 1, nodes, tuning.Level, client, committer, cache, fixture.cluster, log)
 		agents := fleet.New(settings, fixture.cluster, members, func() time.Time { return testNow }, log, nil)
 		fixture.agents = append(fixture.agents, agents)
@@ -334,7 +334,7 @@
 	fixture := newTestCluster(t)
 	name := fixture.addMachine(1, false)
 	shard := clusterstate.ShardOf(name, testShards)
-	heartbeat := func(session uint64, up bool) store.Transaction {
+	heartbeat := func(session uint64, up bool) kvstore.Transaction {
 		fixture.put(clusterstate.MachineKey(name), clusterstate.MachineRecord{Type: "m", Zone: "east", Address: "10.1.0.1:9000", CreatedAtMs: 1, Up: up})
 		fixture.engines[shard].agents.TakeAdoptions()
 		fixture.agents[shard].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", MachineType: "m", Zone: "east", Session: session, Sequence: 2, FencingToken: 7})
@@ -553,16 +553,16 @@
 		shard := clusterstate.ShardOf(name, testShards)
 		engine := fixture.engines[shard]
 		transport := &unansweredBindings{engine: engine}
-		client := store.NewClient("10.0.0.1:1", store.Limits{RequestsPerSecond: 1000, WritesPerSecond: 1000, MaxValueKiB: 16, MaxTransactionOps: 32}, transport)
-		engine.committer = store.NewCommitter(client, func([]wire.Op, uint64) {})
+		client := kvstore.NewClient("10.0.0.1:1", kvstore.Limits{RequestsPerSecond: 1000, WritesPerSecond: 1000, MaxValueKiB: 16, MaxTransactionOps: 32}, transport)
+		engine.committer = kvstore.NewCommitter(client, func([]wire.Op, uint64) {})
 		node := fmt.Sprintf("node-%d", shard)
-		engine.membership = member.New(node, 1, []string{node}, tuning.Level, client, engine.committer, store.NewWatchCache(client, clusterstate.LivePrefix, fixture.cluster, slog.New(slog.DiscardHandler)), fixture.cluster, slog.New(slog.DiscardHandler))
+		engine.membership = member.New(node, 1, []string{node}, tuning.Level, client, engine.committer, kvstore.NewWatchCache(client, clusterstate.LivePrefix, fixture.cluster, slog.New(slog.DiscardHandler)), fixture.cluster, slog.New(slog.DiscardHandler))
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = engine.committer.Run(ctx) }()
 		engine.ctx = ctx
 		change := &recordChange{description: "tasks of run-1", keys: []string{clusterstate.JobKey("run-1")}, shards: []int{shard},
 			bindings:    []pendingBinding{{clusterstate.TaskRef{Job: "run-1"}, name, shard, "t", clusterstate.Resources{GPUs: 1}}},
-			transaction: store.Transaction{Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard)}}, Ops: []wire.Op{store.PutOp(clusterstate.JobKey("run-1"), 1)}}}
+			transaction: kvstore.Transaction{Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard)}}, Ops: []wire.Op{kvstore.PutOp(clusterstate.JobKey("run-1"), 1)}}}
 		engine.mu.Lock()
 		engine.keysInFlight[change.keys[0]], engine.inFlightChanges[0] = true, change
 		engine.mu.Unlock()
--- a/internal/pool/autoscaler.go
+++ b/internal/pool/autoscaler.go
@@ -16,10 +16,10 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/learn"
 	"sableusher/internal/member"
 	"sableusher/internal/place"
-	"sableusher/internal/store"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -33,7 +33,7 @@
 	members   *member.Member
 	scheduler *place.Engine
 	cloud     *Client
-	committer *store.Committer
+	committer *kvstore.Committer
 	log       *slog.Logger
 
 	mu                sync.Mutex // guards serial, refused, counts and short, as rentals are asked for at once
@@ -76,7 +76,7 @@
 }
 
 // New makes a pool.
-func New(set *config.Settings, op *config.Operator, w *clusterstate.State, m *member.Member, e *place.Engine, c *Client, commit *store.Committer, log *slog.Logger) *Autoscaler {
+func New(set *config.Settings, op *config.Operator, w *clusterstate.State, m *member.Member, e *place.Engine, c *Client, commit *kvstore.Committer, log *slog.Logger) *Autoscaler {
 	return &Autoscaler{settings: set, operator: op, state: w, members: m, scheduler: e, cloud: c, committer: commit, log: log,
 		refusals: map[machineKind]refusal{}, insufficientUntil: map[machineKind]time.Time{}, idleSince: map[string]time.Time{}, unknownSince: map[string]time.Time{}, missedListings: map[string]int{}, arrivals: map[string]arrival{}}
 }
@@ -126,7 +126,7 @@
 			guards = append(guards, lead)
 		}
 		for _, ops := range a.catalogOps(cat) {
-			if _, err := a.commit(ctx, store.Transaction{Conditions: guards, Ops: ops}); err != nil {
+			if _, err := a.commit(ctx, kvstore.Transaction{Conditions: guards, Ops: ops}); err != nil {
 				a.log.Debug("catalog not written", "err", err)
 			}
 		}
@@ -137,7 +137,7 @@
 // or where that would be too long, one for each type. Once it is kept by type it
 // stays so, as those records count first.
 func (a *Autoscaler) catalogOps(cat wire.Catalog) [][]wire.Op {
-	whole := store.PutOp(clusterstate.CatalogKey, cat)
+	whole := kvstore.PutOp(clusterstate.CatalogKey, cat)
 	a.state.RLock()
 	level, byType := a.state.SchemaVersion, a.state.CatalogByType()
 	a.state.RUnlock()
@@ -146,12 +146,12 @@
 	}
 	var ops []wire.Op
 	for _, t := range cat.Types {
-		ops = append(ops, store.PutOp(clusterstate.MachineTypeKey(t.Name), t))
+		ops = append(ops, kvstore.PutOp(clusterstate.MachineTypeKey(t.Name), t))
 	}
 	return slices.Collect(slices.Chunk(ops, a.committer.MaxTransactionOps()))
 }
 
-func (a *Autoscaler) commit(ctx context.Context, it store.Transaction) (uint64, error) {
+func (a *Autoscaler) commit(ctx context.Context, it kvstore.Transaction) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
 	defer cancel()
 	return a.committer.Commit(ctx, it)
@@ -566,8 +566,8 @@
 	}
 	rec := clusterstate.RentalRecord{Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: count, RequestedAtMs: time.Now().UnixMilli()}
 	key := clusterstate.RentalKey(name)
-	rev, err := a.commit(ctx, store.Transaction{
-		Conditions: []wire.Condition{{Key: key, ModRevision: 0}, leader}, Ops: []wire.Op{store.PutOp(key, rec)},
+	rev, err := a.commit(ctx, kvstore.Transaction{
+		Conditions: []wire.Condition{{Key: key, ModRevision: 0}, leader}, Ops: []wire.Op{kvstore.PutOp(key, rec)},
 	})
 	if err != nil {
 		a.log.Info("rental not recorded", "err", err)
@@ -581,7 +581,7 @@
 func (a *Autoscaler) resumeRentals(ctx context.Context, leader wire.Condition) bool {
 	a.state.RLock()
 	open := map[string]clusterstate.Rental{}
-	var done []store.Transaction
+	var done []kvstore.Transaction
 	for name, r := range a.state.Rentals {
 		if len(r.Machines) == 0 {
 			open[name] = r
@@ -589,7 +589,7 @@
 		}
 		if !slices.ContainsFunc(r.Machines, func(n string) bool { m := a.state.Machines[n]; return m != nil && m.ModRevision == 0 }) {
 			key := clusterstate.RentalKey(name)
-			done = append(done, store.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: r.ModRevision}}, Ops: []wire.Op{store.DeleteOp(key)}})
+			done = append(done, kvstore.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: r.ModRevision}}, Ops: []wire.Op{kvstore.DeleteOp(key)}})
 		}
 	}
 	a.state.RUnlock()
@@ -603,7 +603,7 @@
 }
 
 // commitAll makes changes that don't depend on each other, in few transactions.
-func (a *Autoscaler) commitAll(ctx context.Context, items []store.Transaction, failed string) {
+func (a *Autoscaler) commitAll(ctx context.Context, items []kvstore.Transaction, failed string) {
 	var wg sync.WaitGroup
 	for _, it := range items {
 		wg.Go(func() {
@@ -633,11 +633,11 @@
 	}
 	// A change that fails is tried again later: the same name gives the same machines.
 	key := clusterstate.RentalKey(name)
-	op := store.DeleteOp(key)
+	op := kvstore.DeleteOp(key)
 	if rec.Machines = names; len(names) > 0 {
-		op = store.PutOp(key, rec)
+		op = kvstore.PutOp(key, rec)
 	}
-	if _, err := a.commit(ctx, store.Transaction{Conditions: []wire.Condition{{Key: key, ModRevision: stamp}}, Ops: []wire.Op{op}}); err != nil {
+	if _, err := a.commit(ctx, kvstore.Transaction{Conditions: []wire.Condition{{Key: key, ModRevision: stamp}}, Ops: []wire.Op{op}}); err != nil {
 		a.log.Debug("rental record stays", "rental", name, "err", err)
 	}
 	return nil
@@ -709,7 +709,7 @@
 			total++
 		}
 	}
-	var items []store.Transaction
+	var items []kvstore.Transaction
 	step := a.headroomTarget(now)
 	reserve, zones := a.zoneReserve(), map[string]float64{}
 	maps.Copy(zones, demand.SpareOnDemand.MachinesByZone)
@@ -727,9 +727,9 @@
 		}
 		rec := m.MachineRecord
 		rec.Draining = true
-		items = append(items, store.Transaction{
+		items = append(items, kvstore.Transaction{
 			Conditions: []wire.Condition{leader, {Key: clusterstate.MachineKey(n), ModRevision: m.ModRevision}},
-			Ops:        []wire.Op{store.PutOp(clusterstate.MachineKey(n), rec)},
+			Ops:        []wire.Op{kvstore.PutOp(clusterstate.MachineKey(n), rec)},
 		})
 		left[m.Spot]--
 		if !m.Spot {
@@ -755,7 +755,7 @@
 	}
 	now := time.Now()
 	seen := map[string]bool{}
-	var items []store.Transaction
+	var items []kvstore.Transaction
 	a.state.RLock()
 	for _, l := range listing {
 		key := clusterstate.MachineKey(l.ID)
@@ -765,7 +765,7 @@
 			rec := m.MachineRecord
 			rec.Deleting = true
 			a.log.Info("machine failed", "machine", l.ID)
-			items = append(items, store.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: m.ModRevision}}, Ops: []wire.Op{store.PutOp(key, rec)}})
+			items = append(items, kvstore.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: m.ModRevision}}, Ops: []wire.Op{kvstore.PutOp(key, rec)}})
 		case m == nil:
 			seen[l.ID] = true
 			if _, ok := a.unknownSince[l.ID]; !ok {
@@ -776,7 +776,7 @@
 				a.log.Info("recording an unknown machine", "machine", l.ID)
 				rec := clusterstate.MachineRecord{Type: l.MachineType, Zone: l.Zone, Spot: l.Spot, Address: l.Address,
 					CreatedAtMs: now.Add(-config.Seconds(l.AgeSeconds)).UnixMilli(), Deleting: l.State == wire.MachineFailed}
-				items = append(items, store.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: 0}}, Ops: []wire.Op{store.PutOp(key, rec)}})
+				items = append(items, kvstore.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: 0}}, Ops: []wire.Op{kvstore.PutOp(key, rec)}})
 			}
 		}
 	}
@@ -790,7 +790,7 @@
 // listed until it is gone. Silence alone can't tell the loss of all machines at once from a cut of
 // our own, and gave up none for ever. That they are gone is proved by their deletion, as
 // ever. Callers hold the world's lock.
-func (a *Autoscaler) deleteUnlisted(leader wire.Condition, listing []wire.CloudMachine, now time.Time) (items []store.Transaction) {
+func (a *Autoscaler) deleteUnlisted(leader wire.Condition, listing []wire.CloudMachine, now time.Time) (items []kvstore.Transaction) {
 	listed := make(map[string]bool, len(listing))
 	for _, l := range listing {
 		listed[l.ID] = true
@@ -807,7 +807,7 @@
 		rec, key := m.MachineRecord, clusterstate.MachineKey(name)
 		rec.Deleting = true
 		a.log.Info("machine is not listed any more", "machine", name, "tasks", len(m.Bindings))
-		items = append(items, store.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: m.ModRevision}}, Ops: []wire.Op{store.PutOp(key, rec)}})
+		items = append(items, kvstore.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: m.ModRevision}}, Ops: []wire.Op{kvstore.PutOp(key, rec)}})
 	}
 	maps.DeleteFunc(a.missedListings, func(n string, _ int) bool { return a.state.Machines[n] == nil })
 	return items
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -9,7 +9,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/store"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -103,7 +103,7 @@
 // Change is a change of a team's grants to be committed. Done is to be called
 // with the outcome settled: never while it may still be applied.
 type Change struct {
-	Transaction store.Transaction
+	Transaction kvstore.Transaction
 	Shard       int
 	Done        func()
 }
@@ -216,9 +216,9 @@
 	m.teamsInFlight[grant.team] = true
 	key := clusterstate.QuotaKey(grant.team)
 	return Change{
-		Transaction: store.Transaction{
+		Transaction: kvstore.Transaction{
 			Conditions: []wire.Condition{{Key: key, ModRevision: quota.ModRevision}, {Key: clusterstate.ShardKey(grant.shard), ModRevision: revision}},
-			Ops:        []wire.Op{store.PutOp(key, clusterstate.QuotaRecord{Grants: grants})},
+			Ops:        []wire.Op{kvstore.PutOp(key, clusterstate.QuotaRecord{Grants: grants})},
 		},
 		Shard: grant.shard,
 		Done:  func() { m.completions <- completion{grant.team, grant} },
--- a/internal/spill/home.go
+++ b/internal/spill/home.go
@@ -12,7 +12,7 @@
 	"sableusher/internal/cell"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/store"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -164,7 +164,7 @@
 	if next == rec {
 		return nil
 	}
-	return s.do(ctx, guards, []wire.Op{store.PutOp(clusterstate.CellKey(name), next)})
+	return s.do(ctx, guards, []wire.Op{kvstore.PutOp(clusterstate.CellKey(name), next)})
 }
 
 // word takes in what another cell says of one transfer.
@@ -251,7 +251,7 @@
 				s.log.Error("job of another cell's inventory can't be recorded", "job", a.Spec.ID, "why", why)
 			}
 			guards = append(guards, wire.Condition{Key: clusterstate.JobKey(a.Spec.ID)}, wire.Condition{Key: clusterstate.FinalKey(a.Spec.ID)})
-			op = store.PutOp(clusterstate.JobKey(a.Spec.ID), rec)
+			op = kvstore.PutOp(clusterstate.JobKey(a.Spec.ID), rec)
 		}
 		s.world.RUnlock()
 		s.log.Info("job is with another cell, as that one tells", "job", a.Spec.ID, "cell", name, "number", a.Number)
@@ -278,7 +278,7 @@
 			return fmt.Errorf("not forgotten: %w", err)
 		}
 		rec.FencedEpoch, rec.Standing, rec.StandingSinceMs, rec.InventoryReceived = after.Fenced, int(after.Standing), after.Since.UnixMilli(), after.Settled
-		ops = append(ops, store.PutOp(clusterstate.CellKey(f.Name), rec))
+		ops = append(ops, kvstore.PutOp(clusterstate.CellKey(f.Name), rec))
 	} else if rec.PeerEpoch <= rec.FencedEpoch {
 		for _, j := range s.away(f.Name) {
 			if len(ops) < s.commit.MaxTransactionOps() {
@@ -378,7 +378,7 @@
 	s.world.RUnlock()
 	var errs []error
 	for to, list := range ops {
-		err := s.do(ctx, guards[to], append(list, store.PutOp(clusterstate.CellKey(to), next[to])))
+		err := s.do(ctx, guards[to], append(list, kvstore.PutOp(clusterstate.CellKey(to), next[to])))
 		if errs = append(errs, err); err == nil {
 			s.log.Info("jobs given to another cell", "cell", to, "jobs", given[to])
 		}
--- a/internal/spill/host.go
+++ b/internal/spill/host.go
@@ -12,7 +12,7 @@
 	"sableusher/internal/cell"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/store"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -46,7 +46,7 @@
 		// no more.
 		next := s.under(rec)
 		next.PeerEpoch = line.Other
-		if err := s.do(ctx, guards, []wire.Op{store.PutOp(clusterstate.CellKey(m.Cell), next)}); err != nil {
+		if err := s.do(ctx, guards, []wire.Op{kvstore.PutOp(clusterstate.CellKey(m.Cell), next)}); err != nil {
 			return Message{}, err
 		}
 	}
@@ -80,7 +80,7 @@
 	for n, j := range jobs {
 		if kept.Word(n).Status == cell.Absent && j.BoundCount == 0 && len(ops) < s.commit.MaxTransactionOps() {
 			guards = append(guards, wire.Condition{Key: clusterstate.JobKey(j.Spec.ID), ModRevision: j.ModRevision})
-			ops = append(ops, store.DeleteOp(clusterstate.JobKey(j.Spec.ID)))
+			ops = append(ops, kvstore.DeleteOp(clusterstate.JobKey(j.Spec.ID)))
 		}
 	}
 	left := len(guests.List) - len(kept.List) - len(ops)
@@ -128,14 +128,14 @@
 				continue
 			}
 			room -= spec.TaskCount
-			change(wire.Condition{Key: clusterstate.JobKey(spec.ID)}, store.PutOp(clusterstate.JobKey(spec.ID), rec))
+			change(wire.Condition{Key: clusterstate.JobKey(spec.ID)}, kvstore.PutOp(clusterstate.JobKey(spec.ID), rec))
 			told = append(told, func() {
 				s.log.Info("job taken from another cell", "job", spec.ID, "cell", m.Cell, "number", a.Number)
 			})
 		case j == nil:
 		case (a.Recalled || s.op.CellDrain) && !j.Cancelled() && j.BoundCount == 0 && j.DoneCount == 0:
 			if _, ok := guests.Release(a.Number, j.BoundCount); ok {
-				change(wire.Condition{Key: clusterstate.JobKey(spec.ID), ModRevision: j.ModRevision}, store.DeleteOp(clusterstate.JobKey(spec.ID)))
+				change(wire.Condition{Key: clusterstate.JobKey(spec.ID), ModRevision: j.ModRevision}, kvstore.DeleteOp(clusterstate.JobKey(spec.ID)))
 				ops = append(ops, j.DeleteFurtherChunks(budget-len(ops))...)
 				told = append(told, func() { s.log.Info("job sent home", "job", spec.ID, "cell", m.Cell, "number", a.Number) })
 			}
@@ -154,13 +154,13 @@
 	if c := s.world.Cells[m.Cell]; c != nil {
 		for _, n := range m.Have {
 			if o, ok := c.GuestOutcomes[n]; ok && len(ops) < budget {
-				change(wire.Condition{Key: clusterstate.GuestOutcomeKey(m.Cell, n), ModRevision: o.ModRevision}, store.DeleteOp(clusterstate.GuestOutcomeKey(m.Cell, n)))
+				change(wire.Condition{Key: clusterstate.GuestOutcomeKey(m.Cell, n), ModRevision: o.ModRevision}, kvstore.DeleteOp(clusterstate.GuestOutcomeKey(m.Cell, n)))
 			}
 		}
 	}
 	s.world.RUnlock()
 	if next != rec {
-		ops = append(ops, store.PutOp(clusterstate.CellKey(m.Cell), next))
+		ops = append(ops, kvstore.PutOp(clusterstate.CellKey(m.Cell), next))
 	}
 	if len(ops) == 0 {
 		return nil
--- a/internal/spill/spill.go
+++ b/internal/spill/spill.go
@@ -23,7 +23,7 @@
 	"sableusher/internal/cell"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/store"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -39,7 +39,7 @@
 
 // Committer commits items.
 type Committer interface {
-	Commit(ctx context.Context, it store.Transaction) (uint64, error)
+	Commit(ctx context.Context, it kvstore.Transaction) (uint64, error)
 	MaxTransactionOps() int
 	UpcomingMaxRecordBytes() int
 }
@@ -157,7 +157,7 @@
 func (s *Spill) do(ctx context.Context, guards []wire.Condition, ops []wire.Op) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
 	defer cancel()
-	_, err := s.commit.Commit(ctx, store.Transaction{Conditions: guards, Ops: ops, HighPriority: true})
+	_, err := s.commit.Commit(ctx, kvstore.Transaction{Conditions: guards, Ops: ops, HighPriority: true})
 	return err
 }
 
--- a/internal/upgrade/activator.go
+++ b/internal/upgrade/activator.go
@@ -14,7 +14,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/store"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -24,7 +24,7 @@
 
 // Committer commits items.
 type Committer interface {
-	Commit(ctx context.Context, it store.Transaction) (uint64, error)
+	Commit(ctx context.Context, it kvstore.Transaction) (uint64, error)
 }
 
 // Owner tells what this node owns. Callers hold the world's lock.
@@ -108,7 +108,7 @@
 // node that goes down, or comes back as an older version, before it is applied
 // makes it fail. A node that is down or cut off has no session and is waited for.
 // Callers hold the world's lock.
-func (u *Activator) activationTransaction() (*store.Transaction, string) {
+func (u *Activator) activationTransaction() (*kvstore.Transaction, string) {
 	if u.clusterState.SchemaVersion >= u.supportedVersion {
 		return nil, ""
 	}
@@ -135,5 +135,5 @@
 	if len(guards) > tuning.GuardsPerOp*u.limits.MaxTransactionOps() {
 		return nil, "more nodes than one transaction has conditions"
 	}
-	return &store.Transaction{Conditions: guards, Ops: []wire.Op{store.PutOp(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: level})}, Urgent: true}, missing
+	return &kvstore.Transaction{Conditions: guards, Ops: []wire.Op{kvstore.PutOp(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: level})}, Urgent: true}, missing
 }
--- a/internal/upgrade/activator_test.go
+++ b/internal/upgrade/activator_test.go
@@ -11,7 +11,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/store"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -28,10 +28,10 @@
 	limitsApplied int
 }
 
-func (r *fakeCluster) Commit(_ context.Context, it store.Transaction) (uint64, error) {
+func (r *fakeCluster) Commit(_ context.Context, it kvstore.Transaction) (uint64, error) {
 	for _, g := range it.Conditions {
 		if r.modRevisions[g.Key] != g.ModRevision {
-			return 0, store.ErrConditionFailed
+			return 0, kvstore.ErrConditionFailed
 		}
 	}
 	for _, o := range it.Ops {
