--- a/internal/fleet/registry.go
+++ b/internal/fleet/registry.go
@@ -15,7 +15,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/member"
+	"sableusher/internal/membership"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -27,7 +27,7 @@
 type Registry struct {
 	settings      *config.Settings
 	clusterState  *clusterstate.State
-	membership    *member.Member
+	membership    *membership.Member
 	completeAsOf  func() time.Time
 	logger        *slog.Logger
 	httpClient    *http.Client
@@ -50,7 +50,7 @@
 }
 
 // New makes the fleet; fresh tells as of when the view is complete.
-func New(set *config.Settings, w *clusterstate.State, mem *member.Member, fresh func() time.Time, log *slog.Logger, rt http.RoundTripper) *Registry {
+func New(set *config.Settings, w *clusterstate.State, mem *membership.Member, fresh func() time.Time, log *slog.Logger, rt http.RoundTripper) *Registry {
 	if rt == nil {
 		rt = wire.NewTransport(tuning.OrderTimeout, 1, max(1, int(tuning.OrderSockets*float64(set.Deployment.Limits.MaxSockets))))
 	}
--- a/internal/member/main_test.go
+++ b/internal/membership/main_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"testing"
--- a/internal/member/ownership.go
+++ b/internal/membership/ownership.go
@@ -1,6 +1,6 @@
-// Package member keeps a node's session and the ownership of parts: one owner a
+// Package membership keeps a node's session and the ownership of parts: one owner a
 // part, a fencing token that every change of owner raises, and a leader.
-package member
+package membership
 
 import (
 	"context"
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -14,7 +14,7 @@
 	"sableusher/internal/fleet"
 	"sableusher/internal/intake"
 	"sableusher/internal/kvstore"
-	"sableusher/internal/member"
+	"sableusher/internal/membership"
 	"sableusher/internal/peer"
 	"sableusher/internal/pipeline"
 	"sableusher/internal/place"
@@ -57,7 +57,7 @@
 	cache := kvstore.NewWatchCache(client, clusterstate.LivePrefix, state, logger)
 	committer := kvstore.NewCommitter(client, func(ops []wire.Op, rev uint64) { cache.ApplyOwn(ops, rev) })
 	committer.SetObserver(cache)
-	members := member.New(settings.Node, incarnation, settings.Nodes(), schemaVersion, client, committer, cache, state, logger)
+	members := membership.New(settings.Node, incarnation, settings.Nodes(), schemaVersion, client, committer, cache, state, logger)
 	agents := fleet.New(settings, state, members, cache.CompleteAsOf, logger, transport)
 	peers, err := connectPeers(agents)
 	if err != nil {
--- a/internal/place/engine.go
+++ b/internal/place/engine.go
@@ -15,7 +15,7 @@
 	"sableusher/internal/floor"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/learn"
-	"sableusher/internal/member"
+	"sableusher/internal/membership"
 	"sableusher/internal/order"
 	"sableusher/internal/quota"
 	"sableusher/internal/repeats"
@@ -29,7 +29,7 @@
 	settings   *config.Settings
 	operator   *config.Operator
 	cluster    *clusterstate.State
-	membership *member.Member
+	membership *membership.Member
 	agents     *fleet.Registry
 	committer  *kvstore.Committer
 	quota      *quota.GrantManager
@@ -117,7 +117,7 @@
 }
 
 // New makes an engine.
-func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *member.Member, agents *fleet.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
+func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *fleet.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: repeats.NewPolicies(operator.Classes), log: log,
 		keysInFlight: map[string]bool{}, inFlightChanges: map[uint64]*recordChange{}, jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
--- a/internal/pool/autoscaler.go
+++ b/internal/pool/autoscaler.go
@@ -18,7 +18,7 @@
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/learn"
-	"sableusher/internal/member"
+	"sableusher/internal/membership"
 	"sableusher/internal/place"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -30,7 +30,7 @@
 	settings  *config.Settings
 	operator  *config.Operator
 	state     *clusterstate.State
-	members   *member.Member
+	members   *membership.Member
 	scheduler *place.Engine
 	cloud     *Client
 	committer *kvstore.Committer
@@ -76,7 +76,7 @@
 }
 
 // New makes a pool.
-func New(set *config.Settings, op *config.Operator, w *clusterstate.State, m *member.Member, e *place.Engine, c *Client, commit *kvstore.Committer, log *slog.Logger) *Autoscaler {
+func New(set *config.Settings, op *config.Operator, w *clusterstate.State, m *membership.Member, e *place.Engine, c *Client, commit *kvstore.Committer, log *slog.Logger) *Autoscaler {
 	return &Autoscaler{settings: set, operator: op, state: w, members: m, scheduler: e, cloud: c, committer: commit, log: log,
 		refusals: map[machineKind]refusal{}, insufficientUntil: map[machineKind]time.Time{}, idleSince: map[string]time.Time{}, unknownSince: map[string]time.Time{}, missedListings: map[string]int{}, arrivals: map[string]arrival{}}
 }
