--- a/internal/fleet/registry.go
+++ b/internal/agent/registry.go
@@ -1,4 +1,4 @@
-package fleet
+package agent
 
 import (
 	"bytes"
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -9,9 +9,9 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"sableusher/internal/agent"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/fleet"
 	"sableusher/internal/intake"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/membership"
@@ -58,7 +58,7 @@
 	committer := kvstore.NewCommitter(client, func(ops []wire.Op, rev uint64) { cache.ApplyOwn(ops, rev) })
 	committer.SetObserver(cache)
 	members := membership.New(settings.Node, incarnation, settings.Nodes(), schemaVersion, client, committer, cache, state, logger)
-	agents := fleet.New(settings, state, members, cache.CompleteAsOf, logger, transport)
+	agents := agent.New(settings, state, members, cache.CompleteAsOf, logger, transport)
 	peers, err := connectPeers(agents)
 	if err != nil {
 		return nil, err
--- a/internal/place/engine.go
+++ b/internal/place/engine.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
+	"sableusher/internal/agent"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/fit"
-	"sableusher/internal/fleet"
 	"sableusher/internal/floor"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/learn"
@@ -30,7 +30,7 @@
 	operator   *config.Operator
 	cluster    *clusterstate.State
 	membership *membership.Member
-	agents     *fleet.Registry
+	agents     *agent.Registry
 	committer  *kvstore.Committer
 	quota      *quota.GrantManager
 	// retryRules paces tasks that failed by themselves.
@@ -117,7 +117,7 @@
 }
 
 // New makes an engine.
-func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *fleet.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
+func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *agent.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: repeats.NewPolicies(operator.Classes), log: log,
 		keysInFlight: map[string]bool{}, inFlightChanges: map[uint64]*recordChange{}, jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
--- a/internal/place/learning.go
+++ b/internal/place/learning.go
@@ -8,10 +8,10 @@
 	"slices"
 	"time"
 
+	"sableusher/internal/agent"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/fit"
-	"sableusher/internal/fleet"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/learn"
 	"sableusher/internal/tuning"
@@ -68,7 +68,7 @@
 
 // recordRunning notes when a task began to run, and pays a service's start once it has
 // run for a while: it never completes.
-func (c *cycle) recordRunning(binding clusterstate.Binding, task fleet.TaskObservation) {
+func (c *cycle) recordRunning(binding clusterstate.Binding, task agent.TaskObservation) {
 	if task.State != wire.TaskRunning {
 		return
 	}
--- a/internal/place/reconcile.go
+++ b/internal/place/reconcile.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"sableusher/internal/agent"
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/fleet"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/repeats"
 	"sableusher/internal/settle"
@@ -133,7 +133,7 @@
 	if decision.BackOffJob {
 		c.backOffJob(spec.ID, c.now)
 	}
-	if task.Presence == fleet.PresenceExited && task.Cause != wire.ExitCauseDone && (task.Cause != wire.ExitCauseStopped || !task.Saved) {
+	if task.Presence == agent.PresenceExited && task.Cause != wire.ExitCauseDone && (task.Cause != wire.ExitCauseStopped || !task.Saved) {
 		c.log.Debug("task ended without being done", "task", binding.Ref, "cause", task.Cause, "machine", machineName)
 	}
 	switch {
@@ -147,10 +147,10 @@
 		if edit := c.releaseTask(binding, machineName, decision.NextState, decision.Reason); edit != nil && decision.CountFailure {
 			c.countFailure(binding, edit, decision.FailJob)
 		}
-	case task.Presence == fleet.PresenceAlive:
+	case task.Presence == agent.PresenceAlive:
 		c.recordRunning(binding, task.TaskObservation)
 	}
-	if spec.Kind != wire.KindGang || task.Presence == fleet.PresenceExited || task.Presence == fleet.PresenceSessionEnded {
+	if spec.Kind != wire.KindGang || task.Presence == agent.PresenceExited || task.Presence == agent.PresenceSessionEnded {
 		return
 	}
 	if binding.Job.PreemptedAttempt == binding.Attempt {
--- a/internal/place/scheduler_test.go
+++ b/internal/place/scheduler_test.go
@@ -15,9 +15,9 @@
 
 	"pgregory.net/rapid"
 
+	"sableusher/internal/agent"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/fleet"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/membership"
 	"sableusher/internal/tuning"
@@ -36,7 +36,7 @@
 type testCluster struct {
 	cluster  *clusterstate.State
 	engines  []*Engine
-	agents   []*fleet.Registry
+	agents   []*agent.Registry
 	revision uint64
 }
 
@@ -68,7 +68,7 @@
 		committer := kvstore.NewCommitter(client, func([]wire.Op, uint64) {})
 		cache := kvstore.NewWatchCache(client, clusterstate.LivePrefix, fixture.cluster, log)
 		members := membership.New(node, 1, nodes, tuning.Level, client, committer, cache, fixture.cluster, log)
-		agents := fleet.New(settings, fixture.cluster, members, func() time.Time { return testNow }, log, nil)
+		agents := agent.New(settings, fixture.cluster, members, func() time.Time { return testNow }, log, nil)
 		fixture.agents = append(fixture.agents, agents)
 		engine := New(settings, operator, fixture.cluster, members, agents, committer, client, nil, log)
 		engine.ctx = context.Background()
--- a/internal/settle/reconcile.go
+++ b/internal/settle/reconcile.go
@@ -5,14 +5,14 @@
 package settle
 
 import (
+	"sableusher/internal/agent"
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/fleet"
 	"sableusher/internal/wire"
 )
 
 // BoundTask is a bound task as its part's owner sees it.
 type BoundTask struct {
-	fleet.TaskObservation
+	agent.TaskObservation
 	JobKind          string // of its job
 	JobCancelled     bool   // its job is
 	StopRequested    bool   // it has been told to stop
@@ -38,16 +38,16 @@
 // Decide gives what to do about a task.
 func Decide(task BoundTask) Decision {
 	switch task.Presence {
-	case fleet.PresenceSessionEnded:
+	case agent.PresenceSessionEnded:
 		return releaseToPending("session ended")
-	case fleet.PresenceAbsent:
+	case agent.PresenceAbsent:
 		if task.StopRequested {
 			return releaseToPending("never started")
 		}
 		return Decision{ResendCommands: true}
-	case fleet.PresenceAlive:
+	case agent.PresenceAlive:
 		return Decision{ImagePresent: task.State != wire.TaskFetchingImage}
-	case fleet.PresenceExited:
+	case agent.PresenceExited:
 		return decideExited(task)
 	}
 	return Decision{}
--- a/internal/settle/reconcile_test.go
+++ b/internal/settle/reconcile_test.go
@@ -5,8 +5,8 @@
 
 	"pgregory.net/rapid"
 
+	"sableusher/internal/agent"
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/fleet"
 	"sableusher/internal/wire"
 )
 
@@ -14,23 +14,23 @@
 // and a task is done only when its worker says so and nobody has cancelled it.
 func TestDecideEveryObservation(t *testing.T) {
 	seen := map[Decision]bool{}
-	for _, presence := range []fleet.TaskPresence{fleet.PresenceUnknown, fleet.PresenceAlive, fleet.PresenceExited, fleet.PresenceSessionEnded, fleet.PresenceAbsent} {
+	for _, presence := range []agent.TaskPresence{agent.PresenceUnknown, agent.PresenceAlive, agent.PresenceExited, agent.PresenceSessionEnded, agent.PresenceAbsent} {
 		for _, cause := range []string{wire.ExitCauseDone, wire.ExitCauseError, wire.ExitCauseStopped, wire.ExitCauseNoCapacity, wire.ExitCauseAlreadyRunning, wire.ExitCauseUnknownTask, "new"} {
 			for _, kind := range []string{wire.KindArray, wire.KindGang, wire.KindService} {
 				for bits := range 16 {
-					task := BoundTask{TaskObservation: fleet.TaskObservation{Presence: presence, Cause: cause}, JobKind: kind, JobCancelled: bits&1 != 0, StopRequested: bits&2 != 0,
+					task := BoundTask{TaskObservation: agent.TaskObservation{Presence: presence, Cause: cause}, JobKind: kind, JobCancelled: bits&1 != 0, StopRequested: bits&2 != 0,
 						RetriesLimited: bits&4 != 0, RetriesExhausted: bits&8 != 0}
 					decision := Decide(task)
 					seen[decision] = true
-					proof := presence == fleet.PresenceSessionEnded || presence == fleet.PresenceExited || presence == fleet.PresenceAbsent && task.StopRequested
+					proof := presence == agent.PresenceSessionEnded || presence == agent.PresenceExited || presence == agent.PresenceAbsent && task.StopRequested
 					if decision.Release != proof {
 						t.Errorf("%+v: %+v", task, decision)
 					}
-					done := presence == fleet.PresenceExited && cause == wire.ExitCauseDone && kind != wire.KindService && !task.JobCancelled
+					done := presence == agent.PresenceExited && cause == wire.ExitCauseDone && kind != wire.KindService && !task.JobCancelled
 					if (decision.NextState == clusterstate.TaskDone) != done || decision.WholeGang != (done && kind == wire.KindGang) {
 						t.Errorf("%+v: %+v", task, decision)
 					}
-					failed := presence == fleet.PresenceExited && cause == wire.ExitCauseError
+					failed := presence == agent.PresenceExited && cause == wire.ExitCauseError
 					if decision.CountFailure != (failed && task.RetriesLimited) || decision.FailJob != (decision.CountFailure && task.RetriesExhausted && !task.JobCancelled) || decision.CountFailure && decision.BackOffJob {
 						t.Errorf("%+v: %+v", task, decision)
 					}
