--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -17,8 +17,8 @@
 	"sableusher/internal/membership"
 	"sableusher/internal/peer"
 	"sableusher/internal/pipeline"
-	"sableusher/internal/place"
 	"sableusher/internal/pool"
+	"sableusher/internal/scheduler"
 	"sableusher/internal/spill"
 	"sableusher/internal/tuning"
 	"sableusher/internal/upgrade"
@@ -33,7 +33,7 @@
 
 // PeerTransport are a node's lines to the other nodes.
 type PeerTransport interface {
-	place.Peers
+	scheduler.Peers
 	// LastAnswered tells when a node last answered this one.
 	LastAnswered(node string) time.Time
 	Run(ctx context.Context) error
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	agents.SetPeerLastAnswered(peers.LastAnswered)
-	engine := place.New(settings, operator, state, members, agents, committer, client, peers, logger)
+	engine := scheduler.New(settings, operator, state, members, agents, committer, client, peers, logger)
 	cloud := pool.NewClient(settings.Outside.Cloud, deployment.Cloud.RPS, deployment.Size, transport)
 	scaler := pool.New(settings, operator, state, members, engine, cloud, committer, logger)
 	dependencies := pipeline.NewResolver(state, client, logger)
--- a/internal/pool/autoscaler.go
+++ b/internal/pool/autoscaler.go
@@ -19,7 +19,7 @@
 	"sableusher/internal/kvstore"
 	"sableusher/internal/learn"
 	"sableusher/internal/membership"
-	"sableusher/internal/place"
+	"sableusher/internal/scheduler"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -31,7 +31,7 @@
 	operator  *config.Operator
 	state     *clusterstate.State
 	members   *membership.Member
-	scheduler *place.Engine
+	scheduler *scheduler.Engine
 	cloud     *Client
 	committer *kvstore.Committer
 	log       *slog.Logger
@@ -76,7 +76,7 @@
 }
 
 // New makes a pool.
-func New(set *config.Settings, op *config.Operator, w *clusterstate.State, m *membership.Member, e *place.Engine, c *Client, commit *kvstore.Committer, log *slog.Logger) *Autoscaler {
+func New(set *config.Settings, op *config.Operator, w *clusterstate.State, m *membership.Member, e *scheduler.Engine, c *Client, commit *kvstore.Committer, log *slog.Logger) *Autoscaler {
 	return &Autoscaler{settings: set, operator: op, state: w, members: m, scheduler: e, cloud: c, committer: commit, log: log,
 		refusals: map[machineKind]refusal{}, insufficientUntil: map[machineKind]time.Time{}, idleSince: map[string]time.Time{}, unknownSince: map[string]time.Time{}, missedListings: map[string]int{}, arrivals: map[string]arrival{}}
 }
@@ -267,7 +267,7 @@
 
 // planScaleOut packs what found no room into machines to be rented, and adds the step
 // and the minimum.
-func (a *Autoscaler) planScaleOut(demand place.UnmetDemand) []plannedMachine {
+func (a *Autoscaler) planScaleOut(demand scheduler.UnmetDemand) []plannedMachine {
 	a.state.RLock()
 	defer a.state.RUnlock()
 	machinesInZone := map[string]int{}
@@ -360,7 +360,7 @@
 // while that zone refuses, if another is not known to have less than the whole. It is
 // none if every zone is short: asking one after the other would get a machine here and
 // one there, return each as idle, and never make up a gang.
-func (a *Autoscaler) chooseGangZone(group place.UnplacedGroup, machinesInZone map[string]int, now time.Time) (zone string, count int) {
+func (a *Autoscaler) chooseGangZone(group scheduler.UnplacedGroup, machinesInZone map[string]int, now time.Time) (zone string, count int) {
 	ample := func(k machineKind) bool { return !now.Before(a.insufficientUntil[k]) }
 	s := group.Spec
 	if group.Zone != "" {
@@ -681,7 +681,7 @@
 }
 
 // scaleIn marks machines that stood idle for the hold, beyond step and minimum.
-func (a *Autoscaler) scaleIn(ctx context.Context, leader wire.Condition, demand place.UnmetDemand, planned []plannedMachine) {
+func (a *Autoscaler) scaleIn(ctx context.Context, leader wire.Condition, demand scheduler.UnmetDemand, planned []plannedMachine) {
 	now := time.Now()
 	idle := map[string]bool{}
 	for _, n := range demand.IdleMachines {
--- a/internal/pool/autoscaler_test.go
+++ b/internal/pool/autoscaler_test.go
@@ -13,7 +13,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/fit"
-	"sableusher/internal/place"
+	"sableusher/internal/scheduler"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -37,7 +37,7 @@
 func TestPlannedMachinesFitUnplacedWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newTestAutoscaler(nil)
-		d := place.UnmetDemand{ComputedAt: time.Now()}
+		d := scheduler.UnmetDemand{ComputedAt: time.Now()}
 		gpus, ordinary, gangs := 0, 0, 0
 		for i := range rapid.IntRange(1, 12).Draw(t, "groups") {
 			s := &wire.JobSpec{ID: fmt.Sprintf("run-%d", i), Priority: wire.PriorityNormal, CPUs: 6, GPUs: 1, MemoryGB: 40}
@@ -54,7 +54,7 @@
 				gangs += s.TaskCount
 			}
 			gpus += s.TaskCount * int(s.GPUs)
-			d.Groups = append(d.Groups, place.UnplacedGroup{Spec: s, Count: s.TaskCount, Zone: rapid.SampledFrom([]string{"", "west"}).Draw(t, "zone"), SubmittedAt: time.Now()})
+			d.Groups = append(d.Groups, scheduler.UnplacedGroup{Spec: s, Count: s.TaskCount, Zone: rapid.SampledFrom([]string{"", "west"}).Draw(t, "zone"), SubmittedAt: time.Now()})
 		}
 		bins := p.planScaleOut(d)
 		room, plain := 0, 0
@@ -80,7 +80,7 @@
 	p.refusals[machineKind{"m", "west", false}] = refusal{until: time.Now().Add(tuning.RefusedHold)}
 	s := &wire.JobSpec{ID: "run-1", Kind: wire.KindGang, Priority: wire.PriorityHigh, TaskCount: 8, CPUs: 28, GPUs: 4, MemoryGB: 200, SameZone: true}
 	n := 0
-	for _, b := range p.planScaleOut(place.UnmetDemand{Groups: []place.UnplacedGroup{{Spec: s, Count: 2, Zone: "west", SubmittedAt: time.Now()}}, SpareOnDemand: fit.SpareCapacity{Machines: 9, UnusedMachines: 9}, SpareSpot: fit.SpareCapacity{Machines: 9}}) {
+	for _, b := range p.planScaleOut(scheduler.UnmetDemand{Groups: []scheduler.UnplacedGroup{{Spec: s, Count: 2, Zone: "west", SubmittedAt: time.Now()}}, SpareOnDemand: fit.SpareCapacity{Machines: 9, UnusedMachines: 9}, SpareSpot: fit.SpareCapacity{Machines: 9}}) {
 		if b.zone != "east" {
 			t.Errorf("a machine in %s", b.zone)
 		}
@@ -113,7 +113,7 @@
 			p.state.Machines[m.Name] = m
 		}
 		spare := map[string]float64{}
-		for _, b := range p.planScaleOut(place.UnmetDemand{ComputedAt: time.Now()}) {
+		for _, b := range p.planScaleOut(scheduler.UnmetDemand{ComputedAt: time.Now()}) {
 			spare[b.zone]++
 		}
 		for _, z := range testZones {
@@ -122,7 +122,7 @@
 			}
 		}
 		p.unavailableZones = []string{"east"}
-		if n := len(p.planScaleOut(place.UnmetDemand{ComputedAt: time.Now()})); n > 0 {
+		if n := len(p.planScaleOut(scheduler.UnmetDemand{ComputedAt: time.Now()})); n > 0 {
 			t.Errorf("%d machines are kept while a zone is out", n)
 		}
 	})
@@ -149,9 +149,9 @@
 			}
 			start, have, open, times := time.Now(), 1, 0, 0
 			asked := func() map[machineKind]int {
-				d := place.UnmetDemand{SpareOnDemand: fit.SpareCapacity{Machines: 9, UnusedMachines: 9}, SpareSpot: fit.SpareCapacity{Machines: 9}}
+				d := scheduler.UnmetDemand{SpareOnDemand: fit.SpareCapacity{Machines: 9, UnusedMachines: 9}, SpareSpot: fit.SpareCapacity{Machines: 9}}
 				if have < 4 {
-					d.Groups = []place.UnplacedGroup{{Spec: s, Count: 4 - have, Zone: pin, SubmittedAt: start}}
+					d.Groups = []scheduler.UnplacedGroup{{Spec: s, Count: 4 - have, Zone: pin, SubmittedAt: start}}
 				}
 				out := map[machineKind]int{}
 				for _, b := range p.planScaleOut(d) {
--- a/internal/place/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"github.com/prometheus/client_golang/prometheus"
--- a/internal/place/doc.go
+++ b/internal/scheduler/doc.go
@@ -1,4 +1,4 @@
-// Package place decides which waiting task starts on which machine, carries out
+// Package scheduler decides which waiting task starts on which machine, carries out
 // what became of bound tasks, and changes the jobs' records accordingly.
 //
 // A round takes in what changed, ends what has ended, and gives room to what waits; its
@@ -15,4 +15,4 @@
 // told of them), preempt and settle (carrying out), changes (records and their guards),
 // value (learner), silent (machines given up), downstream (jobs that fall with others),
 // moves (old records split).
-package place
+package scheduler
--- a/internal/place/main_test.go
+++ b/internal/scheduler/main_test.go
@@ -1,4 +1,4 @@
-package place
+package scheduler
 
 import (
 	"testing"
