--- a/internal/fit/pending.go
+++ b/internal/binpack/pending.go
@@ -1,4 +1,4 @@
-package fit
+package binpack
 
 import (
 	"slices"
--- a/internal/cell/choose.go
+++ b/internal/cell/choose.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
+	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/fit"
 	"sableusher/internal/tuning"
 )
 
@@ -67,7 +67,7 @@
 		if !w.OneZone {
 			zone = ""
 		}
-		zones[zone] += r.Count * fit.TasksThatFit(w.Need, r.Free)
+		zones[zone] += r.Count * binpack.TasksThatFit(w.Need, r.Free)
 	}
 	most := 0
 	for _, n := range zones {
--- a/internal/pool/autoscaler_test.go
+++ b/internal/pool/autoscaler_test.go
@@ -10,9 +10,9 @@
 
 	"pgregory.net/rapid"
 
+	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/fit"
 	"sableusher/internal/scheduler"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -80,7 +80,7 @@
 	p.refusals[machineKind{"m", "west", false}] = refusal{until: time.Now().Add(tuning.RefusedHold)}
 	s := &wire.JobSpec{ID: "run-1", Kind: wire.KindGang, Priority: wire.PriorityHigh, TaskCount: 8, CPUs: 28, GPUs: 4, MemoryGB: 200, SameZone: true}
 	n := 0
-	for _, b := range p.planScaleOut(scheduler.UnmetDemand{Groups: []scheduler.UnplacedGroup{{Spec: s, Count: 2, Zone: "west", SubmittedAt: time.Now()}}, SpareOnDemand: fit.SpareCapacity{Machines: 9, UnusedMachines: 9}, SpareSpot: fit.SpareCapacity{Machines: 9}}) {
+	for _, b := range p.planScaleOut(scheduler.UnmetDemand{Groups: []scheduler.UnplacedGroup{{Spec: s, Count: 2, Zone: "west", SubmittedAt: time.Now()}}, SpareOnDemand: binpack.SpareCapacity{Machines: 9, UnusedMachines: 9}, SpareSpot: binpack.SpareCapacity{Machines: 9}}) {
 		if b.zone != "east" {
 			t.Errorf("a machine in %s", b.zone)
 		}
@@ -149,7 +149,7 @@
 			}
 			start, have, open, times := time.Now(), 1, 0, 0
 			asked := func() map[machineKind]int {
-				d := scheduler.UnmetDemand{SpareOnDemand: fit.SpareCapacity{Machines: 9, UnusedMachines: 9}, SpareSpot: fit.SpareCapacity{Machines: 9}}
+				d := scheduler.UnmetDemand{SpareOnDemand: binpack.SpareCapacity{Machines: 9, UnusedMachines: 9}, SpareSpot: binpack.SpareCapacity{Machines: 9}}
 				if have < 4 {
 					d.Groups = []scheduler.UnplacedGroup{{Spec: s, Count: 4 - have, Zone: pin, SubmittedAt: start}}
 				}
--- a/internal/preempt/preemption.go
+++ b/internal/preempt/preemption.go
@@ -10,8 +10,8 @@
 	"math"
 	"slices"
 
+	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/fit"
 	"sableusher/internal/wire"
 )
 
@@ -49,8 +49,8 @@
 
 // CandidateMachines gives, up to a number, those of some machines on which a task would have room once
 // what yields to its rank has left, and has none now.
-func CandidateMachines(machines []*fit.MachineInfo, request *fit.Request, rank int, zones *fit.ZoneConstraint, limit int) []*fit.MachineInfo {
-	var candidates []*fit.MachineInfo
+func CandidateMachines(machines []*binpack.MachineInfo, request *binpack.Request, rank int, zones *binpack.ZoneConstraint, limit int) []*binpack.MachineInfo {
+	var candidates []*binpack.MachineInfo
 	for _, machine := range machines {
 		// What costs least to see is asked first: most machines fall out by it.
 		if machine.ReservedFor != "" || request.Need.FitsIn(machine.Free) {
@@ -60,7 +60,7 @@
 		for lowerRank := rank; lowerRank < len(machine.Machine.PreemptibleByRank); lowerRank++ {
 			free = free.AddTimes(machine.Machine.PreemptibleByRank[lowerRank], 1)
 		}
-		if !request.Need.FitsIn(free) || !fit.Eligible(request.Spec, machine.Machine) || !zones.Allows(machine.Machine.Zone) {
+		if !request.Need.FitsIn(free) || !binpack.Eligible(request.Spec, machine.Machine) || !zones.Allows(machine.Machine.Zone) {
 			continue
 		}
 		if candidates = append(candidates, machine); len(candidates) >= limit {
@@ -100,8 +100,8 @@
 
 // CheapestMachine finds among machines the one where making room costs least; tasks gives those
 // that may be stopped on one. It gives nil if none makes room.
-func CheapestMachine(need clusterstate.Resources, machines []*fit.MachineInfo, victimsOn func(*fit.MachineInfo) []Victim) (*fit.MachineInfo, []Victim) {
-	var best *fit.MachineInfo
+func CheapestMachine(need clusterstate.Resources, machines []*binpack.MachineInfo, victimsOn func(*binpack.MachineInfo) []Victim) (*binpack.MachineInfo, []Victim) {
+	var best *binpack.MachineInfo
 	var chosen []Victim
 	leastCost := math.Inf(1)
 	for _, machine := range machines {
--- a/internal/preempt/preemption_test.go
+++ b/internal/preempt/preemption_test.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
+	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/fit"
 	"sableusher/internal/wire"
 )
 
@@ -58,10 +58,10 @@
 func TestCheapestMachineIsMinimal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		need := clusterstate.Resources{GPUs: float64(rapid.IntRange(1, 4).Draw(t, "need"))}
-		tasks := map[*fit.MachineInfo][]Victim{}
-		var machines []*fit.MachineInfo
+		tasks := map[*binpack.MachineInfo][]Victim{}
+		var machines []*binpack.MachineInfo
 		for i := range rapid.IntRange(1, 6).Draw(t, "machines") {
-			machine := &fit.MachineInfo{Machine: &clusterstate.Machine{Name: fmt.Sprint("m", i)}, Free: clusterstate.Resources{GPUs: float64(rapid.IntRange(0, 2).Draw(t, "free"))}}
+			machine := &binpack.MachineInfo{Machine: &clusterstate.Machine{Name: fmt.Sprint("m", i)}, Free: clusterstate.Resources{GPUs: float64(rapid.IntRange(0, 2).Draw(t, "free"))}}
 			machines = append(machines, machine)
 			for k := range rapid.IntRange(0, 4).Draw(t, "tasks") {
 				job := &clusterstate.Job{}
@@ -70,7 +70,7 @@
 					Rank: rapid.IntRange(1, 3).Draw(t, "rank"), LostMachineSeconds: float64(rapid.IntRange(1, 50).Draw(t, "cost"))})
 			}
 		}
-		best, stop := CheapestMachine(need, machines, func(machine *fit.MachineInfo) []Victim { return tasks[machine] })
+		best, stop := CheapestMachine(need, machines, func(machine *binpack.MachineInfo) []Victim { return tasks[machine] })
 		cost := math.Inf(1)
 		if best != nil {
 			cost = 0
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
+	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/fit"
 	"sableusher/internal/order"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -28,9 +28,9 @@
 // UnmetDemand is what a round could not place, and what it had no use for.
 type UnmetDemand struct {
 	Groups        []UnplacedGroup
-	IdleMachines  []string          // machines, up or booting, that no task uses or waits for
-	SpareOnDemand fit.SpareCapacity // of ordinary machines
-	SpareSpot     fit.SpareCapacity // of spot machines
+	IdleMachines  []string              // machines, up or booting, that no task uses or waits for
+	SpareOnDemand binpack.SpareCapacity // of ordinary machines
+	SpareSpot     binpack.SpareCapacity // of spot machines
 	ComputedAt    time.Time
 	// CommonTask is what a task of the work that asks for most cores takes, if some of it found no room:
 	// small machines, of no use to it, then keep small tasks off those that are.
@@ -39,7 +39,7 @@
 
 // queuedJob is a job in the order of placement.
 type queuedJob struct {
-	fit.Request
+	binpack.Request
 	job             *clusterstate.Job
 	rank            int
 	withinGuarantee bool // within its team's guarantee
@@ -144,7 +144,7 @@
 	queue := c.queueBuffer[:0]
 	c.waitingJobs.Each(func(key order.Key, job *clusterstate.Job) bool {
 		if backoff, ok := c.jobBackoffs[key.JobID]; !ok || !c.now.Before(backoff.until) {
-			queue = append(queue, queuedJob{Request: fit.Request{Spec: &job.Spec, Need: clusterstate.TaskResources(&job.Spec), StartWithinS: c.startObjectiveS(&job.Spec)}, job: job, withinGuarantee: key.WithinGuarantee, rank: key.PriorityRank, nearDeadline: key.NearDeadline, key: key, homeShard: -1})
+			queue = append(queue, queuedJob{Request: binpack.Request{Spec: &job.Spec, Need: clusterstate.TaskResources(&job.Spec), StartWithinS: c.startObjectiveS(&job.Spec)}, job: job, withinGuarantee: key.WithinGuarantee, rank: key.PriorityRank, nearDeadline: key.NearDeadline, key: key, homeShard: -1})
 		}
 		return true
 	})
@@ -349,8 +349,8 @@
 	}
 }
 
-func (c *cycle) zoneConstraint(job *clusterstate.Job, record int) fit.ZoneConstraint {
-	zones := fit.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: math.MaxInt}
+func (c *cycle) zoneConstraint(job *clusterstate.Job, record int) binpack.ZoneConstraint {
+	zones := binpack.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: math.MaxInt}
 	if job.Spec.Spread {
 		lo, hi := job.TaskRange(record)
 		zones.MaxPerZone = (hi - lo + 1) / 2
@@ -445,7 +445,7 @@
 
 // placeFirstReplica gives a service that has lost all its replicas room for one, before any has room for
 // its second. One that never had any starts whole: each start alone is a change of its record.
-func (c *cycle) placeFirstReplica(queued *queuedJob, inventory *fit.Inventory) {
+func (c *cycle) placeFirstReplica(queued *queuedJob, inventory *binpack.Inventory) {
 	if queued.job.Spec.Kind != wire.KindService || queued.job.BoundCount > 0 || c.taskState(queued.job, 0).Attempt == 0 {
 		return
 	}
@@ -472,7 +472,7 @@
 	if limit, ok := c.quota.Limit(spec.Team); ok {
 		open := limit.AddTimes(usage[spec.Team], -1)
 		open.MemoryGB = tuning.MaxAmount * tuning.MaxTasks
-		allowed := fit.TasksThatFit(queued.Need, open)
+		allowed := binpack.TasksThatFit(queued.Need, open)
 		if allowed < queued.Remaining {
 			c.logWaiting(job, "team's limit", nil)
 			queued.Remaining = allowed
@@ -497,7 +497,7 @@
 // placeInHomeShard gives a job's tasks room in the part that the job is dealt to, so that
 // its record has one writer as a rule; with held only where its image is. A gang
 // is placed whole over all parts.
-func (c *cycle) placeInHomeShard(queued *queuedJob, inventory *fit.Inventory, onlyWithImage bool) {
+func (c *cycle) placeInHomeShard(queued *queuedJob, inventory *binpack.Inventory, onlyWithImage bool) {
 	job, spec := queued.job, &queued.job.Spec
 	if queued.Remaining == 0 || onlyWithImage && spec.Kind == wire.KindGang {
 		return
@@ -509,13 +509,13 @@
 	if inventory.KnownInfeasible(&queued.Request) {
 		return
 	}
-	var candidates []*fit.MachineInfo
-	var accept func(*fit.MachineInfo) bool
+	var candidates []*binpack.MachineInfo
+	var accept func(*binpack.MachineInfo) bool
 	if spec.Kind == wire.KindService {
 		// Its tasks go wherever the image is; the owner of one part places them all.
 		queued.homeShard = c.firstLiveShard(job)
 		// A zone that goes and comes back is the last to be trusted with a replica.
-		candidates, accept = inventory.FittingMachines(&queued.Request), (*fit.MachineInfo).SessionKnown
+		candidates, accept = inventory.FittingMachines(&queued.Request), (*binpack.MachineInfo).SessionKnown
 		candidates = c.inTrustedZones(candidates)
 	} else {
 		anywhere := false
@@ -538,7 +538,7 @@
 		// Its owner has not taken it though there is room.
 		inventory.Release(&queued.Request, picks)
 		zones = c.zoneConstraint(job, record)
-		picks = inventory.Allocate(&queued.Request, inventory.FittingMachines(&queued.Request), &zones, func(candidate *fit.MachineInfo) bool { return candidate.Owned })
+		picks = inventory.Allocate(&queued.Request, inventory.FittingMachines(&queued.Request), &zones, func(candidate *binpack.MachineInfo) bool { return candidate.Owned })
 	} else if owned && spec.Kind == wire.KindService {
 		c.bindTasks(queued, record, picks, queued.homeShard)
 		return
@@ -549,12 +549,12 @@
 // chooseAcrossZones chooses room for a job's tasks; where the operators ask for it, for a service so that
 // at most half of it stands in one zone, as far as there is room for that. It is a wish: what
 // has no other room is placed all the same.
-func (c *cycle) chooseAcrossZones(queued *queuedJob, candidates []*fit.MachineInfo, zones *fit.ZoneConstraint, accept func(*fit.MachineInfo) bool) []*fit.MachineInfo {
+func (c *cycle) chooseAcrossZones(queued *queuedJob, candidates []*binpack.MachineInfo, zones *binpack.ZoneConstraint, accept func(*binpack.MachineInfo) bool) []*binpack.MachineInfo {
 	job, spec := queued.job, &queued.job.Spec
 	if !c.operator.SpreadServices || spec.Kind != wire.KindService || spec.Spread || spec.SameZone || spec.TaskCount < 2 {
 		return c.inventory.Allocate(&queued.Request, candidates, zones, accept)
 	}
-	preferred := fit.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: (spec.TaskCount + 1) / 2}
+	preferred := binpack.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: (spec.TaskCount + 1) / 2}
 	for i := range spec.TaskCount {
 		if task := c.taskState(job, i); task.State == clusterstate.TaskBound && c.cluster.Machines[task.Machine] != nil {
 			preferred.TasksByZone[c.cluster.Machines[task.Machine].Zone]++
@@ -566,8 +566,8 @@
 
 // inTrustedZones gives those of some machines whose zones are trusted with services; all of them
 // if there is none, as a replica in a zone that may go again is better than none.
-func (c *cycle) inTrustedZones(candidates []*fit.MachineInfo) []*fit.MachineInfo {
-	trusted := slices.DeleteFunc(slices.Clone(candidates), func(candidate *fit.MachineInfo) bool {
+func (c *cycle) inTrustedZones(candidates []*binpack.MachineInfo) []*binpack.MachineInfo {
+	trusted := slices.DeleteFunc(slices.Clone(candidates), func(candidate *binpack.MachineInfo) bool {
 		return !c.failureDetector.Zones().Trusted(candidate.Machine.Zone)
 	})
 	if len(trusted) == 0 {
@@ -592,7 +592,7 @@
 
 // placeInOtherShards looks elsewhere for room for what the part of a job had none for, then
 // at machines that are coming up; the rest is demand for the pool.
-func (c *cycle) placeInOtherShards(queued *queuedJob, inventory *fit.Inventory, demand *UnmetDemand) {
+func (c *cycle) placeInOtherShards(queued *queuedJob, inventory *binpack.Inventory, demand *UnmetDemand) {
 	job, spec := queued.job, &queued.job.Spec
 	if queued.Remaining == 0 {
 		return
@@ -602,7 +602,7 @@
 	candidates := inventory.FittingMachines(&queued.Request)
 	isGang := spec.Kind == wire.KindGang
 	if !isGang {
-		if picks := inventory.Allocate(&queued.Request, candidates, &zones, func(candidate *fit.MachineInfo) bool { return candidate.Machine.Shard != queued.homeShard }); len(picks) > 0 &&
+		if picks := inventory.Allocate(&queued.Request, candidates, &zones, func(candidate *binpack.MachineInfo) bool { return candidate.Machine.Shard != queued.homeShard }); len(picks) > 0 &&
 			(queued.rank <= wire.PriorityRank(wire.PriorityHigh) || c.homeOwnerTimedOut(queued)) {
 			c.bindToOwnMachines(queued, record, picks)
 		}
@@ -712,13 +712,13 @@
 
 // bindToOwnMachines binds waiting tasks of a job to those of the machines that are this
 // node's.
-func (c *cycle) bindToOwnMachines(queued *queuedJob, record int, picks []*fit.MachineInfo) {
-	c.bindTasks(queued, record, slices.DeleteFunc(picks, func(candidate *fit.MachineInfo) bool { return !candidate.Owned }), -1)
+func (c *cycle) bindToOwnMachines(queued *queuedJob, record int, picks []*binpack.MachineInfo) {
+	c.bindTasks(queued, record, slices.DeleteFunc(picks, func(candidate *binpack.MachineInfo) bool { return !candidate.Owned }), -1)
 }
 
 // bindTasks binds waiting tasks of a job to machines, at the charge of one part
 // or, without it, of each machine's own.
-func (c *cycle) bindTasks(queued *queuedJob, first int, picks []*fit.MachineInfo, charged int) {
+func (c *cycle) bindTasks(queued *queuedJob, first int, picks []*binpack.MachineInfo, charged int) {
 	job, spec := queued.job, &queued.job.Spec
 	if queued.deferred {
 		return
@@ -759,7 +759,7 @@
 
 // bindTask adds a task to the records' changes, if its team's grant of a part
 // covers it.
-func (c *cycle) bindTask(queued *queuedJob, index int, attempt uint64, candidate *fit.MachineInfo, charged int) bool {
+func (c *cycle) bindTask(queued *queuedJob, index int, attempt uint64, candidate *binpack.MachineInfo, charged int) bool {
 	job := queued.job
 	team := job.Spec.Team
 	if c.failingJobs[job.Spec.ID] {
@@ -808,7 +808,7 @@
 }
 
 // logWaiting logs now and then why a job waits.
-func (c *cycle) logWaiting(job *clusterstate.Job, reason string, candidate *fit.MachineInfo) {
+func (c *cycle) logWaiting(job *clusterstate.Job, reason string, candidate *binpack.MachineInfo) {
 	if !c.log.Enabled(c.ctx, slog.LevelDebug) || c.now.Sub(c.lastLoggedReason[job.Spec.ID]) < tuning.WhyEvery {
 		return
 	}
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"sableusher/internal/agent"
+	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/fit"
 	"sableusher/internal/floor"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/learn"
@@ -76,7 +76,7 @@
 	changeFeed             *clusterstate.ChangeFeed
 	waitingJobs            *order.Queue[*clusterstate.Job]
 	queueBuffer            []queuedJob // of the round before, its memory used again
-	retainedInventory      *fit.Inventory
+	retainedInventory      *binpack.Inventory
 	machinesToRefresh      map[string]struct{} // machines whose workers told something that the stock has not taken in
 	demand                 UnmetDemand
 	learning               learning
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
+	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/fit"
 	"sableusher/internal/tuning"
 )
 
@@ -13,7 +13,7 @@
 // the part that the gang is dealt to, whose grant it uses. The owners of its
 // machines start the tasks as they see them bound. Where an owner has used the
 // room meanwhile, its worker refuses and the gang is placed anew.
-func (c *cycle) placeGang(queued *queuedJob, inventory *fit.Inventory) {
+func (c *cycle) placeGang(queued *queuedJob, inventory *binpack.Inventory) {
 	job, spec := queued.job, &queued.job.Spec
 	var attempt uint64
 	var idle []int
@@ -41,13 +41,13 @@
 	queued.homeShard = c.firstLiveShard(job)
 	zones := c.zoneConstraint(job, 0)
 	candidates := inventory.FittingMachines(&queued.Request)
-	inPart := func(n *fit.MachineInfo) bool { return n.Machine.Shard == queued.homeShard }
-	held := func(n *fit.MachineInfo) bool { return c.inventory.HasImage(spec.Image, n) }
-	var picks []*fit.MachineInfo
-	for _, also := range []func(*fit.MachineInfo) bool{
-		func(n *fit.MachineInfo) bool { return inPart(n) && held(n) },
-		func(n *fit.MachineInfo) bool { return n.SessionKnown() && held(n) },
-		inPart, (*fit.MachineInfo).SessionKnown,
+	inPart := func(n *binpack.MachineInfo) bool { return n.Machine.Shard == queued.homeShard }
+	held := func(n *binpack.MachineInfo) bool { return c.inventory.HasImage(spec.Image, n) }
+	var picks []*binpack.MachineInfo
+	for _, also := range []func(*binpack.MachineInfo) bool{
+		func(n *binpack.MachineInfo) bool { return inPart(n) && held(n) },
+		func(n *binpack.MachineInfo) bool { return n.SessionKnown() && held(n) },
+		inPart, (*binpack.MachineInfo).SessionKnown,
 	} {
 		if picks = inventory.AllocateGang(&queued.Request, candidates, zones, also); picks != nil {
 			break
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -3,16 +3,16 @@
 import (
 	"time"
 
+	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/fit"
 	"sableusher/internal/tuning"
 )
 
 // refreshInventory brings the room that is kept from round to round up to date: what changed,
 // what is on its way, what is being freed, and which images are believed to be where.
-func (c *cycle) refreshInventory() *fit.Inventory {
+func (c *cycle) refreshInventory() *binpack.Inventory {
 	names := c.changeFeed.TakeMachines()
-	inventory := fit.Refresh(c.retainedInventory, fit.Snapshot{Now: c.now, State: c.cluster, LiveShards: c.liveShards, FencingTokens: c.fencingTokens, AssessReadiness: c.readiness}, names, c.machinesToRefresh)
+	inventory := binpack.Refresh(c.retainedInventory, binpack.Snapshot{Now: c.now, State: c.cluster, LiveShards: c.liveShards, FencingTokens: c.fencingTokens, AssessReadiness: c.readiness}, names, c.machinesToRefresh)
 	c.retainedInventory = inventory
 	inventory.NeedPerGPU, inventory.CommonNeed = c.needPerGPU, c.commonNeed
 	clear(c.machinesToRefresh)
@@ -50,16 +50,16 @@
 }
 
 // readiness is what a machine is good for in this node's rounds.
-func (c *cycle) readiness(machine *clusterstate.Machine, owned bool) fit.Readiness {
+func (c *cycle) readiness(machine *clusterstate.Machine, owned bool) binpack.Readiness {
 	switch {
 	case c.failureDetector.ZoneUnavailable(machine.Zone):
-		return fit.Unavailable // nothing starts there before the cut is over
+		return binpack.Unavailable // nothing starts there before the cut is over
 	case owned && c.agents.MachineStatus(machine.Name, c.fencingTokens[machine.Shard]).Schedulable, !owned && c.liveShards[machine.Shard] && (machine.Up || c.likelyBooted(machine)):
-		return fit.Ready
+		return binpack.Ready
 	case !machine.Up && c.bootOverdue(machine):
-		return fit.Unavailable // others are rented rather than waited for
+		return binpack.Unavailable // others are rented rather than waited for
 	default:
-		return fit.Pending
+		return binpack.Pending
 	}
 }
 
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"sableusher/internal/agent"
+	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/fit"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/learn"
 	"sableusher/internal/tuning"
@@ -101,7 +101,7 @@
 		if record := c.cluster.Machines[machine]; record != nil {
 			if typ, ok := c.cluster.Types[record.Type]; ok {
 				capacity := clusterstate.Capacity(&typ)
-				c.learning.finishedMachineSeconds += run * (1 - fit.FreeFraction(capacity.AddTimes(clusterstate.TaskResources(spec), -1), capacity))
+				c.learning.finishedMachineSeconds += run * (1 - binpack.FreeFraction(capacity.AddTimes(clusterstate.TaskResources(spec), -1), capacity))
 			}
 		}
 		if binding.Attempt == 1 { // a later attempt may have resumed saved work
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -4,9 +4,9 @@
 	"math/bits"
 	"time"
 
+	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/fit"
 	"sableusher/internal/floor"
 	"sableusher/internal/order"
 	"sableusher/internal/tuning"
@@ -164,9 +164,9 @@
 				free = free.AddTimes(candidate.Machine.PreemptibleByRank[lower], 1)
 			}
 			if c.commonNeed.CPUs > 0 {
-				sum += float64(fit.TasksThatFit(c.commonNeed, free))
+				sum += float64(binpack.TasksThatFit(c.commonNeed, free))
 			} else {
-				sum += fit.FreeFraction(free, candidate.Capacity)
+				sum += binpack.FreeFraction(free, candidate.Capacity)
 			}
 		}
 	}
@@ -184,7 +184,7 @@
 	for _, typ := range c.cluster.Types {
 		capacity := clusterstate.Capacity(&typ)
 		if need.FitsIn(capacity) {
-			best = min(best, 1-fit.FreeFraction(capacity.AddTimes(need, -1), capacity))
+			best = min(best, 1-binpack.FreeFraction(capacity.AddTimes(need, -1), capacity))
 		}
 	}
 	return best
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -1,8 +1,8 @@
 package scheduler
 
 import (
+	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/fit"
 	"sableusher/internal/preempt"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -14,7 +14,7 @@
 // the machine by its owner. It tells whether there is a part where room could be made;
 // once there is none, like needs of the same rank are not looked at again in this round:
 // hundreds of arrays that wait behind a full fleet would each pass all of its machines.
-func (c *cycle) preemptFor(queued *queuedJob, taskIndex int, inventory *fit.Inventory, zones *fit.ZoneConstraint) bool {
+func (c *cycle) preemptFor(queued *queuedJob, taskIndex int, inventory *binpack.Inventory, zones *binpack.ZoneConstraint) bool {
 	task := clusterstate.TaskRef{Job: queued.job.Spec.ID, Index: taskIndex}
 	if c.tasksAwaitingPreemption[task] {
 		return true // room is being freed for it already
@@ -35,7 +35,7 @@
 			continue
 		}
 		if owned {
-			if best, victims := preempt.CheapestMachine(queued.Need, candidates, func(candidate *fit.MachineInfo) []preempt.Victim { return c.preemptibleTasks(candidate, queued) }); best != nil {
+			if best, victims := preempt.CheapestMachine(queued.Need, candidates, func(candidate *binpack.MachineInfo) []preempt.Victim { return c.preemptibleTasks(candidate, queued) }); best != nil {
 				c.preemptTasks(best, queued, task, victims)
 				zones.TasksByZone[best.Machine.Zone]++
 			}
@@ -62,7 +62,7 @@
 }
 
 // countReservedZones counts with a job's tasks the machines on which room is being freed for it.
-func (c *cycle) countReservedZones(jobID string, zones *fit.ZoneConstraint) {
+func (c *cycle) countReservedZones(jobID string, zones *binpack.ZoneConstraint) {
 	for name, reservation := range c.reservations {
 		if machine := c.cluster.Machines[name]; machine != nil && reservation.task.Job == jobID && !c.now.After(reservation.expiresAt) {
 			zones.TasksByZone[machine.Zone]++
@@ -71,7 +71,7 @@
 }
 
 // preemptibleTasks gives the tasks on a machine that may be stopped for a job.
-func (c *cycle) preemptibleTasks(candidate *fit.MachineInfo, queued *queuedJob) []preempt.Victim {
+func (c *cycle) preemptibleTasks(candidate *binpack.MachineInfo, queued *queuedJob) []preempt.Victim {
 	preemptor := preempt.Preemptor{Rank: queued.rank, WithinGuarantee: queued.withinGuarantee, GuaranteedOnArrival: c.guaranteedOnArrival[queued.job.Spec.ID], Team: queued.job.Spec.Team, Need: queued.Need}
 	var victims []preempt.Victim
 	for _, binding := range candidate.Machine.Bindings {
@@ -83,7 +83,7 @@
 }
 
 // preemptTasks stops tasks on a machine until another has room there, and keeps the room.
-func (c *cycle) preemptTasks(candidate *fit.MachineInfo, queued *queuedJob, task clusterstate.TaskRef, victims []preempt.Victim) {
+func (c *cycle) preemptTasks(candidate *binpack.MachineInfo, queued *queuedJob, task clusterstate.TaskRef, victims []preempt.Victim) {
 	c.machinesPreempted++
 	c.inventory.ReserveAll(candidate, task.Job)
 	c.reservations[candidate.Machine.Name] = reservation{task, c.now.Add(tuning.PreemptHold)}
@@ -106,7 +106,7 @@
 }
 
 // lostMachineSeconds is the work lost when a task is stopped, in machine seconds.
-func (c *cycle) lostMachineSeconds(binding clusterstate.Binding, candidate *fit.MachineInfo) float64 {
+func (c *cycle) lostMachineSeconds(binding clusterstate.Binding, candidate *binpack.MachineInfo) float64 {
 	task := c.agents.ObserveTask(binding, candidate.Machine.Name, c.fencingTokens[candidate.Machine.Shard])
 	ran := 0.0
 	if task.State == wire.TaskRunning {
--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/fit"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -25,16 +25,16 @@
 	inFlightByJob           map[string]int // tasks on their way, by job
 	liveShards              []bool         // parts whose owner lives
 	tasksBound              int
-	inventory               *fit.Inventory
-	storeSaturated          bool                                   // the state service's budget is the bottleneck
-	machinesPreempted       int                                    // machines on which room is being freed in this round
-	collectsDemand          bool                                   // this round counts the demand for the pool
-	tasksAwaitingPreemption map[clusterstate.TaskRef]bool          // tasks that room is being freed for
-	preemptionMisses        [wire.PriorityCount]fit.FailedRequests // needs for which nothing could be stopped anywhere, by rank
-	releaseBlocked          bool                                   // a task's end could not be written yet
-	failingJobs             map[string]bool                        // jobs that a change of this round ends as failed
-	brokenAttempts          map[gangAttempt]bool                   // whether an attempt is broken, looked at once a round
-	dependentNeedsByJob     map[string]dependentNeeds              // what jobs that need others ask of them
+	inventory               *binpack.Inventory
+	storeSaturated          bool                                       // the state service's budget is the bottleneck
+	machinesPreempted       int                                        // machines on which room is being freed in this round
+	collectsDemand          bool                                       // this round counts the demand for the pool
+	tasksAwaitingPreemption map[clusterstate.TaskRef]bool              // tasks that room is being freed for
+	preemptionMisses        [wire.PriorityCount]binpack.FailedRequests // needs for which nothing could be stopped anywhere, by rank
+	releaseBlocked          bool                                       // a task's end could not be written yet
+	failingJobs             map[string]bool                            // jobs that a change of this round ends as failed
+	brokenAttempts          map[gangAttempt]bool                       // whether an attempt is broken, looked at once a round
+	dependentNeedsByJob     map[string]dependentNeeds                  // what jobs that need others ask of them
 }
 
 // recordKey names one record of a job.
