--- a/internal/order/queue.go
+++ b/internal/jobqueue/queue.go
@@ -1,4 +1,4 @@
-// Package order keeps the jobs that wait in the order in which they are given room.
+// Package jobqueue keeps the jobs that wait in the order in which they are given room.
 // The order is the design's: priority first and never crossed, then what lies within
 // its team's guarantee, whose turn it is for having been served least, what can still be in
 // time, where room is short the small, and what is close to its deadline; among the rest the
@@ -7,7 +7,7 @@
 //
 // A change of one job costs the logarithm of how many wait. The package knows no
 // clock: what follows from time alone comes as a new key.
-package order
+package jobqueue
 
 import (
 	"cmp"
--- a/internal/order/queue_test.go
+++ b/internal/jobqueue/queue_test.go
@@ -1,4 +1,4 @@
-package order
+package jobqueue
 
 import (
 	"math/bits"
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -11,7 +11,7 @@
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/order"
+	"sableusher/internal/jobqueue"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -44,7 +44,7 @@
 	rank            int
 	withinGuarantee bool // within its team's guarantee
 	nearDeadline    bool // its deadline can still be met, but not for long
-	key             order.Key
+	key             jobqueue.Key
 	value           float64
 	homeShard       int  // the part it is dealt to
 	deferred        bool // nothing of it is bound in this round
@@ -131,7 +131,7 @@
 		if rebuild {
 			c.lastFullReorder = c.now
 		}
-		c.waitingJobs.Each(func(key order.Key, job *clusterstate.Job) bool {
+		c.waitingJobs.Each(func(key jobqueue.Key, job *clusterstate.Job) bool {
 			if rebuild || key.WithinGuarantee != c.withinGuarantee[key.JobID] || key.Underserved != c.hasUnderservedTurn(job) || key.MissesObjectives != c.missesObjectives(job) || key.SizeClass != c.sizeClass(job) || c.now.After(c.nextReorder[key.JobID]) {
 				changed[key.JobID] = struct{}{}
 			}
@@ -142,7 +142,7 @@
 		c.updateQueueEntry(id)
 	}
 	queue := c.queueBuffer[:0]
-	c.waitingJobs.Each(func(key order.Key, job *clusterstate.Job) bool {
+	c.waitingJobs.Each(func(key jobqueue.Key, job *clusterstate.Job) bool {
 		if backoff, ok := c.jobBackoffs[key.JobID]; !ok || !c.now.Before(backoff.until) {
 			queue = append(queue, queuedJob{Request: binpack.Request{Spec: &job.Spec, Need: clusterstate.TaskResources(&job.Spec), StartWithinS: c.startObjectiveS(&job.Spec)}, job: job, withinGuarantee: key.WithinGuarantee, rank: key.PriorityRank, nearDeadline: key.NearDeadline, key: key, homeShard: -1})
 		}
@@ -177,7 +177,7 @@
 	}
 	deadline, nearDeadline, validUntil := c.effectiveDeadline(job)
 	c.nextReorder[id] = validUntil
-	c.waitingJobs.Put(order.Key{PriorityRank: c.effectiveRank(job), WithinGuarantee: c.withinGuarantee[id], Underserved: c.hasUnderservedTurn(job), MissesObjectives: c.missesObjectives(job), SizeClass: c.sizeClass(job), NearDeadline: nearDeadline, DeadlineNs: deadline.UnixNano(), EligibleSinceMs: job.ReadySinceMs(), JobID: id}, job)
+	c.waitingJobs.Put(jobqueue.Key{PriorityRank: c.effectiveRank(job), WithinGuarantee: c.withinGuarantee[id], Underserved: c.hasUnderservedTurn(job), MissesObjectives: c.missesObjectives(job), SizeClass: c.sizeClass(job), NearDeadline: nearDeadline, DeadlineNs: deadline.UnixNano(), EligibleSinceMs: job.ReadySinceMs(), JobID: id}, job)
 }
 
 // holdsStartRight tells whether the right to start a job is with this cell as it is now: a guest that was taken
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -13,10 +13,10 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/floor"
+	"sableusher/internal/jobqueue"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/learn"
 	"sableusher/internal/membership"
-	"sableusher/internal/order"
 	"sableusher/internal/quota"
 	"sableusher/internal/repeats"
 	"sableusher/internal/silence"
@@ -74,7 +74,7 @@
 	cachedState            *learn.State // what is chosen in, as of a time
 	cachedStateAt          time.Time
 	changeFeed             *clusterstate.ChangeFeed
-	waitingJobs            *order.Queue[*clusterstate.Job]
+	waitingJobs            *jobqueue.Queue[*clusterstate.Job]
 	queueBuffer            []queuedJob // of the round before, its memory used again
 	retainedInventory      *binpack.Inventory
 	machinesToRefresh      map[string]struct{} // machines whose workers told something that the stock has not taken in
@@ -128,7 +128,7 @@
 			learner:  learn.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
 			runTimes: learn.NewEstimates(), pendingRewards: map[taskAttempt]int64{}, startedAt: map[taskAttempt]time.Time{}, recentResponsiveness: 0.5,
 		},
-		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waitingJobs: order.New[*clusterstate.Job](), machinesToRefresh: map[string]struct{}{},
+		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waitingJobs: jobqueue.New[*clusterstate.Job](), machinesToRefresh: map[string]struct{}{},
 	}
 }
 
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -8,7 +8,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/floor"
-	"sableusher/internal/order"
+	"sableusher/internal/jobqueue"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -20,7 +20,7 @@
 func (c *cycle) assignObjectives() {
 	c.objectivesAt, c.missesAllObjectives, c.reachableObjective = c.now, map[string]bool{}, map[string]time.Time{}
 	c.capacityShort = [wire.PriorityCount]bool{}
-	var waitingByRank [wire.PriorityCount][]order.WaitingJob
+	var waitingByRank [wire.PriorityCount][]jobqueue.WaitingJob
 	objectives := map[string][]time.Time{}
 	waiting := map[string]int{}
 	var runningByRank [wire.PriorityCount]float64 // of the machine time that running arrays still take
@@ -38,7 +38,7 @@
 		if objectives[id] = c.objectiveTimes(job); len(objectives[id]) == 0 {
 			continue
 		}
-		item := order.WaitingJob{JobID: id, ServiceTime: time.Duration(float64(job.PendingCount()) * share * float64(runTime)), TaskRunTime: runTime}
+		item := jobqueue.WaitingJob{JobID: id, ServiceTime: time.Duration(float64(job.PendingCount()) * share * float64(runTime)), TaskRunTime: runTime}
 		for _, at := range objectives[id] {
 			item.Objectives = append(item.Objectives, at.Sub(c.now))
 		}
@@ -58,7 +58,7 @@
 		}
 		backlog := time.Duration(runningByRank[rank] / capacity * float64(time.Second))
 		missed, total := 0, time.Duration(0)
-		for id, met := range order.AttainableObjectives(backlog, work) {
+		for id, met := range jobqueue.AttainableObjectives(backlog, work) {
 			if met < 0 {
 				c.missesAllObjectives[id] = true
 				missed++
