--- a/internal/floor/tracker.go
+++ b/internal/fairshare/tracker.go
@@ -1,4 +1,4 @@
-// Package floor follows how much of what arrived of each class and of each team has been
+// Package fairshare follows how much of what arrived of each class and of each team has been
 // served, and tells who has had least of what is due while room is short.
 //
 // The package is pure: what arrived, what waits and the time go in, who is owed comes out. It
@@ -6,7 +6,7 @@
 // view; a process that was started a moment ago knows of the live ones only, and agrees
 // with the others once a window has passed. It decides an order and nothing else (safety
 // invariant 19's floors): beneath priorities and guarantees, and for a bounded share of starts.
-package floor
+package fairshare
 
 import (
 	"slices"
--- a/internal/floor/tracker_test.go
+++ b/internal/fairshare/tracker_test.go
@@ -1,4 +1,4 @@
-package floor
+package fairshare
 
 import (
 	"strconv"
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -7,7 +7,7 @@
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/floor"
+	"sableusher/internal/fairshare"
 	"sableusher/internal/jobqueue"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -131,9 +131,9 @@
 	}
 	switch c.now.Unix() % tuning.FloorTurns {
 	case 0, 2:
-		return c.underserved[floor.Group{Name: job.Spec.Class}]
+		return c.underserved[fairshare.Group{Name: job.Spec.Class}]
 	case 1:
-		return c.underserved[floor.Group{Team: true, Name: job.Spec.Team}]
+		return c.underserved[fairshare.Group{Team: true, Name: job.Spec.Team}]
 	}
 	return false
 }
