--- a/internal/settle/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -1,8 +1,8 @@
-// Package settle decides what is to become of a bound task, given what its machine's
+// Package reconcile decides what is to become of a bound task, given what its machine's
 // worker last told of it. It decides only: records, workers and the fleet's notes are its
 // caller's. Every fate, cause and kind has its row here, so that nothing else ends a
 // binding (safety invariant 4).
-package settle
+package reconcile
 
 import (
 	"sableusher/internal/agent"
--- a/internal/settle/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -1,4 +1,4 @@
-package settle
+package reconcile
 
 import (
 	"testing"
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -9,8 +9,8 @@
 	"sableusher/internal/agent"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/reconcile"
 	"sableusher/internal/repeats"
-	"sableusher/internal/settle"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -113,9 +113,9 @@
 // reconcileTask carries out what is to become of one bound task.
 func (c *cycle) reconcileTask(binding clusterstate.Binding, machineName string, token uint64) {
 	spec := &binding.Job.Spec
-	task := settle.BoundTask{TaskObservation: c.agents.ObserveTask(binding, machineName, token), JobKind: spec.Kind, JobCancelled: binding.Job.Cancelled(), StopRequested: c.agents.StopRequested(binding),
+	task := reconcile.BoundTask{TaskObservation: c.agents.ObserveTask(binding, machineName, token), JobKind: spec.Kind, JobCancelled: binding.Job.Cancelled(), StopRequested: c.agents.StopRequested(binding),
 		RetriesLimited: spec.MaxRetries != nil, RetriesExhausted: repeats.Exhausted(spec.MaxRetries, c.taskState(binding.Job, binding.Ref.Index).Failures)}
-	decision := settle.Decide(task)
+	decision := reconcile.Decide(task)
 	if decision.ResendCommands {
 		c.agents.RequestDispatch(machineName)
 	}
@@ -175,10 +175,10 @@
 
 func (c *cycle) checkGang(binding clusterstate.Binding) bool {
 	job := binding.Job
-	switch settle.GangStateOf(job.Spec.TaskCount, func(i int) clusterstate.Task { return c.taskState(job, i) }, binding.Attempt) {
-	case settle.GangBroken:
+	switch reconcile.GangStateOf(job.Spec.TaskCount, func(i int) clusterstate.Task { return c.taskState(job, i) }, binding.Attempt) {
+	case reconcile.GangBroken:
 		return true
-	case settle.GangWhole:
+	case reconcile.GangWhole:
 		delete(c.gangFormingSince, job.Spec.ID)
 		return false
 	}
