--- a/internal/preempt/main_test.go
+++ b/internal/preemption/main_test.go
@@ -1,4 +1,4 @@
-package preempt
+package preemption
 
 import (
 	"testing"
--- a/internal/preempt/preemption.go
+++ b/internal/preemption/preemption.go
@@ -1,9 +1,9 @@
-// Package preempt decides which running tasks make room for one that waits.
+// Package preemption decides which running tasks make room for one that waits.
 //
 // It decides only. Who owns what, what a task would lose, and the stopping itself are its
 // caller's: all nodes find the same part by what all know, the part's owner finds the
 // machine and the tasks.
-package preempt
+package preemption
 
 import (
 	"cmp"
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -3,7 +3,7 @@
 import (
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/preempt"
+	"sableusher/internal/preemption"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -30,12 +30,12 @@
 		if owned {
 			limit = tuning.PreemptLook
 		}
-		candidates := preempt.CandidateMachines(inventory.ReadyMachines(shard), &queued.Request, queued.rank, zones, limit)
+		candidates := preemption.CandidateMachines(inventory.ReadyMachines(shard), &queued.Request, queued.rank, zones, limit)
 		if len(candidates) == 0 {
 			continue
 		}
 		if owned {
-			if best, victims := preempt.CheapestMachine(queued.Need, candidates, func(candidate *binpack.MachineInfo) []preempt.Victim { return c.preemptibleTasks(candidate, queued) }); best != nil {
+			if best, victims := preemption.CheapestMachine(queued.Need, candidates, func(candidate *binpack.MachineInfo) []preemption.Victim { return c.preemptibleTasks(candidate, queued) }); best != nil {
 				c.preemptTasks(best, queued, task, victims)
 				zones.TasksByZone[best.Machine.Zone]++
 			}
@@ -71,19 +71,19 @@
 }
 
 // preemptibleTasks gives the tasks on a machine that may be stopped for a job.
-func (c *cycle) preemptibleTasks(candidate *binpack.MachineInfo, queued *queuedJob) []preempt.Victim {
-	preemptor := preempt.Preemptor{Rank: queued.rank, WithinGuarantee: queued.withinGuarantee, GuaranteedOnArrival: c.guaranteedOnArrival[queued.job.Spec.ID], Team: queued.job.Spec.Team, Need: queued.Need}
-	var victims []preempt.Victim
+func (c *cycle) preemptibleTasks(candidate *binpack.MachineInfo, queued *queuedJob) []preemption.Victim {
+	preemptor := preemption.Preemptor{Rank: queued.rank, WithinGuarantee: queued.withinGuarantee, GuaranteedOnArrival: c.guaranteedOnArrival[queued.job.Spec.ID], Team: queued.job.Spec.Team, Need: queued.Need}
+	var victims []preemption.Victim
 	for _, binding := range candidate.Machine.Bindings {
 		if preemptor.MayPreempt(c.runningJob(binding.Job)) && !binding.Job.Cancelled() && clusterstate.TaskPreemptible(&binding.Job.Spec) && !c.agents.StopRequested(binding) {
-			victims = append(victims, preempt.Victim{Binding: binding, Rank: c.effectiveRank(binding.Job), LostMachineSeconds: c.lostMachineSeconds(binding, candidate)})
+			victims = append(victims, preemption.Victim{Binding: binding, Rank: c.effectiveRank(binding.Job), LostMachineSeconds: c.lostMachineSeconds(binding, candidate)})
 		}
 	}
 	return victims
 }
 
 // preemptTasks stops tasks on a machine until another has room there, and keeps the room.
-func (c *cycle) preemptTasks(candidate *binpack.MachineInfo, queued *queuedJob, task clusterstate.TaskRef, victims []preempt.Victim) {
+func (c *cycle) preemptTasks(candidate *binpack.MachineInfo, queued *queuedJob, task clusterstate.TaskRef, victims []preemption.Victim) {
 	c.machinesPreempted++
 	c.inventory.ReserveAll(candidate, task.Job)
 	c.reservations[candidate.Machine.Name] = reservation{task, c.now.Add(tuning.PreemptHold)}
@@ -99,9 +99,9 @@
 }
 
 // runningJob is what a running job has to say for itself.
-func (c *cycle) runningJob(job *clusterstate.Job) preempt.RunningJob {
+func (c *cycle) runningJob(job *clusterstate.Job) preemption.RunningJob {
 	_, guaranteed := c.quota.Guarantee(job.Spec.Team)
-	return preempt.RunningJob{Rank: c.effectiveRank(job), WithinGuarantee: c.runningWithinGuarantee[job.Spec.ID], TeamHasGuarantee: guaranteed, Team: job.Spec.Team,
+	return preemption.RunningJob{Rank: c.effectiveRank(job), WithinGuarantee: c.runningWithinGuarantee[job.Spec.ID], TeamHasGuarantee: guaranteed, Team: job.Spec.Team,
 		EndsSoon: job.Spec.Kind == wire.KindArray && c.predictedRunTime(job) < tuning.Passing}
 }
 
