--- a/cmd/sableusher/graph.go
+++ b/cmd/sableusher/graph.go
@@ -14,7 +14,7 @@
 
 	"sableusher/internal/config"
 	"sableusher/internal/graph"
-	"sableusher/internal/repeats"
+	"sableusher/internal/retry"
 	"sableusher/internal/tuning"
 )
 
@@ -87,7 +87,7 @@
 			if err != nil {
 				return err
 			}
-			rules.Repeats = repeats.NewPolicies(op.Classes)
+			rules.Repeats = retry.NewPolicies(op.Classes)
 			given, err := parseParams(params)
 			if err != nil {
 				return err
--- a/internal/graph/compile.go
+++ b/internal/graph/compile.go
@@ -13,7 +13,7 @@
 
 	"sableusher/internal/accept"
 	"sableusher/internal/config"
-	"sableusher/internal/repeats"
+	"sableusher/internal/retry"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -29,7 +29,7 @@
 type Rules struct {
 	Teams   map[string]config.Team
 	Types   map[string]wire.MachineType
-	Repeats repeats.Policies
+	Repeats retry.Policies
 }
 
 // Job is one instance of a task, as a native job.
--- a/internal/graph/graph_test.go
+++ b/internal/graph/graph_test.go
@@ -14,14 +14,14 @@
 	"pgregory.net/rapid"
 
 	"sableusher/internal/config"
-	"sableusher/internal/repeats"
+	"sableusher/internal/retry"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
 
 var (
 	testRun   = Run{ID: "r", At: time.Date(2026, 3, 8, 2, 30, 0, 0, time.UTC)}
-	testRules = Rules{Repeats: repeats.NewPolicies([]config.Class{{Name: "c", Repeats: 3}}), Teams: map[string]config.Team{"t": {Name: "t", GPUsMax: 8}}}
+	testRules = Rules{Repeats: retry.NewPolicies([]config.Class{{Name: "c", Repeats: 3}}), Teams: map[string]config.Team{"t": {Name: "t", GPUsMax: 8}}}
 )
 
 // file is a graph as a file would have it.
@@ -338,7 +338,7 @@
 		g, faults := Parse(f, b)
 		if len(faults) == 0 {
 			var jobs []Job
-			if jobs, faults = g.Compile(testRun, Rules{Repeats: repeats.NewPolicies(op.Classes)}); len(jobs) < 4 {
+			if jobs, faults = g.Compile(testRun, Rules{Repeats: retry.NewPolicies(op.Classes)}); len(jobs) < 4 {
 				t.Errorf("%s: %d jobs", f, len(jobs))
 			}
 		}
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -19,7 +19,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
-	"sableusher/internal/repeats"
+	"sableusher/internal/retry"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -54,7 +54,7 @@
 	barrier           ReadBarrier
 	agents            AgentRegistry
 	teamsByName       map[string]config.Team
-	retryPolicies     repeats.Policies
+	retryPolicies     retry.Policies
 	logger            *slog.Logger
 	requestSlots      chan struct{}
 	cancellationSlots chan struct{} // cancellations that wait for tasks to leave
@@ -66,7 +66,7 @@
 
 // New makes the handlers.
 func New(settings *config.Settings, operator *config.Operator, state *clusterstate.State, reader kvstore.Reader, committer Committer, barrier ReadBarrier, agents AgentRegistry, logger *slog.Logger) *Server {
-	server := &Server{clusterState: state, reader: reader, committer: committer, barrier: barrier, agents: agents, teamsByName: map[string]config.Team{}, retryPolicies: repeats.NewPolicies(operator.Classes), logger: logger,
+	server := &Server{clusterState: state, reader: reader, committer: committer, barrier: barrier, agents: agents, teamsByName: map[string]config.Team{}, retryPolicies: retry.NewPolicies(operator.Classes), logger: logger,
 		requestSlots: make(chan struct{}, tuning.BusyRequests), cancellationSlots: make(chan struct{}, tuning.AbortsWaiting), finalRecords: map[string]clusterstate.FinalRecord{}}
 	for _, team := range settings.Deployment.Teams {
 		server.teamsByName[team.Name] = team
--- a/internal/repeats/main_test.go
+++ b/internal/retry/main_test.go
@@ -1,4 +1,4 @@
-package repeats
+package retry
 
 import (
 	"testing"
--- a/internal/repeats/policy.go
+++ b/internal/retry/policy.go
@@ -1,7 +1,7 @@
-// Package repeats is the rule of how often tasks of a class may fail by themselves and
+// Package retry is the rule of how often tasks of a class may fail by themselves and
 // start again, and after which pause. It keeps nothing: the count stands in the job's
 // records, the limit in its description, fixed when the job is accepted.
-package repeats
+package retry
 
 import (
 	"fmt"
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -18,7 +18,7 @@
 	"sableusher/internal/learn"
 	"sableusher/internal/membership"
 	"sableusher/internal/quota"
-	"sableusher/internal/repeats"
+	"sableusher/internal/retry"
 	"sableusher/internal/silence"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -34,7 +34,7 @@
 	committer  *kvstore.Committer
 	quota      *quota.GrantManager
 	// retryRules paces tasks that failed by themselves.
-	retryRules repeats.Policies
+	retryRules retry.Policies
 	log        *slog.Logger
 
 	mu                  sync.Mutex
@@ -119,7 +119,7 @@
 // New makes an engine.
 func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *agent.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
-		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: repeats.NewPolicies(operator.Classes), log: log,
+		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
 		keysInFlight: map[string]bool{}, inFlightChanges: map[uint64]*recordChange{}, jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
 		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: map[string]reservation{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: map[string]bool{}, tombstones: map[string]time.Time{},
 		nextReorder: map[string]time.Time{}, jobsToMigrate: map[string]bool{}, rejectedUntil: map[string]time.Time{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -10,7 +10,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/reconcile"
-	"sableusher/internal/repeats"
+	"sableusher/internal/retry"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -114,7 +114,7 @@
 func (c *cycle) reconcileTask(binding clusterstate.Binding, machineName string, token uint64) {
 	spec := &binding.Job.Spec
 	task := reconcile.BoundTask{TaskObservation: c.agents.ObserveTask(binding, machineName, token), JobKind: spec.Kind, JobCancelled: binding.Job.Cancelled(), StopRequested: c.agents.StopRequested(binding),
-		RetriesLimited: spec.MaxRetries != nil, RetriesExhausted: repeats.Exhausted(spec.MaxRetries, c.taskState(binding.Job, binding.Ref.Index).Failures)}
+		RetriesLimited: spec.MaxRetries != nil, RetriesExhausted: retry.Exhausted(spec.MaxRetries, c.taskState(binding.Job, binding.Ref.Index).Failures)}
 	decision := reconcile.Decide(task)
 	if decision.ResendCommands {
 		c.agents.RequestDispatch(machineName)
