--- a/internal/accept/admission.go
+++ b/internal/admission/admission.go
@@ -1,6 +1,6 @@
-// Package accept says which jobs a deployment can never run. A user's submission and a
+// Package admission says which jobs a deployment can never run. A user's submission and a
 // graph's compiled task ask here alike, so that both get the same answer.
-package accept
+package admission
 
 import (
 	"slices"
--- a/internal/graph/compile.go
+++ b/internal/graph/compile.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"sableusher/internal/accept"
+	"sableusher/internal/admission"
 	"sableusher/internal/config"
 	"sableusher/internal/retry"
 	"sableusher/internal/tuning"
@@ -234,7 +234,7 @@
 	}
 	s.MaxRetries = limit
 	if rules.Teams != nil {
-		if why := accept.Validate(&s, rules.Teams, rules.Types); why != "" {
+		if why := admission.Validate(&s, rules.Teams, rules.Types); why != "" {
 			g.fault(out, path, "%s", why)
 		}
 	}
--- a/internal/intake/server.go
+++ b/internal/intake/server.go
@@ -15,7 +15,7 @@
 	"github.com/go-chi/chi/v5"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"sableusher/internal/accept"
+	"sableusher/internal/admission"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
@@ -153,7 +153,7 @@
 	known := live != nil && live.HasRecord
 	other := known && !sameDependencies(live.Spec.Dependencies, spec.Dependencies)
 	types, level := len(s.clusterState.Types), s.clusterState.SchemaVersion
-	why := accept.Validate(spec, s.teamsByName, s.clusterState.Types)
+	why := admission.Validate(spec, s.teamsByName, s.clusterState.Types)
 	limit, over := s.retryPolicies.MaxRetries(spec.Class, asked)
 	if why == "" {
 		why = over
--- a/internal/spill/host.go
+++ b/internal/spill/host.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"sableusher/internal/accept"
+	"sableusher/internal/admission"
 	"sableusher/internal/cell"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
@@ -179,7 +179,7 @@
 	t := s.teams[spec.Team]
 	// A limit is the home's to keep; what is away would have to be set aside in both.
 	return t.GPUsMax == 0 && t.CPUsMax == 0 && spec.Kind != wire.KindService && len(spec.Dependencies) == 0 &&
-		accept.Validate(spec, s.teams, s.world.Types) == "" && s.world.Jobs[spec.ID] == nil
+		admission.Validate(spec, s.teams, s.world.Types) == "" && s.world.Jobs[spec.ID] == nil
 }
 
 // tell puts into an answer what the records say. Callers hold the world's lock.
