--- a/internal/intake/dependencies.go
+++ b/internal/api/dependencies.go
@@ -1,4 +1,4 @@
-package intake
+package api
 
 import (
 	"context"
--- a/internal/intake/server.go
+++ b/internal/api/server.go
@@ -1,6 +1,6 @@
-// Package intake serves the users' API, the workers' reports and the health
+// Package api serves the users' API, the workers' reports and the health
 // and metrics pages.
-package intake
+package api
 
 import (
 	"context"
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"sableusher/internal/agent"
+	"sableusher/internal/api"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/intake"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/membership"
 	"sableusher/internal/peer"
@@ -73,7 +73,7 @@
 	if len(operator.Cells) > 0 {
 		peers.SetCellHandler(offloads.Answer)
 	}
-	server := intake.New(settings, operator, state, client, committer, cache, agents, logger)
+	server := api.New(settings, operator, state, client, committer, cache, agents, logger)
 	return &Controller{handler: server.Handler(), loops: []func(context.Context) error{
 		cache.Run, committer.Run, members.Run, agents.Run, engine.Run, engine.RunLearner, engine.TrackRemoteImages, scaler.Run, peers.Run, dependencies.Run, versions.Run, offloads.Run,
 	}}, nil
