--- a/internal/silence/detector.go
+++ b/internal/failuredetector/detector.go
@@ -1,4 +1,4 @@
-// Package silence decides which machines that are not heard from are given up. A
+// Package failuredetector decides which machines that are not heard from are given up. A
 // machine that died has to be replaced soon; one that is only cut off from us runs
 // its tasks on, and deleting it loses them. So silence is judged by what the silent
 // have in common: where a whole zone falls silent at once, the zone is cut off, and
@@ -10,7 +10,7 @@
 // wrong judgement costs time or work and never breaks a rule; a machine that holds a
 // task whose cancellation is overdue is given up whatever else speaks for waiting
 // (invariant 5).
-package silence
+package failuredetector
 
 import (
 	"fmt"
--- a/internal/silence/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -1,4 +1,4 @@
-package silence
+package failuredetector
 
 import (
 	"fmt"
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -12,6 +12,7 @@
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/failuredetector"
 	"sableusher/internal/fairshare"
 	"sableusher/internal/jobqueue"
 	"sableusher/internal/kvstore"
@@ -19,7 +20,6 @@
 	"sableusher/internal/membership"
 	"sableusher/internal/quota"
 	"sableusher/internal/retry"
-	"sableusher/internal/silence"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -52,7 +52,7 @@
 	shardOwnedSince     map[int]time.Time      // since when a part is ours
 	deletedMachines     map[string]bool        // machines whose deletion the cloud has confirmed
 	tombstones          map[string]time.Time   // the same, for long after their records are gone
-	failureDetector     silence.Detector
+	failureDetector     failuredetector.Detector
 	lastFenced          map[int]time.Time
 	lastArrayPlacement  time.Time // when arrays were last given room
 	// withinGuarantee holds the waiting jobs within their team's guarantee, as of a time.
@@ -123,7 +123,7 @@
 		keysInFlight: map[string]bool{}, inFlightChanges: map[uint64]*recordChange{}, jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
 		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: map[string]reservation{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: map[string]bool{}, tombstones: map[string]time.Time{},
 		nextReorder: map[string]time.Time{}, jobsToMigrate: map[string]bool{}, rejectedUntil: map[string]time.Time{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
-		failureDetector: silence.Detector{Timing: silence.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
+		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
 		learning: learning{
 			learner:  learn.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
 			runTimes: learn.NewEstimates(), pendingRewards: map[taskAttempt]int64{}, startedAt: map[taskAttempt]time.Time{}, recentResponsiveness: 0.5,
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -12,7 +12,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/evacuate"
-	"sableusher/internal/silence"
+	"sableusher/internal/failuredetector"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 	"sableusher/internal/zone"
@@ -30,7 +30,7 @@
 
 // deleteFailedMachines deletes machines that are silent, stuck or failing.
 func (c *cycle) deleteFailedMachines() {
-	var machines []silence.Machine
+	var machines []failuredetector.Machine
 	var outboundLost []outboundLostMachine
 	reachableZones := c.countReachableZones()
 	for _, name := range slices.Sorted(maps.Keys(c.cluster.Machines)) {
@@ -40,7 +40,7 @@
 			continue
 		}
 		status := c.agents.MachineStatus(name, token)
-		machines = append(machines, silence.Machine{Name: name, Zone: machine.Zone, Shard: machine.Shard, Up: machine.Up, Session: status.Session, LastHeard: status.LastHeard, OwnedSince: c.shardOwnedSince[machine.Shard],
+		machines = append(machines, failuredetector.Machine{Name: name, Zone: machine.Zone, Shard: machine.Shard, Up: machine.Up, Session: status.Session, LastHeard: status.LastHeard, OwnedSince: c.shardOwnedSince[machine.Shard],
 			CommandUnanswered: status.CommandUnanswered, CancellationOverdue: c.cancellationOverdue(machine), BoundTasks: len(machine.Bindings), ServiceMovable: c.serviceCanMove(machine, reachableZones), ControllerInZone: c.controllerInZone(machine.Zone)})
 		if status.OutboundLost {
 			outboundLost = append(outboundLost, outboundLostMachine{machine, status.LeaseExpiry})
@@ -52,12 +52,12 @@
 		switch {
 		case !machine.Up && status.LastHeard.IsZero():
 			if c.bootTimedOut(machine) && !c.failureDetector.ZoneUnstable(machine.Zone) {
-				c.deleteMachine(silence.Deletion{Machine: name, Reason: "never came up"})
+				c.deleteMachine(failuredetector.Deletion{Machine: name, Reason: "never came up"})
 			}
 		case !machine.Up && empty && !status.OneWaySince.IsZero() && c.now.Sub(status.OneWaySince) > tuning.OneWayLife && !c.failureDetector.ZoneUnstable(machine.Zone):
-			c.deleteMachine(silence.Deletion{Machine: name, Reason: "reached in one direction only"})
+			c.deleteMachine(failuredetector.Deletion{Machine: name, Reason: "reached in one direction only"})
 		case empty && status.FailedJobs >= tuning.MachineErrors:
-			c.deleteMachine(silence.Deletion{Machine: name, Reason: "failing"})
+			c.deleteMachine(failuredetector.Deletion{Machine: name, Reason: "failing"})
 		}
 		if status.UnresolvedStart && c.hasStoppingTask(machine) && c.now.Sub(c.lastFenced[machine.Shard]) > tuning.FenceEvery {
 			// A start in doubt could still run a task that must not: raise the token.
@@ -66,7 +66,7 @@
 		}
 	}
 	c.evacuateOutboundLost(outboundLost, len(machines))
-	judgement := c.failureDetector.Assess(c.now, machines, func(machine *silence.Machine) []evacuate.Task { return c.evacuationTasks(machine.Name) })
+	judgement := c.failureDetector.Assess(c.now, machines, func(machine *failuredetector.Machine) []evacuate.Task { return c.evacuationTasks(machine.Name) })
 	for _, change := range judgement.ZoneChanges {
 		c.log.Info("zone changes", "zone", change.Zone, "state", change.To, "before", change.From, "after", change.TimeInFormerState.Round(time.Second), "waits for", change.WaitingFor)
 		for _, status := range zone.States {
@@ -157,7 +157,7 @@
 }
 
 // deleteMachine marks a machine to be deleted at the cloud.
-func (c *cycle) deleteMachine(victim silence.Deletion) {
+func (c *cycle) deleteMachine(victim failuredetector.Deletion) {
 	machine := c.cluster.Machines[victim.Machine]
 	c.log.Info("deleting a machine", "machine", victim.Machine, "why", victim.Reason, "tasks", len(machine.Bindings))
 	machineRecord := machine.MachineRecord
