--- a/internal/evacuate/plan.go
+++ b/internal/evacuation/plan.go
@@ -1,4 +1,4 @@
-// Package evacuate plans what is to be got off machines that are lost, and in which order.
+// Package evacuation plans what is to be got off machines that are lost, and in which order.
 //
 // A machine is given up whole, and only then can what it held start elsewhere; deletions are
 // paced and room may be short, so which goes first decides who notices the loss. The plan is
@@ -15,7 +15,7 @@
 //	          higher priority first, then the fewer machines, then the wider
 //	arrays    by priority, then by how many tasks wait for it
 //	nothing   machines that hold none, last
-package evacuate
+package evacuation
 
 import (
 	"cmp"
--- a/internal/evacuate/plan_test.go
+++ b/internal/evacuation/plan_test.go
@@ -1,4 +1,4 @@
-package evacuate
+package evacuation
 
 import (
 	"fmt"
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -19,7 +19,7 @@
 	"slices"
 	"time"
 
-	"sableusher/internal/evacuate"
+	"sableusher/internal/evacuation"
 	"sableusher/internal/tuning"
 	"sableusher/internal/zone"
 )
@@ -191,7 +191,7 @@
 }
 
 // Assess looks at all machines of a node. holds tells what one that is to be given up holds.
-func (w *Detector) Assess(now time.Time, list []Machine, holds func(*Machine) []evacuate.Task) Assessment {
+func (w *Detector) Assess(now time.Time, list []Machine, holds func(*Machine) []evacuation.Task) Assessment {
 	var j Assessment
 	if w.peerAnswers == nil {
 		w.peerAnswers, w.zoneEvacuations, w.zoneRosters = map[string]peerAnswer{}, map[string]*zoneEvacuation{}, map[string]zone.Roster{}
@@ -286,8 +286,8 @@
 // zone that is cut off a machine runs its tasks until its lease ends, which a controller in
 // the zone renews: until then it is left alone. After it, what it held must start again; an
 // empty one is waited for as long as one with a controller.
-func (w *Detector) deletionOrder(now time.Time, silent []*Machine, holds func(*Machine) []evacuate.Task) ([]*Machine, []evacuate.Step) {
-	var lost []evacuate.Machine
+func (w *Detector) deletionOrder(now time.Time, silent []*Machine, holds func(*Machine) []evacuation.Task) ([]*Machine, []evacuation.Step) {
+	var lost []evacuation.Machine
 	byName := map[string]*Machine{}
 	moving := map[string]int{}
 	for _, m := range silent {
@@ -313,7 +313,7 @@
 			}
 		}
 		byName[m.Name] = m
-		lost = append(lost, evacuate.Machine{Name: m.Name, Tasks: holds(m)})
+		lost = append(lost, evacuation.Machine{Name: m.Name, Tasks: holds(m)})
 	}
 	for name, n := range moving {
 		if l := w.zoneEvacuations[name]; l == nil {
@@ -323,7 +323,7 @@
 		}
 	}
 	maps.DeleteFunc(w.zoneEvacuations, func(name string, _ *zoneEvacuation) bool { return !w.ZoneUnavailable(name) })
-	steps := evacuate.Plan(lost)
+	steps := evacuation.Plan(lost)
 	due := make([]*Machine, len(steps))
 	for i, s := range steps {
 		due[i] = byName[s.Machine]
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -9,7 +9,7 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/evacuate"
+	"sableusher/internal/evacuation"
 	"sableusher/internal/seeded"
 	"sableusher/internal/zone"
 )
@@ -22,11 +22,11 @@
 )
 
 // tasksOf gives the tasks of a machine: a service of two replicas if it moves, else an array's.
-func tasksOf(m *Machine) []evacuate.Task {
+func tasksOf(m *Machine) []evacuation.Task {
 	if m.ServiceMovable {
-		return []evacuate.Task{{JobID: "service of " + m.Name, Kind: evacuate.Service, PlacedReplicas: 2}}
+		return []evacuation.Task{{JobID: "service of " + m.Name, Kind: evacuation.Service, PlacedReplicas: 2}}
 	}
-	return make([]evacuate.Task, m.BoundTasks)
+	return make([]evacuation.Task, m.BoundTasks)
 }
 
 // testSite is a node's machines, as a test moves them on: those that are not silent report
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -11,7 +11,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/evacuate"
+	"sableusher/internal/evacuation"
 	"sableusher/internal/failuredetector"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -66,7 +66,7 @@
 		}
 	}
 	c.evacuateOutboundLost(outboundLost, len(machines))
-	judgement := c.failureDetector.Assess(c.now, machines, func(machine *failuredetector.Machine) []evacuate.Task { return c.evacuationTasks(machine.Name) })
+	judgement := c.failureDetector.Assess(c.now, machines, func(machine *failuredetector.Machine) []evacuation.Task { return c.evacuationTasks(machine.Name) })
 	for _, change := range judgement.ZoneChanges {
 		c.log.Info("zone changes", "zone", change.Zone, "state", change.To, "before", change.From, "after", change.TimeInFormerState.Round(time.Second), "waits for", change.WaitingFor)
 		for _, status := range zone.States {
@@ -136,13 +136,13 @@
 }
 
 // evacuationKinds are the kinds of jobs as plans of evacuation know them.
-var evacuationKinds = map[string]evacuate.WorkloadKind{wire.KindService: evacuate.Service, wire.KindGang: evacuate.Gang, wire.KindArray: evacuate.Array}
+var evacuationKinds = map[string]evacuation.WorkloadKind{wire.KindService: evacuation.Service, wire.KindGang: evacuation.Gang, wire.KindArray: evacuation.Array}
 
 // evacuationTasks gives what is on a machine, for the plan of its evacuation.
-func (c *cycle) evacuationTasks(name string) []evacuate.Task {
-	var tasks []evacuate.Task
+func (c *cycle) evacuationTasks(name string) []evacuation.Task {
+	var tasks []evacuation.Task
 	for _, binding := range c.cluster.Machines[name].Bindings {
-		tasks = append(tasks, evacuate.Task{JobID: binding.Ref.Job, Kind: evacuationKinds[binding.Job.Spec.Kind], PriorityRank: c.effectiveRank(binding.Job), PlacedReplicas: binding.Job.BoundCount})
+		tasks = append(tasks, evacuation.Task{JobID: binding.Ref.Job, Kind: evacuationKinds[binding.Job.Spec.Kind], PriorityRank: c.effectiveRank(binding.Job), PlacedReplicas: binding.Job.BoundCount})
 	}
 	return tasks
 }
