--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -21,7 +21,7 @@
 
 	"sableusher/internal/evacuation"
 	"sableusher/internal/tuning"
-	"sableusher/internal/zone"
+	"sableusher/internal/zonehealth"
 )
 
 // Timing are the deployment's times.
@@ -92,11 +92,11 @@
 // Assessment is what follows from one look at a node's machines.
 type Assessment struct {
 	Deletions      []Deletion
-	ProbeMachines  []string                      // to be asked directly
-	AskPeersAbout  []string                      // to be asked for with the peers; the answer goes to Told
-	ShardTransfers map[int]string                // parts whose workers report to another node
-	ZoneChanges    []zone.Transition             // zones whose state changed
-	ZoneReturns    map[string]zone.ReturnSummary // of those that serve again, what became of their machines
+	ProbeMachines  []string                            // to be asked directly
+	AskPeersAbout  []string                            // to be asked for with the peers; the answer goes to Told
+	ShardTransfers map[int]string                      // parts whose workers report to another node
+	ZoneChanges    []zonehealth.Transition             // zones whose state changed
+	ZoneReturns    map[string]zonehealth.ReturnSummary // of those that serve again, what became of their machines
 }
 
 // peerAnswer is what the peers said of a silent machine; no node: none has heard it.
@@ -112,16 +112,16 @@
 	recentDeletions []time.Time
 	peerAnswers     map[string]peerAnswer
 	peersAskedAt    time.Time
-	zones           zone.Tracker
+	zones           zonehealth.Tracker
 	zoneEvacuations map[string]*zoneEvacuation
-	zoneRosters     map[string]zone.Roster // of zones that were cut off and do not serve again yet
+	zoneRosters     map[string]zonehealth.Roster // of zones that were cut off and do not serve again yet
 }
 
 // zoneEvacuation is how far the machines of a zone that is cut off, whose services move, are given up.
 type zoneEvacuation struct{ total, deleted int }
 
 // Zones are the states of the zones as of the last judgement.
-func (w *Detector) Zones() *zone.Tracker { return &w.zones }
+func (w *Detector) Zones() *zonehealth.Tracker { return &w.zones }
 
 // ZoneUnavailable tells whether a zone is cut off from this node, or lost, as of the last judgement.
 func (w *Detector) ZoneUnavailable(name string) bool { return w.zones.Unavailable(name) }
@@ -129,7 +129,7 @@
 // ZoneUnstable tells whether a zone is cut off, or was so lately that its workers may be on
 // their way back.
 func (w *Detector) ZoneUnstable(name string) bool {
-	return w.zones.Unavailable(name) || w.zones.State(name) == zone.Returning
+	return w.zones.Unavailable(name) || w.zones.State(name) == zonehealth.Returning
 }
 
 // UnavailableZones gives the zones that are cut off or lost.
@@ -145,8 +145,8 @@
 // updateZones counts, by zone, the machines that should be heard and those that are, and takes the
 // zones' states from it. Machines that this node took over a moment ago could not be heard
 // yet and say nothing.
-func (w *Detector) updateZones(now time.Time, list []Machine) (whole zone.HeartbeatCount, changed []zone.Transition) {
-	heard := map[string]zone.HeartbeatCount{}
+func (w *Detector) updateZones(now time.Time, list []Machine) (whole zonehealth.HeartbeatCount, changed []zonehealth.Transition) {
+	heard := map[string]zonehealth.HeartbeatCount{}
 	for i := range list {
 		m := &list[i]
 		if !m.Up || m.LastHeard.IsZero() && now.Sub(m.OwnedSince) < scaleDuration(tuning.CutOwned, w.Timing.HeartbeatInterval) {
@@ -162,25 +162,25 @@
 		t.ControllerInZone = m.ControllerInZone
 		heard[m.Zone] = t
 	}
-	w.zones.Timing = zone.Timing{LeaseDuration: w.Timing.LeaseDuration, ReconnectTime: w.Timing.deadAfter() + tuning.FindNode}
+	w.zones.Timing = zonehealth.Timing{LeaseDuration: w.Timing.LeaseDuration, ReconnectTime: w.Timing.deadAfter() + tuning.FindNode}
 	return whole, w.zones.Observe(now, heard)
 }
 
 // updateRosters keeps who stood in a zone when it was cut off, and tells them apart when it serves again.
-func (w *Detector) updateRosters(changed []zone.Transition, list []Machine) map[string]zone.ReturnSummary {
-	out := map[string]zone.ReturnSummary{}
+func (w *Detector) updateRosters(changed []zonehealth.Transition, list []Machine) map[string]zonehealth.ReturnSummary {
+	out := map[string]zonehealth.ReturnSummary{}
 	for _, c := range changed {
 		_, kept := w.zoneRosters[c.Zone]
-		if c.To != zone.Serving && (c.To != zone.Cut || kept) {
+		if c.To != zonehealth.Serving && (c.To != zonehealth.Cut || kept) {
 			continue
 		}
-		now := zone.Roster{}
+		now := zonehealth.Roster{}
 		for i := range list {
 			if m := &list[i]; m.Zone == c.Zone && m.Up {
 				now[m.Name] = m.Session
 			}
 		}
-		if c.To == zone.Cut {
+		if c.To == zonehealth.Cut {
 			w.zoneRosters[c.Zone] = now
 		} else if kept {
 			out[c.Zone] = w.zoneRosters[c.Zone].CompareAfterReturn(now)
@@ -194,7 +194,7 @@
 func (w *Detector) Assess(now time.Time, list []Machine, holds func(*Machine) []evacuation.Task) Assessment {
 	var j Assessment
 	if w.peerAnswers == nil {
-		w.peerAnswers, w.zoneEvacuations, w.zoneRosters = map[string]peerAnswer{}, map[string]*zoneEvacuation{}, map[string]zone.Roster{}
+		w.peerAnswers, w.zoneEvacuations, w.zoneRosters = map[string]peerAnswer{}, map[string]*zoneEvacuation{}, map[string]zonehealth.Roster{}
 	}
 	whole, changed := w.updateZones(now, list)
 	j.ZoneChanges, j.ZoneReturns = changed, w.updateRosters(changed, list)
@@ -252,7 +252,7 @@
 		return true
 	}
 	share := tuning.DeadCap
-	if w.zones.State(m.Zone) == zone.Serving {
+	if w.zones.State(m.Zone) == zonehealth.Serving {
 		share = tuning.DeadCapServing
 	}
 	if len(w.recentDeletions) >= max(2, int(share*float64(up))) {
@@ -277,7 +277,7 @@
 }
 
 // otherZonesHeard tells whether, beside the zones that are cut, others are heard well.
-func (w *Detector) otherZonesHeard(whole zone.HeartbeatCount) bool {
+func (w *Detector) otherZonesHeard(whole zonehealth.HeartbeatCount) bool {
 	return len(w.UnavailableZones()) > 0 && whole.Expected >= tuning.CutMachines && float64(whole.Received) >= tuning.CutElsewhere*float64(whole.Expected)
 }
 
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -11,7 +11,7 @@
 
 	"sableusher/internal/evacuation"
 	"sableusher/internal/seeded"
-	"sableusher/internal/zone"
+	"sableusher/internal/zonehealth"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
@@ -312,13 +312,13 @@
 			at := testStart.Add(time.Duration(now) * time.Second)
 			s.machines = append(s.machines, Machine{Name: fmt.Sprint("new-", i), Zone: "zone-0", Up: true, Session: 1, OwnedSince: at, LastHeard: at})
 		}
-		var told []zone.ReturnSummary
+		var told []zonehealth.ReturnSummary
 		for ; now < 600; now++ {
 			if b, ok := s.step(testStart.Add(time.Duration(now) * time.Second)).ZoneReturns["zone-0"]; ok {
 				told = append(told, b)
 			}
 		}
-		want := zone.ReturnSummary{Continued: left - restarted, Restarted: restarted, Deleted: before - left, Added: fresh}
+		want := zonehealth.ReturnSummary{Continued: left - restarted, Restarted: restarted, Deleted: before - left, Added: fresh}
 		if len(told) != 1 || told[0] != want {
 			t.Fatalf("told %v, want %v once", told, want)
 		}
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -15,7 +15,7 @@
 	"sableusher/internal/failuredetector"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
-	"sableusher/internal/zone"
+	"sableusher/internal/zonehealth"
 )
 
 var zoneStateGauge = promauto.NewGaugeVec(prometheus.GaugeOpts{Name: "sableusher_zone_state",
@@ -69,7 +69,7 @@
 	judgement := c.failureDetector.Assess(c.now, machines, func(machine *failuredetector.Machine) []evacuation.Task { return c.evacuationTasks(machine.Name) })
 	for _, change := range judgement.ZoneChanges {
 		c.log.Info("zone changes", "zone", change.Zone, "state", change.To, "before", change.From, "after", change.TimeInFormerState.Round(time.Second), "waits for", change.WaitingFor)
-		for _, status := range zone.States {
+		for _, status := range zonehealth.States {
 			zoneStateGauge.WithLabelValues(change.Zone, status.String()).Set(map[bool]float64{true: 1}[status == change.To])
 		}
 	}
--- a/internal/standin/zoneoutage_test.go
+++ b/internal/standin/zoneoutage_test.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"sableusher/internal/wire"
-	"sableusher/internal/zone"
+	"sableusher/internal/zonehealth"
 )
 
 // logBuffer keeps what the controllers of a day log.
@@ -223,7 +223,7 @@
 		t.Error("no node saw a zone go")
 	}
 	for who, states := range told {
-		if last := states[len(states)-1]; last != zone.Serving.String() {
+		if last := states[len(states)-1]; last != zonehealth.Serving.String() {
 			t.Errorf("%s ends as %s: %v", who, last, states)
 		}
 	}
--- a/internal/zone/tracker.go
+++ b/internal/zonehealth/tracker.go
@@ -1,4 +1,4 @@
-// Package zone follows the life of each zone as one node sees it: whether its machines are
+// Package zonehealth follows the life of each zone as one node sees it: whether its machines are
 // heard, for how long they were not, and how it comes back.
 //
 // The package is one pure machine: what was heard and the time go in, states come out. It has
@@ -20,7 +20,7 @@
 // A zone that returns again and again is on probation for longer each time, up to a bound;
 // it is forgiven one return for each tuning.ProbationForgive that it then serves without a break. Every state
 // but serving ends by itself or names what it waits for (Waits).
-package zone
+package zonehealth
 
 import (
 	"fmt"
--- a/internal/zone/tracker_test.go
+++ b/internal/zonehealth/tracker_test.go
@@ -1,4 +1,4 @@
-package zone
+package zonehealth
 
 import (
 	"slices"
