--- a/internal/pipeline/resolver.go
+++ b/internal/dependency/resolver.go
@@ -1,6 +1,6 @@
-// Package pipeline follows the jobs that others await: what became of those that
+// Package dependency follows the jobs that others await: what became of those that
 // are over stands in their final records, which no node's view holds.
-package pipeline
+package dependency
 
 import (
 	"context"
--- a/internal/pipeline/resolver_test.go
+++ b/internal/dependency/resolver_test.go
@@ -1,4 +1,4 @@
-package pipeline
+package dependency
 
 import (
 	"context"
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -13,10 +13,10 @@
 	"sableusher/internal/api"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/dependency"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/membership"
 	"sableusher/internal/peer"
-	"sableusher/internal/pipeline"
 	"sableusher/internal/pool"
 	"sableusher/internal/scheduler"
 	"sableusher/internal/spill"
@@ -67,7 +67,7 @@
 	engine := scheduler.New(settings, operator, state, members, agents, committer, client, peers, logger)
 	cloud := pool.NewClient(settings.Outside.Cloud, deployment.Cloud.RPS, deployment.Size, transport)
 	scaler := pool.New(settings, operator, state, members, engine, cloud, committer, logger)
-	dependencies := pipeline.NewResolver(state, client, logger)
+	dependencies := dependency.NewResolver(state, client, logger)
 	versions := upgrade.NewActivator(settings, schemaVersion, state, members, committer, client, logger)
 	offloads := spill.New(operator, deployment.Teams, state, members, committer, peers, logger)
 	if len(operator.Cells) > 0 {
