--- a/internal/pool/client.go
+++ b/internal/autoscaler/client.go
@@ -1,6 +1,6 @@
-// Package pool rents and returns machines: the client of the cloud, and the
+// Package autoscaler rents and returns machines: the client of the cloud, and the
 // leader's sizing of the fleet.
-package pool
+package autoscaler
 
 import (
 	"bytes"
--- a/internal/pool/main_test.go
+++ b/internal/autoscaler/main_test.go
@@ -1,4 +1,4 @@
-package pool
+package autoscaler
 
 import (
 	"testing"
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -11,13 +11,13 @@
 
 	"sableusher/internal/agent"
 	"sableusher/internal/api"
+	"sableusher/internal/autoscaler"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/dependency"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/membership"
 	"sableusher/internal/peer"
-	"sableusher/internal/pool"
 	"sableusher/internal/scheduler"
 	"sableusher/internal/spill"
 	"sableusher/internal/tuning"
@@ -65,8 +65,8 @@
 	}
 	agents.SetPeerLastAnswered(peers.LastAnswered)
 	engine := scheduler.New(settings, operator, state, members, agents, committer, client, peers, logger)
-	cloud := pool.NewClient(settings.Outside.Cloud, deployment.Cloud.RPS, deployment.Size, transport)
-	scaler := pool.New(settings, operator, state, members, engine, cloud, committer, logger)
+	cloud := autoscaler.NewClient(settings.Outside.Cloud, deployment.Cloud.RPS, deployment.Size, transport)
+	scaler := autoscaler.New(settings, operator, state, members, engine, cloud, committer, logger)
 	dependencies := dependency.NewResolver(state, client, logger)
 	versions := upgrade.NewActivator(settings, schemaVersion, state, members, committer, client, logger)
 	offloads := spill.New(operator, deployment.Teams, state, members, committer, peers, logger)
