--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -17,7 +17,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
-	"sableusher/internal/learn"
+	"sableusher/internal/learner"
 	"sableusher/internal/membership"
 	"sableusher/internal/scheduler"
 	"sableusher/internal/tuning"
@@ -215,11 +215,11 @@
 		have := len(a.state.Machines)
 		a.state.RUnlock()
 		s := a.scheduler.ProvisioningState()
-		var choices []learn.Choice
+		var choices []learner.Choice
 		best := 0
 		for i, f := range tuning.SizeFractions {
 			size := float64(have+least) + f*float64(len(planned)-least)
-			choices = append(choices, l.Score(&s, &learn.Action{Size: true, Fraction: f, Machines: size}))
+			choices = append(choices, l.Score(&s, &learner.Action{Size: true, Fraction: f, Machines: size}))
 			if choices[i].Value >= choices[best].Value {
 				best = i
 			}
--- a/internal/clusterstate/compatibility_test.go
+++ b/internal/clusterstate/compatibility_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/learn"
+	"sableusher/internal/learner"
 	"sableusher/internal/wire"
 )
 
@@ -173,7 +173,7 @@
 	roundTripBoth[oldRental, clusterstate.RentalRecord](t, "rental", b["rental"])
 	roundTripBoth[oldFinal, clusterstate.FinalRecord](t, "final", b["final"])
 	roundTripBoth[oldCatalog, wire.Catalog](t, "catalog", b["catalog"])
-	roundTripBoth[oldLearned, learn.Saved](t, "learned", b["learned"])
+	roundTripBoth[oldLearned, learner.Saved](t, "learned", b["learned"])
 
 	// What a node tells of its level must not disturb one that knows of none.
 	var n oldNode
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/learn"
+	"sableusher/internal/learner"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -84,7 +84,7 @@
 		filled[clusterstate.TaskGroup](t, "group"),
 		filled[wire.Catalog](t, "catalog"),
 		filled[wire.MachineType](t, "machine-type"),
-		filled[learn.Saved](t, "learner-checkpoint"),
+		filled[learner.Saved](t, "learner-checkpoint"),
 		[]message{
 			{"quota/no-grants", clusterstate.QuotaRecord{Grants: map[string]clusterstate.Resources{}}},
 			{"machine/in-use", clusterstate.MachineRecord{Type: "g8", Zone: "east", Address: "10.0.0.1:80", CreatedAtMs: 1_700_000_000_000, Up: true}},
--- a/internal/learn/main_test.go
+++ b/internal/learner/main_test.go
@@ -1,4 +1,4 @@
-package learn
+package learner
 
 import (
 	"testing"
--- a/internal/learn/reservoir.go
+++ b/internal/learner/reservoir.go
@@ -1,6 +1,6 @@
-// Package learn values the choices of the scheduler: a SARSA learner whose value
+// Package learner values the choices of the scheduler: a SARSA learner whose value
 // function is the linear readout of an echo state reservoir.
-package learn
+package learner
 
 import (
 	"hash/fnv"
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -16,7 +16,7 @@
 	"sableusher/internal/fairshare"
 	"sableusher/internal/jobqueue"
 	"sableusher/internal/kvstore"
-	"sableusher/internal/learn"
+	"sableusher/internal/learner"
 	"sableusher/internal/membership"
 	"sableusher/internal/quota"
 	"sableusher/internal/retry"
@@ -71,7 +71,7 @@
 	nextReorder            map[string]time.Time     // when time alone next moves a waiting job in line
 	lastFullReorder        time.Time                // when all of them were last put in line anew
 	cachedValues           map[string]cachedValue
-	cachedState            *learn.State // what is chosen in, as of a time
+	cachedState            *learner.State // what is chosen in, as of a time
 	cachedStateAt          time.Time
 	changeFeed             *clusterstate.ChangeFeed
 	waitingJobs            *jobqueue.Queue[*clusterstate.Job]
@@ -125,8 +125,8 @@
 		nextReorder: map[string]time.Time{}, jobsToMigrate: map[string]bool{}, rejectedUntil: map[string]time.Time{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
 		learning: learning{
-			learner:  learn.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
-			runTimes: learn.NewEstimates(), pendingRewards: map[taskAttempt]int64{}, startedAt: map[taskAttempt]time.Time{}, recentResponsiveness: 0.5,
+			learner:  learner.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
+			runTimes: learner.NewEstimates(), pendingRewards: map[taskAttempt]int64{}, startedAt: map[taskAttempt]time.Time{}, recentResponsiveness: 0.5,
 		},
 		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waitingJobs: jobqueue.New[*clusterstate.Job](), machinesToRefresh: map[string]struct{}{},
 	}
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -13,7 +13,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
-	"sableusher/internal/learn"
+	"sableusher/internal/learner"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -27,8 +27,8 @@
 // learning is what the engine keeps for the learner: decisions whose payoff is
 // due, run times, and the two sides of utilization.
 type learning struct {
-	learner        *learn.Learner
-	runTimes       *learn.Estimates
+	learner        *learner.Learner
+	runTimes       *learner.Estimates
 	pendingRewards map[taskAttempt]int64
 	startedAt      map[taskAttempt]time.Time
 
@@ -175,8 +175,8 @@
 }
 
 // learnerState describes what this round chooses in.
-func (c *cycle) learnerState() learn.State {
-	state := learn.State{Shares: map[string]float64{}, NextFreeS: math.Inf(1)}
+func (c *cycle) learnerState() learner.State {
+	state := learner.State{Shares: map[string]float64{}, NextFreeS: math.Inf(1)}
 	waiting := 0.0
 	for _, job := range c.cluster.Jobs {
 		if !job.CanStart() {
@@ -242,13 +242,13 @@
 	}
 }
 
-func (c *cycle) learnerAction(job *clusterstate.Job) *learn.Action {
-	return &learn.Action{Class: job.Spec.Class, Team: job.Spec.Team, RunS: c.learning.runTimes.RunS(job.Spec.Class, job.Spec.RuntimeEstimateSeconds),
+func (c *cycle) learnerAction(job *clusterstate.Job) *learner.Action {
+	return &learner.Action{Class: job.Spec.Class, Team: job.Spec.Team, RunS: c.learning.runTimes.RunS(job.Spec.Class, job.Spec.RuntimeEstimateSeconds),
 		Interactive: c.effectiveRank(job) <= wire.PriorityRank(wire.PriorityHigh)}
 }
 
 // scoreAction values a job in the state of this round.
-func (c *cycle) scoreAction(job *clusterstate.Job) learn.Choice {
+func (c *cycle) scoreAction(job *clusterstate.Job) learner.Choice {
 	if c.cachedState == nil || c.now.Sub(c.cachedStateAt) > tuning.ValueLife {
 		state := c.learnerState()
 		c.cachedState, c.cachedStateAt = &state, c.now
@@ -269,7 +269,7 @@
 }
 
 // ProvisioningState gives what the pool's size is chosen in.
-func (e *Engine) ProvisioningState() learn.State {
+func (e *Engine) ProvisioningState() learner.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cluster.RLock()
@@ -286,7 +286,7 @@
 }
 
 // Learner gives the learner that the pool shares.
-func (e *Engine) Learner() *learn.Learner { return e.learning.learner }
+func (e *Engine) Learner() *learner.Learner { return e.learning.learner }
 
 // RunLearner keeps the readout fitted and saved until ctx ends.
 func (e *Engine) RunLearner(ctx context.Context) error {
@@ -318,7 +318,7 @@
 }
 
 // checkpointOps gives the changes that save what was learned, in the form that is written.
-func (e *Engine) checkpointOps(key string, checkpoint learn.Saved) []wire.Op {
+func (e *Engine) checkpointOps(key string, checkpoint learner.Saved) []wire.Op {
 	e.cluster.RLock()
 	level := e.cluster.SchemaVersion
 	e.cluster.RUnlock()
@@ -333,9 +333,9 @@
 }
 
 // readCheckpoint reads a record, again and again while the state service doesn't answer.
-func (e *Engine) readCheckpoint(ctx context.Context, key string) (learn.Saved, error) {
+func (e *Engine) readCheckpoint(ctx context.Context, key string) (learner.Saved, error) {
 	for {
-		var checkpoint learn.Saved
+		var checkpoint learner.Saved
 		row, err := e.reader.Get(ctx, key)
 		switch {
 		case err == nil:
@@ -352,13 +352,13 @@
 
 // loadCheckpoint reads the values saved under the node's name: in pieces, or as one
 // record, as they were before LevelPipelines.
-func (e *Engine) loadCheckpoint(ctx context.Context, key string) (learn.Saved, error) {
+func (e *Engine) loadCheckpoint(ctx context.Context, key string) (learner.Saved, error) {
 	checkpoint, err := e.readCheckpoint(ctx, clusterstate.LearnerCheckpointPieceKey(e.settings.Node, 0))
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return e.readCheckpoint(ctx, key)
 	}
 	for i := 1; i < checkpoint.Of && err == nil; i++ {
-		var piece learn.Saved
+		var piece learner.Saved
 		if piece, err = e.readCheckpoint(ctx, clusterstate.LearnerCheckpointPieceKey(e.settings.Node, i)); err == nil {
 			err = checkpoint.Join(piece)
 		}
