--- a/cmd/sableusher/serve.go
+++ b/cmd/sableusher/serve.go
@@ -20,7 +20,7 @@
 
 	"sableusher/internal/config"
 	"sableusher/internal/node"
-	"sableusher/internal/peer"
+	"sableusher/internal/peerrpc"
 	"sableusher/internal/tuning"
 )
 
@@ -46,7 +46,7 @@
 	debug.SetMemoryLimit(int64(d.Limits.MemMB * tuning.MemoryShare * (1 << 20)))
 
 	controller, err := node.New(set, op, rand.Uint64N(1<<52)+1, tuning.Level, nil,
-		func(w peer.AgentRegistry) (node.PeerTransport, error) { return peer.New(set, w, log) }, log)
+		func(w peerrpc.AgentRegistry) (node.PeerTransport, error) { return peerrpc.New(set, w, log) }, log)
 	if err != nil {
 		return err
 	}
--- a/internal/golden/peers_test.go
+++ b/internal/golden/peers_test.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"sableusher/internal/peer/peerpb"
+	"sableusher/internal/peerrpc/peerpb"
 )
 
 // TestPeerMessages: messages between controllers keep their names, field numbers and bytes.
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -17,7 +17,7 @@
 	"sableusher/internal/dependency"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/membership"
-	"sableusher/internal/peer"
+	"sableusher/internal/peerrpc"
 	"sableusher/internal/scheduler"
 	"sableusher/internal/spill"
 	"sableusher/internal/tuning"
@@ -39,14 +39,14 @@
 	Run(ctx context.Context) error
 	spill.Line
 	// SetCellHandler sets what answers other cells.
-	SetCellHandler(a peer.CellHandler)
+	SetCellHandler(a peerrpc.CellHandler)
 }
 
 // New makes a controller. inc tells this process from all others under its
 // name; level is the newest form of records that it reads, tuning.Level but for
 // tests of upgrades; rt carries its requests, nil for the network; lines makes the lines to
 // the other nodes.
-func New(settings *config.Settings, operator *config.Operator, incarnation uint64, schemaVersion int, transport http.RoundTripper, connectPeers func(peer.AgentRegistry) (PeerTransport, error), logger *slog.Logger) (*Controller, error) {
+func New(settings *config.Settings, operator *config.Operator, incarnation uint64, schemaVersion int, transport http.RoundTripper, connectPeers func(peerrpc.AgentRegistry) (PeerTransport, error), logger *slog.Logger) (*Controller, error) {
 	deployment := &settings.Deployment
 	client := kvstore.NewClient(settings.Outside.State, kvstore.Limits{
 		BudgetShare: tuning.StateShare / float64(deployment.Size), RequestsPerSecond: deployment.State.RPS, WritesPerSecond: deployment.State.WriteRPS, MaxValueKiB: deployment.State.ValueKB, MaxTransactionOps: deployment.State.TxnOps,
--- a/internal/peer/transport.go
+++ b/internal/peerrpc/transport.go
@@ -1,5 +1,5 @@
-// Package peer carries hints between controllers over gRPC.
-package peer
+// Package peerrpc carries hints between controllers over gRPC.
+package peerrpc
 
 import (
 	"cmp"
@@ -19,7 +19,7 @@
 	"google.golang.org/grpc/status"
 
 	"sableusher/internal/config"
-	"sableusher/internal/peer/peerpb"
+	"sableusher/internal/peerrpc/peerpb"
 	"sableusher/internal/spill"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
--- a/internal/peer/transport_test.go
+++ b/internal/peerrpc/transport_test.go
@@ -1,4 +1,4 @@
-package peer
+package peerrpc
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc"
 
 	"sableusher/internal/config"
-	"sableusher/internal/peer/peerpb"
+	"sableusher/internal/peerrpc/peerpb"
 	"sableusher/internal/spill"
 	"sableusher/internal/wire"
 )
--- a/internal/standin/region.go
+++ b/internal/standin/region.go
@@ -18,7 +18,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/node"
-	"sableusher/internal/peer"
+	"sableusher/internal/peerrpc"
 	"sableusher/internal/spill"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -26,14 +26,14 @@
 
 // Controller is a node under test, with the process that runs it.
 type Controller struct {
-	answer        peer.CellHandler // to other cells, if it is one of several
+	answer        peerrpc.CellHandler // to other cells, if it is one of several
 	Settings      *config.Settings
 	Address       string
 	SchemaVersion int // of the version that it runs; set before Start
 	stop          context.CancelFunc
 	alive         *atomic.Bool
 	exited        chan struct{}
-	witness       peer.AgentRegistry
+	witness       peerrpc.AgentRegistry
 }
 
 // fakePeers stands in for gRPC between controllers.
@@ -43,7 +43,7 @@
 }
 
 // SetCellHandler keeps what answers other cells.
-func (p fakePeers) SetCellHandler(a peer.CellHandler) {
+func (p fakePeers) SetCellHandler(a peerrpc.CellHandler) {
 	p.region.mu.Lock()
 	defer p.region.mu.Unlock()
 	p.self.answer = a
@@ -63,10 +63,10 @@
 }
 
 // reachableWitnesses gives the witnesses of the nodes that can be reached.
-func (p fakePeers) reachableWitnesses() map[string]peer.AgentRegistry {
+func (p fakePeers) reachableWitnesses() map[string]peerrpc.AgentRegistry {
 	p.region.mu.Lock()
 	defer p.region.mu.Unlock()
-	out := map[string]peer.AgentRegistry{}
+	out := map[string]peerrpc.AgentRegistry{}
 	for _, c := range p.region.controllers {
 		if c != p.self && c.alive != nil && c.alive.Load() {
 			if _, cut := p.region.Network.activePartition(p.self.Settings.Node, c.Settings.Node); !cut {
@@ -219,8 +219,8 @@
 	r.mu.Lock()
 	incarnation := r.random.Uint64N(1<<40) + 1
 	r.mu.Unlock()
-	var witness peer.AgentRegistry
-	n, err := node.New(controller.Settings, operator, incarnation, controller.SchemaVersion, r.Network.Transport(controller.Settings.Node, alive.Load), func(w peer.AgentRegistry) (node.PeerTransport, error) {
+	var witness peerrpc.AgentRegistry
+	n, err := node.New(controller.Settings, operator, incarnation, controller.SchemaVersion, r.Network.Transport(controller.Settings.Node, alive.Load), func(w peerrpc.AgentRegistry) (node.PeerTransport, error) {
 		witness = w
 		return fakePeers{r, controller}, nil
 	}, r.Log.With("node", controller.Settings.Node))
