--- a/internal/cell/handover.go
+++ b/internal/federation/handover.go
@@ -1,4 +1,4 @@
-// Package cell hands jobs over between cells: deployments that each have controllers, state
+// Package federation hands jobs over between cells: deployments that each have controllers, state
 // service, cloud and machines of their own.
 //
 // It owns three decisions, and so far nothing that acts on them (docs/cells-design.md): how a job
@@ -10,7 +10,7 @@
 // carries safety invariants 17 and 18: at any moment at most one cell holds the right to
 // start a job's tasks, the right moves by the holder's durable word alone, and no word
 // of a cell that has lost writes since counts.
-package cell
+package federation
 
 import (
 	"cmp"
--- a/internal/cell/member.go
+++ b/internal/federation/member.go
@@ -1,4 +1,4 @@
-package cell
+package federation
 
 import (
 	"fmt"
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"sableusher/internal/cell"
+	"sableusher/internal/federation"
 	"sableusher/internal/graph"
 	"sableusher/internal/spill"
 	"sableusher/internal/wire"
@@ -151,9 +151,9 @@
 		{"command/start", wire.CommandStart}, {"command/stop", wire.CommandStop}, {"command/forget", wire.CommandForget},
 		{"machine/booting", wire.MachineBooting}, {"machine/running", wire.MachineRunning}, {"machine/failed", wire.MachineFailed},
 		{"content-type", wire.ContentType},
-		{"transfer/absent", cell.Absent}, {"transfer/held", cell.Held}, {"transfer/over", cell.Over},
-		{"standing/unknown", cell.Unknown}, {"standing/joined", cell.Joined}, {"standing/doubted", cell.Doubted}, {"standing/lost", cell.Lost},
-		{"standing/draining", cell.Draining}, {"standing/returning", cell.Returning}, {"standing/left", cell.Left},
+		{"transfer/absent", federation.Absent}, {"transfer/held", federation.Held}, {"transfer/over", federation.Over},
+		{"standing/unknown", federation.Unknown}, {"standing/joined", federation.Joined}, {"standing/doubted", federation.Doubted}, {"standing/lost", federation.Lost},
+		{"standing/draining", federation.Draining}, {"standing/returning", federation.Returning}, {"standing/left", federation.Left},
 	} {
 		messages = append(messages, message{word.name, word.value})
 	}
@@ -192,11 +192,11 @@
 		filled[spill.Ask](t, "question"),
 		filled[spill.Word](t, "answer"),
 		filled[spill.Inventory](t, "inventory"),
-		filled[cell.Digest](t, "digest"),
-		filled[cell.Room](t, "free-machines"),
+		filled[federation.Digest](t, "digest"),
+		filled[federation.Room](t, "free-machines"),
 		[]message{
 			{"message/question", spill.Message{Cell: "a", From: 1, To: 2, Asks: []spill.Ask{{Number: 4, AtMs: 1_700_000_000_000, Spec: arraySpec(2)}}, Have: []uint64{3}}},
-			{"message/answer", spill.Message{Cell: "b", From: 2, To: 1, Words: []spill.Word{{Number: 3, Status: int(cell.Over), Final: wire.JobDone, Done: 2}}}},
+			{"message/answer", spill.Message{Cell: "b", From: 2, To: 1, Words: []spill.Word{{Number: 3, Status: int(federation.Over), Final: wire.JobDone, Done: 2}}}},
 		},
 	))
 }
--- a/internal/spill/home.go
+++ b/internal/spill/home.go
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
-	"sableusher/internal/cell"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/federation"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -21,10 +21,10 @@
 // words lead to.
 
 // home is a job as the machine sees it.
-func home(j *clusterstate.Job) cell.Home {
-	h := cell.Home{Cancelled: j.Cancelled()}
+func home(j *clusterstate.Job) federation.Home {
+	h := federation.Home{Cancelled: j.Cancelled()}
 	if j.OffloadedTo != nil {
-		h.State, h.Number, h.Recalled = cell.Away, j.OffloadedTo.Number, j.OffloadedTo.Recalled
+		h.State, h.Number, h.Recalled = federation.Away, j.OffloadedTo.Number, j.OffloadedTo.Recalled
 	}
 	return h
 }
@@ -39,7 +39,7 @@
 	s.mu.Unlock()
 	s.world.RLock()
 	rec := s.record(c.Name)
-	line := cell.Line{Own: s.op.CellEpoch, Other: rec.PeerEpoch}
+	line := federation.Line{Own: s.op.CellEpoch, Other: rec.PeerEpoch}
 	m := Message{Cell: s.op.CellName, From: line.Own, To: line.Other, Draining: s.op.CellDrain, Have: have, Want: !s.settled(rec)}
 	if s.settled(rec) {
 		jobs := s.away(c.Name)
@@ -97,8 +97,8 @@
 
 // take takes an answer in: words first, so that a record that says settled follows what it rests
 // on.
-func (s *Spill) take(ctx context.Context, name string, line cell.Line, m Message, sent []uint64) error {
-	line, counts := line.Takes(cell.Envelope{From: m.From, To: m.To})
+func (s *Spill) take(ctx context.Context, name string, line federation.Line, m Message, sent []uint64) error {
+	line, counts := line.Takes(federation.Envelope{From: m.From, To: m.To})
 	s.world.RLock()
 	counts = counts && m.From > s.record(name).FencedEpoch
 	s.world.RUnlock()
@@ -115,7 +115,7 @@
 	done := counts
 	if counts {
 		for _, w := range m.Words {
-			if cell.Status(w.Status) == cell.Held {
+			if federation.Status(w.Status) == federation.Held {
 				s.mu.Lock()
 				h.held[w.Number] = true
 				s.mu.Unlock()
@@ -136,7 +136,7 @@
 }
 
 // stand brings the record of another cell up to date.
-func (s *Spill) stand(ctx context.Context, name string, line cell.Line, settled bool, list *Inventory) error {
+func (s *Spill) stand(ctx context.Context, name string, line federation.Line, settled bool, list *Inventory) error {
 	s.mu.Lock()
 	h := *s.heard[name]
 	s.mu.Unlock()
@@ -148,11 +148,11 @@
 		return ErrNotLeader
 	}
 	next := s.under(rec)
-	m := member(name, next).Step(time.Now(), cell.Heard{Named: true, At: h.at, Epoch: h.epoch, Draining: h.draining, Settled: settled})
-	if m.Standing != cell.Standing(rec.Standing) {
-		s.log.Info("cell changes", "cell", name, "standing", m.Standing, "before", cell.Standing(rec.Standing), "epoch", m.Epoch, "waits for", m.Waits(time.Now()))
+	m := member(name, next).Step(time.Now(), federation.Heard{Named: true, At: h.at, Epoch: h.epoch, Draining: h.draining, Settled: settled})
+	if m.Standing != federation.Standing(rec.Standing) {
+		s.log.Info("cell changes", "cell", name, "standing", m.Standing, "before", federation.Standing(rec.Standing), "epoch", m.Epoch, "waits for", m.Waits(time.Now()))
 		next.StandingSinceMs = m.Since.UnixMilli()
-		for _, s := range cell.Standings {
+		for _, s := range federation.Standings {
 			standing.WithLabelValues(name, s.String()).Set(map[bool]float64{true: 1}[s == m.Standing])
 		}
 	}
@@ -176,7 +176,7 @@
 	if j == nil {
 		s.world.RUnlock()
 		// It is ended or here again; a cell that does not know yet what is away says nothing.
-		if cell.Status(w.Status) == cell.Over && s.settled(rec) {
+		if federation.Status(w.Status) == federation.Over && s.settled(rec) {
 			s.mu.Lock()
 			if h := s.heard[name]; !slices.Contains(h.have, w.Number) && len(h.have) < tuning.CellAsks {
 				h.have = append(h.have, w.Number)
@@ -185,17 +185,17 @@
 		}
 		return nil
 	}
-	result := cell.Done
+	result := federation.Done
 	if w.Final != wire.JobDone {
-		result = cell.Cancelled
+		result = federation.Cancelled
 	}
-	after := home(j).Hear(cell.Word{Number: w.Number, Status: cell.Status(w.Status), Result: result})
+	after := home(j).Hear(federation.Word{Number: w.Number, Status: federation.Status(w.Status), Result: result})
 	var ops []wire.Op
 	switch {
-	case after.State == cell.Here:
+	case after.State == federation.Here:
 		g, op := rewrite(j, func(r *clusterstate.JobRecord) { r.OffloadedTo = nil })
 		guards, ops = append(guards, g), append(ops, op)
-	case after.State == cell.Ended:
+	case after.State == federation.Ended:
 		status, done := w.Final, w.Done
 		if status == "" {
 			status = j.CancelledStatus() // refused or sent home after its user had cancelled it
@@ -211,7 +211,7 @@
 	if err := s.do(ctx, guards, ops); err != nil {
 		return err
 	}
-	if after.State == cell.Here {
+	if after.State == federation.Here {
 		s.log.Info("job comes back", "job", j.Spec.ID, "from", name, "number", w.Number)
 	} else {
 		s.log.Info("job ended in another cell", "job", j.Spec.ID, "cell", name, "number", w.Number, "status", w.Final)
@@ -299,8 +299,8 @@
 }
 
 // member is a cell's record as the machine of members sees it.
-func member(name string, rec clusterstate.CellRecord) cell.Member {
-	return cell.Member{Name: name, Epoch: rec.PeerEpoch, Standing: cell.Standing(rec.Standing), Since: time.UnixMilli(rec.StandingSinceMs), Returns: rec.Returns,
+func member(name string, rec clusterstate.CellRecord) federation.Member {
+	return federation.Member{Name: name, Epoch: rec.PeerEpoch, Standing: federation.Standing(rec.Standing), Since: time.UnixMilli(rec.StandingSinceMs), Returns: rec.Returns,
 		Settled: rec.InventoryReceived, Fenced: rec.FencedEpoch}
 }
 
@@ -308,14 +308,14 @@
 func (s *Spill) offer(ctx context.Context) error {
 	now := time.Now()
 	s.world.RLock()
-	var list []cell.Candidate
+	var list []federation.Candidate
 	flight := map[string]int{}
 	for _, c := range s.op.Cells {
 		rec := s.record(c.Name)
 		s.mu.Lock()
 		h := s.heard[c.Name]
-		if s.settled(rec) && cell.Standing(rec.Standing) == cell.Joined {
-			list = append(list, cell.Candidate{Name: c.Name, Digest: h.digest, TransferS: c.TransferS})
+		if s.settled(rec) && federation.Standing(rec.Standing) == federation.Joined {
+			list = append(list, federation.Candidate{Name: c.Name, Digest: h.digest, TransferS: c.TransferS})
 		}
 		s.mu.Unlock()
 	}
@@ -326,7 +326,7 @@
 	for _, j := range s.world.Jobs {
 		// What was given since the digest came is on its way.
 		if j.HasRecord && j.OffloadedTo != nil {
-			if i := slices.IndexFunc(list, func(c cell.Candidate) bool { return c.Name == j.OffloadedTo.Cell }); i >= 0 && time.UnixMilli(j.OffloadedAtMs).After(list[i].Digest.At.Add(-tuning.CellExchange)) {
+			if i := slices.IndexFunc(list, func(c federation.Candidate) bool { return c.Name == j.OffloadedTo.Cell }); i >= 0 && time.UnixMilli(j.OffloadedAtMs).After(list[i].Digest.At.Add(-tuning.CellExchange)) {
 				flight[j.OffloadedTo.Cell] += j.Spec.TaskCount
 			}
 		}
@@ -349,9 +349,9 @@
 		for i := range list {
 			list[i].Flight = flight[list[i].Name]
 		}
-		w := cell.Work{ID: id, Need: clusterstate.TaskResources(&j.Spec), Tasks: j.Spec.TaskCount, OneZone: j.Spec.SameZone, Types: j.Spec.MachineTypes,
+		w := federation.Work{ID: id, Need: clusterstate.TaskResources(&j.Spec), Tasks: j.Spec.TaskCount, OneZone: j.Spec.SameZone, Types: j.Spec.MachineTypes,
 			Spot: j.Spec.AllowSpot, Rank: rank, Image: j.Spec.Image, ImageGB: j.Spec.ImageSizeGB, HereS: max(wait[rank], now.Sub(j.ReadySince()).Seconds()), Guest: j.OffloadedFrom != nil}
-		if to, ok := cell.Choose(now, &w, list, rand.New(rand.NewPCG(rand.Uint64(), 1))); ok {
+		if to, ok := federation.Choose(now, &w, list, rand.New(rand.NewPCG(rand.Uint64(), 1))); ok {
 			gifts = append(gifts, gift{j, to})
 			flight[to] += j.Spec.TaskCount
 		}
--- a/internal/spill/host.go
+++ b/internal/spill/host.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"sableusher/internal/admission"
-	"sableusher/internal/cell"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/federation"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -40,7 +40,7 @@
 	if !leads || !on {
 		return Message{}, ErrNotLeader
 	}
-	line, counts := cell.Line{Own: s.op.CellEpoch, Other: rec.PeerEpoch}.Takes(cell.Envelope{From: m.From, To: m.To})
+	line, counts := federation.Line{Own: s.op.CellEpoch, Other: rec.PeerEpoch}.Takes(federation.Envelope{From: m.From, To: m.To})
 	if line.Other != rec.PeerEpoch {
 		// Known before anything is said under it: a late message of an epoch before counts
 		// no more.
@@ -78,7 +78,7 @@
 	var ops []wire.Op
 	kept := guests.Clean(s.op.CellEpoch)
 	for n, j := range jobs {
-		if kept.Word(n).Status == cell.Absent && j.BoundCount == 0 && len(ops) < s.commit.MaxTransactionOps() {
+		if kept.Word(n).Status == federation.Absent && j.BoundCount == 0 && len(ops) < s.commit.MaxTransactionOps() {
 			guards = append(guards, wire.Condition{Key: clusterstate.JobKey(j.Spec.ID), ModRevision: j.ModRevision})
 			ops = append(ops, kvstore.DeleteOp(clusterstate.JobKey(j.Spec.ID)))
 		}
@@ -117,11 +117,11 @@
 		spec := a.Spec
 		fits := j == nil && room >= spec.TaskCount && s.takes(&spec)
 		before := guests.Word(a.Number)
-		after, word := guests.Hear(cell.Ask{Number: a.Number, Cancelled: a.Cancelled, Recalled: a.Recalled}, s.op.CellEpoch, fits)
+		after, word := guests.Hear(federation.Ask{Number: a.Number, Cancelled: a.Cancelled, Recalled: a.Recalled}, s.op.CellEpoch, fits)
 		guests = after
 		next.LastReceivedTransfer = max(next.LastReceivedTransfer, guests.High)
 		switch {
-		case j == nil && word.Status == cell.Held && before.Status == cell.Absent:
+		case j == nil && word.Status == federation.Held && before.Status == federation.Absent:
 			rec := clusterstate.JobRecord{Spec: spec, SubmittedAtMs: a.AtMs, OffloadedFrom: &clusterstate.Transfer{Cell: m.Cell, Number: a.Number, Epoch: s.op.CellEpoch}}
 			if rec.ChooseLayout(s.world.SchemaVersion, s.world.SizeLimits(s.commit.UpcomingMaxRecordBytes())) != "" {
 				guests, _ = guests.Release(a.Number, 0)
@@ -206,7 +206,7 @@
 		}
 	}
 	for _, g := range guests.List {
-		if g.Status == cell.Over && !said[g.Number] && len(reply.Words) < 2*tuning.CellAsks {
+		if g.Status == federation.Over && !said[g.Number] && len(reply.Words) < 2*tuning.CellAsks {
 			reply.Words = append(reply.Words, word(g.Number))
 		}
 	}
@@ -239,7 +239,7 @@
 }
 
 // digest tells what this cell has free. Callers hold the world's lock.
-func (s *Spill) digest() *cell.Digest {
+func (s *Spill) digest() *federation.Digest {
 	type like struct {
 		typ, zone string
 		spot      bool
@@ -269,14 +269,14 @@
 			count[like{m.Type, m.Zone, m.Spot, free}]++
 		}
 	}
-	d := &cell.Digest{FetchS: fetch, BootS: boot, Guests: s.room()}
+	d := &federation.Digest{FetchS: fetch, BootS: boot, Guests: s.room()}
 	for l, n := range count {
-		d.Rooms = append(d.Rooms, cell.Room{Type: l.typ, Zone: l.zone, Spot: l.spot, Free: l.free, Count: n})
+		d.Rooms = append(d.Rooms, federation.Room{Type: l.typ, Zone: l.zone, Spot: l.spot, Free: l.free, Count: n})
 	}
-	slices.SortFunc(d.Rooms, func(a, b cell.Room) int {
+	slices.SortFunc(d.Rooms, func(a, b federation.Room) int {
 		return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Free.GPUs, b.Free.GPUs), cmp.Compare(a.Free.CPUs, b.Free.CPUs), cmp.Compare(a.Free.MemoryGB, b.Free.MemoryGB))
 	})
-	d.Rooms = cell.Shrink(d.Rooms)
+	d.Rooms = federation.Shrink(d.Rooms)
 	for _, image := range slices.Sorted(maps.Keys(images)) {
 		if images[image]*tuning.DigestHeld >= up && len(d.Images) < tuning.DigestShapes {
 			d.Images = append(d.Images, image)
--- a/internal/spill/message.go
+++ b/internal/spill/message.go
@@ -1,7 +1,7 @@
 package spill
 
 import (
-	"sableusher/internal/cell"
+	"sableusher/internal/federation"
 	"sableusher/internal/wire"
 )
 
@@ -19,9 +19,9 @@
 	Have []uint64 `cbor:"h,omitempty"`
 	Want bool     `cbor:"w,omitempty"`
 	// Of an answer.
-	Words  []Word       `cbor:"o,omitempty"`
-	List   *Inventory   `cbor:"l,omitempty"`
-	Digest *cell.Digest `cbor:"g,omitempty"`
+	Words  []Word             `cbor:"o,omitempty"`
+	List   *Inventory         `cbor:"l,omitempty"`
+	Digest *federation.Digest `cbor:"g,omitempty"`
 }
 
 // Ask is a question about one transfer; the first ones offer the job.
--- a/internal/spill/spill.go
+++ b/internal/spill/spill.go
@@ -20,9 +20,9 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 	"golang.org/x/sync/errgroup"
 
-	"sableusher/internal/cell"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/federation"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -72,7 +72,7 @@
 	at       time.Time
 	epoch    uint64
 	draining bool
-	digest   cell.Digest
+	digest   federation.Digest
 	have     []uint64        // its transfers whose end is known here
 	held     map[uint64]bool // transfers that it is known to hold
 	turn     int             // where the asks about those of the next message begin
@@ -117,7 +117,7 @@
 				err := s.exchange(ctx, c)
 				if err != nil {
 					// What is silent is doubted, and then lost, by time alone.
-					err = errors.Join(err, s.stand(ctx, c.Name, cell.Line{}, false, nil))
+					err = errors.Join(err, s.stand(ctx, c.Name, federation.Line{}, false, nil))
 					s.log.Debug("cell not spoken with", "cell", c.Name, "err", err)
 				}
 				return nil
@@ -174,20 +174,20 @@
 
 // guests gives what is held of a cell's, for the machine to decide by. Callers hold the world's
 // lock.
-func (s *Spill) guests(name string) (cell.Guests, map[uint64]*clusterstate.Job) {
-	g, jobs := cell.Guests{High: s.record(name).LastReceivedTransfer}, map[uint64]*clusterstate.Job{}
+func (s *Spill) guests(name string) (federation.Guests, map[uint64]*clusterstate.Job) {
+	g, jobs := federation.Guests{High: s.record(name).LastReceivedTransfer}, map[uint64]*clusterstate.Job{}
 	for _, j := range s.world.Jobs {
 		if j.HasRecord && j.OffloadedFrom != nil && j.OffloadedFrom.Cell == name {
 			jobs[j.OffloadedFrom.Number] = j
-			g.List = append(g.List, cell.Guest{Number: j.OffloadedFrom.Number, Epoch: j.OffloadedFrom.Epoch, Status: cell.Held, Cancelled: j.Cancelled(), Recalled: j.OffloadedFrom.Recalled})
+			g.List = append(g.List, federation.Guest{Number: j.OffloadedFrom.Number, Epoch: j.OffloadedFrom.Epoch, Status: federation.Held, Cancelled: j.Cancelled(), Recalled: j.OffloadedFrom.Recalled})
 		}
 	}
 	if c := s.world.Cells[name]; c != nil {
 		for n := range c.GuestOutcomes {
-			g.List = append(g.List, cell.Guest{Number: n, Status: cell.Over})
+			g.List = append(g.List, federation.Guest{Number: n, Status: federation.Over})
 		}
 	}
-	slices.SortFunc(g.List, func(a, b cell.Guest) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(g.List, func(a, b federation.Guest) int { return cmp.Compare(a.Number, b.Number) })
 	return g, jobs
 }
 
