--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -11,7 +11,7 @@
 
 	"sableusher/internal/federation"
 	"sableusher/internal/graph"
-	"sableusher/internal/spill"
+	"sableusher/internal/offload"
 	"sableusher/internal/wire"
 )
 
@@ -188,15 +188,15 @@
 // TestCellMessages: messages between cells keep their bytes.
 func TestCellMessages(t *testing.T) {
 	checkCBOR(t, "cells.txt", slices.Concat(
-		filled[spill.Message](t, "message"),
-		filled[spill.Ask](t, "question"),
-		filled[spill.Word](t, "answer"),
-		filled[spill.Inventory](t, "inventory"),
+		filled[offload.Message](t, "message"),
+		filled[offload.Ask](t, "question"),
+		filled[offload.Word](t, "answer"),
+		filled[offload.Inventory](t, "inventory"),
 		filled[federation.Digest](t, "digest"),
 		filled[federation.Room](t, "free-machines"),
 		[]message{
-			{"message/question", spill.Message{Cell: "a", From: 1, To: 2, Asks: []spill.Ask{{Number: 4, AtMs: 1_700_000_000_000, Spec: arraySpec(2)}}, Have: []uint64{3}}},
-			{"message/answer", spill.Message{Cell: "b", From: 2, To: 1, Words: []spill.Word{{Number: 3, Status: int(federation.Over), Final: wire.JobDone, Done: 2}}}},
+			{"message/question", offload.Message{Cell: "a", From: 1, To: 2, Asks: []offload.Ask{{Number: 4, AtMs: 1_700_000_000_000, Spec: arraySpec(2)}}, Have: []uint64{3}}},
+			{"message/answer", offload.Message{Cell: "b", From: 2, To: 1, Words: []offload.Word{{Number: 3, Status: int(federation.Over), Final: wire.JobDone, Done: 2}}}},
 		},
 	))
 }
--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -17,9 +17,9 @@
 	"sableusher/internal/dependency"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/membership"
+	"sableusher/internal/offload"
 	"sableusher/internal/peerrpc"
 	"sableusher/internal/scheduler"
-	"sableusher/internal/spill"
 	"sableusher/internal/tuning"
 	"sableusher/internal/upgrade"
 	"sableusher/internal/wire"
@@ -37,7 +37,7 @@
 	// LastAnswered tells when a node last answered this one.
 	LastAnswered(node string) time.Time
 	Run(ctx context.Context) error
-	spill.Line
+	offload.Line
 	// SetCellHandler sets what answers other cells.
 	SetCellHandler(a peerrpc.CellHandler)
 }
@@ -69,7 +69,7 @@
 	scaler := autoscaler.New(settings, operator, state, members, engine, cloud, committer, logger)
 	dependencies := dependency.NewResolver(state, client, logger)
 	versions := upgrade.NewActivator(settings, schemaVersion, state, members, committer, client, logger)
-	offloads := spill.New(operator, deployment.Teams, state, members, committer, peers, logger)
+	offloads := offload.New(operator, deployment.Teams, state, members, committer, peers, logger)
 	if len(operator.Cells) > 0 {
 		peers.SetCellHandler(offloads.Answer)
 	}
--- a/internal/spill/host.go
+++ b/internal/offload/host.go
@@ -1,4 +1,4 @@
-package spill
+package offload
 
 import (
 	"cmp"
--- a/internal/spill/spill.go
+++ b/internal/offload/spill.go
@@ -1,11 +1,11 @@
-// Package spill exchanges work with other cells: it offers what waits to them, takes what they
+// Package offload exchanges work with other cells: it offers what waits to them, takes what they
 // offer, and tells each what became of its own.
 //
 // It acts on what package cell decides. All of it is the leader's duty; every change is guarded
 // by the leader's record, by the record of the other cell and by the job's own, so that a
 // deposed leader changes nothing (safety invariants 11, 12 and 17). Nothing is sent before what it
 // says is durable. Where the operators name no cells nothing of this runs.
-package spill
+package offload
 
 import (
 	"cmp"
--- a/internal/peerrpc/transport.go
+++ b/internal/peerrpc/transport.go
@@ -19,8 +19,8 @@
 	"google.golang.org/grpc/status"
 
 	"sableusher/internal/config"
+	"sableusher/internal/offload"
 	"sableusher/internal/peerrpc/peerpb"
-	"sableusher/internal/spill"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -33,7 +33,7 @@
 }
 
 // CellHandler answers another cell's message with one of this cell's.
-type CellHandler func(ctx context.Context, m spill.Message) (spill.Message, error)
+type CellHandler func(ctx context.Context, m offload.Message) (offload.Message, error)
 
 // server answers other nodes, and other cells.
 type server struct {
@@ -48,7 +48,7 @@
 	if handler == nil {
 		return nil, status.Error(codes.Unavailable, "no cells are named here")
 	}
-	var message spill.Message
+	var message offload.Message
 	if err := wire.Decode(request.GetBody(), &message); err != nil {
 		return nil, status.Errorf(codes.InvalidArgument, "unreadable: %v", err)
 	}
@@ -123,10 +123,10 @@
 }
 
 // Exchange asks another cell's leader: the node that answered last first, then the others.
-func (t *Transport) Exchange(ctx context.Context, cell config.Cell, message spill.Message) (spill.Message, error) {
+func (t *Transport) Exchange(ctx context.Context, cell config.Cell, message offload.Message) (offload.Message, error) {
 	body, err := wire.Encode(message)
 	if err != nil {
-		return spill.Message{}, err
+		return offload.Message{}, err
 	}
 	t.mu.Lock()
 	last := t.lastAnsweringNode[cell.Name]
@@ -144,7 +144,7 @@
 		}
 		errs = append(errs, fmt.Errorf("%s: %w", node, err))
 	}
-	return spill.Message{}, errors.Join(errs...)
+	return offload.Message{}, errors.Join(errs...)
 }
 
 // preferenceRank puts a node behind the one that answered last.
@@ -155,7 +155,7 @@
 	return 1
 }
 
-func (t *Transport) exchangeWith(ctx context.Context, node string, request *peerpb.CellMessage) (spill.Message, error) {
+func (t *Transport) exchangeWith(ctx context.Context, node string, request *peerpb.CellMessage) (offload.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, t.callTimeout)
 	defer cancel()
 	t.mu.Lock()
@@ -164,7 +164,7 @@
 		var err error
 		if connection, err = dial(node); err != nil {
 			t.mu.Unlock()
-			return spill.Message{}, err
+			return offload.Message{}, err
 		}
 		t.cellConnections[node] = connection
 		t.connections = append(t.connections, connection)
@@ -172,9 +172,9 @@
 	t.mu.Unlock()
 	reply, err := peerpb.NewCellsClient(connection).Exchange(ctx, request)
 	if err != nil {
-		return spill.Message{}, err
+		return offload.Message{}, err
 	}
-	var message spill.Message
+	var message offload.Message
 	return message, wire.Decode(reply.GetBody(), &message)
 }
 
--- a/internal/peerrpc/transport_test.go
+++ b/internal/peerrpc/transport_test.go
@@ -13,8 +13,8 @@
 	"google.golang.org/grpc"
 
 	"sableusher/internal/config"
+	"sableusher/internal/offload"
 	"sableusher/internal/peerrpc/peerpb"
-	"sableusher/internal/spill"
 	"sableusher/internal/wire"
 )
 
@@ -77,12 +77,12 @@
 // cells; the leader's answer comes through whole, and it is asked first the next time.
 func TestExchangeFindsTheCellLeader(t *testing.T) {
 	asked := 0
-	other := func(context.Context, spill.Message) (spill.Message, error) {
+	other := func(context.Context, offload.Message) (offload.Message, error) {
 		asked++
-		return spill.Message{}, spill.ErrNotLeader
+		return offload.Message{}, offload.ErrNotLeader
 	}
-	leader := func(_ context.Context, m spill.Message) (spill.Message, error) {
-		return spill.Message{Cell: "b", From: 3, To: m.From, Words: []spill.Word{{Number: m.Asks[0].Number, Status: 2, Final: "done", Done: 4}}}, nil
+	leader := func(_ context.Context, m offload.Message) (offload.Message, error) {
+		return offload.Message{Cell: "b", From: 3, To: m.From, Words: []offload.Word{{Number: m.Asks[0].Number, Status: 2, Final: "done", Done: 4}}}, nil
 	}
 	nodes := []string{"127.0.0.1:1", serve(t, &server{cellHandler: func() CellHandler { return nil }}), serve(t, &server{cellHandler: func() CellHandler { return other }}),
 		serve(t, &server{cellHandler: func() CellHandler { return leader }})}
@@ -93,7 +93,7 @@
 	p.callTimeout = time.Minute
 	to := config.Cell{Name: "b", Nodes: strings.Join(nodes, " ")}
 	for range 2 {
-		m, err := p.Exchange(context.Background(), to, spill.Message{Cell: "a", From: 2, To: 3, Asks: []spill.Ask{{Number: 7, Spec: wire.JobSpec{ID: "run-1", TaskCount: 4}}}})
+		m, err := p.Exchange(context.Background(), to, offload.Message{Cell: "a", From: 2, To: 3, Asks: []offload.Ask{{Number: 7, Spec: wire.JobSpec{ID: "run-1", TaskCount: 4}}}})
 		if err != nil || m.Cell != "b" || m.From != 3 || m.To != 2 || len(m.Words) != 1 || m.Words[0].Number != 7 || m.Words[0].Done != 4 {
 			t.Fatalf("%+v, %v", m, err)
 		}
@@ -101,7 +101,7 @@
 	if asked != 1 {
 		t.Errorf("a node that does not lead was asked %d times", asked)
 	}
-	if _, err := p.Exchange(context.Background(), config.Cell{Name: "c", Nodes: nodes[0]}, spill.Message{}); err == nil {
+	if _, err := p.Exchange(context.Background(), config.Cell{Name: "c", Nodes: nodes[0]}, offload.Message{}); err == nil {
 		t.Error("a cell without a node answers")
 	}
 }
--- a/internal/standin/federation.go
+++ b/internal/standin/federation.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"sableusher/internal/config"
-	"sableusher/internal/spill"
+	"sableusher/internal/offload"
 	"sableusher/internal/wire"
 )
 
@@ -94,12 +94,12 @@
 
 // exchange carries a message to another cell's controllers, one after the other, and the answer
 // back. One in ten arrives a second time, later.
-func (f *Federation) exchange(ctx context.Context, to string, m spill.Message) (spill.Message, error) {
+func (f *Federation) exchange(ctx context.Context, to string, m offload.Message) (offload.Message, error) {
 	body := wire.MustEncode(m)
-	deliver := func(ctx context.Context) (spill.Message, error) {
-		var q spill.Message
+	deliver := func(ctx context.Context) (offload.Message, error) {
+		var q offload.Message
 		if err := wire.Decode(body, &q); err != nil {
-			return spill.Message{}, err
+			return offload.Message{}, err
 		}
 		r := f.Regions[to]
 		var errs []error
@@ -115,7 +115,7 @@
 				err = errConnectionReset
 			}
 			if err == nil {
-				var out spill.Message
+				var out offload.Message
 				b := wire.MustEncode(reply)
 				f.mu.Lock()
 				f.MessagesSent++
@@ -125,7 +125,7 @@
 			}
 			errs = append(errs, err)
 		}
-		return spill.Message{}, fmt.Errorf("cell %s: %w", to, errors.Join(append(errs, errConnectionReset)...))
+		return offload.Message{}, fmt.Errorf("cell %s: %w", to, errors.Join(append(errs, errConnectionReset)...))
 	}
 	f.mu.Lock()
 	delay, duplicate := time.Duration(5+f.random.IntN(40))*time.Millisecond, f.random.IntN(10) == 0
@@ -145,12 +145,12 @@
 	}
 	if cut && !l.AnswersOnly {
 		<-ctx.Done()
-		return spill.Message{}, ctx.Err()
+		return offload.Message{}, ctx.Err()
 	}
 	reply, err := deliver(ctx)
 	if _, back := f.activeLinkFault(to, m.Cell); back || cut {
 		<-ctx.Done()
-		return spill.Message{}, ctx.Err()
+		return offload.Message{}, ctx.Err()
 	}
 	return reply, err
 }
--- a/internal/standin/region.go
+++ b/internal/standin/region.go
@@ -18,8 +18,8 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/node"
+	"sableusher/internal/offload"
 	"sableusher/internal/peerrpc"
-	"sableusher/internal/spill"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -50,9 +50,9 @@
 }
 
 // Exchange asks another cell, over the links between them.
-func (p fakePeers) Exchange(ctx context.Context, to config.Cell, m spill.Message) (spill.Message, error) {
+func (p fakePeers) Exchange(ctx context.Context, to config.Cell, m offload.Message) (offload.Message, error) {
 	if p.region.Federation == nil {
-		return spill.Message{}, errConnectionReset
+		return offload.Message{}, errConnectionReset
 	}
 	return p.region.Federation.exchange(ctx, to.Name, m)
 }
