--- a/internal/node/controller.go
+++ b/internal/node/controller.go
@@ -20,8 +20,8 @@
 	"sableusher/internal/offload"
 	"sableusher/internal/peerrpc"
 	"sableusher/internal/scheduler"
+	"sableusher/internal/schemaversion"
 	"sableusher/internal/tuning"
-	"sableusher/internal/upgrade"
 	"sableusher/internal/wire"
 )
 
@@ -68,7 +68,7 @@
 	cloud := autoscaler.NewClient(settings.Outside.Cloud, deployment.Cloud.RPS, deployment.Size, transport)
 	scaler := autoscaler.New(settings, operator, state, members, engine, cloud, committer, logger)
 	dependencies := dependency.NewResolver(state, client, logger)
-	versions := upgrade.NewActivator(settings, schemaVersion, state, members, committer, client, logger)
+	versions := schemaversion.NewActivator(settings, schemaVersion, state, members, committer, client, logger)
 	offloads := offload.New(operator, deployment.Teams, state, members, committer, peers, logger)
 	if len(operator.Cells) > 0 {
 		peers.SetCellHandler(offloads.Answer)
--- a/internal/upgrade/activator.go
+++ b/internal/schemaversion/activator.go
@@ -1,8 +1,8 @@
-// Package upgrade brings in new forms of records. Each process tells with its
+// Package schemaversion brings in new forms of records. Each process tells with its
 // session which forms it reads; once all nodes of the deployment are there with
 // processes that read a form, the leader writes so, and from then on it is written.
 // Nobody takes that back.
-package upgrade
+package schemaversion
 
 import (
 	"context"
--- a/internal/upgrade/main_test.go
+++ b/internal/schemaversion/main_test.go
@@ -1,4 +1,4 @@
-package upgrade
+package schemaversion
 
 import (
 	"testing"
