--- a/internal/standin/cpuregion_test.go
+++ b/internal/simulation/cpuregion_test.go
@@ -1,4 +1,4 @@
-package standin
+package simulation
 
 import (
 	"context"
--- a/internal/standin/fakenetwork.go
+++ b/internal/simulation/fakenetwork.go
@@ -1,7 +1,7 @@
-// Package standin holds stand-ins for what surrounds the controllers: network,
+// Package simulation holds stand-ins for what surrounds the controllers: network,
 // state service, cloud, workers and users, with an oracle that checks every
 // rule of the protocol. It serves tests only.
-package standin
+package simulation
 
 import (
 	"bytes"
