--- a/internal/evacuation/plan_test.go
+++ b/internal/evacuation/plan_test.go
@@ -8,10 +8,10 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/seeded"
+	"sableusher/internal/testrand"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testrand.Main(m) }
 
 // drawLostMachines draws machines with what they hold; a job's kind, rank and replicas go by its number.
 func drawLostMachines(t *rapid.T) []Machine {
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 
 	"sableusher/internal/evacuation"
-	"sableusher/internal/seeded"
+	"sableusher/internal/testrand"
 	"sableusher/internal/zonehealth"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testrand.Main(m) }
 
 var (
 	testTiming = Timing{HeartbeatInterval: 6 * time.Second, LeaseDuration: 31 * time.Second}
--- a/internal/fairshare/tracker_test.go
+++ b/internal/fairshare/tracker_test.go
@@ -7,11 +7,11 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/seeded"
+	"sableusher/internal/testrand"
 	"sableusher/internal/tuning"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testrand.Main(m) }
 
 var start = time.Unix(1_800_000_000, 0)
 
--- a/internal/federation/handover_test.go
+++ b/internal/federation/handover_test.go
@@ -7,10 +7,10 @@
 	"slices"
 	"testing"
 
-	"sableusher/internal/seeded"
+	"sableusher/internal/testrand"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testrand.Main(m) }
 
 const tasks = 1
 
--- a/internal/graph/main_test.go
+++ b/internal/graph/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"sableusher/internal/seeded"
+	"sableusher/internal/testrand"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testrand.Main(m) }
--- a/internal/jobqueue/queue_test.go
+++ b/internal/jobqueue/queue_test.go
@@ -9,10 +9,10 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/seeded"
+	"sableusher/internal/testrand"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testrand.Main(m) }
 
 // TestLineFollowsSorting: after any history of arrivals, changes and departures the
 // line is what sorting its jobs anew would give.
--- a/internal/knownred/knownfailures_test.go
+++ b/internal/knownred/knownfailures_test.go
@@ -8,11 +8,11 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/seeded"
+	"sableusher/internal/testrand"
 	"sableusher/internal/tuning"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testrand.Main(m) }
 
 // TestLists draws lists with at most one fault each: every fault is an error, every list without
 // one passes over its tests and no others.
--- a/internal/regress/regress_test.go
+++ b/internal/regress/regress_test.go
@@ -13,11 +13,11 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/seeded"
+	"sableusher/internal/testrand"
 	"sableusher/internal/tuning"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testrand.Main(m) }
 
 // recordedEntries reads entries as the bench wrote them.
 func recordedEntries(t *testing.T) []Entry {
--- a/internal/seeded/testrand.go
+++ b/internal/testrand/testrand.go
@@ -1,6 +1,6 @@
-// Package seeded runs a package's tests with seeded generators, so that every run
+// Package testrand runs a package's tests with seeded generators, so that every run
 // gives the same verdict; a seed on the command line replaces it. It serves tests only.
-package seeded
+package testrand
 
 import (
 	"flag"
--- a/internal/zonehealth/tracker_test.go
+++ b/internal/zonehealth/tracker_test.go
@@ -7,11 +7,11 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/seeded"
+	"sableusher/internal/testrand"
 	"sableusher/internal/tuning"
 )
 
-func TestMain(m *testing.M) { seeded.Main(m) }
+func TestMain(m *testing.M) { testrand.Main(m) }
 
 // transitions is the table of the package's page.
 var transitions = map[State][]State{
