--- a/cmd/knownred/main.go
+++ b/cmd/knownred/main.go
@@ -16,7 +16,7 @@
 
 	"github.com/spf13/cobra"
 
-	"sableusher/internal/knownred"
+	"sableusher/internal/knownfailures"
 )
 
 // listError is a fault of the list; all others are wrong use.
@@ -28,7 +28,7 @@
 	file := ""
 	root := &cobra.Command{Use: "knownred", Short: "Pass over the tests that are known to fail, and run them apart.", SilenceUsage: true, SilenceErrors: true}
 	root.PersistentFlags().StringVar(&file, "list", "KNOWN-RED.txt", "the list; one that is not there is an empty one")
-	listed := func(cmd *cobra.Command) ([]knownred.Test, error) {
+	listed := func(cmd *cobra.Command) ([]knownfailures.Test, error) {
 		tests, err := read(cmd.Context(), file)
 		if err != nil {
 			return nil, listError{fmt.Errorf("%s: %w", file, err)}
@@ -39,7 +39,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			tests, err := listed(cmd)
 			if err == nil {
-				_, err = fmt.Fprintln(cmd.OutOrStdout(), knownred.SkipPattern(tests))
+				_, err = fmt.Fprintln(cmd.OutOrStdout(), knownfailures.SkipPattern(tests))
 			}
 			return err
 		}})
@@ -67,7 +67,7 @@
 }
 
 // read reads the list and holds it against the tests of this module.
-func read(ctx context.Context, file string) ([]knownred.Test, error) {
+func read(ctx context.Context, file string) ([]knownfailures.Test, error) {
 	f, err := os.Open(file)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	defer f.Close()
-	tests, err := knownred.Read(f)
+	tests, err := knownfailures.Read(f)
 	if err != nil || len(tests) == 0 {
 		return nil, err
 	}
@@ -97,5 +97,5 @@
 		}
 		there[name] = strings.Fields(string(out))
 	}
-	return tests, knownred.CheckExist(tests, there)
+	return tests, knownfailures.CheckExist(tests, there)
 }
--- a/internal/knownred/knownfailures.go
+++ b/internal/knownfailures/knownfailures.go
@@ -1,7 +1,7 @@
-// Package knownred reads the list of tests that are known to fail for a fault that is not
+// Package knownfailures reads the list of tests that are known to fail for a fault that is not
 // mended yet. CI passes over just these, runs them apart and prints what came of them. Whatever is
 // wrong with the list fails CI: a test that nobody runs must not hide behind a slip of the pen.
-package knownred
+package knownfailures
 
 import (
 	"bufio"
--- a/internal/knownred/knownfailures_test.go
+++ b/internal/knownfailures/knownfailures_test.go
@@ -1,4 +1,4 @@
-package knownred
+package knownfailures
 
 import (
 	"fmt"
