--- a/cmd/sableusher/serve.go
+++ b/cmd/sableusher/serve.go
@@ -19,7 +19,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"sableusher/internal/config"
-	"sableusher/internal/node"
+	"sableusher/internal/controller"
 	"sableusher/internal/peerrpc"
 	"sableusher/internal/tuning"
 )
@@ -45,8 +45,8 @@
 	debug.SetGCPercent(tuning.GCPercent)
 	debug.SetMemoryLimit(int64(d.Limits.MemMB * tuning.MemoryShare * (1 << 20)))
 
-	controller, err := node.New(set, op, rand.Uint64N(1<<52)+1, tuning.Level, nil,
-		func(w peerrpc.AgentRegistry) (node.PeerTransport, error) { return peerrpc.New(set, w, log) }, log)
+	controller, err := controller.New(set, op, rand.Uint64N(1<<52)+1, tuning.Level, nil,
+		func(w peerrpc.AgentRegistry) (controller.PeerTransport, error) { return peerrpc.New(set, w, log) }, log)
 	if err != nil {
 		return err
 	}
--- a/internal/node/controller.go
+++ b/internal/controller/controller.go
@@ -1,5 +1,5 @@
-// Package node puts the slices of one controller together.
-package node
+// Package controller puts the slices of one controller together.
+package controller
 
 import (
 	"context"
--- a/internal/simulation/region.go
+++ b/internal/simulation/region.go
@@ -17,7 +17,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
-	"sableusher/internal/node"
+	"sableusher/internal/controller"
 	"sableusher/internal/offload"
 	"sableusher/internal/peerrpc"
 	"sableusher/internal/tuning"
@@ -205,7 +205,7 @@
 
 // StartController runs controller i as a new process.
 func (r *Region) StartController(index int) {
-	controller := r.controllers[index]
+	process := r.controllers[index]
 	ctx, cancel := context.WithCancel(r.ctx)
 	alive := &atomic.Bool{}
 	alive.Store(true)
@@ -220,20 +220,20 @@
 	incarnation := r.random.Uint64N(1<<40) + 1
 	r.mu.Unlock()
 	var witness peerrpc.AgentRegistry
-	n, err := node.New(controller.Settings, operator, incarnation, controller.SchemaVersion, r.Network.Transport(controller.Settings.Node, alive.Load), func(w peerrpc.AgentRegistry) (node.PeerTransport, error) {
+	node, err := controller.New(process.Settings, operator, incarnation, process.SchemaVersion, r.Network.Transport(process.Settings.Node, alive.Load), func(w peerrpc.AgentRegistry) (controller.PeerTransport, error) {
 		witness = w
-		return fakePeers{r, controller}, nil
-	}, r.Log.With("node", controller.Settings.Node))
+		return fakePeers{r, process}, nil
+	}, r.Log.With("node", process.Settings.Node))
 	if err != nil {
 		panic(err)
 	}
 	r.mu.Lock()
-	controller.stop, controller.alive, controller.exited, controller.witness = cancel, alive, make(chan struct{}), witness
+	process.stop, process.alive, process.exited, process.witness = cancel, alive, make(chan struct{}), witness
 	r.mu.Unlock()
-	r.Network.Listen(controller.Address, &Host{controller.Settings.Node, n.Handler(), func() bool { return true }})
-	ended := controller.exited
+	r.Network.Listen(process.Address, &Host{process.Settings.Node, node.Handler(), func() bool { return true }})
+	ended := process.exited
 	r.wg.Go(func() {
-		_ = n.Run(ctx)
+		_ = node.Run(ctx)
 		close(ended)
 	})
 }
