--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -93,19 +93,6 @@
 	lastMigration          time.Time              // when records that nothing asked for were last moved
 }
 
-// cachedValue is a job's value as of a time.
-type cachedValue struct {
-	value      float64
-	computedAt time.Time
-}
-
-// ownerWait is since when a job waits, with so many tasks, for another part's owner.
-type ownerWait struct {
-	since    time.Time
-	lastSeen time.Time
-	pending  int
-}
-
 type jobBackoff struct {
 	until time.Time
 	delay time.Duration
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -6,7 +6,6 @@
 
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/config"
 	"sableusher/internal/fairshare"
 	"sableusher/internal/jobqueue"
 	"sableusher/internal/tuning"
@@ -113,14 +112,6 @@
 	return slack >= 0 && slack < max(runTime, tuning.LastCall)
 }
 
-// estimatedRunTime is how long a task of a job runs as far as its owner knows, else as its class does.
-func (c *cycle) estimatedRunTime(job *clusterstate.Job) time.Duration {
-	if job.Spec.RuntimeEstimateSeconds > 0 {
-		return config.Seconds(job.Spec.RuntimeEstimateSeconds)
-	}
-	return c.predictedRunTime(job)
-}
-
 // hasUnderservedTurn tells whether it is the turn of an array whose class or team has had least of what is due
 // while room is short. By size alone a class of large arrays would wait for as long as smaller
 // ones keep coming; so of every four seconds two are for classes that are owed, as they differ
--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -3,40 +3,13 @@
 import (
 	"maps"
 	"slices"
-	"time"
 
-	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
 
-// cycle is one look at the view; it collects the changes to make.
-type cycle struct {
-	*Engine
-	now                     time.Time
-	fencingTokens           map[int]uint64
-	shardRevisions          map[int]uint64
-	recordEdits             map[recordKey]*recordEdit
-	outgoing                []*recordChange
-	inFlightByMachine       map[string]clusterstate.Resources // on their way, by machine
-	inFlightByShard         map[int]map[string]clusterstate.Resources
-	inFlightByJob           map[string]int // tasks on their way, by job
-	liveShards              []bool         // parts whose owner lives
-	tasksBound              int
-	inventory               *binpack.Inventory
-	storeSaturated          bool                                       // the state service's budget is the bottleneck
-	machinesPreempted       int                                        // machines on which room is being freed in this round
-	collectsDemand          bool                                       // this round counts the demand for the pool
-	tasksAwaitingPreemption map[clusterstate.TaskRef]bool              // tasks that room is being freed for
-	preemptionMisses        [wire.PriorityCount]binpack.FailedRequests // needs for which nothing could be stopped anywhere, by rank
-	releaseBlocked          bool                                       // a task's end could not be written yet
-	failingJobs             map[string]bool                            // jobs that a change of this round ends as failed
-	brokenAttempts          map[gangAttempt]bool                       // whether an attempt is broken, looked at once a round
-	dependentNeedsByJob     map[string]dependentNeeds                  // what jobs that need others ask of them
-}
-
 // recordKey names one record of a job.
 type recordKey struct {
 	job         *clusterstate.Job
@@ -60,37 +33,6 @@
 	failsJob    bool // a task of it has no repeat left: the job fails
 }
 
-func (e *Engine) newCycle(now time.Time) *cycle {
-	c := &cycle{Engine: e, now: now, fencingTokens: map[int]uint64{}, shardRevisions: map[int]uint64{}, recordEdits: map[recordKey]*recordEdit{}, brokenAttempts: map[gangAttempt]bool{}, failingJobs: map[string]bool{},
-		inFlightByMachine: map[string]clusterstate.Resources{}, inFlightByShard: map[int]map[string]clusterstate.Resources{}, inFlightByJob: map[string]int{},
-		liveShards: make([]bool, e.cluster.ShardCount), tasksAwaitingPreemption: make(map[clusterstate.TaskRef]bool, len(e.reservations))}
-	for _, reservation := range e.reservations {
-		c.tasksAwaitingPreemption[reservation.task] = true
-	}
-	for shard := range e.cluster.ShardCount {
-		_, c.liveShards[shard] = e.membership.OwnerOf(shard)
-		c.inFlightByShard[shard] = map[string]clusterstate.Resources{}
-		if token, modRevision, ok := e.membership.Owns(shard); ok {
-			c.fencingTokens[shard], c.shardRevisions[shard] = token, modRevision
-			if _, known := e.shardOwnedSince[shard]; !known {
-				e.shardOwnedSince[shard] = now
-				// A new owner hears of its machines at once rather than at their next report.
-				for _, machine := range e.cluster.MachinesByShard[shard] {
-					e.agents.RequestDispatch(machine.Name)
-				}
-			}
-		} else if _, entitled := e.membership.MayServeAgents(shard); !entitled {
-			delete(e.shardOwnedSince, shard)
-		}
-	}
-	for _, change := range e.inFlightChanges {
-		for _, binding := range change.bindings {
-			c.addInFlight(binding)
-		}
-	}
-	return c
-}
-
 func (c *cycle) addInFlight(binding pendingBinding) {
 	c.inFlightByMachine[binding.machine] = c.inFlightByMachine[binding.machine].AddTimes(binding.need, 1)
 	c.inFlightByShard[binding.chargedShard][binding.team] = c.inFlightByShard[binding.chargedShard][binding.team].AddTimes(binding.need, 1)
