--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -55,42 +55,38 @@
 	failureDetector     failuredetector.Detector
 	lastFenced          map[int]time.Time
 	lastArrayPlacement  time.Time // when arrays were last given room
-	// withinGuarantee holds the waiting jobs within their team's guarantee, as of a time.
-	withinGuarantee        map[string]bool
-	guaranteesAt           time.Time
-	runningWithinGuarantee map[string]bool          // the jobs whose running tasks lie within it
-	guaranteedOnArrival    map[string]bool          // whether a job lay within it when this node first saw it
-	capacityShort          [wire.PriorityCount]bool // not all waiting arrays of a rank can be in time with the room there is
-	missesAllObjectives    map[string]bool          // waiting arrays that can be in time for none of their aims
-	reachableObjective     map[string]time.Time     // the aim that each of the others can meet with the room there is
-	objectivesAt           time.Time
-	lastServiceShortage    time.Time                // when a service last found no room
-	unplacedSince          map[string]time.Time     // since when a job finds none for a task
-	recentArrivals         fairshare.Tracker        // what arrived lately of classes and teams
-	underserved            map[fairshare.Group]bool // who of them has had least of what is due
-	nextReorder            map[string]time.Time     // when time alone next moves a waiting job in line
-	lastFullReorder        time.Time                // when all of them were last put in line anew
-	cachedValues           map[string]cachedValue
-	cachedState            *learner.State // what is chosen in, as of a time
-	cachedStateAt          time.Time
-	changeFeed             *clusterstate.ChangeFeed
-	waitingJobs            *jobqueue.Queue[*clusterstate.Job]
-	queueBuffer            []queuedJob // of the round before, its memory used again
-	retainedInventory      *binpack.Inventory
-	machinesToRefresh      map[string]struct{} // machines whose workers told something that the stock has not taken in
-	demand                 UnmetDemand
-	learning               learning
-	reader                 kvstore.Reader
-	peers                  Peers
-	remoteImages           map[string]map[string]bool // the other nodes' machines by image
-	remoteImagesAt         time.Time
-	wakeup                 chan struct{}
-	needPerGPU             clusterstate.Resources // what GPU work takes beside each GPU
-	commonNeed             clusterstate.Resources // what a task of the work that asks for most cores takes
-	commonNeedAt           time.Time              // when it last did
-	rejectedUntil          map[string]time.Time   // records that were refused as malformed, until they are tried again
-	jobsToMigrate          map[string]bool        // jobs whose records are to be moved before they are written
-	lastMigration          time.Time              // when records that nothing asked for were last moved
+	guarantees          guarantees
+	capacityShort       [wire.PriorityCount]bool // not all waiting arrays of a rank can be in time with the room there is
+	missesAllObjectives map[string]bool          // waiting arrays that can be in time for none of their aims
+	reachableObjective  map[string]time.Time     // the aim that each of the others can meet with the room there is
+	objectivesAt        time.Time
+	lastServiceShortage time.Time                // when a service last found no room
+	unplacedSince       map[string]time.Time     // since when a job finds none for a task
+	recentArrivals      fairshare.Tracker        // what arrived lately of classes and teams
+	underserved         map[fairshare.Group]bool // who of them has had least of what is due
+	nextReorder         map[string]time.Time     // when time alone next moves a waiting job in line
+	lastFullReorder     time.Time                // when all of them were last put in line anew
+	cachedValues        map[string]cachedValue
+	cachedState         *learner.State // what is chosen in, as of a time
+	cachedStateAt       time.Time
+	changeFeed          *clusterstate.ChangeFeed
+	waitingJobs         *jobqueue.Queue[*clusterstate.Job]
+	queueBuffer         []queuedJob // of the round before, its memory used again
+	retainedInventory   *binpack.Inventory
+	machinesToRefresh   map[string]struct{} // machines whose workers told something that the stock has not taken in
+	demand              UnmetDemand
+	learning            learning
+	reader              kvstore.Reader
+	peers               Peers
+	remoteImages        map[string]map[string]bool // the other nodes' machines by image
+	remoteImagesAt      time.Time
+	wakeup              chan struct{}
+	needPerGPU          clusterstate.Resources // what GPU work takes beside each GPU
+	commonNeed          clusterstate.Resources // what a task of the work that asks for most cores takes
+	commonNeedAt        time.Time              // when it last did
+	rejectedUntil       map[string]time.Time   // records that were refused as malformed, until they are tried again
+	jobsToMigrate       map[string]bool        // jobs whose records are to be moved before they are written
+	lastMigration       time.Time              // when records that nothing asked for were last moved
 }
 
 type jobBackoff struct {
--- a/internal/scheduler/objectives_test.go
+++ b/internal/scheduler/objectives_test.go
@@ -97,18 +97,18 @@
 			c.capacityShort = [4]bool{true, true, true, true}
 			c.updateGuarantees()
 			sum := 0.0
-			for id := range c.withinGuarantee {
+			for id := range c.guarantees.jobs {
 				sum += float64(c.cluster.Jobs[id].Spec.TaskCount)
 			}
 			if sum > guarantee+1e-9 {
 				t.Fatalf("%v GPUs assured of %v", sum, guarantee)
 			}
 			for id := range kept {
-				if !c.withinGuarantee[id] {
+				if !c.guarantees.jobs[id] {
 					t.Fatalf("%s has lost what was promised", id)
 				}
 			}
-			if c.guaranteedOnArrival[spec.ID] {
+			if c.guarantees.onArrival[spec.ID] {
 				kept[spec.ID] = true
 			}
 			fixture.cluster.RUnlock()
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -26,7 +26,7 @@
 // guarantee moves when it does, and all of them now and then, as estimates move too.
 func (c *cycle) buildQueue(hasCapacity bool) []queuedJob {
 	changed := c.changeFeed.TakeJobs()
-	if c.now.Sub(c.guaranteesAt) >= tuning.AssuredEvery && (c.waitingJobs.Len() > 0 || len(changed) > 0) {
+	if c.now.Sub(c.guarantees.updatedAt) >= tuning.AssuredEvery && (c.waitingJobs.Len() > 0 || len(changed) > 0) {
 		if c.now.Sub(c.objectivesAt) >= tuning.InTimeEvery {
 			c.assignObjectives()
 		}
@@ -36,7 +36,7 @@
 			c.lastFullReorder = c.now
 		}
 		c.waitingJobs.Each(func(key jobqueue.Key, job *clusterstate.Job) bool {
-			if rebuild || key.WithinGuarantee != c.withinGuarantee[key.JobID] || key.Underserved != c.hasUnderservedTurn(job) || key.MissesObjectives != c.missesObjectives(job) || key.SizeClass != c.sizeClass(job) || c.now.After(c.nextReorder[key.JobID]) {
+			if rebuild || key.WithinGuarantee != c.guarantees.jobs[key.JobID] || key.Underserved != c.hasUnderservedTurn(job) || key.MissesObjectives != c.missesObjectives(job) || key.SizeClass != c.sizeClass(job) || c.now.After(c.nextReorder[key.JobID]) {
 				changed[key.JobID] = struct{}{}
 			}
 			return true
@@ -67,7 +67,7 @@
 	}
 	deadline, nearDeadline, validUntil := c.effectiveDeadline(job)
 	c.nextReorder[id] = validUntil
-	c.waitingJobs.Put(jobqueue.Key{PriorityRank: c.effectiveRank(job), WithinGuarantee: c.withinGuarantee[id], Underserved: c.hasUnderservedTurn(job), MissesObjectives: c.missesObjectives(job), SizeClass: c.sizeClass(job), NearDeadline: nearDeadline, DeadlineNs: deadline.UnixNano(), EligibleSinceMs: job.ReadySinceMs(), JobID: id}, job)
+	c.waitingJobs.Put(jobqueue.Key{PriorityRank: c.effectiveRank(job), WithinGuarantee: c.guarantees.jobs[id], Underserved: c.hasUnderservedTurn(job), MissesObjectives: c.missesObjectives(job), SizeClass: c.sizeClass(job), NearDeadline: nearDeadline, DeadlineNs: deadline.UnixNano(), EligibleSinceMs: job.ReadySinceMs(), JobID: id}, job)
 }
 
 // startObjectiveS is the time in seconds in which a replica should start by its class's aims; 0: none says.
