--- a/internal/scheduler/deadlines.go
+++ b/internal/scheduler/deadlines.go
@@ -69,14 +69,14 @@
 	if len(objectives) == 0 {
 		return job.ReadySince().Add(tuning.NoDeadline), false, never
 	}
-	if first, ok := c.reachableObjective[job.Spec.ID]; ok {
+	if first, ok := c.objectives.attainable[job.Spec.ID]; ok {
 		if i := slices.IndexFunc(objectives, func(at time.Time) bool { return !at.Before(first) }); i > 0 {
 			objectives = objectives[i:]
 		}
 	}
 	deadline, slack := c.firstReachable(objectives, runTime)
 	switch guardTime := max(tuning.DeadlineGuardMin, time.Duration(tuning.DeadlineGuard*float64(runTime))); {
-	case slack < 0 || c.missesAllObjectives[job.Spec.ID]:
+	case slack < 0 || c.objectives.unattainable[job.Spec.ID]:
 		return deadline, false, never
 	case slack < guardTime:
 		return deadline, true, c.now.Add(slack)
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -13,7 +13,6 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/failuredetector"
-	"sableusher/internal/fairshare"
 	"sableusher/internal/jobqueue"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/learner"
@@ -56,16 +55,11 @@
 	lastFenced          map[int]time.Time
 	lastArrayPlacement  time.Time // when arrays were last given room
 	guarantees          guarantees
-	capacityShort       [wire.PriorityCount]bool // not all waiting arrays of a rank can be in time with the room there is
-	missesAllObjectives map[string]bool          // waiting arrays that can be in time for none of their aims
-	reachableObjective  map[string]time.Time     // the aim that each of the others can meet with the room there is
-	objectivesAt        time.Time
-	lastServiceShortage time.Time                // when a service last found no room
-	unplacedSince       map[string]time.Time     // since when a job finds none for a task
-	recentArrivals      fairshare.Tracker        // what arrived lately of classes and teams
-	underserved         map[fairshare.Group]bool // who of them has had least of what is due
-	nextReorder         map[string]time.Time     // when time alone next moves a waiting job in line
-	lastFullReorder     time.Time                // when all of them were last put in line anew
+	objectives          objectives
+	lastServiceShortage time.Time            // when a service last found no room
+	unplacedSince       map[string]time.Time // since when a job finds none for a task
+	nextReorder         map[string]time.Time // when time alone next moves a waiting job in line
+	lastFullReorder     time.Time            // when all of them were last put in line anew
 	cachedValues        map[string]cachedValue
 	cachedState         *learner.State // what is chosen in, as of a time
 	cachedStateAt       time.Time
--- a/internal/scheduler/homeshard.go
+++ b/internal/scheduler/homeshard.go
@@ -42,7 +42,7 @@
 
 // isArrayUnderShortage tells whether a job is an array of a priority whose waiting arrays can't all be in time.
 func (c *cycle) isArrayUnderShortage(queued *queuedJob) bool {
-	return c.capacityShort[queued.rank] && queued.job.Spec.Kind == wire.KindArray
+	return c.objectives.capacityShort[queued.rank] && queued.job.Spec.Kind == wire.KindArray
 }
 
 // firstLiveShard is the first part in a job's own order whose owner lives.
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -12,67 +12,107 @@
 	"sableusher/internal/wire"
 )
 
-// assignObjectives finds which aim each waiting array can meet with the room there is: the room that
-// arrays may use, on machines that are up, serves them one after the other. Gangs and
-// services are not held against it: they come before, and take what they need whole.
-// It reads records and estimates only, so that all nodes find nearly the same.
-func (c *cycle) assignObjectives() {
-	c.objectivesAt, c.missesAllObjectives, c.reachableObjective = c.now, map[string]bool{}, map[string]time.Time{}
-	c.capacityShort = [wire.PriorityCount]bool{}
-	var waitingByRank [wire.PriorityCount][]jobqueue.WaitingJob
-	objectives := map[string][]time.Time{}
-	waiting := map[string]int{}
-	var runningByRank [wire.PriorityCount]float64 // of the machine time that running arrays still take
+// objectives is the last assessment of the service-level objectives of waiting arrays against the
+// capacity there is.
+type objectives struct {
+	assessedAt time.Time
+	// unattainable holds the waiting arrays that can meet none of their objectives.
+	unattainable map[string]bool
+	// attainable is, for each of the others, the first objective it can meet.
+	attainable map[string]time.Time
+	// capacityShort tells, by priority rank, that not all waiting arrays can meet their first reachable objective.
+	capacityShort [wire.PriorityCount]bool
+	// arrivals are the recent arrivals of classes and teams; underserved are those that were served least of theirs.
+	arrivals    fairshare.Tracker
+	underserved map[fairshare.Group]bool
+}
+
+// arrayWork is the work of the arrays that may start.
+type arrayWork struct {
+	waiting [wire.PriorityCount][]jobqueue.WaitingJob
+	// runningMachineS is the machine time that running tasks still take, in seconds.
+	runningMachineS [wire.PriorityCount]float64
+	objectives      map[string][]time.Time // by job, earliest first
+	pending         map[string]int         // tasks by job
+}
+
+// assessObjectives finds which objective each waiting array can meet with the capacity there is: the
+// capacity that arrays may use, on machines that are up, serves them one after the other. Gangs and
+// services are not counted: they come before, and take what they need whole. It reads records and
+// estimates only, so that all nodes find nearly the same.
+func (c *cycle) assessObjectives() {
+	state := &c.objectives
+	state.assessedAt, state.unattainable, state.attainable = c.now, map[string]bool{}, map[string]time.Time{}
+	state.capacityShort = [wire.PriorityCount]bool{}
+	work := c.collectArrayWork()
+	state.underserved = state.arrivals.Underserved(c.now, work.pending)
+	for rank := range work.waiting {
+		if len(work.waiting[rank]) > 0 {
+			c.assessRank(rank, work)
+		}
+	}
+}
+
+// collectArrayWork goes through the arrays that may start, and notes their arrival.
+func (c *cycle) collectArrayWork() *arrayWork {
+	work := &arrayWork{objectives: map[string][]time.Time{}, pending: map[string]int{}}
 	for id, job := range c.cluster.Jobs {
 		if job.Spec.Kind != wire.KindArray || !job.CanStart() {
 			continue
 		}
 		rank, share, runTime := c.effectiveRank(job), c.machineShare(&job.Spec), c.estimatedRunTime(job)
-		c.recentArrivals.RecordArrival(c.now, id, job.Spec.Class, job.Spec.Team, job.Spec.TaskCount, job.ReadySince())
-		runningByRank[rank] += float64(job.BoundCount) * share * runTime.Seconds() / 2 // half is left on average
-		if job.PendingCount() == 0 {
+		c.objectives.arrivals.RecordArrival(c.now, id, job.Spec.Class, job.Spec.Team, job.Spec.TaskCount, job.ReadySince())
+		work.runningMachineS[rank] += float64(job.BoundCount) * share * runTime.Seconds() / 2 // half is left on average
+		pending := job.PendingCount()
+		if pending == 0 {
 			continue
 		}
-		waiting[id] = job.PendingCount()
-		if objectives[id] = c.objectiveTimes(job); len(objectives[id]) == 0 {
+		work.pending[id] = pending
+		times := c.objectiveTimes(job)
+		work.objectives[id] = times
+		if len(times) == 0 {
 			continue
 		}
-		item := jobqueue.WaitingJob{JobID: id, ServiceTime: time.Duration(float64(job.PendingCount()) * share * float64(runTime)), TaskRunTime: runTime}
-		for _, at := range objectives[id] {
-			item.Objectives = append(item.Objectives, at.Sub(c.now))
+		waiting := jobqueue.WaitingJob{
+			JobID: id, ServiceTime: time.Duration(float64(pending) * share * float64(runTime)), TaskRunTime: runTime,
 		}
-		waitingByRank[rank] = append(waitingByRank[rank], item)
+		for _, at := range times {
+			waiting.Objectives = append(waiting.Objectives, at.Sub(c.now))
+		}
+		work.waiting[rank] = append(work.waiting[rank], waiting)
 	}
-	c.underserved = c.recentArrivals.Underserved(c.now, waiting)
-	for rank, work := range waitingByRank {
-		if len(work) == 0 {
+	return work
+}
+
+// assessRank finds which objectives the waiting arrays of one priority rank can meet.
+func (c *cycle) assessRank(rank int, work *arrayWork) {
+	state, waiting := &c.objectives, work.waiting[rank]
+	capacity := c.capacityForRank(rank)
+	if capacity < 1 {
+		return // nothing is up: who could be in time can't be told
+	}
+	for i := range waiting {
+		waiting[i].ServiceTime = time.Duration(float64(waiting[i].ServiceTime) / capacity)
+	}
+	backlog := time.Duration(work.runningMachineS[rank] / capacity * float64(time.Second))
+	missed, total := 0, time.Duration(0)
+	for id, attained := range jobqueue.AttainableObjectives(backlog, waiting) {
+		if attained < 0 {
+			state.unattainable[id] = true
+			missed++
 			continue
 		}
-		capacity := c.capacityForRank(rank)
-		if capacity < 1 {
-			continue // nothing is up: who could be in time can't be told
-		}
-		for i := range work {
-			work[i].ServiceTime = time.Duration(float64(work[i].ServiceTime) / capacity)
-		}
-		backlog := time.Duration(runningByRank[rank] / capacity * float64(time.Second))
-		missed, total := 0, time.Duration(0)
-		for id, met := range jobqueue.AttainableObjectives(backlog, work) {
-			if met < 0 {
-				c.missesAllObjectives[id] = true
-				missed++
-				continue
-			}
-			c.reachableObjective[id] = objectives[id][met]
-			first, _ := c.firstReachable(objectives[id], c.estimatedRunTime(c.cluster.Jobs[id]))
-			c.capacityShort[rank] = c.capacityShort[rank] || first.Before(c.reachableObjective[id])
-		}
-		c.capacityShort[rank] = c.capacityShort[rank] || missed > 0
-		for _, item := range work {
-			total += item.ServiceTime
-		}
-		c.log.Debug("arrays against the room", "rank", rank, "waiting", len(work), "missed", missed, "short", c.capacityShort[rank], "room", int(capacity), "busy", backlog, "takes", total)
+		times := work.objectives[id]
+		state.attainable[id] = times[attained]
+		first, _ := c.firstReachable(times, c.estimatedRunTime(c.cluster.Jobs[id]))
+		state.capacityShort[rank] = state.capacityShort[rank] || first.Before(state.attainable[id])
+	}
+	state.capacityShort[rank] = state.capacityShort[rank] || missed > 0
+	for _, job := range waiting {
+		total += job.ServiceTime
 	}
+	c.log.Debug("array objectives assessed", "rank", rank, "waiting", len(waiting), "missed", missed,
+		"short", state.capacityShort[rank], "capacity", int(capacity), "backlog", backlog, "service_time", total)
 }
 
 // sizeClass is the class of what an array still takes, by powers of two, where room is so short
@@ -85,7 +125,7 @@
 	if job.Spec.Kind == wire.KindService && c.serviceCapacityScarce() {
 		return 1 + job.BoundCount // the fewest replicas left first
 	}
-	if job.Spec.Kind != wire.KindArray || !c.capacityShort[c.effectiveRank(job)] {
+	if job.Spec.Kind != wire.KindArray || !c.objectives.capacityShort[c.effectiveRank(job)] {
 		return 0
 	}
 	if c.hasOverdueTurn(job) || c.nearLastObjective(job) {
@@ -104,7 +144,7 @@
 // it can be. Behind smaller ones that keep coming the large would miss it though there is room for
 // all by then: one in a hundred did where room was a little short.
 func (c *cycle) nearLastObjective(job *clusterstate.Job) bool {
-	if _, ok := c.reachableObjective[job.Spec.ID]; !ok {
+	if _, ok := c.objectives.attainable[job.Spec.ID]; !ok {
 		return false
 	}
 	objectives, runTime := c.objectiveTimes(job), c.estimatedRunTime(job)
@@ -117,14 +157,14 @@
 // ones keep coming; so of every four seconds two are for classes that are owed, as they differ
 // most, and one for teams; then their arrays come first, in the order that holds among all.
 func (c *cycle) hasUnderservedTurn(job *clusterstate.Job) bool {
-	if len(c.underserved) == 0 || job.Spec.Kind != wire.KindArray || !c.capacityShort[c.effectiveRank(job)] {
+	if len(c.objectives.underserved) == 0 || job.Spec.Kind != wire.KindArray || !c.objectives.capacityShort[c.effectiveRank(job)] {
 		return false
 	}
 	switch c.now.Unix() % tuning.FloorTurns {
 	case 0, 2:
-		return c.underserved[fairshare.Group{Name: job.Spec.Class}]
+		return c.objectives.underserved[fairshare.Group{Name: job.Spec.Class}]
 	case 1:
-		return c.underserved[fairshare.Group{Team: true, Name: job.Spec.Team}]
+		return c.objectives.underserved[fairshare.Group{Team: true, Name: job.Spec.Team}]
 	}
 	return false
 }
@@ -133,13 +173,13 @@
 // be in time they would wait as long as room is short, be it for hours; so every fourth
 // second they come first, the oldest of them before the others. All nodes find the same.
 func (c *cycle) hasOverdueTurn(job *clusterstate.Job) bool {
-	return c.missesAllObjectives[job.Spec.ID] && c.now.Sub(job.ReadySince()) > tuning.FloorAfter && c.now.Unix()%tuning.FloorTurns == tuning.FloorTurns-1
+	return c.objectives.unattainable[job.Spec.ID] && c.now.Sub(job.ReadySince()) > tuning.FloorAfter && c.now.Unix()%tuning.FloorTurns == tuning.FloorTurns-1
 }
 
 // missesObjectives tells whether an array stands behind those that can be in time: it can't, and it is not
 // its turn.
 func (c *cycle) missesObjectives(job *clusterstate.Job) bool {
-	return c.missesAllObjectives[job.Spec.ID] && !c.hasOverdueTurn(job)
+	return c.objectives.unattainable[job.Spec.ID] && !c.hasOverdueTurn(job)
 }
 
 // capacityForRank is the room that work of a rank may use on machines that are up, in machines: what is
--- a/internal/scheduler/objectives_test.go
+++ b/internal/scheduler/objectives_test.go
@@ -61,11 +61,11 @@
 			}
 		}
 		for _, queued := range queue {
-			if (queued.key.SizeClass != 0) != c.capacityShort[queued.rank] {
-				t.Fatalf("%v though short is %v", queued.key, c.capacityShort)
+			if (queued.key.SizeClass != 0) != c.objectives.capacityShort[queued.rank] {
+				t.Fatalf("%v though short is %v", queued.key, c.objectives.capacityShort)
 			}
 		}
-		if c.capacityShort[queue[0].rank] {
+		if c.objectives.capacityShort[queue[0].rank] {
 			short++
 		} else {
 			ample++
@@ -94,7 +94,7 @@
 			fixture.cluster.RLock()
 			c := engine.newCycle(now)
 			c.inventory = c.refreshInventory()
-			c.capacityShort = [4]bool{true, true, true, true}
+			c.objectives.capacityShort = [4]bool{true, true, true, true}
 			c.updateGuarantees()
 			sum := 0.0
 			for id := range c.guarantees.jobs {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -27,8 +27,8 @@
 func (c *cycle) buildQueue(hasCapacity bool) []queuedJob {
 	changed := c.changeFeed.TakeJobs()
 	if c.now.Sub(c.guarantees.updatedAt) >= tuning.AssuredEvery && (c.waitingJobs.Len() > 0 || len(changed) > 0) {
-		if c.now.Sub(c.objectivesAt) >= tuning.InTimeEvery {
-			c.assignObjectives()
+		if c.now.Sub(c.objectives.assessedAt) >= tuning.InTimeEvery {
+			c.assessObjectives()
 		}
 		c.updateGuarantees()
 		rebuild := c.now.Sub(c.lastFullReorder) >= tuning.TurnEvery
