--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -13,7 +13,6 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/failuredetector"
-	"sableusher/internal/jobqueue"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/learner"
 	"sableusher/internal/membership"
@@ -58,14 +57,11 @@
 	objectives          objectives
 	lastServiceShortage time.Time            // when a service last found no room
 	unplacedSince       map[string]time.Time // since when a job finds none for a task
-	nextReorder         map[string]time.Time // when time alone next moves a waiting job in line
-	lastFullReorder     time.Time            // when all of them were last put in line anew
+	waiting             waitingJobs
 	cachedValues        map[string]cachedValue
 	cachedState         *learner.State // what is chosen in, as of a time
 	cachedStateAt       time.Time
 	changeFeed          *clusterstate.ChangeFeed
-	waitingJobs         *jobqueue.Queue[*clusterstate.Job]
-	queueBuffer         []queuedJob // of the round before, its memory used again
 	retainedInventory   *binpack.Inventory
 	machinesToRefresh   map[string]struct{} // machines whose workers told something that the stock has not taken in
 	demand              UnmetDemand
@@ -99,13 +95,13 @@
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
 		keysInFlight: map[string]bool{}, inFlightChanges: map[uint64]*recordChange{}, jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
 		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: map[string]reservation{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: map[string]bool{}, tombstones: map[string]time.Time{},
-		nextReorder: map[string]time.Time{}, jobsToMigrate: map[string]bool{}, rejectedUntil: map[string]time.Time{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
+		jobsToMigrate: map[string]bool{}, rejectedUntil: map[string]time.Time{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
 		learning: learning{
 			learner:  learner.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
 			runTimes: learner.NewEstimates(), pendingRewards: map[taskAttempt]int64{}, startedAt: map[taskAttempt]time.Time{}, recentResponsiveness: 0.5,
 		},
-		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waitingJobs: jobqueue.New[*clusterstate.Job](), machinesToRefresh: map[string]struct{}{},
+		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waiting: newWaitingJobs(), machinesToRefresh: map[string]struct{}{},
 	}
 }
 
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -1,6 +1,8 @@
 package scheduler
 
 import (
+	"time"
+
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/jobqueue"
@@ -8,7 +10,34 @@
 	"sableusher/internal/wire"
 )
 
-// queuedJob is a job in the order of placement.
+// waitingJobs keeps the jobs that wait in scheduling order from cycle to cycle.
+type waitingJobs struct {
+	queue *jobqueue.Queue[*clusterstate.Job]
+	// nextReorder is when a job's key next changes if nothing but time moves.
+	nextReorder map[string]time.Time
+	// lastFullReorder is when the keys of all jobs were last computed anew.
+	lastFullReorder time.Time
+	// buffer is the list of the previous cycle, whose memory is used again.
+	buffer []queuedJob
+}
+
+func newWaitingJobs() waitingJobs {
+	return waitingJobs{queue: jobqueue.New[*clusterstate.Job](), nextReorder: map[string]time.Time{}}
+}
+
+// remove takes a job out of the queue.
+func (w *waitingJobs) remove(id string) {
+	w.queue.Delete(id)
+	delete(w.nextReorder, id)
+}
+
+// put places a job by its key, which holds until a time if nothing but time moves.
+func (w *waitingJobs) put(key jobqueue.Key, job *clusterstate.Job, validUntil time.Time) {
+	w.nextReorder[key.JobID] = validUntil
+	w.queue.Put(key, job)
+}
+
+// queuedJob is a waiting job in a scheduling cycle; its request counts the tasks still to be placed.
 type queuedJob struct {
 	binpack.Request
 	job             *clusterstate.Job
@@ -16,66 +45,108 @@
 	withinGuarantee bool // within its team's guarantee
 	nearDeadline    bool // its deadline can still be met, but not for long
 	key             jobqueue.Key
-	value           float64
-	homeShard       int  // the part it is dealt to
-	deferred        bool // nothing of it is bound in this round
+	value           float64 // learned; orders the first of the queue
+	homeShard       int     // the shard whose owner binds its tasks as a rule; unknownShard before it is chosen
+	deferred        bool    // nothing of it is bound in this cycle
 }
 
-// buildQueue gives the jobs that wait, in the order of placement. The line is kept: jobs of
-// which something changed are put where they belong, those that time or their team's
-// guarantee moves when it does, and all of them now and then, as estimates move too.
+// unknownShard is the home shard of a job for which none was chosen yet.
+const unknownShard = -1
+
+// buildQueue gives the jobs that wait, in scheduling order. The order is kept between cycles: jobs of
+// which something changed are moved to where they belong, those that time or their team's guarantee
+// moves when it does, and all of them now and then, as estimates move too.
 func (c *cycle) buildQueue(hasCapacity bool) []queuedJob {
 	changed := c.changeFeed.TakeJobs()
-	if c.now.Sub(c.guarantees.updatedAt) >= tuning.AssuredEvery && (c.waitingJobs.Len() > 0 || len(changed) > 0) {
-		if c.now.Sub(c.objectives.assessedAt) >= tuning.InTimeEvery {
-			c.assessObjectives()
-		}
-		c.updateGuarantees()
-		rebuild := c.now.Sub(c.lastFullReorder) >= tuning.TurnEvery
-		if rebuild {
-			c.lastFullReorder = c.now
-		}
-		c.waitingJobs.Each(func(key jobqueue.Key, job *clusterstate.Job) bool {
-			if rebuild || key.WithinGuarantee != c.guarantees.jobs[key.JobID] || key.Underserved != c.hasUnderservedTurn(job) || key.MissesObjectives != c.missesObjectives(job) || key.SizeClass != c.sizeClass(job) || c.now.After(c.nextReorder[key.JobID]) {
-				changed[key.JobID] = struct{}{}
-			}
-			return true
-		})
+	if c.now.Sub(c.guarantees.updatedAt) >= tuning.AssuredEvery && (c.waiting.queue.Len() > 0 || len(changed) > 0) {
+		c.findReorderedJobs(changed)
 	}
 	for id := range changed {
 		c.updateQueueEntry(id)
 	}
-	queue := c.queueBuffer[:0]
-	c.waitingJobs.Each(func(key jobqueue.Key, job *clusterstate.Job) bool {
+	queue := c.waiting.buffer[:0]
+	c.waiting.queue.Each(func(key jobqueue.Key, job *clusterstate.Job) bool {
 		if backoff, ok := c.jobBackoffs[key.JobID]; !ok || !c.now.Before(backoff.until) {
-			queue = append(queue, queuedJob{Request: binpack.Request{Spec: &job.Spec, Need: clusterstate.TaskResources(&job.Spec), StartWithinS: c.startObjectiveS(&job.Spec)}, job: job, withinGuarantee: key.WithinGuarantee, rank: key.PriorityRank, nearDeadline: key.NearDeadline, key: key, homeShard: -1})
+			queue = append(queue, c.newQueuedJob(key, job))
 		}
 		return true
 	})
-	c.queueBuffer = queue
+	c.waiting.buffer = queue
 	c.orderByValue(queue, hasCapacity)
 	return queue
 }
 
-// updateQueueEntry puts a job in line, where it belongs now, or takes it out.
+// findReorderedJobs brings guarantees and objectives up to date and adds the waiting jobs that they or
+// time have moved to those that changed.
+func (c *cycle) findReorderedJobs(changed map[string]struct{}) {
+	if c.now.Sub(c.objectives.assessedAt) >= tuning.InTimeEvery {
+		c.assessObjectives()
+	}
+	c.updateGuarantees()
+	all := c.now.Sub(c.waiting.lastFullReorder) >= tuning.TurnEvery
+	if all {
+		c.waiting.lastFullReorder = c.now
+	}
+	c.waiting.queue.Each(func(key jobqueue.Key, job *clusterstate.Job) bool {
+		if all || c.keyOutdated(key, job) {
+			changed[key.JobID] = struct{}{}
+		}
+		return true
+	})
+}
+
+// keyOutdated tells whether a waiting job's key no longer says what holds.
+func (c *cycle) keyOutdated(key jobqueue.Key, job *clusterstate.Job) bool {
+	return key.WithinGuarantee != c.guarantees.jobs[key.JobID] ||
+		key.Underserved != c.hasUnderservedTurn(job) ||
+		key.MissesObjectives != c.missesObjectives(job) ||
+		key.SizeClass != c.sizeClass(job) ||
+		c.now.After(c.waiting.nextReorder[key.JobID])
+}
+
+// updateQueueEntry puts a job into the queue, where it belongs now, or takes it out.
 func (c *cycle) updateQueueEntry(id string) {
 	job := c.cluster.Jobs[id]
 	if job == nil || !job.CanStart() || !c.holdsStartRight(job) || job.PendingCount() == 0 {
-		c.waitingJobs.Delete(id)
-		delete(c.nextReorder, id)
+		c.waiting.remove(id)
 		return
 	}
 	deadline, nearDeadline, validUntil := c.effectiveDeadline(job)
-	c.nextReorder[id] = validUntil
-	c.waitingJobs.Put(jobqueue.Key{PriorityRank: c.effectiveRank(job), WithinGuarantee: c.guarantees.jobs[id], Underserved: c.hasUnderservedTurn(job), MissesObjectives: c.missesObjectives(job), SizeClass: c.sizeClass(job), NearDeadline: nearDeadline, DeadlineNs: deadline.UnixNano(), EligibleSinceMs: job.ReadySinceMs(), JobID: id}, job)
+	c.waiting.put(jobqueue.Key{
+		PriorityRank:     c.effectiveRank(job),
+		WithinGuarantee:  c.guarantees.jobs[id],
+		Underserved:      c.hasUnderservedTurn(job),
+		MissesObjectives: c.missesObjectives(job),
+		SizeClass:        c.sizeClass(job),
+		NearDeadline:     nearDeadline,
+		DeadlineNs:       deadline.UnixNano(),
+		EligibleSinceMs:  job.ReadySinceMs(),
+		JobID:            id,
+	}, job, validUntil)
+}
+
+// newQueuedJob gives a waiting job as one cycle sees it.
+func (c *cycle) newQueuedJob(key jobqueue.Key, job *clusterstate.Job) queuedJob {
+	return queuedJob{
+		Request: binpack.Request{
+			Spec: &job.Spec, Need: clusterstate.TaskResources(&job.Spec), StartWithinS: c.startObjectiveS(&job.Spec),
+		},
+		job:             job,
+		rank:            key.PriorityRank,
+		withinGuarantee: key.WithinGuarantee,
+		nearDeadline:    key.NearDeadline,
+		key:             key,
+		homeShard:       unknownShard,
+	}
 }
 
-// startObjectiveS is the time in seconds in which a replica should start by its class's aims; 0: none says.
+// startObjectiveS is the time in seconds within which a replica should start by its class's objectives;
+// 0 if there is none. It is asked for each waiting job in each cycle.
 func (c *cycle) startObjectiveS(spec *wire.JobSpec) float64 {
-	within := 0.0
 	if spec.Kind != wire.KindService {
-		return within // asked for each waiting job in each round
+		return 0
 	}
+	within := 0.0
 	for _, objective := range c.settings.Deployment.Objectives {
 		if objective.Class == spec.Class && objective.Kind == "wait" && (within == 0 || objective.WithinS < within) {
 			within = objective.WithinS
