--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -97,7 +97,7 @@
 	c.tasksBound++
 	c.recordDecision(queued, binding, attempt)
 	delete(c.ownerWaits, job.Spec.ID)
-	delete(c.unplacedSince, job.Spec.ID)
+	delete(c.demand.unplacedSince, job.Spec.ID)
 	if candidate.ReservedFor == job.Spec.ID {
 		delete(c.reservations, candidate.Machine.Name)
 		c.inventory.ReserveFor(candidate.Machine.Name, "")
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -21,7 +21,7 @@
 		c.storeSaturated = true
 	}
 	_, _, isLeader := c.membership.Owns(clusterstate.LeaderShard)
-	c.collectsDemand = isLeader && c.now.Sub(c.demand.ComputedAt) >= tuning.DemandEvery
+	c.collectsDemand = isLeader && c.now.Sub(c.demand.unmet.ComputedAt) >= tuning.DemandEvery
 	queue := c.buildQueue(inventory.HasFreeCapacity())
 	inventory.FilterFeasible(func(yield func(clusterstate.Resources) bool) {
 		for i := range queue {
@@ -70,7 +70,7 @@
 	}
 	if c.collectsDemand {
 		demand.SpareOnDemand, demand.SpareSpot, demand.IdleMachines = inventory.Spare()
-		c.demand = demand
+		c.demand.unmet = demand
 	}
 }
 
--- a/internal/scheduler/cycle_bench_test.go
+++ b/internal/scheduler/cycle_bench_test.go
@@ -85,7 +85,7 @@
 			engine := fixture.engines[0]
 			b.ReportAllocs()
 			for b.Loop() {
-				engine.demand.ComputedAt = testNow.Add(-time.Hour)
+				engine.demand.unmet.ComputedAt = testNow.Add(-time.Hour)
 				fixture.runCycle(0)
 			}
 		})
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -55,8 +55,6 @@
 	lastArrayPlacement  time.Time // when arrays were last given room
 	guarantees          guarantees
 	objectives          objectives
-	lastServiceShortage time.Time            // when a service last found no room
-	unplacedSince       map[string]time.Time // since when a job finds none for a task
 	waiting             waitingJobs
 	cachedValues        map[string]cachedValue
 	cachedState         *learner.State // what is chosen in, as of a time
@@ -64,19 +62,16 @@
 	changeFeed          *clusterstate.ChangeFeed
 	retainedInventory   *binpack.Inventory
 	machinesToRefresh   map[string]struct{} // machines whose workers told something that the stock has not taken in
-	demand              UnmetDemand
+	demand              demandState
 	learning            learning
 	reader              kvstore.Reader
 	peers               Peers
 	remoteImages        map[string]map[string]bool // the other nodes' machines by image
 	remoteImagesAt      time.Time
 	wakeup              chan struct{}
-	needPerGPU          clusterstate.Resources // what GPU work takes beside each GPU
-	commonNeed          clusterstate.Resources // what a task of the work that asks for most cores takes
-	commonNeedAt        time.Time              // when it last did
-	rejectedUntil       map[string]time.Time   // records that were refused as malformed, until they are tried again
-	jobsToMigrate       map[string]bool        // jobs whose records are to be moved before they are written
-	lastMigration       time.Time              // when records that nothing asked for were last moved
+	rejectedUntil       map[string]time.Time // records that were refused as malformed, until they are tried again
+	jobsToMigrate       map[string]bool      // jobs whose records are to be moved before they are written
+	lastMigration       time.Time            // when records that nothing asked for were last moved
 }
 
 type jobBackoff struct {
@@ -93,7 +88,7 @@
 func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *agent.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
-		keysInFlight: map[string]bool{}, inFlightChanges: map[uint64]*recordChange{}, jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
+		keysInFlight: map[string]bool{}, inFlightChanges: map[uint64]*recordChange{}, jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
 		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: map[string]reservation{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: map[string]bool{}, tombstones: map[string]time.Time{},
 		jobsToMigrate: map[string]bool{}, rejectedUntil: map[string]time.Time{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
@@ -101,7 +96,7 @@
 			learner:  learner.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
 			runTimes: learner.NewEstimates(), pendingRewards: map[taskAttempt]int64{}, startedAt: map[taskAttempt]time.Time{}, recentResponsiveness: 0.5,
 		},
-		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waiting: newWaitingJobs(), machinesToRefresh: map[string]struct{}{},
+		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waiting: newWaitingJobs(), demand: newDemandState(), machinesToRefresh: map[string]struct{}{},
 	}
 }
 
@@ -208,6 +203,8 @@
 	if now.Sub(e.lastSweep) >= tuning.SweepEvery {
 		e.lastSweep = now
 		c.accrueMachineTime()
+		c.demand.updateNeedPerGPU(c.cluster.Jobs)
+		c.demand.updateCommonTask(c.cluster.Jobs, now)
 		c.pruneState()
 		c.deleteFailedMachines()
 		for shard := range c.fencingTokens {
@@ -329,7 +326,7 @@
 func (e *Engine) Demand() UnmetDemand {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.demand
+	return e.demand.unmet
 }
 
 // Backoff keeps a job's tasks from being placed for a growing while.
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -14,7 +14,7 @@
 	names := c.changeFeed.TakeMachines()
 	inventory := binpack.Refresh(c.retainedInventory, binpack.Snapshot{Now: c.now, State: c.cluster, LiveShards: c.liveShards, FencingTokens: c.fencingTokens, AssessReadiness: c.readiness}, names, c.machinesToRefresh)
 	c.retainedInventory = inventory
-	inventory.NeedPerGPU, inventory.CommonNeed = c.needPerGPU, c.commonNeed
+	inventory.NeedPerGPU, inventory.CommonNeed = c.demand.needPerGPU, c.demand.commonTask
 	clear(c.machinesToRefresh)
 	for name, amount := range c.inFlightByMachine {
 		inventory.ConsumeByName(name, amount)
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -137,7 +137,7 @@
 // serviceCapacityScarce tells whether services have found no room of late, as after the loss of a zone. Then one
 // replica of each starts before the second of any, and those with the fewest left go first.
 func (c *cycle) serviceCapacityScarce() bool {
-	return c.now.Sub(c.lastServiceShortage) < tuning.ServicesLack
+	return c.now.Sub(c.demand.lastServiceShortage) < tuning.ServicesLack
 }
 
 // nearLastObjective tells whether an array has to start soon to be in time for the last of its aims, which
@@ -194,8 +194,8 @@
 			for lower := rank; lower < len(candidate.Machine.PreemptibleByRank); lower++ {
 				free = free.AddTimes(candidate.Machine.PreemptibleByRank[lower], 1)
 			}
-			if c.commonNeed.CPUs > 0 {
-				sum += float64(binpack.TasksThatFit(c.commonNeed, free))
+			if c.demand.commonTask.CPUs > 0 {
+				sum += float64(binpack.TasksThatFit(c.demand.commonTask, free))
 			} else {
 				sum += binpack.FreeFraction(free, candidate.Capacity)
 			}
@@ -208,8 +208,8 @@
 // for a common task; as roomFor counts.
 func (c *cycle) machineShare(spec *wire.JobSpec) float64 {
 	need := clusterstate.TaskResources(spec)
-	if c.commonNeed.CPUs > 0 {
-		return max(need.CPUs/c.commonNeed.CPUs, need.MemoryGB/max(c.commonNeed.MemoryGB, 1))
+	if c.demand.commonTask.CPUs > 0 {
+		return max(need.CPUs/c.demand.commonTask.CPUs, need.MemoryGB/max(c.demand.commonTask.MemoryGB, 1))
 	}
 	best := 1.0
 	for _, typ := range c.cluster.Types {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -54,7 +54,7 @@
 // others take for ready, and all would wait for it. By the clock alone the turns passed in the
 // midst of stops, and room was made twice.
 func (c *cycle) shardRotation(queued *queuedJob) int {
-	since, ok := c.unplacedSince[queued.job.Spec.ID]
+	since, ok := c.demand.unplacedSince[queued.job.Spec.ID]
 	if !ok || queued.rank > wire.PriorityRank(wire.PriorityHigh) {
 		return 0
 	}
--- a/internal/scheduler/prune.go
+++ b/internal/scheduler/prune.go
@@ -9,14 +9,12 @@
 
 // pruneState forgets what is kept of jobs that are over.
 func (c *cycle) pruneState() {
-	c.updateNeedPerGPU()
-	c.updateCommonTask()
 	maps.DeleteFunc(c.rejectedUntil, func(_ string, until time.Time) bool { return c.now.After(until) })
 	isOver := func(id string) bool { return c.cluster.Jobs[id] == nil }
 	maps.DeleteFunc(c.cachedValues, func(id string, _ cachedValue) bool { return isOver(id) })
 	maps.DeleteFunc(c.jobBackoffs, func(id string, _ jobBackoff) bool { return isOver(id) })
 	maps.DeleteFunc(c.ownerWaits, func(id string, _ ownerWait) bool { return isOver(id) })
-	maps.DeleteFunc(c.unplacedSince, func(id string, _ time.Time) bool { return isOver(id) || c.cluster.Jobs[id].PendingCount() == 0 })
+	c.demand.prune(c.cluster.Jobs)
 	maps.DeleteFunc(c.lastLoggedReason, func(id string, _ time.Time) bool { return isOver(id) })
 	maps.DeleteFunc(c.gangFormingSince, func(id string, _ time.Time) bool { return isOver(id) })
 	maps.DeleteFunc(c.tombstones, func(_ string, at time.Time) bool { return c.now.Sub(at) > tuning.BuriedFor })
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -115,17 +115,12 @@
 		return
 	}
 	c.logWaiting(job, "no room", nil)
-	if _, ok := c.unplacedSince[spec.ID]; !ok {
-		c.unplacedSince[spec.ID] = c.now
-	}
-	if spec.Kind == wire.KindService {
-		c.lastServiceShortage = c.now
-	}
+	c.demand.noteUnplaced(job, c.now)
 	missing, preemptZones := queued.Remaining, zones.Clone()
 	inventory.AllocatePending(&queued.Request, &zones)
 	if queued.Remaining > 0 && c.collectsDemand {
-		if queued.Need.CPUs >= c.commonNeed.CPUs {
-			demand.CommonTask = c.commonNeed
+		if queued.Need.CPUs >= c.demand.commonTask.CPUs {
+			demand.CommonTask = c.demand.commonTask
 		}
 		demand.Groups = append(demand.Groups, UnplacedGroup{Spec: spec, Count: queued.Remaining, Zone: zones.PinnedZone, Rank: queued.rank, SubmittedAt: job.ReadySince()})
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -148,7 +148,7 @@
 	if c.inventory.Examined() > 2*machines {
 		t.Errorf("%d machines examined for %d jobs on %d machines", c.inventory.Examined(), jobs, machines)
 	}
-	if n := len(c.demand.Groups); n != jobs {
+	if n := len(c.demand.unmet.Groups); n != jobs {
 		t.Errorf("demand names %d of %d jobs", n, jobs)
 	}
 }
