--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -14,7 +14,6 @@
 	"sableusher/internal/config"
 	"sableusher/internal/failuredetector"
 	"sableusher/internal/kvstore"
-	"sableusher/internal/learner"
 	"sableusher/internal/membership"
 	"sableusher/internal/quota"
 	"sableusher/internal/retry"
@@ -56,9 +55,6 @@
 	guarantees          guarantees
 	objectives          objectives
 	waiting             waitingJobs
-	cachedValues        map[string]cachedValue
-	cachedState         *learner.State // what is chosen in, as of a time
-	cachedStateAt       time.Time
 	changeFeed          *clusterstate.ChangeFeed
 	retainedInventory   *binpack.Inventory
 	machinesToRefresh   map[string]struct{} // machines whose workers told something that the stock has not taken in
@@ -88,15 +84,12 @@
 func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *agent.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
-		keysInFlight: map[string]bool{}, inFlightChanges: map[uint64]*recordChange{}, jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
+		keysInFlight: map[string]bool{}, inFlightChanges: map[uint64]*recordChange{}, jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, machinesToReconcile: map[string]struct{}{},
 		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: map[string]reservation{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: map[string]bool{}, tombstones: map[string]time.Time{},
 		jobsToMigrate: map[string]bool{}, rejectedUntil: map[string]time.Time{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
-		learning: learning{
-			learner:  learner.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
-			runTimes: learner.NewEstimates(), pendingRewards: map[taskAttempt]int64{}, startedAt: map[taskAttempt]time.Time{}, recentResponsiveness: 0.5,
-		},
-		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waiting: newWaitingJobs(), demand: newDemandState(), machinesToRefresh: map[string]struct{}{},
+		learning:        newLearning(operator, members.Incarnation, log),
+		wakeup:          make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waiting: newWaitingJobs(), demand: newDemandState(), machinesToRefresh: map[string]struct{}{},
 	}
 }
 
--- a/internal/scheduler/learner_action.go
+++ b/internal/scheduler/learner_action.go
@@ -6,7 +6,14 @@
 	"sableusher/internal/wire"
 )
 
-func (c *cycle) learnerAction(job *clusterstate.Job) *learner.Action {
-	return &learner.Action{Class: job.Spec.Class, Team: job.Spec.Team, RunS: c.learning.runTimes.RunS(job.Spec.Class, job.Spec.RuntimeEstimateSeconds),
-		Interactive: c.effectiveRank(job) <= wire.PriorityRank(wire.PriorityHigh)}
+// jobAction is the action of starting a task of a waiting job, by the variables of the paper's job model
+// (section 3.2, "Action Space for the Scheduling MDP"): batch or interactive, the owner's group and
+// the expected run time. Work of high priority counts as interactive.
+func (c *cycle) jobAction(job *clusterstate.Job) *learner.Action {
+	return &learner.Action{
+		Class:       job.Spec.Class,
+		Team:        job.Spec.Team,
+		RunS:        c.learning.runTimes.RunS(job.Spec.Class, job.Spec.RuntimeEstimateSeconds),
+		Interactive: c.effectiveRank(job) <= wire.PriorityRank(wire.PriorityHigh),
+	}
 }
--- a/internal/scheduler/learner_checkpoint.go
+++ b/internal/scheduler/learner_checkpoint.go
@@ -13,13 +13,21 @@
 	"sableusher/internal/wire"
 )
 
-// Learner gives the learner that the pool shares.
+// learnerCheckpoints saves what was learned under the node's name in the key-value store.
+type learnerCheckpoints struct {
+	node      string
+	cluster   *clusterstate.State
+	committer *kvstore.Committer
+	reader    kvstore.Reader
+}
+
+// Learner gives the learner that the autoscaler shares.
 func (e *Engine) Learner() *learner.Learner { return e.learning.learner }
 
-// RunLearner keeps the readout fitted and saved until ctx ends.
+// RunLearner keeps the value function fitted and saved until ctx ends. It gives the error of ctx.
 func (e *Engine) RunLearner(ctx context.Context) error {
-	key := clusterstate.LearnerCheckpointKey(e.settings.Node)
-	e.restoreCheckpoint(ctx, key)
+	checkpoints := learnerCheckpoints{node: e.settings.Node, cluster: e.cluster, committer: e.committer, reader: e.reader}
+	e.restoreLearner(ctx, checkpoints)
 	refit := time.NewTicker(config.Seconds(e.operator.RefitS))
 	defer refit.Stop()
 	save := time.NewTicker(tuning.LearnSave)
@@ -29,84 +37,98 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-refit.C:
-			if err := e.learning.learner.Refit(); err != nil {
-				e.log.Info("values not refitted", "err", err)
-			}
-			e.dropStaleDecisions()
+			e.refitLearner()
 		case <-save.C:
 			checkpoint := e.learning.learner.Save()
 			e.learning.runTimes.Save(&checkpoint)
-			saveCtx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
-			if _, err := e.committer.Commit(saveCtx, kvstore.Transaction{Ops: e.checkpointOps(key, checkpoint)}); err != nil {
-				e.log.Debug("values not saved", "err", err)
+			if err := checkpoints.save(ctx, checkpoint); err != nil {
+				e.log.Debug("learner checkpoint not saved", "err", err)
 			}
-			cancel()
 		}
 	}
 }
 
-// checkpointOps gives the changes that save what was learned, in the form that is written.
-func (e *Engine) checkpointOps(key string, checkpoint learner.Saved) []wire.Op {
+// refitLearner fits the value function to the rewards seen and drops decisions that none will come for.
+func (e *Engine) refitLearner() {
+	if err := e.learning.learner.Refit(); err != nil {
+		e.log.Info("learner not refitted", "err", err)
+	}
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	e.cluster.RLock()
-	level := e.cluster.SchemaVersion
-	e.cluster.RUnlock()
-	if level < tuning.LevelPipelines {
-		return []wire.Op{kvstore.PutOp(key, checkpoint)}
+	defer e.cluster.RUnlock()
+	e.learning.dropStaleAttempts(e.cluster.Jobs)
+}
+
+// restoreLearner goes on from the checkpoint saved under the node's name. It is advice only: what is
+// corrupt or of another form is ignored.
+func (e *Engine) restoreLearner(ctx context.Context, checkpoints learnerCheckpoints) {
+	checkpoint, err := checkpoints.load(ctx)
+	if err == nil {
+		err = e.learning.learner.Restore(checkpoint)
 	}
-	var ops []wire.Op
-	for i, piece := range checkpoint.Split(e.committer.MaxRecordBytes(), time.Now().UnixMilli()) {
-		ops = append(ops, kvstore.PutOp(clusterstate.LearnerCheckpointPieceKey(e.settings.Node, i), piece))
+	switch {
+	case errors.Is(err, kvstore.ErrNotFound) || ctx.Err() != nil:
+	case err != nil:
+		e.log.Info("learner checkpoint ignored", "err", err)
+	default:
+		e.learning.runTimes.Restore(checkpoint)
+		e.log.Info("learner checkpoint restored", "rewards", checkpoint.Paid)
 	}
-	return ops
 }
 
-// readCheckpoint reads a record, again and again while the state service doesn't answer.
-func (e *Engine) readCheckpoint(ctx context.Context, key string) (learner.Saved, error) {
-	for {
-		var checkpoint learner.Saved
-		row, err := e.reader.Get(ctx, key)
-		switch {
-		case err == nil:
-			return checkpoint, wire.Decode(row.Value, &checkpoint)
-		case errors.Is(err, kvstore.ErrNotFound) || ctx.Err() != nil:
-			return checkpoint, err
-		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(tuning.StateRetry):
-		}
+// save writes a checkpoint.
+func (s learnerCheckpoints) save(ctx context.Context, checkpoint learner.Saved) error {
+	ctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
+	defer cancel()
+	_, err := s.committer.Commit(ctx, kvstore.Transaction{Ops: s.ops(checkpoint)})
+	return err
+}
+
+// ops gives the changes that save a checkpoint, in the form that the schema version asks for.
+func (s learnerCheckpoints) ops(checkpoint learner.Saved) []wire.Op {
+	s.cluster.RLock()
+	version := s.cluster.SchemaVersion
+	s.cluster.RUnlock()
+	if version < tuning.LevelPipelines {
+		return []wire.Op{kvstore.PutOp(clusterstate.LearnerCheckpointKey(s.node), checkpoint)}
 	}
+	var ops []wire.Op
+	for i, piece := range checkpoint.Split(s.committer.MaxRecordBytes(), time.Now().UnixMilli()) {
+		ops = append(ops, kvstore.PutOp(clusterstate.LearnerCheckpointPieceKey(s.node, i), piece))
+	}
+	return ops
 }
 
-// loadCheckpoint reads the values saved under the node's name: in pieces, or as one
-// record, as they were before LevelPipelines.
-func (e *Engine) loadCheckpoint(ctx context.Context, key string) (learner.Saved, error) {
-	checkpoint, err := e.readCheckpoint(ctx, clusterstate.LearnerCheckpointPieceKey(e.settings.Node, 0))
+// load reads the checkpoint: in pieces, or as one record, as it was before tuning.LevelPipelines.
+func (s learnerCheckpoints) load(ctx context.Context) (learner.Saved, error) {
+	checkpoint, err := s.read(ctx, clusterstate.LearnerCheckpointPieceKey(s.node, 0))
 	if errors.Is(err, kvstore.ErrNotFound) {
-		return e.readCheckpoint(ctx, key)
+		return s.read(ctx, clusterstate.LearnerCheckpointKey(s.node))
 	}
 	for i := 1; i < checkpoint.Of && err == nil; i++ {
 		var piece learner.Saved
-		if piece, err = e.readCheckpoint(ctx, clusterstate.LearnerCheckpointPieceKey(e.settings.Node, i)); err == nil {
+		if piece, err = s.read(ctx, clusterstate.LearnerCheckpointPieceKey(s.node, i)); err == nil {
 			err = checkpoint.Join(piece)
 		}
 	}
 	return checkpoint, err
 }
 
-// restoreCheckpoint goes on from the values saved under the node's name. They are advice
-// only: what is corrupt or of another form is ignored.
-func (e *Engine) restoreCheckpoint(ctx context.Context, key string) {
-	checkpoint, err := e.loadCheckpoint(ctx, key)
-	if err == nil {
-		err = e.learning.learner.Restore(checkpoint)
-	}
-	switch {
-	case errors.Is(err, kvstore.ErrNotFound) || ctx.Err() != nil:
-	case err != nil:
-		e.log.Info("saved values ignored", "err", err)
-	default:
-		e.learning.runTimes.Restore(checkpoint)
-		e.log.Info("goes on from saved values", "payoffs", checkpoint.Paid)
+// read reads a record, again and again while the key-value store does not answer.
+func (s learnerCheckpoints) read(ctx context.Context, key string) (learner.Saved, error) {
+	for {
+		var checkpoint learner.Saved
+		record, err := s.reader.Get(ctx, key)
+		switch {
+		case err == nil:
+			return checkpoint, wire.Decode(record.Value, &checkpoint)
+		case errors.Is(err, kvstore.ErrNotFound) || ctx.Err() != nil:
+			return checkpoint, err
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(tuning.StateRetry):
+		}
 	}
 }
--- a/internal/scheduler/learner_policy.go
+++ b/internal/scheduler/learner_policy.go
@@ -7,36 +7,44 @@
 	"sableusher/internal/tuning"
 )
 
-// orderByValue puts the first of the jobs in line in the order of their learned values, within
-// what value never crosses: priority, guarantee and danger. Values are asked for only
-// if there is room to start any, and while the learner is cold not at all.
+// orderByValue applies the paper's policy (section 3.1, algorithm 1): the waiting job with the highest
+// value first, and with a small probability a random one (epsilon-greedy). It moves jobs only within
+// what value never crosses: priority, guarantee and the other parts of a key's precedence. Values are
+// asked for only if there is capacity to start anything, and not before the learner has seen enough
+// rewards: until then the earliest deadline decides.
 func (c *cycle) orderByValue(queue []queuedJob, hasCapacity bool) {
 	if !hasCapacity || !c.operator.Learn || len(queue) == 0 || !c.learning.learner.Warm() {
 		return
 	}
-	first := queue[:min(len(queue), tuning.LearnCandidates)]
-	for i := range first {
-		queued := &first[i]
-		cached, ok := c.cachedValues[queued.job.Spec.ID]
-		if !ok || c.now.Sub(cached.computedAt) > tuning.ValueLife {
-			cached = cachedValue{c.scoreAction(queued.job).Value, c.now}
-			c.cachedValues[queued.job.Spec.ID] = cached
-		}
-		queued.value = cached.value
+	c.exploit(queue[:min(len(queue), tuning.LearnCandidates)])
+	c.explore(queue)
+}
+
+// exploit orders jobs by value.
+func (c *cycle) exploit(queue []queuedJob) {
+	for i := range queue {
+		queue[i].value = c.jobValue(queue[i].job)
 	}
-	slices.SortStableFunc(first, func(a, b queuedJob) int {
+	slices.SortStableFunc(queue, func(a, b queuedJob) int {
 		order := a.key.ComparePrecedence(b.key)
 		if order == 0 && !a.nearDeadline {
 			order = -cmp.Compare(a.value, b.value)
 		}
 		return order
 	})
-	// A random pick comes first among its equals in priority and danger.
-	if i, ok := c.learning.learner.Explore(len(queue)); ok {
-		first := slices.IndexFunc(queue, func(queued queuedJob) bool { return queued.key.ComparePrecedence(queue[i].key) == 0 })
-		c.log.Debug("random pick", "job", queue[i].job.Spec.ID)
-		picked := queue[i]
-		copy(queue[first+1:i+1], queue[first:i])
-		queue[first] = picked
+}
+
+// explore moves a random job, if one is to be drawn, before all others of its precedence.
+func (c *cycle) explore(queue []queuedJob) {
+	drawn, ok := c.learning.learner.Explore(len(queue))
+	if !ok {
+		return
 	}
+	picked := queue[drawn]
+	first := slices.IndexFunc(queue, func(queued queuedJob) bool {
+		return queued.key.ComparePrecedence(picked.key) == 0
+	})
+	c.log.Debug("random job explored", "job_id", picked.job.Spec.ID)
+	copy(queue[first+1:drawn+1], queue[first:drawn])
+	queue[first] = picked
 }
--- a/internal/scheduler/learner_state.go
+++ b/internal/scheduler/learner_state.go
@@ -2,35 +2,37 @@
 
 import (
 	"math"
-	"time"
 
+	"sableusher/internal/clusterstate"
 	"sableusher/internal/learner"
 )
 
-// learnerState describes what this round chooses in.
-func (c *cycle) learnerState() learner.State {
+// state is the state s in which an action is chosen, by the five variables of the paper's grid model
+// (section 3.2, "State Space"): the work of running jobs, the time until a machine becomes free, the
+// backlog, the idle machines, and each team's share of the waiting jobs.
+func (l *learning) state(cluster *clusterstate.State) learner.State {
 	state := learner.State{Shares: map[string]float64{}, NextFreeS: math.Inf(1)}
-	waiting := 0.0
-	for _, job := range c.cluster.Jobs {
+	waitingJobs := 0.0
+	for _, job := range cluster.Jobs {
 		if !job.CanStart() {
 			continue
 		}
-		runTime := c.learning.runTimes.RunS(job.Spec.Class, job.Spec.RuntimeEstimateSeconds)
+		runS := l.runTimes.RunS(job.Spec.Class, job.Spec.RuntimeEstimateSeconds)
 		// Half of a task's run time is left on average.
-		state.RunningS += float64(job.BoundCount) * runTime / 2
-		if job.BoundCount > 0 && runTime > 0 {
-			state.NextFreeS = min(state.NextFreeS, runTime/2/float64(job.BoundCount))
+		state.RunningS += float64(job.BoundCount) * runS / 2
+		if job.BoundCount > 0 && runS > 0 {
+			state.NextFreeS = min(state.NextFreeS, runS/2/float64(job.BoundCount))
 		}
 		if pending := float64(job.PendingCount()); pending > 0 {
-			state.BacklogS += pending * runTime
+			state.BacklogS += pending * runS
 			state.Shares[job.Spec.Team]++
-			waiting++
+			waitingJobs++
 		}
 	}
 	for team := range state.Shares {
-		state.Shares[team] /= waiting
+		state.Shares[team] /= waitingJobs
 	}
-	for _, machine := range c.cluster.Machines {
+	for _, machine := range cluster.Machines {
 		if machine.Up && len(machine.Bindings) == 0 {
 			state.Idle++
 		}
@@ -41,12 +43,11 @@
 	return state
 }
 
-// ProvisioningState gives what the pool's size is chosen in.
+// ProvisioningState is the state in which the size of the pool is chosen.
 func (e *Engine) ProvisioningState() learner.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cluster.RLock()
 	defer e.cluster.RUnlock()
-	c := &cycle{Engine: e, now: time.Now()}
-	return c.learnerState()
+	return e.learning.state(e.cluster)
 }
--- a/internal/scheduler/learner_value.go
+++ b/internal/scheduler/learner_value.go
@@ -8,17 +8,36 @@
 	"sableusher/internal/tuning"
 )
 
-// cachedValue is a job's value as of a time.
+// valueCache keeps values of the function Q(s, a) for a short while: the state changes little within
+// it, and to describe it anew for each job would go through all jobs and machines each time.
+type valueCache struct {
+	byJob   map[string]cachedValue
+	state   *learner.State
+	stateAt time.Time
+}
+
+// cachedValue is the value of starting a job's task, as of a time.
 type cachedValue struct {
 	value      float64
 	computedAt time.Time
 }
 
-// scoreAction values a job in the state of this round.
-func (c *cycle) scoreAction(job *clusterstate.Job) learner.Choice {
-	if c.cachedState == nil || c.now.Sub(c.cachedStateAt) > tuning.ValueLife {
-		state := c.learnerState()
-		c.cachedState, c.cachedStateAt = &state, c.now
+// scoreJob gives the value Q(s, a) of starting a task of a job now (paper, section 3.1).
+func (c *cycle) scoreJob(job *clusterstate.Job) learner.Choice {
+	l := &c.learning
+	if l.values.state == nil || c.now.Sub(l.values.stateAt) > tuning.ValueLife {
+		state := l.state(c.cluster)
+		l.values.state, l.values.stateAt = &state, c.now
+	}
+	return l.learner.Score(l.values.state, c.jobAction(job))
+}
+
+// jobValue is the value of starting a task of a job, at most tuning.ValueLife old.
+func (c *cycle) jobValue(job *clusterstate.Job) float64 {
+	cached, ok := c.learning.values.byJob[job.Spec.ID]
+	if !ok || c.now.Sub(cached.computedAt) > tuning.ValueLife {
+		cached = cachedValue{c.scoreJob(job).Value, c.now}
+		c.learning.values.byJob[job.Spec.ID] = cached
 	}
-	return c.learning.learner.Score(c.cachedState, c.learnerAction(job))
+	return cached.value
 }
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -1,121 +1,123 @@
 package scheduler
 
 import (
+	"log/slog"
+	"maps"
 	"time"
 
 	"sableusher/internal/agent"
-	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/config"
 	"sableusher/internal/learner"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
 
-// taskAttempt names one start of a task.
+// learning is the scheduler's part of reinforcement learning, after the paper that docs/design.md names:
+// the model of the scheduling problem (section 3.2) is here, the value function Q (section 3.3) in
+// package learner. The files learner_*.go hold its parts by their names there: state, action, reward,
+// value, policy. The engine's lock guards it.
+type learning struct {
+	operator *config.Operator
+	log      *slog.Logger
+
+	learner  *learner.Learner
+	runTimes *learner.Estimates // of each class, the paper's estimated model
+	// pendingRewards are the actions taken whose reward is not known yet, by the learner's number.
+	pendingRewards map[taskAttempt]int64
+	startedAt      map[taskAttempt]time.Time
+	utilization    utilization
+	// recentResponsiveness is a fading mean of the responsiveness of the tasks that ended.
+	recentResponsiveness float64
+	values               valueCache
+}
+
+// taskAttempt names one attempt of a task.
 type taskAttempt struct {
 	task    clusterstate.TaskRef
 	attempt uint64
 }
 
-// learning is what the engine keeps for the learner: decisions whose payoff is
-// due, run times, and the two sides of utilization.
-type learning struct {
-	learner        *learner.Learner
-	runTimes       *learner.Estimates
-	pendingRewards map[taskAttempt]int64
-	startedAt      map[taskAttempt]time.Time
+// initialResponsiveness is the responsiveness assumed before any task has ended.
+const initialResponsiveness = 0.5
 
-	finishedMachineSeconds float64 // run time of completed tasks, in machine seconds, fading
-	heldMachineSeconds     float64 // time of machines held, fading
-	accruedAt              time.Time
-	recentResponsiveness   float64 // responsiveness of late, fading
+func newLearning(operator *config.Operator, seed uint64, log *slog.Logger) learning {
+	return learning{
+		operator:             operator,
+		log:                  log,
+		learner:              learner.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, seed, log),
+		runTimes:             learner.NewEstimates(),
+		pendingRewards:       map[taskAttempt]int64{},
+		startedAt:            map[taskAttempt]time.Time{},
+		recentResponsiveness: initialResponsiveness,
+		values:               valueCache{byJob: map[string]cachedValue{}},
+	}
 }
 
-// utilization is the finished share of the machine time paid for.
-func (l *learning) utilization() float64 {
-	if l.heldMachineSeconds <= 0 {
-		return 0
+// recordDecision tells the learner of a task that was started. Each task is a decision of its own, as
+// the paper's jobs take one processor each; the reservoir has moved on since the job was valued, so
+// the action is scored anew.
+func (c *cycle) recordDecision(queued *queuedJob, binding pendingBinding, attempt uint64) {
+	l := &c.learning
+	if !l.operator.Learn {
+		return
 	}
-	return min(1, l.finishedMachineSeconds/l.heldMachineSeconds)
+	choice := c.scoreJob(queued.job)
+	l.pendingRewards[taskAttempt{binding.task, attempt}] = l.learner.Take(choice)
+	l.log.Debug("task chosen", "task", binding.task, "value", choice.Value, "near_deadline", queued.nearDeadline)
 }
 
-// recordRunning notes when a task began to run, and pays a service's start once it has
-// run for a while: it never completes.
-func (c *cycle) recordRunning(binding clusterstate.Binding, task agent.TaskObservation) {
+// recordRunning notes when a task began to run, and rewards a service's start once it has run for a
+// while, as a service never completes.
+func (l *learning) recordRunning(now time.Time, binding clusterstate.Binding, task agent.TaskObservation) {
 	if task.State != wire.TaskRunning {
 		return
 	}
 	start := taskAttempt{binding.Ref, binding.Attempt}
-	if _, ok := c.learning.startedAt[start]; !ok {
-		c.learning.startedAt[start] = task.Since
+	if _, ok := l.startedAt[start]; !ok {
+		l.startedAt[start] = task.Since
 	}
-	if id, ok := c.learning.pendingRewards[start]; ok && binding.Job.Spec.Kind == wire.KindService && c.now.Sub(task.Since) > tuning.ServicePayoff {
-		waited := task.Since.Sub(binding.Job.ReadySince()).Seconds()
-		ran := tuning.ServicePayoff.Seconds()
-		c.giveReward(id, start, ran/(ran+max(0, waited)))
+	id, ok := l.pendingRewards[start]
+	if !ok || binding.Job.Spec.Kind != wire.KindService || now.Sub(task.Since) <= tuning.ServicePayoff {
+		return
 	}
+	waited := max(0, task.Since.Sub(binding.Job.ReadySince()).Seconds())
+	ran := tuning.ServicePayoff.Seconds()
+	l.giveReward(id, start, ran/(ran+waited))
 }
 
-// recordEnd pays the start of a task that left its machine. Responsiveness is run
-// time over run time plus all other time since submission; a start that did not
-// lead to the end has none of it.
-func (c *cycle) recordEnd(binding clusterstate.Binding, done bool, machine string) {
+// recordEnd rewards the start of a task that left its machine. A start that did not lead to the end of
+// the task has no responsiveness.
+func (l *learning) recordEnd(now time.Time, cluster *clusterstate.State, binding clusterstate.Binding, done bool, machineName string) {
 	start := taskAttempt{binding.Ref, binding.Attempt}
-	began, ran := c.learning.startedAt[start]
-	delete(c.learning.startedAt, start)
+	startedAt, started := l.startedAt[start]
+	delete(l.startedAt, start)
 	spec := &binding.Job.Spec
 	responsiveness := 0.0
-	if done && ran {
-		run := c.now.Sub(began).Seconds()
-		total := max(run, c.now.Sub(binding.Job.ReadySince()).Seconds())
-		if total > 0 {
-			responsiveness = run / total
-		}
-		if record := c.cluster.Machines[machine]; record != nil {
-			if typ, ok := c.cluster.Types[record.Type]; ok {
-				capacity := clusterstate.Capacity(&typ)
-				c.learning.finishedMachineSeconds += run * (1 - binpack.FreeFraction(capacity.AddTimes(clusterstate.TaskResources(spec), -1), capacity))
-			}
-		}
-		if binding.Attempt == 1 { // a later attempt may have resumed saved work
-			c.learning.runTimes.Completed(spec.Class, run, spec.RuntimeEstimateSeconds)
+	if done && started {
+		runS := now.Sub(startedAt).Seconds()
+		responsiveness = responsivenessOf(runS, now.Sub(binding.Job.ReadySince()).Seconds())
+		l.utilization.finishedMachineS += runS * shareOfMachine(cluster, spec, machineName)
+		if binding.Attempt == 1 { // a later attempt may have resumed from a checkpoint
+			l.runTimes.Completed(spec.Class, runS, spec.RuntimeEstimateSeconds)
 		}
 	}
-	if id, ok := c.learning.pendingRewards[start]; ok {
-		c.giveReward(id, start, responsiveness)
+	if id, ok := l.pendingRewards[start]; ok {
+		l.giveReward(id, start, responsiveness)
 	}
 }
 
-// recordDecision tells the learner of a task that was started. Each is a decision of its
-// own, as the paper's jobs take one processor each; the memory has moved on
-// since the job was valued, so it is scored anew.
-func (c *cycle) recordDecision(queued *queuedJob, binding pendingBinding, attempt uint64) {
-	if !c.operator.Learn {
-		return
-	}
-	choice := c.scoreAction(queued.job)
-	c.learning.pendingRewards[taskAttempt{binding.task, attempt}] = c.learning.learner.Take(choice)
-	c.log.Debug("task chosen", "task", binding.task, "value", choice.Value, "pressing", queued.nearDeadline)
+// prune drops what is kept of jobs that are over.
+func (l *learning) prune(jobs map[string]*clusterstate.Job) {
+	maps.DeleteFunc(l.values.byJob, func(id string, _ cachedValue) bool { return jobs[id] == nil })
 }
 
-// dropStaleDecisions drops what no task needs any more.
-func (e *Engine) dropStaleDecisions() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.cluster.RLock()
-	defer e.cluster.RUnlock()
+// dropStaleAttempts drops what no attempt of a task needs any more.
+func (l *learning) dropStaleAttempts(jobs map[string]*clusterstate.Job) {
 	stale := func(start taskAttempt) bool {
-		job := e.cluster.Jobs[start.task.Job]
+		job := jobs[start.task.Job]
 		return job == nil || !job.HasRecord || job.Task(start.task.Index).Attempt > start.attempt
 	}
-	for start := range e.learning.pendingRewards {
-		if stale(start) {
-			delete(e.learning.pendingRewards, start)
-		}
-	}
-	for start := range e.learning.startedAt {
-		if stale(start) {
-			delete(e.learning.startedAt, start)
-		}
-	}
+	maps.DeleteFunc(l.pendingRewards, func(start taskAttempt, _ int64) bool { return stale(start) })
+	maps.DeleteFunc(l.startedAt, func(start taskAttempt, _ time.Time) bool { return stale(start) })
 }
--- a/internal/scheduler/prune.go
+++ b/internal/scheduler/prune.go
@@ -11,7 +11,7 @@
 func (c *cycle) pruneState() {
 	maps.DeleteFunc(c.rejectedUntil, func(_ string, until time.Time) bool { return c.now.After(until) })
 	isOver := func(id string) bool { return c.cluster.Jobs[id] == nil }
-	maps.DeleteFunc(c.cachedValues, func(id string, _ cachedValue) bool { return isOver(id) })
+	c.learning.prune(c.cluster.Jobs)
 	maps.DeleteFunc(c.jobBackoffs, func(id string, _ jobBackoff) bool { return isOver(id) })
 	maps.DeleteFunc(c.ownerWaits, func(id string, _ ownerWait) bool { return isOver(id) })
 	c.demand.prune(c.cluster.Jobs)
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -37,7 +37,7 @@
 	if shard := clusterstate.ShardOf(machineName, c.cluster.ShardCount); c.shardRevisions[shard] != 0 {
 		edit.shards[shard] = true
 	}
-	c.recordEnd(binding, state == clusterstate.TaskDone, machineName)
+	c.learning.recordEnd(c.now, c.cluster, binding, state == clusterstate.TaskDone, machineName)
 	c.log.Debug("task leaves machine", "task", binding.Ref, "attempt", binding.Attempt, "machine", machineName, "why", reason)
 	return edit
 }
@@ -148,7 +148,7 @@
 			c.countFailure(binding, edit, decision.FailJob)
 		}
 	case task.Presence == agent.PresenceAlive:
-		c.recordRunning(binding, task.TaskObservation)
+		c.learning.recordRunning(c.now, binding, task.TaskObservation)
 	}
 	if spec.Kind != wire.KindGang || task.Presence == agent.PresenceExited || task.Presence == agent.PresenceSessionEnded {
 		return
