--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -9,99 +9,154 @@
 	"sableusher/internal/wire"
 )
 
-// bindToOwnMachines binds waiting tasks of a job to those of the machines that are this
-// node's.
-func (c *cycle) bindToOwnMachines(queued *queuedJob, record int, picks []*binpack.MachineInfo) {
-	c.bindTasks(queued, record, slices.DeleteFunc(picks, func(candidate *binpack.MachineInfo) bool { return !candidate.Owned }), -1)
+// shardOfMachine charges a binding to the grant of the shard of its machine.
+const shardOfMachine = -1
+
+// bindToOwnMachines binds waiting tasks of a job to those of the machines that are this node's.
+func (c *cycle) bindToOwnMachines(queued *queuedJob, chunk int, picks []*binpack.MachineInfo) {
+	picks = slices.DeleteFunc(picks, func(candidate *binpack.MachineInfo) bool { return !candidate.Owned })
+	c.bindTasks(queued, chunk, picks, shardOfMachine)
 }
 
-// bindTasks binds waiting tasks of a job to machines, at the charge of one part
-// or, without it, of each machine's own.
-func (c *cycle) bindTasks(queued *queuedJob, first int, picks []*binpack.MachineInfo, charged int) {
-	job, spec := queued.job, &queued.job.Spec
+// bindTasks binds waiting tasks of a job, from a chunk on, to machines, charged to the grant of one
+// shard or to that of each machine's own.
+func (c *cycle) bindTasks(queued *queuedJob, firstChunk int, picks []*binpack.MachineInfo, charged int) {
+	job := queued.job
 	if queued.deferred {
 		return
 	}
-	examined := 0
-	start, end := job.TaskRange(first)
-	if !spec.Spread {
-		end = spec.TaskCount
+	start, end := job.TaskRange(firstChunk)
+	if !job.Spec.Spread {
+		end = job.Spec.TaskCount
 	}
-	for i := start; i < end && len(picks) > 0 && examined < tuning.JobSlice; i++ {
-		record := job.ChunkOf(i)
-		lo, hi := job.TaskRange(record)
-		if i == lo && (job.ChunkFullyAssigned(record) || c.keysInFlight[job.ChunkKey(record)]) {
-			i = hi - 1 // nothing waits in this record, or it can't be changed now
+	examined := 0
+	for taskIndex := start; taskIndex < end && len(picks) > 0 && examined < tuning.JobSlice; taskIndex++ {
+		chunk := job.ChunkOf(taskIndex)
+		firstOfChunk, endOfChunk := job.TaskRange(chunk)
+		if taskIndex == firstOfChunk && !c.chunkBindable(job, chunk) {
+			taskIndex = endOfChunk - 1
 			continue
 		}
-		task := c.taskState(job, i)
-		if task.State != clusterstate.TaskPending || c.inRetryBackoff(job, i) {
+		task := c.taskState(job, taskIndex)
+		if task.State != clusterstate.TaskPending || c.inRetryBackoff(job, taskIndex) {
 			continue
 		}
-		if c.recordFull(job, record, 1, picks[0].Machine.Name) {
-			c.logWaiting(job, "its record is full", nil)
-			i = hi - 1
+		if c.recordFull(job, chunk, 1, picks[0].Machine.Name) {
+			c.logWaiting(job, waitRecordFull, nil)
+			taskIndex = endOfChunk - 1
 			continue
 		}
 		examined++
-		candidate := picks[0]
-		shard := charged
-		if shard < 0 {
-			shard = candidate.Machine.Shard
-		}
-		if !c.bindTask(queued, i, task.Attempt+1, candidate, shard) {
+		if !c.bindTask(queued, newTaskStart(task, job.Spec.ID, task.Attempt+1, picks[0], charged)) {
 			return
 		}
 		picks = picks[1:]
 	}
 }
 
-// bindTask adds a task to the records' changes, if its team's grant of a part
-// covers it.
-func (c *cycle) bindTask(queued *queuedJob, index int, attempt uint64, candidate *binpack.MachineInfo, charged int) bool {
+// chunkBindable tells whether a task of a chunk waits and its record can be changed now.
+func (c *cycle) chunkBindable(job *clusterstate.Job, chunk int) bool {
+	return !job.ChunkFullyAssigned(chunk) && !c.keysInFlight[job.ChunkKey(chunk)]
+}
+
+// taskStart is a start of a task on a machine that a cycle has chosen for it.
+type taskStart struct {
+	task      clusterstate.TaskRef
+	attempt   uint64
+	failures  int // of the task's earlier attempts
+	candidate *binpack.MachineInfo
+	charged   int // shard
+}
+
+func newTaskStart(task clusterstate.Task, job string, attempt uint64, candidate *binpack.MachineInfo, charged int) taskStart {
+	if charged == shardOfMachine {
+		charged = candidate.Machine.Shard
+	}
+	return taskStart{
+		task:    clusterstate.TaskRef{Job: job, Index: task.Index},
+		attempt: attempt, failures: task.Failures, candidate: candidate, charged: charged,
+	}
+}
+
+// bindTask adds a binding to the changes of its record. It gives false, and changes nothing, if the
+// task may not start now.
+func (c *cycle) bindTask(queued *queuedJob, start taskStart) bool {
+	job, machine := queued.job, start.candidate.Machine
+	if !c.mayBind(queued, start) {
+		return false
+	}
+	edit := c.editRecord(job, start.task.Index)
+	if edit == nil {
+		c.logWaiting(job, waitChangeInFlight, nil)
+		return false
+	}
+	edit.tasks[start.task.Index] = c.boundTask(start)
+	edit.shards[start.charged] = true
+	edit.shards[machine.Shard] = true
+	edit.encodedSize += maxBindingBytes(machine.Name)
+	pending := pendingBinding{
+		task: start.task, machine: machine.Name, chargedShard: start.charged, team: job.Spec.Team, need: queued.Need,
+	}
+	edit.bindings = append(edit.bindings, pending)
+	c.inFlight.add(pending)
+	c.tasksBound++
+	c.recordDecision(queued, pending, start.attempt)
+	c.endWaits(job.Spec.ID, start.candidate)
+	c.log.Debug("task bound", "task", start.task, "attempt", start.attempt, "machine", machine.Name,
+		"image_present", c.inventory.HasImage(job.Spec.Image, start.candidate))
+	return true
+}
+
+// mayBind tells whether a task may be bound now: its job may start tasks here, the cycle starts no more
+// than it should, and its team's grant of the charged shard covers it.
+func (c *cycle) mayBind(queued *queuedJob, start taskStart) bool {
 	job := queued.job
-	team := job.Spec.Team
 	if c.failingJobs[job.Spec.ID] {
 		return false // in the same change as its end it would be bound to a job that is over
 	}
 	if job.HasUnmetDependencies() || job.OffloadedTo != nil || !c.holdsStartRight(job) {
 		// Every way to a machine comes through here: queues may err, this may not.
-		c.log.Error("a job that waits for others, or is with another cell, was about to start", "job", job.Spec.ID)
+		c.log.Error("job without the right to start was about to start", "job_id", job.Spec.ID)
 		return false
 	}
-	if job.Spec.Kind != wire.KindGang && c.tasksBound >= tuning.RoundTasks || !c.quota.Allows(charged, team, c.usage(charged, team).AddTimes(queued.Need, 1)) {
-		c.logWaiting(job, "its team's grant in this part, or the round is full", candidate)
+	if job.Spec.Kind != wire.KindGang && c.tasksBound >= tuning.RoundTasks || !c.grantCovers(queued, start.charged, 1) {
+		c.logWaiting(job, waitGrantOrCycle, start.candidate)
 		return false
 	}
-	edit := c.editRecord(job, index)
-	if edit == nil {
-		c.logWaiting(job, "a change of its record is on its way", nil)
-		return false
+	return true
+}
+
+// grantCovers tells whether a shard's grant of a job's team covers so many more of its tasks. If it
+// does not, more is requested.
+func (c *cycle) grantCovers(queued *queuedJob, shard, tasks int) bool {
+	team := queued.job.Spec.Team
+	return c.quota.Allows(shard, team, c.usage(shard, team).AddTimes(queued.Need, float64(tasks)))
+}
+
+// boundTask is the record of a binding. The machine's session is the newest that this node knows.
+func (c *cycle) boundTask(start taskStart) clusterstate.Task {
+	machine := start.candidate.Machine
+	session := max(machine.Session, 1)
+	if start.candidate.Owned {
+		session = c.agents.MachineStatus(machine.Name, c.shards.fencingTokens[machine.Shard]).Session
 	}
-	session := max(candidate.Machine.Session, 1)
-	if candidate.Owned {
-		session = c.agents.MachineStatus(candidate.Machine.Name, c.fencingTokens[candidate.Machine.Shard]).Session
+	task := clusterstate.Task{
+		Index: start.task.Index, State: clusterstate.TaskBound, Attempt: start.attempt,
+		Machine: machine.Name, Session: session, Failures: start.failures,
 	}
-	ref := clusterstate.TaskRef{Job: job.Spec.ID, Index: index}
-	task := clusterstate.Task{Index: index, State: clusterstate.TaskBound, Attempt: attempt, Machine: candidate.Machine.Name, Session: session, Failures: c.taskState(job, index).Failures}
-	if charged != candidate.Machine.Shard {
-		task.ChargedShard = charged + 1
+	if start.charged != machine.Shard {
+		task.ChargedShard = start.charged + 1 // 0 in the record stands for the machine's own
 	}
-	edit.tasks[index] = task
-	edit.shards[charged] = true
-	edit.shards[candidate.Machine.Shard] = true
-	edit.encodedSize += maxBindingBytes(candidate.Machine.Name)
-	binding := pendingBinding{ref, candidate.Machine.Name, charged, team, queued.Need}
-	edit.bindings = append(edit.bindings, binding)
-	c.addInFlight(binding)
-	c.tasksBound++
-	c.recordDecision(queued, binding, attempt)
-	delete(c.ownerWaits, job.Spec.ID)
-	delete(c.demand.unplacedSince, job.Spec.ID)
-	if candidate.ReservedFor == job.Spec.ID {
+	return task
+}
+
+// endWaits drops what is kept of a job because it waits: a task of it starts on a machine, whose
+// reservation for the job, if any, is used now.
+func (c *cycle) endWaits(job string, candidate *binpack.MachineInfo) {
+	delete(c.ownerWaits, job)
+	delete(c.demand.unplacedSince, job)
+	if candidate.ReservedFor == job {
 		delete(c.reservations, candidate.Machine.Name)
 		c.inventory.ReserveFor(candidate.Machine.Name, "")
 	}
-	c.log.Debug("task placed", "task", ref, "attempt", attempt, "machine", candidate.Machine.Name, "image", c.inventory.HasImage(job.Spec.Image, candidate))
-	return true
 }
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -9,123 +9,205 @@
 	"sableusher/internal/wire"
 )
 
-// schedule plays the round. Priorities come one after the other; within one, each
-// job first finds room in the part it is dealt to, and what is left over goes
-// wherever room is left.
-func (c *cycle) schedule() {
-	inventory := c.refreshInventory()
-	c.inventory = inventory
-	if c.committer.QueueLength() < tuning.PressedItems || c.now.Sub(c.lastArrayPlacement) > tuning.PressedGap {
-		c.lastArrayPlacement = c.now
-	} else {
-		c.storeSaturated = true
+// cycle is one scheduling cycle: what is known in it, and the changes it makes. The caller holds the
+// engine's lock and the cluster state's read lock throughout.
+type cycle struct {
+	*Engine
+	now      time.Time
+	shards   shardView
+	inFlight inFlightUsage
+	// inventory is the free capacity in this cycle; what is placed or expected is taken from it.
+	inventory *binpack.Inventory
+
+	recordEdits map[recordKey]*recordEdit
+	outgoing    []*recordChange
+	tasksBound  int
+
+	preempting          preemptionProgress
+	dependentNeedsByJob map[string]dependentNeeds // what jobs that need others ask of them
+
+	storeSaturated bool // the key-value store's budget is the bottleneck
+	collectsDemand bool // this cycle accounts the unmet demand for the autoscaler
+	releaseBlocked bool // a task's end could not be written yet
+
+	failingJobs    map[string]bool      // jobs that a change of this cycle ends as failed
+	brokenAttempts map[gangAttempt]bool // whether an attempt is broken, worked out once a cycle
+}
+
+// shardView is who owns which shard as a cycle sees it.
+type shardView struct {
+	fencingTokens map[int]uint64 // of this node's shards
+	revisions     map[int]uint64 // modification revisions of the ownership records of this node's shards
+	live          []bool         // by shard: its owner lives
+}
+
+// owns tells whether a shard is this node's.
+func (v *shardView) owns(shard int) bool {
+	_, owned := v.fencingTokens[shard]
+	return owned
+}
+
+// inFlightUsage is what the tasks take whose bindings are decided but not yet in the cluster state.
+type inFlightUsage struct {
+	byMachine  map[string]clusterstate.Resources
+	byTeam     map[int]map[string]clusterstate.Resources // by charged shard and team
+	tasksByJob map[string]int
+}
+
+// add counts a binding.
+func (u *inFlightUsage) add(binding pendingBinding) {
+	u.byMachine[binding.machine] = u.byMachine[binding.machine].AddTimes(binding.need, 1)
+	teams := u.byTeam[binding.chargedShard]
+	teams[binding.team] = teams[binding.team].AddTimes(binding.need, 1)
+	u.tasksByJob[binding.task.Job]++
+}
+
+// preemptionProgress is what a cycle has done to make room by stopping tasks.
+type preemptionProgress struct {
+	machines int                                        // on which room is being made in this cycle
+	awaiting map[clusterstate.TaskRef]bool              // tasks that room is being made for
+	failed   [wire.PriorityCount]binpack.FailedRequests // requests for which nothing could be stopped anywhere, by rank
+}
+
+// newCycle begins a scheduling cycle at a time.
+func (e *Engine) newCycle(now time.Time) *cycle {
+	c := &cycle{
+		Engine: e,
+		now:    now,
+		shards: shardView{
+			fencingTokens: map[int]uint64{}, revisions: map[int]uint64{}, live: make([]bool, e.cluster.ShardCount),
+		},
+		inFlight: inFlightUsage{
+			byMachine:  map[string]clusterstate.Resources{},
+			byTeam:     map[int]map[string]clusterstate.Resources{},
+			tasksByJob: map[string]int{},
+		},
+		recordEdits:    map[recordKey]*recordEdit{},
+		preempting:     preemptionProgress{awaiting: make(map[clusterstate.TaskRef]bool, len(e.reservations))},
+		failingJobs:    map[string]bool{},
+		brokenAttempts: map[gangAttempt]bool{},
+	}
+	for _, reservation := range e.reservations {
+		c.preempting.awaiting[reservation.task] = true
+	}
+	for shard := range e.cluster.ShardCount {
+		c.inFlight.byTeam[shard] = map[string]clusterstate.Resources{}
+		c.viewShard(shard)
+	}
+	for _, change := range e.inFlightChanges {
+		for _, binding := range change.bindings {
+			c.inFlight.add(binding)
+		}
+	}
+	return c
+}
+
+// viewShard notes who owns a shard. A new owner hears of its machines at once rather than at their next
+// heartbeat.
+func (c *cycle) viewShard(shard int) {
+	_, c.shards.live[shard] = c.membership.OwnerOf(shard)
+	token, revision, owned := c.membership.Owns(shard)
+	if !owned {
+		if _, entitled := c.membership.MayServeAgents(shard); !entitled {
+			delete(c.shardOwnedSince, shard)
+		}
+		return
 	}
+	c.shards.fencingTokens[shard], c.shards.revisions[shard] = token, revision
+	if _, known := c.shardOwnedSince[shard]; known {
+		return
+	}
+	c.shardOwnedSince[shard] = c.now
+	for _, machine := range c.cluster.MachinesByShard[shard] {
+		c.agents.RequestDispatch(machine.Name)
+	}
+}
+
+// schedule places what waits: it brings the inventory up to date, orders the queue, and then goes
+// through its priorities one after the other. What is left over is the unmet demand.
+func (c *cycle) schedule() {
+	c.inventory = c.refreshInventory()
+	c.limitStarts()
 	_, _, isLeader := c.membership.Owns(clusterstate.LeaderShard)
 	c.collectsDemand = isLeader && c.now.Sub(c.demand.unmet.ComputedAt) >= tuning.DemandEvery
-	queue := c.buildQueue(inventory.HasFreeCapacity())
-	inventory.FilterFeasible(func(yield func(clusterstate.Resources) bool) {
+	queue := c.buildQueue(c.inventory.HasFreeCapacity())
+	c.inventory.FilterFeasible(func(yield func(clusterstate.Resources) bool) {
 		for i := range queue {
 			if !yield(queue[i].Need) {
 				return
 			}
 		}
 	})
-	demand := UnmetDemand{ComputedAt: c.now}
+	unmet := UnmetDemand{ComputedAt: c.now}
 	if len(queue) > 0 {
-		inventory.GroupPending()
-		usage := map[string]clusterstate.Resources{}
-		for shard := range c.cluster.ShardCount {
-			for team, amount := range c.cluster.UsageByShard[shard] {
-				usage[team] = usage[team].AddTimes(amount, 1)
-			}
-			for team, amount := range c.inFlightByShard[shard] {
-				usage[team] = usage[team].AddTimes(amount, 1)
-			}
-		}
+		c.inventory.GroupPending()
+		usage := c.teamUsage()
 		for len(queue) > 0 {
-			count := 1
-			for count < len(queue) && queue[count].rank == queue[0].rank {
-				count++
-			}
-			for i := range queue[:count] {
-				if queued := &queue[i]; c.countPlaceable(queued, usage) && c.serviceCapacityScarce() {
-					c.placeFirstReplica(queued, inventory)
-				}
-			}
-			// Of work that is in no hurry, first comes what finds its image where
-			// there is room: to fetch it would take the machine's time.
-			for i := range queue[:count] {
-				if queued := &queue[i]; queued.rank > wire.PriorityRank(wire.PriorityHigh) && !queued.nearDeadline && !queued.key.MissesObjectives {
-					c.placeInHomeShard(queued, inventory, true)
-				}
-			}
-			for i := range queue[:count] {
-				c.placeInHomeShard(&queue[i], inventory, false)
-			}
-			for i := range queue[:count] {
-				c.placeInOtherShards(&queue[i], inventory, &demand)
-			}
+			count := samePriority(queue)
+			c.scheduleRank(queue[:count], usage, &unmet)
 			queue = queue[count:]
 		}
 	}
 	if c.collectsDemand {
-		demand.SpareOnDemand, demand.SpareSpot, demand.IdleMachines = inventory.Spare()
-		c.demand.unmet = demand
+		unmet.SpareOnDemand, unmet.SpareSpot, unmet.IdleMachines = c.inventory.Spare()
+		c.demand.unmet = unmet
 	}
 }
 
-// cycle is one look at the view; it collects the changes to make.
-type cycle struct {
-	*Engine
-	now                     time.Time
-	fencingTokens           map[int]uint64
-	shardRevisions          map[int]uint64
-	recordEdits             map[recordKey]*recordEdit
-	outgoing                []*recordChange
-	inFlightByMachine       map[string]clusterstate.Resources // on their way, by machine
-	inFlightByShard         map[int]map[string]clusterstate.Resources
-	inFlightByJob           map[string]int // tasks on their way, by job
-	liveShards              []bool         // parts whose owner lives
-	tasksBound              int
-	inventory               *binpack.Inventory
-	storeSaturated          bool                                       // the state service's budget is the bottleneck
-	machinesPreempted       int                                        // machines on which room is being freed in this round
-	collectsDemand          bool                                       // this round counts the demand for the pool
-	tasksAwaitingPreemption map[clusterstate.TaskRef]bool              // tasks that room is being freed for
-	preemptionMisses        [wire.PriorityCount]binpack.FailedRequests // needs for which nothing could be stopped anywhere, by rank
-	releaseBlocked          bool                                       // a task's end could not be written yet
-	failingJobs             map[string]bool                            // jobs that a change of this round ends as failed
-	brokenAttempts          map[gangAttempt]bool                       // whether an attempt is broken, looked at once a round
-	dependentNeedsByJob     map[string]dependentNeeds                  // what jobs that need others ask of them
+// limitStarts lets arrays start only every tuning.PressedGap while the key-value store's budget is the
+// bottleneck.
+func (c *cycle) limitStarts() {
+	if c.committer.QueueLength() < tuning.PressedItems || c.now.Sub(c.lastArrayPlacement) > tuning.PressedGap {
+		c.lastArrayPlacement = c.now
+		return
+	}
+	c.storeSaturated = true
 }
 
-func (e *Engine) newCycle(now time.Time) *cycle {
-	c := &cycle{Engine: e, now: now, fencingTokens: map[int]uint64{}, shardRevisions: map[int]uint64{}, recordEdits: map[recordKey]*recordEdit{}, brokenAttempts: map[gangAttempt]bool{}, failingJobs: map[string]bool{},
-		inFlightByMachine: map[string]clusterstate.Resources{}, inFlightByShard: map[int]map[string]clusterstate.Resources{}, inFlightByJob: map[string]int{},
-		liveShards: make([]bool, e.cluster.ShardCount), tasksAwaitingPreemption: make(map[clusterstate.TaskRef]bool, len(e.reservations))}
-	for _, reservation := range e.reservations {
-		c.tasksAwaitingPreemption[reservation.task] = true
+// teamUsage is what each team's tasks take in all shards, those in flight included.
+func (c *cycle) teamUsage() map[string]clusterstate.Resources {
+	usage := map[string]clusterstate.Resources{}
+	for shard := range c.cluster.ShardCount {
+		for team, amount := range c.cluster.UsageByShard[shard] {
+			usage[team] = usage[team].AddTimes(amount, 1)
+		}
+		for team, amount := range c.inFlight.byTeam[shard] {
+			usage[team] = usage[team].AddTimes(amount, 1)
+		}
 	}
-	for shard := range e.cluster.ShardCount {
-		_, c.liveShards[shard] = e.membership.OwnerOf(shard)
-		c.inFlightByShard[shard] = map[string]clusterstate.Resources{}
-		if token, modRevision, ok := e.membership.Owns(shard); ok {
-			c.fencingTokens[shard], c.shardRevisions[shard] = token, modRevision
-			if _, known := e.shardOwnedSince[shard]; !known {
-				e.shardOwnedSince[shard] = now
-				// A new owner hears of its machines at once rather than at their next report.
-				for _, machine := range e.cluster.MachinesByShard[shard] {
-					e.agents.RequestDispatch(machine.Name)
-				}
-			}
-		} else if _, entitled := e.membership.MayServeAgents(shard); !entitled {
-			delete(e.shardOwnedSince, shard)
+	return usage
+}
+
+// samePriority counts the first jobs of a queue that have the same priority.
+func samePriority(queue []queuedJob) int {
+	count := 1
+	for count < len(queue) && queue[count].rank == queue[0].rank {
+		count++
+	}
+	return count
+}
+
+// scheduleRank places the jobs of one priority: each first in its home shard, and what is left over
+// wherever there is capacity.
+func (c *cycle) scheduleRank(queue []queuedJob, usage map[string]clusterstate.Resources, unmet *UnmetDemand) {
+	for i := range queue {
+		c.countPlaceable(&queue[i], usage)
+		if queue[i].Remaining > 0 && c.serviceCapacityScarce() {
+			c.placeFirstReplica(&queue[i])
 		}
 	}
-	for _, change := range e.inFlightChanges {
-		for _, binding := range change.bindings {
-			c.addInFlight(binding)
+	// Of work that is in no hurry, first comes what finds its image on a machine with capacity: to fetch
+	// it would take the machine's time.
+	for i := range queue {
+		queued := &queue[i]
+		if queued.rank > wire.PriorityRank(wire.PriorityHigh) && !queued.nearDeadline && !queued.key.MissesObjectives {
+			c.placeInHomeShard(queued, imageHolders)
 		}
 	}
-	return c
+	for i := range queue {
+		c.placeInHomeShard(&queue[i], allMachines)
+	}
+	for i := range queue {
+		c.placeInOtherShards(&queue[i], unmet)
+	}
 }
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -26,7 +26,7 @@
 		if job == nil || c.keysInFlight[key] || cancelled >= tuning.DoomRound {
 			continue
 		}
-		if _, owned := c.fencingTokens[c.firstLiveShard(job)]; !owned && c.now.Sub(job.DependencyCancelledAt) < tuning.DoomPatience {
+		if _, owned := c.shards.fencingTokens[c.firstLiveShard(job)]; !owned && c.now.Sub(job.DependencyCancelledAt) < tuning.DoomPatience {
 			continue
 		}
 		cancelled++
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -40,9 +40,9 @@
 	inFlightChanges     map[uint64]*recordChange
 	nextChangeID        uint64
 	jobBackoffs         map[string]jobBackoff
-	ownerWaits          map[string]ownerWait // jobs that wait though room was seen for them elsewhere
-	machinesToReconcile map[string]struct{}  // machines whose tasks' fate is to be looked at
-	lastSweep           time.Time            // when all machines were last looked at
+	ownerWaits          ownerWaits
+	machinesToReconcile map[string]struct{} // machines whose tasks' fate is to be looked at
+	lastSweep           time.Time           // when all machines were last looked at
 	gangFormingSince    map[string]time.Time
 	lastLoggedReason    map[string]time.Time   // when the log last said why a job waits
 	reservations        map[string]reservation // machines on which room is being freed
@@ -84,7 +84,7 @@
 func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *agent.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
-		keysInFlight: map[string]bool{}, inFlightChanges: map[uint64]*recordChange{}, jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, machinesToReconcile: map[string]struct{}{},
+		keysInFlight: map[string]bool{}, inFlightChanges: map[uint64]*recordChange{}, jobBackoffs: map[string]jobBackoff{}, ownerWaits: ownerWaits{}, machinesToReconcile: map[string]struct{}{},
 		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: map[string]reservation{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: map[string]bool{}, tombstones: map[string]time.Time{},
 		jobsToMigrate: map[string]bool{}, rejectedUntil: map[string]time.Time{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
@@ -200,7 +200,7 @@
 		c.demand.updateCommonTask(c.cluster.Jobs, now)
 		c.pruneState()
 		c.deleteFailedMachines()
-		for shard := range c.fencingTokens {
+		for shard := range c.shards.fencingTokens {
 			for _, machine := range c.cluster.MachinesByShard[shard] {
 				e.machinesToReconcile[machine.Name] = struct{}{}
 			}
@@ -211,7 +211,7 @@
 	c.buildChanges()
 	c.migrateRecords()
 	c.cancelDependents()
-	for _, grant := range e.quota.PlanChanges(now, c.shardRevisions, c.usage) {
+	for _, grant := range e.quota.PlanChanges(now, c.shards.revisions, c.usage) {
 		change := &recordChange{description: "grant", transaction: grant.Transaction, shards: []int{grant.Shard}, onResult: func(bool) { grant.Done() }}
 		c.outgoing = append(c.outgoing, change)
 	}
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -35,7 +35,7 @@
 	reachableZones := c.countReachableZones()
 	for _, name := range slices.Sorted(maps.Keys(c.cluster.Machines)) {
 		machine := c.cluster.Machines[name]
-		token, owned := c.fencingTokens[machine.Shard]
+		token, owned := c.shards.fencingTokens[machine.Shard]
 		if !owned || machine.Deleting || c.deletedMachines[name] || c.keysInFlight[clusterstate.MachineKey(name)] {
 			continue
 		}
@@ -48,7 +48,7 @@
 		if machine.Up && status.InboundLost {
 			c.recordMachineDown(machine, "hears nothing")
 		}
-		empty := len(machine.Bindings) == 0 && c.inFlightByMachine[name] == (clusterstate.Resources{})
+		empty := len(machine.Bindings) == 0 && c.inFlight.byMachine[name] == (clusterstate.Resources{})
 		switch {
 		case !machine.Up && status.LastHeard.IsZero():
 			if c.bootTimedOut(machine) && !c.failureDetector.ZoneUnstable(machine.Zone) {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -8,76 +8,111 @@
 	"sableusher/internal/tuning"
 )
 
-// placeGang gives a gang room for all its tasks or none. One node does so for
-// each gang, over the machines of all parts, in one transaction: the owner of
-// the part that the gang is dealt to, whose grant it uses. The owners of its
-// machines start the tasks as they see them bound. Where an owner has used the
-// room meanwhile, its worker refuses and the gang is placed anew.
-func (c *cycle) placeGang(queued *queuedJob, inventory *binpack.Inventory) {
-	job, spec := queued.job, &queued.job.Spec
-	var attempt uint64
-	var idle []int
-	forming := false
-	for i := range spec.TaskCount {
-		task := c.taskState(job, i)
-		attempt = max(attempt, task.Attempt)
-		if task.State == clusterstate.TaskPending {
-			idle = append(idle, i)
-		} else {
-			forming = true
-		}
-	}
-	queued.Remaining = len(idle)
-	if c.keysInFlight[clusterstate.JobKey(spec.ID)] || c.needsMigration(job) || forming && slices.ContainsFunc(idle, func(i int) bool { return c.taskState(job, i).Attempt >= attempt }) {
-		c.logWaiting(job, "its last attempt has not left yet, or a change is on its way", nil)
+// gangStart is the attempt that a gang's waiting tasks are bound for.
+type gangStart struct {
+	attempt uint64
+	idle    []clusterstate.Task
+	forming bool // tasks of the attempt are bound already
+}
+
+// placeGang gives a gang capacity for all its tasks or none. One node does so for each gang, over the
+// machines of all shards, in one transaction: the owner of the gang's home shard, whose grant it uses.
+// The owners of its machines start the tasks as they see them bound. Where an owner has used the capacity
+// meanwhile, its agent refuses and the gang is placed anew.
+func (c *cycle) placeGang(queued *queuedJob) {
+	job := queued.job
+	start := c.gangStart(job)
+	queued.Remaining = len(start.idle)
+	if !c.gangMayStart(job, start) {
+		c.logWaiting(job, waitGangAttempt, nil)
 		queued.Remaining = 0
 		return
 	}
-	if !forming { // else one too long for a transaction is completed
-		attempt++
+	if !start.forming { // else one too long for a transaction is completed
+		start.attempt++
 	}
-	// One that finds its image at once goes first, then one that has room in its
-	// own part, where no other node places.
 	queued.homeShard = c.firstLiveShard(job)
-	zones := c.zoneConstraint(job, 0)
-	candidates := inventory.FittingMachines(&queued.Request)
-	inPart := func(n *binpack.MachineInfo) bool { return n.Machine.Shard == queued.homeShard }
-	held := func(n *binpack.MachineInfo) bool { return c.inventory.HasImage(spec.Image, n) }
-	var picks []*binpack.MachineInfo
-	for _, also := range []func(*binpack.MachineInfo) bool{
-		func(n *binpack.MachineInfo) bool { return inPart(n) && held(n) },
-		func(n *binpack.MachineInfo) bool { return n.SessionKnown() && held(n) },
-		inPart, (*binpack.MachineInfo).SessionKnown,
-	} {
-		if picks = inventory.AllocateGang(&queued.Request, candidates, zones, also); picks != nil {
-			break
-		}
-	}
+	picks := c.allocateGang(queued)
 	if picks == nil {
-		c.logWaiting(job, "no room for all its tasks", nil)
+		c.logWaiting(job, waitGangCapacity, nil)
 		return
 	}
 	queued.Remaining = 0
-	_, owned := c.fencingTokens[queued.homeShard]
-	if !owned || c.tasksBound+len(picks) > tuning.RoundTasks && c.tasksBound > 0 {
-		return
+	if c.shards.owns(queued.homeShard) && c.gangBindable(queued, start, picks) {
+		for i, pick := range picks {
+			c.bindTask(queued, newTaskStart(start.idle[i], job.Spec.ID, start.attempt, pick, queued.homeShard))
+		}
 	}
-	// All or nothing: the grant must cover it whole, and its records must hold it.
-	adds := map[int]int{} // tasks by record
-	for _, i := range idle {
-		adds[job.ChunkOf(i)]++
+}
+
+// gangStart finds the tasks of a gang that wait, and its last attempt.
+func (c *cycle) gangStart(job *clusterstate.Job) gangStart {
+	var start gangStart
+	for taskIndex := range job.Spec.TaskCount {
+		task := c.taskState(job, taskIndex)
+		start.attempt = max(start.attempt, task.Attempt)
+		if task.State == clusterstate.TaskPending {
+			start.idle = append(start.idle, task)
+		} else {
+			start.forming = true
+		}
+	}
+	return start
+}
+
+// gangMayStart tells whether a gang's record can be changed, and no task of its last attempt has ended
+// while others are still on machines.
+func (c *cycle) gangMayStart(job *clusterstate.Job, start gangStart) bool {
+	if c.keysInFlight[clusterstate.JobKey(job.Spec.ID)] || c.needsMigration(job) {
+		return false
+	}
+	return !start.forming || !slices.ContainsFunc(start.idle, func(task clusterstate.Task) bool {
+		return task.Attempt >= start.attempt
+	})
+}
+
+// allocateGang takes capacity for all of a gang's tasks; nil, and none taken, if there is none. Machines
+// that hold its image go first, then those of its home shard, where no other node places.
+func (c *cycle) allocateGang(queued *queuedJob) []*binpack.MachineInfo {
+	zones := c.zoneConstraint(queued.job, 0)
+	candidates := c.inventory.FittingMachines(&queued.Request)
+	inHomeShard := func(candidate *binpack.MachineInfo) bool { return candidate.Machine.Shard == queued.homeShard }
+	hasImage := func(candidate *binpack.MachineInfo) bool {
+		return c.inventory.HasImage(queued.job.Spec.Image, candidate)
 	}
-	for k, n := range adds {
-		if c.recordFull(job, k, n, picks[0].Machine.Name) {
-			c.logWaiting(job, "its records are full", nil)
-			return
+	for _, accept := range []func(*binpack.MachineInfo) bool{
+		func(candidate *binpack.MachineInfo) bool { return inHomeShard(candidate) && hasImage(candidate) },
+		func(candidate *binpack.MachineInfo) bool { return candidate.SessionKnown() && hasImage(candidate) },
+		inHomeShard,
+		(*binpack.MachineInfo).SessionKnown,
+	} {
+		if picks := c.inventory.AllocateGang(&queued.Request, candidates, zones, accept); picks != nil {
+			return picks
 		}
 	}
-	if !c.quota.Allows(queued.homeShard, spec.Team, c.usage(queued.homeShard, spec.Team).AddTimes(queued.Need, float64(len(picks)))) {
-		c.logWaiting(job, "its team's grant in this part", nil)
-		return
+	return nil
+}
+
+// gangBindable tells whether a gang can be bound to machines as a whole: this cycle starts no more than it
+// should, the gang's records hold the bindings and the grant of its home shard covers them.
+func (c *cycle) gangBindable(queued *queuedJob, start gangStart, picks []*binpack.MachineInfo) bool {
+	job := queued.job
+	if c.tasksBound > 0 && c.tasksBound+len(picks) > tuning.RoundTasks {
+		return false
+	}
+	bindingsByChunk := map[int]int{}
+	for _, task := range start.idle {
+		bindingsByChunk[job.ChunkOf(task.Index)]++
+	}
+	for chunk, bindings := range bindingsByChunk {
+		if c.recordFull(job, chunk, bindings, picks[0].Machine.Name) {
+			c.logWaiting(job, waitRecordFull, nil)
+			return false
+		}
 	}
-	for x, n := range picks {
-		c.bindTask(queued, idle[x], attempt, n, queued.homeShard)
+	if !c.grantCovers(queued, queued.homeShard, len(picks)) {
+		c.logWaiting(job, waitTeamGrant, nil)
+		return false
 	}
+	return true
 }
--- a/internal/scheduler/homeshard.go
+++ b/internal/scheduler/homeshard.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"maps"
 	"time"
 
 	"sableusher/internal/clusterstate"
@@ -8,77 +9,101 @@
 	"sableusher/internal/wire"
 )
 
-// homeShard is the part that a job is dealt to: where its tasks already are, else
-// the first in an order of its own that has room for all of them. All nodes
-// find the same without a word; where views differ, the records' guards decide. any
-// tells whether there is room for a task of it anywhere.
+// ownerWait is since when a job waits, with so many tasks, for the owner of its home shard.
+type ownerWait struct {
+	since    time.Time
+	lastSeen time.Time
+	pending  int
+}
+
+// ownerWaits are the jobs that wait though another shard's machines have capacity for them, by id.
+type ownerWaits map[string]ownerWait
+
+// note notes that a job waits and gives since when it does, with no task placed and without a break.
+func (w ownerWaits) note(now time.Time, job *clusterstate.Job) time.Time {
+	id, pending := job.Spec.ID, job.PendingCount()
+	waiting, ok := w[id]
+	if !ok || waiting.pending != pending || now.Sub(waiting.lastSeen) > tuning.DealHold {
+		waiting = ownerWait{since: now, pending: pending}
+	}
+	waiting.lastSeen = now
+	w[id] = waiting
+	return waiting.since
+}
+
+// prune drops the jobs that are over.
+func (w ownerWaits) prune(jobs map[string]*clusterstate.Job) {
+	maps.DeleteFunc(w, func(id string, _ ownerWait) bool { return jobs[id] == nil })
+}
+
+// homeShard is the shard whose owner places a job: where its tasks already are, else the first in an
+// order of its own that has capacity for all of them. All nodes find the same without messages; where
+// their views differ, the conditions on the records decide. anywhere tells whether there is capacity for
+// a task of it in any shard.
 func (c *cycle) homeShard(queued *queuedJob) (home int, anywhere bool) {
-	inventory, best, first := c.inventory, -1, c.firstLiveShard(queued.job)
+	first := c.firstLiveShard(queued.job)
 	underShortage := c.isArrayUnderShortage(queued)
-	for shard, bound := range queued.job.BoundByShard {
-		if bound > 0 && (best < 0 || bound > queued.job.BoundByShard[best]) && (underShortage && c.liveShards[shard] || inventory.ShardFits(&queued.Request, shard)) {
-			best = shard
-		}
-	}
-	if underShortage {
-		// Its part has room again before long, as all parts have a little at any time. In one
-		// part all of its tasks have one writer: spread over five, their ends would fail
-		// each other's guards and take a change for each.
-		if best < 0 {
-			best = first
+	home = c.shardOfMostTasks(queued, underShortage)
+	switch {
+	case underShortage:
+		// Its shard has capacity again before long, as all shards have a little at any time. In one shard
+		// all of its tasks have one writer: spread over five, their ends would fail each other's conditions
+		// and take a transaction for each.
+		if home == unknownShard {
+			home = first
 		}
-		_, _, anywhere := inventory.FindShard(&queued.Request, false, best)
-		return best, anywhere
+		_, _, anywhere = c.inventory.FindShard(&queued.Request, false, home)
+		return home, anywhere
+	case home != unknownShard:
+		return home, true
 	}
-	if best >= 0 {
-		return best, true
-	}
-	if shard, ok, _ := inventory.FindShard(&queued.Request, true, first); ok {
+	if shard, found, _ := c.inventory.FindShard(&queued.Request, true, first); found {
 		return shard, true
 	}
-	shard, _, anywhere := inventory.FindShard(&queued.Request, false, first)
-	return shard, anywhere
+	home, _, anywhere = c.inventory.FindShard(&queued.Request, false, first)
+	return home, anywhere
+}
+
+// shardOfMostTasks is the shard with most of a job's tasks of those that can take more of them, and
+// while capacity is short of those whose owner lives; unknownShard if there is none.
+func (c *cycle) shardOfMostTasks(queued *queuedJob, underShortage bool) int {
+	best := unknownShard
+	for shard, bound := range queued.job.BoundByShard {
+		if bound == 0 || best != unknownShard && bound <= queued.job.BoundByShard[best] {
+			continue
+		}
+		if underShortage && c.shards.live[shard] || c.inventory.ShardFits(&queued.Request, shard) {
+			best = shard
+		}
+	}
+	return best
 }
 
-// isArrayUnderShortage tells whether a job is an array of a priority whose waiting arrays can't all be in time.
+// isArrayUnderShortage tells whether a job is an array of a priority whose waiting arrays can't all meet their objectives.
 func (c *cycle) isArrayUnderShortage(queued *queuedJob) bool {
 	return c.objectives.capacityShort[queued.rank] && queued.job.Spec.Kind == wire.KindArray
 }
 
-// firstLiveShard is the first part in a job's own order whose owner lives.
+// firstLiveShard is the first shard in a job's own order whose owner lives.
 func (c *cycle) firstLiveShard(job *clusterstate.Job) int {
-	home := clusterstate.ShardOf(job.Spec.ID, c.cluster.ShardCount)
-	for i := range c.cluster.ShardCount {
-		if shard := (home + i) % c.cluster.ShardCount; c.liveShards[shard] {
+	hashed := clusterstate.ShardOf(job.Spec.ID, c.cluster.ShardCount)
+	for offset := range c.cluster.ShardCount {
+		if shard := (hashed + offset) % c.cluster.ShardCount; c.shards.live[shard] {
 			return shard
 		}
 	}
-	return home
+	return hashed
 }
 
-// ownerWait is since when a job waits, with so many tasks, for another part's owner.
-type ownerWait struct {
-	since    time.Time
-	lastSeen time.Time
-	pending  int
-}
-
-// homeOwnerTimedOut tells whether the owner of the part that a job was dealt to has had
-// time to take it: if it does not, whoever has room may.
+// homeOwnerTimedOut tells whether the owner of a job's home shard has had time to place it and it is this
+// node's turn to do so instead. The shards take turns: at once, all but one would fail for the
+// condition on the record.
 func (c *cycle) homeOwnerTimedOut(queued *queuedJob) bool {
-	id, pending := queued.job.Spec.ID, queued.job.PendingCount()
-	waiting, ok := c.ownerWaits[id]
-	if !ok || waiting.pending != pending || c.now.Sub(waiting.lastSeen) > tuning.DealHold {
-		waiting = ownerWait{since: c.now, pending: pending} // it moved on, or there was no room in between
-	}
-	waiting.lastSeen = c.now
-	c.ownerWaits[id] = waiting
-	// The parts take turns: at once, all but one would fail for the record's guard.
+	since := c.ownerWaits.note(c.now, queued.job)
 	turn := int(c.now.UnixMilli()/tuning.DealHold.Milliseconds()) + c.firstLiveShard(queued.job)
-	_, owned := c.fencingTokens[turn%c.cluster.ShardCount]
 	hold := tuning.DealHold
 	if c.isArrayUnderShortage(queued) {
 		hold = tuning.DealHoldShort
 	}
-	return owned && c.now.Sub(waiting.since) > hold
+	return c.shards.owns(turn%c.cluster.ShardCount) && c.now.Sub(since) > hold
 }
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -12,11 +12,11 @@
 // what is on its way, what is being freed, and which images are believed to be where.
 func (c *cycle) refreshInventory() *binpack.Inventory {
 	names := c.changeFeed.TakeMachines()
-	inventory := binpack.Refresh(c.retainedInventory, binpack.Snapshot{Now: c.now, State: c.cluster, LiveShards: c.liveShards, FencingTokens: c.fencingTokens, AssessReadiness: c.readiness}, names, c.machinesToRefresh)
+	inventory := binpack.Refresh(c.retainedInventory, binpack.Snapshot{Now: c.now, State: c.cluster, LiveShards: c.shards.live, FencingTokens: c.shards.fencingTokens, AssessReadiness: c.readiness}, names, c.machinesToRefresh)
 	c.retainedInventory = inventory
 	inventory.NeedPerGPU, inventory.CommonNeed = c.demand.needPerGPU, c.demand.commonTask
 	clear(c.machinesToRefresh)
-	for name, amount := range c.inFlightByMachine {
+	for name, amount := range c.inFlight.byMachine {
 		inventory.ConsumeByName(name, amount)
 	}
 	for name, reservation := range c.reservations {
@@ -54,7 +54,7 @@
 	switch {
 	case c.failureDetector.ZoneUnavailable(machine.Zone):
 		return binpack.Unavailable // nothing starts there before the cut is over
-	case owned && c.agents.MachineStatus(machine.Name, c.fencingTokens[machine.Shard]).Schedulable, !owned && c.liveShards[machine.Shard] && (machine.Up || c.likelyBooted(machine)):
+	case owned && c.agents.MachineStatus(machine.Name, c.shards.fencingTokens[machine.Shard]).Schedulable, !owned && c.shards.live[machine.Shard] && (machine.Up || c.likelyBooted(machine)):
 		return binpack.Ready
 	case !machine.Up && c.bootOverdue(machine):
 		return binpack.Unavailable // others are rented rather than waited for
--- a/internal/scheduler/learner_reward.go
+++ b/internal/scheduler/learner_reward.go
@@ -40,7 +40,7 @@
 // accrueMachineTime counts the machines of this node's shards as held.
 func (c *cycle) accrueMachineTime() {
 	machines := 0
-	for shard := range c.shardRevisions {
+	for shard := range c.shards.revisions {
 		machines += len(c.cluster.MachinesByShard[shard])
 	}
 	c.learning.utilization.accrue(c.now, machines)
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -16,16 +16,16 @@
 // hundreds of arrays that wait behind a full fleet would each pass all of its machines.
 func (c *cycle) preemptFor(queued *queuedJob, taskIndex int, inventory *binpack.Inventory, zones *binpack.ZoneConstraint) bool {
 	task := clusterstate.TaskRef{Job: queued.job.Spec.ID, Index: taskIndex}
-	if c.tasksAwaitingPreemption[task] {
+	if c.preempting.awaiting[task] {
 		return true // room is being freed for it already
 	}
-	if c.machinesPreempted >= tuning.RoundStops || c.preemptionMisses[queued.rank].Covers(&queued.Request) {
+	if c.preempting.machines >= tuning.RoundStops || c.preempting.failed[queued.rank].Covers(&queued.Request) {
 		return false
 	}
 	first := (c.firstLiveShard(queued.job) + taskIndex + c.shardRotation(queued)) % c.cluster.ShardCount
 	for offset := range c.cluster.ShardCount {
 		shard := (first + offset) % c.cluster.ShardCount
-		_, owned := c.fencingTokens[shard]
+		_, owned := c.shards.fencingTokens[shard]
 		limit := 1 // that there is one is all that matters where another node decides
 		if owned {
 			limit = tuning.PreemptLook
@@ -44,7 +44,7 @@
 	}
 	// What must stand in certain zones may have missed for that alone.
 	if !queued.job.Spec.SameZone && !queued.job.Spec.Spread {
-		c.preemptionMisses[queued.rank].Add(&queued.Request)
+		c.preempting.failed[queued.rank].Add(&queued.Request)
 	}
 	return false
 }
@@ -84,10 +84,10 @@
 
 // preemptTasks stops tasks on a machine until another has room there, and keeps the room.
 func (c *cycle) preemptTasks(candidate *binpack.MachineInfo, queued *queuedJob, task clusterstate.TaskRef, victims []preemption.Victim) {
-	c.machinesPreempted++
+	c.preempting.machines++
 	c.inventory.ReserveAll(candidate, task.Job)
 	c.reservations[candidate.Machine.Name] = reservation{task, c.now.Add(tuning.PreemptHold)}
-	c.tasksAwaitingPreemption[task] = true
+	c.preempting.awaiting[task] = true
 	for _, victim := range victims {
 		grace := 0.0
 		if queued.rank > 0 && victim.Binding.Job.Spec.CheckpointIntervalSeconds > 0 {
@@ -107,7 +107,7 @@
 
 // lostMachineSeconds is the work lost when a task is stopped, in machine seconds.
 func (c *cycle) lostMachineSeconds(binding clusterstate.Binding, candidate *binpack.MachineInfo) float64 {
-	task := c.agents.ObserveTask(binding, candidate.Machine.Name, c.fencingTokens[candidate.Machine.Shard])
+	task := c.agents.ObserveTask(binding, candidate.Machine.Name, c.shards.fencingTokens[candidate.Machine.Shard])
 	ran := 0.0
 	if task.State == wire.TaskRunning {
 		ran = c.now.Sub(task.Since).Seconds()
--- a/internal/scheduler/prune.go
+++ b/internal/scheduler/prune.go
@@ -13,7 +13,7 @@
 	isOver := func(id string) bool { return c.cluster.Jobs[id] == nil }
 	c.learning.prune(c.cluster.Jobs)
 	maps.DeleteFunc(c.jobBackoffs, func(id string, _ jobBackoff) bool { return isOver(id) })
-	maps.DeleteFunc(c.ownerWaits, func(id string, _ ownerWait) bool { return isOver(id) })
+	c.ownerWaits.prune(c.cluster.Jobs)
 	c.demand.prune(c.cluster.Jobs)
 	maps.DeleteFunc(c.lastLoggedReason, func(id string, _ time.Time) bool { return isOver(id) })
 	maps.DeleteFunc(c.gangFormingSince, func(id string, _ time.Time) bool { return isOver(id) })
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -34,7 +34,7 @@
 	edit.tasks[binding.Ref.Index] = released
 	// A gang's tasks end together, also those in other nodes' parts: there the
 	// job's record alone is the guard, as this node doesn't own the part.
-	if shard := clusterstate.ShardOf(machineName, c.cluster.ShardCount); c.shardRevisions[shard] != 0 {
+	if shard := clusterstate.ShardOf(machineName, c.cluster.ShardCount); c.shards.revisions[shard] != 0 {
 		edit.shards[shard] = true
 	}
 	c.learning.recordEnd(c.now, c.cluster, binding, state == clusterstate.TaskDone, machineName)
@@ -65,7 +65,7 @@
 		if machine == nil {
 			continue
 		}
-		token, owned := c.fencingTokens[machine.Shard]
+		token, owned := c.shards.fencingTokens[machine.Shard]
 		if !owned {
 			continue
 		}
@@ -88,7 +88,7 @@
 			c.outgoing = append(c.outgoing, &recordChange{
 				description: "forget machine " + name, keys: []string{clusterstate.MachineKey(name)}, shards: []int{machine.Shard},
 				transaction: kvstore.Transaction{
-					Conditions: []wire.Condition{{Key: clusterstate.ShardKey(machine.Shard), ModRevision: c.shardRevisions[machine.Shard]}, {Key: clusterstate.MachineKey(name), ModRevision: machine.ModRevision}},
+					Conditions: []wire.Condition{{Key: clusterstate.ShardKey(machine.Shard), ModRevision: c.shards.revisions[machine.Shard]}, {Key: clusterstate.MachineKey(name), ModRevision: machine.ModRevision}},
 					Ops:        []wire.Op{kvstore.DeleteOp(clusterstate.MachineKey(name))},
 					Background: true, // its record says that it is being deleted, so nobody counts on it
 				},
@@ -96,7 +96,7 @@
 		}
 	}
 	for name, bindings := range c.cluster.OrphanBindings {
-		if _, owned := c.fencingTokens[clusterstate.ShardOf(name, c.cluster.ShardCount)]; owned && c.deletedMachines[name] {
+		if _, owned := c.shards.fencingTokens[clusterstate.ShardOf(name, c.cluster.ShardCount)]; owned && c.deletedMachines[name] {
 			for _, binding := range bindings {
 				c.releaseTask(binding, name, clusterstate.TaskPending, "machine deleted")
 			}
@@ -252,7 +252,7 @@
 		shard := clusterstate.ShardOf(name, c.cluster.ShardCount)
 		key := clusterstate.MachineKey(name)
 		machine := c.cluster.Machines[name]
-		if _, owned := c.shardRevisions[shard]; !owned || c.keysInFlight[key] || machine != nil && machine.Deleting {
+		if _, owned := c.shards.revisions[shard]; !owned || c.keysInFlight[key] || machine != nil && machine.Deleting {
 			continue
 		}
 		// A report that a cut has held back may come long after its machine was deleted:
@@ -273,7 +273,7 @@
 		}
 		newSession := machine != nil && machineRecord.Session != session
 		// A new session of a machine that hears nothing or reaches no node is recorded, but not that it is up.
-		status := c.agents.MachineStatus(name, c.fencingTokens[shard])
+		status := c.agents.MachineStatus(name, c.shards.fencingTokens[shard])
 		up := !status.OutboundLost && (status.InboundConfirmed || !status.InboundLost && (machineRecord.Up || machineRecord.Address == ""))
 		machineRecord.Type, machineRecord.Zone, machineRecord.Spot, machineRecord.Address, machineRecord.Up, machineRecord.Session = report.MachineType, report.Zone, report.Spot, report.Address, up, session
 		transaction := c.updateMachineRecord("machine is up "+name, name, shard, machineRecord, modRevision)
@@ -320,7 +320,7 @@
 	c.outgoing = append(c.outgoing, &recordChange{
 		description: "stop gang " + binding.Ref.Job, keys: []string{key}, shards: []int{machine.Shard},
 		transaction: kvstore.Transaction{
-			Conditions: []wire.Condition{{Key: key, ModRevision: binding.Job.ModRevision}, {Key: clusterstate.ShardKey(machine.Shard), ModRevision: c.shardRevisions[machine.Shard]}},
+			Conditions: []wire.Condition{{Key: key, ModRevision: binding.Job.ModRevision}, {Key: clusterstate.ShardKey(machine.Shard), ModRevision: c.shards.revisions[machine.Shard]}},
 			Ops:        []wire.Op{op}, Urgent: true,
 		},
 	})
--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -34,14 +34,14 @@
 }
 
 func (c *cycle) addInFlight(binding pendingBinding) {
-	c.inFlightByMachine[binding.machine] = c.inFlightByMachine[binding.machine].AddTimes(binding.need, 1)
-	c.inFlightByShard[binding.chargedShard][binding.team] = c.inFlightByShard[binding.chargedShard][binding.team].AddTimes(binding.need, 1)
-	c.inFlightByJob[binding.task.Job]++
+	c.inFlight.byMachine[binding.machine] = c.inFlight.byMachine[binding.machine].AddTimes(binding.need, 1)
+	c.inFlight.byTeam[binding.chargedShard][binding.team] = c.inFlight.byTeam[binding.chargedShard][binding.team].AddTimes(binding.need, 1)
+	c.inFlight.tasksByJob[binding.task.Job]++
 }
 
 // usage is what a team's tasks of a part take, those on their way included.
 func (c *cycle) usage(shard int, team string) clusterstate.Resources {
-	return c.cluster.UsageByShard[shard][team].AddTimes(c.inFlightByShard[shard][team], 1)
+	return c.cluster.UsageByShard[shard][team].AddTimes(c.inFlight.byTeam[shard][team], 1)
 }
 
 // editRecord opens the record that holds a task; nil while a change of it is on its
@@ -200,7 +200,7 @@
 		change.keys = append(change.keys, op.PutKey)
 	}
 	for _, shard := range slices.Sorted(maps.Keys(shards)) {
-		if modRevision, owned := c.shardRevisions[shard]; owned {
+		if modRevision, owned := c.shards.revisions[shard]; owned {
 			change.shards = append(change.shards, shard)
 			conditions[clusterstate.ShardKey(shard)] = modRevision
 		} else {
@@ -222,7 +222,7 @@
 	change := &recordChange{
 		description: description, keys: []string{key}, shards: []int{shard}, harmlessWhenLate: true,
 		transaction: kvstore.Transaction{
-			Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard), ModRevision: c.shardRevisions[shard]}, {Key: key, ModRevision: modRevision}},
+			Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard), ModRevision: c.shards.revisions[shard]}, {Key: key, ModRevision: modRevision}},
 			Ops:        []wire.Op{kvstore.PutOp(key, machineRecord)},
 		},
 	}
--- a/internal/scheduler/recordmigration.go
+++ b/internal/scheduler/recordmigration.go
@@ -34,7 +34,7 @@
 		}
 		conditions, ops, ok := job.MigrateChunk(layout, tuning.MoveRound)
 		if !ok || len(ops) > c.committer.MaxTransactionOps() {
-			c.logWaiting(job, "its records can't be split far enough", nil)
+			c.logWaiting(job, waitRecordMigration, nil)
 			return
 		}
 		migrated++
@@ -57,7 +57,7 @@
 			break
 		}
 		if job.HasRecord && job.NeedsMigration(layout) && c.now.Sub(time.UnixMilli(job.SubmittedAtMs)) > tuning.MoveGap {
-			if _, owned := c.fencingTokens[c.firstLiveShard(job)]; owned {
+			if _, owned := c.shards.fencingTokens[c.firstLiveShard(job)]; owned {
 				migrate(id)
 			}
 		}
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -7,131 +7,190 @@
 	"sableusher/internal/wire"
 )
 
-// placeFirstReplica gives a service that has lost all its replicas room for one, before any has room for
-// its second. One that never had any starts whole: each start alone is a change of its record.
-func (c *cycle) placeFirstReplica(queued *queuedJob, inventory *binpack.Inventory) {
-	if queued.job.Spec.Kind != wire.KindService || queued.job.BoundCount > 0 || c.taskState(queued.job, 0).Attempt == 0 {
+// candidateSet says which machines of a home shard are considered.
+type candidateSet int
+
+const (
+	allMachines  candidateSet = iota
+	imageHolders              // those believed to hold the job's image
+)
+
+// String names a set for messages.
+func (s candidateSet) String() string {
+	if s == imageHolders {
+		return "image holders"
+	}
+	return "all machines"
+}
+
+// placeFirstReplica places one replica of a service that has lost all of them, before any has capacity
+// for its second. One that never had any starts whole: each start alone is a change of its record.
+func (c *cycle) placeFirstReplica(queued *queuedJob) {
+	job := queued.job
+	if job.Spec.Kind != wire.KindService || job.BoundCount > 0 || c.taskState(job, 0).Attempt == 0 {
 		return
 	}
 	rest := queued.Remaining - 1
 	queued.Remaining = 1
-	c.placeInHomeShard(queued, inventory, false)
+	c.placeInHomeShard(queued, allMachines)
 	queued.Remaining += rest
 }
 
-// placeInHomeShard gives a job's tasks room in the part that the job is dealt to, so that
-// its record has one writer as a rule; with held only where its image is. A gang
-// is placed whole over all parts.
-func (c *cycle) placeInHomeShard(queued *queuedJob, inventory *binpack.Inventory, onlyWithImage bool) {
-	job, spec := queued.job, &queued.job.Spec
-	if queued.Remaining == 0 || onlyWithImage && spec.Kind == wire.KindGang {
+// placeInHomeShard places a job's tasks in the job's home shard, so that its record has one writer as a
+// rule. A gang is placed whole over all shards.
+func (c *cycle) placeInHomeShard(queued *queuedJob, set candidateSet) {
+	job, isService := queued.job, queued.job.Spec.Kind == wire.KindService
+	switch {
+	case queued.Remaining == 0:
 		return
-	}
-	if spec.Kind == wire.KindGang {
-		c.placeGang(queued, inventory)
+	case job.Spec.Kind == wire.KindGang:
+		if set == allMachines {
+			c.placeGang(queued)
+		}
 		return
-	}
-	if inventory.KnownInfeasible(&queued.Request) {
+	case c.inventory.KnownInfeasible(&queued.Request):
 		return
 	}
-	var candidates []*binpack.MachineInfo
-	var accept func(*binpack.MachineInfo) bool
-	if spec.Kind == wire.KindService {
-		// Its tasks go wherever the image is; the owner of one part places them all.
-		queued.homeShard = c.firstLiveShard(job)
-		// A zone that goes and comes back is the last to be trusted with a replica.
-		candidates, accept = inventory.FittingMachines(&queued.Request), (*binpack.MachineInfo).SessionKnown
-		candidates = c.inTrustedZones(candidates)
-	} else {
-		anywhere := false
-		if queued.homeShard, anywhere = c.homeShard(queued); !anywhere {
-			inventory.RecordFailure(&queued.Request)
-			return
-		}
-		candidates = inventory.FeasibleMachines(queued.homeShard)
-		if onlyWithImage {
-			candidates = inventory.ImageHolders(spec.Image, queued.homeShard)
-		}
-	}
+	candidates, accept := c.homeCandidates(queued, set)
 	if len(candidates) == 0 {
 		return
 	}
-	record := c.recordToPlace(job)
-	zones := c.zoneConstraint(job, record)
-	picks := c.chooseAcrossZones(queued, candidates, &zones, accept)
-	if _, owned := c.fencingTokens[queued.homeShard]; !owned && !onlyWithImage && len(picks) > 0 && c.homeOwnerTimedOut(queued) {
-		// Its owner has not taken it though there is room.
-		inventory.Release(&queued.Request, picks)
-		zones = c.zoneConstraint(job, record)
-		picks = inventory.Allocate(&queued.Request, inventory.FittingMachines(&queued.Request), &zones, func(candidate *binpack.MachineInfo) bool { return candidate.Owned })
-	} else if owned && spec.Kind == wire.KindService {
-		c.bindTasks(queued, record, picks, queued.homeShard)
-		return
+	chunk := c.chunkToPlace(job)
+	zones := c.zoneConstraint(job, chunk)
+	picks := c.allocateAcrossZones(queued, candidates, &zones, accept)
+	owned := c.shards.owns(queued.homeShard)
+	switch {
+	case !owned && set == allMachines && len(picks) > 0 && c.homeOwnerTimedOut(queued):
+		c.inventory.Release(&queued.Request, picks)
+		c.bindToOwnMachines(queued, chunk, c.allocateOwned(queued, chunk))
+	case owned && isService:
+		c.bindTasks(queued, chunk, picks, queued.homeShard)
+	default:
+		c.bindToOwnMachines(queued, chunk, picks)
 	}
-	c.bindToOwnMachines(queued, record, picks)
 }
 
-// chooseAcrossZones chooses room for a job's tasks; where the operators ask for it, for a service so that
-// at most half of it stands in one zone, as far as there is room for that. It is a wish: what
-// has no other room is placed all the same.
-func (c *cycle) chooseAcrossZones(queued *queuedJob, candidates []*binpack.MachineInfo, zones *binpack.ZoneConstraint, accept func(*binpack.MachineInfo) bool) []*binpack.MachineInfo {
+// homeCandidates chooses a job's home shard and gives the machines to be considered for it, with the
+// condition they must meet, if any. None means that there is no capacity.
+func (c *cycle) homeCandidates(queued *queuedJob, set candidateSet) (candidates []*binpack.MachineInfo, accept func(*binpack.MachineInfo) bool) {
+	if queued.job.Spec.Kind == wire.KindService {
+		// Its tasks go wherever the image is; the owner of one shard places them all. A zone that was
+		// lost and came back is the last to be trusted with a replica.
+		queued.homeShard = c.firstLiveShard(queued.job)
+		candidates = c.inTrustedZones(c.inventory.FittingMachines(&queued.Request))
+		return candidates, (*binpack.MachineInfo).SessionKnown
+	}
+	home, anywhere := c.homeShard(queued)
+	queued.homeShard = home
+	switch {
+	case !anywhere:
+		c.inventory.RecordFailure(&queued.Request)
+		return nil, nil
+	case set == imageHolders:
+		return c.inventory.ImageHolders(queued.job.Spec.Image, home), nil
+	default:
+		return c.inventory.FeasibleMachines(home), nil
+	}
+}
+
+// allocateOwned takes capacity for a job's tasks on this node's machines.
+func (c *cycle) allocateOwned(queued *queuedJob, chunk int) []*binpack.MachineInfo {
+	zones := c.zoneConstraint(queued.job, chunk)
+	candidates := c.inventory.FittingMachines(&queued.Request)
+	return c.inventory.Allocate(&queued.Request, candidates, &zones, func(candidate *binpack.MachineInfo) bool { return candidate.Owned })
+}
+
+// allocateAcrossZones takes capacity for a job's tasks; where the operators ask for it, for a service so
+// that at most half of it stands in one zone, as far as there is capacity for that. It is a preference:
+// what fits nowhere else is placed all the same.
+func (c *cycle) allocateAcrossZones(queued *queuedJob, candidates []*binpack.MachineInfo, zones *binpack.ZoneConstraint, accept func(*binpack.MachineInfo) bool) []*binpack.MachineInfo {
 	job, spec := queued.job, &queued.job.Spec
 	if !c.operator.SpreadServices || spec.Kind != wire.KindService || spec.Spread || spec.SameZone || spec.TaskCount < 2 {
 		return c.inventory.Allocate(&queued.Request, candidates, zones, accept)
 	}
 	preferred := binpack.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: (spec.TaskCount + 1) / 2}
-	for i := range spec.TaskCount {
-		if task := c.taskState(job, i); task.State == clusterstate.TaskBound && c.cluster.Machines[task.Machine] != nil {
-			preferred.TasksByZone[c.cluster.Machines[task.Machine].Zone]++
+	for taskIndex := range spec.TaskCount {
+		task := c.taskState(job, taskIndex)
+		if machine := c.cluster.Machines[task.Machine]; task.State == clusterstate.TaskBound && machine != nil {
+			preferred.TasksByZone[machine.Zone]++
 		}
 	}
 	picks := c.inventory.Allocate(&queued.Request, candidates, &preferred, accept)
 	return append(picks, c.inventory.Allocate(&queued.Request, candidates, zones, accept)...)
 }
 
-// placeInOtherShards looks elsewhere for room for what the part of a job had none for, then
-// at machines that are coming up; the rest is demand for the pool.
-func (c *cycle) placeInOtherShards(queued *queuedJob, inventory *binpack.Inventory, demand *UnmetDemand) {
-	job, spec := queued.job, &queued.job.Spec
+// placeInOtherShards looks in other shards for capacity for what a job's home shard had none for, then
+// at machines that are coming up; the rest is unmet demand, for which urgent work preempts.
+func (c *cycle) placeInOtherShards(queued *queuedJob, unmet *UnmetDemand) {
+	job := queued.job
 	if queued.Remaining == 0 {
 		return
 	}
-	record := c.recordToPlace(job)
-	zones := c.zoneConstraint(job, record)
-	candidates := inventory.FittingMachines(&queued.Request)
-	isGang := spec.Kind == wire.KindGang
-	if !isGang {
-		if picks := inventory.Allocate(&queued.Request, candidates, &zones, func(candidate *binpack.MachineInfo) bool { return candidate.Machine.Shard != queued.homeShard }); len(picks) > 0 &&
-			(queued.rank <= wire.PriorityRank(wire.PriorityHigh) || c.homeOwnerTimedOut(queued)) {
-			c.bindToOwnMachines(queued, record, picks)
-		}
-	} else {
-		if spec.SameZone && zones.PinnedZone == "" {
-			zones.PinnedZone = inventory.RoomiestZone(&queued.Request, candidates)
-		}
-		inventory.Allocate(&queued.Request, candidates, &zones, nil) // kept whole for it
-	}
+	zones := c.allocateAnywhere(queued)
 	if queued.Remaining == 0 {
 		return
 	}
-	c.logWaiting(job, "no room", nil)
+	c.logWaiting(job, waitCapacity, nil)
 	c.demand.noteUnplaced(job, c.now)
-	missing, preemptZones := queued.Remaining, zones.Clone()
-	inventory.AllocatePending(&queued.Request, &zones)
+	// What is expected on booting machines takes no zone from what is preempted for it meanwhile:
+	// services that are spread once waited for boots in the midst of arrays.
+	missing, preemptionZones := queued.Remaining, zones.Clone()
+	c.inventory.AllocatePending(&queued.Request, &zones)
 	if queued.Remaining > 0 && c.collectsDemand {
-		if queued.Need.CPUs >= c.demand.commonTask.CPUs {
-			demand.CommonTask = c.demand.commonTask
+		c.addUnmet(unmet, queued, zones.PinnedZone)
+	}
+	if c.mayPreempt(queued) {
+		c.preemptForTasks(queued, missing, &preemptionZones)
+	}
+}
+
+// allocateAnywhere takes capacity for a job's tasks in all shards, and binds them to this node's machines
+// if their owner has left them. What has capacity elsewhere is only counted. It gives what zones are left.
+func (c *cycle) allocateAnywhere(queued *queuedJob) binpack.ZoneConstraint {
+	job := queued.job
+	chunk := c.chunkToPlace(job)
+	zones := c.zoneConstraint(job, chunk)
+	candidates := c.inventory.FittingMachines(&queued.Request)
+	if job.Spec.Kind == wire.KindGang {
+		if job.Spec.SameZone && zones.PinnedZone == "" {
+			zones.PinnedZone = c.inventory.RoomiestZone(&queued.Request, candidates)
 		}
-		demand.Groups = append(demand.Groups, UnplacedGroup{Spec: spec, Count: queued.Remaining, Zone: zones.PinnedZone, Rank: queued.rank, SubmittedAt: job.ReadySince()})
-	}
-	if (queued.withinGuarantee || queued.rank <= wire.PriorityRank(wire.PriorityHigh)) && (!isGang || spec.TaskCount == 1) {
-		// What stands on machines coming up in the play takes no zone from what is stopped for it
-		// meanwhile: services that are spread once waited for boots in the midst of arrays.
-		c.countReservedZones(spec.ID, &preemptZones)
-		for i := range min(missing, tuning.PreemptTasks) {
-			if !c.preemptFor(queued, i, inventory, &preemptZones) {
-				break
-			}
+		c.inventory.Allocate(&queued.Request, candidates, &zones, nil) // kept whole for it
+		return zones
+	}
+	picks := c.inventory.Allocate(&queued.Request, candidates, &zones, func(candidate *binpack.MachineInfo) bool {
+		return candidate.Machine.Shard != queued.homeShard
+	})
+	if len(picks) > 0 && (queued.rank <= wire.PriorityRank(wire.PriorityHigh) || c.homeOwnerTimedOut(queued)) {
+		c.bindToOwnMachines(queued, chunk, picks)
+	}
+	return zones
+}
+
+// addUnmet adds what is left of a job to the unmet demand.
+func (c *cycle) addUnmet(unmet *UnmetDemand, queued *queuedJob, zone string) {
+	if queued.Need.CPUs >= c.demand.commonTask.CPUs {
+		unmet.CommonTask = c.demand.commonTask
+	}
+	unmet.Groups = append(unmet.Groups, UnplacedGroup{
+		Spec: &queued.job.Spec, Count: queued.Remaining, Zone: zone, Rank: queued.rank, SubmittedAt: queued.job.ReadySince(),
+	})
+}
+
+// mayPreempt tells whether other work may be stopped for a job: if it is of high priority or within its
+// team's guarantee. For gangs of several tasks nothing is stopped.
+func (c *cycle) mayPreempt(queued *queuedJob) bool {
+	spec := &queued.job.Spec
+	return (queued.withinGuarantee || queued.rank <= wire.PriorityRank(wire.PriorityHigh)) && (spec.Kind != wire.KindGang || spec.TaskCount == 1)
+}
+
+// preemptForTasks makes room for the first of a job's missing tasks, until there is no shard left in
+// which any could be made.
+func (c *cycle) preemptForTasks(queued *queuedJob, missing int, zones *binpack.ZoneConstraint) {
+	c.countReservedZones(queued.job.Spec.ID, zones)
+	for taskIndex := range min(missing, tuning.PreemptTasks) {
+		if !c.preemptFor(queued, taskIndex, c.inventory, zones) {
+			return
 		}
 	}
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -274,7 +274,7 @@
 		for _, engine := range fixture.engines {
 			fixture.cluster.RLock()
 			c := engine.newCycle(testNow)
-			for p := range c.fencingTokens {
+			for p := range c.shards.fencingTokens {
 				engine.shardOwnedSince[p] = testNow.Add(-owned)
 			}
 			c.deleteFailedMachines()
--- a/internal/scheduler/waitreason.go
+++ b/internal/scheduler/waitreason.go
@@ -8,8 +8,24 @@
 	"sableusher/internal/tuning"
 )
 
-// logWaiting logs now and then why a job waits.
-func (c *cycle) logWaiting(job *clusterstate.Job, reason string, candidate *binpack.MachineInfo) {
+// waitReason is why a job waits, as the log tells it.
+type waitReason string
+
+const (
+	waitTeamLimit       waitReason = "team limit reached"
+	waitTeamGrant       waitReason = "team grant of the shard used up"
+	waitGrantOrCycle    waitReason = "team grant of the shard used up, or too many starts in this cycle"
+	waitCapacity        waitReason = "no capacity"
+	waitGangCapacity    waitReason = "no capacity for the whole gang"
+	waitGangAttempt     waitReason = "last attempt not released, or a change in flight"
+	waitChangeInFlight  waitReason = "record change in flight"
+	waitRecordFull      waitReason = "record full"
+	waitRecordMigration waitReason = "records can't be split far enough"
+)
+
+// logWaiting logs why a job waits, at most every tuning.WhyEvery for each job. The candidate is the
+// machine that it could have used, if any.
+func (c *cycle) logWaiting(job *clusterstate.Job, reason waitReason, candidate *binpack.MachineInfo) {
 	if !c.log.Enabled(c.ctx, slog.LevelDebug) || c.now.Sub(c.lastLoggedReason[job.Spec.ID]) < tuning.WhyEvery {
 		return
 	}
@@ -18,5 +34,5 @@
 	if candidate != nil {
 		machine = candidate.Machine.Name
 	}
-	c.log.Debug("job waits", "job", job.Spec.ID, "why", reason, "machine", machine, "pending", job.PendingCount())
+	c.log.Debug("job waits", "job_id", job.Spec.ID, "reason", string(reason), "machine", machine, "count", job.PendingCount())
 }
