--- a/internal/scheduler/deadlines.go
+++ b/internal/scheduler/deadlines.go
@@ -9,16 +9,23 @@
 	"sableusher/internal/tuning"
 )
 
-// objectiveTimes are the times by which a job should be over by what its user, its class's aims and
-// the jobs that need it say, the earliest first; none if nobody says any.
+// Kinds of service-level objectives in the deployment's settings.
+const (
+	objectiveWait     = "wait"     // a time within which a task starts
+	objectiveDeadline = "deadline" // a multiple of the job's own deadline within which it is done
+)
+
+// objectiveTimes are the times by which a job should be over by its user's deadline, its class's objectives
+// and the jobs that need it, the earliest first; empty if there are none.
 func (c *cycle) objectiveTimes(job *clusterstate.Job) []time.Time {
 	// A deadline counts from the submission, all else from when the job could start.
 	startable, runTime, objectives := job.ReadySince(), c.predictedRunTime(job), c.deadlineObjectives(job)
 	for _, objective := range c.settings.Deployment.Objectives {
 		switch {
 		case objective.Class != job.Spec.Class || objective.WithinS <= 0:
-		case objective.Kind == "deadline" && job.Spec.DeadlineSeconds > 0 && objective.Times > 0: // one of the cutoffs
-		case objective.Kind == "wait":
+		case objective.Kind == objectiveDeadline && job.Spec.DeadlineSeconds > 0 && objective.Times > 0:
+			// It is among the deadline objectives.
+		case objective.Kind == objectiveWait:
 			objectives = append(objectives, startable.Add(config.Seconds(objective.WithinS)+runTime))
 		default:
 			objectives = append(objectives, startable.Add(config.Seconds(objective.WithinS)))
@@ -31,8 +38,8 @@
 	return objectives
 }
 
-// deadlineObjectives are a job's own deadline and the multiples of it that its class's aims
-// name, counted from its submission, the earliest first; none without a deadline.
+// deadlineObjectives are a job's own deadline and the multiples of it that its class's objectives name,
+// counted from its submission, the earliest first; empty without a deadline.
 func (c *cycle) deadlineObjectives(job *clusterstate.Job) []time.Time {
 	if job.Spec.DeadlineSeconds <= 0 {
 		return nil
@@ -42,7 +49,7 @@
 	}
 	deadlines := []time.Time{after(1)}
 	for _, objective := range c.settings.Deployment.Objectives {
-		if objective.Class == job.Spec.Class && objective.Kind == "deadline" && objective.Times > 0 {
+		if objective.Class == job.Spec.Class && objective.Kind == objectiveDeadline && objective.Times > 0 {
 			deadlines = append(deadlines, after(objective.Times))
 		}
 	}
@@ -50,8 +57,8 @@
 	return deadlines
 }
 
-// firstReachable gives the first of some times by which a run can still be over, else
-// the last, and the slack that is left.
+// firstReachable gives the first of some times by which a task that starts now can still be over, else the
+// last, and the slack that is left; negative if it would be late.
 func (c *cycle) firstReachable(objectives []time.Time, runTime time.Duration) (at time.Time, slack time.Duration) {
 	for _, at = range objectives {
 		if slack = at.Sub(c.now) - runTime; slack >= 0 {
@@ -61,13 +68,19 @@
 	return at, slack
 }
 
-// effectiveDeadline is when a job should be over: the next of its aims that can still be met, with
-// the room there is if that was looked at, else the last. It is pressing when little slack is
-// left. turn is until when that holds, if nothing but time moves.
-func (c *cycle) effectiveDeadline(job *clusterstate.Job) (deadline time.Time, nearDeadline bool, validUntil time.Time) {
+// jobDeadline is when a job should be over, as scheduling goes by it.
+type jobDeadline struct {
+	at         time.Time
+	near       bool      // it can still be met, but little slack is left
+	validUntil time.Time // when it changes if nothing but time moves
+}
+
+// effectiveDeadline is the next of a job's objectives that can still be met, with the capacity there is if
+// that was assessed, else the last.
+func (c *cycle) effectiveDeadline(job *clusterstate.Job) jobDeadline {
 	runTime, objectives, never := c.predictedRunTime(job), c.objectiveTimes(job), c.now.Add(tuning.NoDeadline)
 	if len(objectives) == 0 {
-		return job.ReadySince().Add(tuning.NoDeadline), false, never
+		return jobDeadline{at: job.ReadySince().Add(tuning.NoDeadline), validUntil: never}
 	}
 	if first, ok := c.objectives.attainable[job.Spec.ID]; ok {
 		if i := slices.IndexFunc(objectives, func(at time.Time) bool { return !at.Before(first) }); i > 0 {
@@ -75,22 +88,24 @@
 		}
 	}
 	deadline, slack := c.firstReachable(objectives, runTime)
-	switch guardTime := max(tuning.DeadlineGuardMin, time.Duration(tuning.DeadlineGuard*float64(runTime))); {
+	guardTime := max(tuning.DeadlineGuardMin, time.Duration(tuning.DeadlineGuard*float64(runTime)))
+	switch {
 	case slack < 0 || c.objectives.unattainable[job.Spec.ID]:
-		return deadline, false, never
+		return jobDeadline{at: deadline, validUntil: never}
 	case slack < guardTime:
-		return deadline, true, c.now.Add(slack)
+		return jobDeadline{at: deadline, near: true, validUntil: c.now.Add(slack)}
 	default:
-		return deadline, false, c.now.Add(slack - guardTime)
+		return jobDeadline{at: deadline, validUntil: c.now.Add(slack - guardTime)}
 	}
 }
 
-// predictedRunTime is how long a task of a job is expected to run.
+// predictedRunTime is how long a task of a job is expected to run, by the runs seen of its class and its
+// owner's estimate.
 func (c *cycle) predictedRunTime(job *clusterstate.Job) time.Duration {
 	return config.Seconds(c.learning.runTimes.RunS(job.Spec.Class, job.Spec.RuntimeEstimateSeconds))
 }
 
-// estimatedRunTime is how long a task of a job runs as far as its owner knows, else as its class does.
+// estimatedRunTime is how long a task of a job runs by its owner's estimate, or as predicted without one.
 func (c *cycle) estimatedRunTime(job *clusterstate.Job) time.Duration {
 	if job.Spec.RuntimeEstimateSeconds > 0 {
 		return config.Seconds(job.Spec.RuntimeEstimateSeconds)
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -12,42 +12,56 @@
 	"sableusher/internal/wire"
 )
 
-var jobsCancelledWithDependency = promauto.NewCounter(prometheus.CounterOpts{Name: "sableusher_jobs_fallen_total", Help: "Jobs cancelled with one that they need."})
+var jobsCancelledWithDependency = promauto.NewCounter(prometheus.CounterOpts{
+	Name: "sableusher_jobs_fallen_total",
+	Help: "Jobs cancelled with one that they need.",
+})
 
-// cancelDependents ends the jobs that fall with one that they need. Such a job never had a
-// task, so one change turns its record into the final one. The cause is in the
-// records of what it needs: whoever owns its part can go on from those alone, and
-// where that owner does not, any node does.
+// cancelDependents ends the jobs that need one that is cancelled. Such a job never had a task, so one
+// change turns its record into the final one. The cause is in the records of what it needs: whoever owns
+// its home shard can go on from those alone, and where that owner does not, any node does.
 func (c *cycle) cancelDependents() {
 	cancelled := 0
 	for id := range c.cluster.DependencyCancelled() {
 		job := c.cluster.Jobs[id]
-		key := clusterstate.JobKey(id)
-		if job == nil || c.keysInFlight[key] || cancelled >= tuning.DoomRound {
+		if job == nil || c.keysInFlight[clusterstate.JobKey(id)] || cancelled >= tuning.DoomRound {
 			continue
 		}
-		if _, owned := c.shards.fencingTokens[c.firstLiveShard(job)]; !owned && c.now.Sub(job.DependencyCancelledAt) < tuning.DoomPatience {
+		if !c.shards.owns(c.firstLiveShard(job)) && c.now.Sub(job.DependencyCancelledAt) < tuning.DoomPatience {
 			continue
 		}
 		cancelled++
 		jobsCancelledWithDependency.Inc()
-		c.outgoing = append(c.outgoing, &recordChange{description: "end " + id + " with what it needs", keys: []string{key}, harmlessWhenLate: true, transaction: kvstore.Transaction{
-			Conditions: []wire.Condition{{Key: key, ModRevision: job.ModRevision}}, Ops: c.finalOps(job, wire.JobCancelled, job.DoneCount), Urgent: true,
-		}})
-		c.log.Info("job cancelled with one that it needs", "job", id)
+		c.outgoing = append(c.outgoing, c.cancelDependent(job))
+		c.log.Info("job cancelled with one that it needs", "job_id", id)
 	}
 }
 
-// dependentNeeds is what the jobs that need one ask of it: the highest of their
-// priorities, and by when it should be over for them to meet their deadlines.
+// cancelDependent is the change that ends a job as cancelled.
+func (c *cycle) cancelDependent(job *clusterstate.Job) *recordChange {
+	key := clusterstate.JobKey(job.Spec.ID)
+	return &recordChange{
+		description:      "end " + job.Spec.ID + " with what it needs",
+		keys:             []string{key},
+		harmlessWhenLate: true,
+		transaction: kvstore.Transaction{
+			Conditions: []wire.Condition{{Key: key, ModRevision: job.ModRevision}},
+			Ops:        c.finalOps(job, wire.JobCancelled, job.DoneCount),
+			Urgent:     true,
+		},
+	}
+}
+
+// dependentNeeds is what the jobs that need one ask of it: the highest of their priorities, and by when it
+// should be over for them to meet their deadlines; zero if none of them has one.
 type dependentNeeds struct {
 	rank     int
 	deadline time.Time
 }
 
-// needsOfDependents follows the jobs that need one, directly or through others; those that
-// are cancelled ask nothing any more. It reads records only, so that all nodes
-// find the same but for their estimates of what lies between.
+// needsOfDependents follows the jobs that need one, directly or through others; those that are cancelled
+// ask nothing any more. It reads records only, so that all nodes find the same but for their estimates of
+// the run times in between.
 func (c *cycle) needsOfDependents(id string) dependentNeeds {
 	needs := dependentNeeds{rank: wire.PriorityCount}
 	dependents := c.cluster.Dependents(id)
@@ -76,7 +90,7 @@
 	return needs
 }
 
-// earliestNonZero gives the earlier of two times, of which either may be none.
+// earliestNonZero gives the earlier of two times, of which either may be the zero time for none.
 func earliestNonZero(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -84,9 +98,9 @@
 	return a
 }
 
-// effectiveRank is a job's priority, raised to that of a job that needs it. Production
-// stays for services that users watch: what only leads to something is never
-// above high, so that a long pipeline can't push them aside.
+// effectiveRank is the rank of a job's priority, raised to that of a job that needs it. Production stays
+// for services that users watch: work for the sake of other jobs is at most of high priority, so that a
+// long pipeline can't push services aside.
 func (c *cycle) effectiveRank(job *clusterstate.Job) int {
 	return min(wire.PriorityRank(job.Spec.Priority), max(c.needsOfDependents(job.Spec.ID).rank, wire.PriorityRank(wire.PriorityHigh)))
 }
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"iter"
 	"time"
 
 	"sableusher/internal/binpack"
@@ -8,11 +9,14 @@
 	"sableusher/internal/tuning"
 )
 
-// refreshInventory brings the room that is kept from round to round up to date: what changed,
-// what is on its way, what is being freed, and which images are believed to be where.
+// refreshInventory brings the inventory that is kept from cycle to cycle up to date: what changed, what is
+// in flight, what is reserved, and which images are believed to be where.
 func (c *cycle) refreshInventory() *binpack.Inventory {
-	names := c.changeFeed.TakeMachines()
-	inventory := binpack.Refresh(c.retainedInventory, binpack.Snapshot{Now: c.now, State: c.cluster, LiveShards: c.shards.live, FencingTokens: c.shards.fencingTokens, AssessReadiness: c.readiness}, names, c.machinesToRefresh)
+	snapshot := binpack.Snapshot{
+		Now: c.now, State: c.cluster, LiveShards: c.shards.live, FencingTokens: c.shards.fencingTokens,
+		AssessReadiness: c.readiness,
+	}
+	inventory := binpack.Refresh(c.retainedInventory, snapshot, c.changeFeed.TakeMachines(), c.machinesToRefresh)
 	c.retainedInventory = inventory
 	inventory.NeedPerGPU, inventory.CommonNeed = c.demand.needPerGPU, c.demand.commonTask
 	clear(c.machinesToRefresh)
@@ -24,37 +28,53 @@
 			inventory.ReserveFor(name, reservation.task.Job)
 		}
 	}
+	c.refreshImageHints(inventory)
+	return inventory
+}
+
+// refreshImageHints tells an inventory which machines are believed to hold which images: this node's from
+// time to time, the other nodes' when there is news of them.
+func (c *cycle) refreshImageHints(inventory *binpack.Inventory) {
 	if c.now.Sub(inventory.HintsUpdatedAt(true)) >= tuning.HoldersLife {
-		inventory.SetImageHints(true, c.now, func(yield func(image, name string) bool) {
-			for image, names := range c.agents.MachinesByImage() {
-				for _, name := range names {
-					if !yield(image, name) {
-						return
-					}
+		inventory.SetImageHints(true, c.now, c.ownImageHints())
+	}
+	if inventory.HintsUpdatedAt(false) != c.remoteImagesAt {
+		inventory.SetImageHints(false, c.remoteImagesAt, c.remoteImageHints())
+	}
+}
+
+// ownImageHints gives pairs of an image and a machine of this node that is believed to hold it.
+func (c *cycle) ownImageHints() iter.Seq2[string, string] {
+	return func(yield func(image, machine string) bool) {
+		for image, machines := range c.agents.MachinesByImage() {
+			for _, machine := range machines {
+				if !yield(image, machine) {
+					return
 				}
 			}
-		})
+		}
 	}
-	if inventory.HintsUpdatedAt(false) != c.remoteImagesAt {
-		inventory.SetImageHints(false, c.remoteImagesAt, func(yield func(image, name string) bool) {
-			for image, names := range c.remoteImages {
-				for name := range names {
-					if !yield(image, name) {
-						return
-					}
+}
+
+// remoteImageHints gives pairs of an image and a machine of another node that is believed to hold it.
+func (c *cycle) remoteImageHints() iter.Seq2[string, string] {
+	return func(yield func(image, machine string) bool) {
+		for image, machines := range c.remoteImages {
+			for machine := range machines {
+				if !yield(image, machine) {
+					return
 				}
 			}
-		})
+		}
 	}
-	return inventory
 }
 
-// readiness is what a machine is good for in this node's rounds.
+// readiness is what a machine is good for in this node's scheduling cycles.
 func (c *cycle) readiness(machine *clusterstate.Machine, owned bool) binpack.Readiness {
 	switch {
 	case c.failureDetector.ZoneUnavailable(machine.Zone):
 		return binpack.Unavailable // nothing starts there before the cut is over
-	case owned && c.agents.MachineStatus(machine.Name, c.shards.fencingTokens[machine.Shard]).Schedulable, !owned && c.shards.live[machine.Shard] && (machine.Up || c.likelyBooted(machine)):
+	case owned && c.isSchedulable(machine), !owned && c.isLikelyUp(machine):
 		return binpack.Ready
 	case !machine.Up && c.bootOverdue(machine):
 		return binpack.Unavailable // others are rented rather than waited for
@@ -63,14 +83,29 @@
 	}
 }
 
+// isSchedulable tells whether tasks may start on a machine of this node, by what its agent reports.
+func (c *cycle) isSchedulable(machine *clusterstate.Machine) bool {
+	return c.agents.MachineStatus(machine.Name, c.shards.fencingTokens[machine.Shard]).Schedulable
+}
+
+// isLikelyUp tells whether tasks may be planned on another node's machine.
+func (c *cycle) isLikelyUp(machine *clusterstate.Machine) bool {
+	return c.shards.live[machine.Shard] && (machine.Up || c.likelyBooted(machine))
+}
+
 // bootOverdue tells whether a machine should have come up long ago.
 func (c *cycle) bootOverdue(machine *clusterstate.Machine) bool {
-	late := time.Duration(tuning.BootLate * c.cluster.Types[machine.Type].BootSeconds * float64(time.Second))
+	late := c.bootTimes(machine, tuning.BootLate)
 	return c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > max(late, tuning.BootLateMin)
 }
 
 // likelyBooted tells whether a machine should be up by now.
 func (c *cycle) likelyBooted(machine *clusterstate.Machine) bool {
-	boot := tuning.BootLikely * c.cluster.Types[machine.Type].BootSeconds * float64(time.Second)
-	return machine.CreatedAtMs > 0 && c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > time.Duration(boot) && !c.bootOverdue(machine)
+	boot := c.bootTimes(machine, tuning.BootLikely)
+	return machine.CreatedAtMs > 0 && c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > boot && !c.bootOverdue(machine)
+}
+
+// bootTimes is a multiple of the nominal boot time of a machine's type.
+func (c *cycle) bootTimes(machine *clusterstate.Machine, factor float64) time.Duration {
+	return time.Duration(factor * c.cluster.Types[machine.Type].BootSeconds * float64(time.Second))
 }
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -115,12 +115,12 @@
 		"short", state.capacityShort[rank], "capacity", int(capacity), "backlog", backlog, "service_time", total)
 }
 
-// sizeClass is the class of what an array still takes, by powers of two, where room is so short
-// that not all arrays can be in time; 0 elsewhere. The large would each hold up many
-// that are over soon: by the smallest first the mean of what all wait is least (Smith,
-// Various optimizers for single-stage production, Naval Research Logistics 3, 1956), and with
-// it the payoff's responsiveness highest. Within a class danger and value decide. The owner's
-// estimate tells the jobs of one class apart, which the class's median can't.
+// sizeClass is the class of what an array still takes, by powers of two, where capacity is so short that not
+// all arrays can meet their objectives; 0 elsewhere. The large would each hold up many that are over soon:
+// by the smallest first the mean waiting time is least (Smith, Various optimizers for single-stage
+// production, Naval Research Logistics 3, 1956), and with it the reward's responsiveness highest. Within a
+// class the nearness of the deadline and the value decide. The owner's estimate tells the jobs of one class
+// apart, which the class's median can't.
 func (c *cycle) sizeClass(job *clusterstate.Job) int {
 	if job.Spec.Kind == wire.KindService && c.serviceCapacityScarce() {
 		return 1 + job.BoundCount // the fewest replicas left first
@@ -134,15 +134,15 @@
 	return 1 + bits.Len(uint(float64(job.PendingCount())*c.estimatedRunTime(job).Seconds()))
 }
 
-// serviceCapacityScarce tells whether services have found no room of late, as after the loss of a zone. Then one
-// replica of each starts before the second of any, and those with the fewest left go first.
+// serviceCapacityScarce tells whether services have found no capacity of late, as after the loss of a zone.
+// Then one replica of each starts before the second of any, and those with the fewest left go first.
 func (c *cycle) serviceCapacityScarce() bool {
 	return c.now.Sub(c.demand.lastServiceShortage) < tuning.ServicesLack
 }
 
-// nearLastObjective tells whether an array has to start soon to be in time for the last of its aims, which
-// it can be. Behind smaller ones that keep coming the large would miss it though there is room for
-// all by then: one in a hundred did where room was a little short.
+// nearLastObjective tells whether an array has to start soon to meet the last of its objectives, which it
+// can. Behind smaller ones that keep coming a large one would miss it though there is capacity for all by
+// then: one in a hundred did where capacity was a little short.
 func (c *cycle) nearLastObjective(job *clusterstate.Job) bool {
 	if _, ok := c.objectives.attainable[job.Spec.ID]; !ok {
 		return false
@@ -152,28 +152,56 @@
 	return slack >= 0 && slack < max(runTime, tuning.LastCall)
 }
 
-// hasUnderservedTurn tells whether it is the turn of an array whose class or team has had least of what is due
-// while room is short. By size alone a class of large arrays would wait for as long as smaller
-// ones keep coming; so of every four seconds two are for classes that are owed, as they differ
-// most, and one for teams; then their arrays come first, in the order that holds among all.
+// turn is a second of the cycle of tuning.FloorTurns in which certain arrays come first while capacity is
+// short. All nodes find the same turn by the clock.
+type turn int64
+
+const (
+	turnOfClasses      turn = 0 // arrays of underserved classes
+	turnOfTeams        turn = 1 // arrays of underserved teams
+	turnOfClassesAgain turn = 2 // classes have two turns, as they differ most
+	turnOfOverdue      turn = tuning.FloorTurns - 1
+)
+
+// String names a turn for messages.
+func (t turn) String() string {
+	switch t {
+	case turnOfClasses, turnOfClassesAgain:
+		return "classes"
+	case turnOfTeams:
+		return "teams"
+	default:
+		return "overdue"
+	}
+}
+
+// currentTurn is the turn at the time of the cycle.
+func (c *cycle) currentTurn() turn { return turn(c.now.Unix() % tuning.FloorTurns) }
+
+// hasUnderservedTurn tells whether it is the turn of an array whose class or team has had least of what is
+// due while capacity is short. By size alone a class of large arrays would wait for as long as smaller ones
+// keep coming. Their arrays come first in their turn, in the order that holds among all.
 func (c *cycle) hasUnderservedTurn(job *clusterstate.Job) bool {
-	if len(c.objectives.underserved) == 0 || job.Spec.Kind != wire.KindArray || !c.objectives.capacityShort[c.effectiveRank(job)] {
+	state := &c.objectives
+	if len(state.underserved) == 0 || job.Spec.Kind != wire.KindArray || !state.capacityShort[c.effectiveRank(job)] {
 		return false
 	}
-	switch c.now.Unix() % tuning.FloorTurns {
-	case 0, 2:
-		return c.objectives.underserved[fairshare.Group{Name: job.Spec.Class}]
-	case 1:
-		return c.objectives.underserved[fairshare.Group{Team: true, Name: job.Spec.Team}]
+	switch c.currentTurn() {
+	case turnOfClasses, turnOfClassesAgain:
+		return state.underserved[fairshare.Group{Name: job.Spec.Class}]
+	case turnOfTeams:
+		return state.underserved[fairshare.Group{Team: true, Name: job.Spec.Team}]
+	default:
+		return false
 	}
-	return false
 }
 
-// hasOverdueTurn tells whether it is the turn of arrays that have been late for long. Behind what can
-// be in time they would wait as long as room is short, be it for hours; so every fourth
-// second they come first, the oldest of them before the others. All nodes find the same.
+// hasOverdueTurn tells whether it is the turn of arrays that have missed their objectives for long. Behind
+// what can be in time they would wait as long as capacity is short, be it for hours; so in their turn they
+// come first, the oldest of them before the others.
 func (c *cycle) hasOverdueTurn(job *clusterstate.Job) bool {
-	return c.objectives.unattainable[job.Spec.ID] && c.now.Sub(job.ReadySince()) > tuning.FloorAfter && c.now.Unix()%tuning.FloorTurns == tuning.FloorTurns-1
+	return c.objectives.unattainable[job.Spec.ID] && c.now.Sub(job.ReadySince()) > tuning.FloorAfter &&
+		c.currentTurn() == turnOfOverdue
 }
 
 // missesObjectives tells whether an array stands behind those that can be in time: it can't, and it is not
@@ -182,20 +210,20 @@
 	return c.objectives.unattainable[job.Spec.ID] && !c.hasOverdueTurn(job)
 }
 
-// capacityForRank is the room that work of a rank may use on machines that are up, in machines: what is
-// free and what work of its own rank or below takes. Where work takes no GPUs, machines of several
-// sizes are told by how many common tasks they hold: a machine with room for one counted as much
-// as one with room for four, and one too small for any as well.
+// capacityForRank is the capacity, in machines that are up, that work of a priority rank may use: what is
+// free and what work of its own rank or below takes. Where work takes no GPUs, it is counted in common
+// tasks: a machine with room for one counted as much as one with room for four, and one too small for any
+// as well.
 func (c *cycle) capacityForRank(rank int) float64 {
-	sum := 0.0
+	commonTask, sum := c.demand.commonTask, 0.0
 	for shard := range c.cluster.ShardCount {
 		for _, candidate := range c.inventory.ReadyMachines(shard) {
 			free := candidate.Free
 			for lower := rank; lower < len(candidate.Machine.PreemptibleByRank); lower++ {
 				free = free.AddTimes(candidate.Machine.PreemptibleByRank[lower], 1)
 			}
-			if c.demand.commonTask.CPUs > 0 {
-				sum += float64(binpack.TasksThatFit(c.demand.commonTask, free))
+			if commonTask.CPUs > 0 {
+				sum += float64(binpack.TasksThatFit(commonTask, free))
 			} else {
 				sum += binpack.FreeFraction(free, candidate.Capacity)
 			}
@@ -204,19 +232,19 @@
 	return sum
 }
 
-// machineShare is what a task takes of a machine, of the type of which it takes least, or of the room
-// for a common task; as roomFor counts.
+// machineShare is what a task takes of a machine, of the type of which it takes least, or of the room for a
+// common task: in the unit that capacityForRank counts in.
 func (c *cycle) machineShare(spec *wire.JobSpec) float64 {
 	need := clusterstate.TaskResources(spec)
-	if c.demand.commonTask.CPUs > 0 {
-		return max(need.CPUs/c.demand.commonTask.CPUs, need.MemoryGB/max(c.demand.commonTask.MemoryGB, 1))
+	if commonTask := c.demand.commonTask; commonTask.CPUs > 0 {
+		return max(need.CPUs/commonTask.CPUs, need.MemoryGB/max(commonTask.MemoryGB, 1))
 	}
-	best := 1.0
-	for _, typ := range c.cluster.Types {
-		capacity := clusterstate.Capacity(&typ)
+	least := 1.0
+	for _, machineType := range c.cluster.Types {
+		capacity := clusterstate.Capacity(&machineType)
 		if need.FitsIn(capacity) {
-			best = min(best, 1-binpack.FreeFraction(capacity.AddTimes(need, -1), capacity))
+			least = min(least, 1-binpack.FreeFraction(capacity.AddTimes(need, -1), capacity))
 		}
 	}
-	return best
+	return least
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -111,18 +111,18 @@
 		c.waiting.remove(id)
 		return
 	}
-	deadline, nearDeadline, validUntil := c.effectiveDeadline(job)
+	deadline := c.effectiveDeadline(job)
 	c.waiting.put(jobqueue.Key{
 		PriorityRank:     c.effectiveRank(job),
 		WithinGuarantee:  c.guarantees.jobs[id],
 		Underserved:      c.hasUnderservedTurn(job),
 		MissesObjectives: c.missesObjectives(job),
 		SizeClass:        c.sizeClass(job),
-		NearDeadline:     nearDeadline,
-		DeadlineNs:       deadline.UnixNano(),
+		NearDeadline:     deadline.near,
+		DeadlineNs:       deadline.at.UnixNano(),
 		EligibleSinceMs:  job.ReadySinceMs(),
 		JobID:            id,
-	}, job, validUntil)
+	}, job, deadline.validUntil)
 }
 
 // newQueuedJob gives a waiting job as one cycle sees it.
@@ -148,7 +148,7 @@
 	}
 	within := 0.0
 	for _, objective := range c.settings.Deployment.Objectives {
-		if objective.Class == spec.Class && objective.Kind == "wait" && (within == 0 || objective.WithinS < within) {
+		if objective.Class == spec.Class && objective.Kind == objectiveWait && (within == 0 || objective.WithinS < within) {
 			within = objective.WithinS
 		}
 	}
