--- /dev/null
+++ b/internal/scheduler/guarantees_test.go
@@ -0,0 +1,68 @@
+package scheduler
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/config"
+	"sableusher/internal/quota"
+	"sableusher/internal/wire"
+)
+
+// TestGuaranteesGivenAreKept: what lay within its team's guarantee when it came keeps it, whatever comes later
+// and is smaller; and what a team is assured never sums to more than it is guaranteed.
+func TestGuaranteesGivenAreKept(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		cluster := newTestCluster(nil)
+		engine := cluster.engines[0]
+		guarantee := float64(rapid.IntRange(10, 200).Draw(t, "guarantee"))
+		engine.quota = quota.New([]config.Team{{Name: "t", GPUs: guarantee}}, cluster.cluster)
+		given := map[string]bool{}
+		now := testNow
+		for i := range rapid.IntRange(2, 25).Draw(t, "jobs") {
+			spec := arraySpec(i, rapid.IntRange(1, 90).Draw(t, "tasks"))
+			spec.Team, spec.Class, spec.RuntimeEstimateSeconds = "t", "c", 30
+			now = now.Add(time.Second)
+			cluster.put(clusterstate.JobKey(spec.ID), clusterstate.JobRecord{Spec: spec, SubmittedAtMs: now.UnixMilli()})
+			c := updateGuaranteesUnderShortage(engine, now)
+			checkGuarantees(t, c, guarantee, given)
+			if c.guarantees.onArrival[spec.ID] {
+				given[spec.ID] = true
+			}
+		}
+		if len(given) == 0 && math.Floor(guarantee) >= 90 {
+			t.Fatal("nothing was ever guaranteed")
+		}
+	})
+}
+
+// updateGuaranteesUnderShortage begins a cycle in which capacity is short at all priorities.
+func updateGuaranteesUnderShortage(engine *Engine, now time.Time) *cycle {
+	engine.cluster.RLock()
+	defer engine.cluster.RUnlock()
+	c := engine.newCycle(now)
+	c.inventory = c.refreshInventory()
+	c.objectives.capacityShort = [wire.PriorityCount]bool{true, true, true, true}
+	c.updateGuarantees()
+	return c
+}
+
+// checkGuarantees checks that what is guaranteed stays within the guarantee and includes all that was given.
+func checkGuarantees(t *rapid.T, c *cycle, guarantee float64, given map[string]bool) {
+	sum := 0.0
+	for id := range c.guarantees.jobs {
+		sum += float64(c.cluster.Jobs[id].Spec.TaskCount)
+	}
+	if sum > guarantee+1e-9 {
+		t.Fatalf("%v GPUs assured of %v", sum, guarantee)
+	}
+	for id := range given {
+		if !c.guarantees.jobs[id] {
+			t.Fatalf("%s has lost its guarantee", id)
+		}
+	}
+}
