--- /dev/null
+++ b/internal/quota/limits.go
@@ -0,0 +1,53 @@
+package quota
+
+import (
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/tuning"
+)
+
+// Limit gives the most that a team's tasks may take; a dimension without a limit is unbounded. It gives
+// false for a team without any limit.
+func (m *GrantManager) Limit(team string) (clusterstate.Resources, bool) {
+	settings, ok := m.teams[team]
+	if !ok || settings.CPUsMax == 0 && settings.GPUsMax == 0 {
+		return clusterstate.Resources{}, false
+	}
+	return unboundedWhereZero(settings.CPUsMax, settings.GPUsMax), true
+}
+
+// Guarantee gives what a team need not wait for others within; a dimension without a guarantee is
+// unbounded. It gives false for a team without any guarantee.
+func (m *GrantManager) Guarantee(team string) (clusterstate.Resources, bool) {
+	settings, ok := m.teams[team]
+	if !ok || settings.CPUs == 0 && settings.GPUs == 0 {
+		return clusterstate.Resources{}, false
+	}
+	return unboundedWhereZero(settings.CPUs, settings.GPUs), true
+}
+
+// unboundedWhereZero gives an amount of cores and GPUs, where 0 stands for no bound; memory has none.
+func unboundedWhereZero(cpus, gpus float64) clusterstate.Resources {
+	amount := clusterstate.Resources{CPUs: cpus, GPUs: gpus, MemoryGB: tuning.MaxAmount}
+	if cpus == 0 {
+		amount.CPUs = tuning.MaxAmount
+	}
+	if gpus == 0 {
+		amount.GPUs = tuning.MaxAmount
+	}
+	return amount
+}
+
+// withoutMemory gives the cores and GPUs of an amount: grants are of those alone.
+func withoutMemory(amount clusterstate.Resources) clusterstate.Resources {
+	return clusterstate.Resources{CPUs: amount.CPUs, GPUs: amount.GPUs}
+}
+
+// least gives the lesser cores and the lesser GPUs of two amounts.
+func least(a, b clusterstate.Resources) clusterstate.Resources {
+	return clusterstate.Resources{CPUs: min(a.CPUs, b.CPUs), GPUs: min(a.GPUs, b.GPUs)}
+}
+
+// most gives the greater cores and the greater GPUs of two amounts.
+func most(a, b clusterstate.Resources) clusterstate.Resources {
+	return clusterstate.Resources{CPUs: max(a.CPUs, b.CPUs), GPUs: max(a.GPUs, b.GPUs)}
+}
