--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -131,7 +131,9 @@
 
 // raised gives a grant raised to what was requested and some headroom, within what the other shards'
 // grants leave of the limit.
-func (m *GrantManager) raised(key grantKey, quota clusterstate.Quota, requested clusterstate.Resources) clusterstate.Resources {
+func (m *GrantManager) raised(
+	key grantKey, quota clusterstate.Quota, requested clusterstate.Resources,
+) clusterstate.Resources {
 	limit, _ := m.Limit(key.team)
 	var others clusterstate.Resources
 	for shard, grant := range quota.Grants {
@@ -231,8 +233,11 @@
 	return granted.CPUs <= (1-tuning.GrantRest)*limit.CPUs && granted.GPUs <= (1-tuning.GrantRest)*limit.GPUs
 }
 
-// newChange gives the change of a grant; until it is done, no other of the team is planned.
-func (m *GrantManager) newChange(key grantKey, quota clusterstate.Quota, ownership uint64, grant clusterstate.Resources) Change {
+// newChange gives the change of a grant, conditional on the revision of the ownership record of its shard. Until
+// it is done, no other change of the team is planned.
+func (m *GrantManager) newChange(
+	key grantKey, quota clusterstate.Quota, ownership uint64, grant clusterstate.Resources,
+) Change {
 	grants := maps.Clone(quota.Grants)
 	if grants == nil {
 		grants = map[string]clusterstate.Resources{}
--- a/internal/quota/grants_test.go
+++ b/internal/quota/grants_test.go
@@ -1,7 +1,6 @@
 package quota
 
 import (
-	"io"
 	"log/slog"
 	"strconv"
 	"testing"
@@ -37,7 +36,7 @@
 }
 
 func newGrantModel() *grantModel {
-	state := clusterstate.New(testShards, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	state := clusterstate.New(testShards, slog.New(slog.DiscardHandler))
 	model := &grantModel{state: state, used: make([]float64, testShards), now: time.Unix(0, 0)}
 	for range testShards {
 		model.managers = append(model.managers, New([]config.Team{{Name: testTeam, GPUsMax: testLimit}}, state))
--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -68,7 +68,9 @@
 	charged   int // shard
 }
 
-func newTaskStart(task clusterstate.Task, job string, attempt uint64, candidate *binpack.MachineInfo, charged int) taskStart {
+func newTaskStart(
+	task clusterstate.Task, job string, attempt uint64, candidate *binpack.MachineInfo, charged int,
+) taskStart {
 	if charged == shardOfMachine {
 		charged = candidate.Machine.Shard
 	}
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -27,7 +27,9 @@
 }
 
 // applyTeamLimit lowers how many tasks of a job may be placed to what its team's limit leaves.
-func (c *cycle) applyTeamLimit(queued *queuedJob, limit clusterstate.Resources, usage map[string]clusterstate.Resources) {
+func (c *cycle) applyTeamLimit(
+	queued *queuedJob, limit clusterstate.Resources, usage map[string]clusterstate.Resources,
+) {
 	job, spec := queued.job, &queued.job.Spec
 	open := limit.AddTimes(usage[spec.Team], -1)
 	open.MemoryGB = tuning.MaxAmount * tuning.MaxTasks // limits are of cores and GPUs
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -77,7 +77,9 @@
 // what runs of the others, the earliest first. The team's waiting jobs share the rest in the given
 // order: by arrival alone one large job that is late would keep out the later ones until they are
 // late as well.
-func (g *guarantees) addTeam(limit clusterstate.Resources, jobs []*clusterstate.Job, earlier map[string]bool, order func(*clusterstate.Job) int) {
+func (g *guarantees) addTeam(
+	limit clusterstate.Resources, jobs []*clusterstate.Job, earlier map[string]bool, order func(*clusterstate.Job) int,
+) {
 	slices.SortFunc(jobs, func(a, b *clusterstate.Job) int {
 		return cmp.Or(cmp.Compare(a.ReadySinceMs(), b.ReadySinceMs()), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
@@ -89,7 +91,9 @@
 }
 
 // addPromised adds the jobs that lay within the guarantee when they arrived and gives the others.
-func (g *guarantees) addPromised(budget *guaranteeBudget, jobs []*clusterstate.Job, earlier map[string]bool) []*clusterstate.Job {
+func (g *guarantees) addPromised(
+	budget *guaranteeBudget, jobs []*clusterstate.Job, earlier map[string]bool,
+) []*clusterstate.Job {
 	var others []*clusterstate.Job
 	byArrival := guaranteeBudget{limit: budget.limit}
 	exhausted := false
--- a/internal/scheduler/guarantees_test.go
+++ b/internal/scheduler/guarantees_test.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"math"
 	"testing"
 	"time"
 
@@ -34,7 +33,7 @@
 				given[spec.ID] = true
 			}
 		}
-		if len(given) == 0 && math.Floor(guarantee) >= 90 {
+		if len(given) == 0 && guarantee >= 90 {
 			t.Fatal("nothing was ever guaranteed")
 		}
 	})
--- a/internal/scheduler/homeshard.go
+++ b/internal/scheduler/homeshard.go
@@ -79,7 +79,8 @@
 	return best
 }
 
-// isArrayUnderShortage tells whether a job is an array of a priority whose waiting arrays can't all meet their objectives.
+// isArrayUnderShortage tells whether a job is an array of a priority whose waiting arrays can't all meet their
+// objectives.
 func (c *cycle) isArrayUnderShortage(queued *queuedJob) bool {
 	return c.objectives.capacityShort[queued.rank] && queued.job.Spec.Kind == wire.KindArray
 }
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -43,9 +43,11 @@
 
 func newLearning(operator *config.Operator, seed uint64, log *slog.Logger) learning {
 	return learning{
-		operator:             operator,
-		log:                  log,
-		learner:              learner.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, seed, log),
+		operator: operator,
+		log:      log,
+		learner: learner.New(
+			operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, seed, log,
+		),
 		runTimes:             learner.NewEstimates(),
 		pendingRewards:       map[taskAttempt]int64{},
 		startedAt:            map[taskAttempt]time.Time{},
@@ -88,7 +90,9 @@
 
 // recordEnd rewards the start of a task that left its machine. A start that did not lead to the end of
 // the task has no responsiveness.
-func (l *learning) recordEnd(now time.Time, cluster *clusterstate.State, binding clusterstate.Binding, done bool, machineName string) {
+func (l *learning) recordEnd(
+	now time.Time, cluster *clusterstate.State, binding clusterstate.Binding, done bool, machineName string,
+) {
 	start := taskAttempt{binding.Ref, binding.Attempt}
 	startedAt, started := l.startedAt[start]
 	delete(l.startedAt, start)
--- a/internal/scheduler/prune.go
+++ b/internal/scheduler/prune.go
@@ -19,5 +19,5 @@
 	maps.DeleteFunc(c.gangFormingSince, func(id string, _ time.Time) bool { return isOver(id) })
 	maps.DeleteFunc(c.rejectedUntil, func(_ string, until time.Time) bool { return c.now.After(until) })
 	maps.DeleteFunc(c.tombstones, func(_ string, at time.Time) bool { return c.now.Sub(at) > tuning.BuriedFor })
-	maps.DeleteFunc(c.reservations, func(_ string, reservation reservation) bool { return c.now.After(reservation.expiresAt) })
+	maps.DeleteFunc(c.reservations, func(_ string, reserved reservation) bool { return c.now.After(reserved.expiresAt) })
 }
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -15,6 +15,9 @@
 	imageHolders              // those believed to hold the job's image
 )
 
+// machineFilter tells whether a machine may be used; nil accepts all.
+type machineFilter func(*binpack.MachineInfo) bool
+
 // String names a set for messages.
 func (s candidateSet) String() string {
 	if s == imageHolders {
@@ -72,7 +75,9 @@
 
 // homeCandidates chooses a job's home shard and gives the machines to be considered for it, with the
 // condition they must meet, if any. None means that there is no capacity.
-func (c *cycle) homeCandidates(queued *queuedJob, set candidateSet) (candidates []*binpack.MachineInfo, accept func(*binpack.MachineInfo) bool) {
+func (c *cycle) homeCandidates(
+	queued *queuedJob, set candidateSet,
+) (candidates []*binpack.MachineInfo, accept machineFilter) {
 	if queued.job.Spec.Kind == wire.KindService {
 		// Its tasks go wherever the image is; the owner of one shard places them all. A zone that was
 		// lost and came back is the last to be trusted with a replica.
@@ -97,18 +102,24 @@
 func (c *cycle) allocateOwned(queued *queuedJob, chunk int) []*binpack.MachineInfo {
 	zones := c.zoneConstraint(queued.job, chunk)
 	candidates := c.inventory.FittingMachines(&queued.Request)
-	return c.inventory.Allocate(&queued.Request, candidates, &zones, func(candidate *binpack.MachineInfo) bool { return candidate.Owned })
+	return c.inventory.Allocate(&queued.Request, candidates, &zones, func(candidate *binpack.MachineInfo) bool {
+		return candidate.Owned
+	})
 }
 
 // allocateAcrossZones takes capacity for a job's tasks; where the operators ask for it, for a service so
 // that at most half of it stands in one zone, as far as there is capacity for that. It is a preference:
 // what fits nowhere else is placed all the same.
-func (c *cycle) allocateAcrossZones(queued *queuedJob, candidates []*binpack.MachineInfo, zones *binpack.ZoneConstraint, accept func(*binpack.MachineInfo) bool) []*binpack.MachineInfo {
+func (c *cycle) allocateAcrossZones(
+	queued *queuedJob, candidates []*binpack.MachineInfo, zones *binpack.ZoneConstraint, accept machineFilter,
+) []*binpack.MachineInfo {
 	job, spec := queued.job, &queued.job.Spec
 	if !c.operator.SpreadServices || spec.Kind != wire.KindService || spec.Spread || spec.SameZone || spec.TaskCount < 2 {
 		return c.inventory.Allocate(&queued.Request, candidates, zones, accept)
 	}
-	preferred := binpack.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: (spec.TaskCount + 1) / 2}
+	preferred := binpack.ZoneConstraint{
+		TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: (spec.TaskCount + 1) / 2,
+	}
 	for taskIndex := range spec.TaskCount {
 		task := c.taskState(job, taskIndex)
 		if machine := c.cluster.Machines[task.Machine]; task.State == clusterstate.TaskBound && machine != nil {
@@ -181,7 +192,10 @@
 // team's guarantee. For gangs of several tasks nothing is stopped.
 func (c *cycle) mayPreempt(queued *queuedJob) bool {
 	spec := &queued.job.Spec
-	return (queued.withinGuarantee || queued.rank <= wire.PriorityRank(wire.PriorityHigh)) && (spec.Kind != wire.KindGang || spec.TaskCount == 1)
+	if spec.Kind == wire.KindGang && spec.TaskCount > 1 {
+		return false
+	}
+	return queued.withinGuarantee || queued.rank <= wire.PriorityRank(wire.PriorityHigh)
 }
 
 // preemptForTasks makes room for the first of a job's missing tasks, until there is no shard left in
--- a/internal/scheduler/waitreason.go
+++ b/internal/scheduler/waitreason.go
@@ -34,5 +34,6 @@
 	if candidate != nil {
 		machine = candidate.Machine.Name
 	}
-	c.log.Debug("job waits", "job_id", job.Spec.ID, "reason", string(reason), "machine", machine, "count", job.PendingCount())
+	c.log.Debug("job waits", "job_id", job.Spec.ID, "reason", string(reason), "machine", machine,
+		"count", job.PendingCount())
 }
