--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -15,9 +15,6 @@
 	imageHolders              // those believed to hold the job's image
 )
 
-// machineFilter tells whether a machine may be used; nil accepts all.
-type machineFilter func(*binpack.MachineInfo) bool
-
 // String names a set for messages.
 func (s candidateSet) String() string {
 	if s == imageHolders {
@@ -26,6 +23,9 @@
 	return "all machines"
 }
 
+// machineFilter tells whether a machine may be used; nil accepts all.
+type machineFilter func(*binpack.MachineInfo) bool
+
 // placeFirstReplica places one replica of a service that has lost all of them, before any has capacity
 // for its second. One that never had any starts whole: each start alone is a change of its record.
 func (c *cycle) placeFirstReplica(queued *queuedJob) {
