--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -33,12 +33,6 @@
 	failsJob    bool // a task of it has no repeat left: the job fails
 }
 
-func (c *cycle) addInFlight(binding pendingBinding) {
-	c.inFlight.byMachine[binding.machine] = c.inFlight.byMachine[binding.machine].AddTimes(binding.need, 1)
-	c.inFlight.byTeam[binding.chargedShard][binding.team] = c.inFlight.byTeam[binding.chargedShard][binding.team].AddTimes(binding.need, 1)
-	c.inFlight.tasksByJob[binding.task.Job]++
-}
-
 // usage is what a team's tasks of a part take, those on their way included.
 func (c *cycle) usage(shard int, team string) clusterstate.Resources {
 	return c.cluster.UsageByShard[shard][team].AddTimes(c.inFlight.byTeam[shard][team], 1)
