--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -599,8 +599,8 @@
 // TaskObservation is a bound task's fate with what was reported.
 type TaskObservation struct {
 	Presence TaskPresence
-	State    string
-	Cause    string
+	State    wire.TaskState
+	Cause    wire.ExitCause
 	Saved    bool
 	Since    time.Time
 }
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -118,7 +118,7 @@
 		set   func(*fakeBackend)
 		bare  bool
 		want  int
-		state string
+		state wire.JobState
 	}{
 		"accepted":         {same, nil, false, 201, wire.JobPending},
 		"not cbor":         {[]byte("{}"), nil, false, 400, ""},
@@ -291,7 +291,7 @@
 	abort := func(h http.Handler) (int, wire.JobStatus) {
 		return send(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil)
 	}
-	poll := func(h http.Handler) string {
+	poll := func(h http.Handler) wire.JobState {
 		status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil)
 		if status == http.StatusServiceUnavailable {
 			return "unsure"
@@ -386,7 +386,7 @@
 func TestCancellationWithOlderVersions(t *testing.T) {
 	bound := []clusterstate.Task{{State: clusterstate.TaskBound, Attempt: 1, Machine: "vm-000001", Session: 1}}
 	old := clusterstate.JobRecord{Spec: testSpec(), Tasks: bound, CancelledAtMs: 5}
-	poll := func(h http.Handler) (int, string) {
+	poll := func(h http.Handler) (int, wire.JobState) {
 		status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil)
 		return status, st.State
 	}
@@ -424,7 +424,7 @@
 		s.Dependencies = ids
 		return wire.MustEncode(s)
 	}
-	live := func(kind string) func(*fakeBackend) {
+	live := func(kind wire.JobKind) func(*fakeBackend) {
 		return func(o *fakeBackend) {
 			s := testSpec()
 			s.ID, s.Kind = "run-000002", kind
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -288,7 +288,7 @@
 			return nil
 		}
 		t := a.state.Types[k.machineType]
-		out = append(out, plannedMachine{k, clusterstate.Capacity(&t), rank <= wire.PriorityRank(wire.PriorityHigh) || late})
+		out = append(out, plannedMachine{k, clusterstate.Capacity(&t), rank <= wire.PriorityHigh.Rank() || late})
 		machinesInZone[k.zone]++
 		return &out[len(out)-1]
 	}
--- a/internal/clusterstate/dependencies_test.go
+++ b/internal/clusterstate/dependencies_test.go
@@ -18,9 +18,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		w := New(3, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		awaits := map[string][]string{}
-		fate := map[string]string{}  // as the state service holds it: "", done or cancelled
-		live := map[string]bool{}    // whether the live record is still there
-		final := map[string]string{} // final records
+		fate := map[string]wire.JobState{}  // as the state service holds it: "", done or cancelled
+		live := map[string]bool{}           // whether the live record is still there
+		final := map[string]wire.JobState{} // final records
 		var ids []string
 		rev := uint64(0)
 		put := func(id string, mut func(*JobRecord)) {
@@ -31,7 +31,7 @@
 			w.Put(JobKey(id), wire.MustEncode(rec), rev)
 			w.EndUpdate()
 		}
-		drop := func(id, status string) {
+		drop := func(id string, status wire.JobState) {
 			live[id], final[id] = false, status
 			w.BeginUpdate()
 			w.Delete(JobKey(id))
--- a/internal/clusterstate/layout.go
+++ b/internal/clusterstate/layout.go
@@ -239,7 +239,7 @@
 
 // FinalizeOps gives the changes that turn the job's records into its final one, but for its further
 // records (DropFurther).
-func (j *Job) FinalizeOps(status string, done int, atMs int64) []wire.Op {
+func (j *Job) FinalizeOps(status wire.JobState, done int, atMs int64) []wire.Op {
 	id := j.Spec.ID
 	return []wire.Op{
 		{PutKey: FinalKey(id), Value: wire.MustEncode(FinalRecord{Status: status, TaskCount: j.Spec.TaskCount, DoneCount: done, EndedAtMs: atMs})},
--- a/internal/clusterstate/layout_test.go
+++ b/internal/clusterstate/layout_test.go
@@ -76,7 +76,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := newRecordStore()
 		fit := SizeLimits{rapid.IntRange(900, 16000).Draw(t, "room"), tuning.TaskBytes}
-		spec := wire.JobSpec{ID: "run-7", Class: "c", Team: "t", Kind: rapid.SampledFrom([]string{wire.KindArray, wire.KindGang}).Draw(t, "kind"),
+		spec := wire.JobSpec{ID: "run-7", Class: "c", Team: "t", Kind: rapid.SampledFrom([]wire.JobKind{wire.KindArray, wire.KindGang}).Draw(t, "kind"),
 			Priority: wire.PriorityNormal, TaskCount: rapid.IntRange(1, 600).Draw(t, "tasks"), GPUs: 1}
 		if rapid.Bool().Draw(t, "counted") {
 			spec.MaxRetries = new(int)
@@ -228,7 +228,7 @@
 		limit := rapid.SampledFrom([]float64{2048, 8192, 16384}).Draw(t, "limit")
 		room := int(limit * tuning.JSONShare)
 		repeats := tuning.MaxRepeats
-		spec := wire.JobSpec{ID: "run-00000000000000000001", Class: "c", Team: "t", Kind: rapid.SampledFrom([]string{wire.KindArray, wire.KindGang}).Draw(t, "kind"),
+		spec := wire.JobSpec{ID: "run-00000000000000000001", Class: "c", Team: "t", Kind: rapid.SampledFrom([]wire.JobKind{wire.KindArray, wire.KindGang}).Draw(t, "kind"),
 			Priority: wire.PriorityNormal, TaskCount: rapid.IntRange(1, 3000).Draw(t, "tasks"), GPUs: 1, MaxRetries: &repeats}
 		rec := JobRecord{Spec: spec, SubmittedAtMs: 1764600000000}
 		bare, fit := EncodedBaseSize(rec), SizeLimits{room, tuning.TaskBytes}
--- a/internal/clusterstate/records.go
+++ b/internal/clusterstate/records.go
@@ -161,9 +161,9 @@
 
 // GuestOutcomeRecord is how a guest ended, kept until home has it.
 type GuestOutcomeRecord struct {
-	JobID     string `cbor:"j"`
-	Status    string `cbor:"s"`
-	DoneCount int    `cbor:"d"`
+	JobID     string        `cbor:"j"`
+	Status    wire.JobState `cbor:"s"`
+	DoneCount int           `cbor:"d"`
 }
 
 // FixedChunkRecord is a further chunk of tasks.
@@ -231,10 +231,10 @@
 
 // FinalRecord is what remains of a finished job.
 type FinalRecord struct {
-	Status    string `cbor:"s"`
-	TaskCount int    `cbor:"n"`
-	DoneCount int    `cbor:"d"`
-	EndedAtMs int64  `cbor:"t"`
+	Status    wire.JobState `cbor:"s"`
+	TaskCount int           `cbor:"n"`
+	DoneCount int           `cbor:"d"`
+	EndedAtMs int64         `cbor:"t"`
 }
 
 // Resources is what tasks take.
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -67,7 +67,7 @@
 func (j *Job) Complete() bool { return j.HasRecord && j.DoneCount == j.Spec.TaskCount }
 
 // CancelledStatus is the final state of a cancelled job: cancelled, or failed if it ended itself.
-func (j *Job) CancelledStatus() string {
+func (j *Job) CancelledStatus() wire.JobState {
 	if j.Failed {
 		return wire.JobFailed
 	}
@@ -628,7 +628,7 @@
 	need := TaskResources(s)
 	m.Used = m.Used.AddTimes(need, float64(n))
 	if TaskPreemptible(s) {
-		rank := wire.PriorityRank(s.Priority)
+		rank := s.Priority.Rank()
 		m.PreemptibleByRank[rank] = m.PreemptibleByRank[rank].AddTimes(need, float64(n))
 	}
 	if m.TasksByImage[s.Image] += n; m.TasksByImage[s.Image] <= 0 {
--- a/internal/graph/compile.go
+++ b/internal/graph/compile.go
@@ -202,8 +202,8 @@
 	}
 	s := wire.JobSpec{
 		Class: text("class", a.Class, true), Team: text("team", a.Team, true), Image: text("image", a.Image, true), Zone: text("zone", a.Zone, false),
-		Kind:      map[string]string{"": wire.KindArray, "array": wire.KindArray, "gang": wire.KindGang}[a.Kind],
-		Priority:  map[string]string{"": wire.PriorityNormal, "high": wire.PriorityHigh, "normal": wire.PriorityNormal, "low": wire.PriorityLow}[a.Priority],
+		Kind:      map[string]wire.JobKind{"": wire.KindArray, "array": wire.KindArray, "gang": wire.KindGang}[a.Kind],
+		Priority:  map[string]wire.Priority{"": wire.PriorityNormal, "high": wire.PriorityHigh, "normal": wire.PriorityNormal, "low": wire.PriorityLow}[a.Priority],
 		TaskCount: 1, CPUs: amount("cpus", a.CPUs), GPUs: amount("gpus", a.GPUs), MemoryGB: amount("memory_gb", a.MemoryGB), ImageSizeGB: amount("image_gb", a.ImageGB),
 		SameZone: yes("one_zone", a.OneZone), Spread: yes("spread", a.Spread), AllowSpot: yes("spot", a.Spot),
 		RuntimeEstimateSeconds: amount("estimate_s", a.EstimateS), CheckpointIntervalSeconds: amount("checkpoint_s", a.CheckpointS), CheckpointSaveSeconds: amount("save_s", a.SaveS), DeadlineSeconds: amount("deadline_s", a.DeadlineS),
--- a/internal/offload/home.go
+++ b/internal/offload/home.go
@@ -342,7 +342,7 @@
 		if len(gifts) >= tuning.CellGifts || !j.CanStart() || !s.mayLeave(j) {
 			continue
 		}
-		rank := wire.PriorityRank(j.Spec.Priority)
+		rank := j.Spec.Priority.Rank()
 		if _, ok := wait[rank]; !ok {
 			wait[rank] = s.wait(rank)
 		}
--- a/internal/offload/host.go
+++ b/internal/offload/host.go
@@ -294,7 +294,7 @@
 func (s *Spill) wait(rank int) float64 {
 	waits, runs := 0.0, 0.0
 	for _, j := range s.world.Jobs {
-		if !j.HasRecord || j.Cancelled() || j.OffloadedTo != nil || wire.PriorityRank(j.Spec.Priority) > rank || j.Spec.Kind == wire.KindService {
+		if !j.HasRecord || j.Cancelled() || j.OffloadedTo != nil || j.Spec.Priority.Rank() > rank || j.Spec.Kind == wire.KindService {
 			continue
 		}
 		waits += float64(j.PendingCount()) * j.Spec.RuntimeEstimateSeconds
--- a/internal/offload/message.go
+++ b/internal/offload/message.go
@@ -35,10 +35,10 @@
 
 // Word is what the receiver's records say of one transfer.
 type Word struct {
-	Number uint64 `cbor:"n"`
-	Status int    `cbor:"s"`           // cell.Status
-	Final  string `cbor:"f,omitempty"` // the final state, if it is over
-	Done   int    `cbor:"d,omitempty"` // tasks done
+	Number uint64        `cbor:"n"`
+	Status int           `cbor:"s"`           // cell.Status
+	Final  wire.JobState `cbor:"f,omitempty"` // the final state, if it is over
+	Done   int           `cbor:"d,omitempty"` // tasks done
 }
 
 // Inventory is all that the receiver holds of the sender's jobs.
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -42,7 +42,7 @@
 // of being placed, each for a save, a fetch and three changes of records.
 func (p Preemptor) MayPreempt(running RunningJob) bool {
 	if running.Rank > p.Rank {
-		return !running.WithinGuarantee || p.Rank <= wire.PriorityRank(wire.PriorityHigh)
+		return !running.WithinGuarantee || p.Rank <= wire.PriorityHigh.Rank()
 	}
 	return p.WithinGuarantee && running.TeamHasGuarantee && !running.WithinGuarantee && running.Team != p.Team && running.Rank == p.Rank && (p.GuaranteedOnArrival || !running.EndsSoon)
 }
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -13,11 +13,11 @@
 // BoundTask is a bound task as its part's owner sees it.
 type BoundTask struct {
 	agent.TaskObservation
-	JobKind          string // of its job
-	JobCancelled     bool   // its job is
-	StopRequested    bool   // it has been told to stop
-	RetriesLimited   bool   // its failures are counted
-	RetriesExhausted bool   // it has no repeat left
+	JobKind          wire.JobKind // of its job
+	JobCancelled     bool         // its job is
+	StopRequested    bool         // it has been told to stop
+	RetriesLimited   bool         // its failures are counted
+	RetriesExhausted bool         // it has no repeat left
 }
 
 // Decision is what to do about a task.
@@ -58,7 +58,7 @@
 }
 
 func decideExited(task BoundTask) Decision {
-	decision := releaseToPending(task.Cause)
+	decision := releaseToPending(task.Cause.String())
 	switch task.Cause {
 	case wire.ExitCauseDone:
 		decision.ImagePresent = true
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -15,8 +15,8 @@
 func TestDecideEveryObservation(t *testing.T) {
 	seen := map[Decision]bool{}
 	for _, presence := range []agent.TaskPresence{agent.PresenceUnknown, agent.PresenceAlive, agent.PresenceExited, agent.PresenceSessionEnded, agent.PresenceAbsent} {
-		for _, cause := range []string{wire.ExitCauseDone, wire.ExitCauseError, wire.ExitCauseStopped, wire.ExitCauseNoCapacity, wire.ExitCauseAlreadyRunning, wire.ExitCauseUnknownTask, "new"} {
-			for _, kind := range []string{wire.KindArray, wire.KindGang, wire.KindService} {
+		for _, cause := range []wire.ExitCause{wire.ExitCauseDone, wire.ExitCauseError, wire.ExitCauseStopped, wire.ExitCauseNoCapacity, wire.ExitCauseAlreadyRunning, wire.ExitCauseUnknownTask, "new"} {
+			for _, kind := range []wire.JobKind{wire.KindArray, wire.KindGang, wire.KindService} {
 				for bits := range 16 {
 					task := BoundTask{TaskObservation: agent.TaskObservation{Presence: presence, Cause: cause}, JobKind: kind, JobCancelled: bits&1 != 0, StopRequested: bits&2 != 0,
 						RetriesLimited: bits&4 != 0, RetriesExhausted: bits&8 != 0}
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -424,7 +424,7 @@
 			// Of work that is in no hurry, first comes what finds its image where
 			// there is room: to fetch it would take the machine's time.
 			for i := range queue[:count] {
-				if queued := &queue[i]; queued.rank > wire.PriorityRank(wire.PriorityHigh) && !queued.nearDeadline && !queued.key.MissesObjectives {
+				if queued := &queue[i]; queued.rank > wire.PriorityHigh.Rank() && !queued.nearDeadline && !queued.key.MissesObjectives {
 					c.placeInHomeShard(queued, inventory, true)
 				}
 			}
@@ -468,7 +468,7 @@
 	if c.failingJobs[spec.ID] || paused > 0 && spec.Kind == wire.KindGang {
 		queued.Remaining = 0 // all or none
 	}
-	queued.deferred = c.storeSaturated && queued.rank > wire.PriorityRank(wire.PriorityHigh)
+	queued.deferred = c.storeSaturated && queued.rank > wire.PriorityHigh.Rank()
 	if limit, ok := c.quota.Limit(spec.Team); ok {
 		open := limit.AddTimes(usage[spec.Team], -1)
 		open.MemoryGB = tuning.MaxAmount * tuning.MaxTasks
@@ -603,7 +603,7 @@
 	isGang := spec.Kind == wire.KindGang
 	if !isGang {
 		if picks := inventory.Allocate(&queued.Request, candidates, &zones, func(candidate *binpack.MachineInfo) bool { return candidate.Machine.Shard != queued.homeShard }); len(picks) > 0 &&
-			(queued.rank <= wire.PriorityRank(wire.PriorityHigh) || c.homeOwnerTimedOut(queued)) {
+			(queued.rank <= wire.PriorityHigh.Rank() || c.homeOwnerTimedOut(queued)) {
 			c.bindToOwnMachines(queued, record, picks)
 		}
 	} else {
@@ -630,7 +630,7 @@
 		}
 		demand.Groups = append(demand.Groups, UnplacedGroup{Spec: spec, Count: queued.Remaining, Zone: zones.PinnedZone, Rank: queued.rank, SubmittedAt: job.ReadySince()})
 	}
-	if (queued.withinGuarantee || queued.rank <= wire.PriorityRank(wire.PriorityHigh)) && (!isGang || spec.TaskCount == 1) {
+	if (queued.withinGuarantee || queued.rank <= wire.PriorityHigh.Rank()) && (!isGang || spec.TaskCount == 1) {
 		// What stands on machines coming up in the play takes no zone from what is stopped for it
 		// meanwhile: services that are spread once waited for boots in the midst of arrays.
 		c.countReservedZones(spec.ID, &preemptZones)
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -136,7 +136,7 @@
 }
 
 // evacuationKinds are the kinds of jobs as plans of evacuation know them.
-var evacuationKinds = map[string]evacuation.WorkloadKind{wire.KindService: evacuation.Service, wire.KindGang: evacuation.Gang, wire.KindArray: evacuation.Array}
+var evacuationKinds = map[wire.JobKind]evacuation.WorkloadKind{wire.KindService: evacuation.Service, wire.KindGang: evacuation.Gang, wire.KindArray: evacuation.Array}
 
 // evacuationTasks gives what is on a machine, for the plan of its evacuation.
 func (c *cycle) evacuationTasks(name string) []evacuation.Task {
@@ -167,7 +167,7 @@
 	// replicas once waited for seconds more.
 	for _, binding := range machine.Bindings {
 		transaction.Urgent = transaction.Urgent || binding.Job.Spec.Kind == wire.KindService
-		transaction.HighPriority = transaction.HighPriority || c.effectiveRank(binding.Job) <= wire.PriorityRank(wire.PriorityHigh)
+		transaction.HighPriority = transaction.HighPriority || c.effectiveRank(binding.Job) <= wire.PriorityHigh.Rank()
 	}
 }
 
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -146,7 +146,7 @@
 			continue
 		}
 		further := c.needsOfDependents(dependent)
-		needs.rank = min(needs.rank, further.rank, wire.PriorityRank(job.Spec.Priority))
+		needs.rank = min(needs.rank, further.rank, job.Spec.Priority.Rank())
 		own, _ := c.firstReachable(c.deadlineObjectives(job), c.predictedRunTime(job))
 		if by := earliestNonZero(further.deadline, own); !by.IsZero() {
 			needs.deadline = earliestNonZero(needs.deadline, by.Add(-c.predictedRunTime(job)))
@@ -171,7 +171,7 @@
 // stays for services that users watch: what only leads to something is never
 // above high, so that a long pipeline can't push them aside.
 func (c *cycle) effectiveRank(job *clusterstate.Job) int {
-	return min(wire.PriorityRank(job.Spec.Priority), max(c.needsOfDependents(job.Spec.ID).rank, wire.PriorityRank(wire.PriorityHigh)))
+	return min(job.Spec.Priority.Rank(), max(c.needsOfDependents(job.Spec.ID).rank, wire.PriorityHigh.Rank()))
 }
 
 // learnerState describes what this round chooses in.
@@ -244,7 +244,7 @@
 
 func (c *cycle) learnerAction(job *clusterstate.Job) *learner.Action {
 	return &learner.Action{Class: job.Spec.Class, Team: job.Spec.Team, RunS: c.learning.runTimes.RunS(job.Spec.Class, job.Spec.RuntimeEstimateSeconds),
-		Interactive: c.effectiveRank(job) <= wire.PriorityRank(wire.PriorityHigh)}
+		Interactive: c.effectiveRank(job) <= wire.PriorityHigh.Rank()}
 }
 
 // scoreAction values a job in the state of this round.
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -55,7 +55,7 @@
 // midst of stops, and room was made twice.
 func (c *cycle) shardRotation(queued *queuedJob) int {
 	since, ok := c.unplacedSince[queued.job.Spec.ID]
-	if !ok || queued.rank > wire.PriorityRank(wire.PriorityHigh) {
+	if !ok || queued.rank > wire.PriorityHigh.Rank() {
 		return 0
 	}
 	return int(c.now.Sub(since) / tuning.PreemptTurn)
--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -158,7 +158,7 @@
 }
 
 // finalOps gives the ops that turn a job's records into its final one.
-func (c *cycle) finalOps(job *clusterstate.Job, status string, done int) []wire.Op {
+func (c *cycle) finalOps(job *clusterstate.Job, status wire.JobState, done int) []wire.Op {
 	id := job.Spec.ID
 	if guest := job.OffloadedFrom; guest != nil {
 		// Its home alone answers its user, and is told from this until it has it.
@@ -270,7 +270,7 @@
 		change.transaction.Conditions = append(change.transaction.Conditions, wire.Condition{Key: key, ModRevision: conditions[key]})
 	}
 	change.transaction.Urgent = job.Spec.Priority == wire.PriorityProduction
-	change.transaction.HighPriority = c.effectiveRank(job) <= wire.PriorityRank(wire.PriorityHigh)
+	change.transaction.HighPriority = c.effectiveRank(job) <= wire.PriorityHigh.Rank()
 	c.outgoing = append(c.outgoing, change)
 }
 
--- a/internal/simulation/combinations_test.go
+++ b/internal/simulation/combinations_test.go
@@ -270,7 +270,7 @@
 		stop = min(stop, 90*time.Second) // or the replicas alone fill the limits for minutes
 	}
 	if d.scarceCapacity && s.Kind == wire.KindArray {
-		s.Priority = []string{wire.PriorityHigh, wire.PriorityNormal, wire.PriorityLow}[rnd.IntN(3)]
+		s.Priority = []wire.Priority{wire.PriorityHigh, wire.PriorityNormal, wire.PriorityLow}[rnd.IntN(3)]
 	}
 	return s, run, stop
 }
--- a/internal/simulation/fakeagent.go
+++ b/internal/simulation/fakeagent.go
@@ -63,7 +63,7 @@
 	return Placement{a.name, a.machineType.Name, a.zone, a.spot}
 }
 
-func (a *fakeAgent) exitTask(k attempt, t *agentTask, cause string, saved bool) {
+func (a *fakeAgent) exitTask(k attempt, t *agentTask, cause wire.ExitCause, saved bool) {
 	if t.onMachine {
 		a.region.Checker.TaskLeft(k.task, a.name)
 		t.onMachine = false
@@ -80,7 +80,7 @@
 	if now.Sub(a.leaseRenewedAt) > a.region.Settings.Lease() {
 		for k, t := range a.tasks {
 			if t.onMachine {
-				a.region.Checker.Observe(t.spec.Kind+" ended with a lease", 1)
+				a.region.Checker.Observe(t.spec.Kind.String()+" ended with a lease", 1)
 			}
 			a.exitTask(k, t, "", false)
 		}
--- a/internal/simulation/fakeuser.go
+++ b/internal/simulation/fakeuser.go
@@ -20,7 +20,7 @@
 }
 
 // query sends a user's question about a job to a node, and lets the oracle know the answer.
-func (r *Region) query(ctx context.Context, controller *Controller, id, method, path string, body []byte, timeout time.Duration) (int, string) {
+func (r *Region) query(ctx context.Context, controller *Controller, id, method, path string, body []byte, timeout time.Duration) (int, wire.JobState) {
 	asked := time.Now()
 	status, state := r.request(ctx, controller, method, path, body, timeout)
 	r.Checker.AnswerReceivedTo(id, asked, status, state)
@@ -28,7 +28,7 @@
 }
 
 // request sends one user's request to one node and gives status and state.
-func (r *Region) request(ctx context.Context, controller *Controller, method, path string, body []byte, timeout time.Duration) (int, string) {
+func (r *Region) request(ctx context.Context, controller *Controller, method, path string, body []byte, timeout time.Duration) (int, wire.JobState) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, method, "http://"+controller.Address+path, bytes.NewReader(body))
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -51,11 +51,11 @@
 	cancelRequested      bool // its user asked to cancel it
 	cancelRequestedAt    time.Time
 	cancelledAt          time.Time
-	finalState           string      // the last final state told
-	failures             map[int]int // failures of tasks of their own
-	acknowledgedFailures map[int]int // those of them that the service has acknowledged
-	unansweredSince      time.Time   // since when no question about it was answered; zero: the last one was
-	firstStartAt         time.Time   // when its first task was on a machine
+	finalState           wire.JobState // the last final state told
+	failures             map[int]int   // failures of tasks of their own
+	acknowledgedFailures map[int]int   // those of them that the service has acknowledged
+	unansweredSince      time.Time     // since when no question about it was answered; zero: the last one was
+	firstStartAt         time.Time     // when its first task was on a machine
 }
 
 // query is one that users asked.
@@ -114,14 +114,14 @@
 }
 
 // AnswerReceived notes what a user was told about a job by a question that came after every other answer.
-func (c *InvariantChecker) AnswerReceived(id string, status int, state string) {
+func (c *InvariantChecker) AnswerReceived(id string, status int, state wire.JobState) {
 	c.AnswerReceivedTo(id, time.Now(), status, state)
 }
 
 // AnswerReceivedTo notes what a user was told about a job by a question sent at some time: status 201 or 200
 // with a state, 404, 400 or 422. Others tell nothing. Over all nodes together, a question that was sent
 // after an answer had arrived must not be answered by anything older.
-func (c *InvariantChecker) AnswerReceivedTo(id string, sentAt time.Time, status int, state string) {
+func (c *InvariantChecker) AnswerReceivedTo(id string, sentAt time.Time, status int, state wire.JobState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	job := c.jobs[id]
@@ -654,10 +654,10 @@
 
 // EndedJobs counts the jobs that were told to be over by how, and those of them that were
 // done though a task had failed before.
-func (c *InvariantChecker) EndedJobs() (ended map[string]int, repeated int) {
+func (c *InvariantChecker) EndedJobs() (ended map[wire.JobState]int, repeated int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ended = map[string]int{}
+	ended = map[wire.JobState]int{}
 	for _, j := range c.jobs {
 		ended[j.finalState]++
 		if j.finalState == wire.JobDone && len(j.failures) > 0 {
--- a/internal/simulation/onewaylinks_test.go
+++ b/internal/simulation/onewaylinks_test.go
@@ -97,7 +97,7 @@
 func TestOutboundLostMachinesAreEvacuated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, _ := simulateOneWayDay(t, "reaches no node", (*Region).LoseOutbound, 80*time.Second, 4, false)
-		if n := r.Checker.Observed[wire.KindService+" ended with a lease"]; n > 0 {
+		if n := r.Checker.Observed[wire.KindService.String()+" ended with a lease"]; n > 0 {
 			t.Errorf("%d replicas ended with a lease", n)
 		}
 	})
--- a/internal/simulation/region_test.go
+++ b/internal/simulation/region_test.go
@@ -324,7 +324,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		log := slog.New(slog.NewTextHandler(io.Discard, nil))
 		r := newThreeControllerRegion(ctx, testSettings, 5, 3, log)
-		for i, kind := range []string{wire.KindArray, wire.KindGang} {
+		for i, kind := range []wire.JobKind{wire.KindArray, wire.KindGang} {
 			spec := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: kind, Priority: wire.PriorityNormal,
 				TaskCount: 700 - 400*i, CPUs: 0.05, MemoryGB: 0.1, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 5, SameZone: i == 0}
 			r.wg.Go(func() { r.SimulateUser(ctx, spec, 5, 0) })
--- a/internal/wire/agent.go
+++ b/internal/wire/agent.go
@@ -1,31 +1,40 @@
 package wire
 
-// States of a task on a worker.
+// TaskState is how far a task on a machine has come.
+type TaskState string
+
+// States of a task on a machine.
 const (
-	TaskFetchingImage = "pulling"
-	TaskAwaitingGang  = "gathering"
-	TaskRunning       = "running"
-	TaskCheckpointing = "saving"
-	TaskExited        = "exited"
+	TaskFetchingImage TaskState = "pulling"
+	TaskAwaitingGang  TaskState = "gathering"
+	TaskRunning       TaskState = "running"
+	TaskCheckpointing TaskState = "saving"
+	TaskExited        TaskState = "exited"
 )
 
+// ExitCause is why a task has exited.
+type ExitCause string
+
 // Causes of an exit.
 const (
-	ExitCauseDone           = "done"
-	ExitCauseStopped        = "halted"
-	ExitCauseGangMemberLost = "peers"
-	ExitCauseGangIncomplete = "incomplete"
-	ExitCauseError          = "error"
-	ExitCauseNoCapacity     = "no_room"
-	ExitCauseAlreadyRunning = "in_use"
-	ExitCauseUnknownTask    = "no_such"
+	ExitCauseDone           ExitCause = "done"
+	ExitCauseStopped        ExitCause = "halted"
+	ExitCauseGangMemberLost ExitCause = "peers"
+	ExitCauseGangIncomplete ExitCause = "incomplete"
+	ExitCauseError          ExitCause = "error"
+	ExitCauseNoCapacity     ExitCause = "no_room"
+	ExitCauseAlreadyRunning ExitCause = "in_use"
+	ExitCauseUnknownTask    ExitCause = "no_such"
 )
 
-// Orders to a worker.
+// CommandKind is what a command asks of an agent.
+type CommandKind string
+
+// Kinds of commands.
 const (
-	CommandStart  = "launch"
-	CommandStop   = "halt"
-	CommandForget = "forget"
+	CommandStart  CommandKind = "launch"
+	CommandStop   CommandKind = "halt"
+	CommandForget CommandKind = "forget"
 )
 
 // Heartbeat is what a worker tells of itself.
@@ -44,19 +53,19 @@
 
 // TaskStatus is one task on a worker.
 type TaskStatus struct {
-	Task            string `cbor:"haul"`
-	Attempt         uint64 `cbor:"sortie"`
-	State           string `cbor:"status"`
-	ExitCause       string `cbor:"cause,omitempty"`
-	CheckpointSaved bool   `cbor:"saved,omitempty"`
+	Task            string    `cbor:"haul"`
+	Attempt         uint64    `cbor:"sortie"`
+	State           TaskState `cbor:"status"`
+	ExitCause       ExitCause `cbor:"cause,omitempty"`
+	CheckpointSaved bool      `cbor:"saved,omitempty"`
 }
 
 // Command is one command.
 type Command struct {
-	Kind         string   `cbor:"order"`
-	Task         string   `cbor:"haul"`
-	Attempt      uint64   `cbor:"sortie"`
-	GraceSeconds *float64 `cbor:"slack_s,omitempty"`
+	Kind         CommandKind `cbor:"order"`
+	Task         string      `cbor:"haul"`
+	Attempt      uint64      `cbor:"sortie"`
+	GraceSeconds *float64    `cbor:"slack_s,omitempty"`
 }
 
 // HeartbeatResponse answers a report.
@@ -76,3 +85,12 @@
 type HeartbeatRedirect struct {
 	ControllerAddress string `cbor:"harbormaster,omitempty"`
 }
+
+// String is the state as the protocol has it.
+func (s TaskState) String() string { return string(s) }
+
+// String is the cause as the protocol has it.
+func (c ExitCause) String() string { return string(c) }
+
+// String is the kind as the protocol has it.
+func (k CommandKind) String() string { return string(k) }
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -33,22 +33,25 @@
 	Names []string `cbor:"fleet"`
 }
 
+// MachineState is what the cloud says of a machine.
+type MachineState string
+
 // States of a listed machine.
 const (
-	MachineBooting = "booting"
-	MachineRunning = "running"
-	MachineFailed  = "failed"
+	MachineBooting MachineState = "booting"
+	MachineRunning MachineState = "running"
+	MachineFailed  MachineState = "failed"
 )
 
 // CloudMachine is a machine in the cloud's list.
 type CloudMachine struct {
-	ID          string  `cbor:"id"`
-	Address     string  `cbor:"address"`
-	MachineType string  `cbor:"hull"`
-	Zone        string  `cbor:"harbor"`
-	Spot        bool    `cbor:"standby"`
-	State       string  `cbor:"status"`
-	AgeSeconds  float64 `cbor:"held_s"`
+	ID          string       `cbor:"id"`
+	Address     string       `cbor:"address"`
+	MachineType string       `cbor:"hull"`
+	Zone        string       `cbor:"harbor"`
+	Spot        bool         `cbor:"standby"`
+	State       MachineState `cbor:"status"`
+	AgeSeconds  float64      `cbor:"held_s"`
 }
 
 // MachinePage is a page of machines.
@@ -56,3 +59,6 @@
 	Machines []CloudMachine `cbor:"fleet"`
 	HasMore  bool           `cbor:"more"`
 }
+
+// String is the state as the protocol has it.
+func (s MachineState) String() string { return string(s) }
--- a/internal/wire/user.go
+++ b/internal/wire/user.go
@@ -5,31 +5,38 @@
 	"fmt"
 	"math"
 	"regexp"
+	"slices"
 
 	"sableusher/internal/tuning"
 )
 
+// JobKind is how the tasks of a job belong together.
+type JobKind string
+
 // Kinds of jobs.
 const (
-	KindArray   = "batch"
-	KindGang    = "group"
-	KindService = "daemon"
+	KindArray   JobKind = "batch"
+	KindGang    JobKind = "group"
+	KindService JobKind = "daemon"
 )
 
+// Priority is how important a job's user calls it.
+type Priority string
+
 // Priorities, highest first.
 const (
-	PriorityProduction = "prod"
-	PriorityHigh       = "urgent"
-	PriorityNormal     = "standard"
-	PriorityLow        = "idle"
+	PriorityProduction Priority = "prod"
+	PriorityHigh       Priority = "urgent"
+	PriorityNormal     Priority = "standard"
+	PriorityLow        Priority = "idle"
 )
 
 // PriorityCount is the number of priorities.
 const PriorityCount = 4
 
-// PriorityRank orders priorities: 0 is the highest.
-func PriorityRank(priority string) int {
-	switch priority {
+// Rank orders priorities: 0 is the highest. What is no priority has the lowest rank.
+func (p Priority) Rank() int {
+	switch p {
 	case PriorityProduction:
 		return 0
 	case PriorityHigh:
@@ -37,18 +44,30 @@
 	case PriorityNormal:
 		return 2
 	}
-	return 3
+	return PriorityCount - 1
 }
 
-// States of a job as told to users.
+// String is the priority as the protocol has it.
+func (p Priority) String() string { return string(p) }
+
+// String is the kind as the protocol has it.
+func (k JobKind) String() string { return string(k) }
+
+// String is the state as the protocol has it.
+func (s JobState) String() string { return string(s) }
+
+// JobState is the state of a job as its user sees it.
+type JobState string
+
+// States of a job.
 const (
-	JobPending   = "pending"
-	JobRunning   = "running"
-	JobDone      = "done"
-	JobCancelled = "cancelled"
+	JobPending   JobState = "pending"
+	JobRunning   JobState = "running"
+	JobDone      JobState = "done"
+	JobCancelled JobState = "cancelled"
 	// JobFailed: a task has failed more often than its class, or its user, allows. It is
 	// told only where operators limit repeats.
-	JobFailed = "failed"
+	JobFailed JobState = "failed"
 )
 
 // JobSpec is a job as its user described it; checked by DecodeSpec.
@@ -56,8 +75,8 @@
 	ID                        string   `cbor:"id"`
 	Class                     string   `cbor:"lot"`
 	Team                      string   `cbor:"crew"`
-	Kind                      string   `cbor:"rig"`
-	Priority                  string   `cbor:"precedence"`
+	Kind                      JobKind  `cbor:"rig"`
+	Priority                  Priority `cbor:"precedence"`
 	TaskCount                 int      `cbor:"hauls"`
 	CPUs                      float64  `cbor:"vcpus"`
 	GPUs                      float64  `cbor:"cards"`
@@ -153,21 +172,12 @@
 		}
 		return *p
 	}
-	oneOf := func(name, v string, allowed ...string) string {
-		for _, a := range allowed {
-			if v == a {
-				return v
-			}
-		}
-		fail(name, "unknown value")
-		return v
-	}
 	spec := &JobSpec{
 		ID:                        text("id", in.ID),
 		Class:                     text("lot", in.Class),
 		Team:                      text("crew", in.Team),
-		Kind:                      oneOf("rig", text("rig", in.Kind), KindArray, KindGang, KindService),
-		Priority:                  oneOf("precedence", text("precedence", in.Priority), PriorityProduction, PriorityHigh, PriorityNormal, PriorityLow),
+		Kind:                      oneOf(fail, "rig", text("rig", in.Kind), KindArray, KindGang, KindService),
+		Priority:                  oneOf(fail, "precedence", text("precedence", in.Priority), PriorityProduction, PriorityHigh, PriorityNormal, PriorityLow),
 		CPUs:                      amount("vcpus", in.CPUs),
 		GPUs:                      amount("cards", in.GPUs),
 		MemoryGB:                  amount("memory_gb", in.MemoryGB),
@@ -224,6 +234,14 @@
 	return spec, nil
 }
 
+// oneOf gives text as one of the values that are allowed.
+func oneOf[T ~string](fail func(name, what string), name, text string, allowed ...T) T {
+	if !slices.Contains(allowed, T(text)) {
+		fail(name, "unknown value")
+	}
+	return T(text)
+}
+
 // DecodeMaxRetries reads how many repeats a submission asks for; nil if it doesn't. The
 // field is looked at only where operators limit repeats: elsewhere it is one of the
 // unknown ones, which are passed over.
@@ -246,16 +264,16 @@
 
 // JobResponse answers a submission or cancellation.
 type JobResponse struct {
-	ID    string `cbor:"id"`
-	State string `cbor:"status"`
+	ID    string   `cbor:"id"`
+	State JobState `cbor:"status"`
 }
 
 // JobStatus answers a poll.
 type JobStatus struct {
-	ID           string `cbor:"id"`
-	State        string `cbor:"status"`
-	TasksDone    int    `cbor:"done"`
-	TasksRunning int    `cbor:"running"`
+	ID           string   `cbor:"id"`
+	State        JobState `cbor:"status"`
+	TasksDone    int      `cbor:"done"`
+	TasksRunning int      `cbor:"running"`
 }
 
 // ErrorResponse explains a refusal.
