--- a/internal/jobqueue/queue.go
+++ b/internal/jobqueue/queue.go
@@ -1,96 +1,51 @@
-// Package jobqueue keeps the jobs that wait in the order in which they are given room.
-// The order is the design's: priority first and never crossed, then what lies within
-// its team's guarantee, whose turn it is for having been served least, what can still be in
-// time, where room is short the small, and what is close to its deadline; among the rest the
-// learned value decides for the first of them, which the caller asks for, else the earliest
-// deadline and arrival.
-//
-// A change of one job costs the logarithm of how many wait. The package knows no
-// clock: what follows from time alone comes as a new key.
 package jobqueue
 
-import (
-	"cmp"
+import "github.com/tidwall/btree"
 
-	"github.com/tidwall/btree"
-)
-
-// Key is what orders a job.
-type Key struct {
-	PriorityRank     int   // of its priority, the highest is 0
-	WithinGuarantee  bool  // within its team's guarantee
-	Underserved      bool  // its class or its team has had least of what is due, and it is their turn
-	MissesObjectives bool  // past all its aims, or it can meet none with the room there is
-	SizeClass        int   // class of what it still takes, where room is so short that not all can be in time; else 0
-	NearDeadline     bool  // its deadline can still be met, but not for long
-	DeadlineNs       int64 // in nanoseconds since 1970
-	EligibleSinceMs  int64 // when it could first have started, in milliseconds since 1970
-	JobID            string
-}
-
-// ComparePrecedence compares what value never crosses: priority, guarantee, whose turn it is for having
-// been served least, what can still be in time before what can't, where room is short the
-// small before the large, and danger.
-func (k Key) ComparePrecedence(other Key) int {
-	return cmp.Or(cmp.Compare(k.PriorityRank, other.PriorityRank), -compareBool(k.WithinGuarantee, other.WithinGuarantee), -compareBool(k.Underserved, other.Underserved), compareBool(k.MissesObjectives, other.MissesObjectives),
-		cmp.Compare(k.SizeClass, other.SizeClass), -compareBool(k.NearDeadline, other.NearDeadline))
-}
-
-// Compare compares keys; none of two jobs are equal.
-func (k Key) Compare(other Key) int {
-	return cmp.Or(k.ComparePrecedence(other), cmp.Compare(k.DeadlineNs, other.DeadlineNs), cmp.Compare(k.EligibleSinceMs, other.EligibleSinceMs), cmp.Compare(k.JobID, other.JobID))
-}
-
-func compareBool(a, b bool) int {
-	switch {
-	case a == b:
-		return 0
-	case a:
-		return 1
-	}
-	return -1
+// Queue holds the waiting jobs in the order of their keys, each with a value of the caller's. Use
+// New to create one; it is not safe for concurrent use.
+type Queue[T any] struct {
+	tree     *btree.BTreeG[entry[T]]
+	keyByJob map[string]Key
 }
 
-// entry is a job in line.
+// entry is a job in the queue.
 type entry[T any] struct {
 	key   Key
 	value T
 }
 
-// Queue is the jobs that wait, each with what its caller keeps of it. The zero value
-// is not ready for use.
-type Queue[T any] struct {
-	tree     *btree.BTreeG[entry[T]]
-	keyByJob map[string]Key
-}
-
-// New makes an empty line.
+// New returns an empty queue.
 func New[T any]() *Queue[T] {
-	return &Queue[T]{keyByJob: map[string]Key{}, tree: btree.NewBTreeGOptions(
-		func(a, b entry[T]) bool { return a.key.Compare(b.key) < 0 }, btree.Options{NoLocks: true})}
+	precedes := func(a, b entry[T]) bool { return a.key.Compare(b.key) < 0 }
+	return &Queue[T]{
+		tree:     btree.NewBTreeGOptions(precedes, btree.Options{NoLocks: true}),
+		keyByJob: map[string]Key{},
+	}
 }
 
-// Put puts a job in line, or moves it to where its new key belongs.
-func (l *Queue[T]) Put(k Key, value T) {
-	if old, ok := l.keyByJob[k.JobID]; ok && old != k {
-		l.tree.Delete(entry[T]{key: old})
+// Put adds the job named by the key, or moves it to the position of its new key.
+func (q *Queue[T]) Put(key Key, value T) {
+	if old, ok := q.keyByJob[key.JobID]; ok && old != key {
+		q.tree.Delete(entry[T]{key: old})
 	}
-	l.keyByJob[k.JobID] = k
-	l.tree.Set(entry[T]{k, value})
+	q.keyByJob[key.JobID] = key
+	q.tree.Set(entry[T]{key, value})
 }
 
-// Delete takes a job out of the line.
-func (l *Queue[T]) Delete(jobID string) {
-	if old, ok := l.keyByJob[jobID]; ok {
-		l.tree.Delete(entry[T]{key: old})
-		delete(l.keyByJob, jobID)
+// Delete removes a job; a job that is not in the queue is ignored.
+func (q *Queue[T]) Delete(jobID string) {
+	if old, ok := q.keyByJob[jobID]; ok {
+		q.tree.Delete(entry[T]{key: old})
+		delete(q.keyByJob, jobID)
 	}
 }
 
-// Len is how many wait.
-func (l *Queue[T]) Len() int { return len(l.keyByJob) }
+// Len returns the number of jobs in the queue.
+func (q *Queue[T]) Len() int { return len(q.keyByJob) }
 
-// Each calls f for the jobs in line, in order, until it says no.
-func (l *Queue[T]) Each(yield func(Key, T) bool) {
-	l.tree.Scan(func(e entry[T]) bool { return yield(e.key, e.value) })
+// Each calls yield for each job in order until yield returns false. The queue must not be changed
+// meanwhile.
+func (q *Queue[T]) Each(yield func(Key, T) bool) {
+	q.tree.Scan(func(e entry[T]) bool { return yield(e.key, e.value) })
 }
