--- a/internal/fairshare/tracker.go
+++ b/internal/fairshare/tracker.go
@@ -1,11 +1,3 @@
-// Package fairshare follows how much of what arrived of each class and of each team has been
-// served, and tells who has had least of what is due while room is short.
-//
-// The package is pure: what arrived, what waits and the time go in, who is owed comes out. It
-// keeps a bounded memory of what arrived lately, as records of jobs that are done leave a node's
-// view; a process that was started a moment ago knows of the live ones only, and agrees
-// with the others once a window has passed. It decides an order and nothing else (safety
-// invariant 19's floors): beneath priorities and guarantees, and for a bounded share of starts.
 package fairshare
 
 import (
@@ -15,74 +7,100 @@
 	"sableusher/internal/tuning"
 )
 
-// Group is a class or a team.
-type Group struct {
-	Team bool // else a class
-	Name string
+// Arrival is a job that was accepted.
+type Arrival struct {
+	JobID string
+	Class string
+	Team  string
+	Tasks int
+	At    time.Time
 }
 
-// arrival is a job that came within the window.
-type arrival struct {
-	jobID       string
-	class, team string
-	tasks       int
-	arrivedAt   time.Time
-}
-
-// Tracker keeps what arrived. The zero value is ready for use; callers guard it.
+// Tracker keeps the arrivals of the last tuning.FloorWindow, at most tuning.FloorJobs. The zero
+// value is ready for use; it is not safe for concurrent use.
 type Tracker struct {
-	arrivals    []arrival // as they were first seen
+	arrivals    []Arrival // in the order in which they were first recorded
 	trackedJobs map[string]bool
 }
 
-// RecordArrival notes a job when it is first seen, with when it came; later calls change nothing.
-// What came before the window is passed over.
-func (t *Tracker) RecordArrival(now time.Time, jobID, class, team string, tasks int, arrivedAt time.Time) {
-	if t.trackedJobs[jobID] || now.Sub(arrivedAt) > tuning.FloorWindow || tasks <= 0 {
+// RecordArrival adds a job. A job that is tracked already, that has no tasks or that arrived before
+// the window is ignored. A full tracker forgets its oldest arrival.
+func (t *Tracker) RecordArrival(now time.Time, arrival Arrival) {
+	if t.trackedJobs[arrival.JobID] || isExpired(now, &arrival) || arrival.Tasks <= 0 {
 		return
 	}
 	if t.trackedJobs == nil {
 		t.trackedJobs = map[string]bool{}
 	}
 	if len(t.arrivals) >= tuning.FloorJobs {
-		delete(t.trackedJobs, t.arrivals[0].jobID)
+		delete(t.trackedJobs, t.arrivals[0].JobID)
 		t.arrivals = t.arrivals[1:]
 	}
-	t.trackedJobs[jobID] = true
-	t.arrivals = append(t.arrivals, arrival{jobID, class, team, tasks, arrivedAt})
+	t.trackedJobs[arrival.JobID] = true
+	t.arrivals = append(t.arrivals, arrival)
 }
 
-// Len is how many jobs are kept.
+// Len returns the number of tracked jobs.
 func (t *Tracker) Len() int { return len(t.arrivals) }
 
-// Underserved gives the classes and teams that were served less than tuning.FloorServed of what
-// arrived of them within the window, and less than tuning.FloorBehind of what all were: who
-// has had least of what is due. Where all were served alike nobody is owed. waiting counts, by
-// job, the tasks that wait.
+// Underserved returns the groups that were served less than tuning.FloorServed of what arrived of
+// them within the window, and less than tuning.FloorBehind of what all groups together were: where
+// all were served alike it returns none. waitingTasks counts the tasks that wait by job ID.
 func (t *Tracker) Underserved(now time.Time, waitingTasks map[string]int) map[Group]bool {
-	t.arrivals = slices.DeleteFunc(t.arrivals, func(a arrival) bool {
-		expired := now.Sub(a.arrivedAt) > tuning.FloorWindow
+	t.deleteExpired(now)
+	total, byGroup := t.countTasks(waitingTasks)
+	underserved := map[Group]bool{}
+	for group, count := range byGroup {
+		served := count.servedShare()
+		if served < tuning.FloorServed && served < tuning.FloorBehind*total.servedShare() {
+			underserved[group] = true
+		}
+	}
+	return underserved
+}
+
+func (t *Tracker) deleteExpired(now time.Time) {
+	t.arrivals = slices.DeleteFunc(t.arrivals, func(arrival Arrival) bool {
+		expired := isExpired(now, &arrival)
 		if expired {
-			delete(t.trackedJobs, a.jobID)
+			delete(t.trackedJobs, arrival.JobID)
 		}
 		return expired
 	})
-	type sums struct{ arrived, waits int }
-	total, byGroup := sums{}, map[Group]sums{}
-	for _, a := range t.arrivals {
-		w := min(waitingTasks[a.jobID], a.tasks)
-		total.arrived, total.waits = total.arrived+a.tasks, total.waits+w
-		for _, group := range []Group{{false, a.class}, {true, a.team}} {
-			s := byGroup[group]
-			byGroup[group] = sums{s.arrived + a.tasks, s.waits + w}
+}
+
+// countTasks counts the tasks of all tracked jobs, and by group.
+func (t *Tracker) countTasks(waitingTasks map[string]int) (total taskCount, byGroup map[Group]taskCount) {
+	byGroup = map[Group]taskCount{}
+	for i := range t.arrivals {
+		arrival := &t.arrivals[i]
+		count := taskCount{
+			arrived: arrival.Tasks,
+			waiting: min(waitingTasks[arrival.JobID], arrival.Tasks),
 		}
-	}
-	share := func(s sums) float64 { return 1 - float64(s.waits)/float64(max(s.arrived, 1)) }
-	underserved := map[Group]bool{}
-	for group, s := range byGroup {
-		if got := share(s); got < tuning.FloorServed && got < tuning.FloorBehind*share(total) {
-			underserved[group] = true
+		total = total.plus(count)
+		for _, group := range [...]Group{Class(arrival.Class), Team(arrival.Team)} {
+			byGroup[group] = byGroup[group].plus(count)
 		}
 	}
-	return underserved
+	return total, byGroup
+}
+
+func isExpired(now time.Time, arrival *Arrival) bool {
+	return now.Sub(arrival.At) > tuning.FloorWindow
+}
+
+// taskCount counts the tasks of some arrivals.
+type taskCount struct {
+	arrived int
+	waiting int // those of the arrived that have not been started
+}
+
+func (c taskCount) plus(other taskCount) taskCount {
+	return taskCount{arrived: c.arrived + other.arrived, waiting: c.waiting + other.waiting}
+}
+
+// servedShare is the share of the arrived tasks that do not wait any more, from 0 to 1.
+func (c taskCount) servedShare() float64 {
+	return 1 - float64(c.waiting)/float64(max(c.arrived, 1))
 }
--- a/internal/fairshare/tracker_test.go
+++ b/internal/fairshare/tracker_test.go
@@ -7,72 +7,95 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/testrand"
 	"sableusher/internal/tuning"
 )
 
-func TestMain(m *testing.M) { testrand.Main(m) }
+var testStart = time.Unix(1_800_000_000, 0)
 
-var start = time.Unix(1_800_000_000, 0)
+func drawArrival(t *rapid.T, jobID string, at time.Time) Arrival {
+	return Arrival{
+		JobID: jobID,
+		Class: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "class"),
+		Team:  rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "team"),
+		Tasks: rapid.IntRange(1, 50).Draw(t, "tasks"),
+		At:    at,
+	}
+}
+
+// recount is the model of a tracker: it keeps all arrivals and counts anew each time.
+type recount struct {
+	kept    int
+	total   taskCount
+	byGroup map[Group]taskCount
+}
+
+func newRecount(now time.Time, arrivals []Arrival, waitingTasks map[string]int) recount {
+	model := recount{byGroup: map[Group]taskCount{}}
+	for _, arrival := range arrivals {
+		if now.Sub(arrival.At) > tuning.FloorWindow {
+			continue
+		}
+		model.kept++
+		waiting := waitingTasks[arrival.JobID]
+		model.total.arrived += arrival.Tasks
+		model.total.waiting += waiting
+		groups := []Group{{Kind: ClassGroup, Name: arrival.Class}, {Kind: TeamGroup, Name: arrival.Team}}
+		for _, group := range groups {
+			count := model.byGroup[group]
+			model.byGroup[group] = taskCount{count.arrived + arrival.Tasks, count.waiting + waiting}
+		}
+	}
+	return model
+}
 
-// TestOwedAgainstCounting: over any history the owed are those that counting anew finds, nobody
-// is owed where all were served alike or well, and what is kept is bounded by the window.
+// check compares the groups that a tracker found with those that counting anew finds.
+func (r recount) check(t *rapid.T, got map[Group]bool) {
+	share := func(c taskCount) float64 { return 1 - float64(c.waiting)/float64(c.arrived) }
+	for group, count := range r.byGroup {
+		want := share(count) < tuning.FloorServed && share(count) < tuning.FloorBehind*share(r.total)
+		if got[group] != want {
+			t.Fatalf("%+v was served %v of %v: underserved is %v", group, share(count), share(r.total), got[group])
+		}
+	}
+	if len(got) >= len(r.byGroup) {
+		t.Fatal("all are underserved")
+	}
+}
+
+// TestUnderservedMatchesRecount: over any history the underserved groups are those that counting
+// anew finds, there are none where all were served alike or well, and what is kept is bounded by
+// the window.
 func TestUnderservedMatchesRecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		type job struct {
-			class, team string
-			tasks       int
-			at          time.Time
-		}
-		var b Tracker
-		jobs, waiting, now := map[string]job{}, map[string]int{}, start
-		for i := range rapid.IntRange(1, 40).Draw(t, "steps") {
+		var tracker Tracker
+		var arrivals []Arrival
+		waitingTasks, now := map[string]int{}, testStart
+		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "seconds")) * time.Second)
-			id := strconv.Itoa(i)
-			j := job{rapid.SampledFrom([]string{"a", "b"}).Draw(t, "class"), rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "team"), rapid.IntRange(1, 50).Draw(t, "tasks"), now}
-			jobs[id] = j
-			for range 1 + rapid.IntRange(0, 1).Draw(t, "again") {
-				b.RecordArrival(now, id, j.class, j.team, j.tasks, j.at)
-			}
-			waiting[id] = rapid.IntRange(0, j.tasks).Draw(t, "wait")
-			got := b.Underserved(now, waiting)
-			kept, all := 0, [2]int{}
-			each := map[Group][2]int{}
-			for id, j := range jobs {
-				if now.Sub(j.at) > tuning.FloorWindow {
-					continue
-				}
-				kept++
-				w := waiting[id]
-				all = [2]int{all[0] + j.tasks, all[1] + w}
-				for _, who := range []Group{{Name: j.class}, {Team: true, Name: j.team}} {
-					each[who] = [2]int{each[who][0] + j.tasks, each[who][1] + w}
-				}
-			}
-			if b.Len() != kept {
-				t.Fatalf("%d jobs kept, %d came within the window", b.Len(), kept)
-			}
-			share := func(s [2]int) float64 { return 1 - float64(s[1])/float64(s[0]) }
-			for who, s := range each {
-				want := share(s) < tuning.FloorServed && share(s) < tuning.FloorBehind*share(all)
-				if got[who] != want {
-					t.Fatalf("%+v was served %v of %v: owed is %v", who, share(s), share(all), got[who])
-				}
+			arrival := drawArrival(t, strconv.Itoa(step), now)
+			arrivals = append(arrivals, arrival)
+			for range 1 + rapid.IntRange(0, 1).Draw(t, "repetitions") {
+				tracker.RecordArrival(now, arrival)
 			}
-			if len(got) >= len(each) {
-				t.Fatal("all are owed")
+			waitingTasks[arrival.JobID] = rapid.IntRange(0, arrival.Tasks).Draw(t, "waiting")
+			got := tracker.Underserved(now, waitingTasks)
+			model := newRecount(now, arrivals, waitingTasks)
+			if tracker.Len() != model.kept {
+				t.Fatalf("%d jobs kept, %d came within the window", tracker.Len(), model.kept)
 			}
+			model.check(t, got)
 		}
 	})
 }
 
-// TestBookIsBounded: whatever comes, no more jobs are kept than the bound.
+// TestTrackerIsBounded: whatever comes, no more jobs are kept than the bound.
 func TestTrackerIsBounded(t *testing.T) {
-	var b Tracker
+	var tracker Tracker
 	for i := range tuning.FloorJobs + 100 {
-		b.RecordArrival(start, strconv.Itoa(i), "a", "x", 1, start)
+		arrival := Arrival{JobID: strconv.Itoa(i), Class: "a", Team: "x", Tasks: 1, At: testStart}
+		tracker.RecordArrival(testStart, arrival)
 	}
-	if b.Len() != tuning.FloorJobs {
-		t.Fatalf("%d jobs kept", b.Len())
+	if tracker.Len() != tuning.FloorJobs {
+		t.Fatalf("%d jobs kept", tracker.Len())
 	}
 }
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -29,7 +29,9 @@
 			continue
 		}
 		rank, share, runTime := c.effectiveRank(job), c.machineShare(&job.Spec), c.estimatedRunTime(job)
-		c.recentArrivals.RecordArrival(c.now, id, job.Spec.Class, job.Spec.Team, job.Spec.TaskCount, job.ReadySince())
+		c.recentArrivals.RecordArrival(c.now, fairshare.Arrival{
+			JobID: id, Class: job.Spec.Class, Team: job.Spec.Team, Tasks: job.Spec.TaskCount, At: job.ReadySince(),
+		})
 		runningByRank[rank] += float64(job.BoundCount) * share * runTime.Seconds() / 2 // half is left on average
 		if job.PendingCount() == 0 {
 			continue
@@ -131,9 +133,9 @@
 	}
 	switch c.now.Unix() % tuning.FloorTurns {
 	case 0, 2:
-		return c.underserved[fairshare.Group{Name: job.Spec.Class}]
+		return c.underserved[fairshare.Class(job.Spec.Class)]
 	case 1:
-		return c.underserved[fairshare.Group{Team: true, Name: job.Spec.Team}]
+		return c.underserved[fairshare.Team(job.Spec.Team)]
 	}
 	return false
 }
