--- a/internal/binpack/allocate.go
+++ b/internal/binpack/allocate.go
@@ -2,132 +2,164 @@
 
 import (
 	"cmp"
-	"maps"
 	"slices"
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/wire"
 )
 
-// Request is what a job asks room for.
-type Request struct {
-	Spec      *wire.JobSpec
-	Need      clusterstate.Resources // of each task
-	Remaining int                    // tasks that have no place yet in this round
-	// StartWithinS is the time in seconds in which a replica should start; 0: nobody says.
-	StartWithinS float64
+// Allocate takes capacity for a request's remaining tasks on the candidates that the filter, if
+// any, accepts, and returns the machine of each task that was placed. It reduces
+// request.Remaining and counts the tasks in the constraint. Preferred are in this order machines
+// whose capacity was freed for the job, those where a task displaces no larger common one, spot
+// machines, those that hold the job's image, and those in use, so that others stay whole. Tasks
+// without GPUs go beside GPU tasks.
+func (inv *Inventory) Allocate(
+	request *Request, candidates []*MachineInfo, constraint *ZoneConstraint, filter func(*MachineInfo) bool,
+) []*MachineInfo {
+	a := allocation{inv: inv, request: request, constraint: constraint}
+	for _, info := range candidates {
+		if a.accepts(info, filter) {
+			t := a.tierOf(info)
+			a.tiers[t] = append(a.tiers[t], info)
+		}
+	}
+	a.fillTiers()
+	return a.picks
 }
 
-// ZoneConstraint is where the tasks of one record of a job stand, and what the rules
-// leave open.
-type ZoneConstraint struct {
-	TasksByZone    map[string]int // tasks by zone
-	PinnedZone     string         // the one zone that is open, if any is
-	MaxPerZone     int            // most tasks in one zone
-	PlacementKnown bool           // false while it isn't known where a task stands: none is open
-}
+// tier is a combination of drawbacks of a machine, the weightiest in the highest bit. Machines of
+// lower tiers are filled first.
+type tier int
 
-// Allows tells whether a further task may stand in a zone.
-func (c *ZoneConstraint) Allows(zone string) bool {
-	return c.PlacementKnown && (c.PinnedZone == "" || c.PinnedZone == zone) && c.TasksByZone[zone] < c.MaxPerZone
-}
+// The drawbacks of any machine.
+const tierNotFreedForJob tier = 1 << 5
 
-// Clone gives zones that count on by themselves.
-func (c *ZoneConstraint) Clone() ZoneConstraint {
-	clone := *c
-	clone.TasksByZone = maps.Clone(c.TasksByZone)
-	return clone
-}
+// The drawbacks of a machine with GPUs for a task without them. Being spot is one: the machine is
+// there anyway, so its price saves nothing, and if it is reclaimed the task's run time is lost.
+const (
+	tierTakesGPUShare tier = 1 << 3
+	tierGPUsUnused    tier = 1 << 2
+	tierSpot          tier = 1 << 1
+	tierFetchesBeside tier = 1 << 0
+)
+
+// The drawbacks of other machines.
+const (
+	tierFetchDelaysStart tier = 1 << 4
+	tierDisplacesCommon  tier = 1 << 3
+	tierOnDemand         tier = 1 << 2
+	tierFetchesImage     tier = 1 << 1
+	tierUnused           tier = 1 << 0
+)
 
-func (c *ZoneConstraint) addTasks(spec *wire.JobSpec, zone string, count int) {
-	c.TasksByZone[zone] += count
-	if spec.SameZone {
-		c.PinnedZone = zone
+const tierCount = 1 << 6
+
+// when returns the drawback if a condition holds, and no drawback otherwise.
+func (t tier) when(condition bool) tier {
+	if condition {
+		return t
 	}
+	return 0
 }
 
-// availableTo tells whether a machine is kept for no other job.
-func availableTo(request *Request, info *MachineInfo) bool {
-	return info.ReservedFor == "" || info.ReservedFor == request.Spec.ID
+// allocation is one run of Allocate.
+type allocation struct {
+	inv        *Inventory
+	request    *Request
+	constraint *ZoneConstraint
+	tiers      [tierCount][]*MachineInfo
+	picks      []*MachineInfo
 }
 
-// displacesCommonBit marks the tiers of machines on which a small task would take the place of a common one.
-const displacesCommonBit = 8
+func (a *allocation) accepts(info *MachineInfo, filter func(*MachineInfo) bool) bool {
+	return a.request.mayUse(info) &&
+		(filter == nil || filter(info)) &&
+		a.request.fits(info) &&
+		a.constraint.Allows(info.Machine.Zone)
+}
 
-// Allocate takes room for a job's tasks on machines, the preferred ones first:
-// room that was freed for it, machines on which it takes the place of no larger common task, spot
-// machines, those that hold its image, and those in use, so that others stay whole. Tasks without
-// GPUs go beside GPU work.
-func (inv *Inventory) Allocate(request *Request, candidates []*MachineInfo, constraint *ZoneConstraint, filter func(*MachineInfo) bool) []*MachineInfo {
-	spec := request.Spec
-	var tiers [64][]*MachineInfo
-	for _, info := range candidates {
-		if !availableTo(request, info) || filter != nil && !filter(info) || !request.Need.FitsIn(info.Free) || !Eligible(spec, info.Machine) || !constraint.Allows(info.Machine.Zone) {
-			continue
-		}
-		t := 0
-		if info.ReservedFor == "" {
-			t |= 32
-		}
-		fetches := info.readiness != Ready || !inv.HasImage(spec.Image, info)
-		if besides := request.Need.GPUs == 0 && info.Capacity.GPUs > 0; besides {
-			// A machine is there anyway, so the cheap kind saves nothing; one that is
-			// taken back takes the task's run time with it.
-			t |= bitIf(!inv.leavesGPUShare(request.Need, info), 8) | bitIf(info.Free.GPUs == info.Capacity.GPUs, 4) | bitIf(info.Machine.Spot, 2) | bitIf(fetches, 1)
-		} else {
-			t |= bitIf(fetches && inv.fetchDelaysStart(request, info), 16) | bitIf(inv.displacesCommon(request.Need, info), displacesCommonBit) | bitIf(!info.Machine.Spot, 4) | bitIf(fetches, 2) | bitIf(info.Free == info.Capacity, 1)
-		}
-		tiers[t] = append(tiers[t], info)
+func (a *allocation) tierOf(info *MachineInfo) tier {
+	inv, need := a.inv, a.request.Need
+	fetches := info.readiness != Ready || !inv.HasImage(a.request.Spec.Image, info)
+	t := tierNotFreedForJob.when(info.ReservedFor == "")
+	if isBesideGPUs := need.GPUs == 0 && info.Capacity.GPUs > 0; isBesideGPUs {
+		return t |
+			tierTakesGPUShare.when(!inv.leavesGPUShare(need, info)) |
+			tierGPUsUnused.when(info.Free.GPUs == info.Capacity.GPUs) |
+			tierSpot.when(info.Machine.Spot) |
+			tierFetchesBeside.when(fetches)
 	}
-	var picks []*MachineInfo
-	for i := range tiers {
-		tier := tiers[i]
-		if inv.typesDiffer && spec.Kind == wire.KindService && request.Need.GPUs == 0 && len(tier) > 1 {
-			// A replica stays for long: as long as nothing tells what is common, the smallest machine is
-			// the least loss. And its user waits for its image as well.
-			slices.SortStableFunc(tier, func(x, y *MachineInfo) int {
-				if c := cmp.Compare(x.Capacity.CPUs, y.Capacity.CPUs); c != 0 && inv.CommonNeed.CPUs == 0 {
-					return c
-				}
-				return cmp.Compare(inv.fetchRateByType[y.Machine.Type], inv.fetchRateByType[x.Machine.Type])
-			})
+	return t |
+		tierFetchDelaysStart.when(fetches && inv.fetchDelaysStart(a.request, info)) |
+		tierDisplacesCommon.when(inv.displacesCommon(need, info)) |
+		tierOnDemand.when(!info.Machine.Spot) |
+		tierFetchesImage.when(fetches) |
+		tierUnused.when(info.Free == info.Capacity)
+}
+
+func (a *allocation) fillTiers() {
+	for t := range tier(tierCount) {
+		if a.prefersSmallMachines() && len(a.tiers[t]) > 1 {
+			a.inv.sortForReplicas(a.tiers[t])
 		}
-		for _, info := range tier {
-			for request.Remaining > 0 && request.Need.FitsIn(info.Free) && constraint.Allows(info.Machine.Zone) {
-				if i&displacesCommonBit == 0 && inv.displacesCommon(request.Need, info) {
-					tiers[i|displacesCommonBit] = append(tiers[i|displacesCommonBit], info) // what it had left over is used
-					break
-				}
-				inv.Consume(info, request.Need, 1)
-				constraint.addTasks(spec, info.Machine.Zone, 1)
-				picks = append(picks, info)
-				request.Remaining--
-			}
-			if request.Remaining == 0 {
-				return picks
+		for _, info := range a.tiers[t] {
+			a.fill(info, t)
+			if a.request.Remaining == 0 {
+				return
 			}
 		}
 	}
-	return picks
 }
 
-func bitIf(set bool, b int) int {
-	if set {
-		return b
+// fill places as many tasks on a machine as fit. A machine that has become one where a further
+// task would displace a common one is put off to the tier of those.
+func (a *allocation) fill(info *MachineInfo, t tier) {
+	zone := info.Machine.Zone
+	for a.request.Remaining > 0 && a.request.Need.FitsIn(info.Free) && a.constraint.Allows(zone) {
+		if t&tierDisplacesCommon == 0 && a.inv.displacesCommon(a.request.Need, info) {
+			later := t | tierDisplacesCommon
+			a.tiers[later] = append(a.tiers[later], info)
+			return
+		}
+		a.inv.adjustFree(info, a.request.Need, -1)
+		a.constraint.addTasks(a.request.Spec, zone, 1)
+		a.picks = append(a.picks, info)
+		a.request.Remaining--
 	}
-	return 0
 }
 
-// fetchDelaysStart tells whether a replica would wait for its image on a machine beyond the time in which it should
-// start, though other types fetch faster: what it takes of a better machine is little beside that.
+// prefersSmallMachines reports whether the machines within a tier are sorted for replicas.
+func (a *allocation) prefersSmallMachines() bool {
+	return a.inv.types.differ && a.request.Spec.Kind == wire.KindService && a.request.Need.GPUs == 0
+}
+
+// sortForReplicas sorts machines for replicas, which stay for long: while no common need is known
+// the smallest machine is the least loss; otherwise, and among machines of one size, the one that
+// fetches images fastest is best, as the replica's users wait for its image.
+func (inv *Inventory) sortForReplicas(machines []*MachineInfo) {
+	slices.SortStableFunc(machines, func(x, y *MachineInfo) int {
+		if c := cmp.Compare(x.Capacity.CPUs, y.Capacity.CPUs); c != 0 && inv.CommonNeed.CPUs == 0 {
+			return c
+		}
+		return cmp.Compare(inv.types.fetchRate[y.Machine.Type], inv.types.fetchRate[x.Machine.Type])
+	})
+}
+
+// fetchDelaysStart reports whether a replica would miss its time to start by waiting for its image
+// on a machine, though the fastest machine type would meet it: what the replica takes of a better
+// machine is little beside that.
 func (inv *Inventory) fetchDelaysStart(request *Request, info *MachineInfo) bool {
-	rate := inv.fetchRateByType[info.Machine.Type]
-	return request.StartWithinS > 0 && rate < inv.maxFetchRate && request.Spec.ImageSizeGB > request.StartWithinS*rate && request.Spec.ImageSizeGB <= request.StartWithinS*inv.maxFetchRate
+	rate, maxRate := inv.types.fetchRate[info.Machine.Type], inv.types.maxFetchRate
+	return request.StartWithinS > 0 && rate < maxRate &&
+		request.Spec.ImageSizeGB > request.StartWithinS*rate &&
+		request.Spec.ImageSizeGB <= request.StartWithinS*maxRate
 }
 
-// displacesCommon tells whether a small task takes the place of a common one: one core of a machine with
-// room for just one of those is as dear as all of it. Small machines, and what larger ones have
-// left over, are there for small tasks. On machines with GPUs, beside tells instead.
+// displacesCommon reports whether a small task would take the place of a common one: one core of a
+// machine that just one of those fits on costs as much as the whole machine. Small machines, and
+// what larger ones have left over, are there for small tasks. It is false on machines with GPUs,
+// where leavesGPUShare decides.
 func (inv *Inventory) displacesCommon(need clusterstate.Resources, info *MachineInfo) bool {
 	if inv.CommonNeed.CPUs == 0 || need.GPUs > 0 || info.Capacity.GPUs > 0 || need.CPUs >= inv.CommonNeed.CPUs {
 		return false
@@ -135,80 +167,12 @@
 	return TasksThatFit(inv.CommonNeed, info.Free) > TasksThatFit(inv.CommonNeed, info.Free.AddTimes(need, -1))
 }
 
-// leavesGPUShare tells whether a task without GPUs leaves a machine what its free GPUs
-// need: whatever stands there now could stand beside it, and a gang that takes
-// whole machines still finds this one whole.
+// leavesGPUShare reports whether a task without GPUs leaves a machine the other resources that
+// tasks on its free GPUs will need: a gang that takes whole machines still finds this one whole.
 func (inv *Inventory) leavesGPUShare(need clusterstate.Resources, info *MachineInfo) bool {
-	keep := clusterstate.Resources{CPUs: inv.NeedPerGPU.CPUs * info.Free.GPUs, MemoryGB: inv.NeedPerGPU.MemoryGB * info.Free.GPUs}
-	return need.FitsIn(info.Free.AddTimes(keep, -1))
-}
-
-// Release gives back room that was taken for a job.
-func (inv *Inventory) Release(request *Request, picks []*MachineInfo) {
-	for _, info := range picks {
-		inv.Consume(info, request.Need, -1)
-	}
-	request.Remaining += len(picks)
-}
-
-// AllocateGang takes room for all of a gang's tasks, in one zone if it must; nil
-// and no room taken if there is none.
-func (inv *Inventory) AllocateGang(request *Request, candidates []*MachineInfo, constraint ZoneConstraint, filter func(*MachineInfo) bool) []*MachineInfo {
-	zones := []string{""}
-	if request.Spec.SameZone && constraint.PinnedZone == "" {
-		capacity, images := map[string]int{}, map[string]int{}
-		zones = nil
-		for _, info := range candidates {
-			if !availableTo(request, info) || filter != nil && !filter(info) {
-				continue
-			}
-			if capacity[info.Machine.Zone] == 0 {
-				zones = append(zones, info.Machine.Zone)
-			}
-			c := TasksThatFit(request.Need, info.Free)
-			capacity[info.Machine.Zone] += c
-			if inv.HasImage(request.Spec.Image, info) {
-				images[info.Machine.Zone] += c
-			}
-		}
-		zones = slices.DeleteFunc(zones, func(zone string) bool { return capacity[zone] < request.Remaining })
-		slices.SortFunc(zones, func(x, y string) int {
-			return cmp.Or(-cmp.Compare(min(images[x], request.Remaining), min(images[y], request.Remaining)), cmp.Compare(x, y))
-		})
-	}
-	for _, zone := range zones {
-		try := constraint.Clone()
-		if zone != "" {
-			try.PinnedZone = zone
-		}
-		picks := inv.Allocate(request, candidates, &try, filter)
-		if request.Remaining == 0 {
-			return picks
-		}
-		inv.Release(request, picks)
-	}
-	return nil
-}
-
-// RoomiestZone is the zone with the most room for tasks of a gang, on machines that are up
-// and those coming up; empty if there is none.
-func (inv *Inventory) RoomiestZone(request *Request, ready []*MachineInfo) string {
-	capacity := map[string]int{}
-	best := ""
-	for _, info := range ready {
-		if availableTo(request, info) {
-			capacity[info.Machine.Zone] += TasksThatFit(request.Need, info.Free)
-		}
-	}
-	for _, b := range inv.pendingBins {
-		if Eligible(request.Spec, b.sample.Machine) {
-			capacity[b.sample.Machine.Zone] += len(b.machines) * TasksThatFit(request.Need, b.free)
-		}
-	}
-	for zone, c := range capacity {
-		if best == "" || c > capacity[best] || c == capacity[best] && zone < best {
-			best = zone
-		}
+	reserved := clusterstate.Resources{
+		CPUs:     inv.NeedPerGPU.CPUs * info.Free.GPUs,
+		MemoryGB: inv.NeedPerGPU.MemoryGB * info.Free.GPUs,
 	}
-	return best
+	return need.FitsIn(info.Free.AddTimes(reserved, -1))
 }
--- /dev/null
+++ b/internal/binpack/allocate_test.go
@@ -0,0 +1,101 @@
+package binpack
+
+import (
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/wire"
+)
+
+// sizedTypes are machine types of three sizes, of which the largest fetches images slowly.
+var sizedTypes = []wire.MachineType{
+	{Name: "s", CPUs: 4, MemoryGB: 8, ImageFetchGBps: 0.8, Zones: testZones},
+	{Name: "m", CPUs: 8, MemoryGB: 64, ImageFetchGBps: 0.8, Zones: testZones},
+	{Name: "l", CPUs: 32, MemoryGB: 64, ImageFetchGBps: 0.2, Zones: testZones},
+}
+
+// commonNeed is what a common task takes: all cores of a machine of the middle size.
+var commonNeed = clusterstate.Resources{CPUs: 8, MemoryGB: 13}
+
+func drawSizedCluster(t *rapid.T) *testCluster {
+	cluster := newTestCluster(sizedTypes...)
+	small := wire.JobSpec{Kind: wire.KindService, TaskCount: 32, CPUs: 1, MemoryGB: 0.5}
+	for i := range rapid.IntRange(1, 10).Draw(t, "machines") {
+		machineType := sizedTypes[rapid.IntRange(0, 2).Draw(t, "type")]
+		machineRecord := clusterstate.MachineRecord{Type: machineType.Name, Zone: "east", Up: true}
+		cluster.putMachine(i, machineRecord, small, rapid.IntRange(0, int(machineType.CPUs)).Draw(t, "CPUs in use"))
+	}
+	return cluster
+}
+
+// newSizedInventory returns an inventory of the cluster, filtered for a request.
+func newSizedInventory(cluster *testCluster, request *Request) *Inventory {
+	inv := Refresh(nil, cluster.snapshot())
+	inv.CommonNeed = commonNeed
+	filterFor(inv, request)
+	return inv
+}
+
+// TestSmallTasksLeaveRoomForCommonTasks: among machines of three sizes, small tasks take the place
+// of a common one only if no machine has capacity for them that has none for those, and no more
+// than they must; and replicas that have to fetch their image go where it comes fastest.
+func TestSmallTasksLeaveRoomForCommonTasks(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		cluster := drawSizedCluster(t)
+		request := newRequest(&wire.JobSpec{
+			ID: "a", Kind: wire.KindService, TaskCount: rapid.IntRange(1, 30).Draw(t, "tasks"),
+			CPUs: 1, MemoryGB: 0.5, Image: "i",
+		})
+		inv := newSizedInventory(cluster, request)
+		commonBefore, beside := 0, 0 // common tasks that fit, and small ones that fit beside them
+		for _, info := range inv.ready {
+			common := TasksThatFit(commonNeed, info.Free)
+			commonBefore += common
+			beside += TasksThatFit(request.Need, info.Free.AddTimes(commonNeed, -float64(common)))
+		}
+		picks := inv.Allocate(request, inv.FittingMachines(request), unconstrained(), nil)
+		commonAfter := 0
+		for _, info := range inv.ready {
+			commonAfter += TasksThatFit(commonNeed, info.Free)
+		}
+		if len(picks) <= beside && commonAfter < commonBefore {
+			t.Errorf("%d tasks, %d fit beside common ones, took the place of %d",
+				len(picks), beside, commonBefore-commonAfter)
+		}
+		// The first that must take a common task's place is where its image comes fastest.
+		if beside == 0 && len(picks) > 0 {
+			checkFetchesFastest(t, inv, request, picks[0])
+		}
+		checkUrgentReplica(t, cluster, request)
+	})
+}
+
+// checkFetchesFastest checks that no machine that had capacity fetches images faster than the pick.
+func checkFetchesFastest(t *rapid.T, inv *Inventory, request *Request, pick *MachineInfo) {
+	fetchRate := inv.types.fetchRate
+	for _, info := range inv.ready {
+		isFaster := fetchRate[info.Machine.Type] > fetchRate[pick.Machine.Type]
+		if isFaster && request.Need.FitsIn(info.recordedFree) {
+			t.Errorf("%s was chosen, %s fetches faster", pick.Machine.Type, info.Machine.Type)
+		}
+	}
+}
+
+// checkUrgentReplica checks that a replica that should start within 3 s is placed where its image
+// of 2 GB comes in time, if there is capacity at all.
+func checkUrgentReplica(t *rapid.T, cluster *testCluster, request *Request) {
+	spec := *request.Spec
+	spec.ImageSizeGB = 2
+	urgent := &Request{Spec: &spec, Need: request.Need, Remaining: 1, StartWithinS: 3}
+	inv := newSizedInventory(cluster, urgent)
+	canStartInTime := slices.ContainsFunc(inv.ready, func(info *MachineInfo) bool {
+		return info.Machine.Type != "l" && urgent.Need.FitsIn(info.Free)
+	})
+	picks := inv.Allocate(urgent, inv.FittingMachines(urgent), unconstrained(), nil)
+	if canStartInTime && picks[0].Machine.Type == "l" {
+		t.Errorf("placed on %s, where its image takes 10 s", picks[0].Machine.Name)
+	}
+}
--- a/internal/binpack/doc.go
+++ b/internal/binpack/doc.go
@@ -1,9 +1,12 @@
-// Package binpack keeps what machines have free and finds room in it for tasks.
+// Package binpack keeps the free capacity of all machines and fits tasks into it.
 //
-// Every node plays the same round over all machines, so that tasks are dealt across parts
-// by free room without a word between nodes; it binds only what is dealt to its own
-// parts. Where views differ, the records' guards decide and the loser looks again.
+// Every controller runs the same scheduling cycle over all machines, so that tasks are distributed
+// across shards by free capacity without any messages between controllers; each binds only what
+// falls to its own shards. Where their cluster states differ, the compare-and-swap on the records
+// decides, and the loser fits again.
 //
-// The package decides only: it writes no record and speaks to nobody. What a machine is
-// good for, and which images it is believed to hold, its caller says.
+// The package owns the Inventory, which is one cycle's plan, and decides only: it writes no record
+// and sends nothing. Its caller says what a machine may be used for and which images it is believed
+// to hold. A plan proves nothing: bindings become durable elsewhere, before any launch (safety
+// invariants 1 and 2).
 package binpack
--- a/internal/binpack/failedrequests.go
+++ b/internal/binpack/failedrequests.go
@@ -6,9 +6,10 @@
 	"sableusher/internal/wire"
 )
 
-// FailedRequests are needs that found nothing on any machine they may use. What asks for as much
-// or more, and may use no machine besides, finds nothing either, so that a long queue of
-// like jobs looks at the fleet once. The zero value is empty; it holds tuning.FailedShapes.
+// FailedRequests remembers requests that fitted on no machine. A request that needs as much or
+// more, and has no other machines to choose from, does not fit either, so that a long queue of
+// similar jobs examines the machines once. The zero value is empty; it keeps at most
+// tuning.FailedShapes requests.
 type FailedRequests []failedRequest
 
 type failedRequest struct {
@@ -16,17 +17,17 @@
 	spec *wire.JobSpec
 }
 
-// Add remembers that an ask found nothing.
-func (m *FailedRequests) Add(request *Request) {
-	if len(*m) < tuning.FailedShapes && !m.Covers(request) {
-		*m = append(*m, failedRequest{request.Need, request.Spec})
+// Add remembers that a request did not fit.
+func (f *FailedRequests) Add(request *Request) {
+	if len(*f) < tuning.FailedShapes && !f.Covers(request) {
+		*f = append(*f, failedRequest{need: request.Need, spec: request.Spec})
 	}
 }
 
-// Covers tells whether an ask can't find anything after what was missed before.
-func (m FailedRequests) Covers(request *Request) bool {
-	for _, f := range m {
-		if f.need.FitsIn(request.Need) && atLeastAsStrict(request.Spec, f.spec) {
+// Covers reports whether a request can't fit after those that did not.
+func (f FailedRequests) Covers(request *Request) bool {
+	for _, failed := range f {
+		if failed.need.FitsIn(request.Need) && atLeastAsStrict(request.Spec, failed.spec) {
 			return true
 		}
 	}
--- /dev/null
+++ b/internal/binpack/gang_test.go
@@ -0,0 +1,61 @@
+package binpack
+
+import (
+	"maps"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// canPlaceAll counts whether all tasks of a request fit on the ready machines, in one zone if the
+// job asks for it.
+func canPlaceAll(inv *Inventory, request *Request) bool {
+	tasksByZone, total := map[string]int{}, 0
+	for _, info := range inv.ready {
+		if !Eligible(request.Spec, info.Machine) {
+			continue
+		}
+		tasks := TasksThatFit(request.Need, info.Free)
+		tasksByZone[info.Machine.Zone] += tasks
+		total += tasks
+	}
+	if request.Spec.SameZone {
+		return slices.Max(append(slices.Collect(maps.Values(tasksByZone)), 0)) >= request.Remaining
+	}
+	return total >= request.Remaining
+}
+
+// TestGangIsAllocatedWholeOrNotAtAll: all tasks or none, never more than a machine has free, in one
+// zone where asked; and capacity is found wherever counting finds it.
+func TestGangIsAllocatedWholeOrNotAtAll(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		cluster := newTestCluster(testType)
+		for i := range 12 {
+			drawMachine(t, cluster, i)
+		}
+		inv := Refresh(nil, cluster.snapshot())
+		request := drawRequest(t)
+		filterFor(inv, request)
+		before, isPossible := freeByMachine(inv), canPlaceAll(inv, request)
+		picks := inv.AllocateGang(request, inv.FittingMachines(request), *unconstrained(), nil)
+		if (picks != nil) != isPossible || picks != nil && len(picks) != request.Spec.TaskCount {
+			t.Fatalf("%d of %d tasks placed, possible: %v", len(picks), request.Spec.TaskCount, isPossible)
+		}
+		placed := map[string]int{}
+		for _, info := range picks {
+			machine := info.Machine
+			placed[machine.Name]++
+			isElsewhere := request.Spec.SameZone && machine.Zone != picks[0].Machine.Zone
+			if isElsewhere || !Eligible(request.Spec, machine) {
+				t.Errorf("%s in %s", machine.Name, machine.Zone)
+			}
+		}
+		for name, free := range before {
+			want, left := free.AddTimes(request.Need, -float64(placed[name])), inv.machines[name].Free
+			if left != want || placed[name] > TasksThatFit(request.Need, free) {
+				t.Errorf("%s has %v left of %v after %d tasks", name, left, free, placed[name])
+			}
+		}
+	})
+}
--- a/internal/binpack/pending.go
+++ b/internal/binpack/pending.go
@@ -6,66 +6,85 @@
 	"sableusher/internal/clusterstate"
 )
 
-// pendingBin is machines coming up that are alike: of one type, zone and kind, with as much free.
-// Hundreds that boot at once are a few bins, however many jobs are held against them.
+// pendingBin is a set of pending machines that are alike in type, zone, price and free capacity.
+// Hundreds that boot at once are a few bins, however many jobs are allocated to them.
 type pendingBin struct {
-	sample   *MachineInfo // any of them
+	sample   *MachineInfo // any machine of the bin, or of the one that it was divided from
 	free     clusterstate.Resources
 	machines []*MachineInfo
 }
 
-// GroupPending puts the machines that are coming up into bins.
+// binKey is what the machines of a bin have in common.
+type binKey struct {
+	machineType string
+	zone        string
+	spot        bool
+	free        clusterstate.Resources
+}
+
+// GroupPending groups the pending machines into bins, for AllocatePending and RoomiestZone. Those
+// too full for any waiting task are left out.
 func (inv *Inventory) GroupPending() {
-	type alike struct {
-		typ, zone string
-		spot      bool
-		free      clusterstate.Resources
-	}
 	inv.pendingBins = inv.pendingBins[:0]
-	found := map[alike]*pendingBin{}
+	binByKey := map[binKey]*pendingBin{}
 	for _, info := range inv.pending {
 		if !inv.minNeed.FitsIn(info.Free) {
 			continue
 		}
-		k := alike{info.Machine.Type, info.Machine.Zone, info.Machine.Spot, info.Free}
-		b := found[k]
-		if b == nil {
-			b = &pendingBin{sample: info, free: info.Free}
-			found[k] = b
-			inv.pendingBins = append(inv.pendingBins, b)
+		machine := info.Machine
+		key := binKey{machineType: machine.Type, zone: machine.Zone, spot: machine.Spot, free: info.Free}
+		bin := binByKey[key]
+		if bin == nil {
+			bin = &pendingBin{sample: info, free: info.Free}
+			binByKey[key] = bin
+			inv.pendingBins = append(inv.pendingBins, bin)
 		}
-		b.machines = append(b.machines, info)
+		bin.machines = append(bin.machines, info)
 	}
 }
 
-// AllocatePending sets room on machines coming up aside for a job's tasks that found none on
-// those that are up: cheap ones first, then those in use.
+// AllocatePending takes capacity on pending machines for the remaining tasks of a request that did
+// not fit on ready ones: spot machines first, then those in use.
 func (inv *Inventory) AllocatePending(request *Request, constraint *ZoneConstraint) {
-	for tier := range 4 {
+	for _, t := range pendingTiers {
 		for i := 0; i < len(inv.pendingBins) && request.Remaining > 0; i++ { // grows as bins are divided
-			b := inv.pendingBins[i]
-			if bitIf(!b.sample.Machine.Spot, 2)|bitIf(b.free == b.sample.Capacity, 1) != tier || !Eligible(request.Spec, b.sample.Machine) {
-				continue
-			}
-			each := TasksThatFit(request.Need, b.free)
-			for each > 0 && len(b.machines) > 0 && request.Remaining > 0 && constraint.Allows(b.sample.Machine.Zone) {
-				zone := b.sample.Machine.Zone
-				tasks := min(request.Remaining, constraint.MaxPerZone-constraint.TasksByZone[zone])
-				// As many machines as are filled, or one in part.
-				count := min(max(tasks/each, 1), len(b.machines))
-				put := min(each, tasks)
-				taken := b.machines[:count]
-				b.machines = b.machines[count:]
-				for _, info := range taken {
-					inv.Consume(info, request.Need, float64(put))
-				}
-				request.Remaining -= count * put
-				constraint.addTasks(request.Spec, zone, count*put)
-				if rest := taken[0].Free; inv.minNeed.FitsIn(rest) {
-					inv.pendingBins = append(inv.pendingBins, &pendingBin{sample: taken[0], free: rest, machines: taken})
-				}
+			bin := inv.pendingBins[i]
+			if bin.tier() == t && Eligible(request.Spec, bin.sample.Machine) {
+				inv.fillBin(bin, request, constraint)
 			}
 		}
-		inv.pendingBins = slices.DeleteFunc(inv.pendingBins, func(b *pendingBin) bool { return len(b.machines) == 0 })
+		inv.pendingBins = slices.DeleteFunc(inv.pendingBins, func(bin *pendingBin) bool {
+			return len(bin.machines) == 0
+		})
+	}
+}
+
+// pendingTiers are the tiers of bins in the order in which they are filled.
+var pendingTiers = [...]tier{0, tierUnused, tierOnDemand, tierOnDemand | tierUnused}
+
+func (b *pendingBin) tier() tier {
+	return tierOnDemand.when(!b.sample.Machine.Spot) | tierUnused.when(b.free == b.sample.Capacity)
+}
+
+// fillBin takes machines out of a bin and places tasks on them. Machines with capacity left make up
+// a new bin.
+func (inv *Inventory) fillBin(bin *pendingBin, request *Request, constraint *ZoneConstraint) {
+	zone := bin.sample.Machine.Zone
+	tasksPerMachine := TasksThatFit(request.Need, bin.free)
+	for tasksPerMachine > 0 && len(bin.machines) > 0 && request.Remaining > 0 && constraint.Allows(zone) {
+		allowed := min(request.Remaining, constraint.MaxPerZone-constraint.TasksByZone[zone])
+		// As many machines as are filled, or one in part.
+		machineCount := min(max(allowed/tasksPerMachine, 1), len(bin.machines))
+		tasks := min(tasksPerMachine, allowed)
+		taken := bin.machines[:machineCount]
+		bin.machines = bin.machines[machineCount:]
+		for _, info := range taken {
+			inv.adjustFree(info, request.Need, -float64(tasks))
+		}
+		request.Remaining -= machineCount * tasks
+		constraint.addTasks(request.Spec, zone, machineCount*tasks)
+		if left := taken[0].Free; inv.minNeed.FitsIn(left) {
+			inv.pendingBins = append(inv.pendingBins, &pendingBin{sample: taken[0], free: left, machines: taken})
+		}
 	}
 }
--- /dev/null
+++ b/internal/binpack/pending_test.go
@@ -0,0 +1,50 @@
+package binpack
+
+import (
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"sableusher/internal/clusterstate"
+)
+
+// freePendingGPUs sums the free GPUs of the pending machines, none of which may be overcommitted.
+func freePendingGPUs(t *rapid.T, inv *Inventory) float64 {
+	sum := 0.0
+	for _, info := range inv.pending {
+		sum += info.Free.GPUs
+		if info.Free.GPUs < 0 || info.Free.CPUs < 0 {
+			t.Fatalf("%s is overcommitted: %v", info.Machine.Name, info.Free)
+		}
+	}
+	return sum
+}
+
+// TestPendingCapacityIsAllocatedOnce: what is allocated on pending machines and what is left over
+// make up what was asked for, and no machine is allocated beyond its size.
+func TestPendingCapacityIsAllocatedOnce(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		cluster := newTestCluster(testType)
+		for i := range 12 {
+			cluster.putTestMachine(i, clusterstate.MachineRecord{
+				Zone: testZones[rapid.IntRange(0, 2).Draw(t, "zone")],
+				Spot: rapid.Bool().Draw(t, "spot"),
+			}, 0)
+		}
+		inv := Refresh(nil, cluster.snapshot())
+		for range rapid.IntRange(1, 5).Draw(t, "jobs") {
+			request := drawRequest(t)
+			filterFor(inv, &Request{Need: clusterstate.Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}})
+			if len(inv.pendingBins) == 0 {
+				inv.GroupPending()
+			}
+			before, asked := freePendingGPUs(t, inv), request.Remaining
+			inv.AllocatePending(request, unconstrained())
+			allocated := before - freePendingGPUs(t, inv)
+			if allocated != float64(asked-request.Remaining)*request.Need.GPUs {
+				t.Errorf("%v GPUs allocated for %d tasks of %v",
+					allocated, asked-request.Remaining, request.Need.GPUs)
+			}
+		}
+	})
+}
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -438,7 +438,8 @@
 		}
 	}
 	if c.collectsDemand {
-		demand.SpareOnDemand, demand.SpareSpot, demand.IdleMachines = inventory.Spare()
+		spare := inventory.Spare()
+		demand.SpareOnDemand, demand.SpareSpot, demand.IdleMachines = spare.OnDemand, spare.Spot, spare.IdleMachines
 		c.demand = demand
 	}
 }
@@ -661,17 +662,18 @@
 		if best < 0 {
 			best = first
 		}
-		_, _, anywhere := inventory.FindShard(&queued.Request, false, best)
-		return best, anywhere
+		fit := inventory.FindShard(&queued.Request, binpack.ShardSearch{First: best})
+		return best, fit.FitsAny
 	}
 	if best >= 0 {
 		return best, true
 	}
-	if shard, ok, _ := inventory.FindShard(&queued.Request, true, first); ok {
-		return shard, true
+	withImage := inventory.FindShard(&queued.Request, binpack.ShardSearch{First: first, OnlyWithImage: true})
+	if withImage.FitsAll {
+		return withImage.Shard, true
 	}
-	shard, _, anywhere := inventory.FindShard(&queued.Request, false, first)
-	return shard, anywhere
+	fit := inventory.FindShard(&queued.Request, binpack.ShardSearch{First: first})
+	return fit.Shard, fit.FitsAny
 }
 
 // isArrayUnderShortage tells whether a job is an array of a priority whose waiting arrays can't all be in time.
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -24,8 +24,8 @@
 			inventory.ReserveFor(name, reservation.task.Job)
 		}
 	}
-	if c.now.Sub(inventory.HintsUpdatedAt(true)) >= tuning.HoldersLife {
-		inventory.SetImageHints(true, c.now, func(yield func(image, name string) bool) {
+	if c.now.Sub(inventory.HintsUpdatedAt(binpack.OwnMachines)) >= tuning.HoldersLife {
+		inventory.SetImageHints(binpack.OwnMachines, c.now, func(yield func(image, name string) bool) {
 			for image, names := range c.agents.MachinesByImage() {
 				for _, name := range names {
 					if !yield(image, name) {
@@ -35,8 +35,8 @@
 			}
 		})
 	}
-	if inventory.HintsUpdatedAt(false) != c.remoteImagesAt {
-		inventory.SetImageHints(false, c.remoteImagesAt, func(yield func(image, name string) bool) {
+	if inventory.HintsUpdatedAt(binpack.OtherMachines) != c.remoteImagesAt {
+		inventory.SetImageHints(binpack.OtherMachines, c.remoteImagesAt, func(yield func(image, name string) bool) {
 			for image, names := range c.remoteImages {
 				for name := range names {
 					if !yield(image, name) {
