--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -149,7 +149,8 @@
 		}
 	}
 	if c.collectsDemand {
-		unmet.SpareOnDemand, unmet.SpareSpot, unmet.IdleMachines = c.inventory.Spare()
+		spare := c.inventory.Spare()
+		unmet.SpareOnDemand, unmet.SpareSpot, unmet.IdleMachines = spare.OnDemand, spare.Spot, spare.IdleMachines
 		c.demand.unmet = unmet
 	}
 }
@@ -200,7 +201,7 @@
 	// it would take the machine's time.
 	for i := range queue {
 		queued := &queue[i]
-		if queued.rank > wire.PriorityRank(wire.PriorityHigh) && !queued.nearDeadline && !queued.key.MissesObjectives {
+		if queued.rank > wire.PriorityHigh.Rank() && !queued.nearDeadline && !queued.key.MissesObjectives {
 			c.placeInHomeShard(queued, imageHolders)
 		}
 	}
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		further := c.needsOfDependents(dependent)
-		needs.rank = min(needs.rank, further.rank, wire.PriorityRank(job.Spec.Priority))
+		needs.rank = min(needs.rank, further.rank, job.Spec.Priority.Rank())
 		own, _ := c.firstReachable(c.deadlineObjectives(job), c.predictedRunTime(job))
 		if by := earliestNonZero(further.deadline, own); !by.IsZero() {
 			needs.deadline = earliestNonZero(needs.deadline, by.Add(-c.predictedRunTime(job)))
@@ -102,5 +102,5 @@
 // for services that users watch: work for the sake of other jobs is at most of high priority, so that a
 // long pipeline can't push services aside.
 func (c *cycle) effectiveRank(job *clusterstate.Job) int {
-	return min(wire.PriorityRank(job.Spec.Priority), max(c.needsOfDependents(job.Spec.ID).rank, wire.PriorityRank(wire.PriorityHigh)))
+	return min(job.Spec.Priority.Rank(), max(c.needsOfDependents(job.Spec.ID).rank, wire.PriorityHigh.Rank()))
 }
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -19,7 +19,7 @@
 	if c.failingJobs[spec.ID] || retrying > 0 && spec.Kind == wire.KindGang {
 		queued.Remaining = 0 // all or none
 	}
-	queued.deferred = c.storeSaturated && queued.rank > wire.PriorityRank(wire.PriorityHigh)
+	queued.deferred = c.storeSaturated && queued.rank > wire.PriorityHigh.Rank()
 	if limit, ok := c.quota.Limit(spec.Team); ok {
 		c.applyTeamLimit(queued, limit, usage)
 	}
--- a/internal/scheduler/homeshard.go
+++ b/internal/scheduler/homeshard.go
@@ -4,6 +4,7 @@
 	"maps"
 	"time"
 
+	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -52,16 +53,17 @@
 		if home == unknownShard {
 			home = first
 		}
-		_, _, anywhere = c.inventory.FindShard(&queued.Request, false, home)
-		return home, anywhere
+		fit := c.inventory.FindShard(&queued.Request, binpack.ShardSearch{First: home})
+		return home, fit.FitsAny
 	case home != unknownShard:
 		return home, true
 	}
-	if shard, found, _ := c.inventory.FindShard(&queued.Request, true, first); found {
-		return shard, true
+	withImage := c.inventory.FindShard(&queued.Request, binpack.ShardSearch{First: first, OnlyWithImage: true})
+	if withImage.FitsAll {
+		return withImage.Shard, true
 	}
-	home, _, anywhere = c.inventory.FindShard(&queued.Request, false, first)
-	return home, anywhere
+	fit := c.inventory.FindShard(&queued.Request, binpack.ShardSearch{First: first})
+	return fit.Shard, fit.FitsAny
 }
 
 // shardOfMostTasks is the shard with most of a job's tasks of those that can take more of them, and
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -35,11 +35,11 @@
 // refreshImageHints tells an inventory which machines are believed to hold which images: this node's from
 // time to time, the other nodes' when there is news of them.
 func (c *cycle) refreshImageHints(inventory *binpack.Inventory) {
-	if c.now.Sub(inventory.HintsUpdatedAt(true)) >= tuning.HoldersLife {
-		inventory.SetImageHints(true, c.now, c.ownImageHints())
+	if c.now.Sub(inventory.HintsUpdatedAt(binpack.OwnMachines)) >= tuning.HoldersLife {
+		inventory.SetImageHints(binpack.OwnMachines, c.now, c.ownImageHints())
 	}
-	if inventory.HintsUpdatedAt(false) != c.remoteImagesAt {
-		inventory.SetImageHints(false, c.remoteImagesAt, c.remoteImageHints())
+	if inventory.HintsUpdatedAt(binpack.OtherMachines) != c.remoteImagesAt {
+		inventory.SetImageHints(binpack.OtherMachines, c.remoteImagesAt, c.remoteImageHints())
 	}
 }
 
--- a/internal/scheduler/learner_action.go
+++ b/internal/scheduler/learner_action.go
@@ -14,6 +14,6 @@
 		Class:       job.Spec.Class,
 		Team:        job.Spec.Team,
 		RunS:        c.learning.runTimes.RunS(job.Spec.Class, job.Spec.RuntimeEstimateSeconds),
-		Interactive: c.effectiveRank(job) <= wire.PriorityRank(wire.PriorityHigh),
+		Interactive: c.effectiveRank(job) <= wire.PriorityHigh.Rank(),
 	}
 }
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -61,7 +61,9 @@
 			continue
 		}
 		rank, share, runTime := c.effectiveRank(job), c.machineShare(&job.Spec), c.estimatedRunTime(job)
-		c.objectives.arrivals.RecordArrival(c.now, id, job.Spec.Class, job.Spec.Team, job.Spec.TaskCount, job.ReadySince())
+		c.objectives.arrivals.RecordArrival(c.now, fairshare.Arrival{
+			JobID: id, Class: job.Spec.Class, Team: job.Spec.Team, Tasks: job.Spec.TaskCount, At: job.ReadySince(),
+		})
 		work.runningMachineS[rank] += float64(job.BoundCount) * share * runTime.Seconds() / 2 // half is left on average
 		pending := job.PendingCount()
 		if pending == 0 {
@@ -188,9 +190,9 @@
 	}
 	switch c.currentTurn() {
 	case turnOfClasses, turnOfClassesAgain:
-		return state.underserved[fairshare.Group{Name: job.Spec.Class}]
+		return state.underserved[fairshare.Class(job.Spec.Class)]
 	case turnOfTeams:
-		return state.underserved[fairshare.Group{Team: true, Name: job.Spec.Team}]
+		return state.underserved[fairshare.Team(job.Spec.Team)]
 	default:
 		return false
 	}
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -172,7 +172,7 @@
 	picks := c.inventory.Allocate(&queued.Request, candidates, &zones, func(candidate *binpack.MachineInfo) bool {
 		return candidate.Machine.Shard != queued.homeShard
 	})
-	if len(picks) > 0 && (queued.rank <= wire.PriorityRank(wire.PriorityHigh) || c.homeOwnerTimedOut(queued)) {
+	if len(picks) > 0 && (queued.rank <= wire.PriorityHigh.Rank() || c.homeOwnerTimedOut(queued)) {
 		c.bindToOwnMachines(queued, chunk, picks)
 	}
 	return zones
@@ -195,7 +195,7 @@
 	if spec.Kind == wire.KindGang && spec.TaskCount > 1 {
 		return false
 	}
-	return queued.withinGuarantee || queued.rank <= wire.PriorityRank(wire.PriorityHigh)
+	return queued.withinGuarantee || queued.rank <= wire.PriorityHigh.Rank()
 }
 
 // preemptForTasks makes room for the first of a job's missing tasks, until there is no shard left in
