--- a/internal/agent/heartbeat_test.go
+++ b/internal/agent/heartbeat_test.go
@@ -114,7 +114,7 @@
 		usable("it stayed", true)
 		time.Sleep(time.Second)
 		k.mu.Lock()
-		k.machines[m].recordCommandFailure(time.Now())
+		k.machines[m].link.recordCommandFailure(time.Now())
 		k.mu.Unlock()
 		usable("a command was lost", false)
 		for seq := uint64(4); seq < 20; seq += 3 { // the reports between went to other nodes
@@ -201,7 +201,7 @@
 		seq = 9
 		time.Sleep(40 * time.Second)
 		k.mu.Lock()
-		k.machines[m].recordCommandFailure(time.Now())
+		k.machines[m].link.recordCommandFailure(time.Now())
 		k.mu.Unlock()
 		time.Sleep(10 * time.Second)
 		back := time.Now()
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -4,344 +4,146 @@
 	"time"
 
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
 
-// attemptKey names one attempt of a task.
-type attemptKey struct {
-	ref     clusterstate.TaskRef
-	attempt uint64
-}
-
-// pendingStart is a start command that a worker may still carry out.
-type pendingStart struct {
-	fencingToken uint64
-	// heartbeatSequence is the report whose answer carried the command; the worker's next
-	// report settles it. 0: sent straight to the worker.
-	heartbeatSequence uint64
-	// open: a direct command is on its way. Without an answer it stays in doubt
-	// until the worker shows a higher token, a new session, or is deleted.
-	inFlight bool
-}
-
-// reportedTask is a task as last reported.
-type reportedTask struct {
-	wire.TaskStatus
-	stateSince time.Time
-}
-
-// cachedImage is an image a worker is believed to hold.
-type cachedImage struct {
-	lastUsed time.Time
-	sizeGB   float64
-}
-
-// machine is what this node knows of a worker.
+// machine is what this node knows of a machine and its agent. Registry.mu guards it.
 type machine struct {
-	name        string
-	address     string
-	machineType string
-	zone        string
-	spot        bool
+	address string // of the agent, host and port
+	session sessionProgress
+	link    linkState
 
-	session           uint64
-	lastSequence      uint64
-	heartbeatSequence uint64 // of the last report that asked for an answer
-	fencingToken      uint64 // highest the worker has shown in this session
-	lastHeard         time.Time
-	reclaimAt         time.Time // zero: no notice
-	reportedTasks     map[attemptKey]reportedTask
-	unboundSince      map[attemptKey]time.Time
-	pendingStarts     map[attemptKey][]pendingStart
-	cachedImages      map[string]cachedImage
+	tasks map[attemptKey]reportedTask // as last reported
+	// unboundSince is when a task was first reported that the records bind elsewhere or not at all.
+	unboundSince map[attemptKey]time.Time
+	starts       pendingStarts
+	images       imageCache
+	// commandInFlight: a direct command is on its way; there is one at a time.
+	commandInFlight bool
 
-	startRefusedAt time.Time            // a start was refused for want of room
-	taskFailures   map[string]time.Time // jobs whose tasks failed here
-
-	commandInFlight    bool      // a direct command is in flight
-	commandFailedAt    time.Time // when the last one failed
-	inboundConfirmedAt time.Time // when it was last known to hear this node
-	lastHeartbeatAt    time.Time // when its last report came that asked for an answer
-	firstHeardAt       time.Time // when this node first heard of it
-	inboundRestoredAt  time.Time // when it answered a command again, after some without an answer since its last report
-	inboundLostSince   time.Time // when the first command since then failed
+	reclaimAt      time.Time           // when the cloud takes a spot machine back; zero: no notice
+	startRefusedAt time.Time           // when the agent last refused a start for want of resources
+	failedJobs     map[string]struct{} // whose tasks failed here
 }
 
-// inboundLost tells whether a machine's reports prove nothing of its hearing: a direct command to it failed,
-// and since then it has neither answered one nor stayed with this node after an answer. Its reports arrive
-// all the same, so that by them alone each would make it look ready for another task.
-func (m *machine) inboundLost() bool { return m.commandFailedAt.After(m.inboundConfirmedAt) }
-
-// inboundConfirmed tells whether a machine is known to hear this node.
-func (m *machine) inboundConfirmed() bool { return !m.inboundConfirmedAt.IsZero() && !m.inboundLost() }
-
-// recordCommandFailure notes that a direct command got no answer.
-func (m *machine) recordCommandFailure(now time.Time) {
-	if !m.inboundLost() {
-		m.inboundLostSince = now
+func newMachine() *machine {
+	return &machine{
+		tasks: map[attemptKey]reportedTask{}, unboundSince: map[attemptKey]time.Time{}, starts: pendingStarts{},
+		images: imageCache{}, failedJobs: map[string]struct{}{},
 	}
-	m.commandFailedAt, m.inboundRestoredAt = now, time.Time{}
 }
 
-// recordCommandAnswer notes that a direct command got an answer.
-func (m *machine) recordCommandAnswer(now time.Time) {
-	m.inboundConfirmedAt = now
-	if m.commandFailedAt.After(m.lastHeartbeatAt) && m.inboundRestoredAt.IsZero() {
-		m.inboundRestoredAt = now
-	}
+// sessionProgress is how far this node has followed an agent's session.
+type sessionProgress struct {
+	id                uint64 // 0: nothing was heard yet
+	sequence          uint64 // of the newest report
+	heartbeatSequence uint64 // of the newest heartbeat; answers to commands count in sequence alone
+	fencingToken      uint64 // the highest that the agent has shown in this session
 }
 
-// heartbeatExpectedFrom is from when on reports of a machine that answers are to be expected, and how long the first may
-// take: a worker that is new to this node, or that was out of reach, first has to find its part's owner. What
-// came back from a cut was once taken for mute at once, and its replicas were stopped.
-func (m *machine) heartbeatExpectedFrom() (from time.Time, find time.Duration) {
-	from = m.lastHeartbeatAt
-	for _, t := range []time.Time{m.firstHeardAt, m.inboundRestoredAt} {
-		if t.After(from) {
-			from, find = t, tuning.FindNode
-		}
-	}
-	return from, find
+// follows tells whether a report is newer than all before.
+func (s *sessionProgress) follows(report *wire.Heartbeat) bool {
+	return report.Session > s.id || report.Session == s.id && report.Sequence > s.sequence
 }
 
-// confirmsPreviousAnswer tells whether a report shows that its worker heard the answer to the one before: after
-// a lost answer it would have gone on to another node, and counted that report.
-func (m *machine) confirmsPreviousAnswer(r *wire.Heartbeat) bool {
-	return r.Session == m.session && m.lastSequence == m.heartbeatSequence && r.Sequence == m.lastSequence+1
+// confirmsResponse tells whether a heartbeat shows that its agent received the answer to the one before: after a
+// lost answer it would have gone on to another node, and counted that heartbeat.
+func (s *sessionProgress) confirmsResponse(heartbeat *wire.Heartbeat) bool {
+	return heartbeat.Session == s.id && s.sequence == s.heartbeatSequence && heartbeat.Sequence == s.sequence+1
 }
 
-func newMachine(name string) *machine {
-	return &machine{
-		name: name, reportedTasks: map[attemptKey]reportedTask{}, unboundSince: map[attemptKey]time.Time{}, pendingStarts: map[attemptKey][]pendingStart{},
-		cachedImages: map[string]cachedImage{}, taskFailures: map[string]time.Time{},
+// reportSource is how a report came.
+type reportSource int
+
+// Sources of reports.
+const (
+	fromHeartbeat       reportSource = iota // the agent sent it, and expects an answer
+	fromCommandResponse                     // it answers a direct command
+)
+
+// String is the source's name in logs.
+func (s reportSource) String() string {
+	if s == fromCommandResponse {
+		return "command response"
 	}
+	return "heartbeat"
 }
 
-// recordImageUse notes that an image is held now; beyond the cache's size those used
-// longest ago are gone.
-func (m *machine) recordImageUse(image string, gb, sizeGB float64, now time.Time) {
-	m.cachedImages[image] = cachedImage{now, gb}
-	sum := 0.0
-	for _, c := range m.cachedImages {
-		sum += c.sizeGB
-	}
-	for sizeGB > 0 && sum > sizeGB && len(m.cachedImages) > 1 {
-		oldest := image
-		for n, c := range m.cachedImages {
-			if n != image && (oldest == image || c.lastUsed.Before(m.cachedImages[oldest].lastUsed)) {
-				oldest = n
-			}
-		}
-		sum -= m.cachedImages[oldest].sizeGB
-		delete(m.cachedImages, oldest)
-	}
+// reportEffect is what a report changed.
+type reportEffect int
+
+// Effects of reports.
+const (
+	reportOutdated  reportEffect = iota // an older one than the newest: nothing changed
+	reportUnchanged                     // newer, and the same as before
+	reportChanged                       // newer, and different
+)
+
+// String is the effect's name in logs.
+func (e reportEffect) String() string {
+	return [...]string{"outdated", "unchanged", "changed"}[e]
 }
 
-// applyReport takes in a report; older ones than the last are refused. beat tells
-// reports that ask for an answer from those that answer commands. changed tells
-// whether the report says anything new.
-func (m *machine) applyReport(r *wire.Heartbeat, beat bool, now time.Time) (newer, changed bool) {
-	if r.Session < m.session || r.Session == m.session && r.Sequence <= m.lastSequence {
-		return false, false
-	}
-	changed = r.Session > m.session || r.FencingToken > m.fencingToken || (r.ReclaimNoticeSeconds != nil) == m.reclaimAt.IsZero() || len(m.pendingStarts) > 0
-	if r.Session > m.session {
-		// A new session has none of the old one's tasks, and commands to the
-		// old one are refused.
-		m.session, m.fencingToken, m.heartbeatSequence = r.Session, 0, 0
-		clear(m.reportedTasks)
-		clear(m.unboundSince)
-		clear(m.pendingStarts)
-		// Its images are as they were: only tasks end with a lease.
+// applyReport takes in a report that is newer than all before.
+func (m *machine) applyReport(report *wire.Heartbeat, source reportSource, now time.Time) reportEffect {
+	if !m.session.follows(report) {
+		return reportOutdated
 	}
-	m.lastSequence, m.lastHeard = r.Sequence, now
-	m.fencingToken = max(m.fencingToken, r.FencingToken)
-	m.address, m.machineType, m.zone, m.spot = r.Address, r.MachineType, r.Zone, r.Spot
-	m.reclaimAt = time.Time{}
-	if r.ReclaimNoticeSeconds != nil {
-		m.reclaimAt = now.Add(time.Duration(*r.ReclaimNoticeSeconds * float64(time.Second)))
+	changed := report.Session > m.session.id || report.FencingToken > m.session.fencingToken ||
+		(report.ReclaimNoticeSeconds != nil) == m.reclaimAt.IsZero() || len(m.starts) > 0
+	if report.Session > m.session.id {
+		m.beginSession(report.Session)
 	}
-	if beat {
-		m.heartbeatSequence, m.lastHeartbeatAt, m.inboundRestoredAt = r.Sequence, now, time.Time{}
+	m.session.sequence = report.Sequence
+	if source == fromHeartbeat {
+		m.session.heartbeatSequence = report.Sequence
 	}
-	if m.firstHeardAt.IsZero() {
-		m.firstHeardAt = now
-	}
-	for k, ls := range m.pendingStarts {
-		keep := ls[:0]
-		for _, l := range ls {
-			// The worker has shown a higher token: what was sent under a lower
-			// one is either in this report or will be refused.
-			fenced := l.fencingToken < m.fencingToken
-			settled := l.heartbeatSequence != 0 && l.heartbeatSequence < m.heartbeatSequence
-			if !fenced && !settled {
-				keep = append(keep, l)
-			}
-		}
-		if len(keep) == 0 {
-			delete(m.pendingStarts, k)
-		} else {
-			m.pendingStarts[k] = keep
-		}
-	}
-	old := m.reportedTasks
-	m.reportedTasks = make(map[attemptKey]reportedTask, len(r.Tasks))
-	for _, t := range r.Tasks {
-		ref, ok := clusterstate.ParseTaskRef(t.Task)
-		if !ok {
-			continue
-		}
-		k := attemptKey{ref, t.Attempt}
-		s := reportedTask{t, now}
-		if o, ok := old[k]; ok && o.State == t.State {
-			s.stateSince = o.stateSince
-		} else {
-			changed = true
-		}
-		m.reportedTasks[k] = s
+	m.session.fencingToken = max(m.session.fencingToken, report.FencingToken)
+	m.link.recordReport(source, now)
+	m.address = report.Address
+	m.reclaimAt = reclaimTime(report, now)
+	m.starts.resolveByReport(m.session)
+	tasksChanged := m.replaceTasks(report.Tasks, now)
+	if changed || tasksChanged {
+		return reportChanged
 	}
-	return true, changed || len(old) != len(m.reportedTasks)
+	return reportUnchanged
 }
 
-// startPending tells whether a start command for the attempt may still be carried out.
-func (m *machine) startPending(k attemptKey) bool { return len(m.pendingStarts[k]) > 0 }
-
-// hasUnresolvedStart tells whether any direct start without an answer is left.
-func (m *machine) hasUnresolvedStart(token uint64) bool {
-	for _, ls := range m.pendingStarts {
-		for _, l := range ls {
-			if l.heartbeatSequence == 0 && !l.inFlight && l.fencingToken >= token {
-				return true
-			}
-		}
-	}
-	return false
+// beginSession forgets what belongs to an earlier session of the agent: a new one has none of its tasks, and
+// refuses commands to it. The images are as they were.
+func (m *machine) beginSession(session uint64) {
+	m.session = sessionProgress{id: session}
+	clear(m.tasks)
+	clear(m.unboundSince)
+	clear(m.starts)
 }
 
-// stopRequest is what the node wants of a bound task.
-type stopRequest struct {
-	graceSeconds float64
-	requestedAt  time.Time
+// reclaimTime is when the cloud takes the machine back, zero without a notice.
+func reclaimTime(report *wire.Heartbeat, now time.Time) time.Time {
+	if report.ReclaimNoticeSeconds == nil {
+		return time.Time{}
+	}
+	return now.Add(time.Duration(*report.ReclaimNoticeSeconds * float64(time.Second)))
 }
 
-// commands compares what the worker reports with what is bound to it. It marks
-// the starts it gives as on their way; seq is the report answered, 0 for a
-// direct command.
-func (m *machine) commands(bound map[clusterstate.TaskRef]clusterstate.Binding, known func(ref clusterstate.TaskRef, attempt uint64) bool,
-	wish func(b clusterstate.Binding) (stopRequest, bool), token, seq uint64, now time.Time) []wire.Command {
-	var out []wire.Command
-	for k, s := range m.reportedTasks {
-		if len(out) >= tuning.OrdersMax {
-			return out // the rest follows with the next answer
-		}
-		b, ok := bound[k.ref]
-		here := ok && b.Attempt == k.attempt && b.Session == m.session
-		if here {
-			delete(m.unboundSince, k)
-			if w, stop := wish(b); stop && s.State != wire.TaskExited && (s.State != wire.TaskCheckpointing || w.graceSeconds == 0) {
-				g := w.graceSeconds
-				out = append(out, wire.Command{Kind: wire.CommandStop, Task: s.Task, Attempt: k.attempt, GraceSeconds: &g})
-			}
-			continue
-		}
-		if s.State == wire.TaskExited {
-			// Forgotten only once the record has moved past this attempt and no
-			// start of it can arrive any more: it would run again.
-			if known(k.ref, k.attempt) && !m.startPending(k) {
-				out = append(out, wire.Command{Kind: wire.CommandForget, Task: s.Task, Attempt: k.attempt})
-			}
-			continue
-		}
-		if !known(k.ref, k.attempt) {
-			continue
-		}
-		since, ok := m.unboundSince[k]
+// replaceTasks takes in the tasks of a report and tells whether any is new, over or in another state.
+func (m *machine) replaceTasks(reports []wire.TaskStatus, now time.Time) (changed bool) {
+	previous := m.tasks
+	m.tasks = make(map[attemptKey]reportedTask, len(reports))
+	for _, report := range reports {
+		ref, ok := clusterstate.ParseTaskRef(report.Task)
 		if !ok {
-			m.unboundSince[k] = now
-		} else if now.Sub(since) > tuning.StrayAfter {
-			zero := 0.0
-			out = append(out, wire.Command{Kind: wire.CommandStop, Task: s.Task, Attempt: k.attempt, GraceSeconds: &zero})
-		}
-	}
-	for ref, b := range bound {
-		if len(out) >= tuning.OrdersMax {
-			break
-		}
-		if b.Session != m.session {
-			continue
-		}
-		k := attemptKey{ref, b.Attempt}
-		if _, ok := m.reportedTasks[k]; ok {
 			continue
 		}
-		if _, stop := wish(b); stop {
-			continue
-		}
-		m.pendingStarts[k] = append(m.pendingStarts[k], pendingStart{fencingToken: token, heartbeatSequence: seq, inFlight: seq == 0})
-		out = append(out, wire.Command{Kind: wire.CommandStart, Task: ref.String(), Attempt: b.Attempt})
-	}
-	return out
-}
-
-// resolveStarts settles the direct starts of one command that got an answer, or
-// leaves them in doubt.
-func (m *machine) resolveStarts(sent []wire.Command, session, token uint64, ok bool) {
-	if session != m.session {
-		return
-	}
-	for _, o := range sent {
-		ref, _ := clusterstate.ParseTaskRef(o.Task)
-		k := attemptKey{ref, o.Attempt}
-		ls := m.pendingStarts[k]
-		for i := range ls {
-			if ls[i].inFlight && ls[i].fencingToken == token {
-				if ok {
-					ls = append(ls[:i], ls[i+1:]...)
-				} else {
-					ls[i].inFlight = false
-				}
-				break
-			}
-		}
-		if len(ls) == 0 {
-			delete(m.pendingStarts, k)
+		key := attemptKey{ref, report.Attempt}
+		task := reportedTask{report, now}
+		if before, ok := previous[key]; ok && before.State == report.State {
+			task.stateSince = before.stateSince
 		} else {
-			m.pendingStarts[k] = ls
-		}
-	}
-}
-
-// TaskPresence is what became of a bound task.
-type TaskPresence int
-
-// Fates.
-const (
-	PresenceUnknown TaskPresence = iota // not to be told yet
-	PresenceAlive
-	PresenceExited
-	PresenceSessionEnded // a new session of the worker: it is gone
-	PresenceAbsent       // not there, and no command can bring it there
-)
-
-// presence tells what the worker's last report says of a binding.
-func (m *machine) presence(b clusterstate.Binding, token uint64) (TaskPresence, reportedTask) {
-	if m.session > b.Session {
-		return PresenceSessionEnded, reportedTask{}
-	}
-	if m.session < b.Session {
-		return PresenceUnknown, reportedTask{}
-	}
-	k := attemptKey{b.Ref, b.Attempt}
-	if s, ok := m.reportedTasks[k]; ok {
-		if s.State == wire.TaskExited {
-			return PresenceExited, s
+			changed = true
 		}
-		return PresenceAlive, s
-	}
-	// Commands of earlier owners are fenced only when the worker shows our token.
-	if m.fencingToken == token && !m.startPending(k) {
-		return PresenceAbsent, reportedTask{}
+		m.tasks[key] = task
 	}
-	return PresenceUnknown, reportedTask{}
+	return changed || len(previous) != len(m.tasks)
 }
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -126,7 +126,7 @@
 		f.peerLastAnswered == nil || now.Sub(f.peerLastAnswered(p.Owner)) < tuning.OwnerLost {
 		return wire.HeartbeatResponse{}, false
 	}
-	return f.stopCancelledTasks(r, rec, p.FencingToken), true
+	return cancelledTaskStops(r, rec, p.FencingToken), true
 }
 
 // renewWithoutState renews the lease of a worker though this process has no view at all: it was started
@@ -156,24 +156,6 @@
 	return wire.HeartbeatResponse{FencingToken: r.FencingToken, Commands: []wire.Command{}}, r.FencingToken == first
 }
 
-// stopCancelledTasks are the orders on a view that may be old: nothing starts, but what it knows to be
-// cancelled ends. Callers hold both locks.
-func (f *Registry) stopCancelledTasks(r *wire.Heartbeat, rec *clusterstate.Machine, token uint64) wire.HeartbeatResponse {
-	out := wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}
-	if rec == nil {
-		return out
-	}
-	for _, t := range r.Tasks {
-		ref, ok := clusterstate.ParseTaskRef(t.Task)
-		b, bound := rec.Bindings[ref]
-		if ok && bound && b.Attempt == t.Attempt && b.Job.Cancelled() && t.State != wire.TaskExited && len(out.Commands) < tuning.OrdersMax {
-			grace := 0.0
-			out.Commands = append(out.Commands, wire.Command{Kind: wire.CommandStop, Task: t.Task, Attempt: t.Attempt, GraceSeconds: &grace})
-		}
-	}
-	return out
-}
-
 // heartbeatPosition names the newest report of a worker that came to this node. It outlives what is known of its
 // machine, which goes with the machine's part: a copy that the network delivers later must neither
 // count as word of a machine that may be dead, nor bring back what is over.
@@ -249,83 +231,39 @@
 	}
 	m := f.machines[r.Machine]
 	if m == nil {
-		m = newMachine(r.Machine)
+		m = newMachine()
 		f.machines[r.Machine] = m
 	}
 	// That it has seen this owner's token shows as well that it heard it once.
-	if len(f.settings.Siblings) > 0 && m.confirmsPreviousAnswer(r) || m.inboundConfirmedAt.IsZero() && m.commandFailedAt.IsZero() && r.FencingToken == token {
-		m.inboundConfirmedAt = now
+	if len(f.settings.Siblings) > 0 && m.session.confirmsResponse(r) || m.link.neverProbed() && r.FencingToken == token {
+		m.link.inboundConfirmedAt = now
 	}
-	newer, changed := m.applyReport(r, true, now)
-	if !newer { // the answer to a command overtook it
+	effect := m.applyReport(r, fromHeartbeat, now)
+	if effect == reportOutdated { // the answer to a command overtook it
 		heartbeatsDropped.WithLabelValues("order").Inc()
 		return http.StatusServiceUnavailable, nil
 	}
-	if m.inboundLost() {
+	if m.link.inboundLost() {
 		f.enqueueDispatch(r.Machine) // it is asked until it answers
 	}
-	if changed {
+	if effect == reportChanged {
 		f.markUpdated(r.Machine)
 	}
 	out := wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}
 	if now.Sub(fresh) > f.maxStateAge() {
-		return http.StatusOK, f.stopCancelledTasks(r, rec, token) // the tasks it has go on
+		return http.StatusOK, cancelledTaskStops(r, rec, token) // the tasks it has go on
 	}
 	// One that was up and is recorded as not has to be known to hear this owner.
-	if rec == nil || !rec.Up && (rec.Address == "" || m.inboundConfirmed()) || rec.Address != r.Address || max(rec.Session, 1) != r.Session {
+	if rec == nil || !rec.Up && (rec.Address == "" || m.link.inboundConfirmed()) || rec.Address != r.Address || max(rec.Session, 1) != r.Session {
 		f.adoptions[r.Machine] = *r
 		f.notifyChanged()
 	}
 	if _, _, owns := f.membership.Owns(part); rec != nil && owns {
-		out.Commands = append(out.Commands, m.commands(rec.Bindings, f.attemptEnded, f.stopRequestFor, token, r.Sequence, now)...)
+		out.Commands = append(out.Commands, f.commandsFor(m, commandParams{rec, token, r.Sequence, now})...)
 	}
 	return http.StatusOK, out
 }
 
-// attemptEnded tells whether the records have reached this attempt of the task: it is
-// bound elsewhere, was given up, or its job is over. Otherwise the view is
-// older than the report. Callers hold both locks.
-func (f *Registry) attemptEnded(ref clusterstate.TaskRef, attempt uint64) bool {
-	j := f.clusterState.Jobs[ref.Job]
-	if j == nil {
-		return true // starts follow durable bindings, so the job was there and is over
-	}
-	if !j.HasRecord || ref.Index >= j.Spec.TaskCount {
-		return false
-	}
-	t := j.Task(ref.Index)
-	return t.Attempt > attempt || t.Attempt == attempt && t.State != clusterstate.TaskBound
-}
-
-// stopRequestFor tells whether a bound task is to stop. Callers hold both locks.
-func (f *Registry) stopRequestFor(b clusterstate.Binding) (stopRequest, bool) {
-	if b.Job.Cancelled() {
-		return stopRequest{}, true
-	}
-	w, ok := f.stopRequests[attemptKey{b.Ref, b.Attempt}]
-	return w, ok
-}
-
-// RequestStop asks for a bound task to be stopped with a grace.
-func (f *Registry) RequestStop(b clusterstate.Binding, machine string, graceS float64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	k := attemptKey{b.Ref, b.Attempt}
-	if w, ok := f.stopRequests[k]; ok && w.graceSeconds <= graceS {
-		return
-	}
-	f.stopRequests[k] = stopRequest{graceSeconds: graceS, requestedAt: time.Now()}
-	f.enqueueDispatch(machine)
-}
-
-// StopRequested tells whether a stop was asked for.
-func (f *Registry) StopRequested(b clusterstate.Binding) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	_, ok := f.stopRequestFor(b)
-	return ok
-}
-
 // RequestDispatch asks for direct orders to a machine, ahead of its next report.
 func (f *Registry) RequestDispatch(name string) {
 	f.mu.Lock()
@@ -410,7 +348,7 @@
 	}
 	for n, m := range f.machines {
 		_, owned := f.membership.MayServeAgents(clusterstate.ShardOf(n, f.clusterState.ShardCount))
-		if f.clusterState.Machines[n] == nil && now.Sub(m.lastHeard) > f.settings.Lease() || !owned {
+		if f.clusterState.Machines[n] == nil && now.Sub(m.link.lastHeard) > f.settings.Lease() || !owned {
 			delete(f.machines, n)
 			delete(f.adoptions, n)
 		}
@@ -429,7 +367,7 @@
 	f.mu.Lock()
 	m := f.machines[name]
 	if m == nil {
-		m = newMachine(name)
+		m = newMachine()
 		f.machines[name] = m
 	}
 	if m.address == "" {
@@ -438,24 +376,24 @@
 	// After a failure the next report is awaited. One that is overdue is asked over and over until
 	// it is given up, so that what was out of reach for a moment is heard before; no orders
 	// go with it, as each would be a start in doubt more.
-	silent := time.Since(m.lastHeard)
-	overdue, failed := silent > f.heartbeatIntervals(tuning.ProbeAfter), m.commandFailedAt.After(m.lastHeard)
+	silent := time.Since(m.link.lastHeard)
+	overdue, failed := silent > f.heartbeatIntervals(tuning.ProbeAfter), m.link.commandUnanswered()
 	pause := f.settings.Report()
 	if overdue && silent < f.heartbeatIntervals(tuning.DeadAfter) {
 		pause = tuning.ProbePause
 	}
-	if m.commandInFlight || m.address == "" || failed && time.Since(m.commandFailedAt) < pause {
+	if m.commandInFlight || m.address == "" || failed && time.Since(m.link.commandFailedAt) < pause {
 		f.mu.Unlock()
 		f.clusterState.RUnlock()
 		return
 	}
-	cmd := wire.CommandRequest{FencingToken: token, Session: max(m.session, 1), Commands: []wire.Command{}}
-	deaf := m.inboundLost()
-	if m.session != 0 && !(overdue && failed) && !deaf {
-		cmd.Commands = append(cmd.Commands, m.commands(rec.Bindings, f.attemptEnded, f.stopRequestFor, token, 0, time.Now())...)
+	cmd := wire.CommandRequest{FencingToken: token, Session: max(m.session.id, 1), Commands: []wire.Command{}}
+	deaf := m.link.inboundLost()
+	if m.session.id != 0 && !(overdue && failed) && !deaf {
+		cmd.Commands = append(cmd.Commands, f.commandsFor(m, commandParams{record: rec, fencingToken: token, now: time.Now()})...)
 	}
 	// A worker that is overdue is asked whether it is there at all.
-	if len(cmd.Commands) == 0 && m.fencingToken == token && !overdue && !deaf {
+	if len(cmd.Commands) == 0 && m.session.fencingToken == token && !overdue && !deaf {
 		f.mu.Unlock()
 		f.clusterState.RUnlock()
 		return
@@ -474,31 +412,31 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m.commandInFlight = false
-	m.resolveStarts(cmd.Commands, cmd.Session, token, err == nil)
+	m.resolveCommand(&cmd, err == nil)
 	if err != nil {
-		m.recordCommandFailure(time.Now())
+		m.link.recordCommandFailure(time.Now())
 		f.logger.Debug("orders unanswered", "machine", name, "err", err)
 		return
 	}
-	if m.recordCommandAnswer(time.Now()); deaf {
+	if m.link.recordCommandResponse(time.Now()); deaf {
 		f.enqueueDispatch(name) // orders can follow
 		f.markUpdated(name)
 	}
 	if rep != nil && rep.Machine == name {
-		old := m.session
-		if newer, changed := m.applyReport(rep, false, time.Now()); newer {
-			if changed {
+		old := m.session.id
+		if effect := m.applyReport(rep, fromCommandResponse, time.Now()); effect != reportOutdated {
+			if effect == reportChanged {
 				f.markUpdated(name)
 			}
 			// A mute worker tells of a new session here alone. Others bind gangs and services to the one
 			// on record, which this node ends at once, and both over and over. Where a report follows it tells
 			// of it: a zone's sessions, recorded at once as it came back, kept its replicas waiting.
 			_, mute := f.outboundLost(m, time.Now())
-			if rec := f.clusterState.Machines[name]; mute && rec != nil && max(rec.Session, 1) != m.session {
+			if rec := f.clusterState.Machines[name]; mute && rec != nil && max(rec.Session, 1) != m.session.id {
 				f.adoptions[name] = *rep
 				f.notifyChanged()
 			}
-			if m.session != old || m.fencingToken < token {
+			if m.session.id != old || m.session.fencingToken < token {
 				f.enqueueDispatch(name) // a new session, or the first word: orders can follow now
 			}
 		}
@@ -565,9 +503,9 @@
 // outboundLost tells whether a machine answers commands while its reports have been due for some time, and from when
 // on they are awaited. Callers hold the lock.
 func (f *Registry) outboundLost(m *machine, now time.Time) (from time.Time, is bool) {
-	from, find := m.heartbeatExpectedFrom()
+	from, find := m.link.heartbeatExpected()
 	silent := f.heartbeatIntervals(tuning.SilentAfter)
-	return from, m.inboundConfirmed() && now.Sub(from) > silent+find && m.inboundConfirmedAt.After(from) && now.Sub(m.lastHeard) < silent
+	return from, m.link.inboundConfirmed() && now.Sub(from) > silent+find && m.link.inboundConfirmedAt.After(from) && now.Sub(m.link.lastHeard) < silent
 }
 
 // MachineStatus gives a machine's state under a token.
@@ -579,11 +517,11 @@
 		return MachineStatus{}
 	}
 	now := time.Now()
-	s := MachineStatus{LastHeard: m.lastHeard, Session: m.session, ReclaimAt: m.reclaimAt, FailedJobs: len(m.taskFailures), UnresolvedStart: m.hasUnresolvedStart(token), CommandUnanswered: m.commandFailedAt.After(m.lastHeard)}
-	s.InboundConfirmed = m.inboundConfirmed()
-	s.InboundLost = m.inboundLost() && m.lastHeard.After(m.inboundLostSince) && now.Sub(m.inboundLostSince) > tuning.DeafAfter
+	s := MachineStatus{LastHeard: m.link.lastHeard, Session: m.session.id, ReclaimAt: m.reclaimAt, FailedJobs: len(m.failedJobs), UnresolvedStart: m.starts.hasUnresolved(token), CommandUnanswered: m.link.commandUnanswered()}
+	s.InboundConfirmed = m.link.inboundConfirmed()
+	s.InboundLost = m.link.inboundLostForLong(now)
 	if s.InboundLost {
-		s.OneWaySince = m.inboundLostSince
+		s.OneWaySince = m.link.inboundLostSince
 	}
 	silent := f.heartbeatIntervals(tuning.SilentAfter)
 	from, mute := f.outboundLost(m, now)
@@ -591,56 +529,11 @@
 	if mute {
 		s.OneWaySince = from
 	}
-	s.Schedulable = m.session != 0 && m.fencingToken == token && m.reclaimAt.IsZero() && now.Sub(m.lastHeard) < silent && !s.CommandUnanswered && !m.inboundLost() && !s.OutboundLost &&
-		now.Sub(m.startRefusedAt) > tuning.RefuseHold && len(m.taskFailures) < tuning.MachineErrors
+	s.Schedulable = m.session.id != 0 && m.session.fencingToken == token && m.reclaimAt.IsZero() && now.Sub(m.link.lastHeard) < silent && !s.CommandUnanswered && !m.link.inboundLost() && !s.OutboundLost &&
+		now.Sub(m.startRefusedAt) > tuning.RefuseHold && len(m.failedJobs) < tuning.MachineErrors
 	return s
 }
 
-// TaskObservation is a bound task's fate with what was reported.
-type TaskObservation struct {
-	Presence TaskPresence
-	State    string
-	Cause    string
-	Saved    bool
-	Since    time.Time
-}
-
-// ObserveTask tells what became of a binding.
-func (f *Registry) ObserveTask(b clusterstate.Binding, name string, token uint64) TaskObservation {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	m := f.machines[name]
-	if m == nil {
-		return TaskObservation{}
-	}
-	fate, s := m.presence(b, token)
-	return TaskObservation{fate, s.State, s.ExitCause, s.CheckpointSaved, s.stateSince}
-}
-
-// MachinesByImage gives the machines of this node by the images that they are believed
-// to hold, for placement here and on the other nodes.
-func (f *Registry) MachinesByImage() map[string][]string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	out := map[string][]string{}
-	for name, m := range f.machines {
-		for image := range m.cachedImages {
-			out[image] = append(out[image], name)
-		}
-	}
-	return out
-}
-
-// RecordImageUse records that a machine has just used an image; its cache keeps the
-// ones used last.
-func (f *Registry) RecordImageUse(name, image string, gb, cacheGB float64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if m := f.machines[name]; m != nil {
-		m.recordImageUse(image, gb, cacheGB, time.Now())
-	}
-}
-
 // RecordStartRefusal keeps a machine out of placement for a while.
 func (f *Registry) RecordStartRefusal(name string) {
 	f.mu.Lock()
@@ -655,7 +548,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if m := f.machines[name]; m != nil {
-		m.taskFailures[job] = time.Now()
+		m.failedJobs[job] = struct{}{}
 	}
 }
 
@@ -678,8 +571,8 @@
 	var out []string
 	for _, n := range machines {
 		at := f.redirectedAt[n]
-		if m := f.machines[n]; m != nil && m.lastHeard.After(at) {
-			at = m.lastHeard
+		if m := f.machines[n]; m != nil && m.link.lastHeard.After(at) {
+			at = m.link.lastHeard
 		}
 		if !at.IsZero() && time.Since(at) < limit {
 			out = append(out, n)
--- /dev/null
+++ b/internal/agent/task.go
@@ -0,0 +1,94 @@
+package agent
+
+import (
+	"time"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/wire"
+)
+
+// attemptKey names one attempt of a task.
+type attemptKey struct {
+	ref     clusterstate.TaskRef
+	attempt uint64
+}
+
+// keyOf names the attempt of a binding.
+func keyOf(binding clusterstate.Binding) attemptKey { return attemptKey{binding.Ref, binding.Attempt} }
+
+// reportedTask is a task as its agent last reported it.
+type reportedTask struct {
+	wire.TaskStatus
+	stateSince time.Time // when it was first reported in this state
+}
+
+// TaskPresence says whether a bound task is on its machine.
+type TaskPresence int
+
+// Presences of a bound task.
+const (
+	PresenceUnknown      TaskPresence = iota // the reports prove nothing
+	PresenceAlive                            // the agent reports it, not exited
+	PresenceExited                           // the agent reports its exit
+	PresenceSessionEnded                     // the agent has a newer session, without the tasks of earlier ones
+	PresenceAbsent                           // not reported, and no command can start it any more
+)
+
+// String is the presence's name in logs.
+func (p TaskPresence) String() string {
+	switch p {
+	case PresenceAlive:
+		return "alive"
+	case PresenceExited:
+		return "exited"
+	case PresenceSessionEnded:
+		return "session ended"
+	case PresenceAbsent:
+		return "absent"
+	default:
+		return "unknown"
+	}
+}
+
+// TaskObservation is what the newest report of a machine says of a task bound to it.
+type TaskObservation struct {
+	Presence TaskPresence
+	State    string // as the agent reported it, for instance wire.TaskRunning; empty if it did not
+	Cause    string // of an exit, for instance wire.ExitCauseDone
+	Saved    bool   // its checkpoint was saved before it exited
+	Since    time.Time
+}
+
+// ObserveTask says what became of a task bound to a machine, for an owner with the given fencing token.
+func (r *Registry) ObserveTask(binding clusterstate.Binding, machineName string, fencingToken uint64) TaskObservation {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	m := r.machines[machineName]
+	if m == nil {
+		return TaskObservation{}
+	}
+	return m.observe(binding, fencingToken)
+}
+
+// observe says what the newest report proves of a binding.
+func (m *machine) observe(binding clusterstate.Binding, fencingToken uint64) TaskObservation {
+	if m.session.id > binding.Session {
+		return TaskObservation{Presence: PresenceSessionEnded}
+	}
+	if m.session.id < binding.Session {
+		return TaskObservation{Presence: PresenceUnknown}
+	}
+	key := keyOf(binding)
+	if task, ok := m.tasks[key]; ok {
+		presence := PresenceAlive
+		if task.State == wire.TaskExited {
+			presence = PresenceExited
+		}
+		return TaskObservation{presence, task.State, task.ExitCause, task.CheckpointSaved, task.stateSince}
+	}
+	// Commands of earlier owners are fenced only once the agent shows our token.
+	if m.session.fencingToken == fencingToken && !m.starts.pending(key) {
+		return TaskObservation{Presence: PresenceAbsent}
+	}
+	return TaskObservation{Presence: PresenceUnknown}
+}
