--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -166,7 +166,7 @@
 		return
 	}
 	r.stopRequests[key] = stopRequest{graceSeconds: graceSeconds, requestedAt: time.Now()}
-	r.enqueueDispatch(machineName)
+	r.dispatchQueue.add(machineName)
 }
 
 // StopRequested tells whether a bound task is to stop: on request, or since its job is cancelled.
@@ -219,15 +219,3 @@
 	}
 	return plan.commands()
 }
-
-// resolveCommand resolves the starts of a direct command that was answered, and leaves them unresolved if it
-// was not. A new session of the agent has resolved those of earlier ones.
-func (m *machine) resolveCommand(command *wire.CommandRequest, answered bool) {
-	switch {
-	case command.Session != m.session.id:
-	case answered:
-		m.starts.commandAnswered(command.Commands, command.FencingToken)
-	default:
-		m.starts.commandUnanswered(command.Commands, command.FencingToken)
-	}
-}
--- a/internal/agent/heartbeat_test.go
+++ b/internal/agent/heartbeat_test.go
@@ -159,10 +159,10 @@
 		k := newRegistryFixture(tuning.LevelCertain)
 		m := k.addMachine(0)
 		seq, session := uint64(3), uint64(1)
-		k.httpClient = &http.Client{Transport: answeringTransport(func() wire.Heartbeat {
+		k.client = newCommandClient(answeringTransport(func() wire.Heartbeat {
 			seq++
 			return wire.Heartbeat{Machine: m, Address: "10.1.0.1:9000", Session: session, Sequence: seq, FencingToken: 5}
-		})}
+		}), 1)
 		look := func(what string, usable, mute bool) {
 			t.Helper()
 			if s := k.MachineStatus(m, 5); s.Schedulable != usable || s.OutboundLost != mute {
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -1,9 +1,6 @@
 package agent
 
 import (
-	"bytes"
-	"context"
-	"fmt"
 	"log/slog"
 	"net/http"
 	"sync"
@@ -23,6 +20,9 @@
 var heartbeatsDropped = promauto.NewCounterVec(prometheus.CounterOpts{Name: "sableusher_reports_dropped_total",
 	Help: "Workers' reports that told nothing any more, by reason: of an earlier session, out of order, twice."}, []string{"reason"})
 
+// firstSession is the session of an agent whose record names none.
+const firstSession = 1
+
 // Registry is this node's workers.
 type Registry struct {
 	settings      *config.Settings
@@ -30,7 +30,7 @@
 	membership    *membership.Member
 	completeAsOf  func() time.Time
 	logger        *slog.Logger
-	httpClient    *http.Client
+	client        *commandClient
 	dispatchSlots *semaphore.Weighted
 
 	mu               sync.Mutex
@@ -39,7 +39,7 @@
 	redirectedAt     map[string]time.Time         // workers sent to a part's owner
 	newestHeartbeats map[string]heartbeatPosition // the newest report of each worker, whoever was its owner
 	changed          chan struct{}
-	dispatchQueue    chan string
+	dispatchQueue    dispatchQueue
 	adoptions        map[string]wire.Heartbeat
 	updatedMachines  map[string]struct{} // machines whose reports told something new
 	peerLastAnswered func(node string) time.Time
@@ -51,14 +51,11 @@
 
 // New makes the fleet; fresh tells as of when the view is complete.
 func New(set *config.Settings, w *clusterstate.State, mem *membership.Member, fresh func() time.Time, log *slog.Logger, rt http.RoundTripper) *Registry {
-	if rt == nil {
-		rt = wire.NewTransport(tuning.OrderTimeout, 1, max(1, int(tuning.OrderSockets*float64(set.Deployment.Limits.MaxSockets))))
-	}
 	return &Registry{
 		settings: set, clusterState: w, membership: mem, completeAsOf: fresh, logger: log,
-		httpClient: &http.Client{Transport: rt}, dispatchSlots: semaphore.NewWeighted(tuning.OrderLanes),
+		client: newCommandClient(rt, set.Deployment.Limits.MaxSockets), dispatchSlots: semaphore.NewWeighted(tuning.OrderLanes),
 		machines: map[string]*machine{}, stopRequests: map[attemptKey]stopRequest{}, redirectedAt: map[string]time.Time{}, newestHeartbeats: map[string]heartbeatPosition{},
-		changed: make(chan struct{}, 1), dispatchQueue: make(chan string, tuning.KickQueue), adoptions: map[string]wire.Heartbeat{},
+		changed: make(chan struct{}, 1), dispatchQueue: make(dispatchQueue, tuning.KickQueue), adoptions: map[string]wire.Heartbeat{},
 		updatedMachines: map[string]struct{}{}, startedAt: time.Now(), initialTokens: map[string]uint64{},
 	}
 }
@@ -229,11 +226,7 @@
 	if rec != nil && rec.Deleting {
 		return http.StatusServiceUnavailable, nil
 	}
-	m := f.machines[r.Machine]
-	if m == nil {
-		m = newMachine()
-		f.machines[r.Machine] = m
-	}
+	m := f.machineEntry(r.Machine)
 	// That it has seen this owner's token shows as well that it heard it once.
 	if len(f.settings.Siblings) > 0 && m.session.confirmsResponse(r) || m.link.neverProbed() && r.FencingToken == token {
 		m.link.inboundConfirmedAt = now
@@ -244,7 +237,7 @@
 		return http.StatusServiceUnavailable, nil
 	}
 	if m.link.inboundLost() {
-		f.enqueueDispatch(r.Machine) // it is asked until it answers
+		f.dispatchQueue.add(r.Machine) // it is asked until it answers
 	}
 	if effect == reportChanged {
 		f.markUpdated(r.Machine)
@@ -254,9 +247,8 @@
 		return http.StatusOK, cancelledTaskStops(r, rec, token) // the tasks it has go on
 	}
 	// One that was up and is recorded as not has to be known to hear this owner.
-	if rec == nil || !rec.Up && (rec.Address == "" || m.link.inboundConfirmed()) || rec.Address != r.Address || max(rec.Session, 1) != r.Session {
-		f.adoptions[r.Machine] = *r
-		f.notifyChanged()
+	if rec == nil || !rec.Up && (rec.Address == "" || m.link.inboundConfirmed()) || rec.Address != r.Address || max(rec.Session, firstSession) != r.Session {
+		f.adopt(r)
 	}
 	if _, _, owns := f.membership.Owns(part); rec != nil && owns {
 		out.Commands = append(out.Commands, f.commandsFor(m, commandParams{rec, token, r.Sequence, now})...)
@@ -264,57 +256,42 @@
 	return http.StatusOK, out
 }
 
-// RequestDispatch asks for direct orders to a machine, ahead of its next report.
-func (f *Registry) RequestDispatch(name string) {
+// noteAlive notes that this process runs, and whether it stood still before. Callers hold
+// the fleet's lock.
+func (f *Registry) noteAlive(now time.Time) {
+	if !f.lastAlive.IsZero() && now.Sub(f.lastAlive) > tuning.FreezeGap {
+		f.resumedAt = now
+	}
+	f.lastAlive = now
+}
+
+// noteRunning notes that this process runs.
+func (f *Registry) noteRunning(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.enqueueDispatch(name)
+	f.noteAlive(now)
 }
 
-func (f *Registry) enqueueDispatch(name string) {
-	select {
-	case f.dispatchQueue <- name:
-	default: // its next report brings the orders
+// machineEntry gives what is known of a machine, an empty entry if there was none. Callers hold mu.
+func (f *Registry) machineEntry(name string) *machine {
+	m := f.machines[name]
+	if m == nil {
+		m = newMachine()
+		f.machines[name] = m
 	}
+	return m
 }
 
-// Run sends direct orders until ctx ends.
-func (f *Registry) Run(ctx context.Context) error {
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	tick := time.NewTicker(f.settings.Report())
-	defer tick.Stop()
-	pulse := time.NewTicker(tuning.PulseEvery)
-	defer pulse.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-pulse.C:
-			f.mu.Lock()
-			f.noteAlive(time.Now())
-			f.mu.Unlock()
-		case name := <-f.dispatchQueue:
-			if f.dispatchSlots.Acquire(ctx, 1) != nil {
-				return ctx.Err()
-			}
-			wg.Go(func() {
-				defer f.dispatchSlots.Release(1)
-				f.dispatch(ctx, name)
-			})
-		case <-tick.C:
-			f.removeExpired()
-		}
-	}
+// adopt notes that the record of a machine is missing or behind its report. Callers hold mu.
+func (f *Registry) adopt(report *wire.Heartbeat) {
+	f.adoptions[report.Machine] = *report
+	f.notifyChanged()
 }
 
-// noteAlive notes that this process runs, and whether it stood still before. Callers hold
-// the fleet's lock.
-func (f *Registry) noteAlive(now time.Time) {
-	if !f.lastAlive.IsZero() && now.Sub(f.lastAlive) > tuning.FreezeGap {
-		f.resumedAt = now
-	}
-	f.lastAlive = now
+// outboundLost tells whether a machine answers commands while its heartbeats have been due for some time.
+// Callers hold mu.
+func (f *Registry) outboundLost(m *machine, now time.Time) bool {
+	return m.link.outboundLost(f.heartbeatIntervals(tuning.SilentAfter), now)
 }
 
 // removeExpired forgets what no record and no report needs any more.
@@ -355,133 +332,11 @@
 	}
 }
 
-// dispatch gives a machine its orders directly. One command is on its way at a time.
-func (f *Registry) dispatch(ctx context.Context, name string) {
-	f.clusterState.RLock()
-	rec := f.clusterState.Machines[name]
-	token, _, owns := f.membership.Owns(clusterstate.ShardOf(name, f.clusterState.ShardCount))
-	if rec == nil || rec.Deleting || !owns || time.Since(f.completeAsOf()) > f.maxStateAge() {
-		f.clusterState.RUnlock()
-		return
-	}
-	f.mu.Lock()
-	m := f.machines[name]
-	if m == nil {
-		m = newMachine()
-		f.machines[name] = m
-	}
-	if m.address == "" {
-		m.address = rec.Address
-	}
-	// After a failure the next report is awaited. One that is overdue is asked over and over until
-	// it is given up, so that what was out of reach for a moment is heard before; no orders
-	// go with it, as each would be a start in doubt more.
-	silent := time.Since(m.link.lastHeard)
-	overdue, failed := silent > f.heartbeatIntervals(tuning.ProbeAfter), m.link.commandUnanswered()
-	pause := f.settings.Report()
-	if overdue && silent < f.heartbeatIntervals(tuning.DeadAfter) {
-		pause = tuning.ProbePause
-	}
-	if m.commandInFlight || m.address == "" || failed && time.Since(m.link.commandFailedAt) < pause {
-		f.mu.Unlock()
-		f.clusterState.RUnlock()
-		return
-	}
-	cmd := wire.CommandRequest{FencingToken: token, Session: max(m.session.id, 1), Commands: []wire.Command{}}
-	deaf := m.link.inboundLost()
-	if m.session.id != 0 && !(overdue && failed) && !deaf {
-		cmd.Commands = append(cmd.Commands, f.commandsFor(m, commandParams{record: rec, fencingToken: token, now: time.Now()})...)
-	}
-	// A worker that is overdue is asked whether it is there at all.
-	if len(cmd.Commands) == 0 && m.session.fencingToken == token && !overdue && !deaf {
-		f.mu.Unlock()
-		f.clusterState.RUnlock()
-		return
-	}
-	m.commandInFlight = true
-	address, limit := m.address, tuning.OrderTimeout
-	if (overdue || deaf) && len(cmd.Commands) == 0 {
-		limit = tuning.ProbeTimeout
-	}
-	f.mu.Unlock()
-	f.clusterState.RUnlock()
-
-	rep, status, err := f.postCommands(ctx, address, cmd, limit)
-	f.clusterState.RLock()
-	defer f.clusterState.RUnlock()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	m.commandInFlight = false
-	m.resolveCommand(&cmd, err == nil)
-	if err != nil {
-		m.link.recordCommandFailure(time.Now())
-		f.logger.Debug("orders unanswered", "machine", name, "err", err)
-		return
-	}
-	if m.link.recordCommandResponse(time.Now()); deaf {
-		f.enqueueDispatch(name) // orders can follow
-		f.markUpdated(name)
-	}
-	if rep != nil && rep.Machine == name {
-		old := m.session.id
-		if effect := m.applyReport(rep, fromCommandResponse, time.Now()); effect != reportOutdated {
-			if effect == reportChanged {
-				f.markUpdated(name)
-			}
-			// A mute worker tells of a new session here alone. Others bind gangs and services to the one
-			// on record, which this node ends at once, and both over and over. Where a report follows it tells
-			// of it: a zone's sessions, recorded at once as it came back, kept its replicas waiting.
-			_, mute := f.outboundLost(m, time.Now())
-			if rec := f.clusterState.Machines[name]; mute && rec != nil && max(rec.Session, 1) != m.session.id {
-				f.adoptions[name] = *rep
-				f.notifyChanged()
-			}
-			if m.session.id != old || m.session.fencingToken < token {
-				f.enqueueDispatch(name) // a new session, or the first word: orders can follow now
-			}
-		}
-	}
-	if status != http.StatusOK {
-		f.logger.Debug("orders refused", "machine", name, "status", status)
-	}
-}
-
 // heartbeatIntervals is the time of so many report intervals.
 func (f *Registry) heartbeatIntervals(n float64) time.Duration {
 	return time.Duration(n * float64(f.settings.Report()))
 }
 
-func (f *Registry) postCommands(ctx context.Context, address string, cmd wire.CommandRequest, limit time.Duration) (*wire.Heartbeat, int, error) {
-	b, err := wire.Encode(cmd)
-	if err != nil {
-		return nil, 0, err
-	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/orders", bytes.NewReader(b))
-	if err != nil {
-		return nil, 0, fmt.Errorf("orders: %w", err)
-	}
-	req.Header.Set("Content-Type", wire.ContentType)
-	resp, err := f.httpClient.Do(req)
-	if err != nil {
-		return nil, 0, fmt.Errorf("orders: %w", err)
-	}
-	defer resp.Body.Close()
-	body, err := wire.ReadBody(resp.Body, tuning.StateBody)
-	if err != nil {
-		return nil, 0, fmt.Errorf("orders: %w", err)
-	}
-	if resp.StatusCode != http.StatusOK && resp.StatusCode != http.StatusConflict {
-		return nil, resp.StatusCode, fmt.Errorf("orders: status %d", resp.StatusCode)
-	}
-	var rep wire.Heartbeat
-	if err := wire.Decode(body, &rep); err != nil {
-		return nil, resp.StatusCode, err
-	}
-	return &rep, resp.StatusCode, nil
-}
-
 // MachineStatus is what placement needs to know of a machine.
 type MachineStatus struct {
 	LastHeard         time.Time
@@ -500,14 +355,6 @@
 	FailedJobs  int
 }
 
-// outboundLost tells whether a machine answers commands while its reports have been due for some time, and from when
-// on they are awaited. Callers hold the lock.
-func (f *Registry) outboundLost(m *machine, now time.Time) (from time.Time, is bool) {
-	from, find := m.link.heartbeatExpected()
-	silent := f.heartbeatIntervals(tuning.SilentAfter)
-	return from, m.link.inboundConfirmed() && now.Sub(from) > silent+find && m.link.inboundConfirmedAt.After(from) && now.Sub(m.link.lastHeard) < silent
-}
-
 // MachineStatus gives a machine's state under a token.
 func (f *Registry) MachineStatus(name string, token uint64) MachineStatus {
 	f.mu.Lock()
@@ -524,7 +371,8 @@
 		s.OneWaySince = m.link.inboundLostSince
 	}
 	silent := f.heartbeatIntervals(tuning.SilentAfter)
-	from, mute := f.outboundLost(m, now)
+	from, _ := m.link.heartbeatExpected()
+	mute := f.outboundLost(m, now)
 	s.OutboundLost, s.LeaseExpiry = mute, from.Add(f.settings.Lease())
 	if mute {
 		s.OneWaySince = from
