--- a/internal/agent/dispatch.go
+++ b/internal/agent/dispatch.go
@@ -86,7 +86,7 @@
 	defer r.clusterState.RUnlock()
 	record := r.clusterState.Machines[machineName]
 	fencingToken, _, owns := r.membership.Owns(clusterstate.ShardOf(machineName, r.clusterState.ShardCount))
-	if record == nil || record.Deleting || !owns || time.Since(r.completeAsOf()) > r.maxStateAge() {
+	if record == nil || record.Deleting || !owns || time.Since(r.completeAsOf()) > r.leases.maxStateAge() {
 		return nil, false
 	}
 	r.mu.Lock()
--- a/internal/agent/heartbeat_test.go
+++ b/internal/agent/heartbeat_test.go
@@ -51,7 +51,7 @@
 				r.Tasks = []wire.TaskStatus{{Task: ref.String(), Attempt: 2, State: wire.TaskExited, ExitCause: wire.ExitCauseDone}}
 			}
 			before := k.MachineStatus(m, token)
-			status, _ := k.HandleHeartbeat(r)
+			status, _ := k.handle(r)
 			if old != (status == http.StatusServiceUnavailable) {
 				t.Fatalf("%v after %v: %d", now, newest, status)
 			}
@@ -83,10 +83,10 @@
 	k.state.BeginUpdate()
 	k.state.Put(clusterstate.MachineKey(m), wire.MustEncode(clusterstate.MachineRecord{Type: "m", Zone: "z", Address: "10.1.0.1:9000", Up: true, Session: 4}), 2)
 	k.state.EndUpdate()
-	if status, _ := k.HandleHeartbeat(&wire.Heartbeat{Machine: m, Session: 3, Sequence: 90, FencingToken: 5}); status != http.StatusServiceUnavailable || len(k.RecentlyHeard([]string{m})) > 0 {
+	if status, _ := k.handle(&wire.Heartbeat{Machine: m, Session: 3, Sequence: 90, FencingToken: 5}); status != http.StatusServiceUnavailable || len(k.RecentlyHeard([]string{m})) > 0 {
 		t.Errorf("a copy out of an earlier session counts: %d", status)
 	}
-	if status, _ := k.HandleHeartbeat(&wire.Heartbeat{Machine: m, Session: 4, Sequence: 1, FencingToken: 5}); status != http.StatusOK {
+	if status, _ := k.handle(&wire.Heartbeat{Machine: m, Session: 4, Sequence: 1, FencingToken: 5}); status != http.StatusOK {
 		t.Errorf("the session on record: %d", status)
 	}
 }
--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -56,8 +56,14 @@
 	return name
 }
 
+// handle gives the HTTP status and body that answer a heartbeat.
+func (k *registryFixture) handle(heartbeat *wire.Heartbeat) (int, any) {
+	result := k.HandleHeartbeat(heartbeat)
+	return result.HTTPResponse()
+}
+
 func (k *registryFixture) heartbeat(name string, seq, token uint64) (int, any) {
-	return k.HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", Session: 1, Sequence: seq, FencingToken: token})
+	return k.handle(&wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", Session: 1, Sequence: seq, FencingToken: token})
 }
 
 // TestLeasesThroughACut: on a view that is too old to know of cancellations leases are
@@ -115,7 +121,7 @@
 		}
 		k.state.EndUpdate()
 		k.confirmedAt, k.peerAnsweredAt = time.Now().Add(-time.Minute), time.Now().Add(-time.Minute)
-		status, body := k.HandleHeartbeat(&wire.Heartbeat{Machine: m, Session: 1, Sequence: 1, FencingToken: 5, Tasks: []wire.TaskStatus{
+		status, body := k.handle(&wire.Heartbeat{Machine: m, Session: 1, Sequence: 1, FencingToken: 5, Tasks: []wire.TaskStatus{
 			{Task: "run-0/0", Attempt: 1, State: wire.TaskRunning}, {Task: "run-1/0", Attempt: 1, State: wire.TaskRunning}}})
 		o, _ := body.(wire.HeartbeatResponse)
 		if status != http.StatusOK || len(o.Commands) != 1 || o.Commands[0].Kind != wire.CommandStop || o.Commands[0].Task != "run-0/0" {
@@ -161,7 +167,7 @@
 				k.confirmedAt, k.peerAnsweredAt, k.state.SchemaVersion = time.Time{}, time.Time{}, 0
 				for range int(c.after / time.Second) {
 					time.Sleep(time.Second)
-					k.noteAlive(time.Now())
+					k.noteRunning(time.Now())
 				}
 				if c.change != nil {
 					c.change(k)
@@ -194,7 +200,7 @@
 			}
 			time.Sleep(40 * time.Second) // nothing ran
 			if first == "pulse" {
-				k.noteAlive(time.Now())
+				k.noteRunning(time.Now())
 			}
 			for seq := range uint64(3) {
 				if status, _ := k.heartbeat(own, 2+seq, 5); status == http.StatusOK {
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -6,8 +6,6 @@
 	"sync"
 	"time"
 
-	"github.com/prometheus/client_golang/prometheus"
-	"github.com/prometheus/client_golang/prometheus/promauto"
 	"golang.org/x/sync/semaphore"
 
 	"sableusher/internal/clusterstate"
@@ -17,9 +15,6 @@
 	"sableusher/internal/wire"
 )
 
-var heartbeatsDropped = promauto.NewCounterVec(prometheus.CounterOpts{Name: "sableusher_reports_dropped_total",
-	Help: "Workers' reports that told nothing any more, by reason: of an earlier session, out of order, twice."}, []string{"reason"})
-
 // firstSession is the session of an agent whose record names none.
 const firstSession = 1
 
@@ -36,17 +31,13 @@
 	mu               sync.Mutex
 	machines         map[string]*machine
 	stopRequests     map[attemptKey]stopRequest
-	redirectedAt     map[string]time.Time         // workers sent to a part's owner
-	newestHeartbeats map[string]heartbeatPosition // the newest report of each worker, whoever was its owner
+	redirectedAt     map[string]time.Time // workers sent to a part's owner
+	newestHeartbeats heartbeatHistory
+	leases           leaseKeeper
 	changed          chan struct{}
 	dispatchQueue    dispatchQueue
 	adoptions        map[string]wire.Heartbeat
 	updatedMachines  map[string]struct{} // machines whose reports told something new
-	peerLastAnswered func(node string) time.Time
-	lastAlive        time.Time         // when this process was last seen to run
-	resumedAt        time.Time         // when it last went on after it had stood still
-	startedAt        time.Time         // when this process was
-	initialTokens    map[string]uint64 // those that workers had when they first reported to a process without a view
 }
 
 // New makes the fleet; fresh tells as of when the view is complete.
@@ -54,9 +45,9 @@
 	return &Registry{
 		settings: set, clusterState: w, membership: mem, completeAsOf: fresh, logger: log,
 		client: newCommandClient(rt, set.Deployment.Limits.MaxSockets), dispatchSlots: semaphore.NewWeighted(tuning.OrderLanes),
-		machines: map[string]*machine{}, stopRequests: map[attemptKey]stopRequest{}, redirectedAt: map[string]time.Time{}, newestHeartbeats: map[string]heartbeatPosition{},
+		machines: map[string]*machine{}, stopRequests: map[attemptKey]stopRequest{}, redirectedAt: map[string]time.Time{}, newestHeartbeats: heartbeatHistory{}, leases: newLeaseKeeper(set, w),
 		changed: make(chan struct{}, 1), dispatchQueue: make(dispatchQueue, tuning.KickQueue), adoptions: map[string]wire.Heartbeat{},
-		updatedMachines: map[string]struct{}{}, startedAt: time.Now(), initialTokens: map[string]uint64{},
+		updatedMachines: map[string]struct{}{},
 	}
 }
 
@@ -87,189 +78,16 @@
 	}
 }
 
-// maxStateAge is the age of the view up to which leases are renewed: a
-// cancellation that the view has not seen must still end with the lease in time.
-func (f *Registry) maxStateAge() time.Duration {
-	free := f.settings.Cancel() - f.settings.Lease()
-	return time.Duration(float64(free)*(1-2*tuning.ClockDrift)) - tuning.LeaseMargin
-}
-
 // SetPeerLastAnswered tells the fleet how to learn when another node last answered this one.
 func (f *Registry) SetPeerLastAnswered(reached func(node string) time.Time) {
-	f.peerLastAnswered = reached
-}
-
-// mayRenewLeases tells whether leases may be renewed on a view of some time. Where a
-// cancellation is told once no task is left, a lease that is renewed without knowing of
-// one breaks no promise, and a zone that is cut off works on. Otherwise it must end in
-// time. A process that stood still believes nothing until its view is confirmed. Callers
-// hold both locks.
-func (f *Registry) mayRenewLeases(now, fresh time.Time) bool {
-	f.noteAlive(now)
-	if fresh.IsZero() || f.resumedAt.After(fresh) {
-		return false
-	}
-	return f.clusterState.SchemaVersion >= tuning.LevelCertain || now.Sub(fresh) <= f.maxStateAge()
-}
-
-// renewForUnreachableOwner renews the lease of a worker whose owner is out of reach, as is this node's
-// own way to the state service: both are cut off together. It starts nothing. The worker
-// takes an answer with the token it has seen; one that has seen a higher one has a
-// newer owner. Callers hold both locks.
-func (f *Registry) renewForUnreachableOwner(r *wire.Heartbeat, part int, now, fresh time.Time) (wire.HeartbeatResponse, bool) {
-	p, known := f.clusterState.Shards[part]
-	rec := f.clusterState.Machines[r.Machine]
-	if !known || r.FencingToken > p.FencingToken || rec == nil || rec.Deleting || now.Sub(fresh) < tuning.SessionTTL || !f.mayRenewLeases(now, fresh) ||
-		f.peerLastAnswered == nil || now.Sub(f.peerLastAnswered(p.Owner)) < tuning.OwnerLost {
-		return wire.HeartbeatResponse{}, false
-	}
-	return cancelledTaskStops(r, rec, p.FencingToken), true
-}
-
-// renewWithoutState renews the lease of a worker though this process has no view at all: it was started
-// in a zone that is cut off, where its predecessor kept the leases. No view is the oldest
-// there can be: it starts nothing and stops nothing. That cancellations are told late,
-// which makes it safe, the worker's own token says. Another node that can be reached
-// may know more, so there must be none; and a worker whose token rises meanwhile has an
-// owner that reaches it, to whom it must not be lost. Callers hold the lock.
-func (f *Registry) renewWithoutState(r *wire.Heartbeat, now, fresh time.Time) (wire.HeartbeatResponse, bool) {
-	f.noteAlive(now)
-	if !fresh.IsZero() {
-		clear(f.initialTokens)
-	}
-	if !fresh.IsZero() || !f.resumedAt.IsZero() || r.FencingToken < tuning.CertainToken || f.peerLastAnswered == nil || now.Sub(f.startedAt) < tuning.OwnerLost {
-		return wire.HeartbeatResponse{}, false
-	}
-	for _, s := range f.settings.Siblings {
-		if now.Sub(f.peerLastAnswered(s.Node)) < tuning.OwnerLost {
-			return wire.HeartbeatResponse{}, false
-		}
-	}
-	first, ok := f.initialTokens[r.Machine]
-	if !ok {
-		first = r.FencingToken
-		f.initialTokens[r.Machine] = first
-	}
-	return wire.HeartbeatResponse{FencingToken: r.FencingToken, Commands: []wire.Command{}}, r.FencingToken == first
-}
-
-// heartbeatPosition names the newest report of a worker that came to this node. It outlives what is known of its
-// machine, which goes with the machine's part: a copy that the network delivers later must neither
-// count as word of a machine that may be dead, nor bring back what is over.
-type heartbeatPosition struct {
-	session, sequence uint64
-	receivedAt        time.Time
-}
-
-// dropReason says why a report tells nothing any more, and keeps it in mind if it does; empty:
-// it is the newest. Callers hold both locks.
-func (f *Registry) dropReason(r *wire.Heartbeat, now time.Time) string {
-	k := f.newestHeartbeats[r.Machine]
-	switch {
-	case r.Session < k.session:
-		return "session"
-	case r.Session == k.session && r.Sequence == k.sequence:
-		return "twice"
-	case r.Session == k.session && r.Sequence < k.sequence:
-		return "order"
-	}
-	// The records tell of sessions that this process has not heard of.
-	if rec := f.clusterState.Machines[r.Machine]; rec != nil && r.Session < rec.Session {
-		return "session"
-	}
-	f.newestHeartbeats[r.Machine] = heartbeatPosition{r.Session, r.Sequence, now}
-	return ""
-}
-
-// HandleHeartbeat answers a worker's report.
-func (f *Registry) HandleHeartbeat(r *wire.Heartbeat) (int, any) {
-	now := time.Now()
-	f.clusterState.RLock()
-	defer f.clusterState.RUnlock()
-	part := clusterstate.ShardOf(r.Machine, f.clusterState.ShardCount)
-	token, entitled := f.membership.MayServeAgents(part)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	fresh := f.completeAsOf()
-	if why := f.dropReason(r, now); why != "" {
-		heartbeatsDropped.WithLabelValues(why).Inc()
-		f.logger.Debug("report dropped", "machine", r.Machine, "why", why, "session", r.Session, "seq", r.Sequence)
-		return http.StatusServiceUnavailable, nil
-	}
-	if out, ok := f.renewWithoutState(r, now, fresh); ok {
-		return http.StatusOK, out
-	}
-	if !entitled {
-		if out, ok := f.renewForUnreachableOwner(r, part, now, fresh); ok {
-			return http.StatusOK, out
-		}
-		owner, live := f.membership.OwnerOf(part)
-		last := f.redirectedAt[r.Machine]
-		f.redirectedAt[r.Machine] = now
-		// A worker that comes back at once did not get through to the owner:
-		// naming it again would make a loop.
-		if !live || now.Sub(last) < 2*time.Second {
-			owner = ""
-		}
-		delete(f.machines, r.Machine)
-		return http.StatusMisdirectedRequest, wire.HeartbeatRedirect{ControllerAddress: owner}
-	}
-	if r.FencingToken > token {
-		// It has a newer owner, of whom this node does not know yet. It would drop our
-		// answer and stay here all the same, until its lease has run out.
-		return http.StatusMisdirectedRequest, wire.HeartbeatRedirect{}
-	}
-	if !f.mayRenewLeases(now, fresh) {
-		return http.StatusServiceUnavailable, nil
-	}
-	rec := f.clusterState.Machines[r.Machine]
-	if rec != nil && rec.Deleting {
-		return http.StatusServiceUnavailable, nil
-	}
-	m := f.machineEntry(r.Machine)
-	// That it has seen this owner's token shows as well that it heard it once.
-	if len(f.settings.Siblings) > 0 && m.session.confirmsResponse(r) || m.link.neverProbed() && r.FencingToken == token {
-		m.link.inboundConfirmedAt = now
-	}
-	effect := m.applyReport(r, fromHeartbeat, now)
-	if effect == reportOutdated { // the answer to a command overtook it
-		heartbeatsDropped.WithLabelValues("order").Inc()
-		return http.StatusServiceUnavailable, nil
-	}
-	if m.link.inboundLost() {
-		f.dispatchQueue.add(r.Machine) // it is asked until it answers
-	}
-	if effect == reportChanged {
-		f.markUpdated(r.Machine)
-	}
-	out := wire.HeartbeatResponse{FencingToken: token, Commands: []wire.Command{}}
-	if now.Sub(fresh) > f.maxStateAge() {
-		return http.StatusOK, cancelledTaskStops(r, rec, token) // the tasks it has go on
-	}
-	// One that was up and is recorded as not has to be known to hear this owner.
-	if rec == nil || !rec.Up && (rec.Address == "" || m.link.inboundConfirmed()) || rec.Address != r.Address || max(rec.Session, firstSession) != r.Session {
-		f.adopt(r)
-	}
-	if _, _, owns := f.membership.Owns(part); rec != nil && owns {
-		out.Commands = append(out.Commands, f.commandsFor(m, commandParams{rec, token, r.Sequence, now})...)
-	}
-	return http.StatusOK, out
-}
-
-// noteAlive notes that this process runs, and whether it stood still before. Callers hold
-// the fleet's lock.
-func (f *Registry) noteAlive(now time.Time) {
-	if !f.lastAlive.IsZero() && now.Sub(f.lastAlive) > tuning.FreezeGap {
-		f.resumedAt = now
-	}
-	f.lastAlive = now
+	f.leases.peerLastAnswered = reached
 }
 
 // noteRunning notes that this process runs.
 func (f *Registry) noteRunning(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.noteAlive(now)
+	f.leases.pauses.noteRunning(now)
 }
 
 // machineEntry gives what is known of a machine, an empty entry if there was none. Callers hold mu.
@@ -318,11 +136,7 @@
 			delete(f.redirectedAt, n)
 		}
 	}
-	for n, k := range f.newestHeartbeats {
-		if now.Sub(k.receivedAt) > tuning.MarkLeases*f.settings.Lease() {
-			delete(f.newestHeartbeats, n)
-		}
-	}
+	f.newestHeartbeats.removeOld(f.settings.Lease(), now)
 	for n, m := range f.machines {
 		_, owned := f.membership.MayServeAgents(clusterstate.ShardOf(n, f.clusterState.ShardCount))
 		if f.clusterState.Machines[n] == nil && now.Sub(m.link.lastHeard) > f.settings.Lease() || !owned {
@@ -409,26 +223,6 @@
 	return out
 }
 
-// RecentlyHeard gives those machines whose workers have reported to this node lately,
-// though it may not own them: they came because their owner did not answer.
-func (f *Registry) RecentlyHeard(machines []string) []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	// A worker that lost its way to one node tries the next after seconds.
-	limit := f.heartbeatIntervals(tuning.HeardLately)
-	var out []string
-	for _, n := range machines {
-		at := f.redirectedAt[n]
-		if m := f.machines[n]; m != nil && m.link.lastHeard.After(at) {
-			at = m.link.lastHeard
-		}
-		if !at.IsZero() && time.Since(at) < limit {
-			out = append(out, n)
-		}
-	}
-	return out
-}
-
 // HasFreshState tells whether this node's view is fresh enough to take parts.
 func (f *Registry) HasFreshState() bool {
 	fresh := f.completeAsOf()
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -16,6 +16,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"sableusher/internal/admission"
+	"sableusher/internal/agent"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
@@ -43,7 +44,7 @@
 
 // AgentRegistry answers reports.
 type AgentRegistry interface {
-	HandleHeartbeat(r *wire.Heartbeat) (int, any)
+	HandleHeartbeat(heartbeat *wire.Heartbeat) agent.HeartbeatResult
 }
 
 // Server is the server's handlers.
@@ -127,7 +128,8 @@
 		wire.WriteResponse(w, http.StatusBadRequest, wire.ErrorResponse{Message: "unreadable report"})
 		return
 	}
-	status, body := s.agents.HandleHeartbeat(&heartbeat)
+	result := s.agents.HandleHeartbeat(&heartbeat)
+	status, body := result.HTTPResponse()
 	wire.WriteResponse(w, status, body)
 }
 
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -13,6 +13,7 @@
 	"testing/synctest"
 	"time"
 
+	"sableusher/internal/agent"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
@@ -64,8 +65,10 @@
 
 func (o *fakeBackend) Revision() uint64 { return o.revision }
 
-func (o *fakeBackend) HandleHeartbeat(*wire.Heartbeat) (int, any) {
-	return http.StatusOK, wire.HeartbeatResponse{FencingToken: 1}
+func (o *fakeBackend) HandleHeartbeat(*wire.Heartbeat) agent.HeartbeatResult {
+	return agent.HeartbeatResult{
+		Outcome: agent.HeartbeatRenewed, Response: wire.HeartbeatResponse{FencingToken: 1},
+	}
 }
 
 func (o *fakeBackend) put(key string, v any) {
