--- a/internal/agent/dispatch.go
+++ b/internal/agent/dispatch.go
@@ -167,7 +167,7 @@
 	m.link.recordCommandResponse(now)
 	if d.inboundLost {
 		r.dispatchQueue.add(d.machineName) // commands can follow
-		r.markUpdated(d.machineName)
+		r.updates.machineChanged(d.machineName)
 	}
 	if answer.report.Machine == d.machineName {
 		r.applyCommandResponse(d, &answer.report, now)
@@ -187,7 +187,7 @@
 		return
 	}
 	if effect == reportChanged {
-		r.markUpdated(d.machineName)
+		r.updates.machineChanged(d.machineName)
 	}
 	// An agent whose outbound direction is lost tells of a new session here alone. Other nodes bind gangs and
 	// services to the one on record, which this node ends at once, and both over and over. Where a heartbeat
@@ -195,7 +195,7 @@
 	// replicas waiting.
 	record := r.clusterState.Machines[d.machineName]
 	if r.outboundLost(m, now) && record != nil && max(record.Session, firstSession) != m.session.id {
-		r.adopt(report)
+		r.updates.adopt(report)
 	}
 	if m.session.id != previousSession || m.session.fencingToken < d.command.FencingToken {
 		r.dispatchQueue.add(d.machineName) // a new session, or its first report: commands can follow now
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -143,13 +143,13 @@
 		r.dispatchQueue.add(name) // it is probed until it answers
 	}
 	if effect == reportChanged {
-		r.markUpdated(name)
+		r.updates.machineChanged(name)
 	}
 	if h.stateAge() > r.leases.maxStateAge() {
 		return renewed(cancelledTaskStops(h.report, h.record, h.fencingToken)) // the tasks it has go on
 	}
 	if r.recordOutdated(m, h) {
-		r.adopt(h.report)
+		r.updates.adopt(h.report)
 	}
 	answer := emptyResponse(h.fencingToken)
 	if _, _, owns := r.membership.Owns(h.shard); h.record != nil && owns {
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -12,219 +12,139 @@
 	"sableusher/internal/config"
 	"sableusher/internal/membership"
 	"sableusher/internal/tuning"
-	"sableusher/internal/wire"
 )
 
-// firstSession is the session of an agent whose record names none.
-const firstSession = 1
+const (
+	// firstSession is the session of an agent whose record names none.
+	firstSession = 1
+	// redirectRetention is how long it is kept that an agent was sent to another node: longer than its answers
+	// to RecentlyHeard and redirectLoopWindow need.
+	redirectRetention = time.Minute
+	// stopRequestGrace is how long a stop request is kept beyond the end of its attempt, which may be seen in
+	// the cluster state a moment before the request is made.
+	stopRequestGrace = time.Second
+)
 
-// Registry is this node's workers.
+// Registry is what a controller node knows of the machines of its shards, and of the others that report to it.
+// It is safe for concurrent use.
 type Registry struct {
-	settings      *config.Settings
-	clusterState  *clusterstate.State
-	membership    *membership.Member
-	completeAsOf  func() time.Time
-	logger        *slog.Logger
+	settings     *config.Settings
+	clusterState *clusterstate.State
+	membership   *membership.Member
+	completeAsOf func() time.Time // when the cluster state was last complete; zero: never
+	logger       *slog.Logger
+
 	client        *commandClient
-	dispatchSlots *semaphore.Weighted
+	dispatchQueue dispatchQueue
+	dispatchSlots *semaphore.Weighted // bounds the direct commands on their way
 
+	// mu guards everything below, the machines' contents included. Where the cluster state's lock is needed as
+	// well, it is taken first.
 	mu               sync.Mutex
 	machines         map[string]*machine
-	stopRequests     map[attemptKey]stopRequest
-	redirectedAt     map[string]time.Time // workers sent to a part's owner
-	newestHeartbeats heartbeatHistory
 	leases           leaseKeeper
-	changed          chan struct{}
-	dispatchQueue    dispatchQueue
-	adoptions        map[string]wire.Heartbeat
-	updatedMachines  map[string]struct{} // machines whose reports told something new
+	newestHeartbeats heartbeatHistory
+	stopRequests     map[attemptKey]stopRequest
+	redirectedAt     map[string]time.Time // when an agent was last sent to another node
+	updates          updates
 }
 
-// New makes the fleet; fresh tells as of when the view is complete.
-func New(set *config.Settings, w *clusterstate.State, mem *membership.Member, fresh func() time.Time, log *slog.Logger, rt http.RoundTripper) *Registry {
+// New makes an empty registry. completeAsOf tells as of when the cluster state is complete, zero if it never
+// was; transport carries direct commands, nil for the network.
+func New(
+	settings *config.Settings, clusterState *clusterstate.State, member *membership.Member,
+	completeAsOf func() time.Time, logger *slog.Logger, transport http.RoundTripper,
+) *Registry {
 	return &Registry{
-		settings: set, clusterState: w, membership: mem, completeAsOf: fresh, logger: log,
-		client: newCommandClient(rt, set.Deployment.Limits.MaxSockets), dispatchSlots: semaphore.NewWeighted(tuning.OrderLanes),
-		machines: map[string]*machine{}, stopRequests: map[attemptKey]stopRequest{}, redirectedAt: map[string]time.Time{}, newestHeartbeats: heartbeatHistory{}, leases: newLeaseKeeper(set, w),
-		changed: make(chan struct{}, 1), dispatchQueue: make(dispatchQueue, tuning.KickQueue), adoptions: map[string]wire.Heartbeat{},
-		updatedMachines: map[string]struct{}{},
+		settings: settings, clusterState: clusterState, membership: member, completeAsOf: completeAsOf, logger: logger,
+		client:        newCommandClient(transport, settings.Deployment.Limits.MaxSockets),
+		dispatchQueue: make(dispatchQueue, tuning.KickQueue), dispatchSlots: semaphore.NewWeighted(tuning.OrderLanes),
+		machines:         map[string]*machine{},
+		leases:           newLeaseKeeper(settings, clusterState),
+		newestHeartbeats: heartbeatHistory{},
+		stopRequests:     map[attemptKey]stopRequest{},
+		redirectedAt:     map[string]time.Time{},
+		updates:          newUpdates(),
 	}
 }
 
-// TakeUpdatedMachines takes the machines whose reports told something new since the last
-// call, which one caller makes: what follows from reports costs as much as
-// they change, not as much as there are machines.
-func (f *Registry) TakeUpdatedMachines() map[string]struct{} {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	out := f.updatedMachines
-	f.updatedMachines = map[string]struct{}{}
-	return out
+// SetPeerLastAnswered sets what tells when another node last answered this one, zero if it never did. It is
+// called before the first heartbeat.
+func (r *Registry) SetPeerLastAnswered(lastAnswered func(node string) time.Time) {
+	r.leases.peerLastAnswered = lastAnswered
 }
 
-// markUpdated notes that a machine's report told something new. Callers hold the lock.
-func (f *Registry) markUpdated(name string) {
-	f.updatedMachines[name] = struct{}{}
-	f.notifyChanged()
-}
-
-// Changed is poked after reports that may free room or move tasks.
-func (f *Registry) Changed() <-chan struct{} { return f.changed }
-
-func (f *Registry) notifyChanged() {
-	select {
-	case f.changed <- struct{}{}:
-	default:
-	}
-}
-
-// SetPeerLastAnswered tells the fleet how to learn when another node last answered this one.
-func (f *Registry) SetPeerLastAnswered(reached func(node string) time.Time) {
-	f.leases.peerLastAnswered = reached
-}
-
-// noteRunning notes that this process runs.
-func (f *Registry) noteRunning(now time.Time) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.leases.pauses.noteRunning(now)
+// HasFreshState tells whether the cluster state is fresh enough for this node to take shards.
+func (r *Registry) HasFreshState() bool {
+	completeAsOf := r.completeAsOf()
+	return !completeAsOf.IsZero() && time.Since(completeAsOf) < tuning.ReadyStale
 }
 
 // machineEntry gives what is known of a machine, an empty entry if there was none. Callers hold mu.
-func (f *Registry) machineEntry(name string) *machine {
-	m := f.machines[name]
+func (r *Registry) machineEntry(name string) *machine {
+	m := r.machines[name]
 	if m == nil {
 		m = newMachine()
-		f.machines[name] = m
+		r.machines[name] = m
 	}
 	return m
 }
 
-// adopt notes that the record of a machine is missing or behind its report. Callers hold mu.
-func (f *Registry) adopt(report *wire.Heartbeat) {
-	f.adoptions[report.Machine] = *report
-	f.notifyChanged()
+// heartbeatIntervals is the time of so many intervals between heartbeats.
+func (r *Registry) heartbeatIntervals(count float64) time.Duration {
+	return time.Duration(count * float64(r.settings.Report()))
 }
 
-// outboundLost tells whether a machine answers commands while its heartbeats have been due for some time.
-// Callers hold mu.
-func (f *Registry) outboundLost(m *machine, now time.Time) bool {
-	return m.link.outboundLost(f.heartbeatIntervals(tuning.SilentAfter), now)
+// noteRunning notes that this process runs.
+func (r *Registry) noteRunning(now time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.leases.pauses.noteRunning(now)
 }
 
 // removeExpired forgets what no record and no report needs any more.
-func (f *Registry) removeExpired() {
-	f.clusterState.RLock()
-	defer f.clusterState.RUnlock()
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (r *Registry) removeExpired() {
+	r.clusterState.RLock()
+	defer r.clusterState.RUnlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	now := time.Now()
-	for k, w := range f.stopRequests {
-		j := f.clusterState.Jobs[k.ref.Job]
-		if j == nil || !j.HasRecord {
-			delete(f.stopRequests, k)
-			continue
-		}
-		if t := j.Task(k.ref.Index); t.State != clusterstate.TaskBound || t.Attempt != k.attempt {
-			if now.Sub(w.requestedAt) > time.Second {
-				delete(f.stopRequests, k)
-			}
+	r.removeStopRequests(now)
+	for name, at := range r.redirectedAt {
+		if now.Sub(at) > redirectRetention {
+			delete(r.redirectedAt, name)
 		}
 	}
-	for n, at := range f.redirectedAt {
-		if now.Sub(at) > time.Minute {
-			delete(f.redirectedAt, n)
-		}
-	}
-	f.newestHeartbeats.removeOld(f.settings.Lease(), now)
-	for n, m := range f.machines {
-		_, owned := f.membership.MayServeAgents(clusterstate.ShardOf(n, f.clusterState.ShardCount))
-		if f.clusterState.Machines[n] == nil && now.Sub(m.link.lastHeard) > f.settings.Lease() || !owned {
-			delete(f.machines, n)
-			delete(f.adoptions, n)
-		}
-	}
-}
-
-// heartbeatIntervals is the time of so many report intervals.
-func (f *Registry) heartbeatIntervals(n float64) time.Duration {
-	return time.Duration(n * float64(f.settings.Report()))
-}
-
-// MachineStatus is what placement needs to know of a machine.
-type MachineStatus struct {
-	LastHeard         time.Time
-	Session           uint64
-	Schedulable       bool // heard lately, answers, under our token, no notice, no refusal
-	ReclaimAt         time.Time
-	UnresolvedStart   bool // a direct start without an answer is left
-	CommandUnanswered bool // a direct question since the last report got no answer
-	InboundLost       bool // its reports arrive, while for some time commands to it did not
-	InboundConfirmed  bool // it is known to hear this node
-	OutboundLost      bool // it answers commands, while for some time no report of it came here
-	// LeaseExpiry is when the lease of a machine ends if no report of it comes any more.
-	LeaseExpiry time.Time
-	// OneWaySince is since when it has been deaf or mute.
-	OneWaySince time.Time
-	FailedJobs  int
-}
-
-// MachineStatus gives a machine's state under a token.
-func (f *Registry) MachineStatus(name string, token uint64) MachineStatus {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	m := f.machines[name]
-	if m == nil {
-		return MachineStatus{}
-	}
-	now := time.Now()
-	s := MachineStatus{LastHeard: m.link.lastHeard, Session: m.session.id, ReclaimAt: m.reclaimAt, FailedJobs: len(m.failedJobs), UnresolvedStart: m.starts.hasUnresolved(token), CommandUnanswered: m.link.commandUnanswered()}
-	s.InboundConfirmed = m.link.inboundConfirmed()
-	s.InboundLost = m.link.inboundLostForLong(now)
-	if s.InboundLost {
-		s.OneWaySince = m.link.inboundLostSince
-	}
-	silent := f.heartbeatIntervals(tuning.SilentAfter)
-	from, _ := m.link.heartbeatExpected()
-	mute := f.outboundLost(m, now)
-	s.OutboundLost, s.LeaseExpiry = mute, from.Add(f.settings.Lease())
-	if mute {
-		s.OneWaySince = from
-	}
-	s.Schedulable = m.session.id != 0 && m.session.fencingToken == token && m.reclaimAt.IsZero() && now.Sub(m.link.lastHeard) < silent && !s.CommandUnanswered && !m.link.inboundLost() && !s.OutboundLost &&
-		now.Sub(m.startRefusedAt) > tuning.RefuseHold && len(m.failedJobs) < tuning.MachineErrors
-	return s
+	r.newestHeartbeats.removeOld(r.settings.Lease(), now)
+	r.removeMachines(now)
 }
 
-// RecordStartRefusal keeps a machine out of placement for a while.
-func (f *Registry) RecordStartRefusal(name string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if m := f.machines[name]; m != nil {
-		m.startRefusedAt = time.Now()
+// removeStopRequests forgets the stop requests whose attempts are over. Callers hold the cluster state's lock
+// and mu.
+func (r *Registry) removeStopRequests(now time.Time) {
+	for key, request := range r.stopRequests {
+		job := r.clusterState.Jobs[key.ref.Job]
+		if job == nil || !job.HasRecord {
+			delete(r.stopRequests, key)
+			continue
+		}
+		task := job.Task(key.ref.Index)
+		bound := task.State == clusterstate.TaskBound && task.Attempt == key.attempt
+		if !bound && now.Sub(request.requestedAt) > stopRequestGrace {
+			delete(r.stopRequests, key)
+		}
 	}
 }
 
-// RecordTaskFailure records that a job's task failed on a machine.
-func (f *Registry) RecordTaskFailure(name, job string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if m := f.machines[name]; m != nil {
-		m.failedJobs[job] = struct{}{}
+// removeMachines forgets the machines of other owners' shards, and those without a record that have been silent
+// for a lease. Callers hold the cluster state's lock and mu.
+func (r *Registry) removeMachines(now time.Time) {
+	for name, m := range r.machines {
+		_, owned := r.membership.MayServeAgents(clusterstate.ShardOf(name, r.clusterState.ShardCount))
+		unknown := r.clusterState.Machines[name] == nil
+		if !owned || unknown && now.Sub(m.link.lastHeard) > r.settings.Lease() {
+			delete(r.machines, name)
+			delete(r.updates.adoptions, name)
+		}
 	}
 }
-
-// TakeAdoptions takes the machines whose records are missing or behind.
-func (f *Registry) TakeAdoptions() map[string]wire.Heartbeat {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	out := f.adoptions
-	f.adoptions = map[string]wire.Heartbeat{}
-	return out
-}
-
-// HasFreshState tells whether this node's view is fresh enough to take parts.
-func (f *Registry) HasFreshState() bool {
-	fresh := f.completeAsOf()
-	return !fresh.IsZero() && time.Since(fresh) < tuning.ReadyStale
-}
