--- a/internal/agent/lease_model_test.go
+++ b/internal/agent/lease_model_test.go
@@ -5,107 +5,157 @@
 	"testing"
 )
 
-// The model of docs/zones-design.md: one task on one worker, its owner A inside a zone and
-// a node B outside that may take its part over, the state service's records, one user
-// who cancels. Every link may be cut or held between any two steps, which is to say that
-// any step may or may not come; time moves between any two. All reachable states are
-// visited.
+// The model of docs/zones-design.md: one task on one agent, its owner A inside a zone and a node B outside that
+// may take its shard over, the records of the key-value store, one user who cancels. Every link may be cut or
+// held between any two steps, which is to say that any step may or may not come; time moves between any two.
+// All reachable states are visited.
 
 // Times of the model, in ticks.
 const (
-	modelLease       = 2
-	modelCancel      = 4
-	modelMaxStateAge = modelCancel - modelLease - 1 // the limit of today's rule
-	modelSessionTTL  = 1                            // of a session
-	modelMaxAge      = modelCancel + 1              // ages beyond it are alike
+	modelLease  = 2
+	modelCancel = 4
+	// modelMaxStateAge is the age up to which leases are renewed where cancellations are confirmed at once.
+	modelMaxStateAge = modelCancel - modelLease - 1
+	modelSessionTTL  = 1
+	modelMaxAge      = modelCancel + 1 // ages beyond it are alike
 )
 
-// leasePolicy is how nodes renew leases and tell cancellations.
+// Fencing tokens of the model: an agent without a session has seen none.
+const (
+	modelNoToken int8 = iota
+	modelTokenA
+	modelTokenB
+)
+
+// modelNotConfirmed is confirmedSince of a cancellation that the user was not told of yet.
+const modelNotConfirmed = -1
+
+// leasePolicy is how nodes renew leases and confirm cancellations.
 type leasePolicy struct {
-	renewOnStaleState     bool // leases are renewed on a view of any age
-	confirmedCancellation bool // a cancellation is told once no task is bound in the records
-	agentMayHang          bool // the worker may hang, when it ends nothing by itself
-	renewWithoutState     bool // a process without any view renews leases under the worker's own token
+	renewOnStaleState     bool // leases are renewed on a cluster state of any age
+	confirmedCancellation bool // a cancellation is confirmed once no task is bound in the records
+	agentMayHang          bool // in which state it ends nothing by itself
+	renewWithoutState     bool // a process without any cluster state renews leases under the agent's own token
 }
 
 // nodeView is what a node believes.
 type nodeView struct {
 	cancelled bool
-	stateAge  int8 // of its view
-	taskLeft  bool // it has seen that the task has left the worker
+	stateAge  int8
+	taskLeft  bool // it has seen that the task has left the machine
 }
 
 // modelState is one state of the model.
 type modelState struct {
 	nodeA, nodeB   nodeView
-	sessionAge     int8 // age of A's session
+	sessionAge     int8 // of A
 	ownedByB       bool // the records name B as owner
 	cancelled      bool // the records say so
-	bound          bool // the records bind the task to the worker
-	taskRuns       bool // it is on the worker
-	secondStarted  bool // it was started on another one
-	fencingToken   int8 // highest that the worker has seen: A's is 1, B's 2
-	leaseAge       int8 // since the worker's last answered report
-	hung           bool
-	confirmedSince int8 // since the user was told; -1: not yet
+	bound          bool // the records bind the task to the machine
+	taskRuns       bool // on the machine
+	secondStarted  bool // the task was started on another one
+	fencingToken   int8 // the highest that the agent has seen
+	leaseAge       int8 // since the agent's last answered heartbeat
+	agentHangs     bool
+	confirmedSince int8 // since the user was told of the cancellation
+}
+
+// modelStep is one step of the model: where it is enabled, apply makes it.
+type modelStep struct {
+	enabled bool
+	apply   func(*modelState)
 }
 
 // successors gives all states that one step leads to.
 func (p leasePolicy) successors(s modelState) []modelState {
 	var out []modelState
-	step := func(able bool, do func(*modelState)) {
-		if able {
-			n := s
-			do(&n)
-			if n != s {
-				out = append(out, n)
-			}
+	steps := append(p.recordSteps(s), p.heartbeatSteps(s)...)
+	steps = append(steps, p.ownerSteps(s)...)
+	for _, step := range append(steps, modelStep{true, (*modelState).tick}) {
+		if !step.enabled {
+			continue
 		}
-	}
-	// Views and records.
-	step(true, func(n *modelState) { n.nodeA.cancelled, n.nodeA.stateAge = n.cancelled, 0; n.sessionAge = 0 })
-	step(true, func(n *modelState) { n.nodeB.cancelled, n.nodeB.stateAge = n.cancelled, 0 })
-	step(!s.cancelled, func(n *modelState) { n.cancelled = true })
-	step(!s.ownedByB && s.sessionAge > modelSessionTTL, func(n *modelState) { n.ownedByB = true; n.nodeB.cancelled, n.nodeB.stateAge = n.cancelled, 0 })
-	// A report is answered. A may be the owner or a caretaker: its token is the same.
-	answer := func(me func(*modelState) *nodeView, token int8) func(*modelState) {
-		return func(n *modelState) {
-			if token < n.fencingToken {
-				return // the worker drops it
-			}
-			n.fencingToken, n.leaseAge = token, 0
-			if me(n).cancelled {
-				n.taskRuns = false
-			}
-			me(n).taskLeft = !n.taskRuns
+		next := s
+		step.apply(&next)
+		if next != s {
+			out = append(out, next)
 		}
 	}
-	step(!s.hung && (p.renewOnStaleState || s.nodeA.stateAge <= modelMaxStateAge), answer(func(n *modelState) *nodeView { return &n.nodeA }, 1))
-	step(!s.hung && s.ownedByB && (p.renewOnStaleState || s.nodeB.stateAge <= modelMaxStateAge), answer(func(n *modelState) *nodeView { return &n.nodeB }, 2))
-	step(!s.hung && p.renewWithoutState && s.fencingToken > 0, func(n *modelState) { n.leaseAge = 0 })
-	// The owner writes that the task has left, guarded by its ownership; the cloud deletes
-	// the machine, or does not.
-	step(s.bound && (!s.ownedByB && s.nodeA.taskLeft || s.ownedByB && s.nodeB.taskLeft), func(n *modelState) { n.bound = false })
-	step(s.ownedByB, func(n *modelState) { n.taskRuns, n.hung, n.nodeB.taskLeft = false, false, true })
-	step(!s.bound && !s.cancelled, func(n *modelState) { n.secondStarted = true })
-	step(p.agentMayHang, func(n *modelState) { n.hung = !n.hung })
-	step(s.cancelled && s.confirmedSince < 0 && (!p.confirmedCancellation || !s.bound), func(n *modelState) { n.confirmedSince = 0 })
-	// Time.
-	step(true, func(n *modelState) {
-		for _, t := range []*int8{&n.nodeA.stateAge, &n.nodeB.stateAge, &n.sessionAge, &n.leaseAge} {
-			*t = min(*t+1, modelMaxAge)
-		}
-		if n.confirmedSince >= 0 {
-			n.confirmedSince = min(n.confirmedSince+1, modelMaxAge)
-		}
-		if n.leaseAge > modelLease && !n.hung {
-			n.taskRuns, n.fencingToken = false, 0 // the worker's next session
-		}
-	})
 	return out
 }
 
-// violatedRule names the rule that a state breaks.
+// recordSteps are those of the records and of what nodes read in them.
+func (p leasePolicy) recordSteps(s modelState) []modelStep {
+	return []modelStep{
+		{true, func(n *modelState) { n.readRecords(&n.nodeA); n.sessionAge = 0 }},
+		{true, func(n *modelState) { n.readRecords(&n.nodeB) }},
+		{!s.cancelled, func(n *modelState) { n.cancelled = true }},
+		{
+			!s.ownedByB && s.sessionAge > modelSessionTTL,
+			func(n *modelState) { n.ownedByB = true; n.readRecords(&n.nodeB) },
+		},
+		{
+			s.cancelled && s.confirmedSince == modelNotConfirmed && (!p.confirmedCancellation || !s.bound),
+			func(n *modelState) { n.confirmedSince = 0 },
+		},
+	}
+}
+
+// heartbeatSteps are those in which a heartbeat is answered. A may be the owner or answer in the owner's stead:
+// its token is the same.
+func (p leasePolicy) heartbeatSteps(s modelState) []modelStep {
+	mayRenew := func(node *nodeView) bool { return p.renewOnStaleState || node.stateAge <= modelMaxStateAge }
+	return []modelStep{
+		{!s.agentHangs && mayRenew(&s.nodeA), func(n *modelState) { n.answer(&n.nodeA, modelTokenA) }},
+		{!s.agentHangs && s.ownedByB && mayRenew(&s.nodeB), func(n *modelState) { n.answer(&n.nodeB, modelTokenB) }},
+		{
+			!s.agentHangs && p.renewWithoutState && s.fencingToken > modelNoToken,
+			func(n *modelState) { n.leaseAge = 0 },
+		},
+	}
+}
+
+// ownerSteps are those of the owner, the cloud and the machine: the owner writes that the task has left, guarded
+// by its ownership; the cloud deletes the machine, or does not.
+func (p leasePolicy) ownerSteps(s modelState) []modelStep {
+	ownerSawTaskLeave := !s.ownedByB && s.nodeA.taskLeft || s.ownedByB && s.nodeB.taskLeft
+	return []modelStep{
+		{s.bound && ownerSawTaskLeave, func(n *modelState) { n.bound = false }},
+		{s.ownedByB, func(n *modelState) { n.taskRuns, n.agentHangs, n.nodeB.taskLeft = false, false, true }},
+		{!s.bound && !s.cancelled, func(n *modelState) { n.secondStarted = true }},
+		{p.agentMayHang, func(n *modelState) { n.agentHangs = !n.agentHangs }},
+	}
+}
+
+// readRecords brings what a node believes up to date.
+func (s *modelState) readRecords(node *nodeView) { node.cancelled, node.stateAge = s.cancelled, 0 }
+
+// answer renews the agent's lease in a node's name. The agent drops an answer under a lower token.
+func (s *modelState) answer(node *nodeView, fencingToken int8) {
+	if fencingToken < s.fencingToken {
+		return
+	}
+	s.fencingToken, s.leaseAge = fencingToken, 0
+	if node.cancelled {
+		s.taskRuns = false
+	}
+	node.taskLeft = !s.taskRuns
+}
+
+// tick moves time on. An agent whose lease has expired ends its task and begins a new session.
+func (s *modelState) tick() {
+	for _, age := range []*int8{&s.nodeA.stateAge, &s.nodeB.stateAge, &s.sessionAge, &s.leaseAge} {
+		*age = min(*age+1, modelMaxAge)
+	}
+	if s.confirmedSince != modelNotConfirmed {
+		s.confirmedSince = min(s.confirmedSince+1, modelMaxAge)
+	}
+	if s.leaseAge > modelLease && !s.agentHangs {
+		s.taskRuns, s.fencingToken = false, modelNoToken
+	}
+}
+
+// violatedRule names the rule that a state breaks, empty if it breaks none.
 func (s modelState) violatedRule() string {
 	switch {
 	case s.confirmedSince > modelCancel && s.taskRuns:
@@ -116,27 +166,27 @@
 	return ""
 }
 
-// explore visits all states and gives their number and the first rule broken.
+// explore visits all states and gives their number and the first rule violated.
 func (p leasePolicy) explore() (states int, rule string) {
-	first := modelState{bound: true, taskRuns: true, fencingToken: 1, confirmedSince: -1}
+	first := modelState{bound: true, taskRuns: true, fencingToken: modelTokenA, confirmedSince: modelNotConfirmed}
 	seen := map[modelState]bool{first: true}
 	for queue := []modelState{first}; len(queue) > 0; queue = queue[1:] {
 		if rule = queue[0].violatedRule(); rule != "" {
 			return len(seen), rule
 		}
-		for _, n := range p.successors(queue[0]) {
-			if !seen[n] {
-				seen[n] = true
-				queue = append(queue, n)
+		for _, next := range p.successors(queue[0]) {
+			if !seen[next] {
+				seen[next] = true
+				queue = append(queue, next)
 			}
 		}
 	}
 	return len(seen), ""
 }
 
-// TestLeaseModel visits every state of the model under each way to renew and to tell.
-// What is planted must be found: renewing through a cut, or without a view, while
-// cancellations are told at once, and today's rule where a worker hangs and the cloud deletes nothing.
+// TestLeaseModel visits every state of the model under each way to renew leases and to confirm cancellations.
+// What is planted must be found: renewing on a stale cluster state, or without one, while cancellations are
+// confirmed at once, and the oldest policy where an agent hangs and the cloud deletes nothing.
 func TestLeaseModel(t *testing.T) {
 	for _, c := range []struct {
 		leasePolicy
@@ -149,7 +199,9 @@
 		{leasePolicy{renewOnStaleState: true, confirmedCancellation: true}, ""},
 		{leasePolicy{renewOnStaleState: true, confirmedCancellation: true, agentMayHang: true}, ""},
 		{leasePolicy{renewWithoutState: true}, "ran_cancelled"},
-		{leasePolicy{renewWithoutState: true, renewOnStaleState: true, confirmedCancellation: true, agentMayHang: true}, ""},
+		{leasePolicy{
+			renewOnStaleState: true, confirmedCancellation: true, agentMayHang: true, renewWithoutState: true,
+		}, ""},
 	} {
 		t.Run(fmt.Sprintf("%+v", c.leasePolicy), func(t *testing.T) {
 			states, rule := c.explore()
