--- /dev/null
+++ b/internal/failuredetector/peers.go
@@ -0,0 +1,99 @@
+package failuredetector
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"sableusher/internal/tuning"
+)
+
+// peerAnswer is what the peers said of a silent machine.
+type peerAnswer struct {
+	receivedAt time.Time
+	node       string // that has heard the machine; empty: none has
+}
+
+// peerKnowledge is what the peers said of silent machines, and when they were last asked.
+type peerKnowledge struct {
+	answers map[string]peerAnswer
+	askedAt time.Time
+}
+
+// RecordPeerAnswers takes in which node has heard which of the machines that were asked about.
+func (d *Detector) RecordPeerAnswers(now time.Time, asked []string, heardBy map[string]string) {
+	if d.peers.answers == nil {
+		d.peers.answers = map[string]peerAnswer{}
+	}
+	for _, name := range asked {
+		d.peers.answers[name] = peerAnswer{receivedAt: now, node: heardBy[name]}
+	}
+}
+
+// suspectNames gives the names of the machines that are silent, and of those that are probed: the answers about
+// them must be here by the time they are needed.
+func suspectNames(silent []*Machine, probed []string) map[string]bool {
+	names := make(map[string]bool, len(silent)+len(probed))
+	for _, machine := range silent {
+		names[machine.Name] = true
+	}
+	for _, name := range probed {
+		names[name] = true
+	}
+	return names
+}
+
+// forgetOld forgets the answers about machines that are not suspected any more, and those that are too old to
+// prove anything.
+func (p *peerKnowledge) forgetOld(now time.Time, suspects map[string]bool) {
+	maps.DeleteFunc(p.answers, func(name string, answer peerAnswer) bool {
+		return !suspects[name] || now.Sub(answer.receivedAt) > 2*tuning.AskEvery
+	})
+}
+
+// machinesToAskAbout gives the suspects in the order of their names if the peers are to be asked now.
+func (p *peerKnowledge) machinesToAskAbout(now time.Time, suspects map[string]bool) []string {
+	if len(suspects) == 0 || now.Sub(p.askedAt) < tuning.AskEvery {
+		return nil
+	}
+	p.askedAt = now
+	return slices.Sorted(maps.Keys(suspects))
+}
+
+// heardByNone tells whether the peers were asked about a machine and none has heard it.
+func (p *peerKnowledge) heardByNone(name string) bool {
+	answer, ok := p.answers[name]
+	return ok && answer.node == ""
+}
+
+// shardTransfers gives the shards of which one other node hears more than half of the machines that are up, and
+// that node.
+func (p *peerKnowledge) shardTransfers(machines []Machine) map[int]string {
+	up := map[int]int{}
+	heardBy := map[int]map[string]int{}
+	for i := range machines {
+		machine := &machines[i]
+		if machine.Up {
+			up[machine.Shard]++
+		}
+		if node := p.answers[machine.Name].node; node != "" {
+			if heardBy[machine.Shard] == nil {
+				heardBy[machine.Shard] = map[string]int{}
+			}
+			heardBy[machine.Shard][node]++
+		}
+	}
+	var transfers map[int]string
+	for shard, nodes := range heardBy {
+		for node, heard := range nodes {
+			if 2*heard <= up[shard] {
+				continue
+			}
+			if transfers == nil {
+				transfers = map[int]string{}
+			}
+			transfers[shard] = node
+		}
+	}
+	return transfers
+}
