--- /dev/null
+++ b/internal/failuredetector/fixture_test.go
@@ -0,0 +1,110 @@
+package failuredetector
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"sableusher/internal/evacuation"
+	"sableusher/internal/testrand"
+)
+
+func TestMain(m *testing.M) { testrand.Main(m) }
+
+var (
+	testTiming = Timing{HeartbeatInterval: 6 * time.Second, LeaseDuration: 31 * time.Second}
+	testStart  = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+)
+
+// cutZone is the zone that falls silent in most tests.
+const cutZone = "zone-0"
+
+// atSecond is the time of a second of a test.
+func atSecond(second int) time.Time { return testStart.Add(time.Duration(second) * time.Second) }
+
+// tasksOf gives the tasks of a machine: a service of two replicas if it can move, else an array's.
+func tasksOf(machine *Machine) []evacuation.Task {
+	if machine.ServiceMovable {
+		return []evacuation.Task{{JobID: "service of " + machine.Name, Kind: evacuation.Service, PlacedReplicas: 2}}
+	}
+	return make([]evacuation.Task, machine.BoundTasks)
+}
+
+// testSite is a node's machines, as a test moves them on: those that are not silent send a heartbeat within every
+// interval.
+type testSite struct {
+	detector     Detector
+	machines     []Machine
+	silent       map[string]bool
+	heardByPeers map[string]string // machines that another node hears, and that node
+	deletedAt    map[string]time.Time
+}
+
+// newTestSite makes machines with up to four tasks in turn over the zones.
+func newTestSite(zones, machinesPerZone int) *testSite {
+	s := &testSite{
+		detector: Detector{Timing: testTiming},
+		silent:   map[string]bool{}, heardByPeers: map[string]string{}, deletedAt: map[string]time.Time{},
+	}
+	for i := range zones * machinesPerZone {
+		s.machines = append(s.machines, Machine{
+			Name: fmt.Sprintf("vm-%04d", i), Zone: fmt.Sprint("zone-", i%zones),
+			Up: true, BoundTasks: i % 5, OwnedSince: testStart,
+		})
+	}
+	return s
+}
+
+// step is one assessment, a second after the one before.
+func (s *testSite) step(now time.Time) Assessment {
+	s.sendHeartbeats(now)
+	assessment := s.detector.Assess(now, s.machines, tasksOf)
+	for i := range s.machines {
+		machine := &s.machines[i]
+		if !slices.Contains(assessment.ProbeMachines, machine.Name) {
+			continue
+		}
+		if machine.CommandUnanswered = s.silent[machine.Name]; !machine.CommandUnanswered {
+			machine.LastHeard = now
+		}
+	}
+	if len(assessment.AskPeersAbout) > 0 {
+		s.detector.RecordPeerAnswers(now, assessment.AskPeersAbout, s.heardByPeers)
+	}
+	for _, deletion := range assessment.Deletions {
+		s.deletedAt[deletion.Machine] = now
+		s.machines = slices.DeleteFunc(s.machines, func(m Machine) bool { return m.Name == deletion.Machine })
+	}
+	return assessment
+}
+
+// sendHeartbeats lets each machine be heard at a second of its own within the interval.
+func (s *testSite) sendHeartbeats(now time.Time) {
+	interval := int(testTiming.HeartbeatInterval / time.Second)
+	second := int(now.Sub(testStart) / time.Second)
+	for i := range s.machines {
+		machine := &s.machines[i]
+		if !s.silent[machine.Name] && (second+i)%interval == 0 {
+			machine.LastHeard, machine.CommandUnanswered = now, false
+		}
+	}
+}
+
+// run makes the steps of the seconds from one on, up to another.
+func (s *testSite) run(from, to int) {
+	for second := from; second < to; second++ {
+		s.step(atSecond(second))
+	}
+}
+
+// inCutZone gives the machines of the zone that falls silent.
+func (s *testSite) inCutZone() []*Machine {
+	var out []*Machine
+	for i := range s.machines {
+		if s.machines[i].Zone == cutZone {
+			out = append(out, &s.machines[i])
+		}
+	}
+	return out
+}
--- /dev/null
+++ b/internal/failuredetector/zones_test.go
@@ -0,0 +1,166 @@
+package failuredetector
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"sableusher/internal/zonehealth"
+)
+
+// TestCutZoneKeepsItsMachines: while the leases in it last nothing of a zone that falls silent is given up,
+// whenever that happens and for however long; once it is heard again what is left is kept; and the other zones'
+// dead are given up meanwhile.
+func TestCutZoneKeepsItsMachines(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		zones := rapid.IntRange(2, 4).Draw(t, "zones")
+		s := newTestSite(zones, rapid.IntRange(8, 60).Draw(t, "each"))
+		from := rapid.IntRange(12, 30).Draw(t, "from")
+		length := rapid.IntRange(5, 90).Draw(t, "length")
+		s.run(0, from)
+		for _, machine := range s.inCutZone() {
+			s.silent[machine.Name] = true
+		}
+		dead := s.machines[1].Name // of another zone
+		s.silent[dead] = true
+		s.run(from, from+length)
+		for _, machine := range s.inCutZone() {
+			delete(s.silent, machine.Name)
+		}
+		s.run(from+length, from+length+30)
+		begin := atSecond(from)
+		// It is over for this node once the first of its machines have been heard again.
+		over := begin.Add(time.Duration(length)*time.Second + testTiming.HeartbeatInterval)
+		leaseLasts := testTiming.LeaseDuration - testTiming.HeartbeatInterval - time.Second
+		for name, at := range s.deletedAt {
+			if name != dead && (at.Sub(begin) < leaseLasts || at.After(over)) {
+				t.Fatalf("%s deleted %v after the partition began", name, at.Sub(begin))
+			}
+		}
+		if at, ok := s.deletedAt[dead]; !ok || at.Sub(testStart) > time.Duration(from+25)*time.Second {
+			t.Fatalf("the dead machine of a zone that is heard is there yet, or went late: %v", at)
+		}
+		if unavailable := s.detector.UnavailableZones(); len(unavailable) > 0 {
+			t.Fatalf("%v still count as cut off", unavailable)
+		}
+	})
+}
+
+// TestCutZoneIsEvacuatedAfterLeases: past their leases, machines with tasks are given up, services that can move
+// first and earlier, empty ones only after minutes.
+func TestCutZoneIsEvacuatedAfterLeases(t *testing.T) {
+	s := newTestSite(2, 30)
+	for i := range s.machines {
+		if machine := &s.machines[i]; machine.Zone == cutZone {
+			s.silent[machine.Name] = true
+			machine.ServiceMovable = machine.BoundTasks > 0 && i%3 == 0
+		}
+	}
+	machines := slices.Clone(s.machines)
+	s.run(0, 110)
+	var movable, others []time.Time
+	for _, machine := range machines {
+		at, ok := s.deletedAt[machine.Name]
+		if want := machine.Zone == cutZone && machine.BoundTasks > 0; ok != want {
+			t.Errorf("%s in %s with %d tasks: deleted %v", machine.Name, machine.Zone, machine.BoundTasks, ok)
+		}
+		if ok && machine.ServiceMovable {
+			movable = append(movable, at)
+		} else if ok {
+			others = append(others, at)
+		}
+	}
+	if len(movable) == 0 ||
+		slices.MaxFunc(movable, time.Time.Compare).After(slices.MinFunc(others, time.Time.Compare)) {
+		t.Errorf("services' machines went at %v, others at %v", movable, others)
+	}
+	s.run(110, 300)
+	if len(s.inCutZone()) > 0 {
+		t.Error("a zone that is never heard again is paid for ever")
+	}
+}
+
+// TestZoneWithControllerIsKeptLonger: what a controller inside keeps alive is given up only after minutes,
+// services that could start elsewhere as well; without one they go one after the other from a share of the lease
+// on, all by its end.
+func TestZoneWithControllerIsKeptLonger(t *testing.T) {
+	for _, controllerInZone := range []bool{false, true} {
+		s := newTestSite(2, 30)
+		s.run(0, 20)
+		var names []string
+		for _, machine := range s.inCutZone() {
+			machine.ControllerInZone, machine.BoundTasks, machine.ServiceMovable = controllerInZone, 1, true
+			s.silent[machine.Name] = true
+			names = append(names, machine.Name)
+		}
+		s.run(20, 20+int(testTiming.LeaseDuration/time.Second)+10)
+		deletions := map[time.Duration]int{} // by second of the test
+		for _, name := range names {
+			if at, ok := s.deletedAt[name]; ok {
+				deletions[at.Sub(testStart)/time.Second]++
+			}
+		}
+		if controllerInZone && len(deletions) > 0 {
+			t.Errorf("deleted though a controller stands in the zone: %v", deletions)
+		}
+		for second, count := range deletions {
+			if count > len(names)/5 {
+				t.Errorf("%d of %d go at once, %d s into the partition", count, len(names), second-20)
+			}
+		}
+		if !controllerInZone && len(s.deletedAt) < len(names) {
+			t.Errorf("%d of %d are deleted by the lease's end", len(s.deletedAt), len(names))
+		}
+	}
+}
+
+// TestZoneReturnIsReportedOnce: when a zone serves again each of its machines counts once, as one that worked on,
+// restarted, was given up or came meanwhile, however often it was cut off.
+func TestZoneReturnIsReportedOnce(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := newTestSite(2, rapid.IntRange(8, 40).Draw(t, "each"))
+		s.run(0, 20)
+		before := len(s.inCutZone())
+		second := 20
+		for range rapid.IntRange(1, 2).Draw(t, "partitions") {
+			for _, machine := range s.inCutZone() {
+				s.silent[machine.Name] = true
+			}
+			s.run(second, second+20)
+			second += 20
+			clear(s.silent)
+			s.run(second, second+1)
+			second++
+		}
+		restarted := 0
+		for _, machine := range s.inCutZone() {
+			if rapid.Bool().Draw(t, "restarts") {
+				machine.Session++
+				restarted++
+			}
+		}
+		left := len(s.inCutZone())
+		added := rapid.IntRange(0, 5).Draw(t, "added")
+		for i := range added {
+			at := atSecond(second)
+			s.machines = append(s.machines, Machine{
+				Name: fmt.Sprint("new-", i), Zone: cutZone, Up: true, Session: 1, OwnedSince: at, LastHeard: at,
+			})
+		}
+		var returns []zonehealth.ReturnSummary
+		for ; second < 600; second++ {
+			if summary, ok := s.step(atSecond(second)).ZoneReturns[cutZone]; ok {
+				returns = append(returns, summary)
+			}
+		}
+		want := zonehealth.ReturnSummary{
+			Continued: left - restarted, Restarted: restarted, Deleted: before - left, Added: added,
+		}
+		if len(returns) != 1 || returns[0] != want {
+			t.Fatalf("reported %v, want %v once", returns, want)
+		}
+	})
+}
