--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -256,7 +256,7 @@
 func (c *cycle) pruneState() {
 	c.updateNeedPerGPU()
 	c.updateCommonTask()
-	maps.DeleteFunc(c.rejectedUntil, func(_ string, until time.Time) bool { return c.now.After(until) })
+	c.changes.pruneRejected(c.now)
 	isOver := func(id string) bool { return c.cluster.Jobs[id] == nil }
 	maps.DeleteFunc(c.cachedValues, func(id string, _ cachedValue) bool { return isOver(id) })
 	maps.DeleteFunc(c.jobBackoffs, func(id string, _ jobBackoff) bool { return isOver(id) })
@@ -731,7 +731,7 @@
 	for i := start; i < end && len(picks) > 0 && examined < tuning.JobSlice; i++ {
 		record := job.ChunkOf(i)
 		lo, hi := job.TaskRange(record)
-		if i == lo && (job.ChunkFullyAssigned(record) || c.keysInFlight[job.ChunkKey(record)]) {
+		if i == lo && (job.ChunkFullyAssigned(record) || c.changes.inFlight(job.ChunkKey(record))) {
 			i = hi - 1 // nothing waits in this record, or it can't be changed now
 			continue
 		}
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -21,7 +21,7 @@
 	for id := range c.cluster.DependencyCancelled() {
 		job := c.cluster.Jobs[id]
 		key := clusterstate.JobKey(id)
-		if job == nil || c.keysInFlight[key] || cancelled >= tuning.DoomRound {
+		if job == nil || c.changes.inFlight(key) || cancelled >= tuning.DoomRound {
 			continue
 		}
 		if _, owned := c.fencingTokens[c.firstLiveShard(job)]; !owned && c.now.Sub(job.DependencyCancelledAt) < tuning.DoomPatience {
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -39,9 +39,7 @@
 
 	mu                  sync.Mutex
 	ctx                 context.Context
-	keysInFlight        map[string]bool // records with a change on its way
-	inFlightChanges     map[uint64]*recordChange
-	nextChangeID        uint64
+	changes             changeTracker
 	jobBackoffs         map[string]jobBackoff
 	ownerWaits          map[string]ownerWait // jobs that wait though room was seen for them elsewhere
 	machinesToReconcile map[string]struct{}  // machines whose tasks' fate is to be looked at
@@ -88,7 +86,6 @@
 	needPerGPU             clusterstate.Resources // what GPU work takes beside each GPU
 	commonNeed             clusterstate.Resources // what a task of the work that asks for most cores takes
 	commonNeedAt           time.Time              // when it last did
-	rejectedUntil          map[string]time.Time   // records that were refused as malformed, until they are tried again
 	jobsToMigrate          map[string]bool        // jobs whose records are to be moved before they are written
 	lastMigration          time.Time              // when records that nothing asked for were last moved
 }
@@ -120,9 +117,9 @@
 func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *agent.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
-		keysInFlight: map[string]bool{}, inFlightChanges: map[uint64]*recordChange{}, jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
+		changes: newChangeTracker(), jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
 		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: map[string]reservation{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: map[string]bool{}, tombstones: map[string]time.Time{},
-		nextReorder: map[string]time.Time{}, jobsToMigrate: map[string]bool{}, rejectedUntil: map[string]time.Time{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
+		nextReorder: map[string]time.Time{}, jobsToMigrate: map[string]bool{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
 		learning: learning{
 			learner:  learner.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
@@ -254,12 +251,7 @@
 	}
 	e.cluster.RUnlock()
 	for _, change := range c.outgoing {
-		id := e.nextChangeID
-		e.nextChangeID++
-		e.inFlightChanges[id] = change
-		for _, key := range change.keys {
-			e.keysInFlight[key] = true
-		}
+		id := e.changes.start(change)
 		wg.Go(func() { e.commitChange(id, change) })
 	}
 }
@@ -279,14 +271,9 @@
 		}
 	}
 	e.mu.Lock()
-	delete(e.inFlightChanges, id)
-	for _, key := range change.keys {
-		delete(e.keysInFlight, key)
-		if errors.Is(err, kvstore.ErrRejected) {
-			// Not applied, and it would not be now either: at each round anew it would
-			// only take the budget from others.
-			e.rejectedUntil[key] = time.Now().Add(tuning.RefusedPause)
-		}
+	e.changes.finish(id)
+	if errors.Is(err, kvstore.ErrRejected) {
+		e.changes.reject(change, time.Now().Add(tuning.RefusedPause))
 	}
 	e.mu.Unlock()
 	if err != nil {
@@ -331,10 +318,8 @@
 		}
 	}
 	bindingTargets := map[string]bool{}
-	for _, change := range e.inFlightChanges {
-		for _, binding := range change.bindings {
-			bindingTargets[binding.machine] = true
-		}
+	for binding := range e.changes.bindings() {
+		bindingTargets[binding.machine] = true
 	}
 	for name, machine := range e.cluster.Machines {
 		switch {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -28,7 +28,7 @@
 		}
 	}
 	queued.Remaining = len(idle)
-	if c.keysInFlight[clusterstate.JobKey(spec.ID)] || c.needsMigration(job) || forming && slices.ContainsFunc(idle, func(i int) bool { return c.taskState(job, i).Attempt >= attempt }) {
+	if c.changes.inFlight(clusterstate.JobKey(spec.ID)) || c.needsMigration(job) || forming && slices.ContainsFunc(idle, func(i int) bool { return c.taskState(job, i).Attempt >= attempt }) {
 		c.logWaiting(job, "its last attempt has not left yet, or a change is on its way", nil)
 		queued.Remaining = 0
 		return
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -84,7 +84,7 @@
 		if c.releaseBlocked || deleted {
 			c.machinesToReconcile[name] = struct{}{}
 		}
-		if deleted && len(machine.Bindings) == 0 && machine.ModRevision != 0 && !c.cluster.ListedInRental(name) && !c.keysInFlight[clusterstate.MachineKey(name)] {
+		if deleted && len(machine.Bindings) == 0 && machine.ModRevision != 0 && !c.cluster.ListedInRental(name) && !c.changes.inFlight(clusterstate.MachineKey(name)) {
 			c.outgoing = append(c.outgoing, &recordChange{
 				description: "forget machine " + name, keys: []string{clusterstate.MachineKey(name)}, shards: []int{machine.Shard},
 				transaction: kvstore.Transaction{
@@ -199,7 +199,7 @@
 	}
 	for id, job := range c.cluster.Jobs {
 		key := clusterstate.JobKey(id)
-		if c.keysInFlight[key] {
+		if c.changes.inFlight(key) {
 			continue
 		}
 		if job.Spec.Kind == wire.KindGang && job.DoneCount > 0 && job.BoundCount == 0 && job.HasRecord && !job.Complete() && !job.Cancelled() {
@@ -252,7 +252,7 @@
 		shard := clusterstate.ShardOf(name, c.cluster.ShardCount)
 		key := clusterstate.MachineKey(name)
 		machine := c.cluster.Machines[name]
-		if _, owned := c.shardRevisions[shard]; !owned || c.keysInFlight[key] || machine != nil && machine.Deleting {
+		if _, owned := c.shardRevisions[shard]; !owned || c.changes.inFlight(key) || machine != nil && machine.Deleting {
 			continue
 		}
 		// A report that a cut has held back may come long after its machine was deleted:
@@ -310,10 +310,10 @@
 // gang's saves must begin.
 func (c *cycle) requestGangStop(binding clusterstate.Binding, machine *clusterstate.Machine) {
 	key := clusterstate.JobKey(binding.Ref.Job)
-	if binding.Job.PreemptedAttempt == binding.Attempt || c.keysInFlight[key] || c.recordEdits[recordKey{binding.Job, 0}] != nil || c.needsMigration(binding.Job) {
+	if binding.Job.PreemptedAttempt == binding.Attempt || c.changes.inFlight(key) || c.recordEdits[recordKey{binding.Job, 0}] != nil || c.needsMigration(binding.Job) {
 		return
 	}
-	c.keysInFlight[key] = true
+	c.changes.reserveKey(key)
 	marked := *binding.Job
 	marked.PreemptedAttempt = binding.Attempt
 	op := marked.EncodeChunk(0, nil)
--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -83,10 +83,8 @@
 			delete(e.shardOwnedSince, shard)
 		}
 	}
-	for _, change := range e.inFlightChanges {
-		for _, binding := range change.bindings {
-			c.addInFlight(binding)
-		}
+	for binding := range e.changes.bindings() {
+		c.addInFlight(binding)
 	}
 	return c
 }
@@ -106,7 +104,9 @@
 // way, or while it has to be moved first.
 func (c *cycle) editRecord(job *clusterstate.Job, taskIndex int) *recordEdit {
 	recordIndex := job.ChunkOf(taskIndex)
-	if _, ok := c.rejectedUntil[job.ChunkKey(recordIndex)]; ok || c.keysInFlight[job.ChunkKey(recordIndex)] || recordIndex > 0 && c.keysInFlight[job.ChunkKey(0)] && job.Spec.SameZone || c.needsMigration(job) {
+	key := job.ChunkKey(recordIndex)
+	if c.changes.rejected(key) || c.changes.inFlight(key) ||
+		recordIndex > 0 && c.changes.inFlight(job.ChunkKey(0)) && job.Spec.SameZone || c.needsMigration(job) {
 		return nil
 	}
 	edit := c.recordEdits[recordKey{job, recordIndex}]
--- a/internal/scheduler/recordmigration.go
+++ b/internal/scheduler/recordmigration.go
@@ -24,11 +24,11 @@
 	migrate := func(id string) {
 		delete(c.jobsToMigrate, id)
 		job := c.cluster.Jobs[id]
-		if job == nil || !job.HasRecord || !job.NeedsMigration(layout) || c.keysInFlight[clusterstate.JobKey(id)] || migrated >= tuning.MoveRound {
+		if job == nil || !job.HasRecord || !job.NeedsMigration(layout) || c.changes.inFlight(clusterstate.JobKey(id)) || migrated >= tuning.MoveRound {
 			return
 		}
 		for recordIndex := range job.Chunks {
-			if edit := c.recordEdits[recordKey{job, recordIndex}]; edit != nil && len(edit.tasks) > 0 || c.keysInFlight[job.ChunkKey(recordIndex)] {
+			if edit := c.recordEdits[recordKey{job, recordIndex}]; edit != nil && len(edit.tasks) > 0 || c.changes.inFlight(job.ChunkKey(recordIndex)) {
 				return
 			}
 		}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -535,7 +535,7 @@
 			return nil, req.Context().Err()
 		}
 		f.engine.mu.Lock()
-		if f.fenced = true; !f.engine.keysInFlight[clusterstate.JobKey("run-1")] || len(f.engine.inFlightChanges) == 0 {
+		if f.fenced = true; !f.engine.changes.inFlight(clusterstate.JobKey("run-1")) || len(f.engine.changes.changes) == 0 {
 			f.releasedEarly = true
 		}
 		f.engine.mu.Unlock()
@@ -564,11 +564,11 @@
 			bindings:    []pendingBinding{{clusterstate.TaskRef{Job: "run-1"}, name, shard, "t", clusterstate.Resources{GPUs: 1}}},
 			transaction: kvstore.Transaction{Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard)}}, Ops: []wire.Op{kvstore.PutOp(clusterstate.JobKey("run-1"), 1)}}}
 		engine.mu.Lock()
-		engine.keysInFlight[change.keys[0]], engine.inFlightChanges[0] = true, change
+		id := engine.changes.start(change)
 		engine.mu.Unlock()
 		done := make(chan struct{})
 		go func() {
-			engine.commitChange(0, change)
+			engine.commitChange(id, change)
 			close(done)
 		}()
 		time.Sleep(20 * time.Second)
