--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -265,7 +265,7 @@
 	maps.DeleteFunc(c.lastLoggedReason, func(id string, _ time.Time) bool { return isOver(id) })
 	maps.DeleteFunc(c.gangFormingSince, func(id string, _ time.Time) bool { return isOver(id) })
 	maps.DeleteFunc(c.tombstones, func(_ string, at time.Time) bool { return c.now.Sub(at) > tuning.BuriedFor })
-	maps.DeleteFunc(c.reservations, func(_ string, reservation reservation) bool { return c.now.After(reservation.expiresAt) })
+	c.reservations.prune(c.now)
 }
 
 // predictedRunTime is how long a task of a job is expected to run.
@@ -800,7 +800,7 @@
 	delete(c.ownerWaits, job.Spec.ID)
 	delete(c.unplacedSince, job.Spec.ID)
 	if candidate.ReservedFor == job.Spec.ID {
-		delete(c.reservations, candidate.Machine.Name)
+		c.reservations.release(candidate.Machine.Name)
 		c.inventory.ReserveFor(candidate.Machine.Name, "")
 	}
 	c.log.Debug("task placed", "task", ref, "attempt", attempt, "machine", candidate.Machine.Name, "image", c.inventory.HasImage(job.Spec.Image, candidate))
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -45,11 +45,11 @@
 	machinesToReconcile map[string]struct{}  // machines whose tasks' fate is to be looked at
 	lastSweep           time.Time            // when all machines were last looked at
 	gangFormingSince    map[string]time.Time
-	lastLoggedReason    map[string]time.Time   // when the log last said why a job waits
-	reservations        map[string]reservation // machines on which room is being freed
-	shardOwnedSince     map[int]time.Time      // since when a part is ours
-	deletedMachines     map[string]bool        // machines whose deletion the cloud has confirmed
-	tombstones          map[string]time.Time   // the same, for long after their records are gone
+	lastLoggedReason    map[string]time.Time // when the log last said why a job waits
+	reservations        reservationTable
+	shardOwnedSince     map[int]time.Time    // since when a part is ours
+	deletedMachines     map[string]bool      // machines whose deletion the cloud has confirmed
+	tombstones          map[string]time.Time // the same, for long after their records are gone
 	failureDetector     failuredetector.Detector
 	lastFenced          map[int]time.Time
 	lastArrayPlacement  time.Time // when arrays were last given room
@@ -108,17 +108,12 @@
 	delay time.Duration
 }
 
-type reservation struct {
-	task      clusterstate.TaskRef
-	expiresAt time.Time
-}
-
 // New makes an engine.
 func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *agent.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
 		changes: newChangeTracker(), jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
-		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: map[string]reservation{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: map[string]bool{}, tombstones: map[string]time.Time{},
+		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: map[string]bool{}, tombstones: map[string]time.Time{},
 		nextReorder: map[string]time.Time{}, jobsToMigrate: map[string]bool{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
 		learning: learning{
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -19,10 +19,8 @@
 	for name, amount := range c.inFlightByMachine {
 		inventory.ConsumeByName(name, amount)
 	}
-	for name, reservation := range c.reservations {
-		if !c.now.After(reservation.expiresAt) {
-			inventory.ReserveFor(name, reservation.task.Job)
-		}
+	for name, task := range c.reservations.active(c.now) {
+		inventory.ReserveFor(name, task.Job)
 	}
 	if c.now.Sub(inventory.HintsUpdatedAt(true)) >= tuning.HoldersLife {
 		inventory.SetImageHints(true, c.now, func(yield func(image, name string) bool) {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -63,8 +63,8 @@
 
 // countReservedZones counts with a job's tasks the machines on which room is being freed for it.
 func (c *cycle) countReservedZones(jobID string, zones *binpack.ZoneConstraint) {
-	for name, reservation := range c.reservations {
-		if machine := c.cluster.Machines[name]; machine != nil && reservation.task.Job == jobID && !c.now.After(reservation.expiresAt) {
+	for name, task := range c.reservations.active(c.now) {
+		if machine := c.cluster.Machines[name]; machine != nil && task.Job == jobID {
 			zones.TasksByZone[machine.Zone]++
 		}
 	}
@@ -86,7 +86,7 @@
 func (c *cycle) preemptTasks(candidate *binpack.MachineInfo, queued *queuedJob, task clusterstate.TaskRef, victims []preemption.Victim) {
 	c.machinesPreempted++
 	c.inventory.ReserveAll(candidate, task.Job)
-	c.reservations[candidate.Machine.Name] = reservation{task, c.now.Add(tuning.PreemptHold)}
+	c.reservations.reserve(candidate.Machine.Name, task, c.now.Add(tuning.PreemptHold))
 	c.tasksAwaitingPreemption[task] = true
 	for _, victim := range victims {
 		grace := 0.0
--- /dev/null
+++ b/internal/scheduler/reservations.go
@@ -0,0 +1,43 @@
+package scheduler
+
+import (
+	"iter"
+	"maps"
+	"time"
+
+	"sableusher/internal/clusterstate"
+)
+
+// reservation keeps a machine for a task while other tasks are stopped there for it.
+type reservation struct {
+	task      clusterstate.TaskRef
+	expiresAt time.Time
+}
+
+// reservationTable holds at most one reservation per machine, by the machine's name.
+type reservationTable map[string]reservation
+
+// reserve keeps a machine for a task until a time.
+func (t reservationTable) reserve(machine string, task clusterstate.TaskRef, expiresAt time.Time) {
+	t[machine] = reservation{task: task, expiresAt: expiresAt}
+}
+
+// release ends a machine's reservation.
+func (t reservationTable) release(machine string) { delete(t, machine) }
+
+// active yields the machines whose reservation has not expired, with the task that each is kept for, in no
+// particular order.
+func (t reservationTable) active(now time.Time) iter.Seq2[string, clusterstate.TaskRef] {
+	return func(yield func(string, clusterstate.TaskRef) bool) {
+		for machine, reservation := range t {
+			if !now.After(reservation.expiresAt) && !yield(machine, reservation.task) {
+				return
+			}
+		}
+	}
+}
+
+// prune drops the reservations that have expired.
+func (t reservationTable) prune(now time.Time) {
+	maps.DeleteFunc(t, func(_ string, reservation reservation) bool { return now.After(reservation.expiresAt) })
+}
