--- a/internal/agent/task.go
+++ b/internal/agent/task.go
@@ -53,9 +53,9 @@
 // TaskObservation is what the newest report of a machine says of a task bound to it.
 type TaskObservation struct {
 	Presence TaskPresence
-	State    string // as the agent reported it, for instance wire.TaskRunning; empty if it did not
-	Cause    string // of an exit, for instance wire.ExitCauseDone
-	Saved    bool   // its checkpoint was saved before it exited
+	State    wire.TaskState // as the agent reported it; empty if it did not
+	Cause    wire.ExitCause // of an exit
+	Saved    bool           // its checkpoint was saved before it exited
 	Since    time.Time
 }
 
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -256,7 +256,7 @@
 func (c *cycle) pruneState() {
 	c.updateNeedPerGPU()
 	c.updateCommonTask()
-	maps.DeleteFunc(c.rejectedUntil, func(_ string, until time.Time) bool { return c.now.After(until) })
+	c.changes.pruneRejected(c.now)
 	isOver := func(id string) bool { return c.cluster.Jobs[id] == nil }
 	maps.DeleteFunc(c.cachedValues, func(id string, _ cachedValue) bool { return isOver(id) })
 	maps.DeleteFunc(c.jobBackoffs, func(id string, _ jobBackoff) bool { return isOver(id) })
@@ -265,7 +265,7 @@
 	maps.DeleteFunc(c.lastLoggedReason, func(id string, _ time.Time) bool { return isOver(id) })
 	maps.DeleteFunc(c.gangFormingSince, func(id string, _ time.Time) bool { return isOver(id) })
 	maps.DeleteFunc(c.tombstones, func(_ string, at time.Time) bool { return c.now.Sub(at) > tuning.BuriedFor })
-	maps.DeleteFunc(c.reservations, func(_ string, reservation reservation) bool { return c.now.After(reservation.expiresAt) })
+	c.reservations.prune(c.now)
 }
 
 // predictedRunTime is how long a task of a job is expected to run.
@@ -424,7 +424,7 @@
 			// Of work that is in no hurry, first comes what finds its image where
 			// there is room: to fetch it would take the machine's time.
 			for i := range queue[:count] {
-				if queued := &queue[i]; queued.rank > wire.PriorityRank(wire.PriorityHigh) && !queued.nearDeadline && !queued.key.MissesObjectives {
+				if queued := &queue[i]; queued.rank > wire.PriorityHigh.Rank() && !queued.nearDeadline && !queued.key.MissesObjectives {
 					c.placeInHomeShard(queued, inventory, true)
 				}
 			}
@@ -438,7 +438,8 @@
 		}
 	}
 	if c.collectsDemand {
-		demand.SpareOnDemand, demand.SpareSpot, demand.IdleMachines = inventory.Spare()
+		spare := inventory.Spare()
+		demand.SpareOnDemand, demand.SpareSpot, demand.IdleMachines = spare.OnDemand, spare.Spot, spare.IdleMachines
 		c.demand = demand
 	}
 }
@@ -468,7 +469,7 @@
 	if c.failingJobs[spec.ID] || paused > 0 && spec.Kind == wire.KindGang {
 		queued.Remaining = 0 // all or none
 	}
-	queued.deferred = c.storeSaturated && queued.rank > wire.PriorityRank(wire.PriorityHigh)
+	queued.deferred = c.storeSaturated && queued.rank > wire.PriorityHigh.Rank()
 	if limit, ok := c.quota.Limit(spec.Team); ok {
 		open := limit.AddTimes(usage[spec.Team], -1)
 		open.MemoryGB = tuning.MaxAmount * tuning.MaxTasks
@@ -603,7 +604,7 @@
 	isGang := spec.Kind == wire.KindGang
 	if !isGang {
 		if picks := inventory.Allocate(&queued.Request, candidates, &zones, func(candidate *binpack.MachineInfo) bool { return candidate.Machine.Shard != queued.homeShard }); len(picks) > 0 &&
-			(queued.rank <= wire.PriorityRank(wire.PriorityHigh) || c.homeOwnerTimedOut(queued)) {
+			(queued.rank <= wire.PriorityHigh.Rank() || c.homeOwnerTimedOut(queued)) {
 			c.bindToOwnMachines(queued, record, picks)
 		}
 	} else {
@@ -630,7 +631,7 @@
 		}
 		demand.Groups = append(demand.Groups, UnplacedGroup{Spec: spec, Count: queued.Remaining, Zone: zones.PinnedZone, Rank: queued.rank, SubmittedAt: job.ReadySince()})
 	}
-	if (queued.withinGuarantee || queued.rank <= wire.PriorityRank(wire.PriorityHigh)) && (!isGang || spec.TaskCount == 1) {
+	if (queued.withinGuarantee || queued.rank <= wire.PriorityHigh.Rank()) && (!isGang || spec.TaskCount == 1) {
 		// What stands on machines coming up in the play takes no zone from what is stopped for it
 		// meanwhile: services that are spread once waited for boots in the midst of arrays.
 		c.countReservedZones(spec.ID, &preemptZones)
@@ -661,17 +662,18 @@
 		if best < 0 {
 			best = first
 		}
-		_, _, anywhere := inventory.FindShard(&queued.Request, false, best)
-		return best, anywhere
+		fit := inventory.FindShard(&queued.Request, binpack.ShardSearch{First: best})
+		return best, fit.FitsAny
 	}
 	if best >= 0 {
 		return best, true
 	}
-	if shard, ok, _ := inventory.FindShard(&queued.Request, true, first); ok {
-		return shard, true
+	withImage := inventory.FindShard(&queued.Request, binpack.ShardSearch{First: first, OnlyWithImage: true})
+	if withImage.FitsAll {
+		return withImage.Shard, true
 	}
-	shard, _, anywhere := inventory.FindShard(&queued.Request, false, first)
-	return shard, anywhere
+	fit := inventory.FindShard(&queued.Request, binpack.ShardSearch{First: first})
+	return fit.Shard, fit.FitsAny
 }
 
 // isArrayUnderShortage tells whether a job is an array of a priority whose waiting arrays can't all be in time.
@@ -731,7 +733,7 @@
 	for i := start; i < end && len(picks) > 0 && examined < tuning.JobSlice; i++ {
 		record := job.ChunkOf(i)
 		lo, hi := job.TaskRange(record)
-		if i == lo && (job.ChunkFullyAssigned(record) || c.keysInFlight[job.ChunkKey(record)]) {
+		if i == lo && (job.ChunkFullyAssigned(record) || c.changes.inFlight(job.ChunkKey(record))) {
 			i = hi - 1 // nothing waits in this record, or it can't be changed now
 			continue
 		}
@@ -800,7 +802,7 @@
 	delete(c.ownerWaits, job.Spec.ID)
 	delete(c.unplacedSince, job.Spec.ID)
 	if candidate.ReservedFor == job.Spec.ID {
-		delete(c.reservations, candidate.Machine.Name)
+		c.reservations.release(candidate.Machine.Name)
 		c.inventory.ReserveFor(candidate.Machine.Name, "")
 	}
 	c.log.Debug("task placed", "task", ref, "attempt", attempt, "machine", candidate.Machine.Name, "image", c.inventory.HasImage(job.Spec.Image, candidate))
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -19,13 +19,11 @@
 	for name, amount := range c.inFlightByMachine {
 		inventory.ConsumeByName(name, amount)
 	}
-	for name, reservation := range c.reservations {
-		if !c.now.After(reservation.expiresAt) {
-			inventory.ReserveFor(name, reservation.task.Job)
-		}
+	for name, task := range c.reservations.active(c.now) {
+		inventory.ReserveFor(name, task.Job)
 	}
-	if c.now.Sub(inventory.HintsUpdatedAt(true)) >= tuning.HoldersLife {
-		inventory.SetImageHints(true, c.now, func(yield func(image, name string) bool) {
+	if c.now.Sub(inventory.HintsUpdatedAt(binpack.OwnMachines)) >= tuning.HoldersLife {
+		inventory.SetImageHints(binpack.OwnMachines, c.now, func(yield func(image, name string) bool) {
 			for image, names := range c.agents.MachinesByImage() {
 				for _, name := range names {
 					if !yield(image, name) {
@@ -35,8 +33,8 @@
 			}
 		})
 	}
-	if inventory.HintsUpdatedAt(false) != c.remoteImagesAt {
-		inventory.SetImageHints(false, c.remoteImagesAt, func(yield func(image, name string) bool) {
+	if inventory.HintsUpdatedAt(binpack.OtherMachines) != c.remoteImagesAt {
+		inventory.SetImageHints(binpack.OtherMachines, c.remoteImagesAt, func(yield func(image, name string) bool) {
 			for image, names := range c.remoteImages {
 				for name := range names {
 					if !yield(image, name) {
