--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -1,3 +1,4 @@
+// Package autoscaler sizes the set of rented machines and returns those that are being deleted.
 package autoscaler
 
 import (
@@ -14,6 +15,7 @@
 
 	"golang.org/x/sync/errgroup"
 
+	"sableusher/internal/cloud"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
@@ -32,7 +34,7 @@
 	state     *clusterstate.State
 	members   *membership.Member
 	scheduler *scheduler.Engine
-	cloud     *Client
+	cloud     *cloud.Client
 	committer *kvstore.Committer
 	log       *slog.Logger
 
@@ -76,7 +78,7 @@
 }
 
 // New makes a pool.
-func New(set *config.Settings, op *config.Operator, w *clusterstate.State, m *membership.Member, e *scheduler.Engine, c *Client, commit *kvstore.Committer, log *slog.Logger) *Autoscaler {
+func New(set *config.Settings, op *config.Operator, w *clusterstate.State, m *membership.Member, e *scheduler.Engine, c *cloud.Client, commit *kvstore.Committer, log *slog.Logger) *Autoscaler {
 	return &Autoscaler{settings: set, operator: op, state: w, members: m, scheduler: e, cloud: c, committer: commit, log: log,
 		refusals: map[machineKind]refusal{}, insufficientUntil: map[machineKind]time.Time{}, idleSince: map[string]time.Time{}, unknownSince: map[string]time.Time{}, missedListings: map[string]int{}, arrivals: map[string]arrival{}}
 }
@@ -619,7 +621,7 @@
 	k := machineKind{rec.Type, rec.Zone, rec.Spot}
 	names, err := a.cloud.Rent(ctx, wire.RentalRequest{Name: name, MachineType: rec.Type, Zone: rec.Zone, Spot: rec.Spot, Count: rec.Count})
 	switch {
-	case errors.Is(err, ErrNoCapacity) || errors.Is(err, ErrMalformedRequest):
+	case errors.Is(err, cloud.ErrNoCapacity) || errors.Is(err, cloud.ErrMalformedRequest):
 		a.log.Info("rental refused", "type", k.machineType, "zone", k.zone, "spot", k.spot, "count", rec.Count, "err", err)
 		a.recordRefusal(k)
 	case err != nil:
--- a/internal/autoscaler/client.go
+++ b/internal/cloud/client.go
@@ -1,6 +1,5 @@
-// Package autoscaler rents and returns machines: the client of the cloud, and the
-// leader's sizing of the fleet.
-package autoscaler
+// Package cloud is the client of the cloud that machines are rented from.
+package cloud
 
 import (
 	"bytes"
@@ -35,8 +34,8 @@
 	followerRate float64 // another node's, which only returns its parts' machines
 }
 
-// NewClient makes a client of the cloud at addr; all nodes together keep to rps.
-func NewClient(addr string, rps float64, nodes int, rt http.RoundTripper) *Client {
+// New makes a client of the cloud at addr; all nodes together keep to rps.
+func New(addr string, rps float64, nodes int, rt http.RoundTripper) *Client {
 	if rt == nil {
 		rt = wire.NewTransport(tuning.CloudTimeout, tuning.IdleConns, tuning.IdleConns)
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -12,6 +12,7 @@
 	"sableusher/internal/agent"
 	"sableusher/internal/api"
 	"sableusher/internal/autoscaler"
+	"sableusher/internal/cloud"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/dependency"
@@ -65,8 +66,8 @@
 	}
 	agents.SetPeerLastAnswered(peers.LastAnswered)
 	engine := scheduler.New(settings, operator, state, members, agents, committer, client, peers, logger)
-	cloud := autoscaler.NewClient(settings.Outside.Cloud, deployment.Cloud.RPS, deployment.Size, transport)
-	scaler := autoscaler.New(settings, operator, state, members, engine, cloud, committer, logger)
+	cloudClient := cloud.New(settings.Outside.Cloud, deployment.Cloud.RPS, deployment.Size, transport)
+	scaler := autoscaler.New(settings, operator, state, members, engine, cloudClient, committer, logger)
 	dependencies := dependency.NewResolver(state, client, logger)
 	versions := schemaversion.NewActivator(settings, schemaVersion, state, members, committer, client, logger)
 	offloads := offload.New(operator, deployment.Teams, state, members, committer, peers, logger)
