--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,14 +1,11 @@
-// Package cloud is the client of the cloud that machines are rented from.
 package cloud
 
 import (
 	"bytes"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
-	"net/url"
 
 	"golang.org/x/time/rate"
 
@@ -16,135 +13,127 @@
 	"sableusher/internal/wire"
 )
 
-var (
-	// ErrNoCapacity: the cloud has none of the kind just now; nothing was rented.
-	ErrNoCapacity = errors.New("no capacity")
-	// ErrTrouble: the cloud did not carry out the request.
-	ErrUnavailable = errors.New("cloud trouble")
-	// ErrMalformed: the cloud will never take the request.
-	ErrMalformedRequest = errors.New("malformed request")
-)
+// noCapacityMessage is the cloud's message if it has none of the machines asked for.
+const noCapacityMessage = "no capacity"
+
+// Options configures a Client.
+type Options struct {
+	// Address is the cloud's host and port.
+	Address string
+	// RequestsPerSecond is the rate that all controllers together keep to.
+	RequestsPerSecond float64
+	// Controllers is the number of controllers.
+	Controllers int
+	// Transport carries the requests; nil for the default one.
+	Transport http.RoundTripper
+}
 
-// Client is the client of the cloud, within a rate.
+// Client sends requests to the cloud within a rate. It is safe for concurrent use.
 type Client struct {
 	baseURL      string
 	httpClient   *http.Client
 	limiter      *rate.Limiter
-	leaderRate   float64 // the leader's rate, which rents and lists for all
-	followerRate float64 // another node's, which only returns its parts' machines
+	leaderRate   rate.Limit // for the leader, which rents and lists for all
+	followerRate rate.Limit // for another controller, which only returns machines of its shards
 }
 
-// New makes a client of the cloud at addr; all nodes together keep to rps.
-func New(addr string, rps float64, nodes int, rt http.RoundTripper) *Client {
-	if rt == nil {
-		rt = wire.NewTransport(tuning.CloudTimeout, tuning.IdleConns, tuning.IdleConns)
+// New returns a client with a follower's rate, unless there is only one controller.
+func New(options Options) *Client {
+	transport := options.Transport
+	if transport == nil {
+		transport = wire.NewTransport(tuning.CloudTimeout, tuning.IdleConns, tuning.IdleConns)
 	}
-	c := &Client{baseURL: "http://" + addr, httpClient: &http.Client{Transport: rt}, leaderRate: rps * tuning.CloudShare}
-	if nodes > 1 {
-		c.followerRate = c.leaderRate * (1 - tuning.CloudLead) / float64(nodes-1)
-		c.leaderRate *= tuning.CloudLead
+	leaderRate, followerRate := options.RequestsPerSecond*tuning.CloudShare, 0.0
+	if options.Controllers > 1 {
+		followerRate = leaderRate * (1 - tuning.CloudLead) / float64(options.Controllers-1)
+		leaderRate *= tuning.CloudLead
 	}
-	c.limiter = rate.NewLimiter(rate.Limit(c.followerRate), tuning.CloudBurst)
-	c.SetLeader(nodes == 1)
+	c := &Client{
+		baseURL:      "http://" + options.Address,
+		httpClient:   &http.Client{Transport: transport},
+		limiter:      rate.NewLimiter(rate.Limit(followerRate), tuning.CloudBurst),
+		leaderRate:   rate.Limit(leaderRate),
+		followerRate: rate.Limit(followerRate),
+	}
+	c.SetLeader(options.Controllers == 1)
 	return c
 }
 
-// SetLeader sets the rate by whether this node leads.
-func (c *Client) SetLeader(leads bool) {
+// SetLeader sets the rate by whether this controller is the leader.
+func (c *Client) SetLeader(isLeader bool) {
 	limit := c.followerRate
-	if leads {
+	if isLeader {
 		limit = c.leaderRate
 	}
-	if c.limiter.Limit() != rate.Limit(limit) {
-		c.limiter.SetLimit(rate.Limit(limit))
+	if c.limiter.Limit() != limit {
+		c.limiter.SetLimit(limit)
 		c.limiter.SetBurst(max(tuning.CloudBurst, int(limit)))
 	}
 }
 
-// HasSpareCall tells whether a call now would leave one for what can't wait.
+// HasSpareCall reports whether a call now would leave one for what can't wait.
 func (c *Client) HasSpareCall() bool { return c.limiter.Tokens() >= tuning.CloudBurst }
 
-func (c *Client) call(ctx context.Context, method, path string, in, out any) error {
+// call sends a request once the rate allows it, with the encoded input as its body, and decodes the
+// answer into output. Either may be nil.
+func (c *Client) call(ctx context.Context, method, path string, input, output any) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CloudTimeout)
 	defer cancel()
 	if err := c.limiter.Wait(ctx); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
+	req, err := c.newRequest(ctx, method, path, input)
+	if err != nil {
+		return err
+	}
+	status, body, err := c.send(req)
+	if err != nil {
+		return fmt.Errorf("%w: %w", ErrUnavailable, err)
+	}
+	switch {
+	case status == http.StatusOK && output == nil:
+		return nil
+	case status == http.StatusOK:
+		return wire.Decode(body, output)
+	case status == http.StatusBadRequest:
+		return fmt.Errorf("%s %s: %w", method, path, ErrMalformedRequest)
+	case status == http.StatusServiceUnavailable && saysNoCapacity(body):
+		return ErrNoCapacity
+	default:
+		return &StatusError{Method: method, Path: path, Status: status}
+	}
+}
+
+func (c *Client) newRequest(ctx context.Context, method, path string, input any) (*http.Request, error) {
 	var body io.Reader
-	if in != nil {
-		b, err := wire.Encode(in)
+	if input != nil {
+		encoded, err := wire.Encode(input)
 		if err != nil {
-			return err
+			return nil, err
 		}
-		body = bytes.NewReader(b)
+		body = bytes.NewReader(encoded)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, body)
 	if err != nil {
-		return fmt.Errorf("cloud request: %w", err)
+		return nil, fmt.Errorf("cloud request: %w", err)
 	}
 	req.Header.Set("Content-Type", wire.ContentType)
+	return req, nil
+}
+
+// send returns the status and the whole body of an answer.
+func (c *Client) send(req *http.Request) (status int, body []byte, err error) {
 	resp, err := c.httpClient.Do(req)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnavailable, err)
+		return 0, nil, err
 	}
-	defer resp.Body.Close()
-	b, err := wire.ReadBody(resp.Body, tuning.StateBody)
-	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnavailable, err)
-	}
-	switch resp.StatusCode {
-	case http.StatusOK:
-		if out == nil {
-			return nil
-		}
-		return wire.Decode(b, out)
-	case http.StatusBadRequest:
-		return ErrMalformedRequest
-	case http.StatusServiceUnavailable:
-		var p wire.ErrorResponse
-		if wire.Decode(b, &p) == nil && p.Message == "no capacity" {
-			return ErrNoCapacity
-		}
-	}
-	return fmt.Errorf("%w: status %d", ErrUnavailable, resp.StatusCode)
-}
-
-// Catalog reads the machine types.
-func (c *Client) Catalog(ctx context.Context) (wire.Catalog, error) {
-	var out wire.Catalog
-	err := c.call(ctx, http.MethodGet, "/catalog", nil, &out)
-	return out, err
-}
-
-// Rent asks for machines. The same name gives the same answer.
-func (c *Client) Rent(ctx context.Context, r wire.RentalRequest) ([]string, error) {
-	var out wire.MachineNames
-	err := c.call(ctx, http.MethodPost, "/machines", r, &out)
-	return out.Names, err
-}
-
-// Return deletes machines; once it returns nil they are gone.
-func (c *Client) Return(ctx context.Context, names []string) error {
-	return c.call(ctx, http.MethodPost, "/machines/return", wire.MachineNames{Names: names}, nil)
+	// An error of closing says nothing of an answer that has been read.
+	defer func() { _ = resp.Body.Close() }()
+	body, err = wire.ReadBody(resp.Body, tuning.StateBody)
+	return resp.StatusCode, body, err
 }
 
-// List reads all machines.
-func (c *Client) List(ctx context.Context) ([]wire.CloudMachine, error) {
-	var out []wire.CloudMachine
-	after := ""
-	for {
-		var page wire.MachinePage
-		q := url.Values{"page": {"500"}}
-		if after != "" {
-			q.Set("after", after)
-		}
-		if err := c.call(ctx, http.MethodGet, "/machines?"+q.Encode(), nil, &page); err != nil {
-			return nil, err
-		}
-		out = append(out, page.Machines...)
-		if !page.HasMore || len(page.Machines) == 0 {
-			return out, nil
-		}
-		after = page.Machines[len(page.Machines)-1].ID
-	}
+func saysNoCapacity(body []byte) bool {
+	var response wire.ErrorResponse
+	return wire.Decode(body, &response) == nil && response.Message == noCapacityMessage
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -66,7 +66,12 @@
 	}
 	agents.SetPeerLastAnswered(peers.LastAnswered)
 	engine := scheduler.New(settings, operator, state, members, agents, committer, client, peers, logger)
-	cloudClient := cloud.New(settings.Outside.Cloud, deployment.Cloud.RPS, deployment.Size, transport)
+	cloudClient := cloud.New(cloud.Options{
+		Address:           settings.Outside.Cloud,
+		RequestsPerSecond: deployment.Cloud.RPS,
+		Controllers:       deployment.Size,
+		Transport:         transport,
+	})
 	scaler := autoscaler.New(settings, operator, state, members, engine, cloudClient, committer, logger)
 	dependencies := dependency.NewResolver(state, client, logger)
 	versions := schemaversion.NewActivator(settings, schemaVersion, state, members, committer, client, logger)
