--- /dev/null
+++ b/internal/autoscaler/cheapestkind.go
@@ -0,0 +1,75 @@
+package autoscaler
+
+import (
+	"iter"
+	"maps"
+	"slices"
+	"time"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/wire"
+)
+
+// kindQuery says which kinds of machines cheapestKind chooses from.
+type kindQuery struct {
+	spec           *wire.JobSpec
+	zone           string // empty for any
+	machinesInZone map[string]int
+	now            time.Time
+	allowed        func(machineKind) bool
+}
+
+// acceptsType reports whether a task fits on an empty machine of a type and may use it.
+func (q *kindQuery) acceptsType(name string, machineType *wire.MachineType) bool {
+	isAllowed := len(q.spec.MachineTypes) == 0 || slices.Contains(q.spec.MachineTypes, name)
+	return isAllowed && clusterstate.TaskResources(q.spec).FitsIn(clusterstate.Capacity(machineType))
+}
+
+// cheapestKind returns the cheapest kind of machine for a task, of equal ones that in the zone with
+// the fewest machines. It leaves out zones that are unavailable and kinds that were refused lately.
+func (a *Autoscaler) cheapestKind(query kindQuery) (machineKind, bool) {
+	var cheapest machineKind
+	lowestPrice, found := 0.0, false
+	for _, name := range slices.Sorted(maps.Keys(a.state.Types)) {
+		machineType := a.state.Types[name]
+		if !query.acceptsType(name, &machineType) {
+			continue
+		}
+		for kind := range a.kindsToRent(&query, name, machineType.Zones) {
+			price := kindPrice(&machineType, kind)
+			isEmptier := query.machinesInZone[kind.zone] < query.machinesInZone[cheapest.zone]
+			if !found || price < lowestPrice || price == lowestPrice && isEmptier {
+				cheapest, lowestPrice, found = kind, price, true
+			}
+		}
+	}
+	return cheapest, found
+}
+
+// kindsToRent yields the kinds of a type that can be rented for a query, in the order of the type's
+// zones, spot machines first.
+func (a *Autoscaler) kindsToRent(query *kindQuery, machineType string, zones []string) iter.Seq[machineKind] {
+	return func(yield func(machineKind) bool) {
+		for _, zone := range zones {
+			if query.zone != "" && zone != query.zone || slices.Contains(a.unavailableZones, zone) {
+				continue
+			}
+			for _, spot := range []bool{true, false} {
+				kind := machineKind{machineType: machineType, zone: zone, spot: spot}
+				if spot && !query.spec.AllowSpot || a.rentals.isRefused(kind, query.now) || !query.allowed(kind) {
+					continue
+				}
+				if !yield(kind) {
+					return
+				}
+			}
+		}
+	}
+}
+
+func kindPrice(machineType *wire.MachineType, kind machineKind) float64 {
+	if kind.spot {
+		return machineType.SpotPrice
+	}
+	return machineType.Price
+}
--- /dev/null
+++ b/internal/autoscaler/headroom_test.go
@@ -0,0 +1,65 @@
+package autoscaler
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/scheduler"
+	"sableusher/internal/wire"
+)
+
+// drawServiceMachines adds machines with replicas that take a quarter of a machine each. It returns
+// what they take by zone, in machines.
+func drawServiceMachines(t *rapid.T, state *clusterstate.State) map[string]float64 {
+	usedByZone := map[string]float64{}
+	job := &clusterstate.Job{JobRecord: clusterstate.JobRecord{Spec: wire.JobSpec{
+		ID: "run-1", Kind: wire.KindService, TaskCount: 8, CPUs: 8, GPUs: 1, MemoryGB: 60,
+	}}}
+	for i := range rapid.IntRange(0, 40).Draw(t, "machines") {
+		zone := rapid.SampledFrom(testZones).Draw(t, "zone")
+		machine := &clusterstate.Machine{
+			Name:          fmt.Sprintf("vm-%d", i),
+			MachineRecord: clusterstate.MachineRecord{Type: "m", Zone: zone, Up: true},
+			Bindings:      map[clusterstate.TaskRef]clusterstate.Binding{},
+		}
+		for replica := range rapid.IntRange(0, 4).Draw(t, "replicas") {
+			ref := clusterstate.TaskRef{Job: fmt.Sprintf("run-%d", i), Index: replica}
+			machine.Bindings[ref] = clusterstate.Binding{Ref: ref, Job: job}
+			usedByZone[zone] += 0.25
+		}
+		state.Machines[machine.Name] = machine
+	}
+	return usedByZone
+}
+
+// TestReserveCoversALostZone: with a reserve set, what is free once all that waits fits covers the
+// configured share of the services of any zone in the zones that are left, wherever they are; while
+// a zone is unavailable nothing is kept.
+func TestReserveCoversALostZone(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		a := newTestAutoscaler(nil)
+		a.operator.PoolMin, a.operator.PoolStep = 0, 0
+		share := rapid.Float64Range(0, 1).Draw(t, "share")
+		a.operator.ZoneReserve = share
+		usedByZone := drawServiceMachines(t, a.state)
+		spareByZone := map[string]float64{}
+		for _, machine := range a.planScaleOut(scheduler.UnmetDemand{ComputedAt: time.Now()}) {
+			spareByZone[machine.zone]++
+		}
+		for _, zone := range testZones {
+			elsewhere := spareByZone["east"] + spareByZone["west"] - spareByZone[zone]
+			if elsewhere+1 < share*usedByZone[zone] {
+				t.Errorf("%v machines are free outside of %s, which holds services for %v and may lose %.2f of them",
+					elsewhere, zone, usedByZone[zone], share)
+			}
+		}
+		a.unavailableZones = []string{"east"}
+		if kept := len(a.planScaleOut(scheduler.UnmetDemand{ComputedAt: time.Now()})); kept > 0 {
+			t.Errorf("%d machines are kept while a zone is unavailable", kept)
+		}
+	})
+}
--- /dev/null
+++ b/internal/autoscaler/scalein.go
@@ -0,0 +1,159 @@
+package autoscaler
+
+import (
+	"cmp"
+	"context"
+	"maps"
+	"slices"
+	"time"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/config"
+	"sableusher/internal/kvstore"
+	"sableusher/internal/scheduler"
+	"sableusher/internal/wire"
+)
+
+// returnMachines returns the machines of this controller's shards that are being deleted. Those
+// whose tasks wait for it go at once, the others only if that leaves a call over: of few calls a
+// second the return of one idle machine after the other once took all, and a dead machine's
+// replicas waited for 3 s in the median.
+func (a *Autoscaler) returnMachines(ctx context.Context) {
+	machines, tasksWait := a.scheduler.MachinesToDelete()
+	if len(machines) == 0 || !tasksWait && !a.cloud.HasSpareCall() {
+		return
+	}
+	if err := a.cloud.Return(ctx, machines); err != nil {
+		a.log.Info("machines not returned", "count", len(machines), "err", err)
+		return
+	}
+	a.log.Info("machines returned", "machines", machines)
+	a.scheduler.ConfirmDeleted(machines)
+}
+
+// scaleIn drains machines that have been idle for the configured time, beyond the headroom, the
+// zone reserve and the minimum size.
+func (a *Autoscaler) scaleIn(
+	ctx context.Context, leader wire.Condition, demand scheduler.UnmetDemand, planned []plannedMachine,
+) {
+	now := time.Now()
+	a.trackIdleMachines(demand.IdleMachines, now)
+	candidates := slices.SortedFunc(maps.Keys(a.idleSince), func(x, y string) int {
+		return cmp.Or(a.idleSince[x].Compare(a.idleSince[y]), cmp.Compare(x, y))
+	})
+	a.state.RLock()
+	plan := a.newScaleInPlan(now, demand, planned)
+	var transactions []kvstore.Transaction
+	for _, name := range candidates {
+		if plan.machinesLeft <= a.operator.PoolMin {
+			break
+		}
+		machine := a.state.Machines[name]
+		if machine == nil || !plan.canDrain(machine) {
+			continue
+		}
+		plan.drain(machine)
+		machineRecord := machine.MachineRecord
+		machineRecord.Draining = true
+		transactions = append(transactions, putMachine(leader, name, machine.ModRevision, machineRecord))
+	}
+	a.state.RUnlock()
+	a.commitAll(ctx, transactions, drainMachine)
+}
+
+// trackIdleMachines remembers since when each machine has been idle without a break.
+func (a *Autoscaler) trackIdleMachines(idle []string, now time.Time) {
+	isIdle := make(map[string]bool, len(idle))
+	for _, name := range idle {
+		isIdle[name] = true
+		if _, isTracked := a.idleSince[name]; !isTracked {
+			a.idleSince[name] = now
+		}
+	}
+	maps.DeleteFunc(a.idleSince, func(name string, _ time.Time) bool { return !isIdle[name] })
+}
+
+// scaleInPlan is what may still be drained.
+type scaleInPlan struct {
+	autoscaler    *Autoscaler
+	now           time.Time
+	commonTask    clusterstate.Resources
+	isBeingRented map[machineKind]bool
+	machinesLeft  int
+	// surplusOnDemand and surplusSpot are the spare machines beyond the headroom.
+	surplusOnDemand float64
+	surplusSpot     float64
+	// zoneReserve and spareInZone are in on-demand machines, by zone.
+	zoneReserve map[string]float64
+	spareInZone map[string]float64
+}
+
+// newScaleInPlan computes what may be drained. Callers hold the state's lock.
+func (a *Autoscaler) newScaleInPlan(
+	now time.Time, demand scheduler.UnmetDemand, planned []plannedMachine,
+) *scaleInPlan {
+	plan := &scaleInPlan{
+		autoscaler:    a,
+		now:           now,
+		commonTask:    demand.CommonTask,
+		isBeingRented: map[machineKind]bool{},
+		spareInZone:   map[string]float64{},
+	}
+	for _, machine := range planned {
+		plan.isBeingRented[machine.machineKind] = true
+	}
+	for _, machine := range a.state.Machines {
+		if !machine.Deleting && !machine.Draining {
+			plan.machinesLeft++
+		}
+	}
+	target := a.headroomTarget(now)
+	plan.surplusOnDemand = min(
+		demand.SpareOnDemand.Machines-target.onDemand,
+		float64(demand.SpareOnDemand.UnusedMachines)-target.unusedMachines,
+	)
+	plan.surplusSpot = demand.SpareSpot.Machines - target.spot
+	plan.zoneReserve = a.zoneReserve()
+	maps.Copy(plan.spareInZone, demand.SpareOnDemand.MachinesByZone)
+	return plan
+}
+
+// surplus returns the spare machines beyond the headroom among those of a machine's price.
+func (p *scaleInPlan) surplus(machine *clusterstate.Machine) *float64 {
+	if machine.Spot {
+		return &p.surplusSpot
+	}
+	return &p.surplusOnDemand
+}
+
+// canDrain reports whether an idle machine is not needed. A small machine is kept while common
+// tasks that don't fit on it wait: small tasks on it leave them theirs.
+func (p *scaleInPlan) canDrain(machine *clusterstate.Machine) bool {
+	a := p.autoscaler
+	kind := machineKind{machineType: machine.Type, zone: machine.Zone, spot: machine.Spot}
+	switch {
+	case !machine.Up || machine.Draining:
+		return false
+	case p.isBeingRented[kind] || *p.surplus(machine) < 1 || p.isReserved(machine):
+		return false
+	case p.now.Sub(a.idleSince[machine.Name]) < config.Seconds(a.operator.PoolHoldS):
+		return false
+	default:
+		return p.commonTask.CPUs <= a.state.Types[machine.Type].CPUs
+	}
+}
+
+// isReserved reports whether a machine is part of its zone's reserve.
+func (p *scaleInPlan) isReserved(machine *clusterstate.Machine) bool {
+	reserve := p.zoneReserve[machine.Zone]
+	return !machine.Spot && reserve > 0 && p.spareInZone[machine.Zone]-1 < reserve
+}
+
+// drain counts a machine as drained.
+func (p *scaleInPlan) drain(machine *clusterstate.Machine) {
+	*p.surplus(machine)--
+	if !machine.Spot {
+		p.spareInZone[machine.Zone]--
+	}
+	p.machinesLeft--
+}
--- /dev/null
+++ b/internal/autoscaler/scaleoutplan.go
@@ -0,0 +1,233 @@
+package autoscaler
+
+import (
+	"maps"
+	"math"
+	"slices"
+	"time"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/scheduler"
+	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
+)
+
+// plannedMachine is a machine to be rented.
+type plannedMachine struct {
+	machineKind
+	free clusterstate.Resources
+	// required is set for work of high priority, work that has waited long, and the minimum size.
+	required bool
+}
+
+// machineRequest says what a machine to be rented must fit.
+type machineRequest struct {
+	spec     *wire.JobSpec
+	zone     string // empty for any
+	allowed  func(machineKind) bool
+	required bool
+}
+
+// accepts reports whether the task may run on a kind of machine, whatever its size.
+func (r *machineRequest) accepts(kind machineKind) bool {
+	return (r.zone == "" || kind.zone == r.zone) &&
+		(r.spec.AllowSpot || !kind.spot) &&
+		(len(r.spec.MachineTypes) == 0 || slices.Contains(r.spec.MachineTypes, kind.machineType)) &&
+		r.allowed(kind)
+}
+
+// scaleOutPlan packs tasks that did not fit into machines to be rented.
+type scaleOutPlan struct {
+	autoscaler     *Autoscaler
+	now            time.Time
+	machinesInZone map[string]int // the deployment's and the planned ones
+	machines       []plannedMachine
+}
+
+// planScaleOut returns the machines to be rented, in order of need: for the work that did not fit,
+// for the minimum size and the headroom.
+func (a *Autoscaler) planScaleOut(demand scheduler.UnmetDemand) []plannedMachine {
+	a.state.RLock()
+	defer a.state.RUnlock()
+	plan := &scaleOutPlan{autoscaler: a, now: time.Now(), machinesInZone: map[string]int{}}
+	present := 0
+	for _, machine := range a.state.Machines {
+		if !machine.Deleting {
+			plan.machinesInZone[machine.Zone]++
+			present++
+		}
+	}
+	for _, group := range demand.Groups {
+		plan.addGroup(group)
+	}
+	plan.addHeadroom(demand, present)
+	return plan.machines
+}
+
+// open adds a machine of the cheapest kind that a request accepts. It returns nil if there is none;
+// the pointer is valid until the next call.
+func (p *scaleOutPlan) open(request machineRequest) *plannedMachine {
+	kind, ok := p.autoscaler.cheapestKind(kindQuery{
+		spec:           request.spec,
+		zone:           request.zone,
+		machinesInZone: p.machinesInZone,
+		now:            p.now,
+		allowed:        request.allowed,
+	})
+	if !ok {
+		return nil
+	}
+	machineType := p.autoscaler.state.Types[kind.machineType]
+	p.machines = append(p.machines, plannedMachine{
+		machineKind: kind,
+		free:        clusterstate.Capacity(&machineType),
+		required:    request.required,
+	})
+	p.machinesInZone[kind.zone]++
+	return &p.machines[len(p.machines)-1]
+}
+
+// addGroup plans machines for the tasks of a job that did not fit.
+func (p *scaleOutPlan) addGroup(group scheduler.UnplacedGroup) {
+	spec := group.Spec
+	target := rentalTarget{zone: spec.Zone, tasks: group.Count}
+	if spec.Zone == "" && spec.SameZone {
+		target = p.autoscaler.chooseGangZone(group, p.machinesInZone, p.now)
+	}
+	isUrgent := group.Rank <= wire.PriorityRank(wire.PriorityHigh)
+	hasWaitedLong := p.now.Sub(group.SubmittedAt) > tuning.StarveAfter
+	tasksByZone := map[string]int{}
+	packing := groupPacking{
+		plan:        p,
+		need:        clusterstate.TaskResources(spec),
+		tasksByZone: tasksByZone,
+		request: machineRequest{
+			spec:     spec,
+			zone:     target.zone,
+			required: isUrgent || hasWaitedLong,
+			allowed: func(kind machineKind) bool {
+				return !spec.Spread || tasksByZone[kind.zone] < (target.tasks+1)/2
+			},
+		},
+	}
+	for range target.tasks {
+		if !packing.placeTask() {
+			return
+		}
+	}
+}
+
+// groupPacking packs the tasks of one group into planned machines.
+type groupPacking struct {
+	plan        *scaleOutPlan
+	request     machineRequest
+	need        clusterstate.Resources
+	tasksByZone map[string]int
+	next        int // the planned machines before it fit none of the tasks, which are alike
+}
+
+// placeTask places a task on a planned machine, or on a further one. It returns false if none can
+// be rented.
+func (g *groupPacking) placeTask() bool {
+	machine := g.findPlanned()
+	if machine == nil {
+		machine = g.plan.open(g.request)
+	}
+	if machine == nil {
+		return false
+	}
+	machine.free = machine.free.AddTimes(g.need, -1)
+	g.tasksByZone[machine.zone]++
+	if g.request.spec.SameZone {
+		g.request.zone = machine.zone
+	}
+	return true
+}
+
+// findPlanned returns the first planned machine that a task fits on; nil if there is none.
+func (g *groupPacking) findPlanned() *plannedMachine {
+	for ; g.next < len(g.plan.machines); g.next++ {
+		machine := &g.plan.machines[g.next]
+		if g.need.FitsIn(machine.free) && g.request.accepts(machine.machineKind) {
+			return machine
+		}
+	}
+	return nil
+}
+
+// headroomRounding is the part of a machine by which headroom may be missed.
+const headroomRounding = 0.5
+
+// addHeadroom plans machines for the minimum size, the headroom and the zone reserve, beyond the
+// machines that are present and what is spare on them.
+func (p *scaleOutPlan) addHeadroom(demand scheduler.UnmetDemand, present int) {
+	a := p.autoscaler
+	target := a.headroomTarget(p.now)
+	belowMinimum := a.operator.PoolMin - present - len(p.machines)
+	spare := demand.SpareOnDemand
+	count := max(
+		belowMinimum,
+		int(math.Ceil(target.onDemand-spare.Machines-headroomRounding)),
+		int(math.Ceil(target.unusedMachines-float64(spare.UnusedMachines)-headroomRounding)),
+	)
+	for i := range count {
+		request := machineRequest{spec: &wire.JobSpec{}, allowed: anyKind, required: i < belowMinimum}
+		if p.open(request) == nil {
+			break
+		}
+	}
+	reserve := a.zoneReserve()
+	for _, zone := range slices.Sorted(maps.Keys(reserve)) {
+		missing := int(math.Ceil(reserve[zone] - spare.MachinesByZone[zone]))
+		p.openUpTo(missing, machineRequest{spec: &wire.JobSpec{}, zone: zone, allowed: anyKind})
+	}
+	missingSpot := int(math.Ceil(target.spot - demand.SpareSpot.Machines - headroomRounding))
+	p.openUpTo(missingSpot, machineRequest{spec: &wire.JobSpec{AllowSpot: true}, allowed: anyKind})
+}
+
+// openUpTo adds a number of machines, or as many as there are kinds for.
+func (p *scaleOutPlan) openUpTo(count int, request machineRequest) {
+	for range count {
+		if p.open(request) == nil {
+			return
+		}
+	}
+}
+
+// rentalTarget says in which zone machines are rented for a job, and for how many of its tasks.
+type rentalTarget struct {
+	zone  string // empty for any
+	tasks int
+}
+
+// chooseGangZone chooses where machines are rented for a gang that must be in one zone: for its
+// remaining tasks where some of them fit; for all of them elsewhere while that zone refuses, if
+// another is not known to have less than the whole. No task is planned if every zone has too little:
+// asking one after the other would get a machine here and one there, return each as idle, and never
+// make up a gang.
+func (a *Autoscaler) chooseGangZone(
+	group scheduler.UnplacedGroup, machinesInZone map[string]int, now time.Time,
+) rentalTarget {
+	spec := group.Spec
+	query := kindQuery{spec: spec, machinesInZone: machinesInZone, now: now, allowed: anyKind}
+	if group.Zone != "" {
+		query.zone = group.Zone
+		if _, ok := a.cheapestKind(query); ok {
+			return rentalTarget{zone: group.Zone, tasks: group.Count}
+		}
+		query.zone = ""
+	}
+	ample := query
+	ample.allowed = func(kind machineKind) bool { return a.rentals.isAmple(kind, now) }
+	if kind, ok := a.cheapestKind(ample); ok {
+		if cheapest, _ := a.cheapestKind(query); cheapest == kind {
+			// Any zone, as for any job, so that machines rented for others are shared.
+			return rentalTarget{tasks: spec.TaskCount}
+		}
+		return rentalTarget{zone: kind.zone, tasks: spec.TaskCount}
+	}
+	if group.Zone != "" && !slices.Contains(a.unavailableZones, group.Zone) {
+		return rentalTarget{} // more is asked for in its zone once the refusal ends
+	}
+	return rentalTarget{tasks: group.Count}
+}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -72,7 +72,16 @@
 		Controllers:       deployment.Size,
 		Transport:         transport,
 	})
-	scaler := autoscaler.New(settings, operator, state, members, engine, cloudClient, committer, logger)
+	scaler := autoscaler.New(autoscaler.Options{
+		Settings:  settings,
+		Operator:  operator,
+		State:     state,
+		Members:   members,
+		Scheduler: engine,
+		Cloud:     cloudClient,
+		Committer: committer,
+		Log:       logger,
+	})
 	dependencies := dependency.NewResolver(state, client, logger)
 	versions := schemaversion.NewActivator(settings, schemaVersion, state, members, committer, client, logger)
 	offloads := offload.New(operator, deployment.Teams, state, members, committer, peers, logger)
