--- a/internal/autoscaler/scaleoutplan.go
+++ b/internal/autoscaler/scaleoutplan.go
@@ -94,7 +94,7 @@
 	if spec.Zone == "" && spec.SameZone {
 		target = p.autoscaler.chooseGangZone(group, p.machinesInZone, p.now)
 	}
-	isUrgent := group.Rank <= wire.PriorityRank(wire.PriorityHigh)
+	isUrgent := group.Rank <= wire.PriorityHigh.Rank()
 	hasWaitedLong := p.now.Sub(group.SubmittedAt) > tuning.StarveAfter
 	tasksByZone := map[string]int{}
 	packing := groupPacking{
--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -83,10 +83,8 @@
 			delete(e.shardOwnedSince, shard)
 		}
 	}
-	for _, change := range e.inFlightChanges {
-		for _, binding := range change.bindings {
-			c.addInFlight(binding)
-		}
+	for binding := range e.changes.bindings() {
+		c.addInFlight(binding)
 	}
 	return c
 }
@@ -106,7 +104,9 @@
 // way, or while it has to be moved first.
 func (c *cycle) editRecord(job *clusterstate.Job, taskIndex int) *recordEdit {
 	recordIndex := job.ChunkOf(taskIndex)
-	if _, ok := c.rejectedUntil[job.ChunkKey(recordIndex)]; ok || c.keysInFlight[job.ChunkKey(recordIndex)] || recordIndex > 0 && c.keysInFlight[job.ChunkKey(0)] && job.Spec.SameZone || c.needsMigration(job) {
+	key := job.ChunkKey(recordIndex)
+	if c.changes.rejected(key) || c.changes.inFlight(key) ||
+		recordIndex > 0 && c.changes.inFlight(job.ChunkKey(0)) && job.Spec.SameZone || c.needsMigration(job) {
 		return nil
 	}
 	edit := c.recordEdits[recordKey{job, recordIndex}]
@@ -158,7 +158,7 @@
 }
 
 // finalOps gives the ops that turn a job's records into its final one.
-func (c *cycle) finalOps(job *clusterstate.Job, status string, done int) []wire.Op {
+func (c *cycle) finalOps(job *clusterstate.Job, status wire.JobState, done int) []wire.Op {
 	id := job.Spec.ID
 	if guest := job.OffloadedFrom; guest != nil {
 		// Its home alone answers its user, and is told from this until it has it.
@@ -270,7 +270,7 @@
 		change.transaction.Conditions = append(change.transaction.Conditions, wire.Condition{Key: key, ModRevision: conditions[key]})
 	}
 	change.transaction.Urgent = job.Spec.Priority == wire.PriorityProduction
-	change.transaction.HighPriority = c.effectiveRank(job) <= wire.PriorityRank(wire.PriorityHigh)
+	change.transaction.HighPriority = c.effectiveRank(job) <= wire.PriorityHigh.Rank()
 	c.outgoing = append(c.outgoing, change)
 }
 
