--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -1,11 +1,11 @@
 package wire
 
-// Catalog lists machine types.
+// Catalog lists the machine types that the cloud rents out.
 type Catalog struct {
 	Types []MachineType `cbor:"hulls"`
 }
 
-// MachineType is one type of the catalog.
+// MachineType is one type of the catalog. Prices are the cloud's, per machine and unit of time.
 type MachineType struct {
 	Name           string   `cbor:"sku"`
 	CPUs           float64  `cbor:"vcpus"`
@@ -19,7 +19,7 @@
 	Zones          []string `cbor:"harbors"`
 }
 
-// RentalRequest asks the cloud for machines.
+// RentalRequest asks the cloud for machines of one type in one zone. Its name is never used for another.
 type RentalRequest struct {
 	Name        string `cbor:"charter"`
 	MachineType string `cbor:"hull"`
@@ -28,22 +28,25 @@
 	Count       int    `cbor:"how_many"`
 }
 
-// MachineNames names machines: rented, or to be returned.
+// MachineNames names machines: those that were rented, or those to be returned.
 type MachineNames struct {
 	Names []string `cbor:"fleet"`
 }
 
-// MachineState is what the cloud says of a machine.
+// MachineState is the state of a machine as the cloud sees it.
 type MachineState string
 
-// States of a listed machine.
+// States of a machine.
 const (
 	MachineBooting MachineState = "booting"
 	MachineRunning MachineState = "running"
 	MachineFailed  MachineState = "failed"
 )
 
-// CloudMachine is a machine in the cloud's list.
+// String gives the state as the protocol names it.
+func (s MachineState) String() string { return string(s) }
+
+// CloudMachine is a rented machine in the cloud's list.
 type CloudMachine struct {
 	ID          string       `cbor:"id"`
 	Address     string       `cbor:"address"`
@@ -51,14 +54,11 @@
 	Zone        string       `cbor:"harbor"`
 	Spot        bool         `cbor:"standby"`
 	State       MachineState `cbor:"status"`
-	AgeSeconds  float64      `cbor:"held_s"`
+	AgeSeconds  float64      `cbor:"held_s"` // since it was rented
 }
 
-// MachinePage is a page of machines.
+// MachinePage is one page of the cloud's list.
 type MachinePage struct {
 	Machines []CloudMachine `cbor:"fleet"`
 	HasMore  bool           `cbor:"more"`
 }
-
-// String is the state as the protocol has it.
-func (s MachineState) String() string { return string(s) }
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -1,56 +1,71 @@
-// Package wire holds the messages of the protocol and their CBOR codec. The
-// protocol's own words stand only in the tags here.
 package wire
 
 import (
 	"bytes"
 	"encoding/json"
 	"fmt"
-	"io"
 	"math"
-	"net/http"
 	"reflect"
 
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ContentType of every body.
-const ContentType = "application/cbor"
+// RawValue is a value in its encoded form.
+type RawValue = cbor.RawMessage
+
+// Limits of what is decoded. Counterparts of the service are trusted with large messages, users are not.
+const (
+	maxPartnerElements = 1 << 20
+	maxPartnerNesting  = 32
+	maxUserElements    = 4096
+	maxUserMapPairs    = 256
+	maxUserNesting     = 8
+)
 
 var (
-	encodeMode        cbor.EncMode
-	decodeMode        cbor.DecMode
-	strictDecodeMode  cbor.DecMode
-	genericDecodeMode cbor.DecMode
+	encodeMode        = must(cbor.EncOptions{Sort: cbor.SortNone}.EncMode())
+	decodeMode        = must(partnerOptions().DecMode())
+	genericDecodeMode = must(genericOptions().DecMode())
+	strictDecodeMode  = must(userOptions().DecMode())
 )
 
-func init() {
-	var err error
-	if encodeMode, err = (cbor.EncOptions{Sort: cbor.SortNone}).EncMode(); err != nil {
-		panic(err)
+// partnerOptions are lenient about the size of a message, not about its form.
+func partnerOptions() cbor.DecOptions {
+	return cbor.DecOptions{
+		MaxArrayElements: maxPartnerElements,
+		MaxMapPairs:      maxPartnerElements,
+		MaxNestedLevels:  maxPartnerNesting,
 	}
-	// Bodies of our own partners: lenient about size, not about form.
-	if decodeMode, err = (cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20, MaxNestedLevels: 32}).DecMode(); err != nil {
-		panic(err)
-	}
-	// Any value, in the shapes that JSON has too.
-	if genericDecodeMode, err = (cbor.DecOptions{MaxArrayElements: 1 << 20, MaxMapPairs: 1 << 20, MaxNestedLevels: 32, DefaultMapType: reflect.TypeFor[map[string]any]()}).DecMode(); err != nil {
-		panic(err)
+}
+
+// genericOptions decode any value into the types that JSON has too.
+func genericOptions() cbor.DecOptions {
+	options := partnerOptions()
+	options.DefaultMapType = reflect.TypeFor[map[string]any]()
+	return options
+}
+
+// userOptions refuse CBOR tags, keys that stand twice, deep nesting and text that is not UTF-8.
+func userOptions() cbor.DecOptions {
+	return cbor.DecOptions{
+		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
+		TagsMd:           cbor.TagsForbidden,
+		MaxArrayElements: maxUserElements,
+		MaxMapPairs:      maxUserMapPairs,
+		MaxNestedLevels:  maxUserNesting,
+		UTF8:             cbor.UTF8RejectInvalid,
 	}
-	// Users' input: no tags, no doubled keys, little nesting, valid text.
-	if strictDecodeMode, err = (cbor.DecOptions{
-		DupMapKey: cbor.DupMapKeyEnforcedAPF, TagsMd: cbor.TagsForbidden,
-		MaxArrayElements: 4096, MaxMapPairs: 256, MaxNestedLevels: 8,
-		UTF8: cbor.UTF8RejectInvalid,
-	}).DecMode(); err != nil {
+}
+
+// must gives a mode whose options are constant; it panics if the library refuses them.
+func must[T any](mode T, err error) T {
+	if err != nil {
 		panic(err)
 	}
+	return mode
 }
 
-// RawValue is an encoded value.
-type RawValue = cbor.RawMessage
-
-// Encode gives v in CBOR.
+// Encode gives a value in CBOR.
 func Encode(value any) ([]byte, error) {
 	encoded, err := encodeMode.Marshal(value)
 	if err != nil {
@@ -59,7 +74,7 @@
 	return encoded, nil
 }
 
-// MustEncode encodes values whose types are known to encode.
+// MustEncode encodes a value of a type that is known to encode, and panics if it does not.
 func MustEncode(value any) RawValue {
 	encoded, err := Encode(value)
 	if err != nil {
@@ -68,7 +83,7 @@
 	return encoded
 }
 
-// Decode reads b into v; trailing bytes are an error.
+// Decode reads an encoded value into target, a pointer. Trailing bytes are an error.
 func Decode(encoded []byte, target any) error {
 	if err := decodeMode.Unmarshal(encoded, target); err != nil {
 		return fmt.Errorf("decode: %w", err)
@@ -76,8 +91,8 @@
 	return nil
 }
 
-// JSONSize is the size of an encoded value in the form that the state service
-// measures. A value that has no such form counts as too large for any limit.
+// JSONSize is the size in bytes of an encoded value in JSON, by which the key-value store limits
+// values. A value that has no such form counts as too large for any limit.
 func JSONSize(encoded []byte) int {
 	canonical, err := canonicalJSON(encoded)
 	if err != nil {
@@ -86,7 +101,8 @@
 	return len(canonical)
 }
 
-// EqualValues tells whether two encoded values are the same: the state service keeps values, not our bytes.
+// EqualValues tells whether two encoded values are the same value. Their bytes may differ, as the
+// key-value store keeps values and not bytes.
 func EqualValues(a, b []byte) bool {
 	if bytes.Equal(a, b) {
 		return true
@@ -96,7 +112,7 @@
 	return errA == nil && errB == nil && bytes.Equal(canonicalA, canonicalB)
 }
 
-// canonicalJSON gives an encoded value in its JSON form, with maps in order.
+// canonicalJSON gives an encoded value in JSON, with the keys of maps in order.
 func canonicalJSON(encoded []byte) ([]byte, error) {
 	var value any
 	if err := genericDecodeMode.Unmarshal(encoded, &value); err != nil {
@@ -104,31 +120,3 @@
 	}
 	return json.Marshal(value)
 }
-
-// ReadBody reads at most limit bytes; more is an error.
-func ReadBody(r io.Reader, limit int64) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(r, limit+1))
-	if err != nil {
-		return nil, fmt.Errorf("read body: %w", err)
-	}
-	if int64(len(body)) > limit {
-		return nil, fmt.Errorf("read body: over %d bytes", limit)
-	}
-	return body, nil
-}
-
-// WriteResponse writes v with a status; a nil v writes no body.
-func WriteResponse(w http.ResponseWriter, status int, value any) {
-	if value == nil {
-		w.WriteHeader(status)
-		return
-	}
-	body, err := Encode(value)
-	if err != nil {
-		w.WriteHeader(http.StatusInternalServerError)
-		return
-	}
-	w.Header().Set("Content-Type", ContentType)
-	w.WriteHeader(status)
-	_, _ = w.Write(body)
-}
--- a/internal/wire/kvstore.go
+++ b/internal/wire/kvstore.go
@@ -1,36 +1,36 @@
 package wire
 
-// KeyValue is a key of the state service.
+// KeyValue is a key of the key-value store with its value.
 type KeyValue struct {
 	Key         string   `cbor:"path"`
 	Value       RawValue `cbor:"value"`
-	ModRevision uint64   `cbor:"stamp"`
-	LeaseID     uint64   `cbor:"permit"`
-	Revision    uint64   `cbor:"ledger"`
+	ModRevision uint64   `cbor:"stamp"`  // store revision of the last change of the key
+	LeaseID     uint64   `cbor:"permit"` // the lease that the key is attached to; 0: none
+	Revision    uint64   `cbor:"ledger"` // store revision as of which it was read
 }
 
-// RangeResponse is a page of a listing.
+// RangeResponse is one page of the keys under a prefix.
 type RangeResponse struct {
 	KeyValues []KeyValue `cbor:"rows"`
 	HasMore   bool       `cbor:"more"`
 	Revision  uint64     `cbor:"ledger"`
 }
 
-// Condition demands a key's stamp; 0: the key does not exist.
+// Condition holds if a key was last changed at a revision; at 0, if the key does not exist.
 type Condition struct {
 	Key         string `cbor:"path"`
 	ModRevision uint64 `cbor:"stamp"`
 }
 
-// Op is one change: either Set with Value or Drop.
+// Op is one change of a transaction: it puts Value under PutKey or deletes DeleteKey.
 type Op struct {
 	PutKey    string   `cbor:"set,omitempty"`
 	Value     RawValue `cbor:"value,omitempty"`
-	LeaseID   uint64   `cbor:"permit,omitempty"`
+	LeaseID   uint64   `cbor:"permit,omitempty"` // the lease to attach the key to; 0: none
 	DeleteKey string   `cbor:"drop,omitempty"`
 }
 
-// Key is the changed key.
+// Key is the key that the operation changes.
 func (op Op) Key() string {
 	if op.PutKey != "" {
 		return op.PutKey
@@ -38,19 +38,20 @@
 	return op.DeleteKey
 }
 
-// TxnRequest is a transaction.
+// TxnRequest is a compare-and-swap: all operations are applied at once if all conditions hold, else
+// none is.
 type TxnRequest struct {
 	Conditions []Condition `cbor:"guards"`
 	Ops        []Op        `cbor:"apply,omitempty"`
 }
 
-// TxnResponse answers a transaction.
+// TxnResponse answers a transaction. It was applied if no condition failed.
 type TxnResponse struct {
-	FailedKeys []string `cbor:"failed"`
+	FailedKeys []string `cbor:"failed"` // the keys of the conditions that don't hold
 	Revision   uint64   `cbor:"ledger"`
 }
 
-// Event is one change seen by a watch.
+// Event is one change that a watch delivers: a key that was put or one that was deleted.
 type Event struct {
 	PutKey      string   `cbor:"set"`
 	Value       RawValue `cbor:"value"`
@@ -58,18 +59,18 @@
 	ModRevision uint64   `cbor:"stamp"`
 }
 
-// WatchResponse answers a watch.
+// WatchResponse answers a watch with the changes up to a revision, in order.
 type WatchResponse struct {
 	Revision uint64  `cbor:"ledger"`
 	Events   []Event `cbor:"news"`
 }
 
-// LeaseRequest opens a lease of the state service.
+// LeaseRequest asks for a lease: keys attached to it are deleted when it expires.
 type LeaseRequest struct {
-	TTLMs int64 `cbor:"ttl_ms"`
+	TTLMs int64 `cbor:"ttl_ms"` // time to live after each renewal, in milliseconds
 }
 
-// LeaseResponse names it.
+// LeaseResponse names the lease that was granted.
 type LeaseResponse struct {
 	LeaseID uint64 `cbor:"permit"`
 }
