--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,5 +1,8 @@
-// Package admission says which jobs a deployment can never run. A user's submission and a
-// graph's compiled task ask here alike, so that both get the same answer.
+// Package admission says which jobs a deployment can never run.
+//
+// A user's submission, a compiled graph and a job offered by another cell are all checked here, so
+// that each gets the same answer (safety invariant 10). It holds no state and writes nothing; whether a
+// job runs now is decided by the scheduler.
 package admission
 
 import (
@@ -10,34 +13,49 @@
 	"sableusher/internal/wire"
 )
 
-// Validate says why a job can never run; empty if it can. Where the machine types are
-// not known, none speaks against it.
-func Validate(spec *wire.JobSpec, teams map[string]config.Team, types map[string]wire.MachineType) string {
+// limitTolerance absorbs rounding when amounts are summed over tasks.
+const limitTolerance = 1e-6
+
+// Validate gives the reason why a job can never run, one of the errors of this package; nil if it can.
+// While the machine types are not known, none is held against it.
+func Validate(spec *wire.JobSpec, teams map[string]config.Team, types map[string]wire.MachineType) error {
 	team, ok := teams[spec.Team]
 	if !ok {
-		return "unknown team"
+		return ErrUnknownTeam
+	}
+	if exceedsTeamLimit(spec, &team) {
+		return ErrOverTeamLimit
+	}
+	if spec.SameZone && spec.Spread && spec.TaskCount > 1 {
+		return ErrSameZoneAndSpread
 	}
+	if len(types) > 0 && !fitsAnyType(spec, types) {
+		return ErrNoMachineType
+	}
+	return nil
+}
+
+// exceedsTeamLimit tells whether the tasks that must run at once take more than the team may: one task
+// of an array, all tasks of another job.
+func exceedsTeamLimit(spec *wire.JobSpec, team *config.Team) bool {
 	need := clusterstate.TaskResources(spec)
 	taskCount := float64(spec.TaskCount)
 	if spec.Kind == wire.KindArray {
 		taskCount = 1
 	}
-	if team.CPUsMax > 0 && taskCount*need.CPUs > team.CPUsMax+1e-6 || team.GPUsMax > 0 && taskCount*need.GPUs > team.GPUsMax+1e-6 {
-		return "more than the team's limit"
-	}
-	if spec.SameZone && spec.Spread && spec.TaskCount > 1 {
-		return "one zone and spread exclude each other"
-	}
-	if len(types) == 0 {
-		return ""
-	}
+	return team.CPUsMax > 0 && taskCount*need.CPUs > team.CPUsMax+limitTolerance ||
+		team.GPUsMax > 0 && taskCount*need.GPUs > team.GPUsMax+limitTolerance
+}
+
+// fitsAnyType tells whether an empty machine of a type and zone that the job allows holds one task.
+func fitsAnyType(spec *wire.JobSpec, types map[string]wire.MachineType) bool {
+	need := clusterstate.TaskResources(spec)
 	for name, machineType := range types {
-		if len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, name) || spec.Zone != "" && !slices.Contains(machineType.Zones, spec.Zone) {
-			continue
-		}
-		if need.FitsIn(clusterstate.Capacity(&machineType)) {
-			return ""
+		typeAllowed := len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, name)
+		zoneAllowed := spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone)
+		if typeAllowed && zoneAllowed && need.FitsIn(clusterstate.Capacity(&machineType)) {
+			return true
 		}
 	}
-	return "a task fits no allowed machine type"
+	return false
 }
--- /dev/null
+++ b/internal/admission/errors.go
@@ -0,0 +1,11 @@
+package admission
+
+import "errors"
+
+// Reasons for which a job can never run. Users and the checks of graph files are told their texts.
+var (
+	ErrUnknownTeam       = errors.New("unknown team")
+	ErrOverTeamLimit     = errors.New("more than the team's limit")
+	ErrSameZoneAndSpread = errors.New("one zone and spread exclude each other")
+	ErrNoMachineType     = errors.New("a task fits no allowed machine type")
+)
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -153,10 +153,14 @@
 	known := live != nil && live.HasRecord
 	other := known && !sameDependencies(live.Spec.Dependencies, spec.Dependencies)
 	types, level := len(s.clusterState.Types), s.clusterState.SchemaVersion
-	why := admission.Validate(spec, s.teamsByName, s.clusterState.Types)
-	limit, over := s.retryPolicies.MaxRetries(spec.Class, asked)
-	if why == "" {
-		why = over
+	refusal := admission.Validate(spec, s.teamsByName, s.clusterState.Types)
+	limit, overLimit := s.retryPolicies.MaxRetries(spec.Class, asked)
+	if refusal == nil {
+		refusal = overLimit
+	}
+	why := ""
+	if refusal != nil {
+		why = refusal.Error()
 	}
 	fit := s.clusterState.SizeLimits(s.committer.UpcomingMaxRecordBytes())
 	s.clusterState.RUnlock()
--- a/internal/graph/compile.go
+++ b/internal/graph/compile.go
@@ -228,14 +228,14 @@
 		g.fault(out, path, "as a job: %v", err)
 		return s
 	}
-	limit, why := rules.Repeats.MaxRetries(s.Class, asked)
-	if why != "" {
-		g.fault(out, path+"/retries", "%s", why)
+	limit, err := rules.Repeats.MaxRetries(s.Class, asked)
+	if err != nil {
+		g.fault(out, path+"/retries", "%v", err)
 	}
 	s.MaxRetries = limit
 	if rules.Teams != nil {
-		if why := admission.Validate(&s, rules.Teams, rules.Types); why != "" {
-			g.fault(out, path, "%s", why)
+		if err := admission.Validate(&s, rules.Teams, rules.Types); err != nil {
+			g.fault(out, path, "%v", err)
 		}
 	}
 	return s
--- a/internal/offload/host.go
+++ b/internal/offload/host.go
@@ -179,7 +179,7 @@
 	t := s.teams[spec.Team]
 	// A limit is the home's to keep; what is away would have to be set aside in both.
 	return t.GPUsMax == 0 && t.CPUsMax == 0 && spec.Kind != wire.KindService && len(spec.Dependencies) == 0 &&
-		admission.Validate(spec, s.teams, s.world.Types) == "" && s.world.Jobs[spec.ID] == nil
+		admission.Validate(spec, s.teams, s.world.Types) == nil && s.world.Jobs[spec.ID] == nil
 }
 
 // tell puts into an answer what the records say. Callers hold the world's lock.
--- /dev/null
+++ b/internal/retry/errors.go
@@ -0,0 +1,14 @@
+package retry
+
+import "fmt"
+
+// LimitError says that a submission asks for more retries than its class allows. Users are told its text.
+type LimitError struct {
+	Requested int
+	Allowed   int
+}
+
+// Error gives both numbers.
+func (e *LimitError) Error() string {
+	return fmt.Sprintf("repeats: %d, its class allows %d", e.Requested, e.Allowed)
+}
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -1,10 +1,11 @@
-// Package retry is the rule of how often tasks of a class may fail by themselves and
-// start again, and after which pause. It keeps nothing: the count stands in the job's
-// records, the limit in its description, fixed when the job is accepted.
+// Package retry is the rule of how often the tasks of a class may fail by themselves and start again,
+// and after which backoff.
+//
+// It holds no state: the number of failures stands in the job's records, the limit in its description,
+// fixed when the job is accepted.
 package retry
 
 import (
-	"fmt"
 	"math"
 	"time"
 
@@ -12,10 +13,11 @@
 	"sableusher/internal/tuning"
 )
 
-// Policies holds the classes that limit repeats, by name.
+// Policies are the classes that limit retries, by name. It is not changed once made, and so safe for
+// concurrent use.
 type Policies map[string]config.Class
 
-// NewPolicies makes the rules of the operators' classes.
+// NewPolicies makes the policies of the operators' classes.
 func NewPolicies(classes []config.Class) Policies {
 	policies := Policies{}
 	for _, class := range classes {
@@ -24,28 +26,27 @@
 	return policies
 }
 
-// Enabled tells whether any class limits repeats. Where none does, nothing is counted and
-// what a submission asks for is not looked at.
+// Enabled tells whether any class limits retries. Where none does, no failure is counted and what a
+// submission asks for is not looked at.
 func (p Policies) Enabled() bool { return len(p) > 0 }
 
-// MaxRetries gives how many repeats the tasks of a job may have: what its submission asks for,
-// else what its class allows, else nil for any number. why says why it may not have
-// what it asks for.
-func (p Policies) MaxRetries(class string, requested *int) (limit *int, reason string) {
-	policy, ok := p[class]
+// MaxRetries gives how many retries each task of a job has: what its submission requests, else what its
+// class allows, else nil for no limit. A request for more than the class allows is a LimitError.
+func (p Policies) MaxRetries(class string, requested *int) (*int, error) {
+	policy, limited := p[class]
 	switch {
-	case ok && requested != nil && *requested > policy.Repeats:
-		return nil, fmt.Sprintf("repeats: %d, its class allows %d", *requested, policy.Repeats)
+	case limited && requested != nil && *requested > policy.Repeats:
+		return nil, &LimitError{Requested: *requested, Allowed: policy.Repeats}
 	case requested != nil:
-		return requested, ""
-	case ok:
-		return &policy.Repeats, ""
+		return requested, nil
+	case limited:
+		return &policy.Repeats, nil
 	}
-	return nil, ""
+	return nil, nil
 }
 
-// Backoff is how long a task waits after its failures until it is repeated: its class's
-// pause, doubled with each further failure up to the longest. Without a class it is that of tasks
+// Backoff is how long a task waits after its failures until it is retried: the initial pause of its
+// class, doubled with each further failure up to the longest one. Without a class it is that of tasks
 // whose failures are not counted.
 func (p Policies) Backoff(class string, failures int) time.Duration {
 	initial, longest := tuning.JobBackoff, tuning.JobBackoffMax
@@ -61,6 +62,5 @@
 	return longest
 }
 
-// Exhausted tells whether a task that has failed so often may not fail once more. Without a
-// limit it always may.
+// Exhausted tells whether a task with so many failures has no retry left. Without a limit it always has.
 func Exhausted(limit *int, failures int) bool { return limit != nil && failures >= *limit }
--- a/internal/retry/policy_test.go
+++ b/internal/retry/policy_test.go
@@ -1,6 +1,7 @@
 package retry
 
 import (
+	"errors"
 	"testing"
 	"time"
 
@@ -9,26 +10,39 @@
 	"sableusher/internal/config"
 )
 
-// TestRules: nobody gets more repeats than the class allows, pauses grow up to the
-// longest and no further, and a task with a limit starts at most once more than that.
-func TestPolicies(t *testing.T) {
+// limitedClass draws a class that limits retries.
+func limitedClass(t *rapid.T) config.Class {
+	class := config.Class{
+		Name:    "c",
+		Repeats: rapid.IntRange(0, 1000).Draw(t, "retries"),
+		PauseS:  rapid.Float64Range(0, 1000).Draw(t, "pause"),
+	}
+	class.PauseMaxS = class.PauseS + rapid.Float64Range(0, 85400).Draw(t, "longer pause")
+	return class
+}
+
+// TestMaxRetries: nobody gets more retries than the class allows, and a task with a limit starts at most
+// once more than that.
+func TestMaxRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := config.Class{Name: "c", Repeats: rapid.IntRange(0, 1000).Draw(t, "repeats"), PauseS: rapid.Float64Range(0, 1000).Draw(t, "pause")}
-		c.PauseMaxS = c.PauseS + rapid.Float64Range(0, 85400).Draw(t, "more")
-		r := NewPolicies([]config.Class{c})
-		var asked *int
-		if rapid.Bool().Draw(t, "asks") {
-			n := rapid.IntRange(0, 1000).Draw(t, "asked")
-			asked = &n
+		class := limitedClass(t)
+		var requested *int
+		if rapid.Bool().Draw(t, "requests") {
+			n := rapid.IntRange(0, 1000).Draw(t, "requested")
+			requested = &n
 		}
-		limit, why := r.MaxRetries("c", asked)
-		if (why != "") != (asked != nil && *asked > c.Repeats) {
-			t.Fatalf("%v asked, %d allowed: %q", asked, c.Repeats, why)
-		}
-		if why != "" {
+		limit, err := NewPolicies([]config.Class{class}).MaxRetries("c", requested)
+		if requested != nil && *requested > class.Repeats {
+			var over *LimitError
+			if !errors.As(err, &over) || over.Requested != *requested || over.Allowed != class.Repeats {
+				t.Fatalf("%d requested, %d allowed: %v", *requested, class.Repeats, err)
+			}
 			return
 		}
-		if *limit > c.Repeats || asked != nil && *limit != *asked {
+		if err != nil {
+			t.Fatalf("%v requested, %d allowed: %v", requested, class.Repeats, err)
+		}
+		if *limit > class.Repeats || requested != nil && *limit != *requested {
 			t.Errorf("limit %d", *limit)
 		}
 		starts := 1
@@ -36,18 +50,32 @@
 			starts++
 		}
 		if starts != *limit+1 {
-			t.Errorf("%d starts with %d repeats", starts, *limit)
+			t.Errorf("%d starts with %d retries", starts, *limit)
 		}
+	})
+}
+
+// TestBackoff: the backoff begins with the class's pause and grows up to the longest and no further.
+func TestBackoff(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		class := limitedClass(t)
+		policies := NewPolicies([]config.Class{class})
+		initial, longest := config.Seconds(class.PauseS), config.Seconds(class.PauseMaxS)
 		last := time.Duration(0)
-		for n := range 1200 {
-			p := r.Backoff("c", n)
-			if p < last || p > config.Seconds(c.PauseMaxS) || n == 1 && p != config.Seconds(c.PauseS) {
-				t.Fatalf("pause %v after %d failures, %v before", p, n, last)
+		for failures := range 1200 {
+			pause := policies.Backoff("c", failures)
+			if pause < last || pause > longest || failures == 1 && pause != initial {
+				t.Fatalf("pause %v after %d failures, %v before", pause, failures, last)
 			}
-			last = p
+			last = pause
 		}
 	})
-	if limit, why := NewPolicies(nil).MaxRetries("c", nil); limit != nil || why != "" || Exhausted(nil, 1<<30) {
+}
+
+// TestNoPolicies: without a class that limits retries there is no limit.
+func TestNoPolicies(t *testing.T) {
+	limit, err := NewPolicies(nil).MaxRetries("c", nil)
+	if limit != nil || err != nil || Exhausted(nil, 1<<30) {
 		t.Error("limited without a class")
 	}
 }
