--- a/internal/dependency/resolver.go
+++ b/internal/dependency/resolver.go
@@ -1,5 +1,9 @@
-// Package dependency follows the jobs that others await: what became of those that
-// are over stands in their final records, which no node's view holds.
+// Package dependency finds out how the jobs ended on which others depend.
+//
+// The outcome of a job that is over stands in its final record, which is not part of the cluster state
+// that each node follows; a Resolver reads it and adds it there. It writes no record. A record that is
+// absent or unreadable proves nothing: the dependent job goes on waiting until its outcome is read
+// (safety invariant 27).
 package dependency
 
 import (
@@ -15,26 +19,28 @@
 	"sableusher/internal/tuning"
 )
 
-// Resolver reads the final records of awaited jobs into the view.
+// Resolver reads the final records of dependencies into the cluster state. Only Run uses it once it
+// is made.
 type Resolver struct {
 	clusterState *clusterstate.State
 	reader       kvstore.Reader
 	logger       *slog.Logger
-	failedAt     map[string]time.Time // when a record was last not there, or not to be read
+	failedAt     map[string]time.Time // when the record of a job was last absent or unreadable
 }
 
-// NewResolver makes a resolver.
+// NewResolver makes a resolver that reads through reader.
 func NewResolver(state *clusterstate.State, reader kvstore.Reader, logger *slog.Logger) *Resolver {
 	return &Resolver{clusterState: state, reader: reader, logger: logger, failedAt: map[string]time.Time{}}
 }
 
-// Run reads what is missing after each change of the view, until ctx ends.
+// Run reads missing outcomes after each change of the cluster state, until ctx ends; it returns the
+// error of ctx.
 func (r *Resolver) Run(ctx context.Context) error {
 	changed := r.clusterState.Subscribe()
 	retryTicker := time.NewTicker(tuning.OutcomeRetry)
 	defer retryTicker.Stop()
 	for {
-		r.readMissing(ctx)
+		r.resolveMissing(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -44,43 +50,58 @@
 	}
 }
 
-func (r *Resolver) readMissing(ctx context.Context) {
+// outcome is what reading a final record gave.
+type outcome struct {
+	record clusterstate.FinalRecord
+	found  bool
+}
+
+// resolveMissing reads each outcome that the cluster state lacks, unless that failed a short while ago.
+func (r *Resolver) resolveMissing(ctx context.Context) {
 	now := time.Now()
+	ids := r.dueJobIDs(now)
+	for i, outcome := range r.readOutcomes(ctx, ids) {
+		if outcome.found {
+			r.clusterState.PutFinalRecord(ids[i], outcome.record)
+		} else {
+			r.failedAt[ids[i]] = now
+		}
+	}
+}
+
+// dueJobIDs gives the jobs whose final records are to be read now.
+func (r *Resolver) dueJobIDs(now time.Time) []string {
 	for id, at := range r.failedAt {
 		if now.Sub(at) >= tuning.OutcomeRetry {
 			delete(r.failedAt, id)
 		}
 	}
-	type answer struct {
-		rec clusterstate.FinalRecord
-		ok  bool
-	}
 	var ids []string
 	for _, id := range r.clusterState.UnresolvedDependencies() {
-		if _, ok := r.failedAt[id]; !ok {
+		if _, failedLately := r.failedAt[id]; !failedLately {
 			ids = append(ids, id)
 		}
 	}
-	answers := make([]answer, len(ids))
-	var g errgroup.Group
-	g.SetLimit(tuning.OutcomeLanes)
+	return ids
+}
+
+// readOutcomes reads the final records of jobs, a bounded number at once.
+func (r *Resolver) readOutcomes(ctx context.Context, ids []string) []outcome {
+	outcomes := make([]outcome, len(ids))
+	var group errgroup.Group
+	group.SetLimit(tuning.OutcomeLanes)
 	for i, id := range ids {
-		g.Go(func() error {
-			rec, err := kvstore.ReadRecord[clusterstate.FinalRecord](ctx, r.reader, clusterstate.FinalKey(id))
-			// Not there: this view is older than the job, or the job is live again in it
-			// soon. It proves nothing either way.
-			if answers[i] = (answer{rec, err == nil}); err != nil && !errors.Is(err, kvstore.ErrNotFound) {
-				r.logger.Debug("final record not read", "job", id, "err", err)
+		group.Go(func() error {
+			record, err := kvstore.ReadRecord[clusterstate.FinalRecord](ctx, r.reader, clusterstate.FinalKey(id))
+			outcomes[i] = outcome{record: record, found: err == nil}
+			// An absent record proves nothing either way: the cluster state is older than the job, or
+			// the job is about to be live in it again.
+			if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
+				r.logger.Debug("final record not read", "job_id", id, "err", err)
 			}
 			return nil
 		})
 	}
-	_ = g.Wait()
-	for i, id := range ids {
-		if answers[i].ok {
-			r.clusterState.PutFinalRecord(id, answers[i].rec)
-		} else {
-			r.failedAt[id] = now
-		}
-	}
+	_ = group.Wait() // no read returns an error
+	return outcomes
 }
--- a/internal/dependency/resolver_test.go
+++ b/internal/dependency/resolver_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"io"
 	"log/slog"
 	"sync"
 	"testing"
@@ -15,7 +14,7 @@
 	"sableusher/internal/wire"
 )
 
-// fakeReader answers with what it holds, or with an error while it is away.
+// fakeReader answers with the values it holds, or with an error while it is unavailable.
 type fakeReader struct {
 	mu          sync.Mutex
 	unavailable bool
@@ -37,66 +36,80 @@
 	return wire.KeyValue{Value: wire.MustEncode(v)}, nil
 }
 
+// set changes the reader, or looks at it, while no read is under way.
 func (r *fakeReader) set(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 }
 
-// TestNothingIsConcludedFromSilence: a final record that is not there, can't be
-// read or is damaged proves nothing; a job waits until it is read, is asked for
-// again at a bounded pace, and not at all once it is known.
+// Ids of the jobs of the test: one depends on the other.
+const (
+	awaitedJobID   = "run-1"
+	dependentJobID = "run-2"
+)
+
+// putDependentJob brings a job that depends on another one into the cluster state.
+func putDependentJob(state *clusterstate.State) {
+	spec := wire.JobSpec{ID: dependentJobID, Team: "t", TaskCount: 1, Dependencies: []string{awaitedJobID}}
+	state.BeginUpdate()
+	defer state.EndUpdate()
+	job := clusterstate.JobRecord{Spec: spec, SubmittedAtMs: 1}
+	state.Put(clusterstate.JobKey(dependentJobID), wire.MustEncode(job), 1)
+}
+
+// waitsStill gives the resolver time, and tells whether the dependent job still waits.
+func waitsStill(state *clusterstate.State) bool {
+	time.Sleep(3 * tuning.OutcomeRetry)
+	state.RLock()
+	defer state.RUnlock()
+	return state.Jobs[dependentJobID].HasUnmetDependencies()
+}
+
+// TestMissingRecordsProveNothing: a final record that is not there, can't be read or is damaged proves
+// nothing; a job waits until it is read, it is asked for again at a bounded pace, and not at all once it is
+// known.
 func TestMissingRecordsProveNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithCancel(context.Background())
-		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		w := clusterstate.New(3, log)
-		put := func(id string, awaits ...string) {
-			w.BeginUpdate()
-			w.Put(clusterstate.JobKey(id), wire.MustEncode(clusterstate.JobRecord{Spec: wire.JobSpec{ID: id, Team: "t", TaskCount: 1, Dependencies: awaits}, SubmittedAtMs: 1}), 1)
-			w.EndUpdate()
-		}
-		rec := &fakeReader{values: map[string]any{}}
-		go func() { _ = NewResolver(w, rec, log).Run(ctx) }()
-		put("run-2", "run-1")
-		waits := func() bool {
-			time.Sleep(3 * tuning.OutcomeRetry)
-			w.RLock()
-			defer w.RUnlock()
-			return w.Jobs["run-2"].HasUnmetDependencies()
-		}
-		if !waits() {
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		logger := slog.New(slog.DiscardHandler)
+		state := clusterstate.New(3, logger)
+		finalKey := clusterstate.FinalKey(awaitedJobID)
+		reader := &fakeReader{values: map[string]any{}}
+		go func() { _ = NewResolver(state, reader, logger).Run(ctx) }()
+		putDependentJob(state)
+		if !waitsStill(state) {
 			t.Error("released though nothing tells of the first")
 		}
-		rec.set(func() { rec.unavailable = true })
-		if !waits() {
+		reader.set(func() { reader.unavailable = true })
+		if !waitsStill(state) {
 			t.Error("released while records can't be read")
 		}
-		rec.set(func() { rec.unavailable, rec.values[clusterstate.FinalKey("run-1")] = false, "damaged" })
-		if !waits() {
+		reader.set(func() { reader.unavailable, reader.values[finalKey] = false, "damaged" })
+		if !waitsStill(state) {
 			t.Error("released by a damaged record")
 		}
-		rec.set(func() {
-			if most := 3*3 + 4; rec.reads > most || rec.reads < 3 {
-				t.Errorf("asked %d times", rec.reads)
+		reader.set(func() {
+			if most := 3*3 + 4; reader.reads > most || reader.reads < 3 {
+				t.Errorf("read %d times", reader.reads)
 			}
-			rec.values[clusterstate.FinalKey("run-1")] = clusterstate.FinalRecord{Status: wire.JobDone, TaskCount: 1, DoneCount: 1, EndedAtMs: 77}
+			reader.values[finalKey] = clusterstate.FinalRecord{Status: wire.JobDone, TaskCount: 1, DoneCount: 1, EndedAtMs: 77}
 		})
-		if waits() {
+		if waitsStill(state) {
 			t.Error("still waits for a job that is done")
 		}
-		if w.Jobs["run-2"].ReadySinceMs() != 77 {
-			t.Errorf("counts from %d", w.Jobs["run-2"].ReadySinceMs())
+		if since := state.Jobs[dependentJobID].ReadySinceMs(); since != 77 {
+			t.Errorf("counts from %d", since)
 		}
-		asked := 0
-		rec.set(func() { asked = rec.reads })
-		put("run-2", "run-1")
-		waits()
-		rec.set(func() {
-			if rec.reads != asked {
-				t.Error("asked again for what is known")
+		reads := 0
+		reader.set(func() { reads = reader.reads })
+		putDependentJob(state)
+		waitsStill(state)
+		reader.set(func() {
+			if reader.reads != reads {
+				t.Error("read again though it is known")
 			}
 		})
-		cancel()
 	})
 }
