--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -16,6 +16,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"sableusher/internal/admission"
+	"sableusher/internal/agent"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
@@ -43,7 +44,7 @@
 
 // AgentRegistry answers reports.
 type AgentRegistry interface {
-	HandleHeartbeat(r *wire.Heartbeat) (int, any)
+	HandleHeartbeat(heartbeat *wire.Heartbeat) agent.HeartbeatResult
 }
 
 // Server is the server's handlers.
@@ -127,7 +128,8 @@
 		wire.WriteResponse(w, http.StatusBadRequest, wire.ErrorResponse{Message: "unreadable report"})
 		return
 	}
-	status, body := s.agents.HandleHeartbeat(&heartbeat)
+	result := s.agents.HandleHeartbeat(&heartbeat)
+	status, body := result.HTTPResponse()
 	wire.WriteResponse(w, status, body)
 }
 
@@ -153,10 +155,14 @@
 	known := live != nil && live.HasRecord
 	other := known && !sameDependencies(live.Spec.Dependencies, spec.Dependencies)
 	types, level := len(s.clusterState.Types), s.clusterState.SchemaVersion
-	why := admission.Validate(spec, s.teamsByName, s.clusterState.Types)
-	limit, over := s.retryPolicies.MaxRetries(spec.Class, asked)
-	if why == "" {
-		why = over
+	refusal := admission.Validate(spec, s.teamsByName, s.clusterState.Types)
+	limit, overLimit := s.retryPolicies.MaxRetries(spec.Class, asked)
+	if refusal == nil {
+		refusal = overLimit
+	}
+	why := ""
+	if refusal != nil {
+		why = refusal.Error()
 	}
 	fit := s.clusterState.SizeLimits(s.committer.UpcomingMaxRecordBytes())
 	s.clusterState.RUnlock()
--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -56,7 +56,7 @@
 
 // chunkBindable tells whether a task of a chunk waits and its record can be changed now.
 func (c *cycle) chunkBindable(job *clusterstate.Job, chunk int) bool {
-	return !job.ChunkFullyAssigned(chunk) && !c.keysInFlight[job.ChunkKey(chunk)]
+	return !job.ChunkFullyAssigned(chunk) && !c.changes.inFlight(job.ChunkKey(chunk))
 }
 
 // taskStart is a start of a task on a machine that a cycle has chosen for it.
@@ -158,7 +158,7 @@
 	delete(c.ownerWaits, job)
 	delete(c.demand.unplacedSince, job)
 	if candidate.ReservedFor == job {
-		delete(c.reservations, candidate.Machine.Name)
+		c.reservations.release(candidate.Machine.Name)
 		c.inventory.ReserveFor(candidate.Machine.Name, "")
 	}
 }
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -94,10 +94,8 @@
 		c.inFlight.byTeam[shard] = map[string]clusterstate.Resources{}
 		c.viewShard(shard)
 	}
-	for _, change := range e.inFlightChanges {
-		for _, binding := range change.bindings {
-			c.inFlight.add(binding)
-		}
+	for binding := range e.changes.bindings() {
+		c.inFlight.add(binding)
 	}
 	return c
 }
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -24,7 +24,7 @@
 	cancelled := 0
 	for id := range c.cluster.DependencyCancelled() {
 		job := c.cluster.Jobs[id]
-		if job == nil || c.keysInFlight[clusterstate.JobKey(id)] || cancelled >= tuning.DoomRound {
+		if job == nil || c.changes.inFlight(clusterstate.JobKey(id)) || cancelled >= tuning.DoomRound {
 			continue
 		}
 		if !c.shards.owns(c.firstLiveShard(job)) && c.now.Sub(job.DependencyCancelledAt) < tuning.DoomPatience {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -63,7 +63,7 @@
 // gangMayStart tells whether a gang's record can be changed, and no task of its last attempt has ended
 // while others are still on machines.
 func (c *cycle) gangMayStart(job *clusterstate.Job, start gangStart) bool {
-	if c.keysInFlight[clusterstate.JobKey(job.Spec.ID)] || c.needsMigration(job) {
+	if c.changes.inFlight(clusterstate.JobKey(job.Spec.ID)) || c.needsMigration(job) {
 		return false
 	}
 	return !start.forming || !slices.ContainsFunc(start.idle, func(task clusterstate.Task) bool {
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -23,10 +23,8 @@
 	for name, amount := range c.inFlight.byMachine {
 		inventory.ConsumeByName(name, amount)
 	}
-	for name, reservation := range c.reservations {
-		if !c.now.After(reservation.expiresAt) {
-			inventory.ReserveFor(name, reservation.task.Job)
-		}
+	for name, task := range c.reservations.active(c.now) {
+		inventory.ReserveFor(name, task.Job)
 	}
 	c.refreshImageHints(inventory)
 	return inventory
--- a/internal/scheduler/prune.go
+++ b/internal/scheduler/prune.go
@@ -17,7 +17,7 @@
 	maps.DeleteFunc(c.jobBackoffs, func(id string, _ jobBackoff) bool { return isOver(id) })
 	maps.DeleteFunc(c.lastLoggedReason, func(id string, _ time.Time) bool { return isOver(id) })
 	maps.DeleteFunc(c.gangFormingSince, func(id string, _ time.Time) bool { return isOver(id) })
-	maps.DeleteFunc(c.rejectedUntil, func(_ string, until time.Time) bool { return c.now.After(until) })
+	c.changes.pruneRejected(c.now)
 	maps.DeleteFunc(c.tombstones, func(_ string, at time.Time) bool { return c.now.Sub(at) > tuning.BuriedFor })
-	maps.DeleteFunc(c.reservations, func(_ string, reserved reservation) bool { return c.now.After(reserved.expiresAt) })
+	c.reservations.prune(c.now)
 }
