--- a/internal/zonehealth/tracker_test.go
+++ b/internal/zonehealth/tracker_test.go
@@ -7,152 +7,194 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/testrand"
 	"sableusher/internal/tuning"
 )
 
-func TestMain(m *testing.M) { testrand.Main(m) }
-
-// transitions is the table of the package's page.
+// transitions is the table of the package comment.
 var transitions = map[State][]State{
-	Serving: {Doubted, Cut}, Doubted: {Serving, Cut}, Cut: {Lost, Returning}, Lost: {Returning}, Returning: {Serving, Cut},
+	Serving:   {Doubted, Cut},
+	Doubted:   {Serving, Cut},
+	Cut:       {Lost, Returning},
+	Lost:      {Returning},
+	Returning: {Serving, Cut},
 }
 
 var (
 	testTiming = Timing{LeaseDuration: 45 * time.Second, ReconnectTime: 20 * time.Second}
-	start      = time.Unix(1_800_000_000, 0)
+	testStart  = time.Unix(1_800_000_000, 0)
 )
 
 func drawHeartbeatCount(t *rapid.T) HeartbeatCount {
-	up := rapid.IntRange(0, 12).Draw(t, "up")
-	return HeartbeatCount{Expected: up, Received: rapid.IntRange(0, up).Draw(t, "heard"), ControllerInZone: rapid.Bool().Draw(t, "inside")}
+	expected := rapid.IntRange(0, 12).Draw(t, "expected")
+	return HeartbeatCount{
+		Expected:         expected,
+		Received:         rapid.IntRange(0, expected).Draw(t, "received"),
+		ControllerInZone: rapid.Bool().Draw(t, "controller in zone"),
+	}
+}
+
+// transitionModel follows what a tracker says of its transitions.
+type transitionModel struct {
+	since  map[string]time.Time
+	states map[string]State
+}
+
+// apply checks a transition against the table and the one before it.
+func (m *transitionModel) apply(t *rapid.T, now time.Time, change Transition) {
+	former := m.states[change.Zone]
+	if !slices.Contains(transitions[change.From], change.To) || change.From != former ||
+		change.TimeInFormerState != now.Sub(m.since[change.Zone]) {
+		t.Fatalf("%+v from %v since %v", change, former, m.since[change.Zone])
+	}
+	if (change.WaitingFor == "") != (change.To == Serving) {
+		t.Fatalf("%+v", change)
+	}
+	m.states[change.Zone], m.since[change.Zone] = change.To, now
 }
 
-// TestLifeFollowsItsTable: over any history of two zones each passage is one of the table, is
-// told once with the time in the state before, and says what the new state waits for; a zone
-// never depends on the other; one is out only while hardly any of its machines is heard.
+// checkZone checks a zone's state against the model and against the heartbeats just counted.
+func (m *transitionModel) checkZone(t *rapid.T, tracker *Tracker, zone string, count HeartbeatCount) {
+	if tracker.State(zone) != m.states[zone] {
+		t.Fatalf("%s is %v, its transitions lead to %v", zone, tracker.State(zone), m.states[zone])
+	}
+	if tracker.Unavailable(zone) && count.hasRecovered() {
+		t.Fatalf("%s is unavailable with %+v", zone, count)
+	}
+	if !tracker.Unavailable(zone) && count.isBelow(tuning.CutHeard) {
+		t.Fatalf("%s is used with %+v", zone, count)
+	}
+}
+
+// TestTransitionsFollowTheTable: over any history of two zones each transition is one of the table,
+// is returned once with the time in the former state, and says what the new state waits for; a
+// zone never depends on the other; one is unavailable only while hardly any heartbeat arrives.
 func TestTransitionsFollowTheTable(t *testing.T) {
+	zones := []string{"east", "west"}
 	rapid.Check(t, func(t *rapid.T) {
 		both, alone := Tracker{Timing: testTiming}, Tracker{Timing: testTiming}
-		now, since, state := start, map[string]time.Time{}, map[string]State{}
-		for range rapid.IntRange(1, 60).Draw(t, "looks") {
+		model := transitionModel{since: map[string]time.Time{}, states: map[string]State{}}
+		now := testStart
+		for range rapid.IntRange(1, 60).Draw(t, "observations") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "seconds")) * time.Second)
-			heard := map[string]HeartbeatCount{}
-			for _, name := range []string{"east", "west"} {
-				if rapid.IntRange(0, 9).Draw(t, "told") > 0 {
-					heard[name] = drawHeartbeatCount(t)
+			counts := map[string]HeartbeatCount{}
+			for _, zone := range zones {
+				if rapid.IntRange(0, 9).Draw(t, "observed") == 0 {
+					continue
 				}
-				if _, ok := since[name]; !ok {
-					if _, told := heard[name]; told {
-						since[name] = now
-					}
+				counts[zone] = drawHeartbeatCount(t)
+				if _, known := model.since[zone]; !known {
+					model.since[zone] = now
 				}
 			}
-			for _, c := range both.Observe(now, heard) {
-				if !slices.Contains(transitions[c.From], c.To) || c.From != state[c.Zone] || c.TimeInFormerState != now.Sub(since[c.Zone]) {
-					t.Fatalf("%+v from %v since %v", c, state[c.Zone], since[c.Zone])
-				}
-				if (c.WaitingFor == "") != (c.To == Serving) {
-					t.Fatalf("%+v", c)
-				}
-				state[c.Zone], since[c.Zone] = c.To, now
+			for _, change := range both.Observe(now, counts) {
+				model.apply(t, now, change)
 			}
-			only := map[string]HeartbeatCount{}
-			if h, ok := heard["east"]; ok {
-				only["east"] = h
+			countsOfEast := map[string]HeartbeatCount{}
+			if count, ok := counts["east"]; ok {
+				countsOfEast["east"] = count
 			}
-			alone.Observe(now, only)
+			alone.Observe(now, countsOfEast)
 			if alone.State("east") != both.State("east") || alone.Trusted("east") != both.Trusted("east") {
 				t.Fatal("one zone's state depends on another")
 			}
-			for name, h := range heard {
-				if both.State(name) != state[name] {
-					t.Fatalf("%s is %v, told %v", name, both.State(name), state[name])
-				}
-				if both.Unavailable(name) && h.recovered() {
-					t.Fatalf("%s is out with %+v", name, h)
-				}
-				if !both.Unavailable(name) && h.below(tuning.CutHeard) {
-					t.Fatalf("%s is used with %+v", name, h)
-				}
+			for zone, count := range counts {
+				model.checkZone(t, &both, zone, count)
 			}
-			if !slices.Equal(both.UnavailableZones(), slices.DeleteFunc([]string{"east", "west"}, func(n string) bool { return !both.Unavailable(n) })) {
-				t.Fatalf("%v out", both.UnavailableZones())
+			available := func(zone string) bool { return !both.Unavailable(zone) }
+			unavailable := slices.DeleteFunc(slices.Clone(zones), available)
+			if !slices.Equal(both.UnavailableZones(), unavailable) {
+				t.Fatalf("%v unavailable", both.UnavailableZones())
 			}
 		}
 	})
 }
 
-// TestEveryStateEnds: from wherever a history has led, a zone that is heard serves within its
-// longest probation, one that is silent is lost within what its machines are spared for, and
-// one whose machines are all gone serves again after both.
+// TestEveryStateEnds: from wherever a history has led, a zone whose heartbeats arrive serves within
+// its longest probation, a silent one is lost within its grace period, and one whose machines are
+// all deleted serves again after both.
 func TestEveryStateEnds(t *testing.T) {
-	longest := testTiming.ReconnectTime << (tuning.ProbationReturns - 1)
+	longestProbation := testTiming.ReconnectTime << (tuning.ProbationReturns - 1)
 	for name, c := range map[string]struct {
-		tally  HeartbeatCount
+		count  HeartbeatCount
 		within time.Duration
 		want   State
 	}{
-		"heard":       {HeartbeatCount{Expected: 10, Received: 10}, longest, Serving},
-		"silent":      {HeartbeatCount{Expected: 10}, testTiming.LeaseDuration, Lost},
-		"held inside": {HeartbeatCount{Expected: 10, ControllerInZone: true}, max(testTiming.LeaseDuration, tuning.CutInside), Lost},
-		"gone":        {HeartbeatCount{}, testTiming.LeaseDuration + longest, Serving},
+		"heard":  {HeartbeatCount{Expected: 10, Received: 10}, longestProbation, Serving},
+		"silent": {HeartbeatCount{Expected: 10}, testTiming.LeaseDuration, Lost},
+		"controller in zone": {
+			HeartbeatCount{Expected: 10, ControllerInZone: true},
+			max(testTiming.LeaseDuration, tuning.CutInside), Lost,
+		},
+		"deleted": {HeartbeatCount{}, testTiming.LeaseDuration + longestProbation, Serving},
 	} {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				z, now := Tracker{Timing: testTiming}, start
-				for range rapid.IntRange(1, 40).Draw(t, "looks") {
+				tracker, now := Tracker{Timing: testTiming}, testStart
+				for range rapid.IntRange(1, 40).Draw(t, "observations") {
 					now = now.Add(time.Duration(rapid.IntRange(1, 90).Draw(t, "seconds")) * time.Second)
-					z.Observe(now, map[string]HeartbeatCount{"east": drawHeartbeatCount(t)})
+					tracker.Observe(now, map[string]HeartbeatCount{"east": drawHeartbeatCount(t)})
 				}
 				for until := now.Add(c.within + 3*time.Second); now.Before(until); now = now.Add(time.Second) {
-					z.Observe(now, map[string]HeartbeatCount{"east": c.tally})
+					tracker.Observe(now, map[string]HeartbeatCount{"east": c.count})
 				}
-				if got := z.State("east"); got != c.want {
-					t.Fatalf("%v, not %v: waits for %s", got, c.want, z.WaitingFor(now, "east"))
+				if got := tracker.State("east"); got != c.want {
+					t.Fatalf("%v, not %v: waits for %s", got, c.want, tracker.WaitingFor(now, "east"))
 				}
 			})
 		})
 	}
 }
 
-// TestFlappingIsDamped: each return of a zone that comes and goes is watched at least as long as
-// the one before and no longer than the bound; from the second on it is not trusted until it
-// serves; and each ProbationForgive of service takes one return back.
-func TestFlappingIsDamped(t *testing.T) {
-	z, now := Tracker{Timing: testTiming}, start
-	look := func(tally HeartbeatCount, d time.Duration) {
-		for until := now.Add(d); now.Before(until); now = now.Add(time.Second) {
-			z.Observe(now, map[string]HeartbeatCount{"east": tally})
-		}
+// flappingZone is a zone that is observed every second while its heartbeats come and go.
+type flappingZone struct {
+	tracker Tracker
+	now     time.Time
+}
+
+func (z *flappingZone) observe(received int, duration time.Duration) {
+	count := HeartbeatCount{Expected: 10, Received: received}
+	for until := z.now.Add(duration); z.now.Before(until); z.now = z.now.Add(time.Second) {
+		z.tracker.Observe(z.now, map[string]HeartbeatCount{"east": count})
 	}
-	good, silent := HeartbeatCount{Expected: 10, Received: 10}, HeartbeatCount{Expected: 10}
-	watched := func() time.Duration {
-		look(silent, 10*time.Second)
-		if !z.Unavailable("east") || z.Trusted("east") || z.ReturningSince("east") != (time.Time{}) {
-			t.Fatalf("%v after 10 s of silence", z.State("east"))
-		}
-		from := now
-		for look(good, time.Second); z.State("east") == Returning; look(good, time.Second) {
-		}
-		return now.Sub(from)
+}
+
+// loseAndReturn loses the zone, lets it return and measures its probation.
+func (z *flappingZone) loseAndReturn(t *testing.T) time.Duration {
+	z.observe(0, 10*time.Second)
+	if !z.tracker.Unavailable("east") || z.tracker.Trusted("east") || z.tracker.ReturningSince("east") != (time.Time{}) {
+		t.Fatalf("%v after 10 s of silence", z.tracker.State("east"))
+	}
+	from := z.now
+	z.observe(10, time.Second)
+	for z.tracker.State("east") == Returning {
+		z.observe(10, time.Second)
 	}
-	look(good, time.Second)
-	last := time.Duration(0)
+	return z.now.Sub(from)
+}
+
+// TestFlappingIsDamped: the probation of a zone that comes and goes is at least as long as the one
+// before and no longer than the bound; from the second return on the zone is not trusted until it
+// serves; and each ProbationForgive of service takes one return back.
+func TestFlappingIsDamped(t *testing.T) {
+	zone := &flappingZone{tracker: Tracker{Timing: testTiming}, now: testStart}
+	longestProbation := testTiming.ReconnectTime << (tuning.ProbationReturns - 1)
+	zone.observe(10, time.Second)
+	former := time.Duration(0)
 	for i := range 2 * tuning.ProbationReturns {
-		look(silent, 10*time.Second)
-		look(good, time.Second)
-		if trusted := z.Trusted("east"); trusted != (i == 0) || z.ReturningSince("east").IsZero() {
+		zone.observe(0, 10*time.Second)
+		zone.observe(10, time.Second)
+		trusted := zone.tracker.Trusted("east")
+		if trusted != (i == 0) || zone.tracker.ReturningSince("east").IsZero() {
 			t.Fatalf("return %d: trusted is %v", i+1, trusted)
 		}
-		took := watched()
-		if took < last || took > testTiming.ReconnectTime<<(tuning.ProbationReturns-1)+2*time.Second {
-			t.Fatalf("return %d watched for %v, the one before for %v", i+1, took, last)
+		probation := zone.loseAndReturn(t)
+		if probation < former || probation > longestProbation+2*time.Second {
+			t.Fatalf("return %d is on probation for %v, the one before for %v", i+1, probation, former)
 		}
-		last = took
+		former = probation
 	}
-	look(good, tuning.ProbationReturns*tuning.ProbationForgive)
-	if took := watched(); took > testTiming.ReconnectTime+2*time.Second {
-		t.Fatalf("forgiven, and watched for %v", took)
+	zone.observe(10, tuning.ProbationReturns*tuning.ProbationForgive)
+	if probation := zone.loseAndReturn(t); probation > testTiming.ReconnectTime+2*time.Second {
+		t.Fatalf("forgiven, and on probation for %v", probation)
 	}
 }
