--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -5,8 +5,8 @@
 import (
 	"slices"
 
-	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -17,7 +17,7 @@
 	if !ok {
 		return "unknown team"
 	}
-	need := clusterstate.TaskResources(spec)
+	need := record.TaskResources(spec)
 	taskCount := float64(spec.TaskCount)
 	if spec.Kind == wire.KindArray {
 		taskCount = 1
@@ -35,7 +35,7 @@
 		if len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, name) || spec.Zone != "" && !slices.Contains(machineType.Zones, spec.Zone) {
 			continue
 		}
-		if need.FitsIn(clusterstate.Capacity(&machineType)) {
+		if need.FitsIn(record.Capacity(&machineType)) {
 			return ""
 		}
 	}
--- a/internal/agent/heartbeat_test.go
+++ b/internal/agent/heartbeat_test.go
@@ -11,6 +11,7 @@
 	"pgregory.net/rapid"
 
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -22,7 +23,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		k := newRegistryFixture(tuning.LevelCertain)
 		m := k.addMachine(0)
-		ref := clusterstate.TaskRef{Job: "run-1"}
+		ref := record.TaskRef{Job: "run-1"}
 		b := clusterstate.Binding{Ref: ref, Attempt: 2, Session: 2}
 		type id struct{ session, seq uint64 }
 		var newest id
@@ -33,7 +34,7 @@
 				for _, owner := range []string{"b", "a"} {
 					token, stamp = token+1, stamp+1
 					k.state.BeginUpdate()
-					k.state.Put(clusterstate.ShardKey(0), wire.MustEncode(clusterstate.ShardRecord{Owner: owner, Incarnation: 1, FencingToken: token}), stamp)
+					k.state.Put(record.ShardKey(0), wire.MustEncode(record.Shard{Owner: owner, Incarnation: 1, FencingToken: token}), stamp)
 					k.state.EndUpdate()
 					if rapid.Bool().Draw(t, "swept") {
 						k.removeExpired()
@@ -81,7 +82,7 @@
 	k := newRegistryFixture(tuning.LevelCertain)
 	m := k.addMachine(0)
 	k.state.BeginUpdate()
-	k.state.Put(clusterstate.MachineKey(m), wire.MustEncode(clusterstate.MachineRecord{Type: "m", Zone: "z", Address: "10.1.0.1:9000", Up: true, Session: 4}), 2)
+	k.state.Put(record.MachineKey(m), wire.MustEncode(record.Machine{Type: "m", Zone: "z", Address: "10.1.0.1:9000", Up: true, Session: 4}), 2)
 	k.state.EndUpdate()
 	if status, _ := k.HandleHeartbeat(&wire.Heartbeat{Machine: m, Session: 3, Sequence: 90, FencingToken: 5}); status != http.StatusServiceUnavailable || len(k.RecentlyHeard([]string{m})) > 0 {
 		t.Errorf("a copy out of an earlier session counts: %d", status)
--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -13,6 +13,7 @@
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/membership"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -33,11 +34,11 @@
 	w := clusterstate.New(2, log)
 	w.SchemaVersion = level
 	for i, n := range []string{"a", "b"} {
-		w.Nodes[n] = clusterstate.Node{NodeRecord: clusterstate.NodeRecord{Incarnation: 1}}
-		w.Shards[i] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: n, Incarnation: 1, FencingToken: 5}}
+		w.Nodes[n] = clusterstate.Node{Node: record.Node{Incarnation: 1}}
+		w.Shards[i] = clusterstate.Shard{Shard: record.Shard{Owner: n, Incarnation: 1, FencingToken: 5}}
 	}
 	client := kvstore.NewClient("127.0.0.1:1", kvstore.Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxValueKiB: 16, MaxTransactionOps: 32}, nil)
-	m := membership.New("a", 1, []string{"a", "b"}, tuning.Level, client, nil, kvstore.NewWatchCache(client, clusterstate.LivePrefix, w, log), w, log)
+	m := membership.New("a", 1, []string{"a", "b"}, tuning.Level, client, nil, kvstore.NewWatchCache(client, record.LivePrefix, w, log), w, log)
 	k := &registryFixture{state: w, confirmedAt: time.Now(), peerAnsweredAt: time.Now()}
 	k.Registry = New(set, w, m, func() time.Time { return k.confirmedAt }, log, nil)
 	k.SetPeerLastAnswered(func(string) time.Time { return k.peerAnsweredAt })
@@ -47,11 +48,11 @@
 // addMachine gives the name of a machine of a part, with a record.
 func (k *registryFixture) addMachine(part int) string {
 	name := "vm-0"
-	for clusterstate.ShardOf(name, 2) != part {
+	for record.ShardOf(name, 2) != part {
 		name += "0"
 	}
 	k.state.BeginUpdate()
-	k.state.Put(clusterstate.MachineKey(name), wire.MustEncode(clusterstate.MachineRecord{Type: "m", Zone: "z", Address: "10.1.0.1:9000", Up: true}), 1)
+	k.state.Put(record.MachineKey(name), wire.MustEncode(record.Machine{Type: "m", Zone: "z", Address: "10.1.0.1:9000", Up: true}), 1)
 	k.state.EndUpdate()
 	return name
 }
@@ -110,8 +111,8 @@
 		k.state.BeginUpdate()
 		for i, cancelMs := range []int64{5, 0} {
 			id := fmt.Sprintf("run-%d", i)
-			k.state.Put(clusterstate.JobKey(id), wire.MustEncode(clusterstate.JobRecord{Spec: wire.JobSpec{ID: id, Kind: wire.KindService, TaskCount: 2}, CancelledAtMs: cancelMs,
-				Tasks: []clusterstate.Task{{State: clusterstate.TaskBound, Attempt: 1, Machine: m, Session: 1}, {Index: 1, State: clusterstate.TaskBound, Attempt: 1, Machine: m, Session: 1}}}), 2)
+			k.state.Put(record.JobKey(id), wire.MustEncode(record.Job{Spec: wire.JobSpec{ID: id, Kind: wire.KindService, TaskCount: 2}, CancelledAtMs: cancelMs,
+				Tasks: []record.Task{{State: record.TaskBound, Attempt: 1, Machine: m, Session: 1}, {Index: 1, State: record.TaskBound, Attempt: 1, Machine: m, Session: 1}}}), 2)
 		}
 		k.state.EndUpdate()
 		k.confirmedAt, k.peerAnsweredAt = time.Now().Add(-time.Minute), time.Now().Add(-time.Minute)
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -4,13 +4,14 @@
 	"time"
 
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
 
 // attemptKey names one attempt of a task.
 type attemptKey struct {
-	ref     clusterstate.TaskRef
+	ref     record.TaskRef
 	attempt uint64
 }
 
@@ -188,7 +189,7 @@
 	old := m.reportedTasks
 	m.reportedTasks = make(map[attemptKey]reportedTask, len(r.Tasks))
 	for _, t := range r.Tasks {
-		ref, ok := clusterstate.ParseTaskRef(t.Task)
+		ref, ok := record.ParseTaskRef(t.Task)
 		if !ok {
 			continue
 		}
@@ -228,7 +229,7 @@
 // commands compares what the worker reports with what is bound to it. It marks
 // the starts it gives as on their way; seq is the report answered, 0 for a
 // direct command.
-func (m *machine) commands(bound map[clusterstate.TaskRef]clusterstate.Binding, known func(ref clusterstate.TaskRef, attempt uint64) bool,
+func (m *machine) commands(bound map[record.TaskRef]clusterstate.Binding, known func(ref record.TaskRef, attempt uint64) bool,
 	wish func(b clusterstate.Binding) (stopRequest, bool), token, seq uint64, now time.Time) []wire.Command {
 	var out []wire.Command
 	for k, s := range m.reportedTasks {
@@ -291,7 +292,7 @@
 		return
 	}
 	for _, o := range sent {
-		ref, _ := clusterstate.ParseTaskRef(o.Task)
+		ref, _ := record.ParseTaskRef(o.Task)
 		k := attemptKey{ref, o.Attempt}
 		ls := m.pendingStarts[k]
 		for i := range ls {
--- a/internal/agent/machine_test.go
+++ b/internal/agent/machine_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -12,12 +13,12 @@
 	return &wire.Heartbeat{Machine: "m", Session: session, Sequence: seq, FencingToken: token, Tasks: tasks}
 }
 
-func bindingOf(session uint64) (map[clusterstate.TaskRef]clusterstate.Binding, clusterstate.Binding) {
-	b := clusterstate.Binding{Ref: clusterstate.TaskRef{Job: "run-1"}, Job: &clusterstate.Job{}, Attempt: 1, Session: session}
-	return map[clusterstate.TaskRef]clusterstate.Binding{b.Ref: b}, b
+func bindingOf(session uint64) (map[record.TaskRef]clusterstate.Binding, clusterstate.Binding) {
+	b := clusterstate.Binding{Ref: record.TaskRef{Job: "run-1"}, Job: &clusterstate.Job{}, Attempt: 1, Session: session}
+	return map[record.TaskRef]clusterstate.Binding{b.Ref: b}, b
 }
 
-func attemptAlwaysEnded(clusterstate.TaskRef, uint64) bool { return true }
+func attemptAlwaysEnded(record.TaskRef, uint64) bool { return true }
 
 func noStopRequest(clusterstate.Binding) (stopRequest, bool) { return stopRequest{}, false }
 
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -16,6 +16,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/membership"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -164,7 +165,7 @@
 		return out
 	}
 	for _, t := range r.Tasks {
-		ref, ok := clusterstate.ParseTaskRef(t.Task)
+		ref, ok := record.ParseTaskRef(t.Task)
 		b, bound := rec.Bindings[ref]
 		if ok && bound && b.Attempt == t.Attempt && b.Job.Cancelled() && t.State != wire.TaskExited && len(out.Commands) < tuning.OrdersMax {
 			grace := 0.0
@@ -207,7 +208,7 @@
 	now := time.Now()
 	f.clusterState.RLock()
 	defer f.clusterState.RUnlock()
-	part := clusterstate.ShardOf(r.Machine, f.clusterState.ShardCount)
+	part := record.ShardOf(r.Machine, f.clusterState.ShardCount)
 	token, entitled := f.membership.MayServeAgents(part)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -285,7 +286,7 @@
 // attemptEnded tells whether the records have reached this attempt of the task: it is
 // bound elsewhere, was given up, or its job is over. Otherwise the view is
 // older than the report. Callers hold both locks.
-func (f *Registry) attemptEnded(ref clusterstate.TaskRef, attempt uint64) bool {
+func (f *Registry) attemptEnded(ref record.TaskRef, attempt uint64) bool {
 	j := f.clusterState.Jobs[ref.Job]
 	if j == nil {
 		return true // starts follow durable bindings, so the job was there and is over
@@ -294,7 +295,7 @@
 		return false
 	}
 	t := j.Task(ref.Index)
-	return t.Attempt > attempt || t.Attempt == attempt && t.State != clusterstate.TaskBound
+	return t.Attempt > attempt || t.Attempt == attempt && t.State != record.TaskBound
 }
 
 // stopRequestFor tells whether a bound task is to stop. Callers hold both locks.
@@ -392,7 +393,7 @@
 			delete(f.stopRequests, k)
 			continue
 		}
-		if t := j.Task(k.ref.Index); t.State != clusterstate.TaskBound || t.Attempt != k.attempt {
+		if t := j.Task(k.ref.Index); t.State != record.TaskBound || t.Attempt != k.attempt {
 			if now.Sub(w.requestedAt) > time.Second {
 				delete(f.stopRequests, k)
 			}
@@ -409,7 +410,7 @@
 		}
 	}
 	for n, m := range f.machines {
-		_, owned := f.membership.MayServeAgents(clusterstate.ShardOf(n, f.clusterState.ShardCount))
+		_, owned := f.membership.MayServeAgents(record.ShardOf(n, f.clusterState.ShardCount))
 		if f.clusterState.Machines[n] == nil && now.Sub(m.lastHeard) > f.settings.Lease() || !owned {
 			delete(f.machines, n)
 			delete(f.adoptions, n)
@@ -421,7 +422,7 @@
 func (f *Registry) dispatch(ctx context.Context, name string) {
 	f.clusterState.RLock()
 	rec := f.clusterState.Machines[name]
-	token, _, owns := f.membership.Owns(clusterstate.ShardOf(name, f.clusterState.ShardCount))
+	token, _, owns := f.membership.Owns(record.ShardOf(name, f.clusterState.ShardCount))
 	if rec == nil || rec.Deleting || !owns || time.Since(f.completeAsOf()) > f.maxStateAge() {
 		f.clusterState.RUnlock()
 		return
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -19,6 +19,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/retry"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -60,14 +61,14 @@
 	cancellationSlots chan struct{} // cancellations that wait for tasks to leave
 
 	mu               sync.Mutex
-	finalRecords     map[string]clusterstate.FinalRecord
+	finalRecords     map[string]record.Final
 	finalRecordOrder []string
 }
 
 // New makes the handlers.
 func New(settings *config.Settings, operator *config.Operator, state *clusterstate.State, reader kvstore.Reader, committer Committer, barrier ReadBarrier, agents AgentRegistry, logger *slog.Logger) *Server {
 	server := &Server{clusterState: state, reader: reader, committer: committer, barrier: barrier, agents: agents, teamsByName: map[string]config.Team{}, retryPolicies: retry.NewPolicies(operator.Classes), logger: logger,
-		requestSlots: make(chan struct{}, tuning.BusyRequests), cancellationSlots: make(chan struct{}, tuning.AbortsWaiting), finalRecords: map[string]clusterstate.FinalRecord{}}
+		requestSlots: make(chan struct{}, tuning.BusyRequests), cancellationSlots: make(chan struct{}, tuning.AbortsWaiting), finalRecords: map[string]record.Final{}}
 	for _, team := range settings.Deployment.Teams {
 		server.teamsByName[team.Name] = team
 	}
@@ -172,7 +173,7 @@
 			writeUnavailable(w, "not all nodes count repeats yet")
 			return
 		}
-		rec := clusterstate.JobRecord{Spec: *spec, SubmittedAtMs: time.Now().UnixMilli()}
+		rec := record.Job{Spec: *spec, SubmittedAtMs: time.Now().UnixMilli()}
 		if why == "" {
 			why = rec.ChooseLayout(level, fit)
 		}
@@ -195,9 +196,9 @@
 		if len(spec.Dependencies) > 0 && !s.checkDependencies(ctx, w, spec, level) {
 			return
 		}
-		key := clusterstate.JobKey(spec.ID)
+		key := record.JobKey(spec.ID)
 		_, err := s.committer.Commit(ctx, kvstore.Transaction{
-			Conditions: []wire.Condition{{Key: key}, {Key: clusterstate.FinalKey(spec.ID)}},
+			Conditions: []wire.Condition{{Key: key}, {Key: record.FinalKey(spec.ID)}},
 			Ops:        []wire.Op{kvstore.PutOp(key, rec)}, Urgent: true,
 		})
 		if err == nil {
@@ -301,11 +302,11 @@
 	return status
 }
 
-func finalStatus(id string, f clusterstate.FinalRecord) wire.JobStatus {
+func finalStatus(id string, f record.Final) wire.JobStatus {
 	return wire.JobStatus{ID: id, State: f.Status, TasksDone: f.DoneCount}
 }
 
-func (s *Server) cachedFinalRecord(id string) (clusterstate.FinalRecord, bool) {
+func (s *Server) cachedFinalRecord(id string) (record.Final, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f, ok := s.finalRecords[id]
@@ -313,11 +314,11 @@
 }
 
 // readFinalRecord gives a job's final record, which is read once.
-func (s *Server) readFinalRecord(ctx context.Context, id string) (clusterstate.FinalRecord, error) {
+func (s *Server) readFinalRecord(ctx context.Context, id string) (record.Final, error) {
 	if f, ok := s.cachedFinalRecord(id); ok {
 		return f, nil
 	}
-	f, err := kvstore.ReadRecord[clusterstate.FinalRecord](ctx, s.reader, clusterstate.FinalKey(id))
+	f, err := kvstore.ReadRecord[record.Final](ctx, s.reader, record.FinalKey(id))
 	if err == nil {
 		s.cacheFinalRecord(id, f)
 	}
@@ -325,7 +326,7 @@
 }
 
 // cacheFinalRecord keeps the newest final records; they never change.
-func (s *Server) cacheFinalRecord(id string, f clusterstate.FinalRecord) {
+func (s *Server) cacheFinalRecord(id string, f record.Final) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.finalRecords[id]; ok {
@@ -428,7 +429,7 @@
 	if marked.CancelAfterRelease = s.clusterState.SchemaVersion >= tuning.LevelCertain; marked.CancelAfterRelease {
 		confirmed = job.FullyReleased() && job.ChunkCount() == 1 // its tasks all stand in the record that is marked
 	} else {
-		confirmed, versionConditions = true, []wire.Condition{{Key: clusterstate.SchemaVersionKey, ModRevision: s.clusterState.SchemaVersionModRevision}}
+		confirmed, versionConditions = true, []wire.Condition{{Key: record.SchemaVersionKey, ModRevision: s.clusterState.SchemaVersionModRevision}}
 	}
 	if fit := s.clusterState.SizeLimits(s.committer.MaxRecordBytes()); s.clusterState.SchemaVersion >= tuning.LevelPipelines && job.NeedsMigration(fit) {
 		// The record as it is could be too large to be written again.
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -16,6 +16,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -23,7 +24,7 @@
 // fakeBackend stands in for the state service behind the handlers.
 type fakeBackend struct {
 	state        *clusterstate.State
-	finalRecords map[string]clusterstate.FinalRecord
+	finalRecords map[string]record.Final
 	barrierErr   error
 	commitErr    error
 	onBarrier    func() // what the barrier brings into the view
@@ -85,11 +86,11 @@
 
 func newTestServerWith(catalog bool, op *config.Operator) (*fakeBackend, http.Handler) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	o := &fakeBackend{state: clusterstate.New(3, log), finalRecords: map[string]clusterstate.FinalRecord{}, revision: 7}
+	o := &fakeBackend{state: clusterstate.New(3, log), finalRecords: map[string]record.Final{}, revision: 7}
 	set := &config.Settings{}
 	set.Deployment.Teams = []config.Team{{Name: "t", GPUsMax: 2}}
 	if catalog {
-		o.put(clusterstate.CatalogKey, wire.Catalog{Types: []wire.MachineType{{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, Zones: []string{"z"}}}})
+		o.put(record.CatalogKey, wire.Catalog{Types: []wire.MachineType{{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, Zones: []string{"z"}}}})
 	}
 	return o, New(set, op, o.state, o, o, o, o, log).Handler()
 }
@@ -112,7 +113,7 @@
 		return wire.MustEncode(s)
 	}
 	same := change(func(*wire.JobSpec) {})
-	over := clusterstate.FinalRecord{Status: wire.JobDone, TaskCount: 2, DoneCount: 2}
+	over := record.Final{Status: wire.JobDone, TaskCount: 2, DoneCount: 2}
 	for name, c := range map[string]struct {
 		body  []byte
 		set   func(*fakeBackend)
@@ -133,11 +134,11 @@
 		"no answer":        {same, func(o *fakeBackend) { o.commitErr = kvstore.ErrOutcomeUnknown }, false, 503, ""},
 		"repeated later": {same, func(o *fakeBackend) {
 			o.commitErr = kvstore.ErrConditionFailed
-			o.finalRecords[clusterstate.FinalKey("run-000001")] = over
+			o.finalRecords[record.FinalKey("run-000001")] = over
 		}, false, 200, wire.JobDone},
 		// The first body stands, even if the repeated one could never run.
 		"repeated otherwise": {change(func(s *wire.JobSpec) { s.CPUs = 99 }), func(o *fakeBackend) {
-			o.finalRecords[clusterstate.FinalKey("run-000001")] = over
+			o.finalRecords[record.FinalKey("run-000001")] = over
 		}, false, 200, wire.JobDone},
 		"repeated otherwise, unsure": {change(func(s *wire.JobSpec) { s.CPUs = 99 }), func(o *fakeBackend) { o.barrierErr = kvstore.ErrUnavailable }, false, 503, ""},
 	} {
@@ -193,13 +194,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			o, h := newTestServerWith(true, c.op)
-			o.put(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: c.level})
+			o.put(record.SchemaVersionKey, record.SchemaVersion{Version: c.level})
 			if status, _ := send(h, http.MethodPost, "/v1/jobs", c.body); status != c.want {
 				t.Fatalf("%d, want %d", status, c.want)
 			}
 			limit := -1
 			if c.want == 201 {
-				var rec clusterstate.JobRecord
+				var rec record.Job
 				if err := wire.Decode(o.committed[0].Ops[0].Value, &rec); err != nil {
 					t.Fatal(err)
 				}
@@ -218,14 +219,14 @@
 // to those who poll and to those who cancel; until then it runs.
 func TestFailedJobIsFinalWithoutTasks(t *testing.T) {
 	o, h := newTestServer(true)
-	rec := clusterstate.JobRecord{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true, Failed: true,
-		Tasks: []clusterstate.Task{{Index: 1, State: clusterstate.TaskBound, Attempt: 1, Machine: "m", Session: 1}}}
-	o.put(clusterstate.JobKey("run-000001"), rec)
+	rec := record.Job{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true, Failed: true,
+		Tasks: []record.Task{{Index: 1, State: record.TaskBound, Attempt: 1, Machine: "m", Session: 1}}}
+	o.put(record.JobKey("run-000001"), rec)
 	if status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobRunning {
 		t.Errorf("with a task on a machine: %d %q", status, st.State)
 	}
 	rec.Tasks = nil
-	o.put(clusterstate.JobKey("run-000001"), rec)
+	o.put(record.JobKey("run-000001"), rec)
 	if status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobFailed {
 		t.Errorf("%d %q", status, st.State)
 	}
@@ -245,9 +246,9 @@
 	}
 	o.barrierErr = nil
 	// The view lags: only the barrier brings the cancellation another node told.
-	o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec()})
+	o.put(record.JobKey("run-000001"), record.Job{Spec: testSpec()})
 	o.onBarrier = func() {
-		o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), CancelledAtMs: 5})
+		o.put(record.JobKey("run-000001"), record.Job{Spec: testSpec(), CancelledAtMs: 5})
 	}
 	if status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobCancelled {
 		t.Errorf("%d %q", status, st.State)
@@ -262,15 +263,15 @@
 	if status, _ := send(h, http.MethodPost, "/v1/jobs/run-000009/abort", nil); status != 404 {
 		t.Errorf("unknown job: %d", status)
 	}
-	o.finalRecords[clusterstate.FinalKey("run-000002")] = clusterstate.FinalRecord{Status: wire.JobDone}
+	o.finalRecords[record.FinalKey("run-000002")] = record.Final{Status: wire.JobDone}
 	if status, st := send(h, http.MethodPost, "/v1/jobs/run-000002/abort", nil); status != 200 || st.State != wire.JobDone {
 		t.Errorf("done job: %d %q", status, st.State)
 	}
-	o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec()})
+	o.put(record.JobKey("run-000001"), record.Job{Spec: testSpec()})
 	if status, st := send(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil); status != 200 || st.State != wire.JobCancelled || len(o.committed) != 1 {
 		t.Errorf("live job: %d %q, %d writes", status, st.State, len(o.committed))
 	}
-	if g := o.committed[0].Conditions; !slices.Contains(g, wire.Condition{Key: clusterstate.JobKey("run-000001"), ModRevision: 7}) {
+	if g := o.committed[0].Conditions; !slices.Contains(g, wire.Condition{Key: record.JobKey("run-000001"), ModRevision: 7}) {
 		t.Errorf("guards %+v", g)
 	}
 	o.commitErr = kvstore.ErrOutcomeUnknown
@@ -287,7 +288,7 @@
 }
 
 func cancellationIsConfirmedAfterRelease(t *testing.T) {
-	bound := []clusterstate.Task{{State: clusterstate.TaskBound, Attempt: 1, Machine: "vm-000001", Session: 1}}
+	bound := []record.Task{{State: record.TaskBound, Attempt: 1, Machine: "vm-000001", Session: 1}}
 	abort := func(h http.Handler) (int, wire.JobStatus) {
 		return send(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil)
 	}
@@ -299,10 +300,10 @@
 		return st.State
 	}
 	o, h := newTestServer(true)
-	o.put(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: tuning.LevelCertain})
-	o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), Tasks: bound})
+	o.put(record.SchemaVersionKey, record.SchemaVersion{Version: tuning.LevelCertain})
+	o.put(record.JobKey("run-000001"), record.Job{Spec: testSpec(), Tasks: bound})
 	o.onCommit = func(kvstore.Transaction) {
-		o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), Tasks: bound, CancelledAtMs: 5, CancelAfterRelease: true})
+		o.put(record.JobKey("run-000001"), record.Job{Spec: testSpec(), Tasks: bound, CancelledAtMs: 5, CancelAfterRelease: true})
 	}
 	if status, _ := abort(h); status != 503 || len(o.committed) != 1 {
 		t.Errorf("a task is on a machine: %d, %d writes", status, len(o.committed))
@@ -313,7 +314,7 @@
 	if status, _ := abort(h); status != 503 || len(o.committed) != 1 {
 		t.Errorf("asked again: %d, %d writes", status, len(o.committed))
 	}
-	o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true})
+	o.put(record.JobKey("run-000001"), record.Job{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true})
 	if o.revision = 6; poll(h) == wire.JobCancelled {
 		t.Error("told though the view may lack a binding")
 	}
@@ -323,10 +324,10 @@
 	}
 	// The exit is seen while the request waits.
 	o, h = newTestServer(true)
-	o.put(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: tuning.LevelCertain})
-	o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), Tasks: bound})
+	o.put(record.SchemaVersionKey, record.SchemaVersion{Version: tuning.LevelCertain})
+	o.put(record.JobKey("run-000001"), record.Job{Spec: testSpec(), Tasks: bound})
 	o.onCommit = func(kvstore.Transaction) {
-		o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true})
+		o.put(record.JobKey("run-000001"), record.Job{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true})
 	}
 	if status, st := abort(h); status != 200 || st.State != wire.JobCancelled {
 		t.Errorf("left while it waits: %d %q", status, st.State)
@@ -341,28 +342,28 @@
 	const tasks = tuning.ChunkTasks + 2
 	s := testSpec()
 	s.TaskCount = tasks
-	first := make([]clusterstate.Task, tuning.ChunkTasks)
+	first := make([]record.Task, tuning.ChunkTasks)
 	for i := range first {
-		first[i] = clusterstate.Task{Index: i, State: clusterstate.TaskDone, Attempt: 1}
+		first[i] = record.Task{Index: i, State: record.TaskDone, Attempt: 1}
 	}
-	last := func(state int) clusterstate.FixedChunkRecord {
-		return clusterstate.FixedChunkRecord{Tasks: []clusterstate.Task{{Index: tasks - 2, State: clusterstate.TaskDone, Attempt: 1}, {Index: tasks - 1, State: state, Attempt: 1, Machine: "vm-000001", Session: 1}}}
+	last := func(state int) record.FixedChunk {
+		return record.FixedChunk{Tasks: []record.Task{{Index: tasks - 2, State: record.TaskDone, Attempt: 1}, {Index: tasks - 1, State: state, Attempt: 1, Machine: "vm-000001", Session: 1}}}
 	}
-	live, marked := clusterstate.JobRecord{Spec: s, Tasks: first}, clusterstate.JobRecord{Spec: s, Tasks: first, CancelledAtMs: 5, CancelAfterRelease: true}
+	live, marked := record.Job{Spec: s, Tasks: first}, record.Job{Spec: s, Tasks: first, CancelledAtMs: 5, CancelAfterRelease: true}
 	ended := func(o *fakeBackend) {
-		o.put(clusterstate.FixedChunkKey(s.ID, 1), last(clusterstate.TaskDone))
-		o.put(clusterstate.JobKey(s.ID), marked)
+		o.put(record.FixedChunkKey(s.ID, 1), last(record.TaskDone))
+		o.put(record.JobKey(s.ID), marked)
 	}
 	for name, set := range map[string]func(*fakeBackend){
 		"before it is marked":    ended,
 		"while it is":            func(o *fakeBackend) { o.onCommit = func(kvstore.Transaction) { ended(o) } },
-		"complete, not yet over": func(o *fakeBackend) { o.put(clusterstate.FixedChunkKey(s.ID, 1), last(clusterstate.TaskDone)) },
+		"complete, not yet over": func(o *fakeBackend) { o.put(record.FixedChunkKey(s.ID, 1), last(record.TaskDone)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			o, h := newTestServer(true)
-			o.put(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: tuning.LevelCertain})
-			o.put(clusterstate.JobKey(s.ID), live)
-			o.put(clusterstate.FixedChunkKey(s.ID, 1), last(clusterstate.TaskBound))
+			o.put(record.SchemaVersionKey, record.SchemaVersion{Version: tuning.LevelCertain})
+			o.put(record.JobKey(s.ID), live)
+			o.put(record.FixedChunkKey(s.ID, 1), last(record.TaskBound))
 			set(o)
 			for _, q := range [][2]string{{http.MethodPost, "/abort"}, {http.MethodGet, ""}, {http.MethodPost, "/abort"}} {
 				if status, st := send(h, q[0], "/v1/jobs/"+s.ID+q[1], nil); status != 200 || st.State != wire.JobDone {
@@ -384,31 +385,31 @@
 // guards such a cancellation. What was told before stays told; of what can't be told from
 // the late change of a process that is gone neither is said.
 func TestCancellationWithOlderVersions(t *testing.T) {
-	bound := []clusterstate.Task{{State: clusterstate.TaskBound, Attempt: 1, Machine: "vm-000001", Session: 1}}
-	old := clusterstate.JobRecord{Spec: testSpec(), Tasks: bound, CancelledAtMs: 5}
+	bound := []record.Task{{State: record.TaskBound, Attempt: 1, Machine: "vm-000001", Session: 1}}
+	old := record.Job{Spec: testSpec(), Tasks: bound, CancelledAtMs: 5}
 	poll := func(h http.Handler) (int, string) {
 		status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil)
 		return status, st.State
 	}
 	o, h := newTestServer(true)
-	o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), Tasks: bound})
+	o.put(record.JobKey("run-000001"), record.Job{Spec: testSpec(), Tasks: bound})
 	status, st := send(h, http.MethodPost, "/v1/jobs/run-000001/abort", nil)
 	if status != 200 || st.State != wire.JobCancelled {
 		t.Fatalf("not all nodes tell late: %d %q", status, st.State)
 	}
-	if g := o.committed[0].Conditions; !slices.Contains(g, wire.Condition{Key: clusterstate.SchemaVersionKey}) {
+	if g := o.committed[0].Conditions; !slices.Contains(g, wire.Condition{Key: record.SchemaVersionKey}) {
 		t.Errorf("the level does not guard it: %+v", g)
 	}
-	o.put(clusterstate.JobKey("run-000001"), old)
+	o.put(record.JobKey("run-000001"), old)
 	if status, st := poll(h); status != 200 || st != wire.JobCancelled {
 		t.Errorf("told by another node: %d %q", status, st)
 	}
-	o.put(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: tuning.LevelCertain}) // at the same stamp: after it
+	o.put(record.SchemaVersionKey, record.SchemaVersion{Version: tuning.LevelCertain}) // at the same stamp: after it
 	if status, st := poll(h); status != 200 || st != wire.JobCancelled {
 		t.Errorf("told before the level: %d %q", status, st)
 	}
 	o.state.BeginUpdate()
-	o.state.Put(clusterstate.JobKey("run-000001"), wire.MustEncode(old), 8)
+	o.state.Put(record.JobKey("run-000001"), wire.MustEncode(old), 8)
 	o.state.EndUpdate()
 	if status, st := poll(h); status != 503 {
 		t.Errorf("written after the level without its mark: %d %q", status, st)
@@ -428,7 +429,7 @@
 		return func(o *fakeBackend) {
 			s := testSpec()
 			s.ID, s.Kind = "run-000002", kind
-			o.put(clusterstate.JobKey(s.ID), clusterstate.JobRecord{Spec: s, SubmittedAtMs: 1})
+			o.put(record.JobKey(s.ID), record.Job{Spec: s, SubmittedAtMs: 1})
 		}
 	}
 	for name, c := range map[string]struct {
@@ -442,10 +443,10 @@
 		"live":                   {body("run-000002"), 1, live(wire.KindArray), 201},
 		"live after the barrier": {body("run-000002"), 1, func(o *fakeBackend) { o.onBarrier = func() { live(wire.KindGang)(o) } }, 201},
 		"over": {body("run-000002"), 1, func(o *fakeBackend) {
-			o.finalRecords[clusterstate.FinalKey("run-000002")] = clusterstate.FinalRecord{Status: wire.JobDone}
+			o.finalRecords[record.FinalKey("run-000002")] = record.Final{Status: wire.JobDone}
 		}, 201},
 		"over by cancellation": {body("run-000002"), 1, func(o *fakeBackend) {
-			o.finalRecords[clusterstate.FinalKey("run-000002")] = clusterstate.FinalRecord{Status: wire.JobCancelled}
+			o.finalRecords[record.FinalKey("run-000002")] = record.Final{Status: wire.JobCancelled}
 		}, 201},
 		"never accepted":     {body("run-000002"), 1, nil, 422},
 		"one never accepted": {body("run-000002", "run-000003"), 1, live(wire.KindArray), 422},
@@ -463,7 +464,7 @@
 		// The id is taken by a job that awaits nothing: this is not its repetition.
 		"another's id": {body("run-000002"), 1, func(o *fakeBackend) {
 			live(wire.KindArray)(o)
-			o.put(clusterstate.JobKey("run-000001"), clusterstate.JobRecord{Spec: testSpec(), SubmittedAtMs: 1})
+			o.put(record.JobKey("run-000001"), record.Job{Spec: testSpec(), SubmittedAtMs: 1})
 		}, 422},
 		"repeated, other order": {body("run-000003", "run-000002"), 1, func(o *fakeBackend) {
 			s := testSpec()
@@ -471,13 +472,13 @@
 			live(wire.KindArray)(o)
 			s2 := testSpec()
 			s2.ID = "run-000003"
-			o.put(clusterstate.JobKey(s2.ID), clusterstate.JobRecord{Spec: s2, SubmittedAtMs: 1})
-			o.put(clusterstate.JobKey(s.ID), clusterstate.JobRecord{Spec: s, SubmittedAtMs: 1})
+			o.put(record.JobKey(s2.ID), record.Job{Spec: s2, SubmittedAtMs: 1})
+			o.put(record.JobKey(s.ID), record.Job{Spec: s, SubmittedAtMs: 1})
 		}, 200},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o, h := newTestServer(true)
-			o.put(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: c.level})
+			o.put(record.SchemaVersionKey, record.SchemaVersion{Version: c.level})
 			if c.set != nil {
 				c.set(o)
 			}
@@ -495,15 +496,15 @@
 	o, h := newTestServer(true)
 	first, second := testSpec(), testSpec()
 	first.ID, second.Dependencies = "run-000002", []string{"run-000002"}
-	o.put(clusterstate.JobKey(second.ID), clusterstate.JobRecord{Spec: second, SubmittedAtMs: 1})
+	o.put(record.JobKey(second.ID), record.Job{Spec: second, SubmittedAtMs: 1})
 	if status, _ := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 503 {
 		t.Errorf("status %d before it is known what became of the first", status)
 	}
-	o.put(clusterstate.JobKey(first.ID), clusterstate.JobRecord{Spec: first, SubmittedAtMs: 1})
+	o.put(record.JobKey(first.ID), record.Job{Spec: first, SubmittedAtMs: 1})
 	if status, st := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 200 || st.State != wire.JobPending {
 		t.Errorf("status %d, %s while the first is live", status, st.State)
 	}
-	o.put(clusterstate.JobKey(first.ID), clusterstate.JobRecord{Spec: first, SubmittedAtMs: 1, CancelledAtMs: 2})
+	o.put(record.JobKey(first.ID), record.Job{Spec: first, SubmittedAtMs: 1, CancelledAtMs: 2})
 	if status, _ := send(h, http.MethodGet, "/v1/jobs/run-000001", nil); status != 503 {
 		t.Errorf("status %d after the first was cancelled", status)
 	}
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -19,6 +19,7 @@
 	"sableusher/internal/kvstore"
 	"sableusher/internal/learner"
 	"sableusher/internal/membership"
+	"sableusher/internal/record"
 	"sableusher/internal/scheduler"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -121,7 +122,7 @@
 			a.log.Info("catalog not read", "err", err)
 			return
 		}
-		guards := []wire.Condition{{Key: clusterstate.CatalogKey, ModRevision: stamp}}
+		guards := []wire.Condition{{Key: record.CatalogKey, ModRevision: stamp}}
 		if leads {
 			guards = append(guards, lead)
 		}
@@ -137,7 +138,7 @@
 // or where that would be too long, one for each type. Once it is kept by type it
 // stays so, as those records count first.
 func (a *Autoscaler) catalogOps(cat wire.Catalog) [][]wire.Op {
-	whole := kvstore.PutOp(clusterstate.CatalogKey, cat)
+	whole := kvstore.PutOp(record.CatalogKey, cat)
 	a.state.RLock()
 	level, byType := a.state.SchemaVersion, a.state.CatalogByType()
 	a.state.RUnlock()
@@ -146,7 +147,7 @@
 	}
 	var ops []wire.Op
 	for _, t := range cat.Types {
-		ops = append(ops, kvstore.PutOp(clusterstate.MachineTypeKey(t.Name), t))
+		ops = append(ops, kvstore.PutOp(record.MachineTypeKey(t.Name), t))
 	}
 	return slices.Collect(slices.Chunk(ops, a.committer.MaxTransactionOps()))
 }
@@ -160,8 +161,8 @@
 // leadership tells whether this node leads, with the guard of what a leader writes.
 // Callers hold the world's lock.
 func (a *Autoscaler) leadership() (wire.Condition, bool) {
-	_, stamp, ok := a.members.Owns(clusterstate.LeaderShard)
-	return wire.Condition{Key: clusterstate.ShardKey(clusterstate.LeaderShard), ModRevision: stamp}, ok
+	_, stamp, ok := a.members.Owns(record.LeaderShard)
+	return wire.Condition{Key: record.ShardKey(record.LeaderShard), ModRevision: stamp}, ok
 }
 
 // returnMachines deletes machines marked for it, of this node's parts. Those whose tasks wait for it
@@ -184,7 +185,7 @@
 // plannedMachine is a machine to be rented.
 type plannedMachine struct {
 	machineKind
-	free     clusterstate.Resources
+	free     record.Resources
 	required bool // for work of high priority, or for the minimum
 }
 
@@ -288,12 +289,12 @@
 			return nil
 		}
 		t := a.state.Types[k.machineType]
-		out = append(out, plannedMachine{k, clusterstate.Capacity(&t), rank <= wire.PriorityRank(wire.PriorityHigh) || late})
+		out = append(out, plannedMachine{k, record.Capacity(&t), rank <= wire.PriorityRank(wire.PriorityHigh) || late})
 		machinesInZone[k.zone]++
 		return &out[len(out)-1]
 	}
 	for _, g := range demand.Groups {
-		s, need := g.Spec, clusterstate.TaskResources(g.Spec)
+		s, need := g.Spec, record.TaskResources(g.Spec)
 		late, rank = now.Sub(g.SubmittedAt) > tuning.StarveAfter, g.Rank
 		zone, count := s.Zone, g.Count
 		perZone := map[string]int{}
@@ -491,12 +492,12 @@
 // cheapestKind picks the cheapest kind for a task, in the allowed zone with the
 // fewest machines, leaving out what was refused lately and zones that are cut off.
 func (a *Autoscaler) cheapestKind(spec *wire.JobSpec, zone string, machinesInZone map[string]int, now time.Time, allowed func(machineKind) bool) (machineKind, bool) {
-	need := clusterstate.TaskResources(spec)
+	need := record.TaskResources(spec)
 	var cheapest machineKind
 	lowestPrice, found := 0.0, false
 	for _, name := range slices.Sorted(maps.Keys(a.state.Types)) {
 		t := a.state.Types[name]
-		if len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, name) || !need.FitsIn(clusterstate.Capacity(&t)) {
+		if len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, name) || !need.FitsIn(record.Capacity(&t)) {
 			continue
 		}
 		for _, z := range t.Zones {
@@ -564,8 +565,8 @@
 	if refused {
 		return // meanwhile
 	}
-	rec := clusterstate.RentalRecord{Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: count, RequestedAtMs: time.Now().UnixMilli()}
-	key := clusterstate.RentalKey(name)
+	rec := record.Rental{Type: kind.machineType, Zone: kind.zone, Spot: kind.spot, Count: count, RequestedAtMs: time.Now().UnixMilli()}
+	key := record.RentalKey(name)
 	rev, err := a.commit(ctx, kvstore.Transaction{
 		Conditions: []wire.Condition{{Key: key, ModRevision: 0}, leader}, Ops: []wire.Op{kvstore.PutOp(key, rec)},
 	})
@@ -588,14 +589,14 @@
 			continue
 		}
 		if !slices.ContainsFunc(r.Machines, func(n string) bool { m := a.state.Machines[n]; return m != nil && m.ModRevision == 0 }) {
-			key := clusterstate.RentalKey(name)
+			key := record.RentalKey(name)
 			done = append(done, kvstore.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: r.ModRevision}}, Ops: []wire.Op{kvstore.DeleteOp(key)}})
 		}
 	}
 	a.state.RUnlock()
 	a.commitAll(ctx, done, "rental record stays")
 	for _, name := range slices.Sorted(maps.Keys(open)) {
-		if a.requestMachines(ctx, name, open[name].RentalRecord, open[name].ModRevision) != nil {
+		if a.requestMachines(ctx, name, open[name].Rental, open[name].ModRevision) != nil {
 			break // the cloud is away: the others wait as well
 		}
 	}
@@ -615,7 +616,7 @@
 	wg.Wait()
 }
 
-func (a *Autoscaler) requestMachines(ctx context.Context, name string, rec clusterstate.RentalRecord, stamp uint64) error {
+func (a *Autoscaler) requestMachines(ctx context.Context, name string, rec record.Rental, stamp uint64) error {
 	k := machineKind{rec.Type, rec.Zone, rec.Spot}
 	names, err := a.cloud.Rent(ctx, wire.RentalRequest{Name: name, MachineType: rec.Type, Zone: rec.Zone, Spot: rec.Spot, Count: rec.Count})
 	switch {
@@ -632,7 +633,7 @@
 		}
 	}
 	// A change that fails is tried again later: the same name gives the same machines.
-	key := clusterstate.RentalKey(name)
+	key := record.RentalKey(name)
 	op := kvstore.DeleteOp(key)
 	if rec.Machines = names; len(names) > 0 {
 		op = kvstore.PutOp(key, rec)
@@ -725,11 +726,11 @@
 		if t := a.state.Types[m.Type]; demand.CommonTask.CPUs > t.CPUs {
 			continue // small tasks on it leave common ones theirs
 		}
-		rec := m.MachineRecord
+		rec := m.Machine
 		rec.Draining = true
 		items = append(items, kvstore.Transaction{
-			Conditions: []wire.Condition{leader, {Key: clusterstate.MachineKey(n), ModRevision: m.ModRevision}},
-			Ops:        []wire.Op{kvstore.PutOp(clusterstate.MachineKey(n), rec)},
+			Conditions: []wire.Condition{leader, {Key: record.MachineKey(n), ModRevision: m.ModRevision}},
+			Ops:        []wire.Op{kvstore.PutOp(record.MachineKey(n), rec)},
 		})
 		left[m.Spot]--
 		if !m.Spot {
@@ -758,11 +759,11 @@
 	var items []kvstore.Transaction
 	a.state.RLock()
 	for _, l := range listing {
-		key := clusterstate.MachineKey(l.ID)
+		key := record.MachineKey(l.ID)
 		m := a.state.Machines[l.ID]
 		switch {
 		case m != nil && l.State == wire.MachineFailed && !m.Deleting:
-			rec := m.MachineRecord
+			rec := m.Machine
 			rec.Deleting = true
 			a.log.Info("machine failed", "machine", l.ID)
 			items = append(items, kvstore.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: m.ModRevision}}, Ops: []wire.Op{kvstore.PutOp(key, rec)}})
@@ -774,7 +775,7 @@
 			// Lists lag: only one that stays unknown is a stray.
 			if now.Sub(a.unknownSince[l.ID]) > config.Seconds(2*a.settings.Deployment.Cloud.ListLagS)+tuning.ListEvery {
 				a.log.Info("recording an unknown machine", "machine", l.ID)
-				rec := clusterstate.MachineRecord{Type: l.MachineType, Zone: l.Zone, Spot: l.Spot, Address: l.Address,
+				rec := record.Machine{Type: l.MachineType, Zone: l.Zone, Spot: l.Spot, Address: l.Address,
 					CreatedAtMs: now.Add(-config.Seconds(l.AgeSeconds)).UnixMilli(), Deleting: l.State == wire.MachineFailed}
 				items = append(items, kvstore.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: 0}}, Ops: []wire.Op{kvstore.PutOp(key, rec)}})
 			}
@@ -804,7 +805,7 @@
 		if a.missedListings[name]++; a.missedListings[name] < tuning.ListMissing {
 			continue
 		}
-		rec, key := m.MachineRecord, clusterstate.MachineKey(name)
+		rec, key := m.Machine, record.MachineKey(name)
 		rec.Deleting = true
 		a.log.Info("machine is not listed any more", "machine", name, "tasks", len(m.Bindings))
 		items = append(items, kvstore.Transaction{Conditions: []wire.Condition{leader, {Key: key, ModRevision: m.ModRevision}}, Ops: []wire.Op{kvstore.PutOp(key, rec)}})
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -13,6 +13,7 @@
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/record"
 	"sableusher/internal/scheduler"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -101,12 +102,12 @@
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
 		p.operator.ZoneReserve = share
 		held := map[string]float64{}
-		job := &clusterstate.Job{JobRecord: clusterstate.JobRecord{Spec: wire.JobSpec{ID: "run-1", Kind: wire.KindService, TaskCount: 8, CPUs: 8, GPUs: 1, MemoryGB: 60}}}
+		job := &clusterstate.Job{Job: record.Job{Spec: wire.JobSpec{ID: "run-1", Kind: wire.KindService, TaskCount: 8, CPUs: 8, GPUs: 1, MemoryGB: 60}}}
 		for i := range rapid.IntRange(0, 40).Draw(t, "machines") {
-			m := &clusterstate.Machine{Name: fmt.Sprintf("vm-%d", i), MachineRecord: clusterstate.MachineRecord{Type: "m", Zone: rapid.SampledFrom(testZones).Draw(t, "zone"), Up: true}}
-			m.Bindings = map[clusterstate.TaskRef]clusterstate.Binding{}
+			m := &clusterstate.Machine{Name: fmt.Sprintf("vm-%d", i), Machine: record.Machine{Type: "m", Zone: rapid.SampledFrom(testZones).Draw(t, "zone"), Up: true}}
+			m.Bindings = map[record.TaskRef]clusterstate.Binding{}
 			for k := range rapid.IntRange(0, 4).Draw(t, "replicas") {
-				ref := clusterstate.TaskRef{Job: fmt.Sprintf("run-%d", i), Index: k}
+				ref := record.TaskRef{Job: fmt.Sprintf("run-%d", i), Index: k}
 				m.Bindings[ref] = clusterstate.Binding{Ref: ref, Job: job}
 				held[m.Zone] += 0.25
 			}
--- a/internal/binpack/allocate.go
+++ b/internal/binpack/allocate.go
@@ -5,15 +5,15 @@
 	"maps"
 	"slices"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
 // Request is what a job asks room for.
 type Request struct {
 	Spec      *wire.JobSpec
-	Need      clusterstate.Resources // of each task
-	Remaining int                    // tasks that have no place yet in this round
+	Need      record.Resources // of each task
+	Remaining int              // tasks that have no place yet in this round
 	// StartWithinS is the time in seconds in which a replica should start; 0: nobody says.
 	StartWithinS float64
 }
@@ -128,7 +128,7 @@
 // displacesCommon tells whether a small task takes the place of a common one: one core of a machine with
 // room for just one of those is as dear as all of it. Small machines, and what larger ones have
 // left over, are there for small tasks. On machines with GPUs, beside tells instead.
-func (inv *Inventory) displacesCommon(need clusterstate.Resources, info *MachineInfo) bool {
+func (inv *Inventory) displacesCommon(need record.Resources, info *MachineInfo) bool {
 	if inv.CommonNeed.CPUs == 0 || need.GPUs > 0 || info.Capacity.GPUs > 0 || need.CPUs >= inv.CommonNeed.CPUs {
 		return false
 	}
@@ -138,8 +138,8 @@
 // leavesGPUShare tells whether a task without GPUs leaves a machine what its free GPUs
 // need: whatever stands there now could stand beside it, and a gang that takes
 // whole machines still finds this one whole.
-func (inv *Inventory) leavesGPUShare(need clusterstate.Resources, info *MachineInfo) bool {
-	keep := clusterstate.Resources{CPUs: inv.NeedPerGPU.CPUs * info.Free.GPUs, MemoryGB: inv.NeedPerGPU.MemoryGB * info.Free.GPUs}
+func (inv *Inventory) leavesGPUShare(need record.Resources, info *MachineInfo) bool {
+	keep := record.Resources{CPUs: inv.NeedPerGPU.CPUs * info.Free.GPUs, MemoryGB: inv.NeedPerGPU.MemoryGB * info.Free.GPUs}
 	return need.FitsIn(info.Free.AddTimes(keep, -1))
 }
 
--- a/internal/binpack/failedrequests.go
+++ b/internal/binpack/failedrequests.go
@@ -1,7 +1,7 @@
 package binpack
 
 import (
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -12,7 +12,7 @@
 type FailedRequests []failedRequest
 
 type failedRequest struct {
-	need clusterstate.Resources
+	need record.Resources
 	spec *wire.JobSpec
 }
 
--- a/internal/binpack/inventory.go
+++ b/internal/binpack/inventory.go
@@ -11,6 +11,7 @@
 	"github.com/bits-and-blooms/bitset"
 
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -18,12 +19,12 @@
 // MachineInfo is a machine as a round sees it.
 type MachineInfo struct {
 	Machine     *clusterstate.Machine
-	Capacity    clusterstate.Resources
-	Free        clusterstate.Resources // as this round leaves it
-	Owned       bool                   // in a part of the caller's own
-	ReservedFor string                 // the job that its free room is kept for, if any
+	Capacity    record.Resources
+	Free        record.Resources // as this round leaves it
+	Owned       bool             // in a part of the caller's own
+	ReservedFor string           // the job that its free room is kept for, if any
 
-	recordedFree clusterstate.Resources // as the records have it
+	recordedFree record.Resources // as the records have it
 	readiness    Readiness
 	modified     bool          // by this round: free or kept differ from what the records say
 	boundImages  bitset.BitSet // those of tasks bound there
@@ -62,15 +63,15 @@
 // waits are passed over from then on.
 type Inventory struct {
 	// NeedPerGPU is what GPU work takes beside each GPU, of cores and GB.
-	NeedPerGPU clusterstate.Resources
+	NeedPerGPU record.Resources
 	// CommonNeed is what a task of the work that asks for most cores takes, where that has no GPUs.
-	CommonNeed clusterstate.Resources
+	CommonNeed record.Resources
 
 	snapshot        Snapshot
 	builtAt         time.Time
 	machines        map[string]*MachineInfo
 	byShard         [][]*MachineInfo // by name
-	capacityByType  map[string]clusterstate.Resources
+	capacityByType  map[string]record.Resources
 	fetchRateByType map[string]float64 // GB a second that types fetch images at
 	typesDiffer     bool               // types differ in cores or in that
 	// maxFetchRate is the highest of those rates.
@@ -88,7 +89,7 @@
 	fittingBuffer  []*MachineInfo              // the list that Fitting gave last
 	pendingBins    []*pendingBin               // machines coming up
 
-	minNeed        clusterstate.Resources
+	minNeed        record.Resources
 	failedRequests FailedRequests
 	examined       int
 }
@@ -121,11 +122,11 @@
 func newInventory(v Snapshot) *Inventory {
 	w := v.State
 	s := &Inventory{snapshot: v, builtAt: v.Now, machines: make(map[string]*MachineInfo, len(w.Machines)), byShard: make([][]*MachineInfo, w.ShardCount),
-		capacityByType: map[string]clusterstate.Resources{}, imageIDs: map[string]uint{}, hintsUpdatedAt: map[bool]time.Time{}, feasibleByShard: make([][]*MachineInfo, w.ShardCount)}
+		capacityByType: map[string]record.Resources{}, imageIDs: map[string]uint{}, hintsUpdatedAt: map[bool]time.Time{}, feasibleByShard: make([][]*MachineInfo, w.ShardCount)}
 	s.fetchRateByType = map[string]float64{}
 	var first wire.MachineType
 	for name, t := range w.Types {
-		s.capacityByType[name], s.fetchRateByType[name] = clusterstate.Capacity(&t), t.ImageFetchGBps
+		s.capacityByType[name], s.fetchRateByType[name] = record.Capacity(&t), t.ImageFetchGBps
 		s.maxFetchRate = max(s.maxFetchRate, t.ImageFetchGBps)
 		if first.Name == "" {
 			first = t
@@ -217,13 +218,13 @@
 }
 
 // Consume takes room on a machine in this round's play; a negative count gives it back.
-func (inv *Inventory) Consume(info *MachineInfo, need clusterstate.Resources, count float64) {
+func (inv *Inventory) Consume(info *MachineInfo, need record.Resources, count float64) {
 	inv.markModified(info)
 	info.Free = info.Free.AddTimes(need, -count)
 }
 
 // ConsumeByName takes room that tasks on their way to a machine need, if the machine is known.
-func (inv *Inventory) ConsumeByName(name string, amount clusterstate.Resources) {
+func (inv *Inventory) ConsumeByName(name string, amount record.Resources) {
 	if n := inv.machines[name]; n != nil {
 		inv.Consume(n, amount, 1)
 	}
@@ -242,7 +243,7 @@
 // there makes the room.
 func (inv *Inventory) ReserveAll(info *MachineInfo, job string) {
 	inv.markModified(info)
-	info.ReservedFor, info.Free = job, clusterstate.Resources{}
+	info.ReservedFor, info.Free = job, record.Resources{}
 }
 
 // ReadyMachines gives the machines of a part that are up, by name; the list is the stock's own.
@@ -263,13 +264,13 @@
 }
 
 // FilterFeasible puts aside the machines with too little room for the least that waits.
-func (inv *Inventory) FilterFeasible(needs iter.Seq[clusterstate.Resources]) {
+func (inv *Inventory) FilterFeasible(needs iter.Seq[record.Resources]) {
 	first := true
 	for need := range needs {
 		if first {
 			inv.minNeed, first = need, false
 		}
-		inv.minNeed = clusterstate.Resources{CPUs: min(inv.minNeed.CPUs, need.CPUs), GPUs: min(inv.minNeed.GPUs, need.GPUs), MemoryGB: min(inv.minNeed.MemoryGB, need.MemoryGB)}
+		inv.minNeed = record.Resources{CPUs: min(inv.minNeed.CPUs, need.CPUs), GPUs: min(inv.minNeed.GPUs, need.GPUs), MemoryGB: min(inv.minNeed.MemoryGB, need.MemoryGB)}
 	}
 	if first {
 		return // nothing waits
@@ -446,7 +447,7 @@
 }
 
 // FreeFraction is the scarcest part of a machine that is free, from 0 to 1.
-func FreeFraction(free, capacity clusterstate.Resources) float64 {
+func FreeFraction(free, capacity record.Resources) float64 {
 	s := 1.0
 	for _, d := range [][2]float64{{free.CPUs, capacity.CPUs}, {free.GPUs, capacity.GPUs}, {free.MemoryGB, capacity.MemoryGB}} {
 		if d[1] > 0 {
@@ -457,7 +458,7 @@
 }
 
 // TasksThatFit is how many times need goes into free.
-func TasksThatFit(need, free clusterstate.Resources) int {
+func TasksThatFit(need, free record.Resources) int {
 	c := math.MaxInt32
 	for _, d := range [][2]float64{{need.CPUs, free.CPUs}, {need.GPUs, free.GPUs}, {need.MemoryGB, free.MemoryGB}} {
 		if d[0] > 0 {
--- a/internal/binpack/inventory_test.go
+++ b/internal/binpack/inventory_test.go
@@ -12,6 +12,7 @@
 	"pgregory.net/rapid"
 
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -46,12 +47,12 @@
 
 // machine adds or changes a machine, with so many of its GPUs in use.
 func (g *testCluster) machine(i, zone int, spot, up bool, used int) {
-	g.put(clusterstate.MachineKey(machineName(i)), clusterstate.MachineRecord{Type: "m", Zone: testZones[zone], Spot: spot, Up: up, CreatedAtMs: 1})
-	var tasks []clusterstate.Task
+	g.put(record.MachineKey(machineName(i)), record.Machine{Type: "m", Zone: testZones[zone], Spot: spot, Up: up, CreatedAtMs: 1})
+	var tasks []record.Task
 	for k := range used {
-		tasks = append(tasks, clusterstate.Task{Index: k, State: clusterstate.TaskBound, Attempt: 1, Machine: machineName(i), Session: 1})
+		tasks = append(tasks, record.Task{Index: k, State: record.TaskBound, Attempt: 1, Machine: machineName(i), Session: 1})
 	}
-	g.put(clusterstate.JobKey("on-"+machineName(i)), clusterstate.JobRecord{Spec: wire.JobSpec{ID: "on-" + machineName(i), Kind: wire.KindArray, TaskCount: 4, CPUs: 2, GPUs: 1, MemoryGB: 16, Image: "i"}, Tasks: tasks, SubmittedAtMs: 1})
+	g.put(record.JobKey("on-"+machineName(i)), record.Job{Spec: wire.JobSpec{ID: "on-" + machineName(i), Kind: wire.KindArray, TaskCount: 4, CPUs: 2, GPUs: 1, MemoryGB: 16, Image: "i"}, Tasks: tasks, SubmittedAtMs: 1})
 }
 
 func (g *testCluster) snapshot() Snapshot {
@@ -71,11 +72,11 @@
 	n := float64(rapid.IntRange(1, 4).Draw(t, "need"))
 	s := &wire.JobSpec{ID: "a", Kind: wire.KindGang, TaskCount: rapid.IntRange(1, 12).Draw(t, "tasks"), CPUs: 2 * n, GPUs: n, MemoryGB: 16 * n,
 		AllowSpot: rapid.Bool().Draw(t, "mayspot"), SameZone: rapid.Bool().Draw(t, "onezone"), Image: "i"}
-	return &Request{Spec: s, Need: clusterstate.TaskResources(s), Remaining: s.TaskCount}
+	return &Request{Spec: s, Need: record.TaskResources(s), Remaining: s.TaskCount}
 }
 
-func freeByMachine(s *Inventory) map[string]clusterstate.Resources {
-	out := map[string]clusterstate.Resources{}
+func freeByMachine(s *Inventory) map[string]record.Resources {
+	out := map[string]record.Resources{}
 	for n, node := range s.machines {
 		out[n] = node.Free
 	}
@@ -91,7 +92,7 @@
 }
 
 func filterFor(s *Inventory, request *Request) {
-	s.FilterFeasible(slices.Values([]clusterstate.Resources{request.Need}))
+	s.FilterFeasible(slices.Values([]record.Resources{request.Need}))
 }
 
 // TestKeptStockEqualsNewOne: a stock that is kept over rounds and told only of what
@@ -110,7 +111,7 @@
 				if rapid.IntRange(0, 4).Draw(t, "gone") == 0 {
 					g.revision++
 					g.state.BeginUpdate()
-					g.state.Delete(clusterstate.MachineKey(machineName(i)))
+					g.state.Delete(record.MachineKey(machineName(i)))
 					g.state.EndUpdate()
 					continue
 				}
@@ -182,7 +183,7 @@
 		s := Refresh(nil, g.snapshot())
 		for range rapid.IntRange(1, 5).Draw(t, "jobs") {
 			a := drawRequest(t)
-			filterFor(s, &Request{Need: clusterstate.Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}})
+			filterFor(s, &Request{Need: record.Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}})
 			if len(s.pendingBins) == 0 {
 				s.GroupPending()
 			}
@@ -211,23 +212,23 @@
 func TestSmallTasksLeaveRoomForCommonTasks(t *testing.T) {
 	types := []wire.MachineType{{Name: "s", CPUs: 4, MemoryGB: 8, ImageFetchGBps: 0.8, Zones: testZones}, {Name: "m", CPUs: 8, MemoryGB: 64, ImageFetchGBps: 0.8, Zones: testZones},
 		{Name: "l", CPUs: 32, MemoryGB: 64, ImageFetchGBps: 0.2, Zones: testZones}}
-	common := clusterstate.Resources{CPUs: 8, MemoryGB: 13}
+	common := record.Resources{CPUs: 8, MemoryGB: 13}
 	rapid.Check(t, func(t *rapid.T) {
 		g := newTestCluster()
 		g.put("s/catalog", wire.Catalog{Types: types})
 		for i := range rapid.IntRange(1, 10).Draw(t, "machines") {
 			typ := types[rapid.IntRange(0, 2).Draw(t, "type")]
-			g.put(clusterstate.MachineKey(machineName(i)), clusterstate.MachineRecord{Type: typ.Name, Zone: "east", Up: true, CreatedAtMs: 1})
-			var tasks []clusterstate.Task
+			g.put(record.MachineKey(machineName(i)), record.Machine{Type: typ.Name, Zone: "east", Up: true, CreatedAtMs: 1})
+			var tasks []record.Task
 			for k := range rapid.IntRange(0, int(typ.CPUs)).Draw(t, "used") {
-				tasks = append(tasks, clusterstate.Task{Index: k, State: clusterstate.TaskBound, Attempt: 1, Machine: machineName(i), Session: 1})
+				tasks = append(tasks, record.Task{Index: k, State: record.TaskBound, Attempt: 1, Machine: machineName(i), Session: 1})
 			}
-			g.put(clusterstate.JobKey("on-"+machineName(i)), clusterstate.JobRecord{Spec: wire.JobSpec{ID: "on-" + machineName(i), Kind: wire.KindService, TaskCount: 32, CPUs: 1, MemoryGB: 0.5}, Tasks: tasks, SubmittedAtMs: 1})
+			g.put(record.JobKey("on-"+machineName(i)), record.Job{Spec: wire.JobSpec{ID: "on-" + machineName(i), Kind: wire.KindService, TaskCount: 32, CPUs: 1, MemoryGB: 0.5}, Tasks: tasks, SubmittedAtMs: 1})
 		}
 		s := Refresh(nil, g.snapshot())
 		s.CommonNeed = common
 		spec := &wire.JobSpec{ID: "a", Kind: wire.KindService, TaskCount: rapid.IntRange(1, 30).Draw(t, "tasks"), CPUs: 1, MemoryGB: 0.5, Image: "i"}
-		a := &Request{Spec: spec, Need: clusterstate.TaskResources(spec), Remaining: spec.TaskCount}
+		a := &Request{Spec: spec, Need: record.TaskResources(spec), Remaining: spec.TaskCount}
 		filterFor(s, a)
 		slots, harmless := 0, 0
 		for _, n := range s.ready {
--- a/internal/binpack/pending.go
+++ b/internal/binpack/pending.go
@@ -3,14 +3,14 @@
 import (
 	"slices"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 )
 
 // pendingBin is machines coming up that are alike: of one type, zone and kind, with as much free.
 // Hundreds that boot at once are a few bins, however many jobs are held against them.
 type pendingBin struct {
 	sample   *MachineInfo // any of them
-	free     clusterstate.Resources
+	free     record.Resources
 	machines []*MachineInfo
 }
 
@@ -19,7 +19,7 @@
 	type alike struct {
 		typ, zone string
 		spot      bool
-		free      clusterstate.Resources
+		free      record.Resources
 	}
 	inv.pendingBins = inv.pendingBins[:0]
 	found := map[alike]*pendingBin{}
--- a/internal/clusterstate/compatibility_test.go
+++ b/internal/clusterstate/compatibility_test.go
@@ -11,6 +11,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/learner"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -163,21 +164,21 @@
 // to this one and back.
 func TestOldRecordsRoundTrip(t *testing.T) {
 	b := readFixture(t)
-	roundTripBoth[oldJob, clusterstate.JobRecord](t, "job", b["job"])
-	roundTripBoth[oldJob, clusterstate.JobRecord](t, "job-cancelled", b["job-cancelled"])
-	roundTripBoth[oldChunk, clusterstate.FixedChunkRecord](t, "chunk", b["chunk"])
-	roundTripBoth[oldMachine, clusterstate.MachineRecord](t, "machine", b["machine"])
-	roundTripBoth[oldPart, clusterstate.ShardRecord](t, "part", b["part"])
-	roundTripBoth[oldNode, clusterstate.NodeRecord](t, "node", b["node"])
-	roundTripBoth[oldQuota, clusterstate.QuotaRecord](t, "quota", b["quota"])
-	roundTripBoth[oldRental, clusterstate.RentalRecord](t, "rental", b["rental"])
-	roundTripBoth[oldFinal, clusterstate.FinalRecord](t, "final", b["final"])
+	roundTripBoth[oldJob, record.Job](t, "job", b["job"])
+	roundTripBoth[oldJob, record.Job](t, "job-cancelled", b["job-cancelled"])
+	roundTripBoth[oldChunk, record.FixedChunk](t, "chunk", b["chunk"])
+	roundTripBoth[oldMachine, record.Machine](t, "machine", b["machine"])
+	roundTripBoth[oldPart, record.Shard](t, "part", b["part"])
+	roundTripBoth[oldNode, record.Node](t, "node", b["node"])
+	roundTripBoth[oldQuota, record.Quota](t, "quota", b["quota"])
+	roundTripBoth[oldRental, record.Rental](t, "rental", b["rental"])
+	roundTripBoth[oldFinal, record.Final](t, "final", b["final"])
 	roundTripBoth[oldCatalog, wire.Catalog](t, "catalog", b["catalog"])
 	roundTripBoth[oldLearned, learner.Saved](t, "learned", b["learned"])
 
 	// What a node tells of its level must not disturb one that knows of none.
 	var n oldNode
-	if err := wire.Decode(wire.MustEncode(clusterstate.NodeRecord{Incarnation: 77, SchemaVersion: 3}), &n); err != nil || n.Inc != 77 {
+	if err := wire.Decode(wire.MustEncode(record.Node{Incarnation: 77, SchemaVersion: 3}), &n); err != nil || n.Inc != 77 {
 		t.Errorf("session with a level: %+v, %v", n, err)
 	}
 }
@@ -188,10 +189,10 @@
 	b := readFixture(t)
 	w := clusterstate.New(3, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	w.BeginUpdate()
-	w.Put(clusterstate.JobKey("run-000412"), b["job"], 9)
+	w.Put(record.JobKey("run-000412"), b["job"], 9)
 	w.EndUpdate()
 	j := w.Jobs["run-000412"]
-	op := j.EncodeChunk(0, map[int]clusterstate.Task{2: {Index: 2, State: clusterstate.TaskBound, Attempt: 1, Machine: "vm-5", Session: 1}})
+	op := j.EncodeChunk(0, map[int]record.Task{2: {Index: 2, State: record.TaskBound, Attempt: 1, Machine: "vm-5", Session: 1}})
 	var before, after oldJob
 	if err := wire.Decode(b["job"], &before); err != nil {
 		t.Fatal(err)
@@ -204,7 +205,7 @@
 		t.Errorf("%+v became %+v", before, after)
 	}
 	// An older node neither rewrites nor minds what stands under keys of its own.
-	for _, key := range []string{clusterstate.SchemaVersionKey, clusterstate.GroupedChunkKey("run-000412", 1), clusterstate.MachineTypeKey("g8")} {
+	for _, key := range []string{record.SchemaVersionKey, record.GroupedChunkKey("run-000412", 1), record.MachineTypeKey("g8")} {
 		for _, known := range []string{"s/j/", "s/t/", "s/m/", "s/p/", "s/n/", "s/q/", "s/r/", "f/", "l/"} {
 			if strings.HasPrefix(key, known) || key == "s/catalog" {
 				t.Errorf("%s would be read as another record", key)
--- a/internal/clusterstate/dependencies.go
+++ b/internal/clusterstate/dependencies.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -136,7 +137,7 @@
 }
 
 // PutFinalRecord takes in the final record of an awaited job.
-func (w *State) PutFinalRecord(id string, rec FinalRecord) {
+func (w *State) PutFinalRecord(id string, rec record.Final) {
 	w.BeginUpdate()
 	defer w.EndUpdate()
 	if len(w.dependentsOf[id]) > 0 {
--- a/internal/clusterstate/dependencies_test.go
+++ b/internal/clusterstate/dependencies_test.go
@@ -8,6 +8,7 @@
 
 	"pgregory.net/rapid"
 
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -23,18 +24,18 @@
 		final := map[string]string{} // final records
 		var ids []string
 		rev := uint64(0)
-		put := func(id string, mut func(*JobRecord)) {
+		put := func(id string, mut func(*record.Job)) {
 			rev++
-			rec := JobRecord{Spec: wire.JobSpec{ID: id, Team: "t", Kind: wire.KindArray, TaskCount: 1, Dependencies: awaits[id]}, SubmittedAtMs: 5}
+			rec := record.Job{Spec: wire.JobSpec{ID: id, Team: "t", Kind: wire.KindArray, TaskCount: 1, Dependencies: awaits[id]}, SubmittedAtMs: 5}
 			mut(&rec)
 			w.BeginUpdate()
-			w.Put(JobKey(id), wire.MustEncode(rec), rev)
+			w.Put(record.JobKey(id), wire.MustEncode(rec), rev)
 			w.EndUpdate()
 		}
 		drop := func(id, status string) {
 			live[id], final[id] = false, status
 			w.BeginUpdate()
-			w.Delete(JobKey(id))
+			w.Delete(record.JobKey(id))
 			w.EndUpdate()
 		}
 		// falls tells whether a job that one needs is cancelled.
@@ -58,7 +59,7 @@
 		read := func() {
 			for _, a := range w.UnresolvedDependencies() {
 				if status, ok := final[a]; ok {
-					w.PutFinalRecord(a, FinalRecord{Status: status, TaskCount: 1, EndedAtMs: 9})
+					w.PutFinalRecord(a, record.Final{Status: status, TaskCount: 1, EndedAtMs: 9})
 				}
 			}
 		}
@@ -75,25 +76,25 @@
 					}
 				}
 				ids, live[id] = append(ids, id), true
-				put(id, func(*JobRecord) {})
+				put(id, func(*record.Job) {})
 			} else {
 				id := rapid.SampledFrom(ids).Draw(t, "job")
 				switch {
 				case what == 1 && live[id] && fate[id] == "" && ready(id): // its task completes, the live record stays for a while
 					fate[id] = wire.JobDone
-					put(id, func(r *JobRecord) { r.Tasks = []Task{{State: TaskDone, Attempt: 1}} })
+					put(id, func(r *record.Job) { r.Tasks = []record.Task{{State: record.TaskDone, Attempt: 1}} })
 				case what == 2 && live[id] && fate[id] == "" && ready(id): // it is over in one step
 					fate[id] = wire.JobDone
 					drop(id, wire.JobDone)
 				case what == 3 && live[id] && fate[id] == "":
 					fate[id] = wire.JobCancelled
-					put(id, func(r *JobRecord) { r.CancelledAtMs = 7 })
+					put(id, func(r *record.Job) { r.CancelledAtMs = 7 })
 				case what == 4 && live[id] && fate[id] != "":
 					drop(id, fate[id])
 				case what == 5:
 					read()
 				case what == 6 && live[id] && fate[id] == wire.JobDone: // cancelled at its end: it is done all the same
-					put(id, func(r *JobRecord) { r.CancelledAtMs, r.Tasks = 7, []Task{{State: TaskDone, Attempt: 1}} })
+					put(id, func(r *record.Job) { r.CancelledAtMs, r.Tasks = 7, []record.Task{{State: record.TaskDone, Attempt: 1}} })
 				}
 				if _, ok := w.DependencyCancelled()[id]; ok && live[id] && fate[id] == "" && rapid.Bool().Draw(t, "sweep") {
 					fate[id] = wire.JobCancelled
@@ -121,15 +122,15 @@
 		fresh.BeginUpdate()
 		for _, id := range ids {
 			if live[id] {
-				rec := w.Jobs[id].JobRecord
+				rec := w.Jobs[id].Job
 				rec.Tasks = w.Jobs[id].startedTasks(0, 1, nil)
-				fresh.Put(JobKey(id), wire.MustEncode(rec), 1)
+				fresh.Put(record.JobKey(id), wire.MustEncode(rec), 1)
 			}
 		}
 		fresh.EndUpdate()
 		for range len(ids) + 1 {
 			for _, a := range fresh.UnresolvedDependencies() {
-				fresh.PutFinalRecord(a, FinalRecord{Status: final[a], TaskCount: 1, EndedAtMs: 9})
+				fresh.PutFinalRecord(a, record.Final{Status: final[a], TaskCount: 1, EndedAtMs: 9})
 			}
 		}
 		for _, view := range []*State{w, fresh} {
@@ -152,7 +153,7 @@
 		w.BeginUpdate()
 		for _, id := range ids {
 			if live[id] {
-				w.Delete(JobKey(id))
+				w.Delete(record.JobKey(id))
 			}
 		}
 		w.EndUpdate()
--- a/internal/clusterstate/layout_test.go
+++ b/internal/clusterstate/layout_test.go
@@ -10,6 +10,7 @@
 
 	"pgregory.net/rapid"
 
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -75,18 +76,18 @@
 func TestMigrationUnderConcurrentWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newRecordStore()
-		fit := SizeLimits{rapid.IntRange(900, 16000).Draw(t, "room"), tuning.TaskBytes}
+		fit := record.SizeLimits{MaxBytes: rapid.IntRange(900, 16000).Draw(t, "room"), BoundTaskBytes: tuning.TaskBytes}
 		spec := wire.JobSpec{ID: "run-7", Class: "c", Team: "t", Kind: rapid.SampledFrom([]string{wire.KindArray, wire.KindGang}).Draw(t, "kind"),
 			Priority: wire.PriorityNormal, TaskCount: rapid.IntRange(1, 600).Draw(t, "tasks"), GPUs: 1}
 		if rapid.Bool().Draw(t, "counted") {
 			spec.MaxRetries = new(int)
 		}
-		s.commit(t, nil, []wire.Op{{PutKey: JobKey(spec.ID), Value: wire.MustEncode(JobRecord{Spec: spec, SubmittedAtMs: 1764600000000})}})
-		model := map[int]Task{}
+		s.commit(t, nil, []wire.Op{{PutKey: record.JobKey(spec.ID), Value: wire.MustEncode(record.Job{Spec: spec, SubmittedAtMs: 1764600000000})}})
+		model := map[int]record.Task{}
 		type write struct {
 			guards []wire.Condition
 			ops    []wire.Op
-			tasks  map[int]Task
+			tasks  map[int]record.Task
 		}
 		var late []write
 		moving := false
@@ -95,14 +96,14 @@
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0, 1: // some tasks of one record change
 				lo, hi := j.TaskRange(rapid.IntRange(0, j.ChunkCount()-1).Draw(t, "record"))
-				change := map[int]Task{}
+				change := map[int]record.Task{}
 				for range rapid.IntRange(1, 12).Draw(t, "changed") {
 					i := rapid.IntRange(lo, hi-1).Draw(t, "task")
-					k := Task{Index: i, State: rapid.IntRange(TaskPending, TaskDone).Draw(t, "state"), Attempt: uint64(rapid.IntRange(1, 3).Draw(t, "attempt"))}
-					if spec.MaxRetries != nil && k.State != TaskDone {
+					k := record.Task{Index: i, State: rapid.IntRange(record.TaskPending, record.TaskDone).Draw(t, "state"), Attempt: uint64(rapid.IntRange(1, 3).Draw(t, "attempt"))}
+					if spec.MaxRetries != nil && k.State != record.TaskDone {
 						k.Failures = rapid.IntRange(0, 12).Draw(t, "failures")
 					}
-					if k.State == TaskBound {
+					if k.State == record.TaskBound {
 						k.Machine, k.Session = fmt.Sprintf("vm-%06d", rapid.IntRange(0, 5).Draw(t, "machine")), 1
 					}
 					change[i] = k
@@ -147,21 +148,21 @@
 				for i := range spec.TaskCount {
 					want, ok := model[i]
 					if !ok {
-						want = Task{Index: i}
+						want = record.Task{Index: i}
 					}
 					if got := j.Task(i); got != want {
 						t.Fatalf("task %d is %+v, want %+v (width %d, wide %d)", i, got, want, j.ChunkWidth, j.FirstFixedChunk)
 					}
-					if want.State == TaskPending && want.Failures > 0 {
+					if want.State == record.TaskPending && want.Failures > 0 {
 						failing++
 						if j.PendingRetries[i].Failures != want.Failures {
 							t.Fatalf("task %d waits to be repeated after %d failures, known as %+v", i, want.Failures, j.PendingRetries[i])
 						}
 					}
 					switch want.State {
-					case TaskBound:
+					case record.TaskBound:
 						bound++
-					case TaskDone:
+					case record.TaskDone:
 						done++
 					}
 				}
@@ -202,17 +203,17 @@
 		spec := wire.JobSpec{ID: "run-00000000000000000001", Class: "a-class-of-work", Team: "a-team-of-people", Kind: wire.KindGang, Priority: wire.PriorityProduction,
 			TaskCount: tasks, CPUs: 28.123456789, GPUs: 4, MemoryGB: 200.123456789, Image: "image-000000001", ImageSizeGB: 5.123456789012, SameZone: true,
 			RuntimeEstimateSeconds: 70.1234567891234, CheckpointIntervalSeconds: 15, CheckpointSaveSeconds: 5, DeadlineSeconds: 123.456789012345, Dependencies: []string{"run-00000000000000000002", "run-00000000000000000003"}}
-		rec := JobRecord{Spec: spec, SubmittedAtMs: 1764600000000}
-		rec.ChunkWidth = SizeLimits{room, tuning.TaskBytes}.ChunkWidth(&spec, EncodedBaseSize(rec))
+		rec := record.Job{Spec: spec, SubmittedAtMs: 1764600000000}
+		rec.ChunkWidth = record.SizeLimits{MaxBytes: room, BoundTaskBytes: tuning.TaskBytes}.ChunkWidth(&spec, record.EncodedBaseSize(rec))
 		if rec.ChunkWidth == 0 {
 			t.Fatalf("%d tasks: no width", tasks)
 		}
-		j := &Job{JobRecord: rec, HasRecord: true, EncodedBaseSize: EncodedBaseSize(rec)}
+		j := &Job{Job: rec, HasRecord: true, EncodedBaseSize: record.EncodedBaseSize(rec)}
 		for k := range min(j.ChunkCount(), 3) {
-			change := map[int]Task{}
+			change := map[int]record.Task{}
 			lo, hi := j.TaskRange(k)
 			for i := lo; i < hi; i++ {
-				change[i] = Task{Index: i, State: TaskBound, Attempt: 1234, Machine: fmt.Sprintf("vm-%09d", i), Session: 12, ChargedShard: 3}
+				change[i] = record.Task{Index: i, State: record.TaskBound, Attempt: 1234, Machine: fmt.Sprintf("vm-%09d", i), Session: 12, ChargedShard: 3}
 			}
 			if n := wire.JSONSize(j.EncodeChunk(k, change).Value); n > 2048 {
 				t.Errorf("%d tasks: record %d takes %d bytes", tasks, k, n)
@@ -230,20 +231,20 @@
 		repeats := tuning.MaxRepeats
 		spec := wire.JobSpec{ID: "run-00000000000000000001", Class: "c", Team: "t", Kind: rapid.SampledFrom([]string{wire.KindArray, wire.KindGang}).Draw(t, "kind"),
 			Priority: wire.PriorityNormal, TaskCount: rapid.IntRange(1, 3000).Draw(t, "tasks"), GPUs: 1, MaxRetries: &repeats}
-		rec := JobRecord{Spec: spec, SubmittedAtMs: 1764600000000}
-		bare, fit := EncodedBaseSize(rec), SizeLimits{room, tuning.TaskBytes}
+		rec := record.Job{Spec: spec, SubmittedAtMs: 1764600000000}
+		bare, fit := record.EncodedBaseSize(rec), record.SizeLimits{MaxBytes: room, BoundTaskBytes: tuning.TaskBytes}
 		if !fit.FixedChunksFit(&spec, bare) {
 			if rec.ChunkWidth = fit.ChunkWidth(&spec, bare); rec.ChunkWidth == 0 {
 				t.Fatal("no width")
 			}
 		}
-		j := &Job{JobRecord: rec, HasRecord: true, EncodedBaseSize: bare}
+		j := &Job{Job: rec, HasRecord: true, EncodedBaseSize: bare}
 		lo, hi := j.TaskRange(rapid.IntRange(0, j.ChunkCount()-1).Draw(t, "record"))
-		change := map[int]Task{}
+		change := map[int]record.Task{}
 		for i := lo; i < hi; i++ {
-			change[i] = Task{Index: i, Attempt: 999, Failures: repeats}
+			change[i] = record.Task{Index: i, Attempt: 999, Failures: repeats}
 		}
-		change[lo] = Task{Index: lo, State: TaskBound, Attempt: 1000, Machine: "vm-000000000", Session: 99, ChargedShard: 3, Failures: repeats}
+		change[lo] = record.Task{Index: lo, State: record.TaskBound, Attempt: 1000, Machine: "vm-000000000", Session: 99, ChargedShard: 3, Failures: repeats}
 		if n := wire.JSONSize(j.EncodeChunk(j.ChunkOf(lo), change).Value); n > room {
 			t.Errorf("width %d: a record takes %d bytes of %d", rec.ChunkWidth, n, room)
 		}
@@ -254,7 +255,7 @@
 // way to fill the memory.
 func TestInvalidTaskGroupsAreRefused(t *testing.T) {
 	for _, spans := range [][]int{{1}, {-1, 0}, {0, -1}, {0, tuning.ChunkTasks}, {tuning.MaxTasks, 0}, {0, 1 << 40}, {0, 100, 0, 100}} {
-		if tasks, err := expandGroups([]TaskGroup{{State: TaskBound, IndexRuns: spans}}); err == nil {
+		if tasks, err := record.ExpandGroups([]record.TaskGroup{{State: record.TaskBound, IndexRuns: spans}}); err == nil {
 			t.Errorf("%v gave %d tasks", spans, len(tasks))
 		}
 	}
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -5,30 +5,30 @@
 	"log/slog"
 	"maps"
 	"slices"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
 
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
 // Chunk is the run of a job's tasks that one record holds.
 type Chunk struct {
 	ModRevision  uint64
-	Tasks        []Task // by position; empty until a task of it was bound
-	pendingCount int    // tasks neither bound nor done
+	Tasks        []record.Task // by position; empty until a task of it was bound
+	pendingCount int           // tasks neither bound nor done
 }
 
 // orphanChunk is a record of tasks that the job's own record does not place (yet).
 type orphanChunk struct {
-	tasks       []Task
+	tasks       []record.Task
 	modRevision uint64
 }
 
 // Job is a live job.
 type Job struct {
-	JobRecord
+	record.Job
 	ModRevision uint64
 	HasRecord   bool // the job's own record was seen, not only chunks
 	Chunks      []Chunk
@@ -75,8 +75,8 @@
 }
 
 // trackRetry keeps in mind whether a task waits to be repeated.
-func (j *Job) trackRetry(t Task) {
-	if t.State != TaskPending || t.Failures == 0 {
+func (j *Job) trackRetry(t record.Task) {
+	if t.State != record.TaskPending || t.Failures == 0 {
 		delete(j.PendingRetries, t.Index)
 		return
 	}
@@ -90,14 +90,14 @@
 }
 
 // Task gives the durable state of task i.
-func (j *Job) Task(i int) Task {
+func (j *Job) Task(i int) record.Task {
 	if k := j.ChunkOf(i); k < len(j.Chunks) {
 		if c := &j.Chunks[k]; len(c.Tasks) > 0 {
 			lo, _ := j.TaskRange(k)
 			return c.Tasks[i-lo]
 		}
 	}
-	return Task{Index: i}
+	return record.Task{Index: i}
 }
 
 // CanStart tells whether tasks of the job may start, as far as its records go. One that is away
@@ -115,10 +115,10 @@
 }
 
 // ForEachStartedTask calls f for every task that was ever bound.
-func (j *Job) ForEachStartedTask(f func(Task)) {
+func (j *Job) ForEachStartedTask(f func(record.Task)) {
 	for k := range j.Chunks {
 		for _, t := range j.Chunks[k].Tasks {
-			if t.State != TaskPending || t.Attempt != 0 {
+			if t.State != record.TaskPending || t.Attempt != 0 {
 				f(t)
 			}
 		}
@@ -127,7 +127,7 @@
 
 // Binding is a task bound to a machine.
 type Binding struct {
-	Ref     TaskRef
+	Ref     record.TaskRef
 	Job     *Job
 	Attempt uint64
 	Session uint64
@@ -135,52 +135,52 @@
 
 // Machine is a known machine.
 type Machine struct {
-	MachineRecord
+	record.Machine
 	Name        string
 	Shard       int
 	ModRevision uint64
-	Bindings    map[TaskRef]Binding
-	Used        Resources
+	Bindings    map[record.TaskRef]Binding
+	Used        record.Resources
 	// PreemptibleByRank is what tasks that may be stopped alone take, by rank of priority.
-	PreemptibleByRank [wire.PriorityCount]Resources
+	PreemptibleByRank [wire.PriorityCount]record.Resources
 	// TasksByImage counts the bound tasks by image.
 	TasksByImage map[string]int
 }
 
 // Shard is a part's ownership.
 type Shard struct {
-	ShardRecord
+	record.Shard
 	ModRevision uint64
 }
 
 // Node is a live session.
 type Node struct {
-	NodeRecord
+	record.Node
 	ModRevision uint64
 }
 
 // Quota is a team's grants.
 type Quota struct {
-	QuotaRecord
+	record.Quota
 	ModRevision uint64
 }
 
 // Rental is an open rental request.
 type Rental struct {
-	RentalRecord
+	record.Rental
 	ModRevision uint64
 }
 
 // Cell is what is kept of another cell, with the guests of it that are over.
 type Cell struct {
-	CellRecord
+	record.Cell
 	ModRevision   uint64
 	GuestOutcomes map[uint64]GuestOutcome
 }
 
 // GuestOutcome is a guest's end.
 type GuestOutcome struct {
-	GuestOutcomeRecord
+	record.GuestOutcome
 	ModRevision uint64
 }
 
@@ -203,12 +203,12 @@
 	SchemaVersion            int
 	SchemaVersionModRevision uint64
 	// UsageByShard is what bound tasks take, by part and team.
-	UsageByShard []map[string]Resources
+	UsageByShard []map[string]record.Resources
 	// MachinesByShard lists the machines of each part by name.
 	MachinesByShard [][]*Machine
 	changeFeeds     []*ChangeFeed
 	// OrphanBindings are bindings to machines that no record knows.
-	OrphanBindings map[string]map[TaskRef]Binding
+	OrphanBindings map[string]map[record.TaskRef]Binding
 
 	rentalByMachine map[string]string // of machines that an open rental lists
 
@@ -218,7 +218,7 @@
 	machineTypeRecords map[string]wire.MachineType // where that is too long, one by one
 
 	dependentsOf           map[string]map[string]struct{} // live jobs by the job that they await
-	finalRecords           map[string]FinalRecord         // final records of awaited jobs
+	finalRecords           map[string]record.Final        // final records of awaited jobs
 	unresolvedDependencies map[string]struct{}            // awaited jobs that are not live, their final record not read
 	dependencyCancelled    map[string]struct{}            // live jobs that fall with one that they need
 	log                    *slog.Logger
@@ -230,13 +230,13 @@
 	w := &State{
 		ShardCount: size, Jobs: map[string]*Job{}, Machines: map[string]*Machine{}, Shards: map[int]Shard{},
 		Nodes: map[string]Node{}, Quotas: map[string]Quota{}, Rentals: map[string]Rental{}, Cells: map[string]*Cell{},
-		Types: map[string]wire.MachineType{}, OrphanBindings: map[string]map[TaskRef]Binding{}, log: log,
+		Types: map[string]wire.MachineType{}, OrphanBindings: map[string]map[record.TaskRef]Binding{}, log: log,
 		rentalByMachine: map[string]string{}, MachinesByShard: make([][]*Machine, size),
-		machineTypeRecords: map[string]wire.MachineType{}, dependentsOf: map[string]map[string]struct{}{}, finalRecords: map[string]FinalRecord{},
+		machineTypeRecords: map[string]wire.MachineType{}, dependentsOf: map[string]map[string]struct{}{}, finalRecords: map[string]record.Final{},
 		unresolvedDependencies: map[string]struct{}{}, dependencyCancelled: map[string]struct{}{},
 	}
 	for range size {
-		w.UsageByShard = append(w.UsageByShard, map[string]Resources{})
+		w.UsageByShard = append(w.UsageByShard, map[string]record.Resources{})
 	}
 	return w
 }
@@ -291,74 +291,74 @@
 // Put takes in a changed record; within a group.
 func (w *State) Put(key string, v wire.RawValue, stamp uint64) {
 	switch {
-	case strings.HasPrefix(key, jobPrefix):
-		if rec, ok := decodeRecord[JobRecord](w, key, v); ok {
+	case strings.HasPrefix(key, record.JobPrefix):
+		if rec, ok := decodeRecord[record.Job](w, key, v); ok {
 			tasks, ok := w.expandGroups(key, rec.Groups)
-			if !ok || !rec.validLayout() {
+			if !ok || !rec.ValidLayout() {
 				w.log.Error("unreadable record", "key", key)
 				return
 			}
-			rec.Tasks, rec.Groups = attachFailures(append(rec.Tasks, tasks...), rec.Failures), nil
+			rec.Tasks, rec.Groups = record.AttachFailures(append(rec.Tasks, tasks...), rec.Failures), nil
 			rec.Failures = nil
 			w.putJob(rec, stamp)
 		}
-	case strings.HasPrefix(key, fixedChunkPrefix):
-		if id, _, ok := parseChunkKey(key); ok {
-			if rec, ok := decodeRecord[FixedChunkRecord](w, key, v); ok {
-				w.putChunk(id, key, attachFailures(rec.Tasks, rec.Failures), stamp)
+	case strings.HasPrefix(key, record.FixedChunkPrefix):
+		if id, _, ok := record.ParseChunkKey(key); ok {
+			if rec, ok := decodeRecord[record.FixedChunk](w, key, v); ok {
+				w.putChunk(id, key, record.AttachFailures(rec.Tasks, rec.Failures), stamp)
 			}
 		}
-	case strings.HasPrefix(key, groupedChunkPrefix):
-		if id, _, ok := parseChunkKey(key); ok {
-			if rec, ok := decodeRecord[GroupedChunkRecord](w, key, v); ok {
+	case strings.HasPrefix(key, record.GroupedChunkPrefix):
+		if id, _, ok := record.ParseChunkKey(key); ok {
+			if rec, ok := decodeRecord[record.GroupedChunk](w, key, v); ok {
 				if tasks, ok := w.expandGroups(key, rec.Groups); ok {
-					w.putChunk(id, key, attachFailures(tasks, rec.Failures), stamp)
+					w.putChunk(id, key, record.AttachFailures(tasks, rec.Failures), stamp)
 				}
 			}
 		}
-	case strings.HasPrefix(key, machinePrefix):
-		if rec, ok := decodeRecord[MachineRecord](w, key, v); ok {
-			w.putMachine(strings.TrimPrefix(key, machinePrefix), rec, stamp)
+	case strings.HasPrefix(key, record.MachinePrefix):
+		if rec, ok := decodeRecord[record.Machine](w, key, v); ok {
+			w.putMachine(strings.TrimPrefix(key, record.MachinePrefix), rec, stamp)
 		}
-	case strings.HasPrefix(key, shardPrefix):
-		if rec, ok := decodeRecord[ShardRecord](w, key, v); ok {
-			w.Shards[parseShardKey(key)] = Shard{rec, stamp}
+	case strings.HasPrefix(key, record.ShardPrefix):
+		if rec, ok := decodeRecord[record.Shard](w, key, v); ok {
+			w.Shards[record.ParseShardKey(key)] = Shard{rec, stamp}
 		}
-	case strings.HasPrefix(key, nodePrefix):
-		if rec, ok := decodeRecord[NodeRecord](w, key, v); ok {
-			w.Nodes[strings.TrimPrefix(key, nodePrefix)] = Node{rec, stamp}
+	case strings.HasPrefix(key, record.NodePrefix):
+		if rec, ok := decodeRecord[record.Node](w, key, v); ok {
+			w.Nodes[strings.TrimPrefix(key, record.NodePrefix)] = Node{rec, stamp}
 		}
-	case strings.HasPrefix(key, quotaPrefix):
-		if rec, ok := decodeRecord[QuotaRecord](w, key, v); ok {
-			w.Quotas[strings.TrimPrefix(key, quotaPrefix)] = Quota{rec, stamp}
+	case strings.HasPrefix(key, record.QuotaPrefix):
+		if rec, ok := decodeRecord[record.Quota](w, key, v); ok {
+			w.Quotas[strings.TrimPrefix(key, record.QuotaPrefix)] = Quota{rec, stamp}
 		}
-	case strings.HasPrefix(key, rentalPrefix):
-		if rec, ok := decodeRecord[RentalRecord](w, key, v); ok {
-			w.putRental(strings.TrimPrefix(key, rentalPrefix), rec, stamp)
+	case strings.HasPrefix(key, record.RentalPrefix):
+		if rec, ok := decodeRecord[record.Rental](w, key, v); ok {
+			w.putRental(strings.TrimPrefix(key, record.RentalPrefix), rec, stamp)
 		}
-	case strings.HasPrefix(key, cellPrefix):
-		if rec, ok := decodeRecord[CellRecord](w, key, v); ok {
-			c := w.cellEntry(strings.TrimPrefix(key, cellPrefix))
-			c.CellRecord, c.ModRevision = rec, stamp
+	case strings.HasPrefix(key, record.CellPrefix):
+		if rec, ok := decodeRecord[record.Cell](w, key, v); ok {
+			c := w.cellEntry(strings.TrimPrefix(key, record.CellPrefix))
+			c.Cell, c.ModRevision = rec, stamp
 		}
-	case strings.HasPrefix(key, guestOutcomePrefix):
-		if cell, n, ok := parseGuestOutcomeKey(key); ok {
-			if rec, ok := decodeRecord[GuestOutcomeRecord](w, key, v); ok {
+	case strings.HasPrefix(key, record.GuestOutcomePrefix):
+		if cell, n, ok := record.ParseGuestOutcomeKey(key); ok {
+			if rec, ok := decodeRecord[record.GuestOutcome](w, key, v); ok {
 				w.cellEntry(cell).GuestOutcomes[n] = GuestOutcome{rec, stamp}
 			}
 		}
-	case key == CatalogKey:
+	case key == record.CatalogKey:
 		if rec, ok := decodeRecord[wire.Catalog](w, key, v); ok {
 			w.catalogTypes, w.CatalogModRevision = rec.Types, stamp
 			w.rebuildTypes()
 		}
-	case strings.HasPrefix(key, machineTypePrefix):
+	case strings.HasPrefix(key, record.MachineTypePrefix):
 		if rec, ok := decodeRecord[wire.MachineType](w, key, v); ok {
 			w.machineTypeRecords[rec.Name] = rec
 			w.rebuildTypes()
 		}
-	case key == SchemaVersionKey:
-		if rec, ok := decodeRecord[SchemaVersionRecord](w, key, v); ok {
+	case key == record.SchemaVersionKey:
+		if rec, ok := decodeRecord[record.SchemaVersion](w, key, v); ok {
 			w.SchemaVersion, w.SchemaVersionModRevision = max(w.SchemaVersion, rec.Version), stamp
 		}
 	}
@@ -367,27 +367,27 @@
 // Delete takes in a removed record; within a group.
 func (w *State) Delete(key string) {
 	switch {
-	case strings.HasPrefix(key, jobPrefix):
-		w.deleteJob(strings.TrimPrefix(key, jobPrefix))
-	case strings.HasPrefix(key, fixedChunkPrefix), strings.HasPrefix(key, groupedChunkPrefix):
-		if id, _, ok := parseChunkKey(key); ok {
+	case strings.HasPrefix(key, record.JobPrefix):
+		w.deleteJob(strings.TrimPrefix(key, record.JobPrefix))
+	case strings.HasPrefix(key, record.FixedChunkPrefix), strings.HasPrefix(key, record.GroupedChunkPrefix):
+		if id, _, ok := record.ParseChunkKey(key); ok {
 			w.deleteChunk(id, key)
 		}
-	case strings.HasPrefix(key, machinePrefix):
-		w.deleteMachine(strings.TrimPrefix(key, machinePrefix))
-	case strings.HasPrefix(key, shardPrefix):
-		delete(w.Shards, parseShardKey(key))
-	case strings.HasPrefix(key, nodePrefix):
-		delete(w.Nodes, strings.TrimPrefix(key, nodePrefix))
-	case strings.HasPrefix(key, quotaPrefix):
-		delete(w.Quotas, strings.TrimPrefix(key, quotaPrefix))
-	case strings.HasPrefix(key, rentalPrefix):
-		w.deleteRental(strings.TrimPrefix(key, rentalPrefix))
-	case strings.HasPrefix(key, cellPrefix):
-		c := w.cellEntry(strings.TrimPrefix(key, cellPrefix))
-		c.CellRecord, c.ModRevision = CellRecord{}, 0
-	case strings.HasPrefix(key, guestOutcomePrefix):
-		if cell, n, ok := parseGuestOutcomeKey(key); ok {
+	case strings.HasPrefix(key, record.MachinePrefix):
+		w.deleteMachine(strings.TrimPrefix(key, record.MachinePrefix))
+	case strings.HasPrefix(key, record.ShardPrefix):
+		delete(w.Shards, record.ParseShardKey(key))
+	case strings.HasPrefix(key, record.NodePrefix):
+		delete(w.Nodes, strings.TrimPrefix(key, record.NodePrefix))
+	case strings.HasPrefix(key, record.QuotaPrefix):
+		delete(w.Quotas, strings.TrimPrefix(key, record.QuotaPrefix))
+	case strings.HasPrefix(key, record.RentalPrefix):
+		w.deleteRental(strings.TrimPrefix(key, record.RentalPrefix))
+	case strings.HasPrefix(key, record.CellPrefix):
+		c := w.cellEntry(strings.TrimPrefix(key, record.CellPrefix))
+		c.Cell, c.ModRevision = record.Cell{}, 0
+	case strings.HasPrefix(key, record.GuestOutcomePrefix):
+		if cell, n, ok := record.ParseGuestOutcomeKey(key); ok {
 			delete(w.cellEntry(cell).GuestOutcomes, n)
 		}
 	}
@@ -403,24 +403,6 @@
 	return c
 }
 
-// parseGuestOutcomeKey reads the key of a guest's end.
-func parseGuestOutcomeKey(key string) (cell string, number uint64, ok bool) {
-	cell, n, ok := strings.Cut(strings.TrimPrefix(key, guestOutcomePrefix), "/")
-	number, err := strconv.ParseUint(n, 10, 64)
-	return cell, number, ok && err == nil
-}
-
-func parseShardKey(key string) int {
-	p := 0
-	for _, c := range strings.TrimPrefix(key, shardPrefix) {
-		if c == '-' {
-			return LeaderShard
-		}
-		p = p*10 + int(c-'0')
-	}
-	return p
-}
-
 func (w *State) jobEntry(id string) *Job {
 	j := w.Jobs[id]
 	if j == nil {
@@ -430,15 +412,15 @@
 	return j
 }
 
-func (w *State) putJob(rec JobRecord, stamp uint64) {
+func (w *State) putJob(rec record.Job, stamp uint64) {
 	id := rec.Spec.ID
 	w.markJobChanged(id)
 	j := w.jobEntry(id)
 	tasks := rec.Tasks
 	rec.Tasks = nil
 	if rec.CancelledAtMs != j.CancelledAtMs || rec.PreemptedAttempt != j.PreemptedAttempt {
-		j.ForEachStartedTask(func(t Task) {
-			if t.State == TaskBound {
+		j.ForEachStartedTask(func(t record.Task) {
+			if t.State == record.TaskBound {
 				w.markMachineChanged(t.Machine)
 			}
 		})
@@ -448,12 +430,12 @@
 		w.orphanChunks(j)
 	}
 	if first {
-		j.EncodedBaseSize = EncodedBaseSize(rec)
+		j.EncodedBaseSize = record.EncodedBaseSize(rec)
 	}
-	j.JobRecord, j.ModRevision, j.HasRecord = rec, stamp, true
+	j.Job, j.ModRevision, j.HasRecord = rec, stamp, true
 	if first || moved {
 		for key, s := range j.orphanChunks {
-			if k, ok := j.chunkIndexOf(key); ok {
+			if k, ok := j.ChunkIndexOf(key); ok {
 				delete(j.orphanChunks, key)
 				w.setChunk(j, k, s.tasks, s.modRevision)
 			}
@@ -469,10 +451,10 @@
 // putChunk takes in a further record of a job's tasks. One that the job's own
 // record does not place is kept aside until that one changes: both change in one
 // transaction, but one comes first.
-func (w *State) putChunk(id, key string, tasks []Task, stamp uint64) {
+func (w *State) putChunk(id, key string, tasks []record.Task, stamp uint64) {
 	w.markJobChanged(id)
 	j := w.jobEntry(id)
-	if k, ok := j.chunkIndexOf(key); ok && j.HasRecord {
+	if k, ok := j.ChunkIndexOf(key); ok && j.HasRecord {
 		w.setChunk(j, k, tasks, stamp)
 		w.updateDependents(id)
 		return
@@ -490,7 +472,7 @@
 	}
 	w.markJobChanged(id)
 	delete(j.orphanChunks, key)
-	if k, ok := j.chunkIndexOf(key); ok && j.HasRecord {
+	if k, ok := j.ChunkIndexOf(key); ok && j.HasRecord {
 		w.setChunk(j, k, nil, 0)
 	}
 	w.forgetIfEmpty(id, j)
@@ -516,7 +498,7 @@
 }
 
 // setChunk replaces a chunk's tasks and keeps the indexes in step.
-func (w *State) setChunk(j *Job, k int, tasks []Task, stamp uint64) {
+func (w *State) setChunk(j *Job, k int, tasks []record.Task, stamp uint64) {
 	for len(j.Chunks) <= k {
 		j.Chunks = append(j.Chunks, Chunk{})
 	}
@@ -530,7 +512,7 @@
 		return
 	}
 	base, end := j.TaskRange(k)
-	c.Tasks = make([]Task, end-base)
+	c.Tasks = make([]record.Task, end-base)
 	for i := range c.Tasks {
 		c.Tasks[i].Index = base + i
 	}
@@ -543,7 +525,7 @@
 	// Only what differs is taken out of the indexes and put in again: a record
 	// of many tasks is written again for each of them.
 	for i, t := range c.Tasks {
-		if t.State == TaskPending {
+		if t.State == record.TaskPending {
 			c.pendingCount++
 		}
 		if i < len(old) {
@@ -557,15 +539,15 @@
 	}
 }
 
-func (w *State) indexTask(j *Job, t Task, n int) {
+func (w *State) indexTask(j *Job, t record.Task, n int) {
 	switch t.State {
-	case TaskDone:
+	case record.TaskDone:
 		j.DoneCount += n
-	case TaskBound:
+	case record.TaskBound:
 		j.BoundCount += n
-		ref := TaskRef{j.Spec.ID, t.Index}
-		need := TaskResources(&j.Spec)
-		part := ShardOf(t.Machine, w.ShardCount)
+		ref := record.TaskRef{Job: j.Spec.ID, Index: t.Index}
+		need := record.TaskResources(&j.Spec)
+		part := record.ShardOf(t.Machine, w.ShardCount)
 		usage := w.UsageByShard[part]
 		if t.ChargedShard > 0 && t.ChargedShard <= w.ShardCount {
 			usage = w.UsageByShard[t.ChargedShard-1]
@@ -577,12 +559,12 @@
 		j.BoundByShard[part] += n
 		w.markMachineChanged(t.Machine)
 		m := w.Machines[t.Machine]
-		var set map[TaskRef]Binding
+		var set map[record.TaskRef]Binding
 		if m != nil {
 			set = m.Bindings
 			m.addUsage(&j.Spec, n)
 		} else if set = w.OrphanBindings[t.Machine]; set == nil {
-			set = map[TaskRef]Binding{}
+			set = map[record.TaskRef]Binding{}
 			w.OrphanBindings[t.Machine] = set
 		}
 		if n > 0 {
@@ -594,7 +576,7 @@
 			}
 		}
 		if len(set) == 0 && m != nil {
-			m.Used, m.PreemptibleByRank = Resources{}, [wire.PriorityCount]Resources{} // no rounding is carried along
+			m.Used, m.PreemptibleByRank = record.Resources{}, [wire.PriorityCount]record.Resources{} // no rounding is carried along
 		}
 	}
 }
@@ -625,9 +607,9 @@
 
 // addUsage counts what n tasks of a job take.
 func (m *Machine) addUsage(s *wire.JobSpec, n int) {
-	need := TaskResources(s)
+	need := record.TaskResources(s)
 	m.Used = m.Used.AddTimes(need, float64(n))
-	if TaskPreemptible(s) {
+	if record.TaskPreemptible(s) {
 		rank := wire.PriorityRank(s.Priority)
 		m.PreemptibleByRank[rank] = m.PreemptibleByRank[rank].AddTimes(need, float64(n))
 	}
@@ -642,7 +624,7 @@
 	if m != nil {
 		return m
 	}
-	m = &Machine{Name: name, Shard: ShardOf(name, w.ShardCount), Bindings: map[TaskRef]Binding{}, TasksByImage: map[string]int{}}
+	m = &Machine{Name: name, Shard: record.ShardOf(name, w.ShardCount), Bindings: map[record.TaskRef]Binding{}, TasksByImage: map[string]int{}}
 	w.Machines[name] = m
 	w.longestMachineName = max(w.longestMachineName, len(name))
 	list := w.MachinesByShard[m.Shard]
@@ -660,9 +642,9 @@
 
 func compareMachineName(m *Machine, name string) int { return cmp.Compare(m.Name, name) }
 
-func (w *State) putMachine(name string, rec MachineRecord, stamp uint64) {
+func (w *State) putMachine(name string, rec record.Machine, stamp uint64) {
 	m := w.machineEntry(name)
-	m.MachineRecord, m.ModRevision = rec, stamp
+	m.Machine, m.ModRevision = rec, stamp
 	w.markMachineChanged(name)
 }
 
@@ -674,7 +656,7 @@
 	w.markMachineChanged(name)
 	if rental, ok := w.Rentals[w.rentalByMachine[name]]; ok {
 		// Its rental still lists it: it counts as not yet up.
-		m.MachineRecord, m.ModRevision = rental.machineRecord(), 0
+		m.Machine, m.ModRevision = rental.InitialMachine(), 0
 		return
 	}
 	w.removeMachine(name, m)
@@ -691,13 +673,7 @@
 	}
 }
 
-// machineRecord is what a rental tells of its machines until they have records of
-// their own: a fleet's worth of machines is recorded by its few rentals.
-func (r *RentalRecord) machineRecord() MachineRecord {
-	return MachineRecord{Type: r.Type, Zone: r.Zone, Spot: r.Spot, CreatedAtMs: r.RequestedAtMs}
-}
-
-func (w *State) putRental(name string, rec RentalRecord, stamp uint64) {
+func (w *State) putRental(name string, rec record.Rental, stamp uint64) {
 	if old, ok := w.Rentals[name]; ok && len(old.Machines) > 0 {
 		w.deleteRental(name)
 	}
@@ -705,7 +681,7 @@
 	for _, n := range rec.Machines {
 		w.rentalByMachine[n] = name
 		if w.Machines[n] == nil {
-			w.machineEntry(n).MachineRecord = rec.machineRecord()
+			w.machineEntry(n).Machine = rec.InitialMachine()
 			w.markMachineChanged(n)
 		}
 	}
--- a/internal/clusterstate/state_test.go
+++ b/internal/clusterstate/state_test.go
@@ -8,6 +8,7 @@
 
 	"pgregory.net/rapid"
 
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -20,14 +21,14 @@
 		w := New(size, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		ids := []string{"run-1", "run-2"}
 		machines := []string{"vm-1", "vm-2", "vm-3"}
-		tasks := func(base, n int) []Task {
-			var out []Task
+		tasks := func(base, n int) []record.Task {
+			var out []record.Task
 			for i := range n {
 				if rapid.Bool().Draw(t, "skip") {
 					continue
 				}
-				k := Task{Index: base + i, State: rapid.IntRange(TaskPending, TaskDone).Draw(t, "state"), Attempt: 1}
-				if k.State == TaskBound {
+				k := record.Task{Index: base + i, State: rapid.IntRange(record.TaskPending, record.TaskDone).Draw(t, "state"), Attempt: 1}
+				if k.State == record.TaskBound {
 					k.Machine = rapid.SampledFrom(machines).Draw(t, "machine")
 				}
 				out = append(out, k)
@@ -39,17 +40,17 @@
 			w.BeginUpdate()
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				w.Put(JobKey(id), wire.MustEncode(JobRecord{Spec: wire.JobSpec{ID: id, Team: "t", TaskCount: tuning.ChunkTasks + 3, GPUs: 1}, Tasks: tasks(0, 4)}), rev+1)
+				w.Put(record.JobKey(id), wire.MustEncode(record.Job{Spec: wire.JobSpec{ID: id, Team: "t", TaskCount: tuning.ChunkTasks + 3, GPUs: 1}, Tasks: tasks(0, 4)}), rev+1)
 			case 1:
-				w.Put(FixedChunkKey(id, 1), wire.MustEncode(FixedChunkRecord{Tasks: tasks(tuning.ChunkTasks, 3)}), rev+1)
+				w.Put(record.FixedChunkKey(id, 1), wire.MustEncode(record.FixedChunk{Tasks: tasks(tuning.ChunkTasks, 3)}), rev+1)
 			case 2:
-				w.Delete(JobKey(id))
+				w.Delete(record.JobKey(id))
 			case 3:
-				w.Delete(FixedChunkKey(id, 1))
+				w.Delete(record.FixedChunkKey(id, 1))
 			case 4:
-				w.Put(MachineKey(rapid.SampledFrom(machines).Draw(t, "m")), wire.MustEncode(MachineRecord{Type: "x"}), rev+1)
+				w.Put(record.MachineKey(rapid.SampledFrom(machines).Draw(t, "m")), wire.MustEncode(record.Machine{Type: "x"}), rev+1)
 			case 5:
-				w.Delete(MachineKey(rapid.SampledFrom(machines).Draw(t, "m")))
+				w.Delete(record.MachineKey(rapid.SampledFrom(machines).Draw(t, "m")))
 			}
 			w.EndUpdate()
 			use := make([]float64, size)
@@ -59,13 +60,13 @@
 					continue
 				}
 				bound, done := 0, 0
-				j.ForEachStartedTask(func(k Task) {
+				j.ForEachStartedTask(func(k record.Task) {
 					switch k.State {
-					case TaskBound:
+					case record.TaskBound:
 						bound++
 						on[k.Machine]++
-						use[ShardOf(k.Machine, size)]++
-					case TaskDone:
+						use[record.ShardOf(k.Machine, size)]++
+					case record.TaskDone:
 						done++
 					}
 				})
@@ -100,10 +101,10 @@
 // TestLargestRecordFits: a full record stays within the smallest value limit
 // seen (16 KiB as JSON), whatever its tasks have gone through.
 func TestLargestFixedChunkFits(t *testing.T) {
-	j := &Job{HasRecord: true, JobRecord: JobRecord{Spec: wire.JobSpec{ID: "run-00000000000000000001", TaskCount: tuning.MaxTasks}}}
-	change := map[int]Task{}
+	j := &Job{HasRecord: true, Job: record.Job{Spec: wire.JobSpec{ID: "run-00000000000000000001", TaskCount: tuning.MaxTasks}}}
+	change := map[int]record.Task{}
 	for i := tuning.ChunkTasks; i < 2*tuning.ChunkTasks; i++ {
-		change[i] = Task{Index: tuning.MaxTasks, State: TaskBound, Attempt: 1 << 20, Machine: "vm-000000231", Session: 1 << 20}
+		change[i] = record.Task{Index: tuning.MaxTasks, State: record.TaskBound, Attempt: 1 << 20, Machine: "vm-000000231", Session: 1 << 20}
 	}
 	if op := j.EncodeChunk(1, change); float64(len(op.Value)) > tuning.ValueFraction*16*1024 {
 		t.Fatalf("%d bytes", len(op.Value))
@@ -114,7 +115,7 @@
 func TestShardsAreBalanced(t *testing.T) {
 	count := make([]int, 3)
 	for i := range 300 {
-		count[ShardOf("vm-"+string(rune('0'+i/100))+string(rune('0'+i/10%10))+string(rune('0'+i%10)), 3)]++
+		count[record.ShardOf("vm-"+string(rune('0'+i/100))+string(rune('0'+i/10%10))+string(rune('0'+i%10)), 3)]++
 	}
 	for p, c := range count {
 		if c < 70 || c > 130 {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -19,6 +19,7 @@
 	"sableusher/internal/membership"
 	"sableusher/internal/offload"
 	"sableusher/internal/peerrpc"
+	"sableusher/internal/record"
 	"sableusher/internal/scheduler"
 	"sableusher/internal/schemaversion"
 	"sableusher/internal/tuning"
@@ -54,7 +55,7 @@
 	upcoming := settings.NextState()
 	client.SetUpcomingLimits(kvstore.Limits{RequestsPerSecond: upcoming.RPS, WritesPerSecond: upcoming.WriteRPS, MaxValueKiB: upcoming.ValueKB, MaxTransactionOps: upcoming.TxnOps})
 	state := clusterstate.New(deployment.Size, logger)
-	cache := kvstore.NewWatchCache(client, clusterstate.LivePrefix, state, logger)
+	cache := kvstore.NewWatchCache(client, record.LivePrefix, state, logger)
 	committer := kvstore.NewCommitter(client, func(ops []wire.Op, rev uint64) { cache.ApplyOwn(ops, rev) })
 	committer.SetObserver(cache)
 	members := membership.New(settings.Node, incarnation, settings.Nodes(), schemaVersion, client, committer, cache, state, logger)
--- a/internal/dependency/resolver.go
+++ b/internal/dependency/resolver.go
@@ -12,6 +12,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 )
 
@@ -52,7 +53,7 @@
 		}
 	}
 	type answer struct {
-		rec clusterstate.FinalRecord
+		rec record.Final
 		ok  bool
 	}
 	var ids []string
@@ -66,7 +67,7 @@
 	g.SetLimit(tuning.OutcomeLanes)
 	for i, id := range ids {
 		g.Go(func() error {
-			rec, err := kvstore.ReadRecord[clusterstate.FinalRecord](ctx, r.reader, clusterstate.FinalKey(id))
+			rec, err := kvstore.ReadRecord[record.Final](ctx, r.reader, record.FinalKey(id))
 			// Not there: this view is older than the job, or the job is live again in it
 			// soon. It proves nothing either way.
 			if answers[i] = (answer{rec, err == nil}); err != nil && !errors.Is(err, kvstore.ErrNotFound) {
--- a/internal/dependency/resolver_test.go
+++ b/internal/dependency/resolver_test.go
@@ -11,6 +11,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -53,7 +54,7 @@
 		w := clusterstate.New(3, log)
 		put := func(id string, awaits ...string) {
 			w.BeginUpdate()
-			w.Put(clusterstate.JobKey(id), wire.MustEncode(clusterstate.JobRecord{Spec: wire.JobSpec{ID: id, Team: "t", TaskCount: 1, Dependencies: awaits}, SubmittedAtMs: 1}), 1)
+			w.Put(record.JobKey(id), wire.MustEncode(record.Job{Spec: wire.JobSpec{ID: id, Team: "t", TaskCount: 1, Dependencies: awaits}, SubmittedAtMs: 1}), 1)
 			w.EndUpdate()
 		}
 		rec := &fakeReader{values: map[string]any{}}
@@ -72,7 +73,7 @@
 		if !waits() {
 			t.Error("released while records can't be read")
 		}
-		rec.set(func() { rec.unavailable, rec.values[clusterstate.FinalKey("run-1")] = false, "damaged" })
+		rec.set(func() { rec.unavailable, rec.values[record.FinalKey("run-1")] = false, "damaged" })
 		if !waits() {
 			t.Error("released by a damaged record")
 		}
@@ -80,7 +81,7 @@
 			if most := 3*3 + 4; rec.reads > most || rec.reads < 3 {
 				t.Errorf("asked %d times", rec.reads)
 			}
-			rec.values[clusterstate.FinalKey("run-1")] = clusterstate.FinalRecord{Status: wire.JobDone, TaskCount: 1, DoneCount: 1, EndedAtMs: 77}
+			rec.values[record.FinalKey("run-1")] = record.Final{Status: wire.JobDone, TaskCount: 1, DoneCount: 1, EndedAtMs: 77}
 		})
 		if waits() {
 			t.Error("still waits for a job that is done")
--- a/internal/federation/choose.go
+++ b/internal/federation/choose.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"sableusher/internal/binpack"
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 )
 
@@ -16,7 +16,7 @@
 	Type  string
 	Zone  string
 	Spot  bool
-	Free  clusterstate.Resources // on each
+	Free  record.Resources // on each
 	Count int
 }
 
@@ -43,7 +43,7 @@
 // Work is a job that could start elsewhere.
 type Work struct {
 	ID      string
-	Need    clusterstate.Resources // of each task
+	Need    record.Resources // of each task
 	Tasks   int
 	OneZone bool     // all in one zone
 	Types   []string // allowed types; none: any
--- a/internal/federation/member_test.go
+++ b/internal/federation/member_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 )
 
@@ -104,7 +104,7 @@
 	if free := h.slots - h.busy; free <= 0 {
 		wait = float64(run) * (0.5 + float64(len(h.queue))/float64(h.slots))
 	}
-	return Digest{At: at, Rooms: []Room{{Free: clusterstate.Resources{GPUs: 1}, Count: max(h.slots-h.busy, 0)}}, Waits: []float64{wait, wait, wait}, Guests: 1 << 20}
+	return Digest{At: at, Rooms: []Room{{Free: record.Resources{GPUs: 1}, Count: max(h.slots-h.busy, 0)}}, Waits: []float64{wait, wait, wait}, Guests: 1 << 20}
 }
 
 // play lets tasks arrive in three cells for some minutes, of which the first has four times its
@@ -158,7 +158,7 @@
 // byDigest is the choice as it is made, on digests of up to three seconds.
 func byDigest(from int, now time.Time, told []Digest, flight []int, real []*host) int {
 	here := real[from].digest(now, 30)
-	w := &Work{ID: "run-1", Need: clusterstate.Resources{GPUs: 1}, Tasks: 1, HereS: here.Waits[0]}
+	w := &Work{ID: "run-1", Need: record.Resources{GPUs: 1}, Tasks: 1, HereS: here.Waits[0]}
 	var list []Candidate
 	for i := range told {
 		if i != from {
@@ -205,14 +205,14 @@
 			d := Digest{At: start.Add(-time.Duration(rapid.IntRange(0, 12).Draw(t, "age")) * time.Second), FetchS: 1, BootS: 20, Guests: rapid.IntRange(0, 60).Draw(t, "guests")}
 			for range rapid.IntRange(0, 4).Draw(t, "rooms") {
 				d.Rooms = append(d.Rooms, Room{Zone: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
-					Free: clusterstate.Resources{CPUs: 32, GPUs: float64(rapid.IntRange(0, 4).Draw(t, "free"))}, Count: rapid.IntRange(1, 20).Draw(t, "count")})
+					Free: record.Resources{CPUs: 32, GPUs: float64(rapid.IntRange(0, 4).Draw(t, "free"))}, Count: rapid.IntRange(1, 20).Draw(t, "count")})
 			}
 			if w := rapid.IntRange(-1, 100).Draw(t, "wait"); w >= 0 {
 				d.Waits = []float64{float64(w), float64(w), float64(w)}
 			}
 			list = append(list, Candidate{Name: fmt.Sprint(i), Digest: d, TransferS: rapid.Float64Range(0, 5).Draw(t, "transfer"), Flight: rapid.IntRange(0, 30).Draw(t, "flight")})
 		}
-		w := &Work{ID: "run-1", Need: clusterstate.Resources{CPUs: 4, GPUs: 1}, Tasks: rapid.IntRange(1, 30).Draw(t, "tasks"),
+		w := &Work{ID: "run-1", Need: record.Resources{CPUs: 4, GPUs: 1}, Tasks: rapid.IntRange(1, 30).Draw(t, "tasks"),
 			OneZone: rapid.Bool().Draw(t, "one zone"), Spot: rapid.Bool().Draw(t, "may spot"), Rank: 1, ImageGB: 4, HereS: rapid.Float64Range(0, 200).Draw(t, "here"),
 			Guest: rapid.IntRange(0, 5).Draw(t, "guest") == 0}
 		to, ok := Choose(start, w, list, rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed"))))
--- a/internal/membership/ownership.go
+++ b/internal/membership/ownership.go
@@ -13,6 +13,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -111,12 +112,12 @@
 // before: a process that ended before it had an answer leaves a registration that may be carried out
 // seconds later, and must not take the place of the one that follows it.
 func (m *Member) register(ctx context.Context, hold uint64) (uint64, error) {
-	key := clusterstate.NodeKey(m.NodeName)
+	key := record.NodeKey(m.NodeName)
 	row, err := m.client.Get(ctx, key)
 	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return 0, err
 	}
-	op := kvstore.PutOp(key, clusterstate.NodeRecord{Incarnation: m.Incarnation, SchemaVersion: m.schemaVersion})
+	op := kvstore.PutOp(key, record.Node{Incarnation: m.Incarnation, SchemaVersion: m.schemaVersion})
 	op.LeaseID = hold
 	return m.committer.Commit(ctx, kvstore.Transaction{Conditions: []wire.Condition{{Key: key, ModRevision: row.ModRevision}}, Ops: []wire.Op{op}, Urgent: true})
 }
@@ -146,7 +147,7 @@
 
 // homeNode is the node a part belongs to when all are well.
 func (m *Member) homeNode(shard int) string {
-	if shard == clusterstate.LeaderShard {
+	if shard == record.LeaderShard {
 		return m.nodeNames[0]
 	}
 	return m.nodeNames[shard%len(m.nodeNames)]
@@ -194,7 +195,7 @@
 
 type ownershipChange struct {
 	shard         int
-	record        clusterstate.ShardRecord
+	record        record.Shard
 	transaction   kvstore.Transaction
 	previousOwner string
 }
@@ -206,7 +207,7 @@
 	}
 	claims, unmarked := m.ownershipChanges()
 	m.client.SetBudgetShare(m.budgetShare())
-	if unmarked != clusterstate.LeaderShard {
+	if unmarked != record.LeaderShard {
 		m.Fence(ctx, unmarked, true)
 	}
 	for _, c := range claims {
@@ -260,7 +261,7 @@
 			delete(m.sessionSince, n)
 		}
 	}
-	unmarked := clusterstate.LeaderShard
+	unmarked := record.LeaderShard
 	if !live || self.Incarnation != m.Incarnation {
 		return nil, unmarked
 	}
@@ -271,7 +272,7 @@
 		}
 	}
 	for part, p := range m.clusterState.Shards {
-		if part != clusterstate.LeaderShard && m.ownedBySelf(p) && nextFencingToken(p.FencingToken, level) > p.FencingToken+1 {
+		if part != record.LeaderShard && m.ownedBySelf(p) && nextFencingToken(p.FencingToken, level) > p.FencingToken+1 {
 			unmarked = part
 		}
 		if _, ok := m.ownedSince[part]; !m.ownedBySelf(p) {
@@ -281,8 +282,8 @@
 		}
 	}
 	var out []ownershipChange
-	selfGuard := wire.Condition{Key: clusterstate.NodeKey(m.NodeName), ModRevision: self.ModRevision}
-	for part := clusterstate.LeaderShard; part < m.clusterState.ShardCount; part++ {
+	selfGuard := wire.Condition{Key: record.NodeKey(m.NodeName), ModRevision: self.ModRevision}
+	for part := record.LeaderShard; part < m.clusterState.ShardCount; part++ {
 		p, known := m.clusterState.Shards[part]
 		owner, alive := m.clusterState.Nodes[p.Owner]
 		ownerLives := known && alive && owner.Incarnation == p.Incarnation
@@ -312,13 +313,13 @@
 		if now.Sub(since) < wait {
 			continue
 		}
-		rec := clusterstate.ShardRecord{Owner: m.NodeName, Incarnation: m.Incarnation, FencingToken: nextFencingToken(p.FencingToken, level)}
-		guards := []wire.Condition{{Key: clusterstate.ShardKey(part), ModRevision: p.ModRevision}, selfGuard}
+		rec := record.Shard{Owner: m.NodeName, Incarnation: m.Incarnation, FencingToken: nextFencingToken(p.FencingToken, level)}
+		guards := []wire.Condition{{Key: record.ShardKey(part), ModRevision: p.ModRevision}, selfGuard}
 		if p.Owner != m.NodeName && p.Owner != "" {
 			// Absent, or present as another process: either way the owner's session is gone.
-			guards = append(guards, wire.Condition{Key: clusterstate.NodeKey(p.Owner), ModRevision: owner.ModRevision})
+			guards = append(guards, wire.Condition{Key: record.NodeKey(p.Owner), ModRevision: owner.ModRevision})
 		}
-		out = append(out, ownershipChange{part, rec, kvstore.Transaction{Conditions: guards, Ops: []wire.Op{kvstore.PutOp(clusterstate.ShardKey(part), rec)}, Urgent: true}, p.Owner})
+		out = append(out, ownershipChange{part, rec, kvstore.Transaction{Conditions: guards, Ops: []wire.Op{kvstore.PutOp(record.ShardKey(part), rec)}, Urgent: true}, p.Owner})
 		owned++
 	}
 	return out, unmarked
@@ -328,7 +329,7 @@
 // so that a crash does not leave all parts with one node.
 func (m *Member) handBack(part int, p clusterstate.Shard, selfGuard wire.Condition, now time.Time) (ownershipChange, bool) {
 	home, level := m.homeNode(part), m.clusterState.SchemaVersion
-	if part == clusterstate.LeaderShard || !m.ownedBySelf(p) || home == m.NodeName || m.isFencing(part) {
+	if part == record.LeaderShard || !m.ownedBySelf(p) || home == m.NodeName || m.isFencing(part) {
 		return ownershipChange{}, false
 	}
 	h, ok := m.clusterState.Nodes[home]
@@ -339,10 +340,10 @@
 	if !ok || now.Sub(m.sessionSince[home]) < wait || now.Sub(m.ownedSince[part]) < wait {
 		return ownershipChange{}, false
 	}
-	rec := clusterstate.ShardRecord{Owner: home, Incarnation: h.Incarnation, FencingToken: nextFencingToken(p.FencingToken, level)}
+	rec := record.Shard{Owner: home, Incarnation: h.Incarnation, FencingToken: nextFencingToken(p.FencingToken, level)}
 	return ownershipChange{part, rec, kvstore.Transaction{
-		Conditions: []wire.Condition{{Key: clusterstate.ShardKey(part), ModRevision: p.ModRevision}, selfGuard, {Key: clusterstate.NodeKey(home), ModRevision: h.ModRevision}},
-		Ops:        []wire.Op{kvstore.PutOp(clusterstate.ShardKey(part), rec)}, Urgent: true,
+		Conditions: []wire.Condition{{Key: record.ShardKey(part), ModRevision: p.ModRevision}, selfGuard, {Key: record.NodeKey(home), ModRevision: h.ModRevision}},
+		Ops:        []wire.Op{kvstore.PutOp(record.ShardKey(part), rec)}, Urgent: true,
 	}, m.NodeName}, true
 }
 
@@ -381,15 +382,15 @@
 		if !known || !m.ownedBySelf(p) {
 			return
 		}
-		rec := p.ShardRecord
+		rec := p.Shard
 		rec.FenceCount++
 		if raiseToken {
 			rec.FencingToken = nextFencingToken(rec.FencingToken, level)
 		}
 		tctx, cancel := context.WithTimeout(ctx, 2*tuning.StateTimeout)
 		_, err := m.committer.Commit(tctx, kvstore.Transaction{
-			Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard), ModRevision: p.ModRevision}},
-			Ops:        []wire.Op{kvstore.PutOp(clusterstate.ShardKey(shard), rec)}, Urgent: true,
+			Conditions: []wire.Condition{{Key: record.ShardKey(shard), ModRevision: p.ModRevision}},
+			Ops:        []wire.Op{kvstore.PutOp(record.ShardKey(shard), rec)}, Urgent: true,
 		})
 		if err == nil {
 			err = m.cache.WaitForReadBarrier(tctx)
@@ -419,12 +420,12 @@
 	if !known || !live || !m.ownedBySelf(p) || m.isFencing(shard) {
 		return
 	}
-	rec := clusterstate.ShardRecord{Owner: to, Incarnation: n.Incarnation, FencingToken: nextFencingToken(p.FencingToken, level), HandedOff: true}
+	rec := record.Shard{Owner: to, Incarnation: n.Incarnation, FencingToken: nextFencingToken(p.FencingToken, level), HandedOff: true}
 	ctx, cancel := context.WithTimeout(ctx, 2*tuning.StateTimeout)
 	defer cancel()
 	_, err := m.committer.Commit(ctx, kvstore.Transaction{
-		Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard), ModRevision: p.ModRevision}, {Key: clusterstate.NodeKey(to), ModRevision: n.ModRevision}},
-		Ops:        []wire.Op{kvstore.PutOp(clusterstate.ShardKey(shard), rec)}, Urgent: true,
+		Conditions: []wire.Condition{{Key: record.ShardKey(shard), ModRevision: p.ModRevision}, {Key: record.NodeKey(to), ModRevision: n.ModRevision}},
+		Ops:        []wire.Op{kvstore.PutOp(record.ShardKey(shard), rec)}, Urgent: true,
 	})
 	m.logger.Info("part given away: its workers report elsewhere", "part", shard, "to", to, "err", err)
 }
--- a/internal/membership/ownership_test.go
+++ b/internal/membership/ownership_test.go
@@ -10,6 +10,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -25,7 +26,7 @@
 	var out []*Member
 	for _, n := range names {
 		c := kvstore.NewClient("127.0.0.1:1", kvstore.Limits{RequestsPerSecond: 100, WritesPerSecond: 50, MaxTransactionOps: 8}, nil)
-		cache := kvstore.NewWatchCache(c, clusterstate.LivePrefix, w, log)
+		cache := kvstore.NewWatchCache(c, record.LivePrefix, w, log)
 		out = append(out, New(n, 1, names, tuning.Level, c, kvstore.NewCommitter(c, func([]wire.Op, uint64) {}), cache, w, log))
 	}
 	return w, out
@@ -40,11 +41,11 @@
 		w, members := newTestCluster(n)
 		live := rapid.IntRange(1, n).Draw(t, "live")
 		for i := range live {
-			w.Nodes[members[i].NodeName] = clusterstate.Node{NodeRecord: clusterstate.NodeRecord{Incarnation: 1}}
+			w.Nodes[members[i].NodeName] = clusterstate.Node{Node: record.Node{Incarnation: 1}}
 		}
-		for p := clusterstate.LeaderShard; p < n; p++ {
+		for p := record.LeaderShard; p < n; p++ {
 			if o := rapid.IntRange(-1, live-1).Draw(t, "owner"); o >= 0 || live == 1 {
-				w.Shards[p] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: members[max(o, 0)].NodeName, Incarnation: 1, FencingToken: 1}}
+				w.Shards[p] = clusterstate.Shard{Shard: record.Shard{Owner: members[max(o, 0)].NodeName, Incarnation: 1, FencingToken: 1}}
 			}
 		}
 		sum := 0.0
@@ -76,13 +77,13 @@
 	})
 	w, members := newTestCluster(3)
 	m := members[1]
-	w.Nodes[m.NodeName] = clusterstate.Node{NodeRecord: clusterstate.NodeRecord{Incarnation: 1}, ModRevision: 5}
-	for p := clusterstate.LeaderShard; p < 3; p++ {
-		w.Shards[p] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: m.NodeName, Incarnation: 1, FencingToken: tuning.CertainToken + 4}, ModRevision: 3}
+	w.Nodes[m.NodeName] = clusterstate.Node{Node: record.Node{Incarnation: 1}, ModRevision: 5}
+	for p := record.LeaderShard; p < 3; p++ {
+		w.Shards[p] = clusterstate.Shard{Shard: record.Shard{Owner: m.NodeName, Incarnation: 1, FencingToken: tuning.CertainToken + 4}, ModRevision: 3}
 	}
-	w.Shards[2] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: m.NodeName, Incarnation: 1, FencingToken: 4}, ModRevision: 3}
-	w.Shards[clusterstate.LeaderShard] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: m.NodeName, Incarnation: 1, FencingToken: 4}, ModRevision: 3}
-	for level, want := range map[int]int{0: clusterstate.LeaderShard, tuning.LevelCertain: 2} {
+	w.Shards[2] = clusterstate.Shard{Shard: record.Shard{Owner: m.NodeName, Incarnation: 1, FencingToken: 4}, ModRevision: 3}
+	w.Shards[record.LeaderShard] = clusterstate.Shard{Shard: record.Shard{Owner: m.NodeName, Incarnation: 1, FencingToken: 4}, ModRevision: 3}
+	for level, want := range map[int]int{0: record.LeaderShard, tuning.LevelCertain: 2} {
 		w.SchemaVersion = level
 		if _, part := m.ownershipChanges(); part != want {
 			t.Errorf("level %d: part %d is raised, want %d", level, part, want)
@@ -95,9 +96,9 @@
 func TestShardHasOneOwner(t *testing.T) {
 	w, members := newTestCluster(3)
 	for _, m := range members {
-		w.Nodes[m.NodeName] = clusterstate.Node{NodeRecord: clusterstate.NodeRecord{Incarnation: 1}, ModRevision: 5}
+		w.Nodes[m.NodeName] = clusterstate.Node{Node: record.Node{Incarnation: 1}, ModRevision: 5}
 	}
-	w.Shards[0] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: members[0].NodeName, Incarnation: 9, FencingToken: 4}, ModRevision: 3}
+	w.Shards[0] = clusterstate.Shard{Shard: record.Shard{Owner: members[0].NodeName, Incarnation: 9, FencingToken: 4}, ModRevision: 3}
 	claimed := 0
 	for _, m := range members {
 		for _, c := range changesOnly(m.ownershipChanges()) {
@@ -108,7 +109,7 @@
 			if m != members[0] {
 				t.Errorf("%s takes a part whose home is back at once", m.NodeName)
 			}
-			if c.record.FencingToken != 5 || c.transaction.Conditions[0] != (wire.Condition{Key: clusterstate.ShardKey(0), ModRevision: 3}) {
+			if c.record.FencingToken != 5 || c.transaction.Conditions[0] != (wire.Condition{Key: record.ShardKey(0), ModRevision: 3}) {
 				t.Errorf("claim %+v with guards %v", c.record, c.transaction.Conditions)
 			}
 		}
--- a/internal/offload/home.go
+++ b/internal/offload/home.go
@@ -13,6 +13,7 @@
 	"sableusher/internal/config"
 	"sableusher/internal/federation"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -83,12 +84,12 @@
 }
 
 // settled tells whether the inventory of a cell is in, under this cell's epoch.
-func (s *Spill) settled(rec clusterstate.CellRecord) bool {
+func (s *Spill) settled(rec record.Cell) bool {
 	return rec.OwnEpoch == s.op.CellEpoch && rec.InventoryReceived
 }
 
 // under is a record as it counts under this cell's epoch: what was settled before is not now.
-func (s *Spill) under(rec clusterstate.CellRecord) clusterstate.CellRecord {
+func (s *Spill) under(rec record.Cell) record.Cell {
 	if rec.OwnEpoch != s.op.CellEpoch {
 		rec.OwnEpoch, rec.InventoryReceived = s.op.CellEpoch, false
 	}
@@ -164,7 +165,7 @@
 	if next == rec {
 		return nil
 	}
-	return s.do(ctx, guards, []wire.Op{kvstore.PutOp(clusterstate.CellKey(name), next)})
+	return s.do(ctx, guards, []wire.Op{kvstore.PutOp(record.CellKey(name), next)})
 }
 
 // word takes in what another cell says of one transfer.
@@ -193,14 +194,14 @@
 	var ops []wire.Op
 	switch {
 	case after.State == federation.Here:
-		g, op := rewrite(j, func(r *clusterstate.JobRecord) { r.OffloadedTo = nil })
+		g, op := rewrite(j, func(r *record.Job) { r.OffloadedTo = nil })
 		guards, ops = append(guards, g), append(ops, op)
 	case after.State == federation.Ended:
 		status, done := w.Final, w.Done
 		if status == "" {
 			status = j.CancelledStatus() // refused or sent home after its user had cancelled it
 		}
-		guards = append(guards, wire.Condition{Key: clusterstate.JobKey(j.Spec.ID), ModRevision: j.ModRevision})
+		guards = append(guards, wire.Condition{Key: record.JobKey(j.Spec.ID), ModRevision: j.ModRevision})
 		ops = j.FinalizeOps(status, done, time.Now().UnixMilli())
 		ops = append(ops, j.DeleteFurtherChunks(s.commit.MaxTransactionOps()-len(ops))...)
 	}
@@ -228,7 +229,7 @@
 		guards, leads := s.guards(name)
 		j := s.world.Jobs[a.Spec.ID]
 		var op wire.Op
-		there := &clusterstate.Transfer{Cell: name, Number: a.Number, Epoch: s.op.CellEpoch}
+		there := &record.Transfer{Cell: name, Number: a.Number, Epoch: s.op.CellEpoch}
 		switch {
 		case !leads:
 			s.world.RUnlock()
@@ -242,16 +243,16 @@
 			ok = false
 			continue
 		case j != nil && j.HasRecord:
-			g, o := rewrite(j, func(r *clusterstate.JobRecord) { r.OffloadedTo = there })
+			g, o := rewrite(j, func(r *record.Job) { r.OffloadedTo = there })
 			guards, op = append(guards, g), o
 		default:
 			// Accepted in writes that are lost.
-			rec := clusterstate.JobRecord{Spec: a.Spec, SubmittedAtMs: a.AtMs, OffloadedTo: there}
+			rec := record.Job{Spec: a.Spec, SubmittedAtMs: a.AtMs, OffloadedTo: there}
 			if why := rec.ChooseLayout(s.world.SchemaVersion, s.world.SizeLimits(s.commit.UpcomingMaxRecordBytes())); why != "" {
 				s.log.Error("job of another cell's inventory can't be recorded", "job", a.Spec.ID, "why", why)
 			}
-			guards = append(guards, wire.Condition{Key: clusterstate.JobKey(a.Spec.ID)}, wire.Condition{Key: clusterstate.FinalKey(a.Spec.ID)})
-			op = kvstore.PutOp(clusterstate.JobKey(a.Spec.ID), rec)
+			guards = append(guards, wire.Condition{Key: record.JobKey(a.Spec.ID)}, wire.Condition{Key: record.FinalKey(a.Spec.ID)})
+			op = kvstore.PutOp(record.JobKey(a.Spec.ID), rec)
 		}
 		s.world.RUnlock()
 		s.log.Info("job is with another cell, as that one tells", "job", a.Spec.ID, "cell", name, "number", a.Number)
@@ -278,11 +279,11 @@
 			return fmt.Errorf("not forgotten: %w", err)
 		}
 		rec.FencedEpoch, rec.Standing, rec.StandingSinceMs, rec.InventoryReceived = after.Fenced, int(after.Standing), after.Since.UnixMilli(), after.Settled
-		ops = append(ops, kvstore.PutOp(clusterstate.CellKey(f.Name), rec))
+		ops = append(ops, kvstore.PutOp(record.CellKey(f.Name), rec))
 	} else if rec.PeerEpoch <= rec.FencedEpoch {
 		for _, j := range s.away(f.Name) {
 			if len(ops) < s.commit.MaxTransactionOps() {
-				g, op := rewrite(j, func(r *clusterstate.JobRecord) { r.OffloadedTo = nil })
+				g, op := rewrite(j, func(r *record.Job) { r.OffloadedTo = nil })
 				guards, ops, back = append(guards, g), append(ops, op), append(back, j.Spec.ID)
 			}
 		}
@@ -299,7 +300,7 @@
 }
 
 // member is a cell's record as the machine of members sees it.
-func member(name string, rec clusterstate.CellRecord) federation.Member {
+func member(name string, rec record.Cell) federation.Member {
 	return federation.Member{Name: name, Epoch: rec.PeerEpoch, Standing: federation.Standing(rec.Standing), Since: time.UnixMilli(rec.StandingSinceMs), Returns: rec.Returns,
 		Settled: rec.InventoryReceived, Fenced: rec.FencedEpoch}
 }
@@ -349,14 +350,14 @@
 		for i := range list {
 			list[i].Flight = flight[list[i].Name]
 		}
-		w := federation.Work{ID: id, Need: clusterstate.TaskResources(&j.Spec), Tasks: j.Spec.TaskCount, OneZone: j.Spec.SameZone, Types: j.Spec.MachineTypes,
+		w := federation.Work{ID: id, Need: record.TaskResources(&j.Spec), Tasks: j.Spec.TaskCount, OneZone: j.Spec.SameZone, Types: j.Spec.MachineTypes,
 			Spot: j.Spec.AllowSpot, Rank: rank, Image: j.Spec.Image, ImageGB: j.Spec.ImageSizeGB, HereS: max(wait[rank], now.Sub(j.ReadySince()).Seconds()), Guest: j.OffloadedFrom != nil}
 		if to, ok := federation.Choose(now, &w, list, rand.New(rand.NewPCG(rand.Uint64(), 1))); ok {
 			gifts = append(gifts, gift{j, to})
 			flight[to] += j.Spec.TaskCount
 		}
 	}
-	next, given := map[string]clusterstate.CellRecord{}, map[string][]string{}
+	next, given := map[string]record.Cell{}, map[string][]string{}
 	ops, guards := map[string][]wire.Op{}, map[string][]wire.Condition{}
 	for _, g := range gifts {
 		rec, ok := next[g.to]
@@ -369,8 +370,8 @@
 		}
 		rec.LastSentTransfer++
 		next[g.to] = rec
-		guard, op := rewrite(g.job, func(r *clusterstate.JobRecord) {
-			r.OffloadedTo, r.OffloadedAtMs = &clusterstate.Transfer{Cell: g.to, Number: rec.LastSentTransfer, Epoch: s.op.CellEpoch}, now.UnixMilli()
+		guard, op := rewrite(g.job, func(r *record.Job) {
+			r.OffloadedTo, r.OffloadedAtMs = &record.Transfer{Cell: g.to, Number: rec.LastSentTransfer, Epoch: s.op.CellEpoch}, now.UnixMilli()
 		})
 		guards[g.to], ops[g.to] = append(guards[g.to], guard), append(ops[g.to], op)
 		given[g.to] = append(given[g.to], g.job.Spec.ID)
@@ -378,7 +379,7 @@
 	s.world.RUnlock()
 	var errs []error
 	for to, list := range ops {
-		err := s.do(ctx, guards[to], append(list, kvstore.PutOp(clusterstate.CellKey(to), next[to])))
+		err := s.do(ctx, guards[to], append(list, kvstore.PutOp(record.CellKey(to), next[to])))
 		if errs = append(errs, err); err == nil {
 			s.log.Info("jobs given to another cell", "cell", to, "jobs", given[to])
 		}
--- a/internal/offload/host.go
+++ b/internal/offload/host.go
@@ -9,10 +9,10 @@
 	"time"
 
 	"sableusher/internal/admission"
-	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/federation"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -46,7 +46,7 @@
 		// no more.
 		next := s.under(rec)
 		next.PeerEpoch = line.Other
-		if err := s.do(ctx, guards, []wire.Op{kvstore.PutOp(clusterstate.CellKey(m.Cell), next)}); err != nil {
+		if err := s.do(ctx, guards, []wire.Op{kvstore.PutOp(record.CellKey(m.Cell), next)}); err != nil {
 			return Message{}, err
 		}
 	}
@@ -62,7 +62,7 @@
 	}
 	s.world.RLock()
 	defer s.world.RUnlock()
-	if _, _, leads := s.owner.Owns(clusterstate.LeaderShard); !leads {
+	if _, _, leads := s.owner.Owns(record.LeaderShard); !leads {
 		return Message{}, ErrNotLeader
 	}
 	s.tell(&reply, &m)
@@ -79,8 +79,8 @@
 	kept := guests.Clean(s.op.CellEpoch)
 	for n, j := range jobs {
 		if kept.Word(n).Status == federation.Absent && j.BoundCount == 0 && len(ops) < s.commit.MaxTransactionOps() {
-			guards = append(guards, wire.Condition{Key: clusterstate.JobKey(j.Spec.ID), ModRevision: j.ModRevision})
-			ops = append(ops, kvstore.DeleteOp(clusterstate.JobKey(j.Spec.ID)))
+			guards = append(guards, wire.Condition{Key: record.JobKey(j.Spec.ID), ModRevision: j.ModRevision})
+			ops = append(ops, kvstore.DeleteOp(record.JobKey(j.Spec.ID)))
 		}
 	}
 	left := len(guests.List) - len(kept.List) - len(ops)
@@ -122,29 +122,29 @@
 		next.LastReceivedTransfer = max(next.LastReceivedTransfer, guests.High)
 		switch {
 		case j == nil && word.Status == federation.Held && before.Status == federation.Absent:
-			rec := clusterstate.JobRecord{Spec: spec, SubmittedAtMs: a.AtMs, OffloadedFrom: &clusterstate.Transfer{Cell: m.Cell, Number: a.Number, Epoch: s.op.CellEpoch}}
+			rec := record.Job{Spec: spec, SubmittedAtMs: a.AtMs, OffloadedFrom: &record.Transfer{Cell: m.Cell, Number: a.Number, Epoch: s.op.CellEpoch}}
 			if rec.ChooseLayout(s.world.SchemaVersion, s.world.SizeLimits(s.commit.UpcomingMaxRecordBytes())) != "" {
 				guests, _ = guests.Release(a.Number, 0)
 				continue
 			}
 			room -= spec.TaskCount
-			change(wire.Condition{Key: clusterstate.JobKey(spec.ID)}, kvstore.PutOp(clusterstate.JobKey(spec.ID), rec))
+			change(wire.Condition{Key: record.JobKey(spec.ID)}, kvstore.PutOp(record.JobKey(spec.ID), rec))
 			told = append(told, func() {
 				s.log.Info("job taken from another cell", "job", spec.ID, "cell", m.Cell, "number", a.Number)
 			})
 		case j == nil:
 		case (a.Recalled || s.op.CellDrain) && !j.Cancelled() && j.BoundCount == 0 && j.DoneCount == 0:
 			if _, ok := guests.Release(a.Number, j.BoundCount); ok {
-				change(wire.Condition{Key: clusterstate.JobKey(spec.ID), ModRevision: j.ModRevision}, kvstore.DeleteOp(clusterstate.JobKey(spec.ID)))
+				change(wire.Condition{Key: record.JobKey(spec.ID), ModRevision: j.ModRevision}, kvstore.DeleteOp(record.JobKey(spec.ID)))
 				ops = append(ops, j.DeleteFurtherChunks(budget-len(ops))...)
 				told = append(told, func() { s.log.Info("job sent home", "job", spec.ID, "cell", m.Cell, "number", a.Number) })
 			}
 		case a.Cancelled && !j.Cancelled():
-			change(rewrite(j, func(r *clusterstate.JobRecord) {
+			change(rewrite(j, func(r *record.Job) {
 				r.CancelledAtMs, r.CancelAfterRelease = max(time.Now().UnixMilli(), 1), true
 			}))
 		case a.Recalled && !j.OffloadedFrom.Recalled:
-			change(rewrite(j, func(r *clusterstate.JobRecord) {
+			change(rewrite(j, func(r *record.Job) {
 				back := *r.OffloadedFrom
 				back.Recalled = true
 				r.OffloadedFrom = &back
@@ -154,13 +154,13 @@
 	if c := s.world.Cells[m.Cell]; c != nil {
 		for _, n := range m.Have {
 			if o, ok := c.GuestOutcomes[n]; ok && len(ops) < budget {
-				change(wire.Condition{Key: clusterstate.GuestOutcomeKey(m.Cell, n), ModRevision: o.ModRevision}, kvstore.DeleteOp(clusterstate.GuestOutcomeKey(m.Cell, n)))
+				change(wire.Condition{Key: record.GuestOutcomeKey(m.Cell, n), ModRevision: o.ModRevision}, kvstore.DeleteOp(record.GuestOutcomeKey(m.Cell, n)))
 			}
 		}
 	}
 	s.world.RUnlock()
 	if next != rec {
-		ops = append(ops, kvstore.PutOp(clusterstate.CellKey(m.Cell), next))
+		ops = append(ops, kvstore.PutOp(record.CellKey(m.Cell), next))
 	}
 	if len(ops) == 0 {
 		return nil
@@ -243,7 +243,7 @@
 	type like struct {
 		typ, zone string
 		spot      bool
-		free      clusterstate.Resources
+		free      record.Resources
 	}
 	count, images, up := map[like]int{}, map[string]int{}, 0
 	fetch, boot := 0.0, 0.0
@@ -262,10 +262,10 @@
 		for image := range m.TasksByImage {
 			images[image]++
 		}
-		free := clusterstate.Capacity(&t).AddTimes(m.Used, -1)
+		free := record.Capacity(&t).AddTimes(m.Used, -1)
 		if free.GPUs > 0 || t.GPUs == 0 && free.CPUs > 0 {
 			// Whole GPUs, cores in fours and GB in sixteens: what is told need not be exact.
-			free = clusterstate.Resources{CPUs: float64(int(free.CPUs/4)) * 4, GPUs: float64(int(free.GPUs)), MemoryGB: float64(int(free.MemoryGB/16)) * 16}
+			free = record.Resources{CPUs: float64(int(free.CPUs/4)) * 4, GPUs: float64(int(free.GPUs)), MemoryGB: float64(int(free.MemoryGB/16)) * 16}
 			count[like{m.Type, m.Zone, m.Spot, free}]++
 		}
 	}
--- a/internal/offload/spill.go
+++ b/internal/offload/spill.go
@@ -24,6 +24,7 @@
 	"sableusher/internal/config"
 	"sableusher/internal/federation"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -105,7 +106,7 @@
 		case <-tick.C:
 		}
 		s.world.RLock()
-		_, _, leads := s.owner.Owns(clusterstate.LeaderShard)
+		_, _, leads := s.owner.Owns(record.LeaderShard)
 		on := leads && s.world.SchemaVersion >= tuning.LevelCells
 		s.world.RUnlock()
 		if !on {
@@ -138,8 +139,8 @@
 // guards are the conditions of what a leader writes about another cell. Callers hold the
 // world's lock.
 func (s *Spill) guards(name string) ([]wire.Condition, bool) {
-	_, stamp, leads := s.owner.Owns(clusterstate.LeaderShard)
-	out := []wire.Condition{{Key: clusterstate.ShardKey(clusterstate.LeaderShard), ModRevision: stamp}, {Key: clusterstate.CellKey(name)}}
+	_, stamp, leads := s.owner.Owns(record.LeaderShard)
+	out := []wire.Condition{{Key: record.ShardKey(record.LeaderShard), ModRevision: stamp}, {Key: record.CellKey(name)}}
 	if c := s.world.Cells[name]; c != nil {
 		out[1].ModRevision = c.ModRevision
 	}
@@ -147,11 +148,11 @@
 }
 
 // record gives what is kept of another cell. Callers hold the world's lock.
-func (s *Spill) record(name string) clusterstate.CellRecord {
+func (s *Spill) record(name string) record.Cell {
 	if c := s.world.Cells[name]; c != nil {
-		return c.CellRecord
+		return c.Cell
 	}
-	return clusterstate.CellRecord{}
+	return record.Cell{}
 }
 
 func (s *Spill) do(ctx context.Context, guards []wire.Condition, ops []wire.Op) error {
@@ -192,8 +193,8 @@
 }
 
 // rewrite is a job's own record with a change.
-func rewrite(j *clusterstate.Job, change func(*clusterstate.JobRecord)) (wire.Condition, wire.Op) {
+func rewrite(j *clusterstate.Job, change func(*record.Job)) (wire.Condition, wire.Op) {
 	marked := *j
-	change(&marked.JobRecord)
-	return wire.Condition{Key: clusterstate.JobKey(j.Spec.ID), ModRevision: j.ModRevision}, marked.EncodeChunk(0, nil)
+	change(&marked.Job)
+	return wire.Condition{Key: record.JobKey(j.Spec.ID), ModRevision: j.ModRevision}, marked.EncodeChunk(0, nil)
 }
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -12,6 +12,7 @@
 
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -23,7 +24,7 @@
 	// comes to lie within it later, as the team's earlier work ends, has its turn in order.
 	GuaranteedOnArrival bool
 	Team                string
-	Need                clusterstate.Resources // of each task
+	Need                record.Resources // of each task
 }
 
 // RunningJob is what a running job has to say for itself.
@@ -87,12 +88,12 @@
 
 // MinimalVictims gives the first of some tasks in order that make room for a need together with
 // what is free, and their cost; ok is false if all of them don't.
-func MinimalVictims(need, free clusterstate.Resources, victims []Victim) (chosen []Victim, cost float64, ok bool) {
+func MinimalVictims(need, free record.Resources, victims []Victim) (chosen []Victim, cost float64, ok bool) {
 	for i, victim := range victims {
 		if need.FitsIn(free) {
 			return victims[:i], cost, true
 		}
-		free = free.AddTimes(clusterstate.TaskResources(&victim.Binding.Job.Spec), 1)
+		free = free.AddTimes(record.TaskResources(&victim.Binding.Job.Spec), 1)
 		cost += victim.LostMachineSeconds
 	}
 	return victims, cost, need.FitsIn(free)
@@ -100,7 +101,7 @@
 
 // CheapestMachine finds among machines the one where making room costs least; tasks gives those
 // that may be stopped on one. It gives nil if none makes room.
-func CheapestMachine(need clusterstate.Resources, machines []*binpack.MachineInfo, victimsOn func(*binpack.MachineInfo) []Victim) (*binpack.MachineInfo, []Victim) {
+func CheapestMachine(need record.Resources, machines []*binpack.MachineInfo, victimsOn func(*binpack.MachineInfo) []Victim) (*binpack.MachineInfo, []Victim) {
 	var best *binpack.MachineInfo
 	var chosen []Victim
 	leastCost := math.Inf(1)
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -9,6 +9,7 @@
 
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -57,16 +58,16 @@
 // chosen, the tasks stopped make room, and none of them could be spared.
 func TestCheapestMachineIsMinimal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		need := clusterstate.Resources{GPUs: float64(rapid.IntRange(1, 4).Draw(t, "need"))}
+		need := record.Resources{GPUs: float64(rapid.IntRange(1, 4).Draw(t, "need"))}
 		tasks := map[*binpack.MachineInfo][]Victim{}
 		var machines []*binpack.MachineInfo
 		for i := range rapid.IntRange(1, 6).Draw(t, "machines") {
-			machine := &binpack.MachineInfo{Machine: &clusterstate.Machine{Name: fmt.Sprint("m", i)}, Free: clusterstate.Resources{GPUs: float64(rapid.IntRange(0, 2).Draw(t, "free"))}}
+			machine := &binpack.MachineInfo{Machine: &clusterstate.Machine{Name: fmt.Sprint("m", i)}, Free: record.Resources{GPUs: float64(rapid.IntRange(0, 2).Draw(t, "free"))}}
 			machines = append(machines, machine)
 			for k := range rapid.IntRange(0, 4).Draw(t, "tasks") {
 				job := &clusterstate.Job{}
 				job.Spec = wire.JobSpec{ID: "j", GPUs: float64(rapid.IntRange(1, 2).Draw(t, "gpus"))}
-				tasks[machine] = append(tasks[machine], Victim{Binding: clusterstate.Binding{Ref: clusterstate.TaskRef{Job: machine.Machine.Name, Index: k}, Job: job},
+				tasks[machine] = append(tasks[machine], Victim{Binding: clusterstate.Binding{Ref: record.TaskRef{Job: machine.Machine.Name, Index: k}, Job: job},
 					Rank: rapid.IntRange(1, 3).Draw(t, "rank"), LostMachineSeconds: float64(rapid.IntRange(1, 50).Draw(t, "cost"))})
 			}
 		}
@@ -79,7 +80,7 @@
 				if need.FitsIn(freed) {
 					t.Errorf("task %d is stopped for nothing", i)
 				}
-				freed = freed.AddTimes(clusterstate.TaskResources(&victim.Binding.Job.Spec), 1)
+				freed = freed.AddTimes(record.TaskResources(&victim.Binding.Job.Spec), 1)
 				cost += victim.LostMachineSeconds
 			}
 			if !need.FitsIn(freed) {
@@ -93,7 +94,7 @@
 					break
 				}
 				sum += x.LostMachineSeconds
-				free = free.AddTimes(clusterstate.TaskResources(&x.Binding.Job.Spec), 1)
+				free = free.AddTimes(record.TaskResources(&x.Binding.Job.Spec), 1)
 			}
 			if need.FitsIn(free) && sum < cost {
 				t.Errorf("%s makes room for %v, chosen for %v", machine.Machine.Name, sum, cost)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -10,6 +10,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -20,8 +21,8 @@
 	teams map[string]config.Team
 	state *clusterstate.State
 
-	requested         map[grantKey]clusterstate.Resources
-	pendingReductions map[grantKey]clusterstate.Resources // grants being lowered: count as lower already
+	requested         map[grantKey]record.Resources
+	pendingReductions map[grantKey]record.Resources // grants being lowered: count as lower already
 	teamsInFlight     map[string]bool
 	surplusSince      map[grantKey]time.Time
 	completions       chan completion
@@ -39,7 +40,7 @@
 
 // New makes a keeper of the teams' limits.
 func New(teams []config.Team, state *clusterstate.State) *GrantManager {
-	manager := &GrantManager{teams: map[string]config.Team{}, state: state, requested: map[grantKey]clusterstate.Resources{}, pendingReductions: map[grantKey]clusterstate.Resources{},
+	manager := &GrantManager{teams: map[string]config.Team{}, state: state, requested: map[grantKey]record.Resources{}, pendingReductions: map[grantKey]record.Resources{},
 		teamsInFlight: map[string]bool{}, surplusSince: map[grantKey]time.Time{}, completions: make(chan completion, 1024)}
 	for _, team := range teams {
 		manager.teams[team.Name] = team
@@ -48,25 +49,25 @@
 }
 
 // Limit gives a team's limit; a dimension without one is unbounded.
-func (m *GrantManager) Limit(team string) (clusterstate.Resources, bool) {
+func (m *GrantManager) Limit(team string) (record.Resources, bool) {
 	limits, ok := m.teams[team]
 	if !ok || limits.CPUsMax == 0 && limits.GPUsMax == 0 {
-		return clusterstate.Resources{}, false
+		return record.Resources{}, false
 	}
 	return amountOrUnbounded(limits.CPUsMax, limits.GPUsMax), true
 }
 
 // Guarantee gives what a team need not wait for others within.
-func (m *GrantManager) Guarantee(team string) (clusterstate.Resources, bool) {
+func (m *GrantManager) Guarantee(team string) (record.Resources, bool) {
 	limits, ok := m.teams[team]
 	if !ok || limits.CPUs == 0 && limits.GPUs == 0 {
-		return clusterstate.Resources{}, false
+		return record.Resources{}, false
 	}
 	return amountOrUnbounded(limits.CPUs, limits.GPUs), true
 }
 
-func amountOrUnbounded(cpus, gpus float64) clusterstate.Resources {
-	amount := clusterstate.Resources{CPUs: cpus, GPUs: gpus, MemoryGB: tuning.MaxAmount}
+func amountOrUnbounded(cpus, gpus float64) record.Resources {
+	amount := record.Resources{CPUs: cpus, GPUs: gpus, MemoryGB: tuning.MaxAmount}
 	if cpus == 0 {
 		amount.CPUs = tuning.MaxAmount
 	}
@@ -76,13 +77,13 @@
 	return amount
 }
 
-func withoutMemory(amount clusterstate.Resources) clusterstate.Resources {
-	return clusterstate.Resources{CPUs: amount.CPUs, GPUs: amount.GPUs}
+func withoutMemory(amount record.Resources) record.Resources {
+	return record.Resources{CPUs: amount.CPUs, GPUs: amount.GPUs}
 }
 
 // Allows tells whether a part may let a team use so much. Without a
 // sufficient grant the wish is kept for the next Review.
-func (m *GrantManager) Allows(shard int, team string, usage clusterstate.Resources) bool {
+func (m *GrantManager) Allows(shard int, team string, usage record.Resources) bool {
 	if _, limited := m.Limit(team); !limited {
 		return true
 	}
@@ -96,7 +97,7 @@
 		return true
 	}
 	requested := m.requested[key]
-	m.requested[key] = clusterstate.Resources{CPUs: max(requested.CPUs, usage.CPUs), GPUs: max(requested.GPUs, usage.GPUs)}
+	m.requested[key] = record.Resources{CPUs: max(requested.CPUs, usage.CPUs), GPUs: max(requested.GPUs, usage.GPUs)}
 	return false
 }
 
@@ -111,7 +112,7 @@
 // PlanChanges gives the changes of grants due now. owned gives the guard of each
 // part of this node, use what a team's tasks of a part take, those on their
 // way included.
-func (m *GrantManager) PlanChanges(now time.Time, owned map[int]uint64, usage func(shard int, team string) clusterstate.Resources) []Change {
+func (m *GrantManager) PlanChanges(now time.Time, owned map[int]uint64, usage func(shard int, team string) record.Resources) []Change {
 	for {
 		select {
 		case completed := <-m.completions:
@@ -131,7 +132,7 @@
 			continue
 		}
 		quota := m.state.Quotas[key.team]
-		var others clusterstate.Resources
+		var others record.Resources
 		for shardName, shardGrant := range quota.Grants {
 			if shardName != strconv.Itoa(key.shard) {
 				others = others.AddTimes(shardGrant, 1)
@@ -139,7 +140,7 @@
 		}
 		grant := quota.Grants[strconv.Itoa(key.shard)]
 		headroom := m.headroom(limit)
-		next := clusterstate.Resources{
+		next := record.Resources{
 			CPUs: raisedGrant(grant.CPUs, want.CPUs, headroom.CPUs, limit.CPUs-others.CPUs, limit.CPUs),
 			GPUs: raisedGrant(grant.GPUs, want.GPUs, headroom.GPUs, limit.GPUs-others.GPUs, limit.GPUs),
 		}
@@ -161,7 +162,7 @@
 			used := withoutMemory(usage(shard, team))
 			if limited {
 				used = used.AddTimes(headroom, 0.5)
-				used = clusterstate.Resources{CPUs: min(used.CPUs, shardGrant.CPUs), GPUs: min(used.GPUs, shardGrant.GPUs)}
+				used = record.Resources{CPUs: min(used.CPUs, shardGrant.CPUs), GPUs: min(used.GPUs, shardGrant.GPUs)}
 			}
 			if !mine || m.teamsInFlight[team] || shardGrant.FitsIn(used) {
 				delete(m.surplusSince, key)
@@ -182,9 +183,9 @@
 }
 
 // headroom is the room a part is granted above what it needs.
-func (m *GrantManager) headroom(limit clusterstate.Resources) clusterstate.Resources {
+func (m *GrantManager) headroom(limit record.Resources) record.Resources {
 	fraction := tuning.GrantLot / float64(m.state.ShardCount)
-	return clusterstate.Resources{CPUs: math.Floor(limit.CPUs * fraction), GPUs: math.Floor(limit.GPUs * fraction)}
+	return record.Resources{CPUs: math.Floor(limit.CPUs * fraction), GPUs: math.Floor(limit.GPUs * fraction)}
 }
 
 // raisedGrant gives a grant that covers a want and a lot more, within what is left;
@@ -195,30 +196,30 @@
 }
 
 // hasAmpleRest tells whether enough of a limit is ungranted for whoever wants more.
-func (m *GrantManager) hasAmpleRest(quota clusterstate.Quota, limit clusterstate.Resources) bool {
-	var granted clusterstate.Resources
+func (m *GrantManager) hasAmpleRest(quota clusterstate.Quota, limit record.Resources) bool {
+	var granted record.Resources
 	for _, grant := range quota.Grants {
 		granted = granted.AddTimes(grant, 1)
 	}
 	return granted.CPUs <= (1-tuning.GrantRest)*limit.CPUs && granted.GPUs <= (1-tuning.GrantRest)*limit.GPUs
 }
 
-func (m *GrantManager) newChange(grant grantKey, quota clusterstate.Quota, revision uint64, next clusterstate.Resources) Change {
-	grants := map[string]clusterstate.Resources{}
+func (m *GrantManager) newChange(grant grantKey, quota clusterstate.Quota, revision uint64, next record.Resources) Change {
+	grants := map[string]record.Resources{}
 	for shard, amount := range quota.Grants {
 		grants[shard] = amount
 	}
-	if next == (clusterstate.Resources{}) {
+	if next == (record.Resources{}) {
 		delete(grants, strconv.Itoa(grant.shard))
 	} else {
 		grants[strconv.Itoa(grant.shard)] = next
 	}
 	m.teamsInFlight[grant.team] = true
-	key := clusterstate.QuotaKey(grant.team)
+	key := record.QuotaKey(grant.team)
 	return Change{
 		Transaction: kvstore.Transaction{
-			Conditions: []wire.Condition{{Key: key, ModRevision: quota.ModRevision}, {Key: clusterstate.ShardKey(grant.shard), ModRevision: revision}},
-			Ops:        []wire.Op{kvstore.PutOp(key, clusterstate.QuotaRecord{Grants: grants})},
+			Conditions: []wire.Condition{{Key: key, ModRevision: quota.ModRevision}, {Key: record.ShardKey(grant.shard), ModRevision: revision}},
+			Ops:        []wire.Op{kvstore.PutOp(key, record.Quota{Grants: grants})},
 		},
 		Shard: grant.shard,
 		Done:  func() { m.completions <- completion{grant.team, grant} },
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -11,6 +11,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -33,19 +34,19 @@
 			stamp  uint64
 		}
 		var flights []flight
-		key := clusterstate.QuotaKey("t")
+		key := record.QuotaKey("t")
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now = now.Add(700 * time.Millisecond)
 			shard := rapid.IntRange(0, parts-1).Draw(t, "part")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0: // bind one more task, if the grant allows
-				if managers[shard].Allows(shard, "t", clusterstate.Resources{GPUs: used[shard] + 2}) {
+				if managers[shard].Allows(shard, "t", record.Resources{GPUs: used[shard] + 2}) {
 					used[shard] += 2
 				}
 			case 1:
 				used[shard] = max(0, used[shard]-2)
 			case 2:
-				usage := func(part int, _ string) clusterstate.Resources { return clusterstate.Resources{GPUs: used[part]} }
+				usage := func(part int, _ string) record.Resources { return record.Resources{GPUs: used[part]} }
 				for _, change := range managers[shard].PlanChanges(now, map[int]uint64{shard: 1}, usage) {
 					flights = append(flights, flight{change, change.Transaction.Conditions[0].ModRevision})
 				}
@@ -65,10 +66,10 @@
 				arriving.change.Done()
 			}
 			sum := 0.0
-			var record clusterstate.QuotaRecord
-			_ = wire.Decode(wire.MustEncode(state.Quotas["t"].QuotaRecord), &record)
+			var quotaRecord record.Quota
+			_ = wire.Decode(wire.MustEncode(state.Quotas["t"].Quota), &quotaRecord)
 			for shard := range parts {
-				grant := record.Grants[strconv.Itoa(shard)].GPUs
+				grant := quotaRecord.Grants[strconv.Itoa(shard)].GPUs
 				sum += grant
 				if used[shard] > grant {
 					t.Fatalf("part %d uses %v of %v", shard, used[shard], grant)
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -6,7 +6,7 @@
 
 import (
 	"sableusher/internal/agent"
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -54,7 +54,7 @@
 }
 
 func releaseToPending(reason string) Decision {
-	return Decision{Release: true, NextState: clusterstate.TaskPending, Reason: reason}
+	return Decision{Release: true, NextState: record.TaskPending, Reason: reason}
 }
 
 func decideExited(task BoundTask) Decision {
@@ -69,7 +69,7 @@
 			decision.Reason = "done after its cancellation"
 		default:
 			// A gang completes together: one done task tells it of all.
-			decision.Reason, decision.NextState, decision.WholeGang = "done", clusterstate.TaskDone, task.JobKind == wire.KindGang
+			decision.Reason, decision.NextState, decision.WholeGang = "done", record.TaskDone, task.JobKind == wire.KindGang
 		}
 	case wire.ExitCauseError:
 		// Its class paces the repeats of what is counted.
@@ -93,14 +93,14 @@
 )
 
 // GangStateOf tells the shape of a gang's attempt of so many tasks.
-func GangStateOf(taskCount int, taskAt func(int) clusterstate.Task, attempt uint64) GangState {
+func GangStateOf(taskCount int, taskAt func(int) record.Task, attempt uint64) GangState {
 	state := GangWhole
 	for i := range taskCount {
 		task := taskAt(i)
 		switch {
-		case task.State == clusterstate.TaskDone:
+		case task.State == record.TaskDone:
 			return GangWhole
-		case task.State == clusterstate.TaskBound && task.Attempt == attempt:
+		case task.State == record.TaskBound && task.Attempt == attempt:
 		case task.Attempt >= attempt:
 			return GangBroken
 		default:
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 
 	"sableusher/internal/agent"
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -27,7 +27,7 @@
 						t.Errorf("%+v: %+v", task, decision)
 					}
 					done := presence == agent.PresenceExited && cause == wire.ExitCauseDone && kind != wire.KindService && !task.JobCancelled
-					if (decision.NextState == clusterstate.TaskDone) != done || decision.WholeGang != (done && kind == wire.KindGang) {
+					if (decision.NextState == record.TaskDone) != done || decision.WholeGang != (done && kind == wire.KindGang) {
 						t.Errorf("%+v: %+v", task, decision)
 					}
 					failed := presence == agent.PresenceExited && cause == wire.ExitCauseError
@@ -51,23 +51,23 @@
 func TestGangStateOf(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "tasks")
-		tasks := make([]clusterstate.Task, n)
+		tasks := make([]record.Task, n)
 		bound, ended, done := 0, false, false
 		for i := range tasks {
-			tasks[i] = clusterstate.Task{Index: i, State: rapid.SampledFrom([]int{clusterstate.TaskPending, clusterstate.TaskBound}).Draw(t, "state"), Attempt: rapid.Uint64Range(1, 3).Draw(t, "attempt")}
+			tasks[i] = record.Task{Index: i, State: rapid.SampledFrom([]int{record.TaskPending, record.TaskBound}).Draw(t, "state"), Attempt: rapid.Uint64Range(1, 3).Draw(t, "attempt")}
 			if rapid.IntRange(0, 9).Draw(t, "done") == 0 {
-				tasks[i].State = clusterstate.TaskDone
+				tasks[i].State = record.TaskDone
 			}
 			switch {
-			case tasks[i].State == clusterstate.TaskDone:
+			case tasks[i].State == record.TaskDone:
 				done = true
-			case tasks[i].State == clusterstate.TaskBound && tasks[i].Attempt == 2:
+			case tasks[i].State == record.TaskBound && tasks[i].Attempt == 2:
 				bound++
 			case tasks[i].Attempt >= 2:
 				ended = true
 			}
 		}
-		got := GangStateOf(n, func(i int) clusterstate.Task { return tasks[i] }, 2)
+		got := GangStateOf(n, func(i int) record.Task { return tasks[i] }, 2)
 		switch {
 		case done: // a done task tells it of all; records that also say otherwise are not written
 		case ended && got != GangBroken, !ended && bound == n && got != GangWhole, !ended && bound < n && got != GangForming:
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -12,6 +12,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/jobqueue"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -34,7 +35,7 @@
 	ComputedAt    time.Time
 	// CommonTask is what a task of the work that asks for most cores takes, if some of it found no room:
 	// small machines, of no use to it, then keep small tasks off those that are.
-	CommonTask clusterstate.Resources
+	CommonTask record.Resources
 }
 
 // queuedJob is a job in the order of placement.
@@ -71,8 +72,8 @@
 			return cmp.Or(cmp.Compare(a.ReadySinceMs(), b.ReadySinceMs()), cmp.Compare(a.Spec.ID, b.Spec.ID))
 		})
 		limit, _ := c.quota.Guarantee(team)
-		reserve := func(reserved *clusterstate.Resources, job *clusterstate.Job, tasks int) bool {
-			total := reserved.AddTimes(clusterstate.TaskResources(&job.Spec), float64(tasks))
+		reserve := func(reserved *record.Resources, job *clusterstate.Job, tasks int) bool {
+			total := reserved.AddTimes(record.TaskResources(&job.Spec), float64(tasks))
 			total.MemoryGB = 0
 			if !total.FitsIn(limit) {
 				return false
@@ -80,7 +81,7 @@
 			*reserved = total
 			return true
 		}
-		var earlierReserved, reserved clusterstate.Resources
+		var earlierReserved, reserved record.Resources
 		exhausted := false
 		var others []*clusterstate.Job
 		for _, job := range jobs {
@@ -144,7 +145,7 @@
 	queue := c.queueBuffer[:0]
 	c.waitingJobs.Each(func(key jobqueue.Key, job *clusterstate.Job) bool {
 		if backoff, ok := c.jobBackoffs[key.JobID]; !ok || !c.now.Before(backoff.until) {
-			queue = append(queue, queuedJob{Request: binpack.Request{Spec: &job.Spec, Need: clusterstate.TaskResources(&job.Spec), StartWithinS: c.startObjectiveS(&job.Spec)}, job: job, withinGuarantee: key.WithinGuarantee, rank: key.PriorityRank, nearDeadline: key.NearDeadline, key: key, homeShard: -1})
+			queue = append(queue, queuedJob{Request: binpack.Request{Spec: &job.Spec, Need: record.TaskResources(&job.Spec), StartWithinS: c.startObjectiveS(&job.Spec)}, job: job, withinGuarantee: key.WithinGuarantee, rank: key.PriorityRank, nearDeadline: key.NearDeadline, key: key, homeShard: -1})
 		}
 		return true
 	})
@@ -191,7 +192,7 @@
 		return true // it has lost nothing yet
 	}
 	for _, cell := range c.operator.Cells {
-		if record := c.cluster.Cells[cell.Name]; record == nil || record.OwnEpoch != c.operator.CellEpoch || !record.InventoryReceived {
+		if peerCell := c.cluster.Cells[cell.Name]; peerCell == nil || peerCell.OwnEpoch != c.operator.CellEpoch || !peerCell.InventoryReceived {
 			return false
 		}
 	}
@@ -201,9 +202,9 @@
 // updateNeedPerGPU finds what work on GPUs takes of the rest of a machine for each: the
 // most that a gang or a service takes, and what arrays take on average.
 func (c *cycle) updateNeedPerGPU() {
-	var most, arrays clusterstate.Resources
+	var most, arrays record.Resources
 	for _, job := range c.cluster.Jobs {
-		need := clusterstate.TaskResources(&job.Spec)
+		need := record.TaskResources(&job.Spec)
 		switch {
 		case !job.HasRecord || job.Cancelled() || need.GPUs == 0:
 		case job.Spec.Kind == wire.KindArray:
@@ -223,18 +224,18 @@
 // is over, as the next is likely to be alike.
 func (c *cycle) updateCommonTask() {
 	type class struct {
-		need       clusterstate.Resources
+		need       record.Resources
 		cumulative float64 // cores of all its tasks
 	}
 	var sizes []class
 	total := 0.0
 	for _, job := range c.cluster.Jobs {
-		if need := clusterstate.TaskResources(&job.Spec); job.CanStart() && need.GPUs == 0 {
+		if need := record.TaskResources(&job.Spec); job.CanStart() && need.GPUs == 0 {
 			size := class{need, need.CPUs * float64(job.Spec.TaskCount-job.DoneCount)}
 			sizes = append(sizes, size)
 			total += size.cumulative
 		} else if job.CanStart() {
-			c.commonNeed, c.commonNeedAt = clusterstate.Resources{}, c.now // GPUs are what is scarce here
+			c.commonNeed, c.commonNeedAt = record.Resources{}, c.now // GPUs are what is scarce here
 			return
 		}
 	}
@@ -349,10 +350,10 @@
 	}
 }
 
-func (c *cycle) zoneConstraint(job *clusterstate.Job, record int) binpack.ZoneConstraint {
+func (c *cycle) zoneConstraint(job *clusterstate.Job, chunk int) binpack.ZoneConstraint {
 	zones := binpack.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: math.MaxInt}
 	if job.Spec.Spread {
-		lo, hi := job.TaskRange(record)
+		lo, hi := job.TaskRange(chunk)
 		zones.MaxPerZone = (hi - lo + 1) / 2
 	}
 	if !job.Spec.Spread && !job.Spec.SameZone {
@@ -360,7 +361,7 @@
 	}
 	for i := range job.Spec.TaskCount {
 		task := c.taskState(job, i)
-		if task.State != clusterstate.TaskBound {
+		if task.State != record.TaskBound {
 			continue
 		}
 		machine := c.cluster.Machines[task.Machine]
@@ -371,7 +372,7 @@
 		if job.Spec.SameZone {
 			zones.PinnedZone = machine.Zone
 		}
-		if job.ChunkOf(i) == record {
+		if job.ChunkOf(i) == chunk {
 			zones.TasksByZone[machine.Zone]++
 		}
 	}
@@ -389,10 +390,10 @@
 	} else {
 		c.storeSaturated = true
 	}
-	_, _, isLeader := c.membership.Owns(clusterstate.LeaderShard)
+	_, _, isLeader := c.membership.Owns(record.LeaderShard)
 	c.collectsDemand = isLeader && c.now.Sub(c.demand.ComputedAt) >= tuning.DemandEvery
 	queue := c.buildQueue(inventory.HasFreeCapacity())
-	inventory.FilterFeasible(func(yield func(clusterstate.Resources) bool) {
+	inventory.FilterFeasible(func(yield func(record.Resources) bool) {
 		for i := range queue {
 			if !yield(queue[i].Need) {
 				return
@@ -402,7 +403,7 @@
 	demand := UnmetDemand{ComputedAt: c.now}
 	if len(queue) > 0 {
 		inventory.GroupPending()
-		usage := map[string]clusterstate.Resources{}
+		usage := map[string]record.Resources{}
 		for shard := range c.cluster.ShardCount {
 			for team, amount := range c.cluster.UsageByShard[shard] {
 				usage[team] = usage[team].AddTimes(amount, 1)
@@ -456,7 +457,7 @@
 }
 
 // countPlaceable finds how many tasks of a job wait that its team's limit allows.
-func (c *cycle) countPlaceable(queued *queuedJob, usage map[string]clusterstate.Resources) bool {
+func (c *cycle) countPlaceable(queued *queuedJob, usage map[string]record.Resources) bool {
 	job, spec := queued.job, &queued.job.Spec
 	paused := 0
 	for i := range job.PendingRetries {
@@ -531,19 +532,19 @@
 	if len(candidates) == 0 {
 		return
 	}
-	record := c.recordToPlace(job)
-	zones := c.zoneConstraint(job, record)
+	chunk := c.recordToPlace(job)
+	zones := c.zoneConstraint(job, chunk)
 	picks := c.chooseAcrossZones(queued, candidates, &zones, accept)
 	if _, owned := c.fencingTokens[queued.homeShard]; !owned && !onlyWithImage && len(picks) > 0 && c.homeOwnerTimedOut(queued) {
 		// Its owner has not taken it though there is room.
 		inventory.Release(&queued.Request, picks)
-		zones = c.zoneConstraint(job, record)
+		zones = c.zoneConstraint(job, chunk)
 		picks = inventory.Allocate(&queued.Request, inventory.FittingMachines(&queued.Request), &zones, func(candidate *binpack.MachineInfo) bool { return candidate.Owned })
 	} else if owned && spec.Kind == wire.KindService {
-		c.bindTasks(queued, record, picks, queued.homeShard)
+		c.bindTasks(queued, chunk, picks, queued.homeShard)
 		return
 	}
-	c.bindToOwnMachines(queued, record, picks)
+	c.bindToOwnMachines(queued, chunk, picks)
 }
 
 // chooseAcrossZones chooses room for a job's tasks; where the operators ask for it, for a service so that
@@ -556,7 +557,7 @@
 	}
 	preferred := binpack.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: (spec.TaskCount + 1) / 2}
 	for i := range spec.TaskCount {
-		if task := c.taskState(job, i); task.State == clusterstate.TaskBound && c.cluster.Machines[task.Machine] != nil {
+		if task := c.taskState(job, i); task.State == record.TaskBound && c.cluster.Machines[task.Machine] != nil {
 			preferred.TasksByZone[c.cluster.Machines[task.Machine].Zone]++
 		}
 	}
@@ -582,9 +583,9 @@
 	if !job.Spec.Spread {
 		return 0
 	}
-	for record := range job.ChunkCount() {
-		if !job.ChunkFullyAssigned(record) {
-			return record
+	for chunk := range job.ChunkCount() {
+		if !job.ChunkFullyAssigned(chunk) {
+			return chunk
 		}
 	}
 	return 0
@@ -597,14 +598,14 @@
 	if queued.Remaining == 0 {
 		return
 	}
-	record := c.recordToPlace(job)
-	zones := c.zoneConstraint(job, record)
+	chunk := c.recordToPlace(job)
+	zones := c.zoneConstraint(job, chunk)
 	candidates := inventory.FittingMachines(&queued.Request)
 	isGang := spec.Kind == wire.KindGang
 	if !isGang {
 		if picks := inventory.Allocate(&queued.Request, candidates, &zones, func(candidate *binpack.MachineInfo) bool { return candidate.Machine.Shard != queued.homeShard }); len(picks) > 0 &&
 			(queued.rank <= wire.PriorityRank(wire.PriorityHigh) || c.homeOwnerTimedOut(queued)) {
-			c.bindToOwnMachines(queued, record, picks)
+			c.bindToOwnMachines(queued, chunk, picks)
 		}
 	} else {
 		if spec.SameZone && zones.PinnedZone == "" {
@@ -681,7 +682,7 @@
 
 // firstLiveShard is the first part in a job's own order whose owner lives.
 func (c *cycle) firstLiveShard(job *clusterstate.Job) int {
-	home := clusterstate.ShardOf(job.Spec.ID, c.cluster.ShardCount)
+	home := record.ShardOf(job.Spec.ID, c.cluster.ShardCount)
 	for i := range c.cluster.ShardCount {
 		if shard := (home + i) % c.cluster.ShardCount; c.liveShards[shard] {
 			return shard
@@ -712,8 +713,8 @@
 
 // bindToOwnMachines binds waiting tasks of a job to those of the machines that are this
 // node's.
-func (c *cycle) bindToOwnMachines(queued *queuedJob, record int, picks []*binpack.MachineInfo) {
-	c.bindTasks(queued, record, slices.DeleteFunc(picks, func(candidate *binpack.MachineInfo) bool { return !candidate.Owned }), -1)
+func (c *cycle) bindToOwnMachines(queued *queuedJob, chunk int, picks []*binpack.MachineInfo) {
+	c.bindTasks(queued, chunk, slices.DeleteFunc(picks, func(candidate *binpack.MachineInfo) bool { return !candidate.Owned }), -1)
 }
 
 // bindTasks binds waiting tasks of a job to machines, at the charge of one part
@@ -729,17 +730,17 @@
 		end = spec.TaskCount
 	}
 	for i := start; i < end && len(picks) > 0 && examined < tuning.JobSlice; i++ {
-		record := job.ChunkOf(i)
-		lo, hi := job.TaskRange(record)
-		if i == lo && (job.ChunkFullyAssigned(record) || c.keysInFlight[job.ChunkKey(record)]) {
+		chunk := job.ChunkOf(i)
+		lo, hi := job.TaskRange(chunk)
+		if i == lo && (job.ChunkFullyAssigned(chunk) || c.keysInFlight[job.ChunkKey(chunk)]) {
 			i = hi - 1 // nothing waits in this record, or it can't be changed now
 			continue
 		}
 		task := c.taskState(job, i)
-		if task.State != clusterstate.TaskPending || c.inRetryBackoff(job, i) {
+		if task.State != record.TaskPending || c.inRetryBackoff(job, i) {
 			continue
 		}
-		if c.recordFull(job, record, 1, picks[0].Machine.Name) {
+		if c.recordFull(job, chunk, 1, picks[0].Machine.Name) {
 			c.logWaiting(job, "its record is full", nil)
 			i = hi - 1
 			continue
@@ -783,8 +784,8 @@
 	if candidate.Owned {
 		session = c.agents.MachineStatus(candidate.Machine.Name, c.fencingTokens[candidate.Machine.Shard]).Session
 	}
-	ref := clusterstate.TaskRef{Job: job.Spec.ID, Index: index}
-	task := clusterstate.Task{Index: index, State: clusterstate.TaskBound, Attempt: attempt, Machine: candidate.Machine.Name, Session: session, Failures: c.taskState(job, index).Failures}
+	ref := record.TaskRef{Job: job.Spec.ID, Index: index}
+	task := record.Task{Index: index, State: record.TaskBound, Attempt: attempt, Machine: candidate.Machine.Name, Session: session, Failures: c.taskState(job, index).Failures}
 	if charged != candidate.Machine.Shard {
 		task.ChargedShard = charged + 1
 	}
--- a/internal/scheduler/cycle_bench_test.go
+++ b/internal/scheduler/cycle_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -17,7 +17,7 @@
 		name := fixture.addMachine(i, i%2 == 0)
 		if i%5 != 0 {
 			spec := gangSpec(1000000+i, 1)
-			fixture.addJob(spec, clusterstate.Task{State: clusterstate.TaskBound, Attempt: 1, Machine: name, Session: 1})
+			fixture.addJob(spec, record.Task{State: record.TaskBound, Attempt: 1, Machine: name, Session: 1})
 		}
 	}
 	for i := range machines / 8 {
@@ -47,7 +47,7 @@
 			fixture := newCrowdedRegion(b, machines)
 			for i := 0; i < machines; i += 5 {
 				spec := gangSpec(1000000+i, 1)
-				fixture.addJob(spec, clusterstate.Task{State: clusterstate.TaskBound, Attempt: 1, Machine: fmt.Sprintf("vm-%06d", i), Session: 1})
+				fixture.addJob(spec, record.Task{State: record.TaskBound, Attempt: 1, Machine: fmt.Sprintf("vm-%06d", i), Session: 1})
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -69,7 +69,7 @@
 					continue
 				}
 				name := fmt.Sprintf("vm-%06d", i)
-				fixture.put(clusterstate.MachineKey(name), clusterstate.MachineRecord{Type: "m", Zone: testZones[i%len(testZones)], Spot: i%2 == 0, CreatedAtMs: testNow.UnixMilli()})
+				fixture.put(record.MachineKey(name), record.Machine{Type: "m", Zone: testZones[i%len(testZones)], Spot: i%2 == 0, CreatedAtMs: testNow.UnixMilli()})
 			}
 			for i := range machines / 6 {
 				spec := arraySpec(i, 40)
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -4,8 +4,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promauto"
 
-	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -20,7 +20,7 @@
 	cancelled := 0
 	for id := range c.cluster.DependencyCancelled() {
 		job := c.cluster.Jobs[id]
-		key := clusterstate.JobKey(id)
+		key := record.JobKey(id)
 		if job == nil || c.keysInFlight[key] || cancelled >= tuning.DoomRound {
 			continue
 		}
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -19,6 +19,7 @@
 	"sableusher/internal/learner"
 	"sableusher/internal/membership"
 	"sableusher/internal/quota"
+	"sableusher/internal/record"
 	"sableusher/internal/retry"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -85,12 +86,12 @@
 	remoteImages           map[string]map[string]bool // the other nodes' machines by image
 	remoteImagesAt         time.Time
 	wakeup                 chan struct{}
-	needPerGPU             clusterstate.Resources // what GPU work takes beside each GPU
-	commonNeed             clusterstate.Resources // what a task of the work that asks for most cores takes
-	commonNeedAt           time.Time              // when it last did
-	rejectedUntil          map[string]time.Time   // records that were refused as malformed, until they are tried again
-	jobsToMigrate          map[string]bool        // jobs whose records are to be moved before they are written
-	lastMigration          time.Time              // when records that nothing asked for were last moved
+	needPerGPU             record.Resources     // what GPU work takes beside each GPU
+	commonNeed             record.Resources     // what a task of the work that asks for most cores takes
+	commonNeedAt           time.Time            // when it last did
+	rejectedUntil          map[string]time.Time // records that were refused as malformed, until they are tried again
+	jobsToMigrate          map[string]bool      // jobs whose records are to be moved before they are written
+	lastMigration          time.Time            // when records that nothing asked for were last moved
 }
 
 // cachedValue is a job's value as of a time.
@@ -112,7 +113,7 @@
 }
 
 type reservation struct {
-	task      clusterstate.TaskRef
+	task      record.TaskRef
 	expiresAt time.Time
 }
 
@@ -212,11 +213,11 @@
 
 // pendingBinding is a task on its way to a machine.
 type pendingBinding struct {
-	task         clusterstate.TaskRef
+	task         record.TaskRef
 	machine      string
 	chargedShard int // whose grant it uses
 	team         string
-	need         clusterstate.Resources
+	need         record.Resources
 }
 
 // RunCycle takes in what the workers told and places what can be placed.
@@ -326,7 +327,7 @@
 	defer e.cluster.RUnlock()
 	var urgent, idle []string
 	appendOwned := func(list *[]string, name string) {
-		if _, _, ok := e.membership.Owns(clusterstate.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines[name] && len(*list) < tuning.ReturnMax {
+		if _, _, ok := e.membership.Owns(record.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines[name] && len(*list) < tuning.ReturnMax {
 			*list = append(*list, name)
 		}
 	}
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -13,6 +13,7 @@
 	"sableusher/internal/config"
 	"sableusher/internal/evacuation"
 	"sableusher/internal/failuredetector"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 	"sableusher/internal/zonehealth"
@@ -36,7 +37,7 @@
 	for _, name := range slices.Sorted(maps.Keys(c.cluster.Machines)) {
 		machine := c.cluster.Machines[name]
 		token, owned := c.fencingTokens[machine.Shard]
-		if !owned || machine.Deleting || c.deletedMachines[name] || c.keysInFlight[clusterstate.MachineKey(name)] {
+		if !owned || machine.Deleting || c.deletedMachines[name] || c.keysInFlight[record.MachineKey(name)] {
 			continue
 		}
 		status := c.agents.MachineStatus(name, token)
@@ -48,7 +49,7 @@
 		if machine.Up && status.InboundLost {
 			c.recordMachineDown(machine, "hears nothing")
 		}
-		empty := len(machine.Bindings) == 0 && c.inFlightByMachine[name] == (clusterstate.Resources{})
+		empty := len(machine.Bindings) == 0 && c.inFlightByMachine[name] == (record.Resources{})
 		switch {
 		case !machine.Up && status.LastHeard.IsZero():
 			if c.bootTimedOut(machine) && !c.failureDetector.ZoneUnstable(machine.Zone) {
@@ -102,7 +103,7 @@
 // like the emptiest machine there is, and what was bound to it waited until its lease had run out, over and over.
 func (c *cycle) recordMachineDown(machine *clusterstate.Machine, reason string) {
 	c.log.Info("machine "+reason, "machine", machine.Name, "tasks", len(machine.Bindings))
-	machineRecord := machine.MachineRecord
+	machineRecord := machine.Machine
 	machineRecord.Up = false
 	c.updateMachineRecord("machine "+reason+" "+machine.Name, machine.Name, machine.Shard, machineRecord, machine.ModRevision).HighPriority = true
 	c.machinesToRefresh[machine.Name] = struct{}{}
@@ -128,7 +129,7 @@
 		if machine.Up {
 			c.recordMachineDown(machine.Machine, "reaches no node")
 		}
-		fraction := float64(clusterstate.ShardOf(machine.Name, tuning.MuteSteps)) / tuning.MuteSteps
+		fraction := float64(record.ShardOf(machine.Name, tuning.MuteSteps)) / tuning.MuteSteps
 		if delay := time.Duration(fraction * float64(leadTime-tuning.LeaseMargin)); c.now.After(machine.leaseExpiry.Add(delay - leadTime)) {
 			c.evacuateMachine(machine.Machine)
 		}
@@ -160,7 +161,7 @@
 func (c *cycle) deleteMachine(victim failuredetector.Deletion) {
 	machine := c.cluster.Machines[victim.Machine]
 	c.log.Info("deleting a machine", "machine", victim.Machine, "why", victim.Reason, "tasks", len(machine.Bindings))
-	machineRecord := machine.MachineRecord
+	machineRecord := machine.Machine
 	machineRecord.Deleting = true
 	transaction := c.updateMachineRecord("delete machine "+victim.Machine, victim.Machine, machine.Shard, machineRecord, machine.ModRevision)
 	// What it held waits for this change as for its own: behind the ends of arrays' tasks
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"sableusher/internal/binpack"
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 )
 
@@ -21,14 +21,14 @@
 	for i := range spec.TaskCount {
 		task := c.taskState(job, i)
 		attempt = max(attempt, task.Attempt)
-		if task.State == clusterstate.TaskPending {
+		if task.State == record.TaskPending {
 			idle = append(idle, i)
 		} else {
 			forming = true
 		}
 	}
 	queued.Remaining = len(idle)
-	if c.keysInFlight[clusterstate.JobKey(spec.ID)] || c.needsMigration(job) || forming && slices.ContainsFunc(idle, func(i int) bool { return c.taskState(job, i).Attempt >= attempt }) {
+	if c.keysInFlight[record.JobKey(spec.ID)] || c.needsMigration(job) || forming && slices.ContainsFunc(idle, func(i int) bool { return c.taskState(job, i).Attempt >= attempt }) {
 		c.logWaiting(job, "its last attempt has not left yet, or a change is on its way", nil)
 		queued.Remaining = 0
 		return
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -14,13 +14,14 @@
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/learner"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
 
 // taskAttempt names one start of a task.
 type taskAttempt struct {
-	task    clusterstate.TaskRef
+	task    record.TaskRef
 	attempt uint64
 }
 
@@ -98,10 +99,10 @@
 		if total > 0 {
 			responsiveness = run / total
 		}
-		if record := c.cluster.Machines[machine]; record != nil {
-			if typ, ok := c.cluster.Types[record.Type]; ok {
-				capacity := clusterstate.Capacity(&typ)
-				c.learning.finishedMachineSeconds += run * (1 - binpack.FreeFraction(capacity.AddTimes(clusterstate.TaskResources(spec), -1), capacity))
+		if machineEntry := c.cluster.Machines[machine]; machineEntry != nil {
+			if typ, ok := c.cluster.Types[machineEntry.Type]; ok {
+				capacity := record.Capacity(&typ)
+				c.learning.finishedMachineSeconds += run * (1 - binpack.FreeFraction(capacity.AddTimes(record.TaskResources(spec), -1), capacity))
 			}
 		}
 		if binding.Attempt == 1 { // a later attempt may have resumed saved work
@@ -290,7 +291,7 @@
 
 // RunLearner keeps the readout fitted and saved until ctx ends.
 func (e *Engine) RunLearner(ctx context.Context) error {
-	key := clusterstate.LearnerCheckpointKey(e.settings.Node)
+	key := record.LearnerCheckpointKey(e.settings.Node)
 	e.restoreCheckpoint(ctx, key)
 	refit := time.NewTicker(config.Seconds(e.operator.RefitS))
 	defer refit.Stop()
@@ -327,7 +328,7 @@
 	}
 	var ops []wire.Op
 	for i, piece := range checkpoint.Split(e.committer.MaxRecordBytes(), time.Now().UnixMilli()) {
-		ops = append(ops, kvstore.PutOp(clusterstate.LearnerCheckpointPieceKey(e.settings.Node, i), piece))
+		ops = append(ops, kvstore.PutOp(record.LearnerCheckpointPieceKey(e.settings.Node, i), piece))
 	}
 	return ops
 }
@@ -353,13 +354,13 @@
 // loadCheckpoint reads the values saved under the node's name: in pieces, or as one
 // record, as they were before LevelPipelines.
 func (e *Engine) loadCheckpoint(ctx context.Context, key string) (learner.Saved, error) {
-	checkpoint, err := e.readCheckpoint(ctx, clusterstate.LearnerCheckpointPieceKey(e.settings.Node, 0))
+	checkpoint, err := e.readCheckpoint(ctx, record.LearnerCheckpointPieceKey(e.settings.Node, 0))
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return e.readCheckpoint(ctx, key)
 	}
 	for i := 1; i < checkpoint.Of && err == nil; i++ {
 		var piece learner.Saved
-		if piece, err = e.readCheckpoint(ctx, clusterstate.LearnerCheckpointPieceKey(e.settings.Node, i)); err == nil {
+		if piece, err = e.readCheckpoint(ctx, record.LearnerCheckpointPieceKey(e.settings.Node, i)); err == nil {
 			err = checkpoint.Join(piece)
 		}
 	}
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -9,6 +9,7 @@
 	"sableusher/internal/config"
 	"sableusher/internal/fairshare"
 	"sableusher/internal/jobqueue"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -176,13 +177,13 @@
 // machineShare is what a task takes of a machine, of the type of which it takes least, or of the room
 // for a common task; as roomFor counts.
 func (c *cycle) machineShare(spec *wire.JobSpec) float64 {
-	need := clusterstate.TaskResources(spec)
+	need := record.TaskResources(spec)
 	if c.commonNeed.CPUs > 0 {
 		return max(need.CPUs/c.commonNeed.CPUs, need.MemoryGB/max(c.commonNeed.MemoryGB, 1))
 	}
 	best := 1.0
 	for _, typ := range c.cluster.Types {
-		capacity := clusterstate.Capacity(&typ)
+		capacity := record.Capacity(&typ)
 		if need.FitsIn(capacity) {
 			best = min(best, 1-binpack.FreeFraction(capacity.AddTimes(need, -1), capacity))
 		}
--- a/internal/scheduler/objectives_test.go
+++ b/internal/scheduler/objectives_test.go
@@ -7,9 +7,9 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/quota"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 )
 
@@ -27,13 +27,13 @@
 		machines := rapid.IntRange(1, 30).Draw(t, "machines")
 		for i := range machines {
 			name := fixture.addMachine(i, true)
-			fixture.addJob(arraySpec(5000+i, 4), clusterstate.Task{State: clusterstate.TaskBound, Attempt: 1, Machine: name, Session: 1})
+			fixture.addJob(arraySpec(5000+i, 4), record.Task{State: record.TaskBound, Attempt: 1, Machine: name, Session: 1})
 		}
 		for i := range rapid.IntRange(2, 40).Draw(t, "jobs") {
 			spec := arraySpec(i, rapid.IntRange(1, 180).Draw(t, "tasks"))
 			spec.Team, spec.Class, spec.RuntimeEstimateSeconds = "t", "c", float64(rapid.IntRange(5, 90).Draw(t, "run"))
 			at := testNow.Add(-time.Duration(rapid.IntRange(0, 400).Draw(t, "age")) * time.Second)
-			fixture.put(clusterstate.JobKey(spec.ID), clusterstate.JobRecord{Spec: spec, SubmittedAtMs: at.UnixMilli()})
+			fixture.put(record.JobKey(spec.ID), record.Job{Spec: spec, SubmittedAtMs: at.UnixMilli()})
 		}
 		fixture.cluster.RLock()
 		defer fixture.cluster.RUnlock()
@@ -90,7 +90,7 @@
 			spec := arraySpec(i, rapid.IntRange(1, 90).Draw(t, "tasks"))
 			spec.Team, spec.Class, spec.RuntimeEstimateSeconds = "t", "c", 30
 			now = now.Add(time.Second)
-			fixture.put(clusterstate.JobKey(spec.ID), clusterstate.JobRecord{Spec: spec, SubmittedAtMs: now.UnixMilli()})
+			fixture.put(record.JobKey(spec.ID), record.Job{Spec: spec, SubmittedAtMs: now.UnixMilli()})
 			fixture.cluster.RLock()
 			c := engine.newCycle(now)
 			c.inventory = c.refreshInventory()
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -4,6 +4,7 @@
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/preemption"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -15,7 +16,7 @@
 // once there is none, like needs of the same rank are not looked at again in this round:
 // hundreds of arrays that wait behind a full fleet would each pass all of its machines.
 func (c *cycle) preemptFor(queued *queuedJob, taskIndex int, inventory *binpack.Inventory, zones *binpack.ZoneConstraint) bool {
-	task := clusterstate.TaskRef{Job: queued.job.Spec.ID, Index: taskIndex}
+	task := record.TaskRef{Job: queued.job.Spec.ID, Index: taskIndex}
 	if c.tasksAwaitingPreemption[task] {
 		return true // room is being freed for it already
 	}
@@ -75,7 +76,7 @@
 	preemptor := preemption.Preemptor{Rank: queued.rank, WithinGuarantee: queued.withinGuarantee, GuaranteedOnArrival: c.guaranteedOnArrival[queued.job.Spec.ID], Team: queued.job.Spec.Team, Need: queued.Need}
 	var victims []preemption.Victim
 	for _, binding := range candidate.Machine.Bindings {
-		if preemptor.MayPreempt(c.runningJob(binding.Job)) && !binding.Job.Cancelled() && clusterstate.TaskPreemptible(&binding.Job.Spec) && !c.agents.StopRequested(binding) {
+		if preemptor.MayPreempt(c.runningJob(binding.Job)) && !binding.Job.Cancelled() && record.TaskPreemptible(&binding.Job.Spec) && !c.agents.StopRequested(binding) {
 			victims = append(victims, preemption.Victim{Binding: binding, Rank: c.effectiveRank(binding.Job), LostMachineSeconds: c.lostMachineSeconds(binding, candidate)})
 		}
 	}
@@ -83,7 +84,7 @@
 }
 
 // preemptTasks stops tasks on a machine until another has room there, and keeps the room.
-func (c *cycle) preemptTasks(candidate *binpack.MachineInfo, queued *queuedJob, task clusterstate.TaskRef, victims []preemption.Victim) {
+func (c *cycle) preemptTasks(candidate *binpack.MachineInfo, queued *queuedJob, task record.TaskRef, victims []preemption.Victim) {
 	c.machinesPreempted++
 	c.inventory.ReserveAll(candidate, task.Job)
 	c.reservations[candidate.Machine.Name] = reservation{task, c.now.Add(tuning.PreemptHold)}
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -10,6 +10,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/reconcile"
+	"sableusher/internal/record"
 	"sableusher/internal/retry"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -24,20 +25,20 @@
 		return nil
 	}
 	task := c.taskState(binding.Job, binding.Ref.Index)
-	if task.State != clusterstate.TaskBound || task.Attempt != binding.Attempt || task.Machine != machineName {
+	if task.State != record.TaskBound || task.Attempt != binding.Attempt || task.Machine != machineName {
 		return nil
 	}
-	released := clusterstate.Task{Index: binding.Ref.Index, State: state, Attempt: binding.Attempt}
-	if state != clusterstate.TaskDone {
+	released := record.Task{Index: binding.Ref.Index, State: state, Attempt: binding.Attempt}
+	if state != record.TaskDone {
 		released.Failures = task.Failures
 	}
 	edit.tasks[binding.Ref.Index] = released
 	// A gang's tasks end together, also those in other nodes' parts: there the
 	// job's record alone is the guard, as this node doesn't own the part.
-	if shard := clusterstate.ShardOf(machineName, c.cluster.ShardCount); c.shardRevisions[shard] != 0 {
+	if shard := record.ShardOf(machineName, c.cluster.ShardCount); c.shardRevisions[shard] != 0 {
 		edit.shards[shard] = true
 	}
-	c.recordEnd(binding, state == clusterstate.TaskDone, machineName)
+	c.recordEnd(binding, state == record.TaskDone, machineName)
 	c.log.Debug("task leaves machine", "task", binding.Ref, "attempt", binding.Attempt, "machine", machineName, "why", reason)
 	return edit
 }
@@ -76,7 +77,7 @@
 		deleted := (machine.Deleting || machine.Draining) && c.deletedMachines[name]
 		for _, binding := range machine.Bindings {
 			if deleted {
-				c.releaseTask(binding, name, clusterstate.TaskPending, "machine deleted")
+				c.releaseTask(binding, name, record.TaskPending, "machine deleted")
 				continue
 			}
 			c.reconcileTask(binding, name, token)
@@ -84,21 +85,21 @@
 		if c.releaseBlocked || deleted {
 			c.machinesToReconcile[name] = struct{}{}
 		}
-		if deleted && len(machine.Bindings) == 0 && machine.ModRevision != 0 && !c.cluster.ListedInRental(name) && !c.keysInFlight[clusterstate.MachineKey(name)] {
+		if deleted && len(machine.Bindings) == 0 && machine.ModRevision != 0 && !c.cluster.ListedInRental(name) && !c.keysInFlight[record.MachineKey(name)] {
 			c.outgoing = append(c.outgoing, &recordChange{
-				description: "forget machine " + name, keys: []string{clusterstate.MachineKey(name)}, shards: []int{machine.Shard},
+				description: "forget machine " + name, keys: []string{record.MachineKey(name)}, shards: []int{machine.Shard},
 				transaction: kvstore.Transaction{
-					Conditions: []wire.Condition{{Key: clusterstate.ShardKey(machine.Shard), ModRevision: c.shardRevisions[machine.Shard]}, {Key: clusterstate.MachineKey(name), ModRevision: machine.ModRevision}},
-					Ops:        []wire.Op{kvstore.DeleteOp(clusterstate.MachineKey(name))},
+					Conditions: []wire.Condition{{Key: record.ShardKey(machine.Shard), ModRevision: c.shardRevisions[machine.Shard]}, {Key: record.MachineKey(name), ModRevision: machine.ModRevision}},
+					Ops:        []wire.Op{kvstore.DeleteOp(record.MachineKey(name))},
 					Background: true, // its record says that it is being deleted, so nobody counts on it
 				},
 			})
 		}
 	}
 	for name, bindings := range c.cluster.OrphanBindings {
-		if _, owned := c.fencingTokens[clusterstate.ShardOf(name, c.cluster.ShardCount)]; owned && c.deletedMachines[name] {
+		if _, owned := c.fencingTokens[record.ShardOf(name, c.cluster.ShardCount)]; owned && c.deletedMachines[name] {
 			for _, binding := range bindings {
-				c.releaseTask(binding, name, clusterstate.TaskPending, "machine deleted")
+				c.releaseTask(binding, name, record.TaskPending, "machine deleted")
 			}
 		}
 	}
@@ -139,8 +140,8 @@
 	switch {
 	case decision.WholeGang:
 		for taskIndex := range spec.TaskCount {
-			if other := c.taskState(binding.Job, taskIndex); other.State == clusterstate.TaskBound && other.Attempt == binding.Attempt {
-				c.releaseTask(clusterstate.Binding{Ref: clusterstate.TaskRef{Job: spec.ID, Index: taskIndex}, Job: binding.Job, Attempt: other.Attempt, Session: other.Session}, other.Machine, decision.NextState, "done with its gang")
+			if other := c.taskState(binding.Job, taskIndex); other.State == record.TaskBound && other.Attempt == binding.Attempt {
+				c.releaseTask(clusterstate.Binding{Ref: record.TaskRef{Job: spec.ID, Index: taskIndex}, Job: binding.Job, Attempt: other.Attempt, Session: other.Session}, other.Machine, decision.NextState, "done with its gang")
 			}
 		}
 	case decision.Release:
@@ -175,7 +176,7 @@
 
 func (c *cycle) checkGang(binding clusterstate.Binding) bool {
 	job := binding.Job
-	switch reconcile.GangStateOf(job.Spec.TaskCount, func(i int) clusterstate.Task { return c.taskState(job, i) }, binding.Attempt) {
+	switch reconcile.GangStateOf(job.Spec.TaskCount, func(i int) record.Task { return c.taskState(job, i) }, binding.Attempt) {
 	case reconcile.GangBroken:
 		return true
 	case reconcile.GangWhole:
@@ -194,11 +195,11 @@
 // left every machine, where no change of a single record could end them. Only
 // the leader does so; it also sweeps chunks left by long jobs.
 func (c *cycle) finishJobs() {
-	if _, _, leads := c.membership.Owns(clusterstate.LeaderShard); !leads {
+	if _, _, leads := c.membership.Owns(record.LeaderShard); !leads {
 		return
 	}
 	for id, job := range c.cluster.Jobs {
-		key := clusterstate.JobKey(id)
+		key := record.JobKey(id)
 		if c.keysInFlight[key] {
 			continue
 		}
@@ -229,9 +230,9 @@
 // gang once stood still for ever, since its last attempt looked as if it had not left.
 func (c *cycle) completeGang(job *clusterstate.Job) {
 	for taskIndex := range job.Spec.TaskCount {
-		if task := c.taskState(job, taskIndex); task.State == clusterstate.TaskPending {
+		if task := c.taskState(job, taskIndex); task.State == record.TaskPending {
 			if edit := c.editRecord(job, taskIndex); edit != nil {
-				edit.tasks[taskIndex] = clusterstate.Task{Index: taskIndex, State: clusterstate.TaskDone, Attempt: task.Attempt}
+				edit.tasks[taskIndex] = record.Task{Index: taskIndex, State: record.TaskDone, Attempt: task.Attempt}
 			}
 		}
 	}
@@ -249,8 +250,8 @@
 	})
 	for _, name := range names {
 		report := reports[name]
-		shard := clusterstate.ShardOf(name, c.cluster.ShardCount)
-		key := clusterstate.MachineKey(name)
+		shard := record.ShardOf(name, c.cluster.ShardCount)
+		key := record.MachineKey(name)
 		machine := c.cluster.Machines[name]
 		if _, owned := c.shardRevisions[shard]; !owned || c.keysInFlight[key] || machine != nil && machine.Deleting {
 			continue
@@ -260,10 +261,10 @@
 		if _, tombstone := c.tombstones[name]; machine == nil && tombstone {
 			continue
 		}
-		machineRecord := clusterstate.MachineRecord{CreatedAtMs: c.now.UnixMilli()}
+		machineRecord := record.Machine{CreatedAtMs: c.now.UnixMilli()}
 		var modRevision uint64
 		if machine != nil {
-			machineRecord, modRevision = machine.MachineRecord, machine.ModRevision
+			machineRecord, modRevision = machine.Machine, machine.ModRevision
 		} else {
 			c.log.Info("adopting a machine", "machine", name, "type", report.MachineType, "zone", report.Zone)
 		}
@@ -309,7 +310,7 @@
 // tasks see the record at once and tell their workers within the time in which a
 // gang's saves must begin.
 func (c *cycle) requestGangStop(binding clusterstate.Binding, machine *clusterstate.Machine) {
-	key := clusterstate.JobKey(binding.Ref.Job)
+	key := record.JobKey(binding.Ref.Job)
 	if binding.Job.PreemptedAttempt == binding.Attempt || c.keysInFlight[key] || c.recordEdits[recordKey{binding.Job, 0}] != nil || c.needsMigration(binding.Job) {
 		return
 	}
@@ -320,7 +321,7 @@
 	c.outgoing = append(c.outgoing, &recordChange{
 		description: "stop gang " + binding.Ref.Job, keys: []string{key}, shards: []int{machine.Shard},
 		transaction: kvstore.Transaction{
-			Conditions: []wire.Condition{{Key: key, ModRevision: binding.Job.ModRevision}, {Key: clusterstate.ShardKey(machine.Shard), ModRevision: c.shardRevisions[machine.Shard]}},
+			Conditions: []wire.Condition{{Key: key, ModRevision: binding.Job.ModRevision}, {Key: record.ShardKey(machine.Shard), ModRevision: c.shardRevisions[machine.Shard]}},
 			Ops:        []wire.Op{op}, Urgent: true,
 		},
 	})
--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -8,6 +8,7 @@
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -20,8 +21,8 @@
 	shardRevisions          map[int]uint64
 	recordEdits             map[recordKey]*recordEdit
 	outgoing                []*recordChange
-	inFlightByMachine       map[string]clusterstate.Resources // on their way, by machine
-	inFlightByShard         map[int]map[string]clusterstate.Resources
+	inFlightByMachine       map[string]record.Resources // on their way, by machine
+	inFlightByShard         map[int]map[string]record.Resources
 	inFlightByJob           map[string]int // tasks on their way, by job
 	liveShards              []bool         // parts whose owner lives
 	tasksBound              int
@@ -29,7 +30,7 @@
 	storeSaturated          bool                                       // the state service's budget is the bottleneck
 	machinesPreempted       int                                        // machines on which room is being freed in this round
 	collectsDemand          bool                                       // this round counts the demand for the pool
-	tasksAwaitingPreemption map[clusterstate.TaskRef]bool              // tasks that room is being freed for
+	tasksAwaitingPreemption map[record.TaskRef]bool                    // tasks that room is being freed for
 	preemptionMisses        [wire.PriorityCount]binpack.FailedRequests // needs for which nothing could be stopped anywhere, by rank
 	releaseBlocked          bool                                       // a task's end could not be written yet
 	failingJobs             map[string]bool                            // jobs that a change of this round ends as failed
@@ -53,7 +54,7 @@
 type recordEdit struct {
 	job         *clusterstate.Job
 	recordIndex int
-	tasks       map[int]clusterstate.Task
+	tasks       map[int]record.Task
 	shards      map[int]bool
 	bindings    []pendingBinding
 	encodedSize int  // what the record takes, as JSON; 0: not measured yet
@@ -62,14 +63,14 @@
 
 func (e *Engine) newCycle(now time.Time) *cycle {
 	c := &cycle{Engine: e, now: now, fencingTokens: map[int]uint64{}, shardRevisions: map[int]uint64{}, recordEdits: map[recordKey]*recordEdit{}, brokenAttempts: map[gangAttempt]bool{}, failingJobs: map[string]bool{},
-		inFlightByMachine: map[string]clusterstate.Resources{}, inFlightByShard: map[int]map[string]clusterstate.Resources{}, inFlightByJob: map[string]int{},
-		liveShards: make([]bool, e.cluster.ShardCount), tasksAwaitingPreemption: make(map[clusterstate.TaskRef]bool, len(e.reservations))}
+		inFlightByMachine: map[string]record.Resources{}, inFlightByShard: map[int]map[string]record.Resources{}, inFlightByJob: map[string]int{},
+		liveShards: make([]bool, e.cluster.ShardCount), tasksAwaitingPreemption: make(map[record.TaskRef]bool, len(e.reservations))}
 	for _, reservation := range e.reservations {
 		c.tasksAwaitingPreemption[reservation.task] = true
 	}
 	for shard := range e.cluster.ShardCount {
 		_, c.liveShards[shard] = e.membership.OwnerOf(shard)
-		c.inFlightByShard[shard] = map[string]clusterstate.Resources{}
+		c.inFlightByShard[shard] = map[string]record.Resources{}
 		if token, modRevision, ok := e.membership.Owns(shard); ok {
 			c.fencingTokens[shard], c.shardRevisions[shard] = token, modRevision
 			if _, known := e.shardOwnedSince[shard]; !known {
@@ -98,7 +99,7 @@
 }
 
 // usage is what a team's tasks of a part take, those on their way included.
-func (c *cycle) usage(shard int, team string) clusterstate.Resources {
+func (c *cycle) usage(shard int, team string) record.Resources {
 	return c.cluster.UsageByShard[shard][team].AddTimes(c.inFlightByShard[shard][team], 1)
 }
 
@@ -111,7 +112,7 @@
 	}
 	edit := c.recordEdits[recordKey{job, recordIndex}]
 	if edit == nil {
-		edit = &recordEdit{job: job, recordIndex: recordIndex, tasks: map[int]clusterstate.Task{}, shards: map[int]bool{}}
+		edit = &recordEdit{job: job, recordIndex: recordIndex, tasks: map[int]record.Task{}, shards: map[int]bool{}}
 		c.recordEdits[recordKey{job, recordIndex}] = edit
 	}
 	return edit
@@ -148,7 +149,7 @@
 }
 
 // taskState is a task's state with this round's changes.
-func (c *cycle) taskState(job *clusterstate.Job, taskIndex int) clusterstate.Task {
+func (c *cycle) taskState(job *clusterstate.Job, taskIndex int) record.Task {
 	if edit := c.recordEdits[recordKey{job, job.ChunkOf(taskIndex)}]; edit != nil {
 		if task, ok := edit.tasks[taskIndex]; ok {
 			return task
@@ -162,8 +163,8 @@
 	id := job.Spec.ID
 	if guest := job.OffloadedFrom; guest != nil {
 		// Its home alone answers its user, and is told from this until it has it.
-		record := clusterstate.GuestOutcomeRecord{JobID: id, Status: status, DoneCount: done}
-		ops := []wire.Op{kvstore.PutOp(clusterstate.GuestOutcomeKey(guest.Cell, guest.Number), record), kvstore.DeleteOp(clusterstate.JobKey(id))}
+		guestOutcomeRecord := record.GuestOutcome{JobID: id, Status: status, DoneCount: done}
+		ops := []wire.Op{kvstore.PutOp(record.GuestOutcomeKey(guest.Cell, guest.Number), guestOutcomeRecord), kvstore.DeleteOp(record.JobKey(id))}
 		return append(ops, c.deleteRecordOps(job, len(ops))...)
 	}
 	ops := job.FinalizeOps(status, done, c.now.UnixMilli())
@@ -222,15 +223,15 @@
 	for _, edit := range edits {
 		for taskIndex, task := range edit.tasks {
 			switch old := job.Task(taskIndex); old.State {
-			case clusterstate.TaskBound:
+			case record.TaskBound:
 				bound--
-			case clusterstate.TaskDone:
+			case record.TaskDone:
 				done--
 			}
 			switch task.State {
-			case clusterstate.TaskBound:
+			case record.TaskBound:
 				bound++
-			case clusterstate.TaskDone:
+			case record.TaskDone:
 				done++
 			}
 		}
@@ -260,10 +261,10 @@
 	for _, shard := range slices.Sorted(maps.Keys(shards)) {
 		if modRevision, owned := c.shardRevisions[shard]; owned {
 			change.shards = append(change.shards, shard)
-			conditions[clusterstate.ShardKey(shard)] = modRevision
+			conditions[record.ShardKey(shard)] = modRevision
 		} else {
 			// A gang's machine in another node's part, while that node owns it.
-			conditions[clusterstate.ShardKey(shard)] = c.cluster.Shards[shard].ModRevision
+			conditions[record.ShardKey(shard)] = c.cluster.Shards[shard].ModRevision
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(conditions)) {
@@ -275,12 +276,12 @@
 }
 
 // updateMachineRecord adds a change of a machine's record, and gives it for its place in the queue.
-func (c *cycle) updateMachineRecord(description, name string, shard int, machineRecord clusterstate.MachineRecord, modRevision uint64) *kvstore.Transaction {
-	key := clusterstate.MachineKey(name)
+func (c *cycle) updateMachineRecord(description, name string, shard int, machineRecord record.Machine, modRevision uint64) *kvstore.Transaction {
+	key := record.MachineKey(name)
 	change := &recordChange{
 		description: description, keys: []string{key}, shards: []int{shard}, harmlessWhenLate: true,
 		transaction: kvstore.Transaction{
-			Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard), ModRevision: c.shardRevisions[shard]}, {Key: key, ModRevision: modRevision}},
+			Conditions: []wire.Condition{{Key: record.ShardKey(shard), ModRevision: c.shardRevisions[shard]}, {Key: key, ModRevision: modRevision}},
 			Ops:        []wire.Op{kvstore.PutOp(key, machineRecord)},
 		},
 	}
--- a/internal/scheduler/recordmigration.go
+++ b/internal/scheduler/recordmigration.go
@@ -6,8 +6,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promauto"
 
-	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 )
 
@@ -24,7 +24,7 @@
 	migrate := func(id string) {
 		delete(c.jobsToMigrate, id)
 		job := c.cluster.Jobs[id]
-		if job == nil || !job.HasRecord || !job.NeedsMigration(layout) || c.keysInFlight[clusterstate.JobKey(id)] || migrated >= tuning.MoveRound {
+		if job == nil || !job.HasRecord || !job.NeedsMigration(layout) || c.keysInFlight[record.JobKey(id)] || migrated >= tuning.MoveRound {
 			return
 		}
 		for recordIndex := range job.Chunks {
