--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -20,6 +20,7 @@
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/membership"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -53,10 +54,10 @@
 	}
 	fixture.put("s/catalog", wire.Catalog{Types: []wire.MachineType{testType}})
 	for i, node := range nodes {
-		fixture.cluster.Nodes[node] = clusterstate.Node{NodeRecord: clusterstate.NodeRecord{Incarnation: 1}}
-		fixture.cluster.Shards[i] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: node, Incarnation: 1, FencingToken: 7}}
+		fixture.cluster.Nodes[node] = clusterstate.Node{Node: record.Node{Incarnation: 1}}
+		fixture.cluster.Shards[i] = clusterstate.Shard{Shard: record.Shard{Owner: node, Incarnation: 1, FencingToken: 7}}
 	}
-	fixture.cluster.Shards[clusterstate.LeaderShard] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: nodes[0], Incarnation: 1, FencingToken: 7}}
+	fixture.cluster.Shards[record.LeaderShard] = clusterstate.Shard{Shard: record.Shard{Owner: nodes[0], Incarnation: 1, FencingToken: 7}}
 	for _, node := range nodes {
 		settings := &config.Settings{Node: node}
 		deployment := &settings.Deployment
@@ -66,7 +67,7 @@
 		deployment.State.TxnOps = 32
 		client := kvstore.NewClient("127.0.0.1:1", kvstore.Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxValueKiB: 16, MaxTransactionOps: 32}, nil)
 		committer := kvstore.NewCommitter(client, func([]wire.Op, uint64) {})
-		cache := kvstore.NewWatchCache(client, clusterstate.LivePrefix, fixture.cluster, log)
+		cache := kvstore.NewWatchCache(client, record.LivePrefix, fixture.cluster, log)
 		members := membership.New(node, 1, nodes, tuning.Level, client, committer, cache, fixture.cluster, log)
 		agents := agent.New(settings, fixture.cluster, members, func() time.Time { return testNow }, log, nil)
 		fixture.agents = append(fixture.agents, agents)
@@ -87,15 +88,15 @@
 // addMachine adds a machine that is up and has reported to its part's owner.
 func (fixture *testCluster) addMachine(index int, spot bool) string {
 	name := fmt.Sprintf("vm-%06d", index)
-	machineRecord := clusterstate.MachineRecord{Type: "m", Zone: testZones[index%len(testZones)], Spot: spot, Address: "10.1.0.1:9000", CreatedAtMs: 1, Up: true}
-	fixture.put(clusterstate.MachineKey(name), machineRecord)
-	fixture.agents[clusterstate.ShardOf(name, testShards)].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: machineRecord.Address, MachineType: "m", Zone: machineRecord.Zone, Spot: spot, Session: 1, Sequence: 1, FencingToken: 7})
+	machineRecord := record.Machine{Type: "m", Zone: testZones[index%len(testZones)], Spot: spot, Address: "10.1.0.1:9000", CreatedAtMs: 1, Up: true}
+	fixture.put(record.MachineKey(name), machineRecord)
+	fixture.agents[record.ShardOf(name, testShards)].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: machineRecord.Address, MachineType: "m", Zone: machineRecord.Zone, Spot: spot, Session: 1, Sequence: 1, FencingToken: 7})
 	return name
 }
 
-func (fixture *testCluster) addJob(spec wire.JobSpec, tasks ...clusterstate.Task) {
+func (fixture *testCluster) addJob(spec wire.JobSpec, tasks ...record.Task) {
 	spec.Team, spec.Class = "t", "c"
-	fixture.put(clusterstate.JobKey(spec.ID), clusterstate.JobRecord{Spec: spec, SubmittedAtMs: testNow.UnixMilli(), Tasks: tasks})
+	fixture.put(record.JobKey(spec.ID), record.Job{Spec: spec, SubmittedAtMs: testNow.UnixMilli(), Tasks: tasks})
 }
 
 // runCycle plays one node's placement and gives what it bound.
@@ -125,10 +126,10 @@
 func TestLongQueueBehindFullFleet(t *testing.T) {
 	fixture := newTestCluster(t)
 	const machines, jobs = 1500, 500
-	var tasks []clusterstate.Task
+	var tasks []record.Task
 	for i := range machines {
 		name := fixture.addMachine(i, false)
-		tasks = append(tasks, clusterstate.Task{Index: i % 100, State: clusterstate.TaskBound, Attempt: 1, Machine: name, Session: 1})
+		tasks = append(tasks, record.Task{Index: i % 100, State: record.TaskBound, Attempt: 1, Machine: name, Session: 1})
 		if len(tasks) == 100 {
 			spec := gangSpec(100000+i, 100)
 			spec.SameZone = false
@@ -175,7 +176,7 @@
 				}
 			}
 			for _, b := range bound {
-				if clusterstate.ShardOf(b.machine, testShards) != i {
+				if record.ShardOf(b.machine, testShards) != i {
 					t.Errorf("node %d binds %s", i, b.machine)
 				}
 			}
@@ -200,7 +201,7 @@
 			zone[name] = testZones[i%len(testZones)]
 			if rapid.IntRange(0, 2).Draw(t, "used") == 0 {
 				spec := arraySpec(5000+i, 1)
-				fixture.addJob(spec, clusterstate.Task{State: clusterstate.TaskBound, Attempt: 1, Machine: name, Session: 1})
+				fixture.addJob(spec, record.Task{State: record.TaskBound, Attempt: 1, Machine: name, Session: 1})
 			} else {
 				free[zone[name]]++
 			}
@@ -228,7 +229,7 @@
 					t.Errorf("%s twice or in another zone", b.machine)
 				}
 				seen[b.machine] = true
-				if !guards[clusterstate.ShardKey(clusterstate.ShardOf(b.machine, testShards))] || !guards[clusterstate.ShardKey(b.chargedShard)] {
+				if !guards[record.ShardKey(record.ShardOf(b.machine, testShards))] || !guards[record.ShardKey(b.chargedShard)] {
 					t.Errorf("no guard for the parts of %v: %v", b, guards)
 				}
 				if b.chargedShard != i {
@@ -267,7 +268,7 @@
 func TestNewOwnerKeepsRunningMachines(t *testing.T) {
 	fixture := newTestCluster(t)
 	for i := range 40 {
-		fixture.put(clusterstate.MachineKey(fmt.Sprintf("vm-%06d", i)), clusterstate.MachineRecord{Type: "m", Zone: "east", CreatedAtMs: 1})
+		fixture.put(record.MachineKey(fmt.Sprintf("vm-%06d", i)), record.Machine{Type: "m", Zone: "east", CreatedAtMs: 1})
 	}
 	for _, owned := range []time.Duration{time.Second, time.Hour} {
 		deleted := 0
@@ -294,7 +295,7 @@
 		name := fixture.addMachine(i, i%2 == 0)
 		if i%5 != 0 {
 			spec := gangSpec(100000+i, 1)
-			fixture.addJob(spec, clusterstate.Task{State: clusterstate.TaskBound, Attempt: 1, Machine: name, Session: 1})
+			fixture.addJob(spec, record.Task{State: record.TaskBound, Attempt: 1, Machine: name, Session: 1})
 		}
 	}
 	for i := range 200 {
@@ -313,7 +314,7 @@
 	fixture := newTestCluster(t)
 	deleted, unknown := "vm-000001", "vm-000002"
 	for _, name := range []string{deleted, unknown} {
-		shard := clusterstate.ShardOf(name, testShards)
+		shard := record.ShardOf(name, testShards)
 		fixture.engines[shard].ConfirmDeleted([]string{deleted})
 		fixture.agents[shard].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", MachineType: "m", Zone: "east", Session: 1, Sequence: 1, FencingToken: 7})
 		fixture.cluster.RLock()
@@ -333,9 +334,9 @@
 func TestNewSessionIsRecordedFirst(t *testing.T) {
 	fixture := newTestCluster(t)
 	name := fixture.addMachine(1, false)
-	shard := clusterstate.ShardOf(name, testShards)
+	shard := record.ShardOf(name, testShards)
 	heartbeat := func(session uint64, up bool) kvstore.Transaction {
-		fixture.put(clusterstate.MachineKey(name), clusterstate.MachineRecord{Type: "m", Zone: "east", Address: "10.1.0.1:9000", CreatedAtMs: 1, Up: up})
+		fixture.put(record.MachineKey(name), record.Machine{Type: "m", Zone: "east", Address: "10.1.0.1:9000", CreatedAtMs: 1, Up: up})
 		fixture.engines[shard].agents.TakeAdoptions()
 		fixture.agents[shard].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", MachineType: "m", Zone: "east", Session: session, Sequence: 2, FencingToken: 7})
 		fixture.cluster.RLock()
@@ -358,7 +359,7 @@
 // gang had completed, the other's report tells it of both. The job once waited for ever.
 func TestGangIsDoneWithOneOfItsTasks(t *testing.T) {
 	fixture := newTestCluster(t)
-	fixture.addJob(gangSpec(1, 2), clusterstate.Task{Index: 0, State: clusterstate.TaskDone, Attempt: 1}, clusterstate.Task{Index: 1, Attempt: 1})
+	fixture.addJob(gangSpec(1, 2), record.Task{Index: 0, State: record.TaskDone, Attempt: 1}, record.Task{Index: 1, Attempt: 1})
 	ended := 0
 	for i := range testShards {
 		fixture.cluster.RLock()
@@ -367,9 +368,9 @@
 		c.buildChanges()
 		fixture.cluster.RUnlock()
 		for _, change := range c.outgoing {
-			if op := change.transaction.Ops[0]; op.PutKey == clusterstate.FinalKey("run-1") {
+			if op := change.transaction.Ops[0]; op.PutKey == record.FinalKey("run-1") {
 				ended++
-				var rec clusterstate.FinalRecord
+				var rec record.Final
 				if err := wire.Decode(op.Value, &rec); err != nil || rec.Status != wire.JobDone || rec.DoneCount != 2 {
 					t.Errorf("%+v, %v", rec, err)
 				}
@@ -389,7 +390,7 @@
 	for i := range 60 {
 		if name := fixture.addMachine(i, false); i < 9 {
 			held["g"][name] = true
-			fixture.agents[clusterstate.ShardOf(name, testShards)].RecordImageUse(name, "g", 4, 50)
+			fixture.agents[record.ShardOf(name, testShards)].RecordImageUse(name, "g", 4, 50)
 		}
 	}
 	fixture.addJob(gangSpec(1, 3))
@@ -417,17 +418,17 @@
 	busy := arraySpec(1, 40)
 	busy.Priority = wire.PriorityNormal
 	busy.CPUs, busy.GPUs = 28, 4
-	var on []clusterstate.Task
+	var on []record.Task
 	for i := range 60 {
 		if i%3 == 2 {
 			continue // of three zones two are used
 		}
-		on = append(on, clusterstate.Task{Index: len(on), State: clusterstate.TaskBound, Attempt: 1, Machine: fixture.addMachine(i, false), Session: 1})
+		on = append(on, record.Task{Index: len(on), State: record.TaskBound, Attempt: 1, Machine: fixture.addMachine(i, false), Session: 1})
 	}
 	fixture.addJob(busy, on...)
 	for i := range 30 {
 		if i%3 != 2 {
-			fixture.put(clusterstate.MachineKey(fmt.Sprintf("vm-1%05d", i)), clusterstate.MachineRecord{Type: "m", Zone: testZones[i%3], CreatedAtMs: testNow.UnixMilli()})
+			fixture.put(record.MachineKey(fmt.Sprintf("vm-1%05d", i)), record.Machine{Type: "m", Zone: testZones[i%3], CreatedAtMs: testNow.UnixMilli()})
 		}
 	}
 	service := wire.JobSpec{ID: "run-000002", Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: 4, CPUs: 5, GPUs: 1, MemoryGB: 38, Spread: true}
@@ -482,10 +483,10 @@
 		fixture := newTestCluster(t)
 		spec := gangSpec(1, 2)
 		spec.Team, spec.Class = "t", "c"
-		rec := clusterstate.JobRecord{Spec: spec, SubmittedAtMs: 1, CancelledAtMs: cancelMs, CancelAfterRelease: cancelMs != 0,
-			Tasks: []clusterstate.Task{{Index: 0, State: clusterstate.TaskDone, Attempt: 1}, {Index: 1, State: clusterstate.TaskPending, Attempt: 1}}}
+		rec := record.Job{Spec: spec, SubmittedAtMs: 1, CancelledAtMs: cancelMs, CancelAfterRelease: cancelMs != 0,
+			Tasks: []record.Task{{Index: 0, State: record.TaskDone, Attempt: 1}, {Index: 1, State: record.TaskPending, Attempt: 1}}}
 		fixture.cluster.BeginUpdate()
-		fixture.cluster.Put(clusterstate.JobKey(spec.ID), wire.MustEncode(rec), 0) // the view holds all up to it
+		fixture.cluster.Put(record.JobKey(spec.ID), wire.MustEncode(rec), 0) // the view holds all up to it
 		fixture.cluster.EndUpdate()
 		fixture.cluster.RLock()
 		c := fixture.engines[0].newCycle(testNow)
@@ -496,10 +497,10 @@
 		if cancelMs != 0 {
 			want = wire.JobCancelled
 		}
-		var final clusterstate.FinalRecord
+		var final record.Final
 		for _, change := range c.outgoing {
 			for _, o := range change.transaction.Ops {
-				if o.PutKey == clusterstate.FinalKey(spec.ID) {
+				if o.PutKey == record.FinalKey(spec.ID) {
 					_ = wire.Decode(o.Value, &final)
 				}
 			}
@@ -530,12 +531,12 @@
 		return nil, err
 	}
 	for _, o := range txn.Ops {
-		if strings.HasPrefix(o.PutKey, clusterstate.JobKey("")) {
+		if strings.HasPrefix(o.PutKey, record.JobKey("")) {
 			<-req.Context().Done()
 			return nil, req.Context().Err()
 		}
 		f.engine.mu.Lock()
-		if f.fenced = true; !f.engine.keysInFlight[clusterstate.JobKey("run-1")] || len(f.engine.inFlightChanges) == 0 {
+		if f.fenced = true; !f.engine.keysInFlight[record.JobKey("run-1")] || len(f.engine.inFlightChanges) == 0 {
 			f.releasedEarly = true
 		}
 		f.engine.mu.Unlock()
@@ -550,19 +551,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newTestCluster(t)
 		name := fixture.addMachine(1, false)
-		shard := clusterstate.ShardOf(name, testShards)
+		shard := record.ShardOf(name, testShards)
 		engine := fixture.engines[shard]
 		transport := &unansweredBindings{engine: engine}
 		client := kvstore.NewClient("10.0.0.1:1", kvstore.Limits{RequestsPerSecond: 1000, WritesPerSecond: 1000, MaxValueKiB: 16, MaxTransactionOps: 32}, transport)
 		engine.committer = kvstore.NewCommitter(client, func([]wire.Op, uint64) {})
 		node := fmt.Sprintf("node-%d", shard)
-		engine.membership = membership.New(node, 1, []string{node}, tuning.Level, client, engine.committer, kvstore.NewWatchCache(client, clusterstate.LivePrefix, fixture.cluster, slog.New(slog.DiscardHandler)), fixture.cluster, slog.New(slog.DiscardHandler))
+		engine.membership = membership.New(node, 1, []string{node}, tuning.Level, client, engine.committer, kvstore.NewWatchCache(client, record.LivePrefix, fixture.cluster, slog.New(slog.DiscardHandler)), fixture.cluster, slog.New(slog.DiscardHandler))
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = engine.committer.Run(ctx) }()
 		engine.ctx = ctx
-		change := &recordChange{description: "tasks of run-1", keys: []string{clusterstate.JobKey("run-1")}, shards: []int{shard},
-			bindings:    []pendingBinding{{clusterstate.TaskRef{Job: "run-1"}, name, shard, "t", clusterstate.Resources{GPUs: 1}}},
-			transaction: kvstore.Transaction{Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard)}}, Ops: []wire.Op{kvstore.PutOp(clusterstate.JobKey("run-1"), 1)}}}
+		change := &recordChange{description: "tasks of run-1", keys: []string{record.JobKey("run-1")}, shards: []int{shard},
+			bindings:    []pendingBinding{{record.TaskRef{Job: "run-1"}, name, shard, "t", record.Resources{GPUs: 1}}},
+			transaction: kvstore.Transaction{Conditions: []wire.Condition{{Key: record.ShardKey(shard)}}, Ops: []wire.Op{kvstore.PutOp(record.JobKey("run-1"), 1)}}}
 		engine.mu.Lock()
 		engine.keysInFlight[change.keys[0]], engine.inFlightChanges[0] = true, change
 		engine.mu.Unlock()
@@ -591,20 +592,20 @@
 		}
 		spec := arraySpec(1, tuning.ChunkTasks+4)
 		spec.SameZone, spec.Team, spec.Class, spec.CPUs, spec.GPUs, spec.MemoryGB = true, "t", "c", 1, 0, 1
-		var first []clusterstate.Task
+		var first []record.Task
 		for i := range tuning.ChunkTasks {
-			first = append(first, clusterstate.Task{Index: i, State: clusterstate.TaskDone, Attempt: 1})
+			first = append(first, record.Task{Index: i, State: record.TaskDone, Attempt: 1})
 		}
 		if lost {
-			first[0] = clusterstate.Task{Index: 0, State: clusterstate.TaskBound, Attempt: 1, Machine: "vm-999999", Session: 1}
+			first[0] = record.Task{Index: 0, State: record.TaskBound, Attempt: 1, Machine: "vm-999999", Session: 1}
 		}
-		fixture.put(clusterstate.JobKey(spec.ID), clusterstate.JobRecord{Spec: spec, SubmittedAtMs: testNow.UnixMilli(), Tasks: first})
+		fixture.put(record.JobKey(spec.ID), record.Job{Spec: spec, SubmittedAtMs: testNow.UnixMilli(), Tasks: first})
 		bound := 0
 		for i := range fixture.engines {
 			c, binds := fixture.runCycle(i)
 			bound += len(binds)
 			for _, change := range c.outgoing {
-				own := slices.ContainsFunc(change.transaction.Ops, func(o wire.Op) bool { return o.PutKey == clusterstate.JobKey(spec.ID) })
+				own := slices.ContainsFunc(change.transaction.Ops, func(o wire.Op) bool { return o.PutKey == record.JobKey(spec.ID) })
 				if len(change.bindings) > 0 && !own {
 					t.Errorf("node %d binds %d tasks without the job's own record: %v", i, len(change.bindings), change.keys)
 				}
--- a/internal/schemaversion/activator.go
+++ b/internal/schemaversion/activator.go
@@ -15,6 +15,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -112,11 +113,11 @@
 	if u.clusterState.SchemaVersion >= u.supportedVersion {
 		return nil, ""
 	}
-	_, stamp, leads := u.ownership.Owns(clusterstate.LeaderShard)
+	_, stamp, leads := u.ownership.Owns(record.LeaderShard)
 	if !leads {
 		return nil, ""
 	}
-	guards := []wire.Condition{{Key: clusterstate.SchemaVersionKey, ModRevision: u.clusterState.SchemaVersionModRevision}, {Key: clusterstate.ShardKey(clusterstate.LeaderShard), ModRevision: stamp}}
+	guards := []wire.Condition{{Key: record.SchemaVersionKey, ModRevision: u.clusterState.SchemaVersionModRevision}, {Key: record.ShardKey(record.LeaderShard), ModRevision: stamp}}
 	level, missing := u.supportedVersion, ""
 	for _, name := range u.settings.Nodes() {
 		n, live := u.clusterState.Nodes[name]
@@ -127,7 +128,7 @@
 			// All may read one between.
 			level, missing = min(level, n.SchemaVersion), name
 		}
-		guards = append(guards, wire.Condition{Key: clusterstate.NodeKey(name), ModRevision: n.ModRevision})
+		guards = append(guards, wire.Condition{Key: record.NodeKey(name), ModRevision: n.ModRevision})
 	}
 	if level <= u.clusterState.SchemaVersion {
 		return nil, missing
@@ -135,5 +136,5 @@
 	if len(guards) > tuning.GuardsPerOp*u.limits.MaxTransactionOps() {
 		return nil, "more nodes than one transaction has conditions"
 	}
-	return &kvstore.Transaction{Conditions: guards, Ops: []wire.Op{kvstore.PutOp(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: level})}, Urgent: true}, missing
+	return &kvstore.Transaction{Conditions: guards, Ops: []wire.Op{kvstore.PutOp(record.SchemaVersionKey, record.SchemaVersion{Version: level})}, Urgent: true}, missing
 }
--- a/internal/schemaversion/activator_test.go
+++ b/internal/schemaversion/activator_test.go
@@ -12,6 +12,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -36,8 +37,8 @@
 	}
 	for _, o := range it.Ops {
 		r.set(o.PutKey, o.Value)
-		if o.PutKey == clusterstate.SchemaVersionKey {
-			var rec clusterstate.SchemaVersionRecord
+		if o.PutKey == record.SchemaVersionKey {
+			var rec record.SchemaVersion
 			if err := wire.Decode(o.Value, &rec); err != nil || rec.Version <= r.activeVersion {
 				r.t.Fatalf("level %d after %d: %v", rec.Version, r.activeVersion, err)
 			}
@@ -80,9 +81,9 @@
 		catchUp := func(only string) {
 			view.BeginUpdate()
 			for _, name := range append(set.Nodes(), "level") {
-				key := clusterstate.NodeKey(name)
+				key := record.NodeKey(name)
 				if name == "level" {
-					key = clusterstate.SchemaVersionKey
+					key = record.SchemaVersionKey
 				}
 				if only != "" && only != key || seen[key] == r.modRevisions[key] {
 					continue
@@ -97,7 +98,7 @@
 		}
 		start := func(name string, level int) {
 			r.nodeVersions[name] = level
-			r.set(clusterstate.NodeKey(name), wire.MustEncode(clusterstate.NodeRecord{Incarnation: r.revision + 1, SchemaVersion: level}))
+			r.set(record.NodeKey(name), wire.MustEncode(record.Node{Incarnation: r.revision + 1, SchemaVersion: level}))
 		}
 		for _, name := range set.Nodes() {
 			start(name, 0)
@@ -111,14 +112,14 @@
 				start(name, rapid.IntRange(r.activeVersion, tuning.Level).Draw(t, "level"))
 			case 2: // its session ends with it
 				r.nodeVersions[name] = -1
-				delete(r.modRevisions, clusterstate.NodeKey(name))
-				delete(r.values, clusterstate.NodeKey(name))
+				delete(r.modRevisions, record.NodeKey(name))
+				delete(r.values, record.NodeKey(name))
 			case 3:
-				catchUp(clusterstate.NodeKey(name))
+				catchUp(record.NodeKey(name))
 			case 4:
 				u.check(t.Context())
 			}
-			if r.activeVersion != 0 && len(r.values[clusterstate.SchemaVersionKey]) == 0 {
+			if r.activeVersion != 0 && len(r.values[record.SchemaVersionKey]) == 0 {
 				t.Fatal("taken back")
 			}
 		}
--- a/internal/simulation/fakeagent.go
+++ b/internal/simulation/fakeagent.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -41,7 +41,7 @@
 }
 
 type attempt struct {
-	task   clusterstate.TaskRef
+	task   record.TaskRef
 	number uint64
 }
 
@@ -116,7 +116,7 @@
 				for _, m := range mates {
 					m.agent.statusChanged = true
 					m.task.State = wire.TaskRunning
-					m.task.readyAt = now.Add(a.region.remainingRunTime(clusterstate.TaskRef{Job: k.task.Job}, &t.spec))
+					m.task.readyAt = now.Add(a.region.remainingRunTime(record.TaskRef{Job: k.task.Job}, &t.spec))
 				}
 			} else if now.After(t.readyAt) {
 				a.exitTask(k, t, wire.ExitCauseGangIncomplete, false)
@@ -162,7 +162,7 @@
 func (a *fakeAgent) executeCommands(orders []wire.Command) {
 	now := time.Now()
 	for _, o := range orders {
-		ref, ok := clusterstate.ParseTaskRef(o.Task)
+		ref, ok := record.ParseTaskRef(o.Task)
 		if !ok {
 			a.region.Checker.AddViolation("format: task " + o.Task)
 			continue
@@ -202,17 +202,17 @@
 		a.exitTask(k, t, wire.ExitCauseUnknownTask, false)
 		return
 	}
-	used := clusterstate.Resources{}
+	used := record.Resources{}
 	for o, x := range a.tasks {
 		if x.State != wire.TaskExited && o != k {
-			used = used.AddTimes(clusterstate.TaskResources(&x.spec), 1)
+			used = used.AddTimes(record.TaskResources(&x.spec), 1)
 			if o.task == k.task {
 				a.exitTask(k, t, wire.ExitCauseAlreadyRunning, false)
 				return
 			}
 		}
 	}
-	if !used.AddTimes(clusterstate.TaskResources(&spec), 1).FitsIn(clusterstate.Capacity(&a.machineType)) {
+	if !used.AddTimes(record.TaskResources(&spec), 1).FitsIn(record.Capacity(&a.machineType)) {
 		a.exitTask(k, t, wire.ExitCauseNoCapacity, false)
 		return
 	}
--- a/internal/simulation/fakeuser.go
+++ b/internal/simulation/fakeuser.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -98,8 +98,8 @@
 
 // cancelMarked tells whether a job's record says that it is cancelled.
 func (r *Region) cancelMarked(id string) bool {
-	var rec clusterstate.JobRecord
-	return wire.Decode(r.KV.Row(clusterstate.JobKey(id)).Value, &rec) == nil && rec.CancelledAtMs != 0
+	var rec record.Job
+	return wire.Decode(r.KV.Row(record.JobKey(id)).Value, &rec) == nil && rec.CancelledAtMs != 0
 }
 
 // QueryUnknownJobs asks about jobs that nobody submitted.
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -87,12 +87,12 @@
 }
 
 // leaderToken gives the leader's token.
-func (r *Region) leaderToken() uint64 { return r.shardOwner(clusterstate.LeaderShard).FencingToken }
+func (r *Region) leaderToken() uint64 { return r.shardOwner(record.LeaderShard).FencingToken }
 
 // shardOwner gives the record of a part's owner.
-func (r *Region) shardOwner(part int) clusterstate.ShardRecord {
-	var p clusterstate.ShardRecord
-	_ = wire.Decode(r.KV.Row(clusterstate.ShardKey(part)).Value, &p)
+func (r *Region) shardOwner(part int) record.Shard {
+	var p record.Shard
+	_ = wire.Decode(r.KV.Row(record.ShardKey(part)).Value, &p)
 	return p
 }
 
@@ -103,10 +103,10 @@
 		if w.hung() || w.inboundLost() || w.outboundLost() || !w.reclaimAt.IsZero() {
 			continue
 		}
-		free := clusterstate.Capacity(&w.machineType)
+		free := record.Capacity(&w.machineType)
 		for _, t := range w.tasks {
 			if t.State != wire.TaskExited {
-				free = free.AddTimes(clusterstate.TaskResources(&t.spec), -1)
+				free = free.AddTimes(record.TaskResources(&t.spec), -1)
 			}
 		}
 		out = append(out, FreeCapacity{w.placement(), free})
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -25,7 +25,7 @@
 	mu            sync.Mutex
 	settings      *config.Settings
 	jobs          map[string]*jobHistory
-	placements    map[clusterstate.TaskRef]map[string]Placement
+	placements    map[record.TaskRef]map[string]Placement
 	Violations    []string
 	TaskStarts    int
 	faultsEndedAt time.Time // when all troubles are over; zero: not yet told
@@ -77,7 +77,7 @@
 
 // NewInvariantChecker makes an oracle for a region.
 func NewInvariantChecker(set *config.Settings) *InvariantChecker {
-	return &InvariantChecker{settings: set, jobs: map[string]*jobHistory{}, placements: map[clusterstate.TaskRef]map[string]Placement{}, Observed: map[string]int{}}
+	return &InvariantChecker{settings: set, jobs: map[string]*jobHistory{}, placements: map[record.TaskRef]map[string]Placement{}, Observed: map[string]int{}}
 }
 
 func (c *InvariantChecker) violation(rule, format string, a ...any) {
@@ -257,7 +257,7 @@
 // FreeCapacity is what is free on a machine that can be reached.
 type FreeCapacity struct {
 	Placement
-	Free clusterstate.Resources
+	Free record.Resources
 }
 
 // maxStartableWait is how long a job may wait beside room that fits, all troubles over.
@@ -292,7 +292,7 @@
 	spec := &job.spec
 	waiting, inZone, pinnedZone := 0, map[string]int{}, spec.Zone
 	for i := range spec.TaskCount {
-		placements := c.placements[clusterstate.TaskRef{Job: spec.ID, Index: i}]
+		placements := c.placements[record.TaskRef{Job: spec.ID, Index: i}]
 		if len(placements) == 0 && !job.completedTasks[i] {
 			waiting++
 		}
@@ -303,7 +303,7 @@
 			}
 		}
 	}
-	need, minTasks := clusterstate.TaskResources(spec), 1
+	need, minTasks := record.TaskResources(spec), 1
 	if spec.Kind == wire.KindGang {
 		minTasks = spec.TaskCount
 	}
@@ -333,7 +333,7 @@
 
 // withinTeamLimit tells whether a team may run so many more tasks of a job. Callers hold the lock.
 func (c *InvariantChecker) withinTeamLimit(s *wire.JobSpec, tasks int) bool {
-	use := c.teamUsage(s.Team).AddTimes(clusterstate.TaskResources(s), float64(tasks))
+	use := c.teamUsage(s.Team).AddTimes(record.TaskResources(s), float64(tasks))
 	for _, t := range c.settings.Deployment.Teams {
 		if t.Name == s.Team && (t.GPUsMax > 0 && use.GPUs > t.GPUsMax+1e-6 || t.CPUsMax > 0 && use.CPUs > t.CPUsMax+1e-6) {
 			return false
@@ -343,11 +343,11 @@
 }
 
 // teamUsage is what a team's tasks take. Callers hold the lock.
-func (c *InvariantChecker) teamUsage(team string) clusterstate.Resources {
-	var use clusterstate.Resources
+func (c *InvariantChecker) teamUsage(team string) record.Resources {
+	var use record.Resources
 	for ref, at := range c.placements {
 		if s := &c.jobs[ref.Job].spec; s.Team == team {
-			use = use.AddTimes(clusterstate.TaskResources(s), float64(len(at)))
+			use = use.AddTimes(record.TaskResources(s), float64(len(at)))
 		}
 	}
 	return use
@@ -468,7 +468,7 @@
 }
 
 // TaskFailed notes that a task has failed by itself.
-func (c *InvariantChecker) TaskFailed(ref clusterstate.TaskRef) {
+func (c *InvariantChecker) TaskFailed(ref record.TaskRef) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.jobs[ref.Job].failures[ref.Index]++
@@ -476,7 +476,7 @@
 
 // FailureAcknowledged notes that the service has acknowledged a task's failure: it must have spent
 // a repeat.
-func (c *InvariantChecker) FailureAcknowledged(ref clusterstate.TaskRef) {
+func (c *InvariantChecker) FailureAcknowledged(ref record.TaskRef) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	j := c.jobs[ref.Job]
@@ -515,7 +515,7 @@
 }
 
 // TaskStarted notes that a task is on a machine from now on.
-func (c *InvariantChecker) TaskStarted(ref clusterstate.TaskRef, placement Placement) {
+func (c *InvariantChecker) TaskStarted(ref record.TaskRef, placement Placement) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	job := c.jobs[ref.Job]
@@ -559,7 +559,7 @@
 	}
 	inZone := 0
 	for i := range spec.TaskCount {
-		for _, q := range c.placements[clusterstate.TaskRef{Job: spec.ID, Index: i}] {
+		for _, q := range c.placements[record.TaskRef{Job: spec.ID, Index: i}] {
 			if q.Zone == placement.Zone {
 				inZone++
 			} else if spec.SameZone {
@@ -600,14 +600,14 @@
 }
 
 // TaskLeft notes that a task has left a machine.
-func (c *InvariantChecker) TaskLeft(ref clusterstate.TaskRef, machine string) {
+func (c *InvariantChecker) TaskLeft(ref record.TaskRef, machine string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.placements[ref], machine)
 }
 
 // TaskCompleted notes that a task has completed.
-func (c *InvariantChecker) TaskCompleted(ref clusterstate.TaskRef) {
+func (c *InvariantChecker) TaskCompleted(ref record.TaskRef) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.jobs[ref.Job].completedTasks[ref.Index] = true
@@ -632,7 +632,7 @@
 }
 
 // TaskIsDone tells whether a task has completed.
-func (c *InvariantChecker) TaskIsDone(ref clusterstate.TaskRef) bool {
+func (c *InvariantChecker) TaskIsDone(ref record.TaskRef) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.jobs[ref.Job].completedTasks[ref.Index]
--- a/internal/simulation/region.go
+++ b/internal/simulation/region.go
@@ -15,11 +15,11 @@
 	"sync/atomic"
 	"time"
 
-	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/controller"
 	"sableusher/internal/offload"
 	"sableusher/internal/peerrpc"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -141,9 +141,9 @@
 	cloudOutageUntil    time.Time
 	zoneClosedUntil     map[string]time.Time // zones in which the cloud rents nothing until then
 	agents              map[string]*fakeAgent
-	checkpointed        map[clusterstate.TaskRef]bool
+	checkpointed        map[record.TaskRef]bool
 	runSeconds          map[string]float64
-	taskFailures        map[clusterstate.TaskRef]int // failures that tasks still have before them
+	taskFailures        map[record.TaskRef]int       // failures that tasks still have before them
 	duplicateHeartbeats faultRate                    // reports of which a copy arrives again
 	HeartbeatCopies     int                          // such copies so far
 	heartbeatCapture    faultRate                    // reports of which a copy is kept for the next leader
@@ -177,7 +177,7 @@
 	r := &Region{Settings: settings, Network: NewFakeNetwork(rand.New(rand.NewPCG(random.Uint64(), 1))), Checker: checker, Log: log,
 		KV:  NewFakeKV(deployment.State.RPS, deployment.State.WriteRPS, deployment.State.TxnOps, deployment.State.ValueKB, 600),
 		ctx: ctx, random: random, machineTypes: machineTypes, capacity: map[string]int{}, rentals: map[string][]string{},
-		agents: map[string]*fakeAgent{}, zoneClosedUntil: map[string]time.Time{}, checkpointed: map[clusterstate.TaskRef]bool{}, runSeconds: map[string]float64{}, taskFailures: map[clusterstate.TaskRef]int{}, capturedHeartbeats: map[string]capturedHeartbeat{}}
+		agents: map[string]*fakeAgent{}, zoneClosedUntil: map[string]time.Time{}, checkpointed: map[record.TaskRef]bool{}, runSeconds: map[string]float64{}, taskFailures: map[record.TaskRef]int{}, capturedHeartbeats: map[string]capturedHeartbeat{}}
 	for _, t := range machineTypes {
 		for _, z := range t.Zones {
 			for _, spot := range []bool{true, false} {
@@ -258,13 +258,13 @@
 }
 
 // InjectTaskFailures lets a task fail by itself so many times before it can complete.
-func (r *Region) InjectTaskFailures(ref clusterstate.TaskRef, times int) {
+func (r *Region) InjectTaskFailures(ref record.TaskRef, times int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.taskFailures[ref] = times
 }
 
-func (r *Region) remainingRunTime(ref clusterstate.TaskRef, spec *wire.JobSpec) time.Duration {
+func (r *Region) remainingRunTime(ref record.TaskRef, spec *wire.JobSpec) time.Duration {
 	seconds := r.runSeconds[spec.ID]
 	if r.checkpointed[ref] {
 		seconds /= 2
@@ -564,7 +564,7 @@
 func (r *Region) LeaderIndex() int {
 	most, at := -1, 0
 	owners := map[string]int{}
-	owners[r.shardOwner(clusterstate.LeaderShard).Owner] = len(r.controllers) + 1
+	owners[r.shardOwner(record.LeaderShard).Owner] = len(r.controllers) + 1
 	for p := range r.Settings.Deployment.Size {
 		owners[r.shardOwner(p).Owner]++
 	}
--- a/internal/simulation/region_test.go
+++ b/internal/simulation/region_test.go
@@ -13,8 +13,8 @@
 	"testing/synctest"
 	"time"
 
-	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -376,7 +376,7 @@
 		r.Wait()
 		time.Sleep(3 * time.Minute)
 		for i := range 2 {
-			if !r.checkpointed[clusterstate.TaskRef{Job: spec.ID, Index: i}] {
+			if !r.checkpointed[record.TaskRef{Job: spec.ID, Index: i}] {
 				t.Errorf("task %d did not save", i)
 			}
 		}
@@ -399,19 +399,19 @@
 // TestOracleLeavesAlone: a job that waits for room that is not there for it is not left waiting.
 func TestCheckerAllowsJustifiedWaiting(t *testing.T) {
 	place := func(zone string, spot bool) Placement { return Placement{"a", "large", zone, spot} }
-	gpu := clusterstate.Resources{GPUs: 1}
+	gpu := record.Resources{GPUs: 1}
 	for name, c := range map[string]struct {
 		spec  func(*wire.JobSpec)
 		rooms []FreeCapacity
 	}{
-		"no room":          {nil, []FreeCapacity{{place("east", false), clusterstate.Resources{}}}},
+		"no room":          {nil, []FreeCapacity{{place("east", false), record.Resources{}}}},
 		"spot":             {nil, []FreeCapacity{{place("east", true), gpu}}},
 		"another zone":     {func(s *wire.JobSpec) { s.Zone = "west" }, []FreeCapacity{{place("east", false), gpu}}},
 		"another type":     {func(s *wire.JobSpec) { s.MachineTypes = []string{"small"} }, []FreeCapacity{{place("east", false), gpu}}},
-		"spread":           {func(s *wire.JobSpec) { s.Kind, s.TaskCount, s.Spread = wire.KindGang, 4, true }, []FreeCapacity{{place("east", false), clusterstate.Resources{GPUs: 4}}}},
+		"spread":           {func(s *wire.JobSpec) { s.Kind, s.TaskCount, s.Spread = wire.KindGang, 4, true }, []FreeCapacity{{place("east", false), record.Resources{GPUs: 4}}}},
 		"zones apart":      {func(s *wire.JobSpec) { s.Kind, s.TaskCount, s.SameZone = wire.KindGang, 2, true }, []FreeCapacity{{place("east", false), gpu}, {place("west", false), gpu}}},
-		"over its limit":   {func(s *wire.JobSpec) { s.GPUs = 7 }, []FreeCapacity{{place("east", false), clusterstate.Resources{GPUs: 8}}}},
-		"half of the gang": {func(s *wire.JobSpec) { s.Kind, s.TaskCount = wire.KindGang, 4 }, []FreeCapacity{{place("east", false), clusterstate.Resources{GPUs: 3}}}},
+		"over its limit":   {func(s *wire.JobSpec) { s.GPUs = 7 }, []FreeCapacity{{place("east", false), record.Resources{GPUs: 8}}}},
+		"half of the gang": {func(s *wire.JobSpec) { s.Kind, s.TaskCount = wire.KindGang, 4 }, []FreeCapacity{{place("east", false), record.Resources{GPUs: 3}}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -433,7 +433,7 @@
 // can't fail would prove nothing.
 func TestCheckerDetectsEachViolation(t *testing.T) {
 	at := func(m, typ, zone string, spot bool) Placement { return Placement{m, typ, zone, spot} }
-	ref := func(i int) clusterstate.TaskRef { return clusterstate.TaskRef{Job: "run-1", Index: i} }
+	ref := func(i int) record.TaskRef { return record.TaskRef{Job: "run-1", Index: i} }
 	base := wire.JobSpec{ID: "run-1", Team: "bound", Kind: wire.KindArray, TaskCount: 8, GPUs: 1}
 	defects := map[string][]struct {
 		name string
@@ -481,10 +481,10 @@
 		}}},
 		"left": {
 			{"beside room", nil, func(o *InvariantChecker) {
-				waitBesideCapacity(o, FreeCapacity{at("a", "large", "east", false), clusterstate.Resources{CPUs: 8, GPUs: 1}})
+				waitBesideCapacity(o, FreeCapacity{at("a", "large", "east", false), record.Resources{CPUs: 8, GPUs: 1}})
 			}},
 			{"a gang beside room in its zone", func(s *wire.JobSpec) { s.Kind, s.TaskCount, s.SameZone = wire.KindGang, 2, true }, func(o *InvariantChecker) {
-				waitBesideCapacity(o, FreeCapacity{at("a", "large", "west", false), clusterstate.Resources{GPUs: 1}}, FreeCapacity{at("b", "large", "east", false), clusterstate.Resources{GPUs: 1}}, FreeCapacity{at("c", "large", "east", false), clusterstate.Resources{GPUs: 1}})
+				waitBesideCapacity(o, FreeCapacity{at("a", "large", "west", false), record.Resources{GPUs: 1}}, FreeCapacity{at("b", "large", "east", false), record.Resources{GPUs: 1}}, FreeCapacity{at("c", "large", "east", false), record.Resources{GPUs: 1}})
 			}},
 		},
 		"forgotten": {{"404", nil, func(o *InvariantChecker) {
@@ -526,8 +526,8 @@
 					time.Sleep(5 * time.Minute)
 				}
 				for k := range 1 + i/4*9 {
-					o.TaskStarted(clusterstate.TaskRef{Job: id, Index: k}, at("a", "large", "east", false))
-					o.TaskCompleted(clusterstate.TaskRef{Job: id, Index: k})
+					o.TaskStarted(record.TaskRef{Job: id, Index: k}, at("a", "large", "east", false))
+					o.TaskCompleted(record.TaskRef{Job: id, Index: k})
 				}
 			}
 			o.CheckServedShares()
--- a/internal/simulation/sessionrecord_test.go
+++ b/internal/simulation/sessionrecord_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 	"time"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -22,7 +22,7 @@
 		replaced := 0
 		r.KV.mu.Lock()
 		r.KV.OnWrite = func(key string, _ wire.RawValue) {
-			if key == clusterstate.NodeKey("node-0") && r.KV.lateWrites.random != nil && !time.Now().Before(r.KV.lateWrites.until) {
+			if key == record.NodeKey("node-0") && r.KV.lateWrites.random != nil && !time.Now().Before(r.KV.lateWrites.until) {
 				replaced++
 			}
 		}
@@ -36,13 +36,13 @@
 			r.StartController(0)
 			time.Sleep(25 * time.Second)
 			rows := r.KV.Snapshot()
-			var node clusterstate.NodeRecord
-			var home clusterstate.ShardRecord
-			row, there := rows[clusterstate.NodeKey("node-0")]
+			var node record.Node
+			var home record.Shard
+			row, there := rows[record.NodeKey("node-0")]
 			if there {
 				_ = wire.Decode(row.Value, &node)
 			}
-			_ = wire.Decode(rows[clusterstate.ShardKey(0)].Value, &home)
+			_ = wire.Decode(rows[record.ShardKey(0)].Value, &home)
 			if !there || home.Owner != "node-0" || home.Incarnation != node.Incarnation {
 				t.Errorf("seed %d: session there %v (%+v), its part is %+v", seed, there, node, home)
 			}
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -13,8 +13,8 @@
 	"testing/synctest"
 	"time"
 
-	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -77,9 +77,9 @@
 	r := NewRegion(ctx, settings(0), testTypes, 12, rand.New(rand.NewPCG(seed, 18)), log)
 	active := false
 	r.KV.OnWrite = func(key string, v wire.RawValue) {
-		var job clusterstate.JobRecord
+		var job record.Job
 		switch {
-		case key == clusterstate.SchemaVersionKey:
+		case key == record.SchemaVersionKey:
 			active = true
 			for _, c := range r.controllers {
 				if c.SchemaVersion < tuning.LevelPipelines {
