--- a/internal/record/cell.go
+++ b/internal/record/cell.go
@@ -1,6 +1,6 @@
 package record
 
-import ()
+import "sableusher/internal/wire"
 
 // Cell is what a cell keeps of another one; its leader writes it.
 type Cell struct {
@@ -17,7 +17,7 @@
 
 // GuestOutcome is how a guest ended, kept until home has it.
 type GuestOutcome struct {
-	JobID     string `cbor:"j"`
-	Status    string `cbor:"s"`
-	DoneCount int    `cbor:"d"`
+	JobID     string        `cbor:"j"`
+	Status    wire.JobState `cbor:"s"`
+	DoneCount int           `cbor:"d"`
 }
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -43,8 +43,8 @@
 
 // Final is what remains of a finished job.
 type Final struct {
-	Status    string `cbor:"s"`
-	TaskCount int    `cbor:"n"`
-	DoneCount int    `cbor:"d"`
-	EndedAtMs int64  `cbor:"t"`
+	Status    wire.JobState `cbor:"s"`
+	TaskCount int           `cbor:"n"`
+	DoneCount int           `cbor:"d"`
+	EndedAtMs int64         `cbor:"t"`
 }
