--- a/internal/record/cell.go
+++ b/internal/record/cell.go
@@ -1,6 +1,8 @@
 package record
 
-import "sableusher/internal/wire"
+import (
+	"sableusher/internal/wire"
+)
 
 // Cell is what a cell keeps of another one; its leader writes it.
 type Cell struct {
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -257,7 +257,7 @@
 func (c *cycle) pruneState() {
 	c.updateNeedPerGPU()
 	c.updateCommonTask()
-	maps.DeleteFunc(c.rejectedUntil, func(_ string, until time.Time) bool { return c.now.After(until) })
+	c.changes.pruneRejected(c.now)
 	isOver := func(id string) bool { return c.cluster.Jobs[id] == nil }
 	maps.DeleteFunc(c.cachedValues, func(id string, _ cachedValue) bool { return isOver(id) })
 	maps.DeleteFunc(c.jobBackoffs, func(id string, _ jobBackoff) bool { return isOver(id) })
@@ -266,7 +266,7 @@
 	maps.DeleteFunc(c.lastLoggedReason, func(id string, _ time.Time) bool { return isOver(id) })
 	maps.DeleteFunc(c.gangFormingSince, func(id string, _ time.Time) bool { return isOver(id) })
 	maps.DeleteFunc(c.tombstones, func(_ string, at time.Time) bool { return c.now.Sub(at) > tuning.BuriedFor })
-	maps.DeleteFunc(c.reservations, func(_ string, reservation reservation) bool { return c.now.After(reservation.expiresAt) })
+	c.reservations.prune(c.now)
 }
 
 // predictedRunTime is how long a task of a job is expected to run.
@@ -734,7 +734,7 @@
 	for i := start; i < end && len(picks) > 0 && examined < tuning.JobSlice; i++ {
 		chunk := job.ChunkOf(i)
 		lo, hi := job.TaskRange(chunk)
-		if i == lo && (job.ChunkFullyAssigned(chunk) || c.keysInFlight[job.ChunkKey(chunk)]) {
+		if i == lo && (job.ChunkFullyAssigned(chunk) || c.changes.inFlight(job.ChunkKey(chunk))) {
 			i = hi - 1 // nothing waits in this record, or it can't be changed now
 			continue
 		}
@@ -803,7 +803,7 @@
 	delete(c.ownerWaits, job.Spec.ID)
 	delete(c.unplacedSince, job.Spec.ID)
 	if candidate.ReservedFor == job.Spec.ID {
-		delete(c.reservations, candidate.Machine.Name)
+		c.reservations.release(candidate.Machine.Name)
 		c.inventory.ReserveFor(candidate.Machine.Name, "")
 	}
 	c.log.Debug("task placed", "task", ref, "attempt", attempt, "machine", candidate.Machine.Name, "image", c.inventory.HasImage(job.Spec.Image, candidate))
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -85,7 +85,7 @@
 		if c.releaseBlocked || deleted {
 			c.machinesToReconcile[name] = struct{}{}
 		}
-		if deleted && len(machine.Bindings) == 0 && machine.ModRevision != 0 && !c.cluster.ListedInRental(name) && !c.keysInFlight[record.MachineKey(name)] {
+		if deleted && len(machine.Bindings) == 0 && machine.ModRevision != 0 && !c.cluster.ListedInRental(name) && !c.changes.inFlight(record.MachineKey(name)) {
 			c.outgoing = append(c.outgoing, &recordChange{
 				description: "forget machine " + name, keys: []string{record.MachineKey(name)}, shards: []int{machine.Shard},
 				transaction: kvstore.Transaction{
@@ -200,7 +200,7 @@
 	}
 	for id, job := range c.cluster.Jobs {
 		key := record.JobKey(id)
-		if c.keysInFlight[key] {
+		if c.changes.inFlight(key) {
 			continue
 		}
 		if job.Spec.Kind == wire.KindGang && job.DoneCount > 0 && job.BoundCount == 0 && job.HasRecord && !job.Complete() && !job.Cancelled() {
@@ -253,7 +253,7 @@
 		shard := record.ShardOf(name, c.cluster.ShardCount)
 		key := record.MachineKey(name)
 		machine := c.cluster.Machines[name]
-		if _, owned := c.shardRevisions[shard]; !owned || c.keysInFlight[key] || machine != nil && machine.Deleting {
+		if _, owned := c.shardRevisions[shard]; !owned || c.changes.inFlight(key) || machine != nil && machine.Deleting {
 			continue
 		}
 		// A report that a cut has held back may come long after its machine was deleted:
@@ -311,10 +311,10 @@
 // gang's saves must begin.
 func (c *cycle) requestGangStop(binding clusterstate.Binding, machine *clusterstate.Machine) {
 	key := record.JobKey(binding.Ref.Job)
-	if binding.Job.PreemptedAttempt == binding.Attempt || c.keysInFlight[key] || c.recordEdits[recordKey{binding.Job, 0}] != nil || c.needsMigration(binding.Job) {
+	if binding.Job.PreemptedAttempt == binding.Attempt || c.changes.inFlight(key) || c.recordEdits[recordKey{binding.Job, 0}] != nil || c.needsMigration(binding.Job) {
 		return
 	}
-	c.keysInFlight[key] = true
+	c.changes.reserveKey(key)
 	marked := *binding.Job
 	marked.PreemptedAttempt = binding.Attempt
 	op := marked.EncodeChunk(0, nil)
