--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -13,6 +13,7 @@
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/membership"
+	"sableusher/internal/record"
 	"sableusher/internal/scheduler"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -130,8 +131,8 @@
 // leadership reports whether this controller is the leader, with the condition that a leader's
 // changes depend on. Callers hold the state's lock.
 func (a *Autoscaler) leadership() (condition wire.Condition, isLeader bool) {
-	_, modRevision, isLeader := a.members.Owns(clusterstate.LeaderShard)
-	key := clusterstate.ShardKey(clusterstate.LeaderShard)
+	_, modRevision, isLeader := a.members.Owns(record.LeaderShard)
+	key := record.ShardKey(record.LeaderShard)
 	return wire.Condition{Key: key, ModRevision: modRevision}, isLeader
 }
 
@@ -168,9 +169,9 @@
 // putMachine is the leader's change of a machine's record, which must not have changed since
 // modRevision; 0 for a machine without a record.
 func putMachine(
-	leader wire.Condition, machine string, modRevision uint64, machineRecord clusterstate.MachineRecord,
+	leader wire.Condition, machine string, modRevision uint64, machineRecord record.Machine,
 ) kvstore.Transaction {
-	key := clusterstate.MachineKey(machine)
+	key := record.MachineKey(machine)
 	return kvstore.Transaction{
 		Conditions: []wire.Condition{leader, {Key: key, ModRevision: modRevision}},
 		Ops:        []wire.Op{kvstore.PutOp(key, machineRecord)},
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -135,10 +135,10 @@
 
 // machineEquivalents returns what a job takes, in machines of the type of which it takes least.
 func (a *Autoscaler) machineEquivalents(spec *wire.JobSpec) float64 {
-	need := clusterstate.TaskResources(spec)
+	need := record.TaskResources(spec)
 	perTask := math.Inf(1)
 	for _, machineType := range a.state.Types {
-		perTask = min(perTask, machineFraction(need, clusterstate.Capacity(&machineType)))
+		perTask = min(perTask, machineFraction(need, record.Capacity(&machineType)))
 	}
 	if math.IsInf(perTask, 1) {
 		return 0
@@ -148,7 +148,7 @@
 
 // machineFraction returns the fraction of a machine that a need takes, by the resource of which it
 // takes most.
-func machineFraction(need, capacity clusterstate.Resources) float64 {
+func machineFraction(need, capacity record.Resources) float64 {
 	fraction := 0.0
 	for _, resource := range [...]struct{ need, capacity float64 }{
 		{need.CPUs, capacity.CPUs},
--- a/internal/autoscaler/headroom_test.go
+++ b/internal/autoscaler/headroom_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/scheduler"
 	"sableusher/internal/wire"
 )
@@ -16,18 +17,18 @@
 // what they take by zone, in machines.
 func drawServiceMachines(t *rapid.T, state *clusterstate.State) map[string]float64 {
 	usedByZone := map[string]float64{}
-	job := &clusterstate.Job{JobRecord: clusterstate.JobRecord{Spec: wire.JobSpec{
+	job := &clusterstate.Job{Job: record.Job{Spec: wire.JobSpec{
 		ID: "run-1", Kind: wire.KindService, TaskCount: 8, CPUs: 8, GPUs: 1, MemoryGB: 60,
 	}}}
 	for i := range rapid.IntRange(0, 40).Draw(t, "machines") {
 		zone := rapid.SampledFrom(testZones).Draw(t, "zone")
 		machine := &clusterstate.Machine{
-			Name:          fmt.Sprintf("vm-%d", i),
-			MachineRecord: clusterstate.MachineRecord{Type: "m", Zone: zone, Up: true},
-			Bindings:      map[clusterstate.TaskRef]clusterstate.Binding{},
+			Name:     fmt.Sprintf("vm-%d", i),
+			Machine:  record.Machine{Type: "m", Zone: zone, Up: true},
+			Bindings: map[record.TaskRef]clusterstate.Binding{},
 		}
 		for replica := range rapid.IntRange(0, 4).Draw(t, "replicas") {
-			ref := clusterstate.TaskRef{Job: fmt.Sprintf("run-%d", i), Index: replica}
+			ref := record.TaskRef{Job: fmt.Sprintf("run-%d", i), Index: replica}
 			machine.Bindings[ref] = clusterstate.Binding{Ref: ref, Job: job}
 			usedByZone[zone] += 0.25
 		}
--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -8,6 +8,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -87,7 +88,7 @@
 
 // adopt records a machine that has no record.
 func adopt(leader wire.Condition, listed *wire.CloudMachine, now time.Time) kvstore.Transaction {
-	return putMachine(leader, listed.ID, 0, clusterstate.MachineRecord{
+	return putMachine(leader, listed.ID, 0, record.Machine{
 		Type:        listed.MachineType,
 		Zone:        listed.Zone,
 		Spot:        listed.Spot,
@@ -100,7 +101,7 @@
 // deleteMachine marks a machine as being deleted. That it is gone is proved by the cloud's answer
 // to its return, as ever.
 func deleteMachine(leader wire.Condition, machine *clusterstate.Machine) kvstore.Transaction {
-	machineRecord := machine.MachineRecord
+	machineRecord := machine.Machine
 	machineRecord.Deleting = true
 	return putMachine(leader, machine.Name, machine.ModRevision, machineRecord)
 }
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -10,6 +10,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/scheduler"
 	"sableusher/internal/wire"
 )
@@ -53,7 +54,7 @@
 			continue
 		}
 		plan.drain(machine)
-		machineRecord := machine.MachineRecord
+		machineRecord := machine.Machine
 		machineRecord.Draining = true
 		transactions = append(transactions, putMachine(leader, name, machine.ModRevision, machineRecord))
 	}
@@ -77,7 +78,7 @@
 type scaleInPlan struct {
 	autoscaler    *Autoscaler
 	now           time.Time
-	commonTask    clusterstate.Resources
+	commonTask    record.Resources
 	isBeingRented map[machineKind]bool
 	machinesLeft  int
 	// surplusOnDemand and surplusSpot are the spare machines beyond the headroom.
