--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -18,9 +19,9 @@
 // that make the first follow the second.
 type commandPlan struct {
 	machine  *machine
-	bindings map[clusterstate.TaskRef]clusterstate.Binding
+	bindings map[record.TaskRef]clusterstate.Binding
 	// attemptEnded tells whether the records have moved past an attempt.
-	attemptEnded func(ref clusterstate.TaskRef, attempt uint64) bool
+	attemptEnded func(ref record.TaskRef, attempt uint64) bool
 	// stopRequest gives the stop that is wanted of a bound task, if any.
 	stopRequest func(binding clusterstate.Binding) (stopRequest, bool)
 	// fencingToken is the owner's, under which the commands are sent.
@@ -132,18 +133,18 @@
 // cancelledTaskStops are the commands on a cluster state that may be old: nothing starts, but what it knows to
 // be cancelled stops at once. record is the machine's, nil if there is none.
 func cancelledTaskStops(
-	heartbeat *wire.Heartbeat, record *clusterstate.Machine, fencingToken uint64,
+	heartbeat *wire.Heartbeat, machineEntry *clusterstate.Machine, fencingToken uint64,
 ) wire.HeartbeatResponse {
 	answer := emptyResponse(fencingToken)
-	if record == nil {
+	if machineEntry == nil {
 		return answer
 	}
 	for _, task := range heartbeat.Tasks {
 		if len(answer.Commands) >= tuning.OrdersMax {
 			break
 		}
-		ref, ok := clusterstate.ParseTaskRef(task.Task)
-		binding, bound := record.Bindings[ref]
+		ref, ok := record.ParseTaskRef(task.Task)
+		binding, bound := machineEntry.Bindings[ref]
 		if ok && bound && binding.Attempt == task.Attempt && binding.Job.Cancelled() && task.State != wire.TaskExited {
 			answer.Commands = append(answer.Commands, stopCommand(task, 0))
 		}
@@ -190,7 +191,7 @@
 // attemptEnded tells whether the records have moved past an attempt of a task: it is bound elsewhere, was
 // given up, or its job is over. Otherwise the cluster state may be older than the report. Callers hold the
 // cluster state's lock.
-func (r *Registry) attemptEnded(ref clusterstate.TaskRef, attempt uint64) bool {
+func (r *Registry) attemptEnded(ref record.TaskRef, attempt uint64) bool {
 	job := r.clusterState.Jobs[ref.Job]
 	if job == nil {
 		return true // starts follow durable bindings, so the job was there and is over
@@ -199,7 +200,7 @@
 		return false
 	}
 	task := job.Task(ref.Index)
-	return task.Attempt > attempt || task.Attempt == attempt && task.State != clusterstate.TaskBound
+	return task.Attempt > attempt || task.Attempt == attempt && task.State != record.TaskBound
 }
 
 // commandParams says for whom and under which heartbeat commands are wanted.
--- a/internal/agent/dispatch.go
+++ b/internal/agent/dispatch.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -84,18 +84,18 @@
 func (r *Registry) prepareDispatch(machineName string) (*directDispatch, bool) {
 	r.clusterState.RLock()
 	defer r.clusterState.RUnlock()
-	record := r.clusterState.Machines[machineName]
-	fencingToken, _, owns := r.membership.Owns(clusterstate.ShardOf(machineName, r.clusterState.ShardCount))
-	if record == nil || record.Deleting || !owns || time.Since(r.completeAsOf()) > r.leases.maxStateAge() {
+	machineEntry := r.clusterState.Machines[machineName]
+	fencingToken, _, owns := r.membership.Owns(record.ShardOf(machineName, r.clusterState.ShardCount))
+	if machineEntry == nil || machineEntry.Deleting || !owns || time.Since(r.completeAsOf()) > r.leases.maxStateAge() {
 		return nil, false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m := r.machineEntry(machineName)
 	if m.address == "" {
-		m.address = record.Address
+		m.address = machineEntry.Address
 	}
-	params := commandParams{record: record, fencingToken: fencingToken, now: time.Now()}
+	params := commandParams{record: machineEntry, fencingToken: fencingToken, now: time.Now()}
 	if m.commandInFlight || m.address == "" || r.awaitsHeartbeat(m, params.now) {
 		return nil, false
 	}
@@ -193,8 +193,8 @@
 	// services to the one on record, which this node ends at once, and both over and over. Where a heartbeat
 	// follows it tells of the session: recording all sessions of a zone at once as it came back kept its
 	// replicas waiting.
-	record := r.clusterState.Machines[d.machineName]
-	if r.outboundLost(m, now) && record != nil && max(record.Session, firstSession) != m.session.id {
+	machineEntry := r.clusterState.Machines[d.machineName]
+	if r.outboundLost(m, now) && machineEntry != nil && max(machineEntry.Session, firstSession) != m.session.id {
 		r.updates.adopt(report)
 	}
 	if m.session.id != previousSession || m.session.fencingToken < d.command.FencingToken {
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -12,6 +12,7 @@
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/membership"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -44,14 +45,14 @@
 	state := clusterstate.New(2, logger)
 	state.SchemaVersion = schemaVersion
 	for shard, node := range []string{"a", "b"} {
-		state.Nodes[node] = clusterstate.Node{NodeRecord: clusterstate.NodeRecord{Incarnation: 1}}
+		state.Nodes[node] = clusterstate.Node{Node: record.Node{Incarnation: 1}}
 		state.Shards[shard] = clusterstate.Shard{
-			ShardRecord: clusterstate.ShardRecord{Owner: node, Incarnation: 1, FencingToken: testToken},
+			Shard: record.Shard{Owner: node, Incarnation: 1, FencingToken: testToken},
 		}
 	}
 	limits := kvstore.Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxValueKiB: 16, MaxTransactionOps: 32}
 	client := kvstore.NewClient("127.0.0.1:1", limits, nil)
-	cache := kvstore.NewWatchCache(client, clusterstate.LivePrefix, state, logger)
+	cache := kvstore.NewWatchCache(client, record.LivePrefix, state, logger)
 	member := membership.New("a", 1, []string{"a", "b"}, tuning.Level, client, nil, cache, state, logger)
 	f := &registryFixture{state: state, confirmedAt: time.Now(), peerAnsweredAt: time.Now()}
 	f.Registry = New(settings, state, member, func() time.Time { return f.confirmedAt }, logger, nil)
@@ -62,15 +63,15 @@
 // addMachine makes a record of a machine of a shard and gives its name.
 func (f *registryFixture) addMachine(shard int) string {
 	name := "vm-0"
-	for clusterstate.ShardOf(name, 2) != shard {
+	for record.ShardOf(name, 2) != shard {
 		name += "0"
 	}
-	f.putMachine(name, clusterstate.MachineRecord{Type: "m", Zone: "z", Address: testAddress, Up: true}, 1)
+	f.putMachine(name, record.Machine{Type: "m", Zone: "z", Address: testAddress, Up: true}, 1)
 	return name
 }
 
-func (f *registryFixture) putMachine(name string, record clusterstate.MachineRecord, revision uint64) {
-	f.put(clusterstate.MachineKey(name), wire.MustEncode(record), revision)
+func (f *registryFixture) putMachine(name string, machineRecord record.Machine, revision uint64) {
+	f.put(record.MachineKey(name), wire.MustEncode(machineRecord), revision)
 }
 
 // put writes a record into the cluster state.
@@ -124,21 +125,21 @@
 }
 
 // newBinding makes the binding of a task to a session of its agent, alone and among those of its machine.
-func newBinding(session uint64) (map[clusterstate.TaskRef]clusterstate.Binding, clusterstate.Binding) {
+func newBinding(session uint64) (map[record.TaskRef]clusterstate.Binding, clusterstate.Binding) {
 	binding := clusterstate.Binding{
-		Ref: clusterstate.TaskRef{Job: "run-1"}, Job: &clusterstate.Job{}, Attempt: 1, Session: session,
+		Ref: record.TaskRef{Job: "run-1"}, Job: &clusterstate.Job{}, Attempt: 1, Session: session,
 	}
-	return map[clusterstate.TaskRef]clusterstate.Binding{binding.Ref: binding}, binding
+	return map[record.TaskRef]clusterstate.Binding{binding.Ref: binding}, binding
 }
 
 // planCommands gives the commands for a machine whose reported attempts have all ended in the records, and
 // for which no stop is wanted.
 func planCommands(
-	m *machine, bindings map[clusterstate.TaskRef]clusterstate.Binding, heartbeatSequence uint64, now time.Time,
+	m *machine, bindings map[record.TaskRef]clusterstate.Binding, heartbeatSequence uint64, now time.Time,
 ) []wire.Command {
 	plan := commandPlan{
 		machine: m, bindings: bindings,
-		attemptEnded: func(clusterstate.TaskRef, uint64) bool { return true },
+		attemptEnded: func(record.TaskRef, uint64) bool { return true },
 		stopRequest:  func(clusterstate.Binding) (stopRequest, bool) { return stopRequest{}, false },
 		fencingToken: testToken, heartbeatSequence: heartbeatSequence, now: now,
 	}
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -8,6 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -83,7 +84,7 @@
 	now := time.Now()
 	r.clusterState.RLock()
 	defer r.clusterState.RUnlock()
-	shard := clusterstate.ShardOf(heartbeat.Machine, r.clusterState.ShardCount)
+	shard := record.ShardOf(heartbeat.Machine, r.clusterState.ShardCount)
 	fencingToken, entitled := r.membership.MayServeAgents(shard)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -171,12 +172,12 @@
 // recordOutdated tells whether a machine's record is missing or behind its heartbeat. One that was up and is
 // recorded as not up has to be known to receive what this owner sends.
 func (r *Registry) recordOutdated(m *machine, h *heartbeatRequest) bool {
-	record := h.record
-	if record == nil {
+	machineEntry := h.record
+	if machineEntry == nil {
 		return true
 	}
-	cameUp := !record.Up && (record.Address == "" || m.link.inboundConfirmed())
-	return cameUp || record.Address != h.report.Address || max(record.Session, firstSession) != h.report.Session
+	cameUp := !machineEntry.Up && (machineEntry.Address == "" || m.link.inboundConfirmed())
+	return cameUp || machineEntry.Address != h.report.Address || max(machineEntry.Session, firstSession) != h.report.Session
 }
 
 func (r *Registry) dropHeartbeat(h *heartbeatRequest, reason dropReason) {
--- a/internal/agent/heartbeat_test.go
+++ b/internal/agent/heartbeat_test.go
@@ -7,6 +7,7 @@
 	"pgregory.net/rapid"
 
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -40,7 +41,7 @@
 			revision:        10, ownerToken: testToken, shownToken: 1,
 		}
 		d.machineName = d.addMachine(ownShard)
-		d.binding = clusterstate.Binding{Ref: clusterstate.TaskRef{Job: "run-1"}, Attempt: 2, Session: 2}
+		d.binding = clusterstate.Binding{Ref: record.TaskRef{Job: "run-1"}, Attempt: 2, Session: 2}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			if rapid.IntRange(0, 4).Draw(t, "step") == 0 {
 				d.moveShardThereAndBack(t)
@@ -55,8 +56,8 @@
 	for _, owner := range []string{"b", "a"} {
 		d.ownerToken++
 		d.revision++
-		record := clusterstate.ShardRecord{Owner: owner, Incarnation: 1, FencingToken: d.ownerToken}
-		d.put(clusterstate.ShardKey(ownShard), wire.MustEncode(record), d.revision)
+		shardRecord := record.Shard{Owner: owner, Incarnation: 1, FencingToken: d.ownerToken}
+		d.put(record.ShardKey(ownShard), wire.MustEncode(shardRecord), d.revision)
 		if rapid.Bool().Draw(t, "removed") {
 			d.removeExpired()
 		}
@@ -128,7 +129,7 @@
 func TestHeartbeatOfSessionBeforeRecord(t *testing.T) {
 	f := newRegistryFixture(tuning.LevelCertain)
 	name := f.addMachine(ownShard)
-	f.putMachine(name, clusterstate.MachineRecord{Type: "m", Zone: "z", Address: testAddress, Up: true, Session: 4}, 2)
+	f.putMachine(name, record.Machine{Type: "m", Zone: "z", Address: testAddress, Up: true, Session: 4}, 2)
 	status, _ := f.handle(&wire.Heartbeat{Machine: name, Session: 3, Sequence: 90, FencingToken: testToken})
 	if status != http.StatusServiceUnavailable || len(f.RecentlyHeard([]string{name})) > 0 {
 		t.Errorf("a copy out of an earlier session counts: %d", status)
--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -7,8 +7,8 @@
 	"testing/synctest"
 	"time"
 
-	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -87,12 +87,12 @@
 
 // putServiceOn writes the record of a service whose two replicas are bound to a machine.
 func (f *registryFixture) putServiceOn(machineName, jobID string, cancelledAtMs int64) {
-	f.put(clusterstate.JobKey(jobID), wire.MustEncode(clusterstate.JobRecord{
+	f.put(record.JobKey(jobID), wire.MustEncode(record.Job{
 		Spec:          wire.JobSpec{ID: jobID, Kind: wire.KindService, TaskCount: 2},
 		CancelledAtMs: cancelledAtMs,
-		Tasks: []clusterstate.Task{
-			{State: clusterstate.TaskBound, Attempt: 1, Machine: machineName, Session: 1},
-			{Index: 1, State: clusterstate.TaskBound, Attempt: 1, Machine: machineName, Session: 1},
+		Tasks: []record.Task{
+			{State: record.TaskBound, Attempt: 1, Machine: machineName, Session: 1},
+			{Index: 1, State: record.TaskBound, Attempt: 1, Machine: machineName, Session: 1},
 		},
 	}), 2)
 }
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -132,7 +132,7 @@
 	previous := m.tasks
 	m.tasks = make(map[attemptKey]reportedTask, len(reports))
 	for _, report := range reports {
-		ref, ok := clusterstate.ParseTaskRef(report.Task)
+		ref, ok := record.ParseTaskRef(report.Task)
 		if !ok {
 			continue
 		}
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -11,6 +11,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/membership"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 )
 
@@ -129,7 +130,7 @@
 			continue
 		}
 		task := job.Task(key.ref.Index)
-		bound := task.State == clusterstate.TaskBound && task.Attempt == key.attempt
+		bound := task.State == record.TaskBound && task.Attempt == key.attempt
 		if !bound && now.Sub(request.requestedAt) > stopRequestGrace {
 			delete(r.stopRequests, key)
 		}
@@ -140,7 +141,7 @@
 // for a lease. Callers hold the cluster state's lock and mu.
 func (r *Registry) removeMachines(now time.Time) {
 	for name, m := range r.machines {
-		_, owned := r.membership.MayServeAgents(clusterstate.ShardOf(name, r.clusterState.ShardCount))
+		_, owned := r.membership.MayServeAgents(record.ShardOf(name, r.clusterState.ShardCount))
 		unknown := r.clusterState.Machines[name] == nil
 		if !owned || unknown && now.Sub(m.link.lastHeard) > r.settings.Lease() {
 			delete(r.machines, name)
--- a/internal/agent/starts.go
+++ b/internal/agent/starts.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -99,6 +99,6 @@
 // keyOfCommand names the attempt that a command is about.
 func keyOfCommand(command wire.Command) attemptKey {
 	// The commands are our own, so their references parse.
-	ref, _ := clusterstate.ParseTaskRef(command.Task)
+	ref, _ := record.ParseTaskRef(command.Task)
 	return attemptKey{ref, command.Attempt}
 }
--- a/internal/agent/task.go
+++ b/internal/agent/task.go
@@ -4,12 +4,13 @@
 	"time"
 
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
 // attemptKey names one attempt of a task.
 type attemptKey struct {
-	ref     clusterstate.TaskRef
+	ref     record.TaskRef
 	attempt uint64
 }
 
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -39,7 +39,7 @@
 		a.log.Info("catalog not read", "err", err)
 		return
 	}
-	conditions := []wire.Condition{{Key: clusterstate.CatalogKey, ModRevision: modRevision}}
+	conditions := []wire.Condition{{Key: record.CatalogKey, ModRevision: modRevision}}
 	if isLeader {
 		conditions = append(conditions, leader)
 	}
@@ -66,7 +66,7 @@
 // that would be too long, one for each type. Once it is kept by type it stays so, as those records
 // take precedence.
 func (a *Autoscaler) catalogOps(catalog wire.Catalog) [][]wire.Op {
-	whole := kvstore.PutOp(clusterstate.CatalogKey, catalog)
+	whole := kvstore.PutOp(record.CatalogKey, catalog)
 	a.state.RLock()
 	version, isByType := a.state.SchemaVersion, a.state.CatalogByType()
 	a.state.RUnlock()
@@ -76,7 +76,7 @@
 	}
 	var ops []wire.Op
 	for _, machineType := range catalog.Types {
-		ops = append(ops, kvstore.PutOp(clusterstate.MachineTypeKey(machineType.Name), machineType))
+		ops = append(ops, kvstore.PutOp(record.MachineTypeKey(machineType.Name), machineType))
 	}
 	return slices.Collect(slices.Chunk(ops, a.committer.MaxTransactionOps()))
 }
--- a/internal/autoscaler/cheapestkind.go
+++ b/internal/autoscaler/cheapestkind.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -22,7 +22,7 @@
 // acceptsType reports whether a task fits on an empty machine of a type and may use it.
 func (q *kindQuery) acceptsType(name string, machineType *wire.MachineType) bool {
 	isAllowed := len(q.spec.MachineTypes) == 0 || slices.Contains(q.spec.MachineTypes, name)
-	return isAllowed && clusterstate.TaskResources(q.spec).FitsIn(clusterstate.Capacity(machineType))
+	return isAllowed && record.TaskResources(q.spec).FitsIn(record.Capacity(machineType))
 }
 
 // cheapestKind returns the cheapest kind of machine for a task, of equal ones that in the zone with
--- a/internal/binpack/inventory.go
+++ b/internal/binpack/inventory.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 )
 
 // Inventory is the free capacity of all machines during a scheduling cycle. It is kept from cycle
@@ -17,10 +17,10 @@
 // machines costs little. Machines that are too full for any waiting task are skipped.
 type Inventory struct {
 	// NeedPerGPU is what GPU tasks take of the other resources for each GPU.
-	NeedPerGPU clusterstate.Resources
+	NeedPerGPU record.Resources
 	// CommonNeed is what a task takes of the work that asks for the most cores; zero if that work
 	// uses GPUs or none is known.
-	CommonNeed clusterstate.Resources
+	CommonNeed record.Resources
 
 	snapshot Snapshot
 	builtAt  time.Time
@@ -34,9 +34,9 @@
 	pending      []*MachineInfo // ordered by shard and name
 	pendingBins  []*pendingBin
 
-	minNeed         clusterstate.Resources // the least of each resource that a waiting task needs
-	feasibleByShard [][]*MachineInfo       // ready machines with minNeed free
-	fittingBuffer   []*MachineInfo         // the list that FittingMachines returned last
+	minNeed         record.Resources // the least of each resource that a waiting task needs
+	feasibleByShard [][]*MachineInfo // ready machines with minNeed free
+	fittingBuffer   []*MachineInfo   // the list that FittingMachines returned last
 	failedRequests  FailedRequests
 	examined        int
 
@@ -44,7 +44,7 @@
 }
 
 // adjustFree adds a multiple of some resources to what a machine has free.
-func (inv *Inventory) adjustFree(info *MachineInfo, resources clusterstate.Resources, times float64) {
+func (inv *Inventory) adjustFree(info *MachineInfo, resources record.Resources, times float64) {
 	inv.markModified(info)
 	info.Free = info.Free.AddTimes(resources, times)
 }
@@ -58,7 +58,7 @@
 
 // ConsumeByName takes the capacity that tasks on their way to a machine need. An unknown machine is
 // ignored.
-func (inv *Inventory) ConsumeByName(machine string, resources clusterstate.Resources) {
+func (inv *Inventory) ConsumeByName(machine string, resources record.Resources) {
 	if info := inv.machines[machine]; info != nil {
 		inv.adjustFree(info, resources, -1)
 	}
@@ -77,7 +77,7 @@
 // what is being preempted.
 func (inv *Inventory) ReserveAll(info *MachineInfo, jobID string) {
 	inv.markModified(info)
-	info.ReservedFor, info.Free = jobID, clusterstate.Resources{}
+	info.ReservedFor, info.Free = jobID, record.Resources{}
 }
 
 // Release gives back the capacity that was allocated to a request.
--- a/internal/binpack/refresh.go
+++ b/internal/binpack/refresh.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -163,7 +164,7 @@
 
 // typeIndex is what the inventory knows of the machine types.
 type typeIndex struct {
-	capacity map[string]clusterstate.Resources
+	capacity map[string]record.Resources
 	// fetchRate is the rate in GB per second at which machines of a type fetch images.
 	fetchRate    map[string]float64
 	maxFetchRate float64
@@ -173,12 +174,12 @@
 
 func newTypeIndex(types map[string]wire.MachineType) typeIndex {
 	index := typeIndex{
-		capacity:  map[string]clusterstate.Resources{},
+		capacity:  map[string]record.Resources{},
 		fetchRate: map[string]float64{},
 	}
 	var first wire.MachineType
 	for name, machineType := range types {
-		index.capacity[name] = clusterstate.Capacity(&machineType)
+		index.capacity[name] = record.Capacity(&machineType)
 		index.fetchRate[name] = machineType.ImageFetchGBps
 		index.maxFetchRate = max(index.maxFetchRate, machineType.ImageFetchGBps)
 		if first.Name == "" {
--- a/internal/dependency/resolver_test.go
+++ b/internal/dependency/resolver_test.go
@@ -10,6 +10,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -54,8 +55,8 @@
 	spec := wire.JobSpec{ID: dependentJobID, Team: "t", TaskCount: 1, Dependencies: []string{awaitedJobID}}
 	state.BeginUpdate()
 	defer state.EndUpdate()
-	job := clusterstate.JobRecord{Spec: spec, SubmittedAtMs: 1}
-	state.Put(clusterstate.JobKey(dependentJobID), wire.MustEncode(job), 1)
+	job := record.Job{Spec: spec, SubmittedAtMs: 1}
+	state.Put(record.JobKey(dependentJobID), wire.MustEncode(job), 1)
 }
 
 // waitsStill gives the resolver time, and tells whether the dependent job still waits.
@@ -75,7 +76,7 @@
 		defer cancel()
 		logger := slog.New(slog.DiscardHandler)
 		state := clusterstate.New(3, logger)
-		finalKey := clusterstate.FinalKey(awaitedJobID)
+		finalKey := record.FinalKey(awaitedJobID)
 		reader := &fakeReader{values: map[string]any{}}
 		go func() { _ = NewResolver(state, reader, logger).Run(ctx) }()
 		putDependentJob(state)
@@ -94,7 +95,7 @@
 			if most := 3*3 + 4; reader.reads > most || reader.reads < 3 {
 				t.Errorf("read %d times", reader.reads)
 			}
-			reader.values[finalKey] = clusterstate.FinalRecord{Status: wire.JobDone, TaskCount: 1, DoneCount: 1, EndedAtMs: 77}
+			reader.values[finalKey] = record.Final{Status: wire.JobDone, TaskCount: 1, DoneCount: 1, EndedAtMs: 77}
 		})
 		if waitsStill(state) {
 			t.Error("still waits for a job that is done")
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -9,6 +9,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -23,9 +24,9 @@
 	state *clusterstate.State
 
 	// requested is what shards asked for beyond their grants since changes were last planned.
-	requested map[grantKey]clusterstate.Resources
+	requested map[grantKey]record.Resources
 	// pendingReductions are the grants being lowered: they count as lower already.
-	pendingReductions map[grantKey]clusterstate.Resources
+	pendingReductions map[grantKey]record.Resources
 	teamsInFlight     map[string]bool        // teams with a change of their record in flight
 	surplusSince      map[grantKey]time.Time // since when a grant is larger than needed
 	completions       chan grantKey          // of changes whose outcome is settled
@@ -47,15 +48,15 @@
 }
 
 // UsageFunc gives what a team's tasks take that are charged to a shard, bindings in flight included.
-type UsageFunc func(shard int, team string) clusterstate.Resources
+type UsageFunc func(shard int, team string) record.Resources
 
 // New makes a manager of the teams' grants.
 func New(teams []config.Team, state *clusterstate.State) *GrantManager {
 	manager := &GrantManager{
 		teams:             make(map[string]config.Team, len(teams)),
 		state:             state,
-		requested:         map[grantKey]clusterstate.Resources{},
-		pendingReductions: map[grantKey]clusterstate.Resources{},
+		requested:         map[grantKey]record.Resources{},
+		pendingReductions: map[grantKey]record.Resources{},
 		teamsInFlight:     map[string]bool{},
 		surplusSince:      map[grantKey]time.Time{},
 		completions:       make(chan grantKey, maxCompletions),
@@ -68,7 +69,7 @@
 
 // Allows tells whether a team may use so much of a shard. If its grant does not cover it, the next
 // PlanChanges tries to raise it.
-func (m *GrantManager) Allows(shard int, team string, usage clusterstate.Resources) bool {
+func (m *GrantManager) Allows(shard int, team string, usage record.Resources) bool {
 	if _, limited := m.Limit(team); !limited {
 		return true
 	}
@@ -86,7 +87,7 @@
 }
 
 // grantOf gives a shard's grant in a team's record.
-func grantOf(quota clusterstate.Quota, shard int) clusterstate.Resources {
+func grantOf(quota clusterstate.Quota, shard int) record.Resources {
 	return quota.Grants[strconv.Itoa(shard)]
 }
 
@@ -132,17 +133,17 @@
 // raised gives a grant raised to what was requested and some headroom, within what the other shards'
 // grants leave of the limit.
 func (m *GrantManager) raised(
-	key grantKey, quota clusterstate.Quota, requested clusterstate.Resources,
-) clusterstate.Resources {
+	key grantKey, quota clusterstate.Quota, requested record.Resources,
+) record.Resources {
 	limit, _ := m.Limit(key.team)
-	var others clusterstate.Resources
+	var others record.Resources
 	for shard, grant := range quota.Grants {
 		if shard != strconv.Itoa(key.shard) {
 			others = others.AddTimes(grant, 1)
 		}
 	}
 	grant, headroom := grantOf(quota, key.shard), m.headroom(limit)
-	return clusterstate.Resources{
+	return record.Resources{
 		CPUs: raisedAmount(grant.CPUs, requested.CPUs, headroom.CPUs, limit.CPUs-others.CPUs, limit.CPUs),
 		GPUs: raisedAmount(grant.GPUs, requested.GPUs, headroom.GPUs, limit.GPUs-others.GPUs, limit.GPUs),
 	}
@@ -158,7 +159,7 @@
 // surplusRule says when the grants of a team are larger than needed.
 type surplusRule struct {
 	limited  bool // the team has a limit
-	headroom clusterstate.Resources
+	headroom record.Resources
 }
 
 // planReductions gives the changes that lower grants which have been larger than needed for a while.
@@ -200,7 +201,7 @@
 }
 
 // needed gives what a shard needs of its grant: what is used, and half the headroom for a team with a limit.
-func (r surplusRule) needed(grant, usage clusterstate.Resources) clusterstate.Resources {
+func (r surplusRule) needed(grant, usage record.Resources) record.Resources {
 	used := withoutMemory(usage)
 	if !r.limited {
 		return used
@@ -210,7 +211,7 @@
 
 // reductionDue tells whether a grant has been larger than needed for long enough to be lowered: a small
 // surplus is kept for longer.
-func (r surplusRule) reductionDue(surplusFor time.Duration, grant, needed clusterstate.Resources) bool {
+func (r surplusRule) reductionDue(surplusFor time.Duration, grant, needed record.Resources) bool {
 	if surplusFor > tuning.GrantSlow {
 		return true
 	}
@@ -219,14 +220,14 @@
 }
 
 // headroom is what a shard is granted above what it needs.
-func (m *GrantManager) headroom(limit clusterstate.Resources) clusterstate.Resources {
+func (m *GrantManager) headroom(limit record.Resources) record.Resources {
 	fraction := tuning.GrantLot / float64(m.state.ShardCount)
-	return clusterstate.Resources{CPUs: math.Floor(limit.CPUs * fraction), GPUs: math.Floor(limit.GPUs * fraction)}
+	return record.Resources{CPUs: math.Floor(limit.CPUs * fraction), GPUs: math.Floor(limit.GPUs * fraction)}
 }
 
 // hasAmpleRest tells whether enough of a limit is ungranted for whoever requests more.
-func (m *GrantManager) hasAmpleRest(quota clusterstate.Quota, limit clusterstate.Resources) bool {
-	var granted clusterstate.Resources
+func (m *GrantManager) hasAmpleRest(quota clusterstate.Quota, limit record.Resources) bool {
+	var granted record.Resources
 	for _, grant := range quota.Grants {
 		granted = granted.AddTimes(grant, 1)
 	}
@@ -236,26 +237,26 @@
 // newChange gives the change of a grant, conditional on the revision of the ownership record of its shard. Until
 // it is done, no other change of the team is planned.
 func (m *GrantManager) newChange(
-	key grantKey, quota clusterstate.Quota, ownership uint64, grant clusterstate.Resources,
+	key grantKey, quota clusterstate.Quota, ownership uint64, grant record.Resources,
 ) Change {
 	grants := maps.Clone(quota.Grants)
 	if grants == nil {
-		grants = map[string]clusterstate.Resources{}
+		grants = map[string]record.Resources{}
 	}
-	if shard := strconv.Itoa(key.shard); grant == (clusterstate.Resources{}) {
+	if shard := strconv.Itoa(key.shard); grant == (record.Resources{}) {
 		delete(grants, shard)
 	} else {
 		grants[shard] = grant
 	}
 	m.teamsInFlight[key.team] = true
-	record := clusterstate.QuotaKey(key.team)
+	quotaKey := record.QuotaKey(key.team)
 	return Change{
 		Transaction: kvstore.Transaction{
 			Conditions: []wire.Condition{
-				{Key: record, ModRevision: quota.ModRevision},
-				{Key: clusterstate.ShardKey(key.shard), ModRevision: ownership},
+				{Key: quotaKey, ModRevision: quota.ModRevision},
+				{Key: record.ShardKey(key.shard), ModRevision: ownership},
 			},
-			Ops: []wire.Op{kvstore.PutOp(record, clusterstate.QuotaRecord{Grants: grants})},
+			Ops: []wire.Op{kvstore.PutOp(quotaKey, record.Quota{Grants: grants})},
 		},
 		Shard: key.shard,
 		Done:  func() { m.completions <- key },
--- a/internal/quota/grants_test.go
+++ b/internal/quota/grants_test.go
@@ -10,6 +10,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -46,7 +47,7 @@
 
 // bind binds one more task in a shard, if its grant allows it.
 func (m *grantModel) bind(shard int) {
-	if m.managers[shard].Allows(shard, testTeam, clusterstate.Resources{GPUs: m.used[shard] + 2}) {
+	if m.managers[shard].Allows(shard, testTeam, record.Resources{GPUs: m.used[shard] + 2}) {
 		m.used[shard] += 2
 	}
 }
@@ -56,7 +57,7 @@
 
 // plan sends the changes that a shard's owner plans.
 func (m *grantModel) plan(shard int) {
-	usage := func(shard int, _ string) clusterstate.Resources { return clusterstate.Resources{GPUs: m.used[shard]} }
+	usage := func(shard int, _ string) record.Resources { return record.Resources{GPUs: m.used[shard]} }
 	for _, change := range m.managers[shard].PlanChanges(m.now, map[int]uint64{shard: 1}, usage) {
 		m.inFlight = append(m.inFlight, inFlightChange{change, change.Transaction.Conditions[0].ModRevision})
 	}
@@ -73,7 +74,7 @@
 	if m.state.Quotas[testTeam].ModRevision == arriving.revision {
 		m.revision++
 		m.state.BeginUpdate()
-		m.state.Put(clusterstate.QuotaKey(testTeam), arriving.change.Transaction.Ops[0].Value, m.revision)
+		m.state.Put(record.QuotaKey(testTeam), arriving.change.Transaction.Ops[0].Value, m.revision)
 		m.state.EndUpdate()
 	}
 	arriving.change.Done()
@@ -81,13 +82,13 @@
 
 // check checks that no shard uses more than its grant, and that the grants stay within the limit.
 func (m *grantModel) check(t *rapid.T) {
-	var record clusterstate.QuotaRecord
-	if err := wire.Decode(wire.MustEncode(m.state.Quotas[testTeam].QuotaRecord), &record); err != nil {
+	var stored record.Quota
+	if err := wire.Decode(wire.MustEncode(m.state.Quotas[testTeam].Quota), &stored); err != nil {
 		t.Fatal(err)
 	}
 	sum := 0.0
 	for shard := range testShards {
-		grant := record.Grants[strconv.Itoa(shard)].GPUs
+		grant := stored.Grants[strconv.Itoa(shard)].GPUs
 		sum += grant
 		if m.used[shard] > grant {
 			t.Fatalf("shard %d uses %v of %v", shard, m.used[shard], grant)
--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -5,6 +5,7 @@
 
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -38,7 +39,7 @@
 			continue
 		}
 		task := c.taskState(job, taskIndex)
-		if task.State != clusterstate.TaskPending || c.inRetryBackoff(job, taskIndex) {
+		if task.State != record.TaskPending || c.inRetryBackoff(job, taskIndex) {
 			continue
 		}
 		if c.recordFull(job, chunk, 1, picks[0].Machine.Name) {
@@ -61,7 +62,7 @@
 
 // taskStart is a start of a task on a machine that a cycle has chosen for it.
 type taskStart struct {
-	task      clusterstate.TaskRef
+	task      record.TaskRef
 	attempt   uint64
 	failures  int // of the task's earlier attempts
 	candidate *binpack.MachineInfo
@@ -69,13 +70,13 @@
 }
 
 func newTaskStart(
-	task clusterstate.Task, job string, attempt uint64, candidate *binpack.MachineInfo, charged int,
+	task record.Task, job string, attempt uint64, candidate *binpack.MachineInfo, charged int,
 ) taskStart {
 	if charged == shardOfMachine {
 		charged = candidate.Machine.Shard
 	}
 	return taskStart{
-		task:    clusterstate.TaskRef{Job: job, Index: task.Index},
+		task:    record.TaskRef{Job: job, Index: task.Index},
 		attempt: attempt, failures: task.Failures, candidate: candidate, charged: charged,
 	}
 }
@@ -136,14 +137,14 @@
 }
 
 // boundTask is the record of a binding. The machine's session is the newest that this node knows.
-func (c *cycle) boundTask(start taskStart) clusterstate.Task {
+func (c *cycle) boundTask(start taskStart) record.Task {
 	machine := start.candidate.Machine
 	session := max(machine.Session, 1)
 	if start.candidate.Owned {
 		session = c.agents.MachineStatus(machine.Name, c.shards.fencingTokens[machine.Shard]).Session
 	}
-	task := clusterstate.Task{
-		Index: start.task.Index, State: clusterstate.TaskBound, Attempt: start.attempt,
+	task := record.Task{
+		Index: start.task.Index, State: record.TaskBound, Attempt: start.attempt,
 		Machine: machine.Name, Session: session, Failures: start.failures,
 	}
 	if start.charged != machine.Shard {
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"sableusher/internal/binpack"
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -49,8 +49,8 @@
 
 // inFlightUsage is what the tasks take whose bindings are decided but not yet in the cluster state.
 type inFlightUsage struct {
-	byMachine  map[string]clusterstate.Resources
-	byTeam     map[int]map[string]clusterstate.Resources // by charged shard and team
+	byMachine  map[string]record.Resources
+	byTeam     map[int]map[string]record.Resources // by charged shard and team
 	tasksByJob map[string]int
 }
 
@@ -65,7 +65,7 @@
 // preemptionProgress is what a cycle has done to make room by stopping tasks.
 type preemptionProgress struct {
 	machines int                                        // on which room is being made in this cycle
-	awaiting map[clusterstate.TaskRef]bool              // tasks that room is being made for
+	awaiting map[record.TaskRef]bool                    // tasks that room is being made for
 	failed   [wire.PriorityCount]binpack.FailedRequests // requests for which nothing could be stopped anywhere, by rank
 }
 
@@ -78,12 +78,12 @@
 			fencingTokens: map[int]uint64{}, revisions: map[int]uint64{}, live: make([]bool, e.cluster.ShardCount),
 		},
 		inFlight: inFlightUsage{
-			byMachine:  map[string]clusterstate.Resources{},
-			byTeam:     map[int]map[string]clusterstate.Resources{},
+			byMachine:  map[string]record.Resources{},
+			byTeam:     map[int]map[string]record.Resources{},
 			tasksByJob: map[string]int{},
 		},
 		recordEdits:    map[recordKey]*recordEdit{},
-		preempting:     preemptionProgress{awaiting: make(map[clusterstate.TaskRef]bool, len(e.reservations))},
+		preempting:     preemptionProgress{awaiting: make(map[record.TaskRef]bool, len(e.reservations))},
 		failingJobs:    map[string]bool{},
 		brokenAttempts: map[gangAttempt]bool{},
 	}
@@ -91,7 +91,7 @@
 		c.preempting.awaiting[reservation.task] = true
 	}
 	for shard := range e.cluster.ShardCount {
-		c.inFlight.byTeam[shard] = map[string]clusterstate.Resources{}
+		c.inFlight.byTeam[shard] = map[string]record.Resources{}
 		c.viewShard(shard)
 	}
 	for binding := range e.changes.bindings() {
@@ -126,10 +126,10 @@
 func (c *cycle) schedule() {
 	c.inventory = c.refreshInventory()
 	c.limitStarts()
-	_, _, isLeader := c.membership.Owns(clusterstate.LeaderShard)
+	_, _, isLeader := c.membership.Owns(record.LeaderShard)
 	c.collectsDemand = isLeader && c.now.Sub(c.demand.unmet.ComputedAt) >= tuning.DemandEvery
 	queue := c.buildQueue(c.inventory.HasFreeCapacity())
-	c.inventory.FilterFeasible(func(yield func(clusterstate.Resources) bool) {
+	c.inventory.FilterFeasible(func(yield func(record.Resources) bool) {
 		for i := range queue {
 			if !yield(queue[i].Need) {
 				return
@@ -164,8 +164,8 @@
 }
 
 // teamUsage is what each team's tasks take in all shards, those in flight included.
-func (c *cycle) teamUsage() map[string]clusterstate.Resources {
-	usage := map[string]clusterstate.Resources{}
+func (c *cycle) teamUsage() map[string]record.Resources {
+	usage := map[string]record.Resources{}
 	for shard := range c.cluster.ShardCount {
 		for team, amount := range c.cluster.UsageByShard[shard] {
 			usage[team] = usage[team].AddTimes(amount, 1)
@@ -188,7 +188,7 @@
 
 // scheduleRank places the jobs of one priority: each first in its home shard, and what is left over
 // wherever there is capacity.
-func (c *cycle) scheduleRank(queue []queuedJob, usage map[string]clusterstate.Resources, unmet *UnmetDemand) {
+func (c *cycle) scheduleRank(queue []queuedJob, usage map[string]record.Resources, unmet *UnmetDemand) {
 	for i := range queue {
 		c.countPlaceable(&queue[i], usage)
 		if queue[i].Remaining > 0 && c.serviceCapacityScarce() {
--- a/internal/scheduler/cycle_bench_test.go
+++ b/internal/scheduler/cycle_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -30,7 +30,7 @@
 
 // occupy adds a job that takes a machine whole.
 func occupy(cluster *testCluster, i int, machine string) {
-	running := clusterstate.Task{State: clusterstate.TaskBound, Attempt: 1, Machine: machine, Session: 1}
+	running := record.Task{State: record.TaskBound, Attempt: 1, Machine: machine, Session: 1}
 	cluster.addJob(gangSpec(1000000+i, 1), running)
 }
 
@@ -89,7 +89,7 @@
 			cluster.addMachine(i, i%2 == 0)
 			continue
 		}
-		cluster.put(clusterstate.MachineKey(fmt.Sprintf("vm-%06d", i)), clusterstate.MachineRecord{
+		cluster.put(record.MachineKey(fmt.Sprintf("vm-%06d", i)), record.Machine{
 			Type: "m", Zone: testZones[i%len(testZones)], Spot: i%2 == 0, CreatedAtMs: testNow.UnixMilli(),
 		})
 	}
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -8,6 +8,7 @@
 
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -30,7 +31,7 @@
 	ComputedAt    time.Time
 	// CommonTask is what a common task needs, if some of that work found no capacity: machines too small
 	// for it then keep small tasks off those that are large enough.
-	CommonTask clusterstate.Resources
+	CommonTask record.Resources
 }
 
 // demandState is what is kept of the demand between cycles.
@@ -42,9 +43,9 @@
 	// lastServiceShortage is when a service last found none.
 	lastServiceShortage time.Time
 	// needPerGPU is what work on GPUs takes of the rest of a machine for each GPU.
-	needPerGPU clusterstate.Resources
+	needPerGPU record.Resources
 	// commonTask is what a task of the work that asks for most cores needs; zero where work uses GPUs.
-	commonTask   clusterstate.Resources
+	commonTask   record.Resources
 	commonTaskAt time.Time
 }
 
@@ -72,9 +73,9 @@
 // updateNeedPerGPU finds what work on GPUs takes of the rest of a machine for each GPU: the
 // most that a gang or a service takes, and what arrays take on average.
 func (d *demandState) updateNeedPerGPU(jobs map[string]*clusterstate.Job) {
-	var most, arrays clusterstate.Resources
+	var most, arrays record.Resources
 	for _, job := range jobs {
-		need := clusterstate.TaskResources(&job.Spec)
+		need := record.TaskResources(&job.Spec)
 		switch {
 		case !job.HasRecord || job.Cancelled() || need.GPUs == 0:
 		case job.Spec.Kind == wire.KindArray:
@@ -93,7 +94,7 @@
 
 // jobCores is what a task of a job needs and the cores of all its unfinished tasks.
 type jobCores struct {
-	need  clusterstate.Resources
+	need  record.Resources
 	cores float64
 }
 
@@ -107,9 +108,9 @@
 		if !job.CanStart() {
 			continue
 		}
-		need := clusterstate.TaskResources(&job.Spec)
+		need := record.TaskResources(&job.Spec)
 		if need.GPUs != 0 {
-			d.commonTask, d.commonTaskAt = clusterstate.Resources{}, now // GPUs are what is scarce here
+			d.commonTask, d.commonTaskAt = record.Resources{}, now // GPUs are what is scarce here
 			return
 		}
 		cores := need.CPUs * float64(job.Spec.TaskCount-job.DoneCount)
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -8,6 +8,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -24,7 +25,7 @@
 	cancelled := 0
 	for id := range c.cluster.DependencyCancelled() {
 		job := c.cluster.Jobs[id]
-		if job == nil || c.changes.inFlight(clusterstate.JobKey(id)) || cancelled >= tuning.DoomRound {
+		if job == nil || c.changes.inFlight(record.JobKey(id)) || cancelled >= tuning.DoomRound {
 			continue
 		}
 		if !c.shards.owns(c.firstLiveShard(job)) && c.now.Sub(job.DependencyCancelledAt) < tuning.DoomPatience {
@@ -39,7 +40,7 @@
 
 // cancelDependent is the change that ends a job as cancelled.
 func (c *cycle) cancelDependent(job *clusterstate.Job) *recordChange {
-	key := clusterstate.JobKey(job.Spec.ID)
+	key := record.JobKey(job.Spec.ID)
 	return &recordChange{
 		description:      "end " + job.Spec.ID + " with what it needs",
 		keys:             []string{key},
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -16,6 +16,7 @@
 	"sableusher/internal/kvstore"
 	"sableusher/internal/membership"
 	"sableusher/internal/quota"
+	"sableusher/internal/record"
 	"sableusher/internal/retry"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -165,11 +166,11 @@
 
 // pendingBinding is a task on its way to a machine.
 type pendingBinding struct {
-	task         clusterstate.TaskRef
+	task         record.TaskRef
 	machine      string
 	chargedShard int // whose grant it uses
 	team         string
-	need         clusterstate.Resources
+	need         record.Resources
 }
 
 // RunCycle takes in what the workers told and places what can be placed.
@@ -271,7 +272,7 @@
 	defer e.cluster.RUnlock()
 	var urgent, idle []string
 	appendOwned := func(list *[]string, name string) {
-		if _, _, ok := e.membership.Owns(clusterstate.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines[name] && len(*list) < tuning.ReturnMax {
+		if _, _, ok := e.membership.Owns(record.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines[name] && len(*list) < tuning.ReturnMax {
 			*list = append(*list, name)
 		}
 	}
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -6,13 +6,14 @@
 
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
 
 // countPlaceable finds how many tasks of a job may be placed in this cycle: those that wait for nothing
 // else, as far as its team's limit allows. It adds them to the team's usage.
-func (c *cycle) countPlaceable(queued *queuedJob, usage map[string]clusterstate.Resources) {
+func (c *cycle) countPlaceable(queued *queuedJob, usage map[string]record.Resources) {
 	job, spec := queued.job, &queued.job.Spec
 	retrying := c.countRetryBackoffs(job)
 	queued.Remaining = max(0, job.PendingCount()-c.inFlight.tasksByJob[spec.ID]-retrying)
@@ -28,7 +29,7 @@
 
 // applyTeamLimit lowers how many tasks of a job may be placed to what its team's limit leaves.
 func (c *cycle) applyTeamLimit(
-	queued *queuedJob, limit clusterstate.Resources, usage map[string]clusterstate.Resources,
+	queued *queuedJob, limit record.Resources, usage map[string]record.Resources,
 ) {
 	job, spec := queued.job, &queued.job.Spec
 	open := limit.AddTimes(usage[spec.Team], -1)
@@ -78,7 +79,7 @@
 		return true // it has lost nothing yet
 	}
 	for _, cell := range c.operator.Cells {
-		if record := c.cluster.Cells[cell.Name]; record == nil || record.OwnEpoch != epoch || !record.InventoryReceived {
+		if other := c.cluster.Cells[cell.Name]; other == nil || other.OwnEpoch != epoch || !other.InventoryReceived {
 			return false
 		}
 	}
@@ -112,7 +113,7 @@
 	}
 	for taskIndex := range job.Spec.TaskCount {
 		task := c.taskState(job, taskIndex)
-		if task.State != clusterstate.TaskBound {
+		if task.State != record.TaskBound {
 			continue
 		}
 		machine := c.cluster.Machines[task.Machine]
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -5,13 +5,14 @@
 
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 )
 
 // gangStart is the attempt that a gang's waiting tasks are bound for.
 type gangStart struct {
 	attempt uint64
-	idle    []clusterstate.Task
+	idle    []record.Task
 	forming bool // tasks of the attempt are bound already
 }
 
@@ -51,7 +52,7 @@
 	for taskIndex := range job.Spec.TaskCount {
 		task := c.taskState(job, taskIndex)
 		start.attempt = max(start.attempt, task.Attempt)
-		if task.State == clusterstate.TaskPending {
+		if task.State == record.TaskPending {
 			start.idle = append(start.idle, task)
 		} else {
 			start.forming = true
@@ -63,10 +64,10 @@
 // gangMayStart tells whether a gang's record can be changed, and no task of its last attempt has ended
 // while others are still on machines.
 func (c *cycle) gangMayStart(job *clusterstate.Job, start gangStart) bool {
-	if c.changes.inFlight(clusterstate.JobKey(job.Spec.ID)) || c.needsMigration(job) {
+	if c.changes.inFlight(record.JobKey(job.Spec.ID)) || c.needsMigration(job) {
 		return false
 	}
-	return !start.forming || !slices.ContainsFunc(start.idle, func(task clusterstate.Task) bool {
+	return !start.forming || !slices.ContainsFunc(start.idle, func(task record.Task) bool {
 		return task.Attempt >= start.attempt
 	})
 }
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 )
 
 // guarantees tells which work lies within its team's guaranteed share, as of the last update.
@@ -24,13 +25,13 @@
 
 // guaranteeBudget is what a team's guarantee has left while its jobs are gone through.
 type guaranteeBudget struct {
-	limit    clusterstate.Resources
-	reserved clusterstate.Resources
+	limit    record.Resources
+	reserved record.Resources
 }
 
 // reserve takes room in the budget for some tasks of a job; false, and nothing taken, if they exceed it.
 func (b *guaranteeBudget) reserve(job *clusterstate.Job, tasks int) bool {
-	total := b.reserved.AddTimes(clusterstate.TaskResources(&job.Spec), float64(tasks))
+	total := b.reserved.AddTimes(record.TaskResources(&job.Spec), float64(tasks))
 	total.MemoryGB = 0 // guarantees are of cores and GPUs
 	if !total.FitsIn(b.limit) {
 		return false
@@ -78,7 +79,7 @@
 // order: by arrival alone one large job that is late would keep out the later ones until they are
 // late as well.
 func (g *guarantees) addTeam(
-	limit clusterstate.Resources, jobs []*clusterstate.Job, earlier map[string]bool, order func(*clusterstate.Job) int,
+	limit record.Resources, jobs []*clusterstate.Job, earlier map[string]bool, order func(*clusterstate.Job) int,
 ) {
 	slices.SortFunc(jobs, func(a, b *clusterstate.Job) int {
 		return cmp.Or(cmp.Compare(a.ReadySinceMs(), b.ReadySinceMs()), cmp.Compare(a.Spec.ID, b.Spec.ID))
--- a/internal/scheduler/guarantees_test.go
+++ b/internal/scheduler/guarantees_test.go
@@ -6,9 +6,9 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/quota"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -26,7 +26,7 @@
 			spec := arraySpec(i, rapid.IntRange(1, 90).Draw(t, "tasks"))
 			spec.Team, spec.Class, spec.RuntimeEstimateSeconds = "t", "c", 30
 			now = now.Add(time.Second)
-			cluster.put(clusterstate.JobKey(spec.ID), clusterstate.JobRecord{Spec: spec, SubmittedAtMs: now.UnixMilli()})
+			cluster.put(record.JobKey(spec.ID), record.Job{Spec: spec, SubmittedAtMs: now.UnixMilli()})
 			c := updateGuaranteesUnderShortage(engine, now)
 			checkGuarantees(t, c, guarantee, given)
 			if c.guarantees.onArrival[spec.ID] {
--- a/internal/scheduler/homeshard.go
+++ b/internal/scheduler/homeshard.go
@@ -6,6 +6,7 @@
 
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -89,7 +90,7 @@
 
 // firstLiveShard is the first shard in a job's own order whose owner lives.
 func (c *cycle) firstLiveShard(job *clusterstate.Job) int {
-	hashed := clusterstate.ShardOf(job.Spec.ID, c.cluster.ShardCount)
+	hashed := record.ShardOf(job.Spec.ID, c.cluster.ShardCount)
 	for offset := range c.cluster.ShardCount {
 		if shard := (hashed + offset) % c.cluster.ShardCount; c.shards.live[shard] {
 			return shard
--- a/internal/scheduler/learner_checkpoint.go
+++ b/internal/scheduler/learner_checkpoint.go
@@ -9,6 +9,7 @@
 	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/learner"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -91,24 +92,24 @@
 	version := s.cluster.SchemaVersion
 	s.cluster.RUnlock()
 	if version < tuning.LevelPipelines {
-		return []wire.Op{kvstore.PutOp(clusterstate.LearnerCheckpointKey(s.node), checkpoint)}
+		return []wire.Op{kvstore.PutOp(record.LearnerCheckpointKey(s.node), checkpoint)}
 	}
 	var ops []wire.Op
 	for i, piece := range checkpoint.Split(s.committer.MaxRecordBytes(), time.Now().UnixMilli()) {
-		ops = append(ops, kvstore.PutOp(clusterstate.LearnerCheckpointPieceKey(s.node, i), piece))
+		ops = append(ops, kvstore.PutOp(record.LearnerCheckpointPieceKey(s.node, i), piece))
 	}
 	return ops
 }
 
 // load reads the checkpoint: in pieces, or as one record, as it was before tuning.LevelPipelines.
 func (s learnerCheckpoints) load(ctx context.Context) (learner.Saved, error) {
-	checkpoint, err := s.read(ctx, clusterstate.LearnerCheckpointPieceKey(s.node, 0))
+	checkpoint, err := s.read(ctx, record.LearnerCheckpointPieceKey(s.node, 0))
 	if errors.Is(err, kvstore.ErrNotFound) {
-		return s.read(ctx, clusterstate.LearnerCheckpointKey(s.node))
+		return s.read(ctx, record.LearnerCheckpointKey(s.node))
 	}
 	for i := 1; i < checkpoint.Of && err == nil; i++ {
 		var piece learner.Saved
-		if piece, err = s.read(ctx, clusterstate.LearnerCheckpointPieceKey(s.node, i)); err == nil {
+		if piece, err = s.read(ctx, record.LearnerCheckpointPieceKey(s.node, i)); err == nil {
 			err = checkpoint.Join(piece)
 		}
 	}
@@ -119,10 +120,10 @@
 func (s learnerCheckpoints) read(ctx context.Context, key string) (learner.Saved, error) {
 	for {
 		var checkpoint learner.Saved
-		record, err := s.reader.Get(ctx, key)
+		entry, err := s.reader.Get(ctx, key)
 		switch {
 		case err == nil:
-			return checkpoint, wire.Decode(record.Value, &checkpoint)
+			return checkpoint, wire.Decode(entry.Value, &checkpoint)
 		case errors.Is(err, kvstore.ErrNotFound) || ctx.Err() != nil:
 			return checkpoint, err
 		}
--- a/internal/scheduler/learner_reward.go
+++ b/internal/scheduler/learner_reward.go
@@ -6,6 +6,7 @@
 
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -56,8 +57,8 @@
 	if !ok {
 		return 0
 	}
-	capacity := clusterstate.Capacity(&machineType)
-	rest := capacity.AddTimes(clusterstate.TaskResources(spec), -1)
+	capacity := record.Capacity(&machineType)
+	rest := capacity.AddTimes(record.TaskResources(spec), -1)
 	return 1 - binpack.FreeFraction(rest, capacity)
 }
 
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -9,6 +9,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/learner"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -34,7 +35,7 @@
 
 // taskAttempt names one attempt of a task.
 type taskAttempt struct {
-	task    clusterstate.TaskRef
+	task    record.TaskRef
 	attempt uint64
 }
 
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -8,6 +8,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/fairshare"
 	"sableusher/internal/jobqueue"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -237,13 +238,13 @@
 // machineShare is what a task takes of a machine, of the type of which it takes least, or of the room for a
 // common task: in the unit that capacityForRank counts in.
 func (c *cycle) machineShare(spec *wire.JobSpec) float64 {
-	need := clusterstate.TaskResources(spec)
+	need := record.TaskResources(spec)
 	if commonTask := c.demand.commonTask; commonTask.CPUs > 0 {
 		return max(need.CPUs/commonTask.CPUs, need.MemoryGB/max(commonTask.MemoryGB, 1))
 	}
 	least := 1.0
 	for _, machineType := range c.cluster.Types {
-		capacity := clusterstate.Capacity(&machineType)
+		capacity := record.Capacity(&machineType)
 		if need.FitsIn(capacity) {
 			least = min(least, 1-binpack.FreeFraction(capacity.AddTimes(need, -1), capacity))
 		}
--- a/internal/scheduler/objectives_test.go
+++ b/internal/scheduler/objectives_test.go
@@ -6,8 +6,8 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 )
 
@@ -52,14 +52,14 @@
 func drawArrays(t *rapid.T, cluster *testCluster) {
 	for i := range rapid.IntRange(1, 30).Draw(t, "machines") {
 		name := cluster.addMachine(i, true)
-		running := clusterstate.Task{State: clusterstate.TaskBound, Attempt: 1, Machine: name, Session: 1}
+		running := record.Task{State: record.TaskBound, Attempt: 1, Machine: name, Session: 1}
 		cluster.addJob(arraySpec(5000+i, 4), running)
 	}
 	for i := range rapid.IntRange(2, 40).Draw(t, "jobs") {
 		spec := arraySpec(i, rapid.IntRange(1, 180).Draw(t, "tasks"))
 		spec.Team, spec.Class, spec.RuntimeEstimateSeconds = "t", "c", float64(rapid.IntRange(5, 90).Draw(t, "run"))
 		at := testNow.Add(-time.Duration(rapid.IntRange(0, 400).Draw(t, "age")) * time.Second)
-		cluster.put(clusterstate.JobKey(spec.ID), clusterstate.JobRecord{Spec: spec, SubmittedAtMs: at.UnixMilli()})
+		cluster.put(record.JobKey(spec.ID), record.Job{Spec: spec, SubmittedAtMs: at.UnixMilli()})
 	}
 }
 
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -6,6 +6,7 @@
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/jobqueue"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -129,7 +130,7 @@
 func (c *cycle) newQueuedJob(key jobqueue.Key, job *clusterstate.Job) queuedJob {
 	return queuedJob{
 		Request: binpack.Request{
-			Spec: &job.Spec, Need: clusterstate.TaskResources(&job.Spec), StartWithinS: c.startObjectiveS(&job.Spec),
+			Spec: &job.Spec, Need: record.TaskResources(&job.Spec), StartWithinS: c.startObjectiveS(&job.Spec),
 		},
 		job:             job,
 		rank:            key.PriorityRank,
--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -6,6 +6,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -26,7 +27,7 @@
 type recordEdit struct {
 	job         *clusterstate.Job
 	recordIndex int
-	tasks       map[int]clusterstate.Task
+	tasks       map[int]record.Task
 	shards      map[int]bool
 	bindings    []pendingBinding
 	encodedSize int  // what the record takes, as JSON; 0: not measured yet
@@ -34,7 +35,7 @@
 }
 
 // usage is what a team's tasks of a part take, those on their way included.
-func (c *cycle) usage(shard int, team string) clusterstate.Resources {
+func (c *cycle) usage(shard int, team string) record.Resources {
 	return c.cluster.UsageByShard[shard][team].AddTimes(c.inFlight.byTeam[shard][team], 1)
 }
 
@@ -49,7 +50,7 @@
 	}
 	edit := c.recordEdits[recordKey{job, recordIndex}]
 	if edit == nil {
-		edit = &recordEdit{job: job, recordIndex: recordIndex, tasks: map[int]clusterstate.Task{}, shards: map[int]bool{}}
+		edit = &recordEdit{job: job, recordIndex: recordIndex, tasks: map[int]record.Task{}, shards: map[int]bool{}}
 		c.recordEdits[recordKey{job, recordIndex}] = edit
 	}
 	return edit
@@ -86,7 +87,7 @@
 }
 
 // taskState is a task's state with this round's changes.
-func (c *cycle) taskState(job *clusterstate.Job, taskIndex int) clusterstate.Task {
+func (c *cycle) taskState(job *clusterstate.Job, taskIndex int) record.Task {
 	if edit := c.recordEdits[recordKey{job, job.ChunkOf(taskIndex)}]; edit != nil {
 		if task, ok := edit.tasks[taskIndex]; ok {
 			return task
@@ -100,8 +101,8 @@
 	id := job.Spec.ID
 	if guest := job.OffloadedFrom; guest != nil {
 		// Its home alone answers its user, and is told from this until it has it.
-		record := clusterstate.GuestOutcomeRecord{JobID: id, Status: status, DoneCount: done}
-		ops := []wire.Op{kvstore.PutOp(clusterstate.GuestOutcomeKey(guest.Cell, guest.Number), record), kvstore.DeleteOp(clusterstate.JobKey(id))}
+		guestOutcomeRecord := record.GuestOutcome{JobID: id, Status: status, DoneCount: done}
+		ops := []wire.Op{kvstore.PutOp(record.GuestOutcomeKey(guest.Cell, guest.Number), guestOutcomeRecord), kvstore.DeleteOp(record.JobKey(id))}
 		return append(ops, c.deleteRecordOps(job, len(ops))...)
 	}
 	ops := job.FinalizeOps(status, done, c.now.UnixMilli())
@@ -160,15 +161,15 @@
 	for _, edit := range edits {
 		for taskIndex, task := range edit.tasks {
 			switch old := job.Task(taskIndex); old.State {
-			case clusterstate.TaskBound:
+			case record.TaskBound:
 				bound--
-			case clusterstate.TaskDone:
+			case record.TaskDone:
 				done--
 			}
 			switch task.State {
-			case clusterstate.TaskBound:
+			case record.TaskBound:
 				bound++
-			case clusterstate.TaskDone:
+			case record.TaskDone:
 				done++
 			}
 		}
@@ -198,10 +199,10 @@
 	for _, shard := range slices.Sorted(maps.Keys(shards)) {
 		if modRevision, owned := c.shards.revisions[shard]; owned {
 			change.shards = append(change.shards, shard)
-			conditions[clusterstate.ShardKey(shard)] = modRevision
+			conditions[record.ShardKey(shard)] = modRevision
 		} else {
 			// A gang's machine in another node's part, while that node owns it.
-			conditions[clusterstate.ShardKey(shard)] = c.cluster.Shards[shard].ModRevision
+			conditions[record.ShardKey(shard)] = c.cluster.Shards[shard].ModRevision
 		}
 	}
 	for _, key := range slices.Sorted(maps.Keys(conditions)) {
@@ -213,12 +214,12 @@
 }
 
 // updateMachineRecord adds a change of a machine's record, and gives it for its place in the queue.
-func (c *cycle) updateMachineRecord(description, name string, shard int, machineRecord clusterstate.MachineRecord, modRevision uint64) *kvstore.Transaction {
-	key := clusterstate.MachineKey(name)
+func (c *cycle) updateMachineRecord(description, name string, shard int, machineRecord record.Machine, modRevision uint64) *kvstore.Transaction {
+	key := record.MachineKey(name)
 	change := &recordChange{
 		description: description, keys: []string{key}, shards: []int{shard}, harmlessWhenLate: true,
 		transaction: kvstore.Transaction{
-			Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard), ModRevision: c.shards.revisions[shard]}, {Key: key, ModRevision: modRevision}},
+			Conditions: []wire.Condition{{Key: record.ShardKey(shard), ModRevision: c.shards.revisions[shard]}, {Key: key, ModRevision: modRevision}},
 			Ops:        []wire.Op{kvstore.PutOp(key, machineRecord)},
 		},
 	}
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -2,7 +2,7 @@
 
 import (
 	"sableusher/internal/binpack"
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -122,7 +122,7 @@
 	}
 	for taskIndex := range spec.TaskCount {
 		task := c.taskState(job, taskIndex)
-		if machine := c.cluster.Machines[task.Machine]; task.State == clusterstate.TaskBound && machine != nil {
+		if machine := c.cluster.Machines[task.Machine]; task.State == record.TaskBound && machine != nil {
 			preferred.TasksByZone[machine.Zone]++
 		}
 	}
