--- /dev/null
+++ b/internal/scheduler/backoff_test.go
@@ -0,0 +1,31 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"sableusher/internal/tuning"
+)
+
+// TestBackoffDoublesUpToItsBound: each failure of a job doubles its backoff, from the least to the most; other jobs
+// and jobs that are over have none.
+func TestBackoffDoublesUpToItsBound(t *testing.T) {
+	table := backoffTable{}
+	now, want := testNow, tuning.JobBackoff
+	for range 20 {
+		table.extend("a", now)
+		if !table.active("a", now.Add(want-1)) || table.active("a", now.Add(want)) {
+			t.Errorf("backoff %+v, want %v from %v", table["a"], want, now)
+		}
+		now, want = now.Add(time.Hour), min(2*want, tuning.JobBackoffMax)
+	}
+	if want != tuning.JobBackoffMax {
+		t.Errorf("backoff still grows at %v", want)
+	}
+	if table.active("b", now) {
+		t.Error("a job that never failed backs off")
+	}
+	if table.prune(func(jobID string) bool { return jobID == "a" }); len(table) != 0 {
+		t.Errorf("left after the job is over: %v", table)
+	}
+}
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -143,7 +143,7 @@
 	}
 	queue := c.queueBuffer[:0]
 	c.waitingJobs.Each(func(key jobqueue.Key, job *clusterstate.Job) bool {
-		if backoff, ok := c.jobBackoffs[key.JobID]; !ok || !c.now.Before(backoff.until) {
+		if !c.backoffs.active(key.JobID, c.now) {
 			queue = append(queue, queuedJob{Request: binpack.Request{Spec: &job.Spec, Need: clusterstate.TaskResources(&job.Spec), StartWithinS: c.startObjectiveS(&job.Spec)}, job: job, withinGuarantee: key.WithinGuarantee, rank: key.PriorityRank, nearDeadline: key.NearDeadline, key: key, homeShard: -1})
 		}
 		return true
@@ -259,7 +259,7 @@
 	c.changes.pruneRejected(c.now)
 	isOver := func(id string) bool { return c.cluster.Jobs[id] == nil }
 	maps.DeleteFunc(c.cachedValues, func(id string, _ cachedValue) bool { return isOver(id) })
-	maps.DeleteFunc(c.jobBackoffs, func(id string, _ jobBackoff) bool { return isOver(id) })
+	c.backoffs.prune(isOver)
 	maps.DeleteFunc(c.ownerWaits, func(id string, _ ownerWait) bool { return isOver(id) })
 	maps.DeleteFunc(c.unplacedSince, func(id string, _ time.Time) bool { return isOver(id) || c.cluster.Jobs[id].PendingCount() == 0 })
 	maps.DeleteFunc(c.lastLoggedReason, func(id string, _ time.Time) bool { return isOver(id) })
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -40,7 +40,7 @@
 	mu                  sync.Mutex
 	ctx                 context.Context
 	changes             changeTracker
-	jobBackoffs         map[string]jobBackoff
+	backoffs            backoffTable
 	ownerWaits          map[string]ownerWait // jobs that wait though room was seen for them elsewhere
 	machinesToReconcile map[string]struct{}  // machines whose tasks' fate is to be looked at
 	lastSweep           time.Time            // when all machines were last looked at
@@ -103,16 +103,11 @@
 	pending  int
 }
 
-type jobBackoff struct {
-	until time.Time
-	delay time.Duration
-}
-
 // New makes an engine.
 func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *agent.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
-		changes: newChangeTracker(), jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
+		changes: newChangeTracker(), backoffs: backoffTable{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
 		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: map[string]bool{}, tombstones: map[string]time.Time{},
 		nextReorder: map[string]time.Time{}, jobsToMigrate: map[string]bool{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
@@ -339,14 +334,6 @@
 	return e.demand
 }
 
-// Backoff keeps a job's tasks from being placed for a growing while.
-func (e *Engine) backOffJob(jobID string, now time.Time) {
-	backoff := e.jobBackoffs[jobID]
-	backoff.delay = min(max(2*backoff.delay, tuning.JobBackoff), tuning.JobBackoffMax)
-	backoff.until = now.Add(backoff.delay)
-	e.jobBackoffs[jobID] = backoff
-}
-
 // Graced is the slack a task needs to save.
 func stopGraceSeconds(spec *wire.JobSpec) float64 {
 	return spec.CheckpointSaveSeconds + tuning.StopMargin.Seconds()
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -131,7 +131,7 @@
 		c.machinesToRefresh[machineName] = struct{}{}
 	}
 	if decision.BackOffJob {
-		c.backOffJob(spec.ID, c.now)
+		c.backoffs.extend(spec.ID, c.now)
 	}
 	if task.Presence == agent.PresenceExited && task.Cause != wire.ExitCauseDone && (task.Cause != wire.ExitCauseStopped || !task.Saved) {
 		c.log.Debug("task ended without being done", "task", binding.Ref, "cause", task.Cause, "machine", machineName)
