--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -264,7 +264,7 @@
 	maps.DeleteFunc(c.unplacedSince, func(id string, _ time.Time) bool { return isOver(id) || c.cluster.Jobs[id].PendingCount() == 0 })
 	maps.DeleteFunc(c.lastLoggedReason, func(id string, _ time.Time) bool { return isOver(id) })
 	maps.DeleteFunc(c.gangFormingSince, func(id string, _ time.Time) bool { return isOver(id) })
-	maps.DeleteFunc(c.tombstones, func(_ string, at time.Time) bool { return c.now.Sub(at) > tuning.BuriedFor })
+	c.deletedMachines.pruneTombstones(c.now)
 	c.reservations.prune(c.now)
 }
 
--- /dev/null
+++ b/internal/scheduler/deletedmachines_test.go
@@ -0,0 +1,30 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"sableusher/internal/tuning"
+)
+
+// TestTombstoneOutlivesConfirmation: a machine's tombstone stands for its time, also when nothing of the machine is
+// left and its confirmation is forgotten.
+func TestTombstoneOutlivesConfirmation(t *testing.T) {
+	deleted := newDeletedMachines()
+	deleted.confirm("m1", testNow)
+	deleted.confirm("m2", testNow.Add(time.Second))
+	deleted.forgetConfirmed(func(name string) bool { return name == "m1" })
+	if deleted.isConfirmed("m1") || !deleted.isConfirmed("m2") || deleted.isConfirmed("m3") {
+		t.Errorf("confirmed: %v", deleted.confirmed)
+	}
+	if !deleted.hasTombstone("m1") || !deleted.hasTombstone("m2") || deleted.hasTombstone("m3") {
+		t.Errorf("tombstones: %v", deleted.tombstones)
+	}
+	if deleted.pruneTombstones(testNow.Add(tuning.BuriedFor)); !deleted.hasTombstone("m1") {
+		t.Error("tombstone dropped too early")
+	}
+	deleted.pruneTombstones(testNow.Add(tuning.BuriedFor + 1))
+	if deleted.hasTombstone("m1") || !deleted.hasTombstone("m2") {
+		t.Errorf("tombstones after the first one's time: %v", deleted.tombstones)
+	}
+}
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -47,9 +47,8 @@
 	gangFormingSince    map[string]time.Time
 	lastLoggedReason    map[string]time.Time // when the log last said why a job waits
 	reservations        reservationTable
-	shardOwnedSince     map[int]time.Time    // since when a part is ours
-	deletedMachines     map[string]bool      // machines whose deletion the cloud has confirmed
-	tombstones          map[string]time.Time // the same, for long after their records are gone
+	shardOwnedSince     map[int]time.Time // since when a part is ours
+	deletedMachines     deletedMachines
 	failureDetector     failuredetector.Detector
 	lastFenced          map[int]time.Time
 	lastArrayPlacement  time.Time // when arrays were last given room
@@ -108,7 +107,7 @@
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
 		changes: newChangeTracker(), backoffs: backoffTable{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
-		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: map[string]bool{}, tombstones: map[string]time.Time{},
+		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: newDeletedMachines(),
 		nextReorder: map[string]time.Time{}, jobsToMigrate: map[string]bool{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
 		learning: learning{
@@ -286,8 +285,7 @@
 func (e *Engine) ConfirmDeleted(names []string) {
 	e.mu.Lock()
 	for _, name := range names {
-		e.deletedMachines[name] = true
-		e.tombstones[name] = time.Now()
+		e.deletedMachines.confirm(name, time.Now())
 		e.machinesToReconcile[name] = struct{}{}
 	}
 	e.mu.Unlock()
@@ -303,7 +301,7 @@
 	defer e.cluster.RUnlock()
 	var urgent, idle []string
 	appendOwned := func(list *[]string, name string) {
-		if _, _, ok := e.membership.Owns(clusterstate.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines[name] && len(*list) < tuning.ReturnMax {
+		if _, _, ok := e.membership.Owns(clusterstate.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines.isConfirmed(name) && len(*list) < tuning.ReturnMax {
 			*list = append(*list, name)
 		}
 	}
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -36,7 +36,7 @@
 	for _, name := range slices.Sorted(maps.Keys(c.cluster.Machines)) {
 		machine := c.cluster.Machines[name]
 		token, owned := c.fencingTokens[machine.Shard]
-		if !owned || machine.Deleting || c.deletedMachines[name] || c.changes.inFlight(clusterstate.MachineKey(name)) {
+		if !owned || machine.Deleting || c.deletedMachines.isConfirmed(name) || c.changes.inFlight(clusterstate.MachineKey(name)) {
 			continue
 		}
 		status := c.agents.MachineStatus(name, token)
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -73,7 +73,7 @@
 		if status := c.agents.MachineStatus(name, token); !status.ReclaimAt.IsZero() {
 			c.evacuateMachine(machine)
 		}
-		deleted := (machine.Deleting || machine.Draining) && c.deletedMachines[name]
+		deleted := (machine.Deleting || machine.Draining) && c.deletedMachines.isConfirmed(name)
 		for _, binding := range machine.Bindings {
 			if deleted {
 				c.releaseTask(binding, name, clusterstate.TaskPending, "machine deleted")
@@ -96,17 +96,15 @@
 		}
 	}
 	for name, bindings := range c.cluster.OrphanBindings {
-		if _, owned := c.fencingTokens[clusterstate.ShardOf(name, c.cluster.ShardCount)]; owned && c.deletedMachines[name] {
+		if _, owned := c.fencingTokens[clusterstate.ShardOf(name, c.cluster.ShardCount)]; owned && c.deletedMachines.isConfirmed(name) {
 			for _, binding := range bindings {
 				c.releaseTask(binding, name, clusterstate.TaskPending, "machine deleted")
 			}
 		}
 	}
-	for name := range c.deletedMachines {
-		if c.cluster.Machines[name] == nil && c.cluster.OrphanBindings[name] == nil {
-			delete(c.deletedMachines, name)
-		}
-	}
+	c.deletedMachines.forgetConfirmed(func(name string) bool {
+		return c.cluster.Machines[name] == nil && c.cluster.OrphanBindings[name] == nil
+	})
 	c.finishJobs()
 }
 
@@ -257,7 +255,7 @@
 		}
 		// A report that a cut has held back may come long after its machine was deleted:
 		// a record of it would be room that is not there.
-		if _, tombstone := c.tombstones[name]; machine == nil && tombstone {
+		if machine == nil && c.deletedMachines.hasTombstone(name) {
 			continue
 		}
 		machineRecord := clusterstate.MachineRecord{CreatedAtMs: c.now.UnixMilli()}
