--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"log/slog"
-	"maps"
 	"sync"
 	"time"
 
@@ -42,7 +41,7 @@
 	changes             changeTracker
 	backoffs            backoffTable
 	ownerWaits          map[string]ownerWait // jobs that wait though room was seen for them elsewhere
-	machinesToReconcile map[string]struct{}  // machines whose tasks' fate is to be looked at
+	machinesToReconcile machineSet           // machines whose tasks' fate is to be looked at
 	lastSweep           time.Time            // when all machines were last looked at
 	gangFormingSince    map[string]time.Time
 	lastLoggedReason    map[string]time.Time // when the log last said why a job waits
@@ -74,7 +73,7 @@
 	waitingJobs            *jobqueue.Queue[*clusterstate.Job]
 	queueBuffer            []queuedJob // of the round before, its memory used again
 	retainedInventory      *binpack.Inventory
-	machinesToRefresh      map[string]struct{} // machines whose workers told something that the stock has not taken in
+	machinesToRefresh      machineSet // machines whose workers told something that the stock has not taken in
 	demand                 UnmetDemand
 	learning               learning
 	reader                 kvstore.Reader
@@ -106,7 +105,7 @@
 func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *agent.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
-		changes: newChangeTracker(), backoffs: backoffTable{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
+		changes: newChangeTracker(), backoffs: backoffTable{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: machineSet{}, cachedValues: map[string]cachedValue{},
 		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: newDeletedMachines(),
 		nextReorder: map[string]time.Time{}, jobsToMigrate: map[string]bool{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
@@ -114,7 +113,7 @@
 			learner:  learner.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
 			runTimes: learner.NewEstimates(), pendingRewards: map[taskAttempt]int64{}, startedAt: map[taskAttempt]time.Time{}, recentResponsiveness: 0.5,
 		},
-		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waitingJobs: jobqueue.New[*clusterstate.Job](), machinesToRefresh: map[string]struct{}{},
+		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waitingJobs: jobqueue.New[*clusterstate.Job](), machinesToRefresh: machineSet{},
 	}
 }
 
@@ -210,12 +209,12 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	heardMachines := e.agents.TakeUpdatedMachines()
-	maps.Copy(e.machinesToReconcile, heardMachines)
-	maps.Copy(e.machinesToRefresh, heardMachines)
+	e.machinesToReconcile.addAll(heardMachines)
+	e.machinesToRefresh.addAll(heardMachines)
 	e.cluster.RLock()
 	changedMachines := e.changeFeed.TakeMachines()
-	maps.Copy(e.machinesToReconcile, changedMachines)
-	maps.Copy(e.machinesToRefresh, changedMachines)
+	e.machinesToReconcile.addAll(changedMachines)
+	e.machinesToRefresh.addAll(changedMachines)
 	c := e.newCycle(now)
 	c.adoptMachines()
 	if now.Sub(e.lastSweep) >= tuning.SweepEvery {
@@ -225,7 +224,7 @@
 		c.deleteFailedMachines()
 		for shard := range c.fencingTokens {
 			for _, machine := range c.cluster.MachinesByShard[shard] {
-				e.machinesToReconcile[machine.Name] = struct{}{}
+				e.machinesToReconcile.add(machine.Name)
 			}
 		}
 	}
@@ -286,7 +285,7 @@
 	e.mu.Lock()
 	for _, name := range names {
 		e.deletedMachines.confirm(name, time.Now())
-		e.machinesToReconcile[name] = struct{}{}
+		e.machinesToReconcile.add(name)
 	}
 	e.mu.Unlock()
 	e.wake()
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -105,7 +105,7 @@
 	machineRecord := machine.MachineRecord
 	machineRecord.Up = false
 	c.updateMachineRecord("machine "+reason+" "+machine.Name, machine.Name, machine.Shard, machineRecord, machine.ModRevision).HighPriority = true
-	c.machinesToRefresh[machine.Name] = struct{}{}
+	c.machinesToRefresh.add(machine.Name)
 }
 
 // outboundLostMachine is a mute machine, and when its lease ends.
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -58,9 +58,7 @@
 // machines of which something new is known. One with a task that is to leave it
 // is looked at again until it has left.
 func (c *cycle) reconcileMachines() {
-	names := slices.Sorted(maps.Keys(c.machinesToReconcile))
-	clear(c.machinesToReconcile)
-	for _, name := range names {
+	for _, name := range c.machinesToReconcile.drain() {
 		machine := c.cluster.Machines[name]
 		if machine == nil {
 			continue
@@ -82,7 +80,7 @@
 			c.reconcileTask(binding, name, token)
 		}
 		if c.releaseBlocked || deleted {
-			c.machinesToReconcile[name] = struct{}{}
+			c.machinesToReconcile.add(name)
 		}
 		if deleted && len(machine.Bindings) == 0 && machine.ModRevision != 0 && !c.cluster.ListedInRental(name) && !c.changes.inFlight(clusterstate.MachineKey(name)) {
 			c.outgoing = append(c.outgoing, &recordChange{
@@ -122,11 +120,11 @@
 	}
 	if decision.TaskFailed {
 		c.agents.RecordTaskFailure(machineName, spec.ID)
-		c.machinesToRefresh[machineName] = struct{}{}
+		c.machinesToRefresh.add(machineName)
 	}
 	if decision.PlacementRefused {
 		c.agents.RecordStartRefusal(machineName)
-		c.machinesToRefresh[machineName] = struct{}{}
+		c.machinesToRefresh.add(machineName)
 	}
 	if decision.BackOffJob {
 		c.backoffs.extend(spec.ID, c.now)
