--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -40,7 +40,7 @@
 			continue
 		}
 		status := c.agents.MachineStatus(name, token)
-		machines = append(machines, failuredetector.Machine{Name: name, Zone: machine.Zone, Shard: machine.Shard, Up: machine.Up, Session: status.Session, LastHeard: status.LastHeard, OwnedSince: c.shardOwnedSince[machine.Shard],
+		machines = append(machines, failuredetector.Machine{Name: name, Zone: machine.Zone, Shard: machine.Shard, Up: machine.Up, Session: status.Session, LastHeard: status.LastHeard, OwnedSince: c.shardTenure.since(machine.Shard),
 			CommandUnanswered: status.CommandUnanswered, CancellationOverdue: c.cancellationOverdue(machine), BoundTasks: len(machine.Bindings), ServiceMovable: c.serviceCanMove(machine, reachableZones), ControllerInZone: c.controllerInZone(machine.Zone)})
 		if status.OutboundLost {
 			outboundLost = append(outboundLost, outboundLostMachine{machine, status.LeaseExpiry})
@@ -153,7 +153,7 @@
 	machineType := c.cluster.Types[machine.Type]
 	bootLimit := max(time.Duration(tuning.BootStuck*machineType.BootSeconds*float64(time.Second)), tuning.BootStuckMin)
 	reportLimit := tuning.FindNode + time.Duration(tuning.DeadAfter*float64(c.settings.Report()))
-	return machineType.Name != "" && c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > bootLimit && c.now.Sub(c.shardOwnedSince[machine.Shard]) > reportLimit
+	return machineType.Name != "" && c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > bootLimit && c.now.Sub(c.shardTenure.since(machine.Shard)) > reportLimit
 }
 
 // deleteMachine marks a machine to be deleted at the cloud.
--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -72,15 +72,14 @@
 		c.inFlightByShard[shard] = map[string]clusterstate.Resources{}
 		if token, modRevision, ok := e.membership.Owns(shard); ok {
 			c.fencingTokens[shard], c.shardRevisions[shard] = token, modRevision
-			if _, known := e.shardOwnedSince[shard]; !known {
-				e.shardOwnedSince[shard] = now
+			if e.shardTenure.begin(shard, now) {
 				// A new owner hears of its machines at once rather than at their next report.
 				for _, machine := range e.cluster.MachinesByShard[shard] {
 					e.agents.RequestDispatch(machine.Name)
 				}
 			}
 		} else if _, entitled := e.membership.MayServeAgents(shard); !entitled {
-			delete(e.shardOwnedSince, shard)
+			e.shardTenure.end(shard)
 		}
 	}
 	for binding := range e.changes.bindings() {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -275,7 +275,7 @@
 			fixture.cluster.RLock()
 			c := engine.newCycle(testNow)
 			for p := range c.fencingTokens {
-				engine.shardOwnedSince[p] = testNow.Add(-owned)
+				engine.shardTenure[p] = testNow.Add(-owned)
 			}
 			c.deleteFailedMachines()
 			fixture.cluster.RUnlock()
