--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -263,7 +263,7 @@
 	maps.DeleteFunc(c.ownerWaits, func(id string, _ ownerWait) bool { return isOver(id) })
 	maps.DeleteFunc(c.unplacedSince, func(id string, _ time.Time) bool { return isOver(id) || c.cluster.Jobs[id].PendingCount() == 0 })
 	maps.DeleteFunc(c.lastLoggedReason, func(id string, _ time.Time) bool { return isOver(id) })
-	maps.DeleteFunc(c.gangFormingSince, func(id string, _ time.Time) bool { return isOver(id) })
+	c.gangFormation.prune(isOver)
 	c.deletedMachines.pruneTombstones(c.now)
 	c.reservations.prune(c.now)
 }
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -43,7 +43,7 @@
 	ownerWaits          map[string]ownerWait // jobs that wait though room was seen for them elsewhere
 	machinesToReconcile machineSet           // machines whose tasks' fate is to be looked at
 	lastSweep           time.Time            // when all machines were last looked at
-	gangFormingSince    map[string]time.Time
+	gangFormation       gangFormation
 	lastLoggedReason    map[string]time.Time // when the log last said why a job waits
 	reservations        reservationTable
 	shardTenure         shardTenure
@@ -106,7 +106,7 @@
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
 		changes: newChangeTracker(), backoffs: backoffTable{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: machineSet{}, cachedValues: map[string]cachedValue{},
-		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardTenure: shardTenure{}, deletedMachines: newDeletedMachines(),
+		gangFormation: gangFormation{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardTenure: shardTenure{}, deletedMachines: newDeletedMachines(),
 		nextReorder: map[string]time.Time{}, jobsToMigrate: map[string]bool{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
 		learning: learning{
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -4,14 +4,12 @@
 	"cmp"
 	"maps"
 	"slices"
-	"time"
 
 	"sableusher/internal/agent"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/reconcile"
 	"sableusher/internal/retry"
-	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
 
@@ -175,15 +173,10 @@
 	case reconcile.GangBroken:
 		return true
 	case reconcile.GangWhole:
-		delete(c.gangFormingSince, job.Spec.ID)
+		c.gangFormation.formed(job.Spec.ID)
 		return false
 	}
-	since, ok := c.gangFormingSince[job.Spec.ID]
-	if !ok {
-		c.gangFormingSince[job.Spec.ID] = c.now
-		return false
-	}
-	return c.now.Sub(since) > tuning.GangForm+time.Duration(job.Spec.TaskCount)*tuning.GangFormTask
+	return c.gangFormation.timedOut(job.Spec.ID, job.Spec.TaskCount, c.now)
 }
 
 // finishJobs ends jobs whose tasks are all done, or that are cancelled and have
