--- a/internal/binpack/allocate.go
+++ b/internal/binpack/allocate.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -160,7 +160,7 @@
 // machine that just one of those fits on costs as much as the whole machine. Small machines, and
 // what larger ones have left over, are there for small tasks. It is false on machines with GPUs,
 // where leavesGPUShare decides.
-func (inv *Inventory) displacesCommon(need clusterstate.Resources, info *MachineInfo) bool {
+func (inv *Inventory) displacesCommon(need record.Resources, info *MachineInfo) bool {
 	if inv.CommonNeed.CPUs == 0 || need.GPUs > 0 || info.Capacity.GPUs > 0 || need.CPUs >= inv.CommonNeed.CPUs {
 		return false
 	}
@@ -169,8 +169,8 @@
 
 // leavesGPUShare reports whether a task without GPUs leaves a machine the other resources that
 // tasks on its free GPUs will need: a gang that takes whole machines still finds this one whole.
-func (inv *Inventory) leavesGPUShare(need clusterstate.Resources, info *MachineInfo) bool {
-	reserved := clusterstate.Resources{
+func (inv *Inventory) leavesGPUShare(need record.Resources, info *MachineInfo) bool {
+	reserved := record.Resources{
 		CPUs:     inv.NeedPerGPU.CPUs * info.Free.GPUs,
 		MemoryGB: inv.NeedPerGPU.MemoryGB * info.Free.GPUs,
 	}
--- a/internal/binpack/cluster_test.go
+++ b/internal/binpack/cluster_test.go
@@ -11,6 +11,7 @@
 	"pgregory.net/rapid"
 
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -44,29 +45,29 @@
 func (c *testCluster) deleteMachine(i int) {
 	c.revision++
 	c.state.BeginUpdate()
-	c.state.Delete(clusterstate.MachineKey(machineName(i)))
+	c.state.Delete(record.MachineKey(machineName(i)))
 	c.state.EndUpdate()
 }
 
 func machineName(i int) string { return fmt.Sprintf("vm-%02d", i) }
 
 // putMachine adds or changes a machine, with some tasks of a job of its own bound to it.
-func (c *testCluster) putMachine(i int, machineRecord clusterstate.MachineRecord, job wire.JobSpec, tasks int) {
+func (c *testCluster) putMachine(i int, machineRecord record.Machine, job wire.JobSpec, tasks int) {
 	name := machineName(i)
 	machineRecord.CreatedAtMs = 1
-	c.put(clusterstate.MachineKey(name), machineRecord)
+	c.put(record.MachineKey(name), machineRecord)
 	job.ID = "on-" + name
-	jobRecord := clusterstate.JobRecord{Spec: job, SubmittedAtMs: 1}
+	jobRecord := record.Job{Spec: job, SubmittedAtMs: 1}
 	for index := range tasks {
-		jobRecord.Tasks = append(jobRecord.Tasks, clusterstate.Task{
-			Index: index, State: clusterstate.TaskBound, Attempt: 1, Machine: name, Session: 1,
+		jobRecord.Tasks = append(jobRecord.Tasks, record.Task{
+			Index: index, State: record.TaskBound, Attempt: 1, Machine: name, Session: 1,
 		})
 	}
-	c.put(clusterstate.JobKey(job.ID), jobRecord)
+	c.put(record.JobKey(job.ID), jobRecord)
 }
 
 // putTestMachine adds or changes a machine of testType, with some of its GPUs in use.
-func (c *testCluster) putTestMachine(i int, machineRecord clusterstate.MachineRecord, gpusInUse int) {
+func (c *testCluster) putTestMachine(i int, machineRecord record.Machine, gpusInUse int) {
 	machineRecord.Type = testType.Name
 	job := wire.JobSpec{Kind: wire.KindArray, TaskCount: 4, CPUs: 2, GPUs: 1, MemoryGB: 16, Image: "i"}
 	c.putMachine(i, machineRecord, job, gpusInUse)
@@ -89,7 +90,7 @@
 }
 
 func drawMachine(t *rapid.T, c *testCluster, i int) {
-	machineRecord := clusterstate.MachineRecord{
+	machineRecord := record.Machine{
 		Zone: testZones[rapid.IntRange(0, 2).Draw(t, "zone")],
 		Spot: rapid.Bool().Draw(t, "spot"),
 		Up:   rapid.IntRange(0, 3).Draw(t, "up") > 0,
@@ -108,7 +109,7 @@
 }
 
 func newRequest(spec *wire.JobSpec) *Request {
-	return &Request{Spec: spec, Need: clusterstate.TaskResources(spec), Remaining: spec.TaskCount}
+	return &Request{Spec: spec, Need: record.TaskResources(spec), Remaining: spec.TaskCount}
 }
 
 // unconstrained allows 100 tasks in each zone, more than any test places.
@@ -116,8 +117,8 @@
 	return &ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: 100}
 }
 
-func freeByMachine(inv *Inventory) map[string]clusterstate.Resources {
-	free := map[string]clusterstate.Resources{}
+func freeByMachine(inv *Inventory) map[string]record.Resources {
+	free := map[string]record.Resources{}
 	for name, info := range inv.machines {
 		free[name] = info.Free
 	}
@@ -134,21 +135,21 @@
 
 // filterFor filters the machines for a request as the only one that waits.
 func filterFor(inv *Inventory, request *Request) {
-	inv.FilterFeasible(slices.Values([]clusterstate.Resources{request.Need}))
+	inv.FilterFeasible(slices.Values([]record.Resources{request.Need}))
 }
 
 // TestTasksThatFit: a need that asks for nothing fits without limit, and fractions that make up a
 // whole fit despite rounding.
 func TestTasksThatFit(t *testing.T) {
-	free := clusterstate.Resources{CPUs: 0.1 + 0.1 + 0.1, GPUs: 2, MemoryGB: 5}
-	if got := TasksThatFit(clusterstate.Resources{}, free); got != math.MaxInt32 {
+	free := record.Resources{CPUs: 0.1 + 0.1 + 0.1, GPUs: 2, MemoryGB: 5}
+	if got := TasksThatFit(record.Resources{}, free); got != math.MaxInt32 {
 		t.Errorf("%d tasks that need nothing fit", got)
 	}
-	need := clusterstate.Resources{CPUs: 0.1, MemoryGB: 1}
+	need := record.Resources{CPUs: 0.1, MemoryGB: 1}
 	if got := TasksThatFit(need, free); got != 3 {
 		t.Errorf("%d tasks fit, want 3", got)
 	}
-	if got := TasksThatFit(clusterstate.Resources{GPUs: 1}, clusterstate.Resources{GPUs: -1}); got != 0 {
+	if got := TasksThatFit(record.Resources{GPUs: 1}, record.Resources{GPUs: -1}); got != 0 {
 		t.Errorf("%d tasks fit on an overcommitted machine", got)
 	}
 }
--- a/internal/binpack/machineinfo.go
+++ b/internal/binpack/machineinfo.go
@@ -7,21 +7,22 @@
 	"github.com/bits-and-blooms/bitset"
 
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 )
 
 // MachineInfo is a machine as a scheduling cycle sees it.
 type MachineInfo struct {
 	Machine  *clusterstate.Machine
-	Capacity clusterstate.Resources
+	Capacity record.Resources
 	// Free is what the cycle has left of the capacity so far.
-	Free clusterstate.Resources
+	Free record.Resources
 	// Owned is set if the machine is in one of the caller's own shards.
 	Owned bool
 	// ReservedFor is the ID of the job that the free capacity is reserved for; empty if it is for
 	// all.
 	ReservedFor string
 
-	recordedFree clusterstate.Resources // what the records leave free
+	recordedFree record.Resources // what the records leave free
 	readiness    Readiness
 	modified     bool          // this cycle has changed Free or ReservedFor
 	boundImages  bitset.BitSet // IDs of the images of bound tasks
--- a/internal/binpack/pending.go
+++ b/internal/binpack/pending.go
@@ -3,14 +3,14 @@
 import (
 	"slices"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 )
 
 // pendingBin is a set of pending machines that are alike in type, zone, price and free capacity.
 // Hundreds that boot at once are a few bins, however many jobs are allocated to them.
 type pendingBin struct {
 	sample   *MachineInfo // any machine of the bin, or of the one that it was divided from
-	free     clusterstate.Resources
+	free     record.Resources
 	machines []*MachineInfo
 }
 
@@ -19,7 +19,7 @@
 	machineType string
 	zone        string
 	spot        bool
-	free        clusterstate.Resources
+	free        record.Resources
 }
 
 // GroupPending groups the pending machines into bins, for AllocatePending and RoomiestZone. Those
--- a/internal/binpack/pending_test.go
+++ b/internal/binpack/pending_test.go
@@ -5,7 +5,7 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 )
 
 // freePendingGPUs sums the free GPUs of the pending machines, none of which may be overcommitted.
@@ -26,7 +26,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		cluster := newTestCluster(testType)
 		for i := range 12 {
-			cluster.putTestMachine(i, clusterstate.MachineRecord{
+			cluster.putTestMachine(i, record.Machine{
 				Zone: testZones[rapid.IntRange(0, 2).Draw(t, "zone")],
 				Spot: rapid.Bool().Draw(t, "spot"),
 			}, 0)
@@ -34,7 +34,7 @@
 		inv := Refresh(nil, cluster.snapshot())
 		for range rapid.IntRange(1, 5).Draw(t, "jobs") {
 			request := drawRequest(t)
-			filterFor(inv, &Request{Need: clusterstate.Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}})
+			filterFor(inv, &Request{Need: record.Resources{CPUs: 1, GPUs: 1, MemoryGB: 1}})
 			if len(inv.pendingBins) == 0 {
 				inv.GroupPending()
 			}
--- a/internal/binpack/request.go
+++ b/internal/binpack/request.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -11,7 +12,7 @@
 type Request struct {
 	Spec *wire.JobSpec
 	// Need is what each task takes.
-	Need clusterstate.Resources
+	Need record.Resources
 	// Remaining is the number of tasks that have not been placed yet in this cycle.
 	Remaining int
 	// StartWithinS is the time in seconds within which a replica should start; 0 for no such
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -12,6 +12,7 @@
 	"sableusher/internal/agent"
 	"sableusher/internal/api"
 	"sableusher/internal/autoscaler"
+	"sableusher/internal/cloud"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/dependency"
@@ -19,6 +20,7 @@
 	"sableusher/internal/membership"
 	"sableusher/internal/offload"
 	"sableusher/internal/peerrpc"
+	"sableusher/internal/record"
 	"sableusher/internal/scheduler"
 	"sableusher/internal/schemaversion"
 	"sableusher/internal/tuning"
@@ -54,7 +56,7 @@
 	upcoming := settings.NextState()
 	client.SetUpcomingLimits(kvstore.Limits{RequestsPerSecond: upcoming.RPS, WritesPerSecond: upcoming.WriteRPS, MaxValueKiB: upcoming.ValueKB, MaxTransactionOps: upcoming.TxnOps})
 	state := clusterstate.New(deployment.Size, logger)
-	cache := kvstore.NewWatchCache(client, clusterstate.LivePrefix, state, logger)
+	cache := kvstore.NewWatchCache(client, record.LivePrefix, state, logger)
 	committer := kvstore.NewCommitter(client, func(ops []wire.Op, rev uint64) { cache.ApplyOwn(ops, rev) })
 	committer.SetObserver(cache)
 	members := membership.New(settings.Node, incarnation, settings.Nodes(), schemaVersion, client, committer, cache, state, logger)
@@ -65,8 +67,22 @@
 	}
 	agents.SetPeerLastAnswered(peers.LastAnswered)
 	engine := scheduler.New(settings, operator, state, members, agents, committer, client, peers, logger)
-	cloud := autoscaler.NewClient(settings.Outside.Cloud, deployment.Cloud.RPS, deployment.Size, transport)
-	scaler := autoscaler.New(settings, operator, state, members, engine, cloud, committer, logger)
+	cloudClient := cloud.New(cloud.Options{
+		Address:           settings.Outside.Cloud,
+		RequestsPerSecond: deployment.Cloud.RPS,
+		Controllers:       deployment.Size,
+		Transport:         transport,
+	})
+	scaler := autoscaler.New(autoscaler.Options{
+		Settings:  settings,
+		Operator:  operator,
+		State:     state,
+		Members:   members,
+		Scheduler: engine,
+		Cloud:     cloudClient,
+		Committer: committer,
+		Log:       logger,
+	})
 	dependencies := dependency.NewResolver(state, client, logger)
 	versions := schemaversion.NewActivator(settings, schemaVersion, state, members, committer, client, logger)
 	offloads := offload.New(operator, deployment.Teams, state, members, committer, peers, logger)
