--- /dev/null
+++ b/internal/peerrpc/cells_test.go
@@ -0,0 +1,50 @@
+package peerrpc
+
+import (
+	"context"
+	"reflect"
+	"strings"
+	"testing"
+
+	"sableusher/internal/config"
+	"sableusher/internal/offload"
+	"sableusher/internal/wire"
+)
+
+// TestExchangeFindsTheCellLeader: of a cell's nodes one can't be reached, one does not lead and one names no
+// cells; the leader's reply comes through whole, and it is asked first the next time.
+func TestExchangeFindsTheCellLeader(t *testing.T) {
+	question := offload.Message{Cell: "a", From: 2, To: 3, Asks: []offload.Ask{
+		{Number: 7, Spec: wire.JobSpec{ID: "run-1", TaskCount: 4}},
+	}}
+	answer := offload.Message{Cell: "b", From: 3, To: 2, Words: []offload.Word{
+		{Number: 7, Status: 2, Final: wire.JobDone, Done: 4},
+	}}
+	notLeaderCalls := 0
+	var notLeader CellHandler = func(context.Context, offload.Message) (offload.Message, error) {
+		notLeaderCalls++
+		return offload.Message{}, offload.ErrNotLeader
+	}
+	leader := func(_ context.Context, message offload.Message) (offload.Message, error) {
+		if !reflect.DeepEqual(message, question) {
+			t.Errorf("received %+v", message)
+		}
+		return answer, nil
+	}
+	nodes := []string{unreachableEndpoint, serveCells(t, nil), serveCells(t, notLeader), serveCells(t, leader)}
+	transport := newTestTransport(t, &config.Settings{Node: "a-0"})
+	cell := config.Cell{Name: "b", Nodes: strings.Join(nodes, " ")}
+	for range 2 {
+		reply, err := transport.Exchange(t.Context(), cell, question)
+		if err != nil || !reflect.DeepEqual(reply, answer) {
+			t.Fatalf("%+v, %v", reply, err)
+		}
+	}
+	if notLeaderCalls != 1 {
+		t.Errorf("a node that does not lead was asked %d times", notLeaderCalls)
+	}
+	unreachable := config.Cell{Name: "c", Nodes: unreachableEndpoint}
+	if _, err := transport.Exchange(t.Context(), unreachable, offload.Message{}); err == nil {
+		t.Error("a cell without a node answers")
+	}
+}
--- /dev/null
+++ b/internal/peerrpc/peers.go
@@ -0,0 +1,90 @@
+package peerrpc
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"sableusher/internal/peerrpc/peerpb"
+)
+
+// QueryRecentlyHeard asks all other nodes which agents they have heard from lately. It gives, by machine, the
+// name of a node that has; a node without a recent cluster state does not count.
+func (t *Transport) QueryRecentlyHeard(ctx context.Context, machines []string) map[string]string {
+	nodeByMachine := map[string]string{}
+	call := func(ctx context.Context, client peerpb.PeerClient) (*peerpb.HeardReply, error) {
+		return client.Heard(ctx, &peerpb.HeardRequest{Node: t.nodeName, Machines: machines})
+	}
+	callAll(ctx, t, call, func(node string, reply *peerpb.HeardReply) {
+		if !reply.GetFresh() {
+			return
+		}
+		for _, machine := range reply.GetHeard() {
+			nodeByMachine[machine] = node
+		}
+	})
+	return nodeByMachine
+}
+
+// QueryImages asks all other nodes which images their machines are believed to hold. It gives the machines
+// by image.
+func (t *Transport) QueryImages(ctx context.Context) map[string]map[string]bool {
+	machinesByImage := map[string]map[string]bool{}
+	call := func(ctx context.Context, client peerpb.PeerClient) (*peerpb.ImagesReply, error) {
+		return client.Images(ctx, &peerpb.ImagesRequest{Node: t.nodeName})
+	}
+	callAll(ctx, t, call, func(_ string, reply *peerpb.ImagesReply) {
+		for _, image := range reply.GetImages() {
+			machines := machinesByImage[image.GetName()]
+			if machines == nil {
+				machines = map[string]bool{}
+				machinesByImage[image.GetName()] = machines
+			}
+			for _, machine := range image.GetMachines() {
+				machines[machine] = true
+			}
+		}
+	})
+	return machinesByImage
+}
+
+// LastAnswered tells when a node last answered this one; zero if it never did.
+func (t *Transport) LastAnswered(node string) time.Time {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.lastAnsweredAt[node]
+}
+
+func (t *Transport) noteAnswered(node string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.lastAnsweredAt[node] = time.Now()
+}
+
+// callAll calls all other nodes at once and waits until each has answered or the time for calls is over. It
+// hands the replies to collect one at a time.
+func callAll[Reply any](ctx context.Context, t *Transport,
+	call func(context.Context, peerpb.PeerClient) (Reply, error), collect func(node string, reply Reply),
+) {
+	ctx, cancel := context.WithTimeout(ctx, t.callTimeout)
+	defer cancel()
+	var (
+		collecting sync.Mutex // held while collect runs
+		calls      sync.WaitGroup
+	)
+	for node, client := range t.peerClients {
+		calls.Go(func() {
+			start := time.Now()
+			reply, err := call(ctx, client)
+			if err != nil {
+				t.logger.Debug("peer call failed", "node", node, "err", err, "duration", time.Since(start))
+				return
+			}
+			t.noteAnswered(node)
+			collecting.Lock()
+			defer collecting.Unlock()
+			collect(node, reply)
+		})
+	}
+	calls.Wait()
+}
