--- a/cmd/sableusher/serve.go
+++ b/cmd/sableusher/serve.go
@@ -45,8 +45,12 @@
 	debug.SetGCPercent(tuning.GCPercent)
 	debug.SetMemoryLimit(int64(d.Limits.MemMB * tuning.MemoryShare * (1 << 20)))
 
-	controller, err := controller.New(set, op, rand.Uint64N(1<<52)+1, tuning.Level, nil,
-		func(w peerrpc.AgentRegistry) (controller.PeerTransport, error) { return peerrpc.New(set, w, log) }, log)
+	node, err := controller.New(controller.Config{
+		Settings: set, Operator: op, Incarnation: rand.Uint64N(1<<52) + 1, SchemaVersion: tuning.Level, Logger: log,
+		ConnectPeers: func(agents peerrpc.AgentRegistry) (controller.PeerTransport, error) {
+			return peerrpc.New(set, agents, log)
+		},
+	})
 	if err != nil {
 		return err
 	}
@@ -56,11 +60,11 @@
 		return fmt.Errorf("listen: %w", err)
 	}
 	listener = netutil.LimitListener(listener, max(16, int(float64(d.Limits.MaxSockets)*tuning.SocketShare)))
-	server := &http.Server{Handler: controller.Handler(), ReadTimeout: tuning.ReadTimeout, IdleTimeout: tuning.IdleTimeout,
+	server := &http.Server{Handler: node.Handler(), ReadTimeout: tuning.ReadTimeout, IdleTimeout: tuning.IdleTimeout,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 
 	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return controller.Run(ctx) })
+	g.Go(func() error { return node.Run(ctx) })
 	g.Go(func() error { return server.Serve(listener) })
 	g.Go(func() error {
 		<-ctx.Done()
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,4 +1,8 @@
-// Package controller puts the slices of one controller together.
+// Package controller puts the parts of one controller process together.
+//
+// It makes each part with what it depends on and runs their loops side by side; it decides nothing itself
+// and holds no state. A part that fails ends the whole process: the others could not keep the safety
+// invariants without it, and a new process rebuilds everything from records and heartbeats (invariant 3).
 package controller
 
 import (
@@ -25,68 +29,107 @@
 	"sableusher/internal/wire"
 )
 
-// Controller is a controller.
-type Controller struct {
-	handler http.Handler
-	loops   []func(context.Context) error
-}
-
-// PeerTransport are a node's lines to the other nodes.
+// PeerTransport connects a controller with the other nodes and with other cells.
 type PeerTransport interface {
 	scheduler.Peers
-	// LastAnswered tells when a node last answered this one.
+	offload.Line
+	// LastAnswered tells when a node last answered this one; zero if it never did.
 	LastAnswered(node string) time.Time
+	// SetCellHandler sets what answers other cells. It is called before Run, if at all.
+	SetCellHandler(handler peerrpc.CellHandler)
+	// Run answers other nodes until ctx ends.
 	Run(ctx context.Context) error
-	offload.Line
-	// SetCellHandler sets what answers other cells.
-	SetCellHandler(a peerrpc.CellHandler)
 }
 
-// New makes a controller. inc tells this process from all others under its
-// name; level is the newest form of records that it reads, tuning.Level but for
-// tests of upgrades; rt carries its requests, nil for the network; lines makes the lines to
-// the other nodes.
-func New(settings *config.Settings, operator *config.Operator, incarnation uint64, schemaVersion int, transport http.RoundTripper, connectPeers func(peerrpc.AgentRegistry) (PeerTransport, error), logger *slog.Logger) (*Controller, error) {
+// ConnectPeers makes the connections to other nodes; agents is what they may ask this one about.
+type ConnectPeers func(agents peerrpc.AgentRegistry) (PeerTransport, error)
+
+// Config is what a controller is made of.
+type Config struct {
+	Settings *config.Settings
+	Operator *config.Operator
+	// Incarnation distinguishes this process from all others under the node's name.
+	Incarnation uint64
+	// SchemaVersion is the newest one whose records this process reads: tuning.Level, except in tests of
+	// upgrades.
+	SchemaVersion int
+	// Transport carries the requests to the store, the cloud and agents; nil: the network.
+	Transport    http.RoundTripper
+	ConnectPeers ConnectPeers
+	Logger       *slog.Logger
+}
+
+// Controller is one controller process.
+type Controller struct {
+	handler http.Handler
+	loops   []func(context.Context) error
+}
+
+// New makes a controller; nothing runs and nothing is sent before Run. The only error is that of
+// ConnectPeers.
+func New(c Config) (*Controller, error) {
+	settings, operator, logger := c.Settings, c.Operator, c.Logger
 	deployment := &settings.Deployment
-	client := kvstore.NewClient(settings.Outside.State, kvstore.Limits{
-		BudgetShare: tuning.StateShare / float64(deployment.Size), RequestsPerSecond: deployment.State.RPS, WritesPerSecond: deployment.State.WriteRPS, MaxValueKiB: deployment.State.ValueKB, MaxTransactionOps: deployment.State.TxnOps,
-	}, transport)
-	upcoming := settings.NextState()
-	client.SetUpcomingLimits(kvstore.Limits{RequestsPerSecond: upcoming.RPS, WritesPerSecond: upcoming.WriteRPS, MaxValueKiB: upcoming.ValueKB, MaxTransactionOps: upcoming.TxnOps})
+
+	client := newStoreClient(settings, c.Transport)
 	state := clusterstate.New(deployment.Size, logger)
 	cache := kvstore.NewWatchCache(client, clusterstate.LivePrefix, state, logger)
-	committer := kvstore.NewCommitter(client, func(ops []wire.Op, rev uint64) { cache.ApplyOwn(ops, rev) })
+	committer := kvstore.NewCommitter(client, func(ops []wire.Op, revision uint64) { cache.ApplyOwn(ops, revision) })
 	committer.SetObserver(cache)
-	members := membership.New(settings.Node, incarnation, settings.Nodes(), schemaVersion, client, committer, cache, state, logger)
-	agents := agent.New(settings, state, members, cache.CompleteAsOf, logger, transport)
-	peers, err := connectPeers(agents)
+	members := membership.New(settings.Node, c.Incarnation, settings.Nodes(), c.SchemaVersion, client, committer, cache, state, logger)
+
+	agents := agent.New(settings, state, members, cache.CompleteAsOf, logger, c.Transport)
+	peers, err := c.ConnectPeers(agents)
 	if err != nil {
 		return nil, err
 	}
 	agents.SetPeerLastAnswered(peers.LastAnswered)
+
 	engine := scheduler.New(settings, operator, state, members, agents, committer, client, peers, logger)
-	cloud := autoscaler.NewClient(settings.Outside.Cloud, deployment.Cloud.RPS, deployment.Size, transport)
+	cloud := autoscaler.NewClient(settings.Outside.Cloud, deployment.Cloud.RPS, deployment.Size, c.Transport)
 	scaler := autoscaler.New(settings, operator, state, members, engine, cloud, committer, logger)
 	dependencies := dependency.NewResolver(state, client, logger)
-	versions := schemaversion.NewActivator(settings, schemaVersion, state, members, committer, client, logger)
+	versions := schemaversion.NewActivator(settings, c.SchemaVersion, state, members, committer, client, logger)
 	offloads := offload.New(operator, deployment.Teams, state, members, committer, peers, logger)
 	if len(operator.Cells) > 0 {
 		peers.SetCellHandler(offloads.Answer)
 	}
 	server := api.New(settings, operator, state, client, committer, cache, agents, logger)
 	return &Controller{handler: server.Handler(), loops: []func(context.Context) error{
-		cache.Run, committer.Run, members.Run, agents.Run, engine.Run, engine.RunLearner, engine.TrackRemoteImages, scaler.Run, peers.Run, dependencies.Run, versions.Run, offloads.Run,
+		cache.Run, committer.Run, members.Run, agents.Run,
+		engine.Run, engine.RunLearner, engine.TrackRemoteImages,
+		scaler.Run, peers.Run, dependencies.Run, versions.Run, offloads.Run,
 	}}, nil
 }
 
-// Handler serves users, workers and health checks.
+// newStoreClient makes the client of the key-value store with this node's share of its limits.
+func newStoreClient(settings *config.Settings, transport http.RoundTripper) *kvstore.Client {
+	limits := &settings.Deployment.State
+	client := kvstore.NewClient(settings.Outside.State, kvstore.Limits{
+		BudgetShare:       tuning.StateShare / float64(settings.Deployment.Size),
+		RequestsPerSecond: limits.RPS,
+		WritesPerSecond:   limits.WriteRPS,
+		MaxValueKiB:       limits.ValueKB,
+		MaxTransactionOps: limits.TxnOps,
+	}, transport)
+	upcoming := settings.NextState()
+	client.SetUpcomingLimits(kvstore.Limits{
+		RequestsPerSecond: upcoming.RPS,
+		WritesPerSecond:   upcoming.WriteRPS,
+		MaxValueKiB:       upcoming.ValueKB,
+		MaxTransactionOps: upcoming.TxnOps,
+	})
+	return client
+}
+
+// Handler serves users, agents and health checks.
 func (c *Controller) Handler() http.Handler { return c.handler }
 
-// Run keeps the node's duties until ctx ends or one of them fails.
+// Run runs all loops until ctx ends or one of them fails, and waits for the others; it gives the first error.
 func (c *Controller) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
-	for _, run := range c.loops {
-		group.Go(func() error { return run(ctx) })
+	for _, loop := range c.loops {
+		group.Go(func() error { return loop(ctx) })
 	}
 	return group.Wait()
 }
--- a/internal/simulation/region.go
+++ b/internal/simulation/region.go
@@ -220,10 +220,15 @@
 	incarnation := r.random.Uint64N(1<<40) + 1
 	r.mu.Unlock()
 	var witness peerrpc.AgentRegistry
-	node, err := controller.New(process.Settings, operator, incarnation, process.SchemaVersion, r.Network.Transport(process.Settings.Node, alive.Load), func(w peerrpc.AgentRegistry) (controller.PeerTransport, error) {
-		witness = w
-		return fakePeers{r, process}, nil
-	}, r.Log.With("node", process.Settings.Node))
+	node, err := controller.New(controller.Config{
+		Settings: process.Settings, Operator: operator, Incarnation: incarnation, SchemaVersion: process.SchemaVersion,
+		Transport: r.Network.Transport(process.Settings.Node, alive.Load),
+		ConnectPeers: func(agents peerrpc.AgentRegistry) (controller.PeerTransport, error) {
+			witness = agents
+			return fakePeers{r, process}, nil
+		},
+		Logger: r.Log.With("node", process.Settings.Node),
+	})
 	if err != nil {
 		panic(err)
 	}
