--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -8,8 +8,8 @@
 import (
 	"slices"
 
-	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -38,7 +38,7 @@
 // exceedsTeamLimit tells whether the tasks that must run at once take more than the team may: one task
 // of an array, all tasks of another job.
 func exceedsTeamLimit(spec *wire.JobSpec, team *config.Team) bool {
-	need := clusterstate.TaskResources(spec)
+	need := record.TaskResources(spec)
 	taskCount := float64(spec.TaskCount)
 	if spec.Kind == wire.KindArray {
 		taskCount = 1
@@ -49,11 +49,11 @@
 
 // fitsAnyType tells whether an empty machine of a type and zone that the job allows holds one task.
 func fitsAnyType(spec *wire.JobSpec, types map[string]wire.MachineType) bool {
-	need := clusterstate.TaskResources(spec)
+	need := record.TaskResources(spec)
 	for name, machineType := range types {
 		typeAllowed := len(spec.MachineTypes) == 0 || slices.Contains(spec.MachineTypes, name)
 		zoneAllowed := spec.Zone == "" || slices.Contains(machineType.Zones, spec.Zone)
-		if typeAllowed && zoneAllowed && need.FitsIn(clusterstate.Capacity(&machineType)) {
+		if typeAllowed && zoneAllowed && need.FitsIn(record.Capacity(&machineType)) {
 			return true
 		}
 	}
--- a/internal/binpack/allocate_test.go
+++ b/internal/binpack/allocate_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -18,14 +18,14 @@
 }
 
 // commonNeed is what a common task takes: all cores of a machine of the middle size.
-var commonNeed = clusterstate.Resources{CPUs: 8, MemoryGB: 13}
+var commonNeed = record.Resources{CPUs: 8, MemoryGB: 13}
 
 func drawSizedCluster(t *rapid.T) *testCluster {
 	cluster := newTestCluster(sizedTypes...)
 	small := wire.JobSpec{Kind: wire.KindService, TaskCount: 32, CPUs: 1, MemoryGB: 0.5}
 	for i := range rapid.IntRange(1, 10).Draw(t, "machines") {
 		machineType := sizedTypes[rapid.IntRange(0, 2).Draw(t, "type")]
-		machineRecord := clusterstate.MachineRecord{Type: machineType.Name, Zone: "east", Up: true}
+		machineRecord := record.Machine{Type: machineType.Name, Zone: "east", Up: true}
 		cluster.putMachine(i, machineRecord, small, rapid.IntRange(0, int(machineType.CPUs)).Draw(t, "CPUs in use"))
 	}
 	return cluster
--- a/internal/binpack/feasible.go
+++ b/internal/binpack/feasible.go
@@ -4,18 +4,18 @@
 	"iter"
 	"slices"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 )
 
 // FilterFeasible sets aside the ready machines that are too full for any of the needs. It does
 // nothing if there are no needs.
-func (inv *Inventory) FilterFeasible(needs iter.Seq[clusterstate.Resources]) {
+func (inv *Inventory) FilterFeasible(needs iter.Seq[record.Resources]) {
 	isFirst := true
 	for need := range needs {
 		if isFirst {
 			inv.minNeed, isFirst = need, false
 		}
-		inv.minNeed = clusterstate.Resources{
+		inv.minNeed = record.Resources{
 			CPUs:     min(inv.minNeed.CPUs, need.CPUs),
 			GPUs:     min(inv.minNeed.GPUs, need.GPUs),
 			MemoryGB: min(inv.minNeed.MemoryGB, need.MemoryGB),
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,6 +16,7 @@
 	"sableusher/internal/agent"
 	"sableusher/internal/api"
 	"sableusher/internal/autoscaler"
+	"sableusher/internal/cloud"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/dependency"
@@ -23,6 +24,7 @@
 	"sableusher/internal/membership"
 	"sableusher/internal/offload"
 	"sableusher/internal/peerrpc"
+	"sableusher/internal/record"
 	"sableusher/internal/scheduler"
 	"sableusher/internal/schemaversion"
 	"sableusher/internal/tuning"
@@ -73,7 +75,7 @@
 
 	client := newStoreClient(settings, c.Transport)
 	state := clusterstate.New(deployment.Size, logger)
-	cache := kvstore.NewWatchCache(client, clusterstate.LivePrefix, state, logger)
+	cache := kvstore.NewWatchCache(client, record.LivePrefix, state, logger)
 	committer := kvstore.NewCommitter(client, func(ops []wire.Op, revision uint64) { cache.ApplyOwn(ops, revision) })
 	committer.SetObserver(cache)
 	members := membership.New(settings.Node, c.Incarnation, settings.Nodes(), c.SchemaVersion, client, committer, cache, state, logger)
@@ -86,8 +88,22 @@
 	agents.SetPeerLastAnswered(peers.LastAnswered)
 
 	engine := scheduler.New(settings, operator, state, members, agents, committer, client, peers, logger)
-	cloud := autoscaler.NewClient(settings.Outside.Cloud, deployment.Cloud.RPS, deployment.Size, c.Transport)
-	scaler := autoscaler.New(settings, operator, state, members, engine, cloud, committer, logger)
+	cloudClient := cloud.New(cloud.Options{
+		Address:           settings.Outside.Cloud,
+		RequestsPerSecond: deployment.Cloud.RPS,
+		Controllers:       deployment.Size,
+		Transport:         c.Transport,
+	})
+	scaler := autoscaler.New(autoscaler.Options{
+		Settings:  settings,
+		Operator:  operator,
+		State:     state,
+		Members:   members,
+		Scheduler: engine,
+		Cloud:     cloudClient,
+		Committer: committer,
+		Log:       logger,
+	})
 	dependencies := dependency.NewResolver(state, client, logger)
 	versions := schemaversion.NewActivator(settings, c.SchemaVersion, state, members, committer, client, logger)
 	offloads := offload.New(operator, deployment.Teams, state, members, committer, peers, logger)
