--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -107,15 +107,14 @@
 	token, revision, owned := c.membership.Owns(shard)
 	if !owned {
 		if _, entitled := c.membership.MayServeAgents(shard); !entitled {
-			delete(c.shardOwnedSince, shard)
+			c.shardTenure.end(shard)
 		}
 		return
 	}
 	c.shards.fencingTokens[shard], c.shards.revisions[shard] = token, revision
-	if _, known := c.shardOwnedSince[shard]; known {
+	if !c.shardTenure.begin(shard, c.now) {
 		return
 	}
-	c.shardOwnedSince[shard] = c.now
 	for _, machine := range c.cluster.MachinesByShard[shard] {
 		c.agents.RequestDispatch(machine.Name)
 	}
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"log/slog"
-	"maps"
 	"sync"
 	"time"
 
@@ -38,16 +37,15 @@
 	mu                  sync.Mutex
 	ctx                 context.Context
 	changes             changeTracker
-	jobBackoffs         map[string]jobBackoff
+	backoffs            backoffTable
 	ownerWaits          ownerWaits
-	machinesToReconcile map[string]struct{} // machines whose tasks' fate is to be looked at
-	lastSweep           time.Time           // when all machines were last looked at
-	gangFormingSince    map[string]time.Time
+	machinesToReconcile machineSet // machines whose tasks' fate is to be looked at
+	lastSweep           time.Time  // when all machines were last looked at
+	gangFormation       gangFormation
 	lastLoggedReason    map[string]time.Time // when the log last said why a job waits
 	reservations        reservationTable
-	shardOwnedSince     map[int]time.Time    // since when a part is ours
-	deletedMachines     map[string]bool      // machines whose deletion the cloud has confirmed
-	tombstones          map[string]time.Time // the same, for long after their records are gone
+	shardTenure         shardTenure
+	deletedMachines     deletedMachines
 	failureDetector     failuredetector.Detector
 	lastFenced          map[int]time.Time
 	lastArrayPlacement  time.Time // when arrays were last given room
@@ -56,7 +54,7 @@
 	waiting             waitingJobs
 	changeFeed          *clusterstate.ChangeFeed
 	retainedInventory   *binpack.Inventory
-	machinesToRefresh   map[string]struct{} // machines whose workers told something that the stock has not taken in
+	machinesToRefresh   machineSet // machines whose workers told something that the stock has not taken in
 	demand              demandState
 	learning            learning
 	reader              kvstore.Reader
@@ -68,21 +66,16 @@
 	lastMigration       time.Time       // when records that nothing asked for were last moved
 }
 
-type jobBackoff struct {
-	until time.Time
-	delay time.Duration
-}
-
 // New makes an engine.
 func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *agent.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
-		changes: newChangeTracker(), jobBackoffs: map[string]jobBackoff{}, ownerWaits: ownerWaits{}, machinesToReconcile: map[string]struct{}{},
-		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: map[string]bool{}, tombstones: map[string]time.Time{},
+		changes: newChangeTracker(), backoffs: backoffTable{}, ownerWaits: ownerWaits{}, machinesToReconcile: machineSet{},
+		gangFormation: gangFormation{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardTenure: shardTenure{}, deletedMachines: newDeletedMachines(),
 		jobsToMigrate: map[string]bool{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
 		learning:        newLearning(operator, members.Incarnation, log),
-		wakeup:          make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waiting: newWaitingJobs(), demand: newDemandState(), machinesToRefresh: map[string]struct{}{},
+		wakeup:          make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waiting: newWaitingJobs(), demand: newDemandState(), machinesToRefresh: machineSet{},
 	}
 }
 
@@ -178,12 +171,12 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	heardMachines := e.agents.TakeUpdatedMachines()
-	maps.Copy(e.machinesToReconcile, heardMachines)
-	maps.Copy(e.machinesToRefresh, heardMachines)
+	e.machinesToReconcile.addAll(heardMachines)
+	e.machinesToRefresh.addAll(heardMachines)
 	e.cluster.RLock()
 	changedMachines := e.changeFeed.TakeMachines()
-	maps.Copy(e.machinesToReconcile, changedMachines)
-	maps.Copy(e.machinesToRefresh, changedMachines)
+	e.machinesToReconcile.addAll(changedMachines)
+	e.machinesToRefresh.addAll(changedMachines)
 	c := e.newCycle(now)
 	c.adoptMachines()
 	if now.Sub(e.lastSweep) >= tuning.SweepEvery {
@@ -195,7 +188,7 @@
 		c.deleteFailedMachines()
 		for shard := range c.shards.fencingTokens {
 			for _, machine := range c.cluster.MachinesByShard[shard] {
-				e.machinesToReconcile[machine.Name] = struct{}{}
+				e.machinesToReconcile.add(machine.Name)
 			}
 		}
 	}
@@ -255,9 +248,8 @@
 func (e *Engine) ConfirmDeleted(names []string) {
 	e.mu.Lock()
 	for _, name := range names {
-		e.deletedMachines[name] = true
-		e.tombstones[name] = time.Now()
-		e.machinesToReconcile[name] = struct{}{}
+		e.deletedMachines.confirm(name, time.Now())
+		e.machinesToReconcile.add(name)
 	}
 	e.mu.Unlock()
 	e.wake()
@@ -272,7 +264,7 @@
 	defer e.cluster.RUnlock()
 	var urgent, idle []string
 	appendOwned := func(list *[]string, name string) {
-		if _, _, ok := e.membership.Owns(record.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines[name] && len(*list) < tuning.ReturnMax {
+		if _, _, ok := e.membership.Owns(record.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines.isConfirmed(name) && len(*list) < tuning.ReturnMax {
 			*list = append(*list, name)
 		}
 	}
@@ -303,14 +295,6 @@
 	return e.demand.unmet
 }
 
-// Backoff keeps a job's tasks from being placed for a growing while.
-func (e *Engine) backOffJob(jobID string, now time.Time) {
-	backoff := e.jobBackoffs[jobID]
-	backoff.delay = min(max(2*backoff.delay, tuning.JobBackoff), tuning.JobBackoffMax)
-	backoff.until = now.Add(backoff.delay)
-	e.jobBackoffs[jobID] = backoff
-}
-
 // Graced is the slack a task needs to save.
 func stopGraceSeconds(spec *wire.JobSpec) float64 {
 	return spec.CheckpointSaveSeconds + tuning.StopMargin.Seconds()
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -37,11 +37,11 @@
 	for _, name := range slices.Sorted(maps.Keys(c.cluster.Machines)) {
 		machine := c.cluster.Machines[name]
 		token, owned := c.shards.fencingTokens[machine.Shard]
-		if !owned || machine.Deleting || c.deletedMachines[name] || c.changes.inFlight(record.MachineKey(name)) {
+		if !owned || machine.Deleting || c.deletedMachines.isConfirmed(name) || c.changes.inFlight(record.MachineKey(name)) {
 			continue
 		}
 		status := c.agents.MachineStatus(name, token)
-		machines = append(machines, failuredetector.Machine{Name: name, Zone: machine.Zone, Shard: machine.Shard, Up: machine.Up, Session: status.Session, LastHeard: status.LastHeard, OwnedSince: c.shardOwnedSince[machine.Shard],
+		machines = append(machines, failuredetector.Machine{Name: name, Zone: machine.Zone, Shard: machine.Shard, Up: machine.Up, Session: status.Session, LastHeard: status.LastHeard, OwnedSince: c.shardTenure.since(machine.Shard),
 			CommandUnanswered: status.CommandUnanswered, CancellationOverdue: c.cancellationOverdue(machine), BoundTasks: len(machine.Bindings), ServiceMovable: c.serviceCanMove(machine, reachableZones), ControllerInZone: c.controllerInZone(machine.Zone)})
 		if status.OutboundLost {
 			outboundLost = append(outboundLost, outboundLostMachine{machine, status.LeaseExpiry})
@@ -106,7 +106,7 @@
 	machineRecord := machine.Machine
 	machineRecord.Up = false
 	c.updateMachineRecord("machine "+reason+" "+machine.Name, machine.Name, machine.Shard, machineRecord, machine.ModRevision).HighPriority = true
-	c.machinesToRefresh[machine.Name] = struct{}{}
+	c.machinesToRefresh.add(machine.Name)
 }
 
 // outboundLostMachine is a mute machine, and when its lease ends.
@@ -154,7 +154,7 @@
 	machineType := c.cluster.Types[machine.Type]
 	bootLimit := max(time.Duration(tuning.BootStuck*machineType.BootSeconds*float64(time.Second)), tuning.BootStuckMin)
 	reportLimit := tuning.FindNode + time.Duration(tuning.DeadAfter*float64(c.settings.Report()))
-	return machineType.Name != "" && c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > bootLimit && c.now.Sub(c.shardOwnedSince[machine.Shard]) > reportLimit
+	return machineType.Name != "" && c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > bootLimit && c.now.Sub(c.shardTenure.since(machine.Shard)) > reportLimit
 }
 
 // deleteMachine marks a machine to be deleted at the cloud.
--- a/internal/scheduler/prune.go
+++ b/internal/scheduler/prune.go
@@ -3,8 +3,6 @@
 import (
 	"maps"
 	"time"
-
-	"sableusher/internal/tuning"
 )
 
 // pruneState drops what is kept of jobs that are over, and what has expired.
@@ -14,10 +12,10 @@
 	c.learning.prune(jobs)
 	c.ownerWaits.prune(jobs)
 	c.demand.prune(jobs)
-	maps.DeleteFunc(c.jobBackoffs, func(id string, _ jobBackoff) bool { return isOver(id) })
+	c.backoffs.prune(isOver)
 	maps.DeleteFunc(c.lastLoggedReason, func(id string, _ time.Time) bool { return isOver(id) })
-	maps.DeleteFunc(c.gangFormingSince, func(id string, _ time.Time) bool { return isOver(id) })
+	c.gangFormation.prune(isOver)
 	c.changes.pruneRejected(c.now)
-	maps.DeleteFunc(c.tombstones, func(_ string, at time.Time) bool { return c.now.Sub(at) > tuning.BuriedFor })
+	c.deletedMachines.pruneTombstones(c.now)
 	c.reservations.prune(c.now)
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -67,7 +67,7 @@
 	}
 	queue := c.waiting.buffer[:0]
 	c.waiting.queue.Each(func(key jobqueue.Key, job *clusterstate.Job) bool {
-		if backoff, ok := c.jobBackoffs[key.JobID]; !ok || !c.now.Before(backoff.until) {
+		if !c.backoffs.active(key.JobID, c.now) {
 			queue = append(queue, c.newQueuedJob(key, job))
 		}
 		return true
