--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -155,8 +155,8 @@
 	live := s.clusterState.Jobs[spec.ID]
 	known := live != nil && live.HasRecord
 	other := known && !sameDependencies(live.Spec.Dependencies, spec.Dependencies)
-	types, level := len(s.clusterState.Types), s.clusterState.SchemaVersion
-	refusal := admission.Validate(spec, s.teamsByName, s.clusterState.Types)
+	types, level := len(s.clusterState.Catalog.Types), s.clusterState.SchemaVersion
+	refusal := admission.Validate(spec, s.teamsByName, s.clusterState.Catalog.Types)
 	limit, overLimit := s.retryPolicies.MaxRetries(spec.Class, asked)
 	if refusal == nil {
 		refusal = overLimit
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -15,7 +15,7 @@
 func newTestAutoscaler(tb testing.TB) *Autoscaler {
 	log := slog.New(slog.DiscardHandler)
 	state := clusterstate.New(3, log)
-	state.Types["m"] = wire.MachineType{
+	state.Catalog.Types["m"] = wire.MachineType{
 		Name: "m", CPUs: 32, GPUs: 4, MemoryGB: 256,
 		Price: 10, SpotPrice: 4, BootSeconds: 30, Zones: testZones,
 	}
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -27,7 +27,7 @@
 func (r *catalogRefresher) refresh(ctx context.Context) {
 	a := r.autoscaler
 	a.state.RLock()
-	isKnown, modRevision := len(a.state.Types) > 0, a.state.CatalogModRevision
+	isKnown, modRevision := len(a.state.Catalog.Types) > 0, a.state.Catalog.ModRevision
 	leader, isLeader := a.leadership()
 	a.state.RUnlock()
 	if !r.isDue(isKnown, isLeader) {
@@ -68,7 +68,7 @@
 func (a *Autoscaler) catalogOps(catalog wire.Catalog) [][]wire.Op {
 	whole := kvstore.PutOp(record.CatalogKey, catalog)
 	a.state.RLock()
-	version, isByType := a.state.SchemaVersion, a.state.CatalogByType()
+	version, isByType := a.state.SchemaVersion, a.state.Catalog.KeptByType()
 	a.state.RUnlock()
 	fitsOneRecord := !isByType && wire.JSONSize(whole.Value) <= a.committer.MaxRecordBytes()
 	if version < tuning.LevelPipelines || fitsOneRecord {
--- a/internal/autoscaler/cheapestkind.go
+++ b/internal/autoscaler/cheapestkind.go
@@ -30,8 +30,8 @@
 func (a *Autoscaler) cheapestKind(query kindQuery) (machineKind, bool) {
 	var cheapest machineKind
 	lowestPrice, found := 0.0, false
-	for _, name := range slices.Sorted(maps.Keys(a.state.Types)) {
-		machineType := a.state.Types[name]
+	for _, name := range slices.Sorted(maps.Keys(a.state.Catalog.Types)) {
+		machineType := a.state.Catalog.Types[name]
 		if !query.acceptsType(name, &machineType) {
 			continue
 		}
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -78,7 +78,7 @@
 
 func (a *Autoscaler) longestBootSeconds() float64 {
 	longest := 0.0
-	for _, machineType := range a.state.Types {
+	for _, machineType := range a.state.Catalog.Types {
 		longest = max(longest, machineType.BootSeconds)
 	}
 	return longest
@@ -94,7 +94,7 @@
 		return reserve
 	}
 	largest := a.largestServiceShare()
-	for _, machineType := range a.state.Types {
+	for _, machineType := range a.state.Catalog.Types {
 		for _, zone := range machineType.Zones {
 			reserve[zone] = largest * a.operator.ZoneReserve
 		}
@@ -125,7 +125,7 @@
 // fitsBesideGPUWork reports whether a job uses no GPU though all machines have them: as a rule it
 // fits beside other work, and no machine is kept for it.
 func (a *Autoscaler) fitsBesideGPUWork(spec *wire.JobSpec) bool {
-	for _, machineType := range a.state.Types {
+	for _, machineType := range a.state.Catalog.Types {
 		if machineType.GPUs == 0 {
 			return false
 		}
@@ -137,7 +137,7 @@
 func (a *Autoscaler) machineEquivalents(spec *wire.JobSpec) float64 {
 	need := record.TaskResources(spec)
 	perTask := math.Inf(1)
-	for _, machineType := range a.state.Types {
+	for _, machineType := range a.state.Catalog.Types {
 		perTask = min(perTask, machineFraction(need, record.Capacity(&machineType)))
 	}
 	if math.IsInf(perTask, 1) {
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -140,7 +140,7 @@
 	case p.now.Sub(a.idleSince[machine.Name]) < config.Seconds(a.operator.PoolHoldS):
 		return false
 	default:
-		return p.commonTask.CPUs <= a.state.Types[machine.Type].CPUs
+		return p.commonTask.CPUs <= a.state.Catalog.Types[machine.Type].CPUs
 	}
 }
 
--- a/internal/autoscaler/scaleoutplan.go
+++ b/internal/autoscaler/scaleoutplan.go
@@ -77,7 +77,7 @@
 	if !ok {
 		return nil
 	}
-	machineType := p.autoscaler.state.Types[kind.machineType]
+	machineType := p.autoscaler.state.Catalog.Types[kind.machineType]
 	p.machines = append(p.machines, plannedMachine{
 		machineKind: kind,
 		free:        record.Capacity(&machineType),
--- a/internal/binpack/refresh.go
+++ b/internal/binpack/refresh.go
@@ -53,7 +53,7 @@
 	inv := &Inventory{
 		snapshot:        snapshot,
 		builtAt:         snapshot.Now,
-		types:           newTypeIndex(state.Types),
+		types:           newTypeIndex(state.Catalog.Types),
 		machines:        make(map[string]*MachineInfo, len(state.Machines)),
 		byShard:         make([][]*MachineInfo, state.ShardCount),
 		feasibleByShard: make([][]*MachineInfo, state.ShardCount),
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -190,15 +190,14 @@
 	sync.RWMutex
 	ShardCount int
 
-	Jobs               map[string]*Job
-	Machines           map[string]*Machine
-	Shards             map[int]Shard
-	Nodes              map[string]Node
-	Quotas             map[string]Quota
-	Rentals            map[string]Rental
-	Cells              map[string]*Cell
-	Types              map[string]wire.MachineType
-	CatalogModRevision uint64
+	Jobs     map[string]*Job
+	Machines map[string]*Machine
+	Shards   map[int]Shard
+	Nodes    map[string]Node
+	Quotas   map[string]Quota
+	Rentals  map[string]Rental
+	Cells    map[string]*Cell
+	Catalog  Catalog
 	// SchemaVersion is the form of records that all nodes read, LevelStamp its record's.
 	SchemaVersion            int
 	SchemaVersionModRevision uint64
@@ -214,9 +213,6 @@
 
 	longestMachineName int // of the machines' names so far
 
-	catalogTypes       []wire.MachineType          // as one record, and
-	machineTypeRecords map[string]wire.MachineType // where that is too long, one by one
-
 	dependentsOf           map[string]map[string]struct{} // live jobs by the job that they await
 	finalRecords           map[string]record.Final        // final records of awaited jobs
 	unresolvedDependencies map[string]struct{}            // awaited jobs that are not live, their final record not read
@@ -230,9 +226,9 @@
 	w := &State{
 		ShardCount: size, Jobs: map[string]*Job{}, Machines: map[string]*Machine{}, Shards: map[int]Shard{},
 		Nodes: map[string]Node{}, Quotas: map[string]Quota{}, Rentals: map[string]Rental{}, Cells: map[string]*Cell{},
-		Types: map[string]wire.MachineType{}, OrphanBindings: map[string]map[record.TaskRef]Binding{}, log: log,
+		Catalog: newCatalog(), OrphanBindings: map[string]map[record.TaskRef]Binding{}, log: log,
 		rentalByMachine: map[string]string{}, MachinesByShard: make([][]*Machine, size),
-		machineTypeRecords: map[string]wire.MachineType{}, dependentsOf: map[string]map[string]struct{}{}, finalRecords: map[string]record.Final{},
+		dependentsOf: map[string]map[string]struct{}{}, finalRecords: map[string]record.Final{},
 		unresolvedDependencies: map[string]struct{}{}, dependencyCancelled: map[string]struct{}{},
 	}
 	for range size {
@@ -265,20 +261,6 @@
 	}
 }
 
-// CatalogByType tells whether the catalog is kept by type. Callers hold the lock.
-func (w *State) CatalogByType() bool { return len(w.machineTypeRecords) > 0 }
-
-// rebuildTypes puts the machine types of all records together.
-func (w *State) rebuildTypes() {
-	types := maps.Clone(w.machineTypeRecords)
-	for _, t := range w.catalogTypes {
-		if _, ok := types[t.Name]; !ok || w.CatalogModRevision == 0 {
-			types[t.Name] = t
-		}
-	}
-	w.Types = types
-}
-
 func decodeRecord[T any](w *State, key string, v wire.RawValue) (T, bool) {
 	var rec T
 	if err := wire.Decode(v, &rec); err != nil {
@@ -349,13 +331,13 @@
 		}
 	case key == record.CatalogKey:
 		if rec, ok := decodeRecord[wire.Catalog](w, key, v); ok {
-			w.catalogTypes, w.CatalogModRevision = rec.Types, stamp
-			w.rebuildTypes()
+			w.Catalog.combined, w.Catalog.ModRevision = rec.Types, stamp
+			w.Catalog.rebuild()
 		}
 	case strings.HasPrefix(key, record.MachineTypePrefix):
 		if rec, ok := decodeRecord[wire.MachineType](w, key, v); ok {
-			w.machineTypeRecords[rec.Name] = rec
-			w.rebuildTypes()
+			w.Catalog.single[rec.Name] = rec
+			w.Catalog.rebuild()
 		}
 	case key == record.SchemaVersionKey:
 		if rec, ok := decodeRecord[record.SchemaVersion](w, key, v); ok {
--- a/internal/offload/host.go
+++ b/internal/offload/host.go
@@ -179,7 +179,7 @@
 	t := s.teams[spec.Team]
 	// A limit is the home's to keep; what is away would have to be set aside in both.
 	return t.GPUsMax == 0 && t.CPUsMax == 0 && spec.Kind != wire.KindService && len(spec.Dependencies) == 0 &&
-		admission.Validate(spec, s.teams, s.world.Types) == nil && s.world.Jobs[spec.ID] == nil
+		admission.Validate(spec, s.teams, s.world.Catalog.Types) == nil && s.world.Jobs[spec.ID] == nil
 }
 
 // tell puts into an answer what the records say. Callers hold the world's lock.
@@ -247,11 +247,11 @@
 	}
 	count, images, up := map[like]int{}, map[string]int{}, 0
 	fetch, boot := 0.0, 0.0
-	for _, t := range s.world.Types {
+	for _, t := range s.world.Catalog.Types {
 		boot = max(boot, t.BootSeconds)
 	}
 	for _, m := range s.world.Machines {
-		t, ok := s.world.Types[m.Type]
+		t, ok := s.world.Catalog.Types[m.Type]
 		if !ok || !m.Up || m.Deleting || m.Draining {
 			continue
 		}
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -151,7 +151,7 @@
 // bootTimedOut tells whether a machine should have come up long ago. A new owner has heard
 // of none of its machines yet, and the record of one that has long been up may not say so.
 func (c *cycle) bootTimedOut(machine *clusterstate.Machine) bool {
-	machineType := c.cluster.Types[machine.Type]
+	machineType := c.cluster.Catalog.Types[machine.Type]
 	bootLimit := max(time.Duration(tuning.BootStuck*machineType.BootSeconds*float64(time.Second)), tuning.BootStuckMin)
 	reportLimit := tuning.FindNode + time.Duration(tuning.DeadAfter*float64(c.settings.Report()))
 	return machineType.Name != "" && c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > bootLimit && c.now.Sub(c.shardOwnedSince[machine.Shard]) > reportLimit
@@ -200,7 +200,7 @@
 // countReachableZones counts the zones that are not cut off.
 func (c *cycle) countReachableZones() int {
 	reachable := map[string]bool{}
-	for _, machineType := range c.cluster.Types {
+	for _, machineType := range c.cluster.Catalog.Types {
 		for _, zone := range machineType.Zones {
 			if !c.failureDetector.ZoneUnavailable(zone) {
 				reachable[zone] = true
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -63,12 +63,12 @@
 
 // bootOverdue tells whether a machine should have come up long ago.
 func (c *cycle) bootOverdue(machine *clusterstate.Machine) bool {
-	late := time.Duration(tuning.BootLate * c.cluster.Types[machine.Type].BootSeconds * float64(time.Second))
+	late := time.Duration(tuning.BootLate * c.cluster.Catalog.Types[machine.Type].BootSeconds * float64(time.Second))
 	return c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > max(late, tuning.BootLateMin)
 }
 
 // likelyBooted tells whether a machine should be up by now.
 func (c *cycle) likelyBooted(machine *clusterstate.Machine) bool {
-	boot := tuning.BootLikely * c.cluster.Types[machine.Type].BootSeconds * float64(time.Second)
+	boot := tuning.BootLikely * c.cluster.Catalog.Types[machine.Type].BootSeconds * float64(time.Second)
 	return machine.CreatedAtMs > 0 && c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > time.Duration(boot) && !c.bootOverdue(machine)
 }
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -100,7 +100,7 @@
 			responsiveness = run / total
 		}
 		if machineEntry := c.cluster.Machines[machine]; machineEntry != nil {
-			if typ, ok := c.cluster.Types[machineEntry.Type]; ok {
+			if typ, ok := c.cluster.Catalog.Types[machineEntry.Type]; ok {
 				capacity := record.Capacity(&typ)
 				c.learning.finishedMachineSeconds += run * (1 - binpack.FreeFraction(capacity.AddTimes(record.TaskResources(spec), -1), capacity))
 			}
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -184,7 +184,7 @@
 		return max(need.CPUs/c.commonNeed.CPUs, need.MemoryGB/max(c.commonNeed.MemoryGB, 1))
 	}
 	best := 1.0
-	for _, typ := range c.cluster.Types {
+	for _, typ := range c.cluster.Catalog.Types {
 		capacity := record.Capacity(&typ)
 		if need.FitsIn(capacity) {
 			best = min(best, 1-binpack.FreeFraction(capacity.AddTimes(need, -1), capacity))
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -121,7 +121,7 @@
 		c.agents.RequestDispatch(machineName)
 	}
 	if machine := c.cluster.Machines[machineName]; decision.ImagePresent && machine != nil {
-		c.agents.RecordImageUse(machineName, spec.Image, spec.ImageSizeGB, c.cluster.Types[machine.Type].ImageCacheGB)
+		c.agents.RecordImageUse(machineName, spec.Image, spec.ImageSizeGB, c.cluster.Catalog.Types[machine.Type].ImageCacheGB)
 	}
 	if decision.TaskFailed {
 		c.agents.RecordTaskFailure(machineName, spec.ID)
@@ -246,7 +246,7 @@
 	// up at the start, and services, which come first then, should find those before they take
 	// the place of larger tasks for as long as they run.
 	names := slices.SortedFunc(maps.Keys(reports), func(a, b string) int {
-		return cmp.Or(cmp.Compare(c.cluster.Types[reports[a].MachineType].CPUs, c.cluster.Types[reports[b].MachineType].CPUs), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(c.cluster.Catalog.Types[reports[a].MachineType].CPUs, c.cluster.Catalog.Types[reports[b].MachineType].CPUs), cmp.Compare(a, b))
 	})
 	for _, name := range names {
 		report := reports[name]
