--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -3,70 +3,67 @@
 import (
 	"context"
 	"errors"
-	"net/http"
 	"slices"
 
-	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
 
-// sameDependencies tells whether two submissions await the same jobs, in any order.
+// sameDependencies tells whether two submissions depend on the same jobs, in any order.
 func sameDependencies(a, b []string) bool {
 	return len(a) == len(b) && slices.Equal(slices.Sorted(slices.Values(a)), slices.Sorted(slices.Values(b)))
 }
 
-// checkDependencies checks the jobs that a submission awaits: each must have been accepted,
-// by any node and any version. It answers the request if it may not go on.
-func (s *Server) checkDependencies(ctx context.Context, w http.ResponseWriter, spec *wire.JobSpec, level int) bool {
-	if level < tuning.LevelPipelines {
-		// A node that runs the version before would lose the field and start the job.
-		writeUnavailable(w, "not all nodes know of awaited jobs yet")
-		return false
-	}
-	refuse := func(why string) bool {
-		wire.WriteResponse(w, http.StatusUnprocessableEntity, wire.ErrorResponse{Message: why})
-		return false
+// checkDependencies checks the jobs that a submission depends on: each must have been accepted, by any
+// node of any version, and must be of a kind that is ever done.
+func (s *Server) checkDependencies(ctx context.Context, spec *wire.JobSpec, schemaVersion int) error {
+	if schemaVersion < tuning.LevelPipelines {
+		// A node of an older version would lose the field and start the job.
+		return errDependenciesInactive
 	}
 	if slices.Contains(spec.Dependencies, spec.ID) {
-		return refuse("awaits itself")
-	}
-	var unseen []string
-	look := func() string {
-		unseen = unseen[:0]
-		s.clusterState.RLock()
-		defer s.clusterState.RUnlock()
-		for _, a := range spec.Dependencies {
-			if j := s.clusterState.Jobs[a]; j == nil || !j.HasRecord {
-				unseen = append(unseen, a)
-			} else if j.Spec.Kind == wire.KindService {
-				return "awaits " + a + ", a service, which is never done"
-			}
-		}
-		return ""
+		return &RejectedError{Reason: "awaits itself"}
 	}
-	if why := look(); why != "" {
-		return refuse(why)
+	missing, err := s.dependenciesNotLive(spec)
+	if err != nil || len(missing) == 0 {
+		return err // a job that was accepted once stays so: no barrier is needed
 	}
-	if len(unseen) == 0 {
-		return true // what was accepted once stays so
-	}
-	// Those that this view does not hold may be newer than it, or over.
+	// Jobs that this cluster state does not hold may be newer than it, or over.
 	if s.barrier.WaitForReadBarrier(ctx) != nil {
-		writeUnavailable(w, "state service away")
-		return false
+		return errStoreUnavailable
 	}
-	if why := look(); why != "" {
-		return refuse(why)
+	if missing, err = s.dependenciesNotLive(spec); err != nil {
+		return err
 	}
-	for _, a := range unseen {
-		switch _, err := s.readFinalRecord(ctx, a); {
-		case errors.Is(err, kvstore.ErrNotFound):
-			return refuse("awaits " + a + ", which was never accepted")
-		case err != nil:
-			writeUnavailable(w, "state service away")
-			return false
+	return s.checkOver(ctx, missing)
+}
+
+// dependenciesNotLive gives the dependencies that are not live here. A service is rejected.
+func (s *Server) dependenciesNotLive(spec *wire.JobSpec) ([]string, error) {
+	s.clusterState.RLock()
+	defer s.clusterState.RUnlock()
+	var missing []string
+	for _, id := range spec.Dependencies {
+		job := s.clusterState.Jobs[id]
+		if job == nil || !job.HasRecord {
+			missing = append(missing, id)
+		} else if job.Spec.Kind == wire.KindService {
+			return nil, &RejectedError{Reason: "awaits " + id + ", a service, which is never done"}
+		}
+	}
+	return missing, nil
+}
+
+// checkOver checks that each of some jobs has a final record.
+func (s *Server) checkOver(ctx context.Context, ids []string) error {
+	for _, id := range ids {
+		_, err := s.finalRecords.read(ctx, id)
+		if errors.Is(err, errNoSuchJob) {
+			return &RejectedError{Reason: "awaits " + id + ", which was never accepted"}
+		}
+		if err != nil {
+			return errStoreUnavailable
 		}
 	}
-	return true
+	return nil
 }
--- /dev/null
+++ b/internal/api/finalrecords.go
@@ -0,0 +1,63 @@
+package api
+
+import (
+	"context"
+	"errors"
+	"sync"
+
+	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
+	"sableusher/internal/tuning"
+)
+
+// finalRecordCache reads the final records of jobs that are over, which never change, and keeps the ones
+// read last.
+type finalRecordCache struct {
+	reader kvstore.Reader
+
+	mu      sync.Mutex // guards what follows
+	records map[string]record.Final
+	order   []string // the ids of records, oldest first
+}
+
+func newFinalRecordCache(reader kvstore.Reader) *finalRecordCache {
+	return &finalRecordCache{reader: reader, records: map[string]record.Final{}}
+}
+
+// cached gives a job's final record if it was read before.
+func (c *finalRecordCache) cached(id string) (record.Final, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	final, ok := c.records[id]
+	return final, ok
+}
+
+// read gives a job's final record, from the store if it is not cached; errNoSuchJob if there is none.
+func (c *finalRecordCache) read(ctx context.Context, id string) (record.Final, error) {
+	if final, ok := c.cached(id); ok {
+		return final, nil
+	}
+	final, err := kvstore.ReadRecord[record.Final](ctx, c.reader, record.FinalKey(id))
+	if errors.Is(err, kvstore.ErrNotFound) {
+		return final, errNoSuchJob
+	}
+	if err == nil {
+		c.add(id, final)
+	}
+	return final, err
+}
+
+// add keeps a record and forgets the oldest one beyond the cache's size.
+func (c *finalRecordCache) add(id string, final record.Final) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, ok := c.records[id]; ok {
+		return
+	}
+	c.records[id] = final
+	c.order = append(c.order, id)
+	if len(c.order) > tuning.FinalsCached {
+		delete(c.records, c.order[0])
+		c.order = c.order[1:]
+	}
+}
--- /dev/null
+++ b/internal/api/handlers.go
@@ -0,0 +1,108 @@
+package api
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/go-chi/chi/v5"
+
+	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
+)
+
+// handleReady answers health checks: a node is ready while its cluster state is recent.
+func (s *Server) handleReady(w http.ResponseWriter, _ *http.Request) {
+	completeAsOf := s.barrier.CompleteAsOf()
+	if completeAsOf.IsZero() || time.Since(completeAsOf) > tuning.ReadyStale {
+		writeError(w, errStateStale)
+		return
+	}
+	w.WriteHeader(http.StatusOK)
+}
+
+func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
+	heartbeat, err := decodeHeartbeat(r)
+	if err != nil || heartbeat.Machine == "" || heartbeat.Session == 0 {
+		s.logger.Info("unreadable heartbeat", "err", err)
+		writeMessage(w, http.StatusBadRequest, "unreadable report")
+		return
+	}
+	result := s.agents.HandleHeartbeat(heartbeat)
+	status, body := result.HTTPResponse()
+	wire.WriteResponse(w, status, body)
+}
+
+func decodeHeartbeat(r *http.Request) (*wire.Heartbeat, error) {
+	body, err := wire.ReadBody(r.Body, tuning.StateBody)
+	if err != nil {
+		return nil, err
+	}
+	var heartbeat wire.Heartbeat
+	if err := wire.Decode(body, &heartbeat); err != nil {
+		return nil, err
+	}
+	return &heartbeat, nil
+}
+
+func (s *Server) handleSubmit(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), tuning.SubmitTimeout)
+	defer cancel()
+	request, err := s.decodeSubmission(r)
+	if err != nil {
+		s.logger.Debug("malformed submission", "err", err)
+		writeError(w, err)
+		return
+	}
+	accepted, err := s.submitJob(ctx, request)
+	if err != nil {
+		writeError(w, err)
+		return
+	}
+	status := http.StatusOK
+	if accepted.isNew {
+		status = http.StatusCreated
+	}
+	wire.WriteResponse(w, status, wire.JobResponse{ID: request.spec.ID, State: accepted.state})
+}
+
+// decodeSubmission reads a submission; where no class limits retries the field for them is not looked at.
+func (s *Server) decodeSubmission(r *http.Request) (submission, error) {
+	body, err := wire.ReadBody(r.Body, tuning.BodyLimit)
+	if err != nil {
+		return submission{}, &InvalidRequestError{Err: err}
+	}
+	var request submission
+	if request.spec, err = wire.DecodeSubmission(body); err != nil {
+		return submission{}, &InvalidRequestError{Err: err}
+	}
+	if s.retryPolicies.Enabled() {
+		if request.requestedRetries, err = wire.DecodeMaxRetries(body); err != nil {
+			return submission{}, &InvalidRequestError{Err: err}
+		}
+	}
+	return request, nil
+}
+
+func (s *Server) handleStatus(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), tuning.PollTimeout)
+	defer cancel()
+	status, err := s.jobStatus(ctx, chi.URLParam(r, "id"))
+	if err != nil {
+		writeError(w, err)
+		return
+	}
+	wire.WriteResponse(w, http.StatusOK, status)
+}
+
+func (s *Server) handleCancel(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), tuning.SubmitTimeout)
+	defer cancel()
+	id := chi.URLParam(r, "id")
+	state, err := s.cancelJob(ctx, id)
+	if err != nil {
+		writeError(w, err)
+		return
+	}
+	wire.WriteResponse(w, http.StatusOK, wire.JobResponse{ID: id, State: state})
+}
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -95,7 +95,9 @@
 	if catalog {
 		o.put(record.CatalogKey, wire.Catalog{Types: []wire.MachineType{{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, Zones: []string{"z"}}}})
 	}
-	return o, New(set, op, o.state, o, o, o, o, log).Handler()
+	return o, New(Config{
+		Settings: set, Operator: op, ClusterState: o.state, Reader: o, Committer: o, Barrier: o, Agents: o, Logger: log,
+	}).Handler()
 }
 
 func send(h http.Handler, method, path string, body []byte) (int, wire.JobStatus) {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -110,7 +110,16 @@
 	if len(operator.Cells) > 0 {
 		peers.SetCellHandler(offloads.Answer)
 	}
-	server := api.New(settings, operator, state, client, committer, cache, agents, logger)
+	server := api.New(api.Config{
+		Settings:     settings,
+		Operator:     operator,
+		ClusterState: state,
+		Reader:       client,
+		Committer:    committer,
+		Barrier:      cache,
+		Agents:       agents,
+		Logger:       logger,
+	})
 	return &Controller{handler: server.Handler(), loops: []func(context.Context) error{
 		cache.Run, committer.Run, members.Run, agents.Run,
 		engine.Run, engine.RunLearner, engine.TrackRemoteImages,
