--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"maps"
 	"slices"
-	"time"
 
 	"sableusher/internal/agent"
 	"sableusher/internal/clusterstate"
@@ -12,7 +11,6 @@
 	"sableusher/internal/reconcile"
 	"sableusher/internal/record"
 	"sableusher/internal/retry"
-	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
 
@@ -59,9 +57,7 @@
 // machines of which something new is known. One with a task that is to leave it
 // is looked at again until it has left.
 func (c *cycle) reconcileMachines() {
-	names := slices.Sorted(maps.Keys(c.machinesToReconcile))
-	clear(c.machinesToReconcile)
-	for _, name := range names {
+	for _, name := range c.machinesToReconcile.drain() {
 		machine := c.cluster.Machines[name]
 		if machine == nil {
 			continue
@@ -74,7 +70,7 @@
 		if status := c.agents.MachineStatus(name, token); !status.ReclaimAt.IsZero() {
 			c.evacuateMachine(machine)
 		}
-		deleted := (machine.Deleting || machine.Draining) && c.deletedMachines[name]
+		deleted := (machine.Deleting || machine.Draining) && c.deletedMachines.isConfirmed(name)
 		for _, binding := range machine.Bindings {
 			if deleted {
 				c.releaseTask(binding, name, record.TaskPending, "machine deleted")
@@ -83,7 +79,7 @@
 			c.reconcileTask(binding, name, token)
 		}
 		if c.releaseBlocked || deleted {
-			c.machinesToReconcile[name] = struct{}{}
+			c.machinesToReconcile.add(name)
 		}
 		if deleted && len(machine.Bindings) == 0 && machine.ModRevision != 0 && !c.cluster.ListedInRental(name) && !c.changes.inFlight(record.MachineKey(name)) {
 			c.outgoing = append(c.outgoing, &recordChange{
@@ -97,17 +93,15 @@
 		}
 	}
 	for name, bindings := range c.cluster.OrphanBindings {
-		if _, owned := c.fencingTokens[record.ShardOf(name, c.cluster.ShardCount)]; owned && c.deletedMachines[name] {
+		if _, owned := c.fencingTokens[record.ShardOf(name, c.cluster.ShardCount)]; owned && c.deletedMachines.isConfirmed(name) {
 			for _, binding := range bindings {
 				c.releaseTask(binding, name, record.TaskPending, "machine deleted")
 			}
 		}
 	}
-	for name := range c.deletedMachines {
-		if c.cluster.Machines[name] == nil && c.cluster.OrphanBindings[name] == nil {
-			delete(c.deletedMachines, name)
-		}
-	}
+	c.deletedMachines.forgetConfirmed(func(name string) bool {
+		return c.cluster.Machines[name] == nil && c.cluster.OrphanBindings[name] == nil
+	})
 	c.finishJobs()
 }
 
@@ -125,14 +119,14 @@
 	}
 	if decision.TaskFailed {
 		c.agents.RecordTaskFailure(machineName, spec.ID)
-		c.machinesToRefresh[machineName] = struct{}{}
+		c.machinesToRefresh.add(machineName)
 	}
 	if decision.PlacementRefused {
 		c.agents.RecordStartRefusal(machineName)
-		c.machinesToRefresh[machineName] = struct{}{}
+		c.machinesToRefresh.add(machineName)
 	}
 	if decision.BackOffJob {
-		c.backOffJob(spec.ID, c.now)
+		c.backoffs.extend(spec.ID, c.now)
 	}
 	if task.Presence == agent.PresenceExited && task.Cause != wire.ExitCauseDone && (task.Cause != wire.ExitCauseStopped || !task.Saved) {
 		c.log.Debug("task ended without being done", "task", binding.Ref, "cause", task.Cause, "machine", machineName)
@@ -180,15 +174,10 @@
 	case reconcile.GangBroken:
 		return true
 	case reconcile.GangWhole:
-		delete(c.gangFormingSince, job.Spec.ID)
-		return false
-	}
-	since, ok := c.gangFormingSince[job.Spec.ID]
-	if !ok {
-		c.gangFormingSince[job.Spec.ID] = c.now
+		c.gangFormation.formed(job.Spec.ID)
 		return false
 	}
-	return c.now.Sub(since) > tuning.GangForm+time.Duration(job.Spec.TaskCount)*tuning.GangFormTask
+	return c.gangFormation.timedOut(job.Spec.ID, job.Spec.TaskCount, c.now)
 }
 
 // finishJobs ends jobs whose tasks are all done, or that are cancelled and have
@@ -258,7 +247,7 @@
 		}
 		// A report that a cut has held back may come long after its machine was deleted:
 		// a record of it would be room that is not there.
-		if _, tombstone := c.tombstones[name]; machine == nil && tombstone {
+		if machine == nil && c.deletedMachines.hasTombstone(name) {
 			continue
 		}
 		machineRecord := record.Machine{CreatedAtMs: c.now.UnixMilli()}
