--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -105,5 +105,5 @@
 
 // bootTimes is a multiple of the nominal boot time of a machine's type.
 func (c *cycle) bootTimes(machine *clusterstate.Machine, factor float64) time.Duration {
-	return time.Duration(factor * c.cluster.Types[machine.Type].BootSeconds * float64(time.Second))
+	return time.Duration(factor * c.cluster.Catalog.Types[machine.Type].BootSeconds * float64(time.Second))
 }
--- a/internal/scheduler/learner_reward.go
+++ b/internal/scheduler/learner_reward.go
@@ -53,7 +53,7 @@
 	if machine == nil {
 		return 0
 	}
-	machineType, ok := cluster.Types[machine.Type]
+	machineType, ok := cluster.Catalog.Types[machine.Type]
 	if !ok {
 		return 0
 	}
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -243,7 +243,7 @@
 		return max(need.CPUs/commonTask.CPUs, need.MemoryGB/max(commonTask.MemoryGB, 1))
 	}
 	least := 1.0
-	for _, machineType := range c.cluster.Types {
+	for _, machineType := range c.cluster.Catalog.Types {
 		capacity := record.Capacity(&machineType)
 		if need.FitsIn(capacity) {
 			least = min(least, 1-binpack.FreeFraction(capacity.AddTimes(need, -1), capacity))
