--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -131,12 +131,12 @@
 }
 
 // cancelledTaskStops are the commands on a cluster state that may be old: nothing starts, but what it knows to
-// be cancelled stops at once. record is the machine's, nil if there is none.
+// be cancelled stops at once. recorded is the machine in the cluster state; nil: it has no record.
 func cancelledTaskStops(
-	heartbeat *wire.Heartbeat, machineEntry *clusterstate.Machine, fencingToken uint64,
+	heartbeat *wire.Heartbeat, recorded *clusterstate.Machine, fencingToken uint64,
 ) wire.HeartbeatResponse {
 	answer := emptyResponse(fencingToken)
-	if machineEntry == nil {
+	if recorded == nil {
 		return answer
 	}
 	for _, task := range heartbeat.Tasks {
@@ -144,7 +144,7 @@
 			break
 		}
 		ref, ok := record.ParseTaskRef(task.Task)
-		binding, bound := machineEntry.Bindings[ref]
+		binding, bound := recorded.Bindings[ref]
 		if ok && bound && binding.Attempt == task.Attempt && binding.Job.Cancelled() && task.State != wire.TaskExited {
 			answer.Commands = append(answer.Commands, stopCommand(task, 0))
 		}
@@ -205,7 +205,7 @@
 
 // commandParams says for whom and under which heartbeat commands are wanted.
 type commandParams struct {
-	record            *clusterstate.Machine
+	recorded          *clusterstate.Machine // the machine in the cluster state
 	fencingToken      uint64
 	heartbeatSequence uint64 // 0: for a direct command
 	now               time.Time
@@ -215,7 +215,7 @@
 // cluster state's lock and mu.
 func (r *Registry) commandsFor(m *machine, request commandParams) []wire.Command {
 	plan := commandPlan{
-		machine: m, bindings: request.record.Bindings, attemptEnded: r.attemptEnded, stopRequest: r.stopRequestFor,
+		machine: m, bindings: request.recorded.Bindings, attemptEnded: r.attemptEnded, stopRequest: r.stopRequestFor,
 		fencingToken: request.fencingToken, heartbeatSequence: request.heartbeatSequence, now: request.now,
 	}
 	return plan.commands()
--- a/internal/agent/dispatch.go
+++ b/internal/agent/dispatch.go
@@ -84,18 +84,18 @@
 func (r *Registry) prepareDispatch(machineName string) (*directDispatch, bool) {
 	r.clusterState.RLock()
 	defer r.clusterState.RUnlock()
-	machineEntry := r.clusterState.Machines[machineName]
+	recorded := r.clusterState.Machines[machineName]
 	fencingToken, _, owns := r.membership.Owns(record.ShardOf(machineName, r.clusterState.ShardCount))
-	if machineEntry == nil || machineEntry.Deleting || !owns || time.Since(r.completeAsOf()) > r.leases.maxStateAge() {
+	if recorded == nil || recorded.Deleting || !owns || time.Since(r.completeAsOf()) > r.leases.maxStateAge() {
 		return nil, false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := r.machineEntry(machineName)
+	m := r.ensureMachine(machineName)
 	if m.address == "" {
-		m.address = machineEntry.Address
+		m.address = recorded.Address
 	}
-	params := commandParams{record: machineEntry, fencingToken: fencingToken, now: time.Now()}
+	params := commandParams{recorded: recorded, fencingToken: fencingToken, now: time.Now()}
 	if m.commandInFlight || m.address == "" || r.awaitsHeartbeat(m, params.now) {
 		return nil, false
 	}
@@ -112,7 +112,7 @@
 func (r *Registry) composeDispatch(m *machine, params commandParams) (*directDispatch, bool) {
 	overdue := r.overdue(m, params.now)
 	d := &directDispatch{
-		machineName: params.record.Name, machine: m, address: m.address, timeout: tuning.OrderTimeout,
+		machineName: params.recorded.Name, machine: m, address: m.address, timeout: tuning.OrderTimeout,
 		command: wire.CommandRequest{
 			FencingToken: params.fencingToken, Session: max(m.session.id, firstSession), Commands: []wire.Command{},
 		},
@@ -193,8 +193,8 @@
 	// services to the one on record, which this node ends at once, and both over and over. Where a heartbeat
 	// follows it tells of the session: recording all sessions of a zone at once as it came back kept its
 	// replicas waiting.
-	machineEntry := r.clusterState.Machines[d.machineName]
-	if r.outboundLost(m, now) && machineEntry != nil && max(machineEntry.Session, firstSession) != m.session.id {
+	recorded := r.clusterState.Machines[d.machineName]
+	if r.outboundLost(m, now) && recorded != nil && max(recorded.Session, firstSession) != m.session.id {
 		r.updates.adopt(report)
 	}
 	if m.session.id != previousSession || m.session.fencingToken < d.command.FencingToken {
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -55,7 +55,10 @@
 	cache := kvstore.NewWatchCache(client, record.LivePrefix, state, logger)
 	member := membership.New("a", 1, []string{"a", "b"}, tuning.Level, client, nil, cache, state, logger)
 	f := &registryFixture{state: state, confirmedAt: time.Now(), peerAnsweredAt: time.Now()}
-	f.Registry = New(settings, state, member, func() time.Time { return f.confirmedAt }, logger, nil)
+	f.Registry = New(Config{
+		Settings: settings, ClusterState: state, Membership: member,
+		CompleteAsOf: func() time.Time { return f.confirmedAt }, Logger: logger,
+	})
 	f.SetPeerLastAnswered(func(string) time.Time { return f.peerAnsweredAt })
 	return f
 }
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -72,7 +72,7 @@
 	shard        int
 	fencingToken uint64                // of this node as the shard's owner
 	completeAsOf time.Time             // of the cluster state; zero: there is none
-	record       *clusterstate.Machine // nil: there is none
+	recorded     *clusterstate.Machine // the machine in the cluster state; nil: it has no record
 }
 
 // stateAge is how old the cluster state is.
@@ -90,7 +90,7 @@
 	defer r.mu.Unlock()
 	h := &heartbeatRequest{
 		report: heartbeat, now: now, shard: shard, fencingToken: fencingToken,
-		completeAsOf: r.completeAsOf(), record: r.clusterState.Machines[heartbeat.Machine],
+		completeAsOf: r.completeAsOf(), recorded: r.clusterState.Machines[heartbeat.Machine],
 	}
 	if reason := r.newestHeartbeats.accept(h); reason != notDropped {
 		r.dropHeartbeat(h, reason)
@@ -105,7 +105,7 @@
 		// It has a newer owner, of whom this node does not know yet. It would drop our answer and stay here
 		// all the same, until its lease has run out.
 		return redirected("")
-	case !r.leases.mayRenew(now, h.completeAsOf), h.record != nil && h.record.Deleting:
+	case !r.leases.mayRenew(now, h.completeAsOf), h.recorded != nil && h.recorded.Deleting:
 		return HeartbeatResult{}
 	}
 	return r.answerAsOwner(h)
@@ -116,7 +116,7 @@
 func (r *Registry) answerForOtherOwner(h *heartbeatRequest) HeartbeatResult {
 	name := h.report.Machine
 	if shard, ok := r.clusterState.Shards[h.shard]; ok && r.leases.mayRenewForOwner(h, shard) {
-		return renewed(cancelledTaskStops(h.report, h.record, shard.FencingToken))
+		return renewed(cancelledTaskStops(h.report, h.recorded, shard.FencingToken))
 	}
 	owner, live := r.membership.OwnerOf(h.shard)
 	lastRedirect := r.redirectedAt[name]
@@ -131,7 +131,7 @@
 // answerAsOwner answers an agent of one of this node's shards.
 func (r *Registry) answerAsOwner(h *heartbeatRequest) HeartbeatResult {
 	name := h.report.Machine
-	m := r.machineEntry(name)
+	m := r.ensureMachine(name)
 	if r.confirmsInbound(m, h) {
 		m.link.inboundConfirmedAt = h.now
 	}
@@ -147,14 +147,14 @@
 		r.updates.machineChanged(name)
 	}
 	if h.stateAge() > r.leases.maxStateAge() {
-		return renewed(cancelledTaskStops(h.report, h.record, h.fencingToken)) // the tasks it has go on
+		return renewed(cancelledTaskStops(h.report, h.recorded, h.fencingToken)) // the tasks it has go on
 	}
 	if r.recordOutdated(m, h) {
 		r.updates.adopt(h.report)
 	}
 	answer := emptyResponse(h.fencingToken)
-	if _, _, owns := r.membership.Owns(h.shard); h.record != nil && owns {
-		commands := r.commandsFor(m, commandParams{h.record, h.fencingToken, h.report.Sequence, h.now})
+	if _, _, owns := r.membership.Owns(h.shard); h.recorded != nil && owns {
+		commands := r.commandsFor(m, commandParams{h.recorded, h.fencingToken, h.report.Sequence, h.now})
 		answer.Commands = append(answer.Commands, commands...)
 	}
 	return renewed(answer)
@@ -172,12 +172,12 @@
 // recordOutdated tells whether a machine's record is missing or behind its heartbeat. One that was up and is
 // recorded as not up has to be known to receive what this owner sends.
 func (r *Registry) recordOutdated(m *machine, h *heartbeatRequest) bool {
-	machineEntry := h.record
-	if machineEntry == nil {
+	recorded := h.recorded
+	if recorded == nil {
 		return true
 	}
-	cameUp := !machineEntry.Up && (machineEntry.Address == "" || m.link.inboundConfirmed())
-	return cameUp || machineEntry.Address != h.report.Address || max(machineEntry.Session, firstSession) != h.report.Session
+	cameUp := !recorded.Up && (recorded.Address == "" || m.link.inboundConfirmed())
+	return cameUp || recorded.Address != h.report.Address || max(recorded.Session, firstSession) != h.report.Session
 }
 
 func (r *Registry) dropHeartbeat(h *heartbeatRequest, reason dropReason) {
@@ -231,7 +231,7 @@
 	case report.Session == newest.session && report.Sequence < newest.sequence:
 		return droppedOutOfOrder
 	// The records tell of sessions that this process has not heard of.
-	case h.record != nil && report.Session < h.record.Session:
+	case h.recorded != nil && report.Session < h.recorded.Session:
 		return droppedEarlierSession
 	}
 	n[report.Machine] = heartbeatPosition{report.Session, report.Sequence, h.now}
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -50,9 +50,9 @@
 // mayRenewForOwner tells whether this node may renew the lease of an agent whose shard another node owns: the
 // owner is out of reach, as is this node's own way to the key-value store, so that both are cut off together.
 // The answer starts nothing. The agent takes it with the token it has seen; one that has seen a higher one has
-// a newer owner. record is the machine's, nil if there is none. Callers hold the cluster state's lock.
+// a newer owner. Callers hold the cluster state's lock.
 func (k *leaseKeeper) mayRenewForOwner(h *heartbeatRequest, owner clusterstate.Shard) bool {
-	if h.report.FencingToken > owner.FencingToken || h.record == nil || h.record.Deleting {
+	if h.report.FencingToken > owner.FencingToken || h.recorded == nil || h.recorded.Deleting {
 		return false
 	}
 	if h.stateAge() < tuning.SessionTTL || !k.mayRenew(h.now, h.completeAsOf) {
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -18,12 +18,12 @@
 const (
 	// firstSession is the session of an agent whose record names none.
 	firstSession = 1
-	// redirectRetention is how long it is kept that an agent was sent to another node: longer than its answers
-	// to RecentlyHeard and redirectLoopWindow need.
+	// redirectRetention is how long it is kept that an agent was sent to another node: longer than
+	// redirectLoopWindow and RecentlyHeard look back.
 	redirectRetention = time.Minute
-	// stopRequestGrace is how long a stop request is kept beyond the end of its attempt, which may be seen in
-	// the cluster state a moment before the request is made.
-	stopRequestGrace = time.Second
+	// minStopRequestAge is how long a stop request is kept at least where the cluster state does not show its
+	// attempt as bound.
+	minStopRequestAge = time.Second
 )
 
 // Registry is what a controller node knows of the machines of its shards, and of the others that report to it.
@@ -50,18 +50,30 @@
 	updates          updates
 }
 
-// New makes an empty registry. completeAsOf tells as of when the cluster state is complete, zero if it never
-// was; transport carries direct commands, nil for the network.
-func New(
-	settings *config.Settings, clusterState *clusterstate.State, member *membership.Member,
-	completeAsOf func() time.Time, logger *slog.Logger, transport http.RoundTripper,
-) *Registry {
+// Config has what a registry works with.
+type Config struct {
+	Settings     *config.Settings
+	ClusterState *clusterstate.State
+	Membership   *membership.Member
+	// CompleteAsOf tells when the cluster state was last complete; zero: never.
+	CompleteAsOf func() time.Time
+	Logger       *slog.Logger
+	// Transport carries direct commands; nil: the network.
+	Transport http.RoundTripper
+}
+
+// New makes an empty registry.
+func New(c Config) *Registry {
 	return &Registry{
-		settings: settings, clusterState: clusterState, membership: member, completeAsOf: completeAsOf, logger: logger,
-		client:        newCommandClient(transport, settings.Deployment.Limits.MaxSockets),
-		dispatchQueue: make(dispatchQueue, tuning.KickQueue), dispatchSlots: semaphore.NewWeighted(tuning.OrderLanes),
+		settings: c.Settings, clusterState: c.ClusterState, membership: c.Membership,
+		completeAsOf: c.CompleteAsOf, logger: c.Logger,
+
+		client:        newCommandClient(c.Transport, c.Settings.Deployment.Limits.MaxSockets),
+		dispatchQueue: make(dispatchQueue, tuning.KickQueue),
+		dispatchSlots: semaphore.NewWeighted(tuning.OrderLanes),
+
 		machines:         map[string]*machine{},
-		leases:           newLeaseKeeper(settings, clusterState),
+		leases:           newLeaseKeeper(c.Settings, c.ClusterState),
 		newestHeartbeats: heartbeatHistory{},
 		stopRequests:     map[attemptKey]stopRequest{},
 		redirectedAt:     map[string]time.Time{},
@@ -81,8 +93,8 @@
 	return !completeAsOf.IsZero() && time.Since(completeAsOf) < tuning.ReadyStale
 }
 
-// machineEntry gives what is known of a machine, an empty entry if there was none. Callers hold mu.
-func (r *Registry) machineEntry(name string) *machine {
+// ensureMachine gives what is known of a machine, and makes an empty entry if there was none. Callers hold mu.
+func (r *Registry) ensureMachine(name string) *machine {
 	m := r.machines[name]
 	if m == nil {
 		m = newMachine()
@@ -131,7 +143,7 @@
 		}
 		task := job.Task(key.ref.Index)
 		bound := task.State == record.TaskBound && task.Attempt == key.attempt
-		if !bound && now.Sub(request.requestedAt) > stopRequestGrace {
+		if !bound && now.Sub(request.requestedAt) > minStopRequestAge {
 			delete(r.stopRequests, key)
 		}
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -60,7 +60,14 @@
 	committer := kvstore.NewCommitter(client, func(ops []wire.Op, rev uint64) { cache.ApplyOwn(ops, rev) })
 	committer.SetObserver(cache)
 	members := membership.New(settings.Node, incarnation, settings.Nodes(), schemaVersion, client, committer, cache, state, logger)
-	agents := agent.New(settings, state, members, cache.CompleteAsOf, logger, transport)
+	agents := agent.New(agent.Config{
+		Settings:     settings,
+		ClusterState: state,
+		Membership:   members,
+		CompleteAsOf: cache.CompleteAsOf,
+		Logger:       logger,
+		Transport:    transport,
+	})
 	peers, err := connectPeers(agents)
 	if err != nil {
 		return nil, err
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -69,7 +69,10 @@
 		committer := kvstore.NewCommitter(client, func([]wire.Op, uint64) {})
 		cache := kvstore.NewWatchCache(client, record.LivePrefix, fixture.cluster, log)
 		members := membership.New(node, 1, nodes, tuning.Level, client, committer, cache, fixture.cluster, log)
-		agents := agent.New(settings, fixture.cluster, members, func() time.Time { return testNow }, log, nil)
+		agents := agent.New(agent.Config{
+			Settings: settings, ClusterState: fixture.cluster, Membership: members,
+			CompleteAsOf: func() time.Time { return testNow }, Logger: log,
+		})
 		fixture.agents = append(fixture.agents, agents)
 		engine := New(settings, operator, fixture.cluster, members, agents, committer, client, nil, log)
 		engine.ctx = context.Background()
