--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"log/slog"
-	"maps"
 	"sync"
 	"time"
 
@@ -41,16 +40,15 @@
 	mu                  sync.Mutex
 	ctx                 context.Context
 	changes             changeTracker
-	jobBackoffs         map[string]jobBackoff
+	backoffs            backoffTable
 	ownerWaits          map[string]ownerWait // jobs that wait though room was seen for them elsewhere
-	machinesToReconcile map[string]struct{}  // machines whose tasks' fate is to be looked at
+	machinesToReconcile machineSet           // machines whose tasks' fate is to be looked at
 	lastSweep           time.Time            // when all machines were last looked at
-	gangFormingSince    map[string]time.Time
+	gangFormation       gangFormation
 	lastLoggedReason    map[string]time.Time // when the log last said why a job waits
 	reservations        reservationTable
-	shardOwnedSince     map[int]time.Time    // since when a part is ours
-	deletedMachines     map[string]bool      // machines whose deletion the cloud has confirmed
-	tombstones          map[string]time.Time // the same, for long after their records are gone
+	shardTenure         shardTenure
+	deletedMachines     deletedMachines
 	failureDetector     failuredetector.Detector
 	lastFenced          map[int]time.Time
 	lastArrayPlacement  time.Time // when arrays were last given room
@@ -76,7 +74,7 @@
 	waitingJobs            *jobqueue.Queue[*clusterstate.Job]
 	queueBuffer            []queuedJob // of the round before, its memory used again
 	retainedInventory      *binpack.Inventory
-	machinesToRefresh      map[string]struct{} // machines whose workers told something that the stock has not taken in
+	machinesToRefresh      machineSet // machines whose workers told something that the stock has not taken in
 	demand                 UnmetDemand
 	learning               learning
 	reader                 kvstore.Reader
@@ -104,24 +102,19 @@
 	pending  int
 }
 
-type jobBackoff struct {
-	until time.Time
-	delay time.Duration
-}
-
 // New makes an engine.
 func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *agent.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
-		changes: newChangeTracker(), jobBackoffs: map[string]jobBackoff{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: map[string]struct{}{}, cachedValues: map[string]cachedValue{},
-		gangFormingSince: map[string]time.Time{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardOwnedSince: map[int]time.Time{}, deletedMachines: map[string]bool{}, tombstones: map[string]time.Time{},
+		changes: newChangeTracker(), backoffs: backoffTable{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: machineSet{}, cachedValues: map[string]cachedValue{},
+		gangFormation: gangFormation{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardTenure: shardTenure{}, deletedMachines: newDeletedMachines(),
 		nextReorder: map[string]time.Time{}, jobsToMigrate: map[string]bool{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
 		learning: learning{
 			learner:  learner.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
 			runTimes: learner.NewEstimates(), pendingRewards: map[taskAttempt]int64{}, startedAt: map[taskAttempt]time.Time{}, recentResponsiveness: 0.5,
 		},
-		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waitingJobs: jobqueue.New[*clusterstate.Job](), machinesToRefresh: map[string]struct{}{},
+		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waitingJobs: jobqueue.New[*clusterstate.Job](), machinesToRefresh: machineSet{},
 	}
 }
 
@@ -217,12 +210,12 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	heardMachines := e.agents.TakeUpdatedMachines()
-	maps.Copy(e.machinesToReconcile, heardMachines)
-	maps.Copy(e.machinesToRefresh, heardMachines)
+	e.machinesToReconcile.addAll(heardMachines)
+	e.machinesToRefresh.addAll(heardMachines)
 	e.cluster.RLock()
 	changedMachines := e.changeFeed.TakeMachines()
-	maps.Copy(e.machinesToReconcile, changedMachines)
-	maps.Copy(e.machinesToRefresh, changedMachines)
+	e.machinesToReconcile.addAll(changedMachines)
+	e.machinesToRefresh.addAll(changedMachines)
 	c := e.newCycle(now)
 	c.adoptMachines()
 	if now.Sub(e.lastSweep) >= tuning.SweepEvery {
@@ -232,7 +225,7 @@
 		c.deleteFailedMachines()
 		for shard := range c.fencingTokens {
 			for _, machine := range c.cluster.MachinesByShard[shard] {
-				e.machinesToReconcile[machine.Name] = struct{}{}
+				e.machinesToReconcile.add(machine.Name)
 			}
 		}
 	}
@@ -292,9 +285,8 @@
 func (e *Engine) ConfirmDeleted(names []string) {
 	e.mu.Lock()
 	for _, name := range names {
-		e.deletedMachines[name] = true
-		e.tombstones[name] = time.Now()
-		e.machinesToReconcile[name] = struct{}{}
+		e.deletedMachines.confirm(name, time.Now())
+		e.machinesToReconcile.add(name)
 	}
 	e.mu.Unlock()
 	e.wake()
@@ -309,7 +301,7 @@
 	defer e.cluster.RUnlock()
 	var urgent, idle []string
 	appendOwned := func(list *[]string, name string) {
-		if _, _, ok := e.membership.Owns(record.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines[name] && len(*list) < tuning.ReturnMax {
+		if _, _, ok := e.membership.Owns(record.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines.isConfirmed(name) && len(*list) < tuning.ReturnMax {
 			*list = append(*list, name)
 		}
 	}
@@ -340,14 +332,6 @@
 	return e.demand
 }
 
-// Backoff keeps a job's tasks from being placed for a growing while.
-func (e *Engine) backOffJob(jobID string, now time.Time) {
-	backoff := e.jobBackoffs[jobID]
-	backoff.delay = min(max(2*backoff.delay, tuning.JobBackoff), tuning.JobBackoffMax)
-	backoff.until = now.Add(backoff.delay)
-	e.jobBackoffs[jobID] = backoff
-}
-
 // Graced is the slack a task needs to save.
 func stopGraceSeconds(spec *wire.JobSpec) float64 {
 	return spec.CheckpointSaveSeconds + tuning.StopMargin.Seconds()
