--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -85,8 +85,7 @@
 	needPerGPU             record.Resources // what GPU work takes beside each GPU
 	commonNeed             record.Resources // what a task of the work that asks for most cores takes
 	commonNeedAt           time.Time        // when it last did
-	jobsToMigrate          map[string]bool  // jobs whose records are to be moved before they are written
-	lastMigration          time.Time        // when records that nothing asked for were last moved
+	migration              migrationSchedule
 }
 
 // cachedValue is a job's value as of a time.
@@ -108,7 +107,7 @@
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
 		changes: newChangeTracker(), backoffs: backoffTable{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: machineSet{}, cachedValues: map[string]cachedValue{},
 		gangFormation: gangFormation{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardTenure: shardTenure{}, deletedMachines: newDeletedMachines(),
-		nextReorder: map[string]time.Time{}, jobsToMigrate: map[string]bool{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
+		nextReorder: map[string]time.Time{}, migration: newMigrationSchedule(), lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
 		learning: learning{
 			learner:  learner.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -123,7 +123,7 @@
 	if c.cluster.SchemaVersion < tuning.LevelPipelines || !job.NeedsMigration(c.cluster.SizeLimits(c.committer.MaxRecordBytes())) {
 		return false
 	}
-	c.jobsToMigrate[job.Spec.ID] = true
+	c.migration.request(job.Spec.ID)
 	return true
 }
 
--- a/internal/scheduler/recordmigration.go
+++ b/internal/scheduler/recordmigration.go
@@ -22,7 +22,7 @@
 	}
 	layout, migrated := c.cluster.SizeLimits(c.committer.MaxRecordBytes()), 0
 	migrate := func(id string) {
-		delete(c.jobsToMigrate, id)
+		c.migration.takeRequest(id)
 		job := c.cluster.Jobs[id]
 		if job == nil || !job.HasRecord || !job.NeedsMigration(layout) || c.changes.inFlight(record.JobKey(id)) || migrated >= tuning.MoveRound {
 			return
@@ -45,13 +45,13 @@
 		}
 		c.outgoing = append(c.outgoing, change)
 	}
-	for id := range c.jobsToMigrate {
+	for id := range c.migration.requested {
 		migrate(id)
 	}
-	if c.now.Sub(c.lastMigration) < tuning.MoveGap || c.committer.QueueLength() >= tuning.PressedItems {
+	if !c.migration.paceIsDue(c.now) || c.committer.QueueLength() >= tuning.PressedItems {
 		return
 	}
-	c.lastMigration = c.now
+	c.migration.lastPaced = c.now
 	for id, job := range c.cluster.Jobs {
 		if migrated >= tuning.MoveRound {
 			break
