--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -50,7 +50,7 @@
 	shardTenure         shardTenure
 	deletedMachines     deletedMachines
 	failureDetector     failuredetector.Detector
-	lastFenced          map[int]time.Time
+	fences              fenceLimiter
 	lastArrayPlacement  time.Time // when arrays were last given room
 	// withinGuarantee holds the waiting jobs within their team's guarantee, as of a time.
 	withinGuarantee        map[string]bool
@@ -79,8 +79,7 @@
 	learning               learning
 	reader                 kvstore.Reader
 	peers                  Peers
-	remoteImages           map[string]map[string]bool // the other nodes' machines by image
-	remoteImagesAt         time.Time
+	remoteImages           imageHints
 	wakeup                 chan struct{}
 	needPerGPU             record.Resources // what GPU work takes beside each GPU
 	commonNeed             record.Resources // what a task of the work that asks for most cores takes
@@ -107,7 +106,7 @@
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
 		changes: newChangeTracker(), backoffs: backoffTable{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: machineSet{}, cachedValues: map[string]cachedValue{},
 		gangFormation: gangFormation{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardTenure: shardTenure{}, deletedMachines: newDeletedMachines(),
-		nextReorder: map[string]time.Time{}, migration: newMigrationSchedule(), lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
+		nextReorder: map[string]time.Time{}, migration: newMigrationSchedule(), fences: fenceLimiter{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
 		learning: learning{
 			learner:  learner.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
@@ -158,25 +157,6 @@
 	return min(max(tuning.PlaceGap, tuning.PlaceGap*time.Duration(machineCount)/tuning.PlaceGapMachines), tuning.PlaceGapMax)
 }
 
-// TrackRemoteImages keeps in mind which images the other nodes' machines hold, until ctx ends.
-// Where peers don't answer, what they last said stands: it is only a hint.
-func (e *Engine) TrackRemoteImages(ctx context.Context) error {
-	tick := time.NewTicker(tuning.ImagesEvery)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-tick.C:
-		}
-		if images := e.peers.QueryImages(ctx); len(images) > 0 {
-			e.mu.Lock()
-			e.remoteImages, e.remoteImagesAt = images, time.Now()
-			e.mu.Unlock()
-		}
-	}
-}
-
 func (e *Engine) wake() {
 	select {
 	case e.wakeup <- struct{}{}:
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -60,9 +60,8 @@
 		case empty && status.FailedJobs >= tuning.MachineErrors:
 			c.deleteMachine(failuredetector.Deletion{Machine: name, Reason: "failing"})
 		}
-		if status.UnresolvedStart && c.hasStoppingTask(machine) && c.now.Sub(c.lastFenced[machine.Shard]) > tuning.FenceEvery {
+		if status.UnresolvedStart && c.hasStoppingTask(machine) && c.fences.allow(machine.Shard, c.now) {
 			// A start in doubt could still run a task that must not: raise the token.
-			c.lastFenced[machine.Shard] = c.now
 			go c.membership.Fence(c.ctx, machine.Shard, true)
 		}
 	}
--- /dev/null
+++ b/internal/scheduler/fencelimiter_test.go
@@ -0,0 +1,23 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"sableusher/internal/tuning"
+)
+
+// TestTokenIsRaisedOncePerInterval: the token of a shard is raised at once and then once per tuning.FenceEvery,
+// whatever is done with the other shards.
+func TestTokenIsRaisedOncePerInterval(t *testing.T) {
+	limiter := fenceLimiter{}
+	for _, step := range []struct {
+		shard   int
+		at      time.Duration
+		allowed bool
+	}{{1, 0, true}, {1, 1, false}, {2, 1, true}, {1, tuning.FenceEvery, false}, {1, tuning.FenceEvery + 1, true}, {1, tuning.FenceEvery + 2, false}} {
+		if allowed := limiter.allow(step.shard, testNow.Add(step.at)); allowed != step.allowed {
+			t.Errorf("shard %d after %v: allowed %v, want %v", step.shard, step.at, allowed, step.allowed)
+		}
+	}
+}
--- /dev/null
+++ b/internal/scheduler/imagehints.go
@@ -0,0 +1,34 @@
+package scheduler
+
+import (
+	"context"
+	"time"
+
+	"sableusher/internal/tuning"
+)
+
+// imageHints is what the other nodes last said about which of their machines hold which images. It is advice for
+// the choice of machines only.
+type imageHints struct {
+	machinesByImage map[string]map[string]bool
+	updatedAt       time.Time
+}
+
+// TrackRemoteImages asks the other nodes every tuning.ImagesEvery which machines hold which images, until ctx ends.
+// Where none answers, what they last said stands.
+func (e *Engine) TrackRemoteImages(ctx context.Context) error {
+	ticker := time.NewTicker(tuning.ImagesEvery)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-ticker.C:
+		}
+		if images := e.peers.QueryImages(ctx); len(images) > 0 {
+			e.mu.Lock()
+			e.remoteImages = imageHints{machinesByImage: images, updatedAt: time.Now()}
+			e.mu.Unlock()
+		}
+	}
+}
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -33,9 +33,9 @@
 			}
 		})
 	}
-	if inventory.HintsUpdatedAt(binpack.OtherMachines) != c.remoteImagesAt {
-		inventory.SetImageHints(binpack.OtherMachines, c.remoteImagesAt, func(yield func(image, name string) bool) {
-			for image, names := range c.remoteImages {
+	if inventory.HintsUpdatedAt(binpack.OtherMachines) != c.remoteImages.updatedAt {
+		inventory.SetImageHints(binpack.OtherMachines, c.remoteImages.updatedAt, func(yield func(image, name string) bool) {
+			for image, names := range c.remoteImages.machinesByImage {
 				for name := range names {
 					if !yield(image, name) {
 						return
