--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -80,7 +80,14 @@
 	committer.SetObserver(cache)
 	members := membership.New(settings.Node, c.Incarnation, settings.Nodes(), c.SchemaVersion, client, committer, cache, state, logger)
 
-	agents := agent.New(settings, state, members, cache.CompleteAsOf, logger, c.Transport)
+	agents := agent.New(agent.Config{
+		Settings:     settings,
+		ClusterState: state,
+		Membership:   members,
+		CompleteAsOf: cache.CompleteAsOf,
+		Logger:       logger,
+		Transport:    c.Transport,
+	})
 	peers, err := c.ConnectPeers(agents)
 	if err != nil {
 		return nil, err
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -47,7 +47,7 @@
 	shardTenure         shardTenure
 	deletedMachines     deletedMachines
 	failureDetector     failuredetector.Detector
-	lastFenced          map[int]time.Time
+	fences              fenceLimiter
 	lastArrayPlacement  time.Time // when arrays were last given room
 	guarantees          guarantees
 	objectives          objectives
@@ -59,11 +59,9 @@
 	learning            learning
 	reader              kvstore.Reader
 	peers               Peers
-	remoteImages        map[string]map[string]bool // the other nodes' machines by image
-	remoteImagesAt      time.Time
+	remoteImages        imageHints
 	wakeup              chan struct{}
-	jobsToMigrate       map[string]bool // jobs whose records are to be moved before they are written
-	lastMigration       time.Time       // when records that nothing asked for were last moved
+	migration           migrationSchedule
 }
 
 // New makes an engine.
@@ -72,7 +70,7 @@
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
 		changes: newChangeTracker(), backoffs: backoffTable{}, ownerWaits: ownerWaits{}, machinesToReconcile: machineSet{},
 		gangFormation: gangFormation{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardTenure: shardTenure{}, deletedMachines: newDeletedMachines(),
-		jobsToMigrate: map[string]bool{}, lastFenced: map[int]time.Time{}, reader: reader, peers: peers,
+		migration: newMigrationSchedule(), fences: fenceLimiter{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
 		learning:        newLearning(operator, members.Incarnation, log),
 		wakeup:          make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waiting: newWaitingJobs(), demand: newDemandState(), machinesToRefresh: machineSet{},
@@ -120,25 +118,6 @@
 	return min(max(tuning.PlaceGap, tuning.PlaceGap*time.Duration(machineCount)/tuning.PlaceGapMachines), tuning.PlaceGapMax)
 }
 
-// TrackRemoteImages keeps in mind which images the other nodes' machines hold, until ctx ends.
-// Where peers don't answer, what they last said stands: it is only a hint.
-func (e *Engine) TrackRemoteImages(ctx context.Context) error {
-	tick := time.NewTicker(tuning.ImagesEvery)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return ctx.Err()
-		case <-tick.C:
-		}
-		if images := e.peers.QueryImages(ctx); len(images) > 0 {
-			e.mu.Lock()
-			e.remoteImages, e.remoteImagesAt = images, time.Now()
-			e.mu.Unlock()
-		}
-	}
-}
-
 func (e *Engine) wake() {
 	select {
 	case e.wakeup <- struct{}{}:
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -36,8 +36,8 @@
 	if c.now.Sub(inventory.HintsUpdatedAt(binpack.OwnMachines)) >= tuning.HoldersLife {
 		inventory.SetImageHints(binpack.OwnMachines, c.now, c.ownImageHints())
 	}
-	if inventory.HintsUpdatedAt(binpack.OtherMachines) != c.remoteImagesAt {
-		inventory.SetImageHints(binpack.OtherMachines, c.remoteImagesAt, c.remoteImageHints())
+	if inventory.HintsUpdatedAt(binpack.OtherMachines) != c.remoteImages.updatedAt {
+		inventory.SetImageHints(binpack.OtherMachines, c.remoteImages.updatedAt, c.remoteImageHints())
 	}
 }
 
@@ -57,7 +57,7 @@
 // remoteImageHints gives pairs of an image and a machine of another node that is believed to hold it.
 func (c *cycle) remoteImageHints() iter.Seq2[string, string] {
 	return func(yield func(image, machine string) bool) {
-		for image, machines := range c.remoteImages {
+		for image, machines := range c.remoteImages.machinesByImage {
 			for machine := range machines {
 				if !yield(image, machine) {
 					return
