--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -198,7 +198,7 @@
 		key := clusterstate.JobKey(spec.ID)
 		_, err := s.committer.Commit(ctx, kvstore.Transaction{
 			Conditions: []wire.Condition{{Key: key}, {Key: clusterstate.FinalKey(spec.ID)}},
-			Ops:        []wire.Op{kvstore.PutOp(key, rec)}, Urgent: true,
+			Ops:        []wire.Op{kvstore.PutOp(key, rec)}, Priority: kvstore.PriorityUrgent,
 		})
 		if err == nil {
 			s.logger.Debug("job accepted", "job", spec.ID, "class", spec.Class, "team", spec.Team, "kind", spec.Kind, "tasks", spec.TaskCount, "vcpus", spec.CPUs, "cards", spec.GPUs)
@@ -433,9 +433,9 @@
 	if fit := s.clusterState.SizeLimits(s.committer.MaxRecordBytes()); s.clusterState.SchemaVersion >= tuning.LevelPipelines && job.NeedsMigration(fit) {
 		// The record as it is could be too large to be written again.
 		if guards, ops, ok := marked.MigrateChunk(fit, 0); ok {
-			return kvstore.Transaction{Conditions: append(guards, versionConditions...), Ops: ops, Urgent: true}, confirmed, true
+			return kvstore.Transaction{Conditions: append(guards, versionConditions...), Ops: ops, Priority: kvstore.PriorityUrgent}, confirmed, true
 		}
 	}
 	op := marked.EncodeChunk(0, nil)
-	return kvstore.Transaction{Conditions: append(versionConditions, wire.Condition{Key: op.PutKey, ModRevision: job.ModRevision}), Ops: []wire.Op{op}, Urgent: true}, confirmed, true
+	return kvstore.Transaction{Conditions: append(versionConditions, wire.Condition{Key: op.PutKey, ModRevision: job.ModRevision}), Ops: []wire.Op{op}, Priority: kvstore.PriorityUrgent}, confirmed, true
 }
--- /dev/null
+++ b/internal/kvstore/budget_test.go
@@ -0,0 +1,63 @@
+package kvstore
+
+import (
+	"math"
+	"net/http"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
+)
+
+// statusTransport answers every request with one status.
+type statusTransport int
+
+func (s statusTransport) RoundTrip(*http.Request) (*http.Response, error) {
+	return &http.Response{StatusCode: int(s), Body: http.NoBody}, nil
+}
+
+// TestRejectionsReduceTheWriteRate: a store whose limit has fallen without notice
+// rejects what is beyond; nodes that kept their rate would be rejected for ever.
+// The rate has a floor and recovers, and transactions are small from the start.
+func TestRejectionsReduceTheWriteRate(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		client := NewClient(testAddress, Limits{
+			RequestsPerSecond: 1000, WritesPerSecond: 100, MaxValueKiB: 16, MaxTransactionOps: 32,
+		}, statusTransport(http.StatusTooManyRequests))
+		client.SetUpcomingLimits(Limits{
+			RequestsPerSecond: 1000, WritesPerSecond: 60, MaxValueKiB: 2, MaxTransactionOps: 10,
+		})
+		if client.MaxTransactionOps() != 10 || client.writeLimiter.Limit() != 100 ||
+			client.MaxRecordBytes() <= client.UpcomingMaxRecordBytes() {
+			t.Errorf("before: %d ops, %v writes a second, records of %d bytes",
+				client.MaxTransactionOps(), client.writeLimiter.Limit(), client.MaxRecordBytes())
+		}
+		client.ApplyUpcomingLimits()
+		if client.writeLimiter.Limit() != 60 || client.MaxRecordBytes() != client.UpcomingMaxRecordBytes() {
+			t.Errorf("lowered: %v writes a second, records of %d bytes",
+				client.writeLimiter.Limit(), client.MaxRecordBytes())
+		}
+		for range 100 {
+			_, _ = client.ExecuteTransaction(t.Context(), wire.TxnRequest{}, OrdinaryRequest)
+		}
+		if got := client.writeLimiter.Limit(); got != 60*tuning.PaceCut {
+			t.Errorf("one bad moment lowered the rate to %v", got)
+		}
+		for range 30 {
+			time.Sleep(tuning.PaceHold)
+			_, _ = client.ExecuteTransaction(t.Context(), wire.TxnRequest{}, OrdinaryRequest)
+		}
+		if got := float64(client.writeLimiter.Limit()); math.Abs(got-60*tuning.PaceLeast) > 1e-9 {
+			t.Errorf("lasting rejections left %v", got)
+		}
+		for range 60 {
+			time.Sleep(2 * tuning.PaceHold)
+			client.SetBudgetShare(1)
+		}
+		if got := client.writeLimiter.Limit(); got != 60 {
+			t.Errorf("the rate recovered to %v", got)
+		}
+	})
+}
--- a/internal/kvstore/committer_test.go
+++ b/internal/kvstore/committer_test.go
@@ -6,8 +6,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
-	"math"
 	"net/http"
 	"slices"
 	"testing"
@@ -23,225 +21,235 @@
 // delayedTransport answers every transaction after a while.
 type delayedTransport time.Duration
 
-func (s delayedTransport) RoundTrip(*http.Request) (*http.Response, error) {
-	time.Sleep(time.Duration(s))
+func (d delayedTransport) RoundTrip(*http.Request) (*http.Response, error) {
+	time.Sleep(time.Duration(d))
 	body := wire.MustEncode(wire.TxnResponse{Revision: 7})
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(body))}, nil
 }
 
-// TestOutcomeOnItsWayIsWaitedFor: a change whose time runs out while its
+// TestCommitWaitsForTransactionInFlight: a change whose time runs out while its
 // transaction is on its way is not unknown yet. Each unknown outcome makes a node
-// fence its part, which fails all its other changes: one node once did so two
+// fence its shard, which fails all its other changes: one node once did so two
 // hundred times in two minutes.
 func TestCommitWaitsForTransactionInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		c := NewCommitter(NewClient("127.0.0.1:1", Limits{RequestsPerSecond: 100, WritesPerSecond: 100, MaxTransactionOps: 8}, delayedTransport(400*time.Millisecond)), func([]wire.Op, uint64) {})
-		go func() { _ = c.Run(ctx) }()
-		short, done := context.WithTimeout(ctx, 100*time.Millisecond)
-		rev, err := c.Commit(short, Transaction{Ops: []wire.Op{PutOp("a", 1)}, Background: true})
-		done()
-		if rev != 7 || err != nil {
-			t.Errorf("revision %d, %v", rev, err)
+		client := NewClient(testAddress, Limits{
+			RequestsPerSecond: 100, WritesPerSecond: 100, MaxTransactionOps: 8,
+		}, delayedTransport(400*time.Millisecond))
+		committer := NewCommitter(client, ignoreApplied)
+		go func() { _ = committer.Run(ctx) }()
+		shortCtx, stopShort := context.WithTimeout(ctx, 100*time.Millisecond)
+		revision, err := committer.Commit(shortCtx, Transaction{
+			Ops: []wire.Op{PutOp("a", 1)}, Priority: PriorityBackground,
+		})
+		stopShort()
+		if revision != 7 || err != nil {
+			t.Errorf("revision %d, %v", revision, err)
 		}
 		cancel()
 	})
 }
 
-// statusTransport answers every request with one.
-type statusTransport int
-
-func (s statusTransport) RoundTrip(*http.Request) (*http.Response, error) {
-	return &http.Response{StatusCode: int(s), Body: http.NoBody}, nil
-}
-
-// TestRefusalsLowerThePace: a service whose limit has fallen without notice refuses
-// what is beyond; nodes that kept their pace would be refused for ever. The pace
-// has a floor, comes back, and small transactions are made from the start.
-func TestRejectionsReduceTheWriteRate(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		c := NewClient("127.0.0.1:1", Limits{RequestsPerSecond: 1000, WritesPerSecond: 100, MaxValueKiB: 16, MaxTransactionOps: 32}, statusTransport(http.StatusTooManyRequests))
-		c.SetUpcomingLimits(Limits{RequestsPerSecond: 1000, WritesPerSecond: 60, MaxValueKiB: 2, MaxTransactionOps: 10})
-		if c.MaxTransactionOps() != 10 || c.writeLimiter.Limit() != 100 || c.MaxRecordBytes() <= c.UpcomingMaxRecordBytes() {
-			t.Errorf("before: %d changes, %v a second, room %d", c.MaxTransactionOps(), c.writeLimiter.Limit(), c.MaxRecordBytes())
-		}
-		c.ApplyUpcomingLimits()
-		if c.writeLimiter.Limit() != 60 || c.MaxRecordBytes() != c.UpcomingMaxRecordBytes() {
-			t.Errorf("lowered: %v a second, room %d", c.writeLimiter.Limit(), c.MaxRecordBytes())
-		}
-		for range 100 {
-			_, _ = c.ExecuteTransaction(t.Context(), wire.TxnRequest{}, false)
-		}
-		if got := c.writeLimiter.Limit(); got != 60*tuning.PaceCut {
-			t.Errorf("one bad moment lowered the pace to %v", got)
-		}
-		for range 30 {
-			time.Sleep(tuning.PaceHold)
-			_, _ = c.ExecuteTransaction(t.Context(), wire.TxnRequest{}, false)
-		}
-		if got := float64(c.writeLimiter.Limit()); math.Abs(got-60*tuning.PaceLeast) > 1e-9 {
-			t.Errorf("lasting refusals left %v", got)
-		}
-		for range 60 {
-			time.Sleep(2 * tuning.PaceHold)
-			c.SetBudgetShare(1)
-		}
-		if got := c.writeLimiter.Limit(); got != 60 {
-			t.Errorf("the pace came back to %v", got)
-		}
-	})
-}
-
-// TestWorkOfHighPriorityGoesFirst: while the budget is the bottleneck a change waits
-// for seconds, and a pipeline has several in a row; but what has waited long must
-// not wait for ever behind what keeps coming.
+// TestHighPriorityTransactionsGoFirst: while the budget is the bottleneck a
+// change waits for seconds, and a DAG has several in a row; but what has waited
+// long must not wait for ever behind what keeps coming.
 func TestHighPriorityTransactionsGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := NewCommitter(NewClient("127.0.0.1:1", Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxTransactionOps: 1}, nil), func([]wire.Op, uint64) {})
-		add := func(key string, it Transaction) {
-			it.Ops = []wire.Op{PutOp(key, 1)}
-			go func() { _, _ = c.Commit(t.Context(), it) }()
+		committer := NewCommitter(NewClient(testAddress, minimalLimits, nil), ignoreApplied)
+		enqueue := func(key string, priority Priority) {
+			transaction := Transaction{Ops: []wire.Op{PutOp(key, 1)}, Priority: priority}
+			go func() { _, _ = committer.Commit(t.Context(), transaction) }()
 			synctest.Wait()
 		}
-		add("old", Transaction{})
+		enqueue("old", PriorityNormal)
 		time.Sleep(tuning.SoonPatience + time.Second)
-		add("lazy", Transaction{Background: true})
-		add("other", Transaction{})
-		add("soon", Transaction{HighPriority: true})
-		add("urgent", Transaction{Urgent: true})
+		enqueue("background", PriorityBackground)
+		enqueue("normal", PriorityNormal)
+		enqueue("high", PriorityHigh)
+		enqueue("urgent", PriorityUrgent)
 		var got []string
 		for range 5 {
-			batch := c.takeBatch(1)
-			got = append(got, batch[0].Ops[0].Key())
-			batch[0].result <- commitResult{}
+			transactions := committer.takeBatch(1)
+			got = append(got, transactions[0].Ops[0].Key())
+			transactions[0].finish(0, nil)
 		}
-		if want := []string{"urgent", "old", "soon", "other", "lazy"}; !slices.Equal(got, want) {
+		if want := []string{"urgent", "old", "high", "normal", "background"}; !slices.Equal(got, want) {
 			t.Errorf("order %v, want %v", got, want)
 		}
 	})
 }
 
-// TestWhatCannotHoldIsNotSent: changes whose guards are known to have passed are refused here, the
-// others are sent, and those that wait behind them don't wait for the budget that they would have taken.
+// outdatedBelow is an observer for which all conditions below a revision are
+// outdated; it shows nothing of what is sent.
+type outdatedBelow uint64
+
+func (o outdatedBelow) IsOutdated(condition wire.Condition) bool {
+	return condition.ModRevision < uint64(o)
+}
+func (o outdatedBelow) FindApplied([]wire.Op, uint64) (uint64, bool) { return 0, false }
+func (o outdatedBelow) TrackInFlight([]wire.Op) uint64               { return 0 }
+func (o outdatedBelow) UntrackInFlight([]wire.Op)                    {}
+
+// TestOutdatedTransactionsAreNotSent: changes with conditions that are known to
+// be outdated are refused by the committer, the others are sent, and those that
+// wait behind them don't wait for the budget that they would have taken.
 func TestOutdatedTransactionsAreNotSent(t *testing.T) {
+	const firstCurrent = 5
+	type result struct {
+		outdated bool
+		err      error
+		duration time.Duration
+	}
 	rapid.Check(t, func(rt *rapid.T) {
-		synctest.Test(t, func(t *testing.T) {
+		synctest.Test(t, func(*testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
-			c := NewCommitter(NewClient("127.0.0.1:1", Limits{RequestsPerSecond: 1000, WritesPerSecond: 2, BudgetShare: 1, MaxTransactionOps: 1}, delayedTransport(time.Millisecond)), func([]wire.Op, uint64) {})
-			c.SetObserver(outdatedBelow(5))
-			type result struct {
-				stale bool
-				err   error
-				at    time.Duration
-			}
-			start, results := time.Now(), make(chan result, 40)
-			stamps := rapid.SliceOfN(rapid.Uint64Range(3, 7), 1, 40).Draw(rt, "stamps")
-			fresh := 0
-			for i, s := range stamps {
-				if s >= 5 {
-					fresh++
+			client := NewClient(testAddress, Limits{
+				RequestsPerSecond: 1000, WritesPerSecond: 2, BudgetShare: 1, MaxTransactionOps: 1,
+			}, delayedTransport(time.Millisecond))
+			committer := NewCommitter(client, ignoreApplied)
+			committer.SetObserver(outdatedBelow(firstCurrent))
+			startedAt, results := time.Now(), make(chan result, 40)
+			modRevisions := rapid.SliceOfN(rapid.Uint64Range(3, 7), 1, 40).Draw(rt, "mod revisions")
+			current := 0
+			for i, modRevision := range modRevisions {
+				if modRevision >= firstCurrent {
+					current++
 				}
 				go func() {
-					_, err := c.Commit(ctx, Transaction{Conditions: []wire.Condition{{Key: "p", ModRevision: s}}, Ops: []wire.Op{PutOp(fmt.Sprint(i), 1)}})
-					results <- result{s < 5, err, time.Since(start)}
+					_, err := committer.Commit(ctx, Transaction{
+						Conditions: []wire.Condition{{Key: "p", ModRevision: modRevision}},
+						Ops:        []wire.Op{PutOp(fmt.Sprint(i), 1)},
+					})
+					results <- result{modRevision < firstCurrent, err, time.Since(startedAt)}
 				}()
 			}
 			synctest.Wait()
-			go func() { _ = c.Run(ctx) }()
-			c.wakeWorker()
-			last := time.Duration(0)
-			for range stamps {
+			go func() { _ = committer.Run(ctx) }()
+			committer.wakeWorker()
+			longest := time.Duration(0)
+			for range modRevisions {
 				r := <-results
-				if r.stale != errors.Is(r.err, ErrConditionFailed) || !r.stale && r.err != nil {
-					rt.Errorf("stale %v: %v", r.stale, r.err)
+				if r.outdated != errors.Is(r.err, ErrConditionFailed) || !r.outdated && r.err != nil {
+					rt.Errorf("outdated %v: %v", r.outdated, r.err)
 				}
-				last = max(last, r.at)
+				longest = max(longest, r.duration)
 			}
-			if most := time.Duration(fresh+2) * 500 * time.Millisecond; last > most {
-				rt.Errorf("%d of %d changes took %v", fresh, len(stamps), last)
+			if most := time.Duration(current+2) * 500 * time.Millisecond; longest > most {
+				rt.Errorf("%d of %d changes took %v", current, len(modRevisions), longest)
 			}
 			cancel()
 		})
 	})
 }
 
-// outdatedBelow is a view in which all stamps below a number have passed; it shows nothing of what is sent.
-type outdatedBelow uint64
-
-func (p outdatedBelow) IsOutdated(g wire.Condition) bool             { return g.ModRevision < uint64(p) }
-func (p outdatedBelow) FindApplied([]wire.Op, uint64) (uint64, bool) { return 0, false }
-func (p outdatedBelow) TrackInFlight([]wire.Op) uint64               { return 0 }
-func (p outdatedBelow) UntrackInFlight([]wire.Op)                    {}
+// testRecord is a value whose encoding differs between writers.
+type testRecord struct {
+	A int            `cbor:"a"`
+	M map[string]int `cbor:"m"`
+	Z []string       `cbor:"z"`
+}
 
-// unansweringTransport carries transactions out into a cache and answers none.
+// unansweringTransport applies transactions to a cache and answers none.
 type unansweringTransport struct {
 	cache      *WatchCache
 	revision   uint64
-	watchDelay time.Duration // until the watch shows them; 0: they are not carried out
+	watchDelay time.Duration // until the watch shows them; 0: they are not applied
 }
 
-func (d *unansweringTransport) RoundTrip(req *http.Request) (*http.Response, error) {
-	if d.watchDelay > 0 {
-		b, _ := io.ReadAll(req.Body)
-		var txn wire.TxnRequest
-		if err := wire.Decode(b, &txn); err != nil {
+func (u *unansweringTransport) RoundTrip(httpRequest *http.Request) (*http.Response, error) {
+	if u.watchDelay > 0 {
+		if err := u.applyLate(httpRequest.Body); err != nil {
 			return nil, err
 		}
-		time.Sleep(d.watchDelay)
-		d.revision++
-		news := wire.WatchResponse{Revision: d.revision}
-		for _, o := range txn.Ops {
-			// The service keeps values, not our bytes.
-			if o.PutKey != "" {
-				var v any
-				if err := wire.Decode(o.Value, &v); err != nil {
-					return nil, err
-				}
-				m := v.(map[any]any)
-				o.Value = wire.MustEncode(map[string]any{"z": m["z"], "a": float64(m["a"].(uint64)), "m": m["m"]})
-			}
-			news.Events = append(news.Events, wire.Event{PutKey: o.PutKey, DeleteKey: o.DeleteKey, Value: o.Value, ModRevision: d.revision})
+	}
+	<-httpRequest.Context().Done()
+	return nil, httpRequest.Context().Err()
+}
+
+func (u *unansweringTransport) applyLate(body io.Reader) error {
+	encoded, err := io.ReadAll(body)
+	if err != nil {
+		return err
+	}
+	var transaction wire.TxnRequest
+	if err := wire.Decode(encoded, &transaction); err != nil {
+		return err
+	}
+	time.Sleep(u.watchDelay)
+	u.revision++
+	answer := wire.WatchResponse{Revision: u.revision}
+	for _, op := range transaction.Ops {
+		value, err := reencode(op)
+		if err != nil {
+			return err
 		}
-		d.cache.applyWatch(d.revision-1, news, time.Now())
+		answer.Events = append(answer.Events, wire.Event{
+			PutKey: op.PutKey, DeleteKey: op.DeleteKey, Value: value, ModRevision: u.revision,
+		})
+	}
+	u.cache.applyWatch(u.revision-1, answer, time.Now())
+	return nil
+}
+
+// reencode gives the value of a put in other bytes: the store keeps values, not
+// encodings.
+func reencode(op wire.Op) (wire.RawValue, error) {
+	if op.PutKey == "" {
+		return op.Value, nil
+	}
+	var value any
+	if err := wire.Decode(op.Value, &value); err != nil {
+		return nil, err
 	}
-	<-req.Context().Done()
-	return nil, req.Context().Err()
+	fields := value.(map[any]any)
+	return wire.MustEncode(map[string]any{
+		"z": fields["z"], "a": float64(fields["a"].(uint64)), "m": fields["m"],
+	}), nil
 }
 
-// TestLostAnswerIsLearnedFromTheView: a transaction that was carried out and whose answer is lost is known
-// as soon as the watch shows it; one of which nothing shows stays unknown, neither done nor failed.
+// TestLostResponseIsLearnedFromTheWatch: a transaction that was applied and whose
+// answer is lost is known as soon as the watch shows it; one of which nothing
+// shows stays unknown, neither done nor failed.
 func TestLostResponseIsLearnedFromTheWatch(t *testing.T) {
 	for name, c := range map[string]struct {
-		after, least, most time.Duration
-		want               error
+		watchDelay, least, most time.Duration
+		want                    error
 	}{
-		"shown at once":   {10 * time.Millisecond, tuning.AnswerLate, tuning.AnswerLate + tuning.AnswerLook, nil},
-		"shown later":     {600 * time.Millisecond, 600 * time.Millisecond, 600*time.Millisecond + 2*tuning.AnswerLook, nil},
-		"not carried out": {0, tuning.StateTimeout, tuning.StateTimeout + time.Second, ErrOutcomeUnknown},
+		"shown at once": {10 * time.Millisecond, tuning.AnswerLate, tuning.AnswerLate + tuning.AnswerLook, nil},
+		"shown later": {600 * time.Millisecond, 600 * time.Millisecond,
+			600*time.Millisecond + 2*tuning.AnswerLook, nil},
+		"not applied": {0, tuning.StateTimeout, tuning.StateTimeout + time.Second, ErrOutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				d := &unansweringTransport{watchDelay: c.after}
-				client := NewClient("127.0.0.1:1", Limits{RequestsPerSecond: 100, WritesPerSecond: 100, MaxTransactionOps: 8}, d)
-				d.cache = NewWatchCache(client, "s/", mapSink{}, slog.New(slog.DiscardHandler))
-				told := uint64(0)
-				m := NewCommitter(client, func(_ []wire.Op, rev uint64) { told = rev })
-				m.SetObserver(d.cache)
-				go func() { _ = m.Run(ctx) }()
-				d.cache.applyWatch(0, wire.WatchResponse{Revision: 1, Events: []wire.Event{{PutKey: "s/b", Value: wire.MustEncode(1), ModRevision: 1}}}, time.Now())
-				d.revision = 1
-				start := time.Now()
-				rev, err := m.Commit(ctx, Transaction{Conditions: []wire.Condition{{Key: "s/a"}}, Ops: []wire.Op{PutOp("s/a", struct {
-					A int            `cbor:"a"`
-					M map[string]int `cbor:"m"`
-					Z []string       `cbor:"z"`
-				}{4, map[string]int{"x": 1, "y": 2}, []string{"b"}}), DeleteOp("s/b")}})
-				if took := time.Since(start); !errors.Is(err, c.want) || took < c.least || took > c.most {
+				transport := &unansweringTransport{watchDelay: c.watchDelay}
+				client, cache := newTestCache(transport, Limits{
+					RequestsPerSecond: 100, WritesPerSecond: 100, MaxTransactionOps: 8,
+				}, mapSink{})
+				transport.cache = cache
+				appliedAt := uint64(0)
+				committer := NewCommitter(client, func(_ []wire.Op, revision uint64) { appliedAt = revision })
+				committer.SetObserver(cache)
+				go func() { _ = committer.Run(ctx) }()
+				cache.applyWatch(0, wire.WatchResponse{Revision: 1, Events: []wire.Event{
+					{PutKey: "s/b", Value: wire.MustEncode(1), ModRevision: 1},
+				}}, time.Now())
+				transport.revision = 1
+				startedAt := time.Now()
+				revision, err := committer.Commit(ctx, Transaction{
+					Conditions: []wire.Condition{{Key: "s/a"}},
+					Ops: []wire.Op{
+						PutOp("s/a", testRecord{4, map[string]int{"x": 1, "y": 2}, []string{"b"}}),
+						DeleteOp("s/b"),
+					},
+				})
+				if took := time.Since(startedAt); !errors.Is(err, c.want) || took < c.least || took > c.most {
 					t.Errorf("%v after %v", err, took)
 				}
-				if err == nil && (rev != 2 || told != 2) {
-					t.Errorf("revision %d, told %d", rev, told)
+				if err == nil && (revision != 2 || appliedAt != 2) {
+					t.Errorf("revision %d, applied at %d", revision, appliedAt)
 				}
 				cancel()
 			})
--- /dev/null
+++ b/internal/kvstore/metrics.go
@@ -0,0 +1,22 @@
+package kvstore
+
+import (
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/client_golang/prometheus/promauto"
+)
+
+var rejectedRequests = promauto.NewCounterVec(prometheus.CounterOpts{
+	Name: "sableusher_state_refusals_total",
+	Help: "Requests that the state service refused: for its rate, or a transaction for its form or size.",
+}, []string{"why"})
+
+// Values of the label of rejectedRequests.
+const (
+	rejectedForRate = "rate"
+	rejectedForForm = "form"
+)
+
+var outcomesLearnedFromWatch = promauto.NewCounter(prometheus.CounterOpts{
+	Name: "sableusher_state_answers_missed_total",
+	Help: "Transactions of which the view showed that they were carried out before any answer came.",
+})
--- a/internal/kvstore/watchcache.go
+++ b/internal/kvstore/watchcache.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"log/slog"
-	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -16,275 +15,249 @@
 	"sableusher/internal/wire"
 )
 
-// Sink receives the cached keys' changes in order, in groups that are seen as one.
+// watchBurst is how many watches, or read barriers, may start at once.
+const watchBurst = 2
+
+// Sink receives the changes of the cached keys. Those between BeginUpdate and
+// EndUpdate are one group: its readers see all of them or none.
 type Sink interface {
 	BeginUpdate()
-	Put(key string, value wire.RawValue, stamp uint64)
+	Put(key string, value wire.RawValue, modRevision uint64)
 	Delete(key string)
 	EndUpdate()
 }
 
-// WatchCache follows all keys under a prefix by list and watch.
+// WatchCache keeps a Sink at the state of all keys under a prefix, by list and
+// watch. This node's own transactions may run ahead of the watch (ApplyOwn). It
+// is safe for concurrent use.
+//
+// Its lock is taken before that of the sink. What readers ask while they hold
+// the sink's lock (Revision, CompleteAsOf) must not wait for mu, whose holder
+// may be waiting for that lock; both are atomic and change only within a group
+// of the sink.
 type WatchCache struct {
-	client         *Client
-	prefix         string
-	sink           Sink
-	logger         *slog.Logger
-	watchLimiter   *rate.Limiter
-	barrierLimiter *rate.Limiter
+	client       *Client
+	prefix       string
+	sink         Sink
+	logger       *slog.Logger
+	watchLimiter *rate.Limiter
+	barriers     *barrierQueue
 
-	mu           sync.Mutex
-	synced       bool
-	revision     uint64
+	mu           sync.Mutex // guards the fields below, and the order of the sink's groups
+	synced       bool       // a watch has answered since the first list
+	revision     uint64     // up to which every change is held
 	modRevisions map[string]uint64
-	inFlight     map[string]*inFlightKey // keys of this node's changes on their way
-	ownDeletes   map[string]uint64       // our own drops that the watch has not shown yet
+	inFlight     map[string]*inFlightKey // keys of this node's transactions on their way
+	ownDeletes   map[string]uint64       // revisions of our deletes that the watch has not shown yet
 
-	// What readers ask while they hold the sink's lock: they must not wait for
-	// mu, whose holder may be waiting for that lock. Both change only within a
-	// group of the sink.
 	publishedRevision atomic.Uint64
 	completeAsOf      atomic.Pointer[time.Time]
-
-	barrierMu   sync.Mutex
-	nextBarrier *readBarrier
-	barrierWake chan struct{}
 }
 
-type readBarrier struct {
-	done chan struct{}
-	err  error
+// NewWatchCache returns a cache of the keys under prefix.
+func NewWatchCache(client *Client, prefix string, sink Sink, logger *slog.Logger) *WatchCache {
+	requestRate := client.initialRequestRate()
+	return &WatchCache{
+		client:       client,
+		prefix:       prefix,
+		sink:         sink,
+		logger:       logger,
+		watchLimiter: rate.NewLimiter(rate.Limit(requestRate*tuning.WatchRateShare), watchBurst),
+		barriers:     newBarrierQueue(rate.Limit(requestRate * tuning.SyncRateShare)),
+		modRevisions: map[string]uint64{},
+		inFlight:     map[string]*inFlightKey{},
+		ownDeletes:   map[string]uint64{},
+	}
 }
 
-// NewWatchCache makes a cache of the keys under prefix.
-func NewWatchCache(c *Client, prefix string, sink Sink, log *slog.Logger) *WatchCache {
-	return &WatchCache{
-		client: c, prefix: prefix, sink: sink, logger: log,
-		watchLimiter:   rate.NewLimiter(rate.Limit(c.limits.RequestsPerSecond*c.limits.BudgetShare*tuning.WatchRateShare), 2),
-		barrierLimiter: rate.NewLimiter(rate.Limit(c.limits.RequestsPerSecond*c.limits.BudgetShare*tuning.SyncRateShare), 2),
-		modRevisions:   map[string]uint64{}, inFlight: map[string]*inFlightKey{}, ownDeletes: map[string]uint64{},
-		nextBarrier: &readBarrier{done: make(chan struct{})}, barrierWake: make(chan struct{}, 1),
+// CompleteAsOf is the time as of which the cache is known to hold every change;
+// zero before the first answer to a watch.
+func (c *WatchCache) CompleteAsOf() time.Time {
+	if completeAsOf := c.completeAsOf.Load(); completeAsOf != nil {
+		return *completeAsOf
 	}
+	return time.Time{}
+}
+
+// Revision is the revision up to which the cache holds every change.
+func (c *WatchCache) Revision() uint64 { return c.publishedRevision.Load() }
+
+// IsOutdated reports whether a condition can't hold any more, because its key
+// is known to have changed since. One that demands that a key does not exist is
+// never outdated: the key may have been deleted beyond what the cache holds.
+func (c *WatchCache) IsOutdated(condition wire.Condition) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	modRevision, ok := c.modRevisions[condition.Key]
+	return ok && condition.ModRevision != 0 && modRevision > condition.ModRevision
 }
 
 // Run follows the keys until ctx ends.
 func (c *WatchCache) Run(ctx context.Context) error {
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	wg.Go(func() { c.runBarriers(ctx) })
+	var barriers sync.WaitGroup
+	defer barriers.Wait()
+	barriers.Go(func() { c.runBarriers(ctx) })
 	for ctx.Err() == nil {
 		if err := c.listAll(ctx); err != nil {
-			c.logger.Info("state listing failed", "err", err)
-			sleep(ctx, tuning.StateRetry)
+			c.logger.Info("key listing failed", "err", err)
+			_ = pause(ctx, tuning.StateRetry) // the loop sees whether ctx has ended
 			continue
 		}
-		for ctx.Err() == nil {
-			if c.watchLimiter.Wait(ctx) != nil {
-				break
-			}
-			c.mu.Lock()
-			after := c.revision
-			c.mu.Unlock()
-			err := c.watchOnce(ctx, after, tuning.WatchHold, false)
-			if errors.Is(err, ErrCompacted) {
-				c.logger.Info("watch fell behind, listing again")
-				break
-			}
-			if err != nil && ctx.Err() == nil {
-				c.logger.Debug("watch failed", "err", err)
-				sleep(ctx, tuning.StateRetry)
-			}
-		}
+		c.followWatch(ctx)
 	}
 	return ctx.Err()
 }
 
-func (c *WatchCache) watchOnce(ctx context.Context, after uint64, hold time.Duration, urgent bool) error {
-	start := time.Now()
-	news, err := c.client.Watch(ctx, c.prefix, after, hold, urgent)
+// followWatch takes in changes until ctx ends or the store no longer keeps those
+// after the cache's revision.
+func (c *WatchCache) followWatch(ctx context.Context) {
+	for ctx.Err() == nil {
+		if c.watchLimiter.Wait(ctx) != nil {
+			return
+		}
+		afterRevision, _ := c.progress()
+		err := c.watchOnce(ctx, WatchRequest{
+			Prefix: c.prefix, AfterRevision: afterRevision, MaxWait: tuning.WatchHold, Priority: OrdinaryRequest,
+		})
+		if errors.Is(err, ErrCompacted) {
+			c.logger.Info("watch fell behind, listing again")
+			return
+		}
+		if err != nil && ctx.Err() == nil {
+			c.logger.Debug("watch failed", "err", err)
+			_ = pause(ctx, tuning.StateRetry) // the loop sees whether ctx has ended
+		}
+	}
+}
+
+// progress gives the revision that the cache has reached, and whether a watch
+// has answered yet.
+func (c *WatchCache) progress() (revision uint64, synced bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.revision, c.synced
+}
+
+func (c *WatchCache) watchOnce(ctx context.Context, watch WatchRequest) error {
+	askedAt := time.Now()
+	changes, err := c.client.Watch(ctx, watch)
 	if err != nil {
 		return err
 	}
-	c.applyWatch(after, news, start)
+	c.applyWatch(watch.AfterRevision, changes, askedAt)
 	return nil
 }
 
 // applyWatch takes in all changes after a revision that the cache has already
 // reached. Answers overlap and may come out of order: what lies at or below the
 // cache's own revision was taken in before, and taking it in again would bring
-// back keys dropped since. Above it, each key's own stamp decides, since our own
-// writes run ahead.
-func (c *WatchCache) applyWatch(after uint64, news wire.WatchResponse, asked time.Time) {
+// back keys deleted since. Above it, each key's own modRevision decides, since
+// our own transactions run ahead.
+func (c *WatchCache) applyWatch(afterRevision uint64, changes wire.WatchResponse, askedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if after > c.revision {
+	if afterRevision > c.revision {
 		return
 	}
 	c.sink.BeginUpdate()
 	defer c.sink.EndUpdate()
-	for _, e := range news.Events {
-		if e.ModRevision <= c.revision {
+	for _, event := range changes.Events {
+		if event.ModRevision <= c.revision {
 			continue
 		}
-		if e.PutKey != "" {
-			c.putKey(e.PutKey, e.Value, e.ModRevision)
+		if event.PutKey != "" {
+			c.putKey(event.PutKey, event.Value, event.ModRevision)
 		} else {
-			c.deleteKey(e.DeleteKey, e.ModRevision)
+			c.deleteKey(event.DeleteKey, event.ModRevision)
 		}
 	}
-	if news.Revision > c.revision {
-		c.revision = news.Revision
-		for k, s := range c.ownDeletes {
-			if s <= c.revision {
-				delete(c.ownDeletes, k)
-			}
-		}
+	if changes.Revision > c.revision {
+		c.revision = changes.Revision
+		c.forgetShownDeletes()
 	}
 	c.synced = true
 	c.publishedRevision.Store(c.revision)
-	if f := c.completeAsOf.Load(); f == nil || asked.After(*f) {
-		c.completeAsOf.Store(&asked)
-	}
-}
-
-func (c *WatchCache) putKey(key string, v wire.RawValue, stamp uint64) {
-	if stamp <= c.modRevisions[key] || stamp <= c.ownDeletes[key] {
-		return
-	}
-	c.modRevisions[key] = stamp
-	c.inFlight[key].recordChange(stamp, v)
-	c.sink.Put(key, v, stamp)
-}
-
-func (c *WatchCache) deleteKey(key string, stamp uint64) {
-	if s, ok := c.modRevisions[key]; !ok || stamp <= s {
-		return
-	}
-	delete(c.modRevisions, key)
-	c.inFlight[key].recordChange(stamp, nil)
-	c.sink.Delete(key)
-}
-
-// inFlightKey is what became of a key while a change of it by this node was on its way.
-type inFlightKey struct {
-	transactions int // of such changes
-	changes      map[uint64]wire.RawValue
-}
-
-// recordChange keeps a change that has come, by its revision; nil: it was dropped.
-func (s *inFlightKey) recordChange(rev uint64, v wire.RawValue) {
-	if s != nil && len(s.changes) < tuning.SendingNotes {
-		s.changes[rev] = v
+	if known := c.completeAsOf.Load(); known == nil || askedAt.After(*known) {
+		c.completeAsOf.Store(&askedAt)
 	}
 }
 
-// TrackInFlight notes changes that are about to be sent, until Sent, and gives a revision before any at which they
-// can be made: the view's own, and those of this node's own changes of the same keys, which run ahead of it.
-func (c *WatchCache) TrackInFlight(ops []wire.Op) (before uint64) {
+// ApplyOwn takes in a transaction of this node that was applied at a revision,
+// unless the watch was faster.
+func (c *WatchCache) ApplyOwn(ops []wire.Op, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	before = c.revision
-	for _, o := range ops {
-		k := o.Key()
-		before = max(before, c.modRevisions[k], c.ownDeletes[k])
-		if c.inFlight[k] == nil {
-			c.inFlight[k] = &inFlightKey{changes: map[uint64]wire.RawValue{}}
-		}
-		c.inFlight[k].transactions++
+	if revision <= c.revision {
+		return
 	}
-	return before
-}
-
-// UntrackInFlight ends what Sending began.
-func (c *WatchCache) UntrackInFlight(ops []wire.Op) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, o := range ops {
-		k := o.Key()
-		if c.inFlight[k].transactions--; c.inFlight[k].transactions == 0 {
-			delete(c.inFlight, k)
+	c.sink.BeginUpdate()
+	defer c.sink.EndUpdate()
+	for _, op := range ops {
+		key := op.Key()
+		if !strings.HasPrefix(key, c.prefix) {
+			continue
 		}
-	}
-}
-
-// FindApplied tells whether the view has shown, since Sending, that all these changes were made together after a
-// revision, and at which: all keys that they set changed at it, to these values, and those that they drop
-// went at it. What has changed again since counts. A change that sets nothing that is followed here, or drops
-// what is not there, can't be told.
-func (c *WatchCache) FindApplied(ops []wire.Op, since uint64) (rev uint64, ok bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	first := slices.IndexFunc(ops, func(o wire.Op) bool { return strings.HasPrefix(o.PutKey, c.prefix) })
-	if first < 0 {
-		return 0, false
-	}
-	for at := range c.inFlight[ops[first].PutKey].changes {
-		if at > since && !slices.ContainsFunc(ops, func(o wire.Op) bool { return !c.wasAppliedAt(o, at) }) {
-			return at, true
+		if op.PutKey != "" {
+			c.putKey(key, op.Value, revision)
+			continue
 		}
+		c.deleteKey(key, revision)
+		c.ownDeletes[key] = revision
 	}
-	return 0, false
 }
 
-// wasAppliedAt tells whether a change was made at a revision, as far as the view shows; keys that are not followed
-// change with the others. Callers hold the lock.
-func (c *WatchCache) wasAppliedAt(o wire.Op, at uint64) bool {
-	if !strings.HasPrefix(o.Key(), c.prefix) {
-		return true
-	}
-	v, came := c.inFlight[o.Key()].changes[at]
-	if o.PutKey == "" {
-		return came && v == nil
+// putKey takes in a value unless the cache knows of a newer change of the key.
+// The caller holds mu and has begun a group of the sink.
+func (c *WatchCache) putKey(key string, value wire.RawValue, modRevision uint64) {
+	if modRevision <= c.modRevisions[key] || modRevision <= c.ownDeletes[key] {
+		return
 	}
-	return came && v != nil && wire.EqualValues(v, o.Value)
+	c.modRevisions[key] = modRevision
+	c.inFlight[key].recordChange(modRevision, value)
+	c.sink.Put(key, value, modRevision)
 }
 
-// ApplyOwn takes in a transaction of our own that was applied at a revision,
-// unless the watch was faster.
-func (c *WatchCache) ApplyOwn(ops []wire.Op, rev uint64) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if rev <= c.revision {
+// deleteKey takes in a delete unless the cache knows of a newer change of the
+// key. The caller holds mu and has begun a group of the sink.
+func (c *WatchCache) deleteKey(key string, revision uint64) {
+	if modRevision, ok := c.modRevisions[key]; !ok || revision <= modRevision {
 		return
 	}
-	c.sink.BeginUpdate()
-	defer c.sink.EndUpdate()
-	for _, o := range ops {
-		k := o.Key()
-		if !strings.HasPrefix(k, c.prefix) {
-			continue
-		}
-		if o.PutKey != "" {
-			c.putKey(k, o.Value, rev)
-			continue
+	delete(c.modRevisions, key)
+	c.inFlight[key].recordChange(revision, nil)
+	c.sink.Delete(key)
+}
+
+// forgetShownDeletes forgets our own deletes that the watch has shown. The
+// caller holds mu.
+func (c *WatchCache) forgetShownDeletes() {
+	for key, revision := range c.ownDeletes {
+		if revision <= c.revision {
+			delete(c.ownDeletes, key)
 		}
-		c.deleteKey(k, rev)
-		c.ownDeletes[k] = rev
 	}
 }
 
+// listAll reads all keys under the prefix, page by page. The cache is then at
+// the first page's revision; changes after it are shown by the watch from there.
 func (c *WatchCache) listAll(ctx context.Context) error {
-	found := map[string]bool{}
-	after, first := "", uint64(0)
-	start := time.Now()
-	for page := 0; ; page++ {
-		rows, err := c.client.List(ctx, c.prefix, after)
+	listed := map[string]bool{}
+	lastKey, firstRevision := "", uint64(0)
+	startedAt := time.Now()
+	for isFirstPage := true; ; isFirstPage = false {
+		page, err := c.client.List(ctx, c.prefix, lastKey)
 		if err != nil {
 			return err
 		}
-		if page == 0 {
-			first = rows.Revision
+		if isFirstPage {
+			firstRevision = page.Revision
 		}
-		c.mu.Lock()
-		c.sink.BeginUpdate()
-		for _, r := range rows.KeyValues {
-			found[r.Key] = true
-			c.putKey(r.Key, r.Value, r.ModRevision)
-			after = r.Key
+		c.applyPage(page)
+		for _, entry := range page.KeyValues {
+			listed[entry.Key] = true
+			lastKey = entry.Key
 		}
-		c.sink.EndUpdate()
-		c.mu.Unlock()
-		if !rows.HasMore || len(rows.KeyValues) == 0 {
+		if !page.HasMore || len(page.KeyValues) == 0 {
 			break
 		}
 	}
@@ -292,92 +265,32 @@
 	defer c.mu.Unlock()
 	c.sink.BeginUpdate()
 	defer c.sink.EndUpdate()
-	for k, s := range c.modRevisions {
-		if !found[k] && s <= first {
-			delete(c.modRevisions, k)
-			c.sink.Delete(k)
-		}
-	}
-	// Changes after the first page are seen by the watch from there on.
-	if c.revision < first {
-		c.revision = first
+	c.deleteUnlisted(listed, firstRevision)
+	if c.revision < firstRevision {
+		c.revision = firstRevision
 	}
-	c.logger.Info("state listed", "keys", len(found), "revision", first, "took", time.Since(start))
+	c.logger.Info("keys listed", "count", len(listed), "revision", firstRevision, "duration", time.Since(startedAt))
 	return nil
 }
 
-// IsOutdated tells whether a guard can't hold any more, as its key is known to have changed since. One that
-// asks for a key not to be there may hold: it may have been dropped beyond what this cache has seen.
-func (c *WatchCache) IsOutdated(g wire.Condition) bool {
+// applyPage takes in one page of a listing.
+func (c *WatchCache) applyPage(page wire.RangeResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s, ok := c.modRevisions[g.Key]
-	return ok && g.ModRevision != 0 && s > g.ModRevision
-}
-
-// WaitForReadBarrier is the read barrier: it returns once the cache holds all that was
-// applied before the call. All callers that wait share one request.
-func (c *WatchCache) WaitForReadBarrier(ctx context.Context) error {
-	c.barrierMu.Lock()
-	b := c.nextBarrier
-	c.barrierMu.Unlock()
-	select {
-	case c.barrierWake <- struct{}{}:
-	default:
-	}
-	select {
-	case <-b.done:
-		return b.err
-	case <-ctx.Done():
-		return ErrUnavailable
+	c.sink.BeginUpdate()
+	defer c.sink.EndUpdate()
+	for _, entry := range page.KeyValues {
+		c.putKey(entry.Key, entry.Value, entry.ModRevision)
 	}
 }
 
-func (c *WatchCache) runBarriers(ctx context.Context) {
-	var wg sync.WaitGroup
-	defer wg.Wait()
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-c.barrierWake:
-		}
-		if c.barrierLimiter.Wait(ctx) != nil {
-			return
+// deleteUnlisted deletes the keys that a listing from a revision on did not
+// have. The caller holds mu and has begun a group of the sink.
+func (c *WatchCache) deleteUnlisted(listed map[string]bool, firstRevision uint64) {
+	for key, modRevision := range c.modRevisions {
+		if !listed[key] && modRevision <= firstRevision {
+			delete(c.modRevisions, key)
+			c.sink.Delete(key)
 		}
-		c.barrierMu.Lock()
-		b := c.nextBarrier
-		c.nextBarrier = &readBarrier{done: make(chan struct{})}
-		c.barrierMu.Unlock()
-		wg.Go(func() {
-			c.mu.Lock()
-			after, ready := c.revision, c.synced
-			c.mu.Unlock()
-			if ready {
-				b.err = c.watchOnce(ctx, after, 0, true)
-			} else {
-				b.err = ErrUnavailable
-			}
-			close(b.done)
-		})
-	}
-}
-
-// CompleteAsOf is the time as of which the cache is known to be complete; zero before
-// the first answer.
-func (c *WatchCache) CompleteAsOf() time.Time {
-	if f := c.completeAsOf.Load(); f != nil {
-		return *f
-	}
-	return time.Time{}
-}
-
-// Revision is the revision up to which every change is held.
-func (c *WatchCache) Revision() uint64 { return c.publishedRevision.Load() }
-
-func sleep(ctx context.Context, d time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(d):
 	}
 }
--- a/internal/membership/ownership.go
+++ b/internal/membership/ownership.go
@@ -118,7 +118,7 @@
 	}
 	op := kvstore.PutOp(key, clusterstate.NodeRecord{Incarnation: m.Incarnation, SchemaVersion: m.schemaVersion})
 	op.LeaseID = hold
-	return m.committer.Commit(ctx, kvstore.Transaction{Conditions: []wire.Condition{{Key: key, ModRevision: row.ModRevision}}, Ops: []wire.Op{op}, Urgent: true})
+	return m.committer.Commit(ctx, kvstore.Transaction{Conditions: []wire.Condition{{Key: key, ModRevision: row.ModRevision}}, Ops: []wire.Op{op}, Priority: kvstore.PriorityUrgent})
 }
 
 // registrationReplaced tells whether the view, which holds this process's registration, shows another or none
@@ -318,7 +318,7 @@
 			// Absent, or present as another process: either way the owner's session is gone.
 			guards = append(guards, wire.Condition{Key: clusterstate.NodeKey(p.Owner), ModRevision: owner.ModRevision})
 		}
-		out = append(out, ownershipChange{part, rec, kvstore.Transaction{Conditions: guards, Ops: []wire.Op{kvstore.PutOp(clusterstate.ShardKey(part), rec)}, Urgent: true}, p.Owner})
+		out = append(out, ownershipChange{part, rec, kvstore.Transaction{Conditions: guards, Ops: []wire.Op{kvstore.PutOp(clusterstate.ShardKey(part), rec)}, Priority: kvstore.PriorityUrgent}, p.Owner})
 		owned++
 	}
 	return out, unmarked
@@ -342,7 +342,7 @@
 	rec := clusterstate.ShardRecord{Owner: home, Incarnation: h.Incarnation, FencingToken: nextFencingToken(p.FencingToken, level)}
 	return ownershipChange{part, rec, kvstore.Transaction{
 		Conditions: []wire.Condition{{Key: clusterstate.ShardKey(part), ModRevision: p.ModRevision}, selfGuard, {Key: clusterstate.NodeKey(home), ModRevision: h.ModRevision}},
-		Ops:        []wire.Op{kvstore.PutOp(clusterstate.ShardKey(part), rec)}, Urgent: true,
+		Ops:        []wire.Op{kvstore.PutOp(clusterstate.ShardKey(part), rec)}, Priority: kvstore.PriorityUrgent,
 	}, m.NodeName}, true
 }
 
@@ -389,7 +389,7 @@
 		tctx, cancel := context.WithTimeout(ctx, 2*tuning.StateTimeout)
 		_, err := m.committer.Commit(tctx, kvstore.Transaction{
 			Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard), ModRevision: p.ModRevision}},
-			Ops:        []wire.Op{kvstore.PutOp(clusterstate.ShardKey(shard), rec)}, Urgent: true,
+			Ops:        []wire.Op{kvstore.PutOp(clusterstate.ShardKey(shard), rec)}, Priority: kvstore.PriorityUrgent,
 		})
 		if err == nil {
 			err = m.cache.WaitForReadBarrier(tctx)
@@ -424,7 +424,7 @@
 	defer cancel()
 	_, err := m.committer.Commit(ctx, kvstore.Transaction{
 		Conditions: []wire.Condition{{Key: clusterstate.ShardKey(shard), ModRevision: p.ModRevision}, {Key: clusterstate.NodeKey(to), ModRevision: n.ModRevision}},
-		Ops:        []wire.Op{kvstore.PutOp(clusterstate.ShardKey(shard), rec)}, Urgent: true,
+		Ops:        []wire.Op{kvstore.PutOp(clusterstate.ShardKey(shard), rec)}, Priority: kvstore.PriorityUrgent,
 	})
 	m.logger.Info("part given away: its workers report elsewhere", "part", shard, "to", to, "err", err)
 }
--- a/internal/offload/spill.go
+++ b/internal/offload/spill.go
@@ -157,7 +157,7 @@
 func (s *Spill) do(ctx context.Context, guards []wire.Condition, ops []wire.Op) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
 	defer cancel()
-	_, err := s.commit.Commit(ctx, kvstore.Transaction{Conditions: guards, Ops: ops, HighPriority: true})
+	_, err := s.commit.Commit(ctx, kvstore.Transaction{Conditions: guards, Ops: ops, Priority: kvstore.PriorityHigh})
 	return err
 }
 
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -30,7 +30,7 @@
 		cancelled++
 		jobsCancelledWithDependency.Inc()
 		c.outgoing = append(c.outgoing, &recordChange{description: "end " + id + " with what it needs", keys: []string{key}, harmlessWhenLate: true, transaction: kvstore.Transaction{
-			Conditions: []wire.Condition{{Key: key, ModRevision: job.ModRevision}}, Ops: c.finalOps(job, wire.JobCancelled, job.DoneCount), Urgent: true,
+			Conditions: []wire.Condition{{Key: key, ModRevision: job.ModRevision}}, Ops: c.finalOps(job, wire.JobCancelled, job.DoneCount), Priority: kvstore.PriorityUrgent,
 		}})
 		c.log.Info("job cancelled with one that it needs", "job", id)
 	}
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -13,6 +13,7 @@
 	"sableusher/internal/config"
 	"sableusher/internal/evacuation"
 	"sableusher/internal/failuredetector"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 	"sableusher/internal/zonehealth"
@@ -104,7 +105,7 @@
 	c.log.Info("machine "+reason, "machine", machine.Name, "tasks", len(machine.Bindings))
 	machineRecord := machine.MachineRecord
 	machineRecord.Up = false
-	c.updateMachineRecord("machine "+reason+" "+machine.Name, machine.Name, machine.Shard, machineRecord, machine.ModRevision).HighPriority = true
+	c.updateMachineRecord("machine "+reason+" "+machine.Name, machine.Name, machine.Shard, machineRecord, machine.ModRevision).Priority = kvstore.PriorityHigh
 	c.machinesToRefresh[machine.Name] = struct{}{}
 }
 
@@ -166,8 +167,12 @@
 	// What it held waits for this change as for its own: behind the ends of arrays' tasks
 	// replicas once waited for seconds more.
 	for _, binding := range machine.Bindings {
-		transaction.Urgent = transaction.Urgent || binding.Job.Spec.Kind == wire.KindService
-		transaction.HighPriority = transaction.HighPriority || c.effectiveRank(binding.Job) <= wire.PriorityRank(wire.PriorityHigh)
+		if c.effectiveRank(binding.Job) <= wire.PriorityRank(wire.PriorityHigh) {
+			transaction.Priority = max(transaction.Priority, kvstore.PriorityHigh)
+		}
+		if binding.Job.Spec.Kind == wire.KindService {
+			transaction.Priority = kvstore.PriorityUrgent
+		}
 	}
 }
 
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -90,7 +90,7 @@
 				transaction: kvstore.Transaction{
 					Conditions: []wire.Condition{{Key: clusterstate.ShardKey(machine.Shard), ModRevision: c.shardRevisions[machine.Shard]}, {Key: clusterstate.MachineKey(name), ModRevision: machine.ModRevision}},
 					Ops:        []wire.Op{kvstore.DeleteOp(clusterstate.MachineKey(name))},
-					Background: true, // its record says that it is being deleted, so nobody counts on it
+					Priority:   kvstore.PriorityBackground, // its record says that it is being deleted, so nobody counts on it
 				},
 			})
 		}
@@ -281,7 +281,12 @@
 		// session can't: others bind gangs and services to the one on record, which
 		// this node ends at once, and both over and over. After a zone's leases had run
 		// out that used up the whole budget, so that the records were never mended.
-		transaction.Urgent, transaction.Background = newSession, machine != nil && !newSession
+		switch {
+		case newSession:
+			transaction.Priority = kvstore.PriorityUrgent
+		case machine != nil:
+			transaction.Priority = kvstore.PriorityBackground
+		}
 	}
 }
 
@@ -321,7 +326,7 @@
 		description: "stop gang " + binding.Ref.Job, keys: []string{key}, shards: []int{machine.Shard},
 		transaction: kvstore.Transaction{
 			Conditions: []wire.Condition{{Key: key, ModRevision: binding.Job.ModRevision}, {Key: clusterstate.ShardKey(machine.Shard), ModRevision: c.shardRevisions[machine.Shard]}},
-			Ops:        []wire.Op{op}, Urgent: true,
+			Ops:        []wire.Op{op}, Priority: kvstore.PriorityUrgent,
 		},
 	})
 }
--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -269,8 +269,12 @@
 	for _, key := range slices.Sorted(maps.Keys(conditions)) {
 		change.transaction.Conditions = append(change.transaction.Conditions, wire.Condition{Key: key, ModRevision: conditions[key]})
 	}
-	change.transaction.Urgent = job.Spec.Priority == wire.PriorityProduction
-	change.transaction.HighPriority = c.effectiveRank(job) <= wire.PriorityRank(wire.PriorityHigh)
+	switch {
+	case job.Spec.Priority == wire.PriorityProduction:
+		change.transaction.Priority = kvstore.PriorityUrgent
+	case c.effectiveRank(job) <= wire.PriorityRank(wire.PriorityHigh):
+		change.transaction.Priority = kvstore.PriorityHigh
+	}
 	c.outgoing = append(c.outgoing, change)
 }
 
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -346,10 +346,10 @@
 		}
 		return c.outgoing[0].transaction
 	}
-	if transaction := heartbeat(1, false); transaction.Urgent || !transaction.Background {
+	if transaction := heartbeat(1, false); transaction.Priority != kvstore.PriorityBackground {
 		t.Errorf("up: %+v", transaction)
 	}
-	if transaction := heartbeat(2, true); !transaction.Urgent || transaction.Background {
+	if transaction := heartbeat(2, true); transaction.Priority != kvstore.PriorityUrgent {
 		t.Errorf("a new session: %+v", transaction)
 	}
 }
--- a/internal/schemaversion/activator.go
+++ b/internal/schemaversion/activator.go
@@ -135,5 +135,5 @@
 	if len(guards) > tuning.GuardsPerOp*u.limits.MaxTransactionOps() {
 		return nil, "more nodes than one transaction has conditions"
 	}
-	return &kvstore.Transaction{Conditions: guards, Ops: []wire.Op{kvstore.PutOp(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: level})}, Urgent: true}, missing
+	return &kvstore.Transaction{Conditions: guards, Ops: []wire.Op{kvstore.PutOp(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: level})}, Priority: kvstore.PriorityUrgent}, missing
 }
