--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -37,7 +37,10 @@
 		w.Shards[i] = clusterstate.Shard{ShardRecord: clusterstate.ShardRecord{Owner: n, Incarnation: 1, FencingToken: 5}}
 	}
 	client := kvstore.NewClient("127.0.0.1:1", kvstore.Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxValueKiB: 16, MaxTransactionOps: 32}, nil)
-	m := membership.New("a", 1, []string{"a", "b"}, tuning.Level, client, nil, kvstore.NewWatchCache(client, clusterstate.LivePrefix, w, log), w, log)
+	m := membership.New(membership.Config{
+		NodeName: "a", Incarnation: 1, NodeNames: []string{"a", "b"}, SchemaVersion: tuning.Level,
+		Client: client, Cache: kvstore.NewWatchCache(client, clusterstate.LivePrefix, w, log), ClusterState: w, Logger: log,
+	})
 	k := &registryFixture{state: w, confirmedAt: time.Now(), peerAnsweredAt: time.Now()}
 	k.Registry = New(set, w, m, func() time.Time { return k.confirmedAt }, log, nil)
 	k.SetPeerLastAnswered(func(string) time.Time { return k.peerAnsweredAt })
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -276,7 +276,7 @@
 		f.adoptions[r.Machine] = *r
 		f.notifyChanged()
 	}
-	if _, _, owns := f.membership.Owns(part); rec != nil && owns {
+	if _, owns := f.membership.Ownership(part); rec != nil && owns {
 		out.Commands = append(out.Commands, m.commands(rec.Bindings, f.attemptEnded, f.stopRequestFor, token, r.Sequence, now)...)
 	}
 	return http.StatusOK, out
@@ -421,7 +421,8 @@
 func (f *Registry) dispatch(ctx context.Context, name string) {
 	f.clusterState.RLock()
 	rec := f.clusterState.Machines[name]
-	token, _, owns := f.membership.Owns(clusterstate.ShardOf(name, f.clusterState.ShardCount))
+	ownership, owns := f.membership.Ownership(clusterstate.ShardOf(name, f.clusterState.ShardCount))
+	fencingToken := ownership.FencingToken
 	if rec == nil || rec.Deleting || !owns || time.Since(f.completeAsOf()) > f.maxStateAge() {
 		f.clusterState.RUnlock()
 		return
@@ -449,13 +450,13 @@
 		f.clusterState.RUnlock()
 		return
 	}
-	cmd := wire.CommandRequest{FencingToken: token, Session: max(m.session, 1), Commands: []wire.Command{}}
+	cmd := wire.CommandRequest{FencingToken: fencingToken, Session: max(m.session, 1), Commands: []wire.Command{}}
 	deaf := m.inboundLost()
 	if m.session != 0 && !(overdue && failed) && !deaf {
-		cmd.Commands = append(cmd.Commands, m.commands(rec.Bindings, f.attemptEnded, f.stopRequestFor, token, 0, time.Now())...)
+		cmd.Commands = append(cmd.Commands, m.commands(rec.Bindings, f.attemptEnded, f.stopRequestFor, fencingToken, 0, time.Now())...)
 	}
 	// A worker that is overdue is asked whether it is there at all.
-	if len(cmd.Commands) == 0 && m.fencingToken == token && !overdue && !deaf {
+	if len(cmd.Commands) == 0 && m.fencingToken == fencingToken && !overdue && !deaf {
 		f.mu.Unlock()
 		f.clusterState.RUnlock()
 		return
@@ -474,7 +475,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m.commandInFlight = false
-	m.resolveStarts(cmd.Commands, cmd.Session, token, err == nil)
+	m.resolveStarts(cmd.Commands, cmd.Session, fencingToken, err == nil)
 	if err != nil {
 		m.recordCommandFailure(time.Now())
 		f.logger.Debug("orders unanswered", "machine", name, "err", err)
@@ -498,7 +499,7 @@
 				f.adoptions[name] = *rep
 				f.notifyChanged()
 			}
-			if m.session != old || m.fencingToken < token {
+			if m.session != old || m.fencingToken < fencingToken {
 				f.enqueueDispatch(name) // a new session, or the first word: orders can follow now
 			}
 		}
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -160,8 +160,8 @@
 // leadership tells whether this node leads, with the guard of what a leader writes.
 // Callers hold the world's lock.
 func (a *Autoscaler) leadership() (wire.Condition, bool) {
-	_, stamp, ok := a.members.Owns(clusterstate.LeaderShard)
-	return wire.Condition{Key: clusterstate.ShardKey(clusterstate.LeaderShard), ModRevision: stamp}, ok
+	ownership, ok := a.members.Ownership(clusterstate.LeaderShard)
+	return wire.Condition{Key: clusterstate.ShardKey(clusterstate.LeaderShard), ModRevision: ownership.ModRevision}, ok
 }
 
 // returnMachines deletes machines marked for it, of this node's parts. Those whose tasks wait for it
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -57,7 +57,10 @@
 	cache := kvstore.NewWatchCache(client, clusterstate.LivePrefix, state, logger)
 	committer := kvstore.NewCommitter(client, func(ops []wire.Op, rev uint64) { cache.ApplyOwn(ops, rev) })
 	committer.SetObserver(cache)
-	members := membership.New(settings.Node, incarnation, settings.Nodes(), schemaVersion, client, committer, cache, state, logger)
+	members := membership.New(membership.Config{
+		NodeName: settings.Node, Incarnation: incarnation, NodeNames: settings.Nodes(), SchemaVersion: schemaVersion,
+		Client: client, Committer: committer, Cache: cache, ClusterState: state, Logger: logger,
+	})
 	agents := agent.New(settings, state, members, cache.CompleteAsOf, logger, transport)
 	peers, err := connectPeers(agents)
 	if err != nil {
@@ -68,7 +71,10 @@
 	cloud := autoscaler.NewClient(settings.Outside.Cloud, deployment.Cloud.RPS, deployment.Size, transport)
 	scaler := autoscaler.New(settings, operator, state, members, engine, cloud, committer, logger)
 	dependencies := dependency.NewResolver(state, client, logger)
-	versions := schemaversion.NewActivator(settings, schemaVersion, state, members, committer, client, logger)
+	versions := schemaversion.NewActivator(schemaversion.Config{
+		NodeNames: settings.Nodes(), SupportedVersion: schemaVersion,
+		ClusterState: state, Owner: members, Committer: committer, Limits: client, Logger: logger,
+	})
 	offloads := offload.New(operator, deployment.Teams, state, members, committer, peers, logger)
 	if len(operator.Cells) > 0 {
 		peers.SetCellHandler(offloads.Answer)
--- /dev/null
+++ b/internal/membership/failover.go
@@ -0,0 +1,198 @@
+package membership
+
+import (
+	"context"
+	"time"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/kvstore"
+	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
+)
+
+// ownershipHistory is since when things are as they are, as this node saw it.
+// It belongs to the goroutine that reviews ownership.
+type ownershipHistory struct {
+	orphanedSince map[int]time.Time    // shards without a live owner
+	ownedSince    map[int]time.Time    // shards of this node
+	sessionSince  map[string]time.Time // nodes with a session
+}
+
+func newOwnershipHistory() ownershipHistory {
+	return ownershipHistory{
+		orphanedSince: map[int]time.Time{},
+		ownedSince:    map[int]time.Time{},
+		sessionSince:  map[string]time.Time{},
+	}
+}
+
+// ownershipChange is a new owner of a shard, to be committed.
+type ownershipChange struct {
+	shard         int
+	previousOwner string
+	record        clusterstate.ShardRecord
+	transaction   kvstore.Transaction
+}
+
+// ownershipPlan is what a review found to do.
+type ownershipPlan struct {
+	changes []ownershipChange
+	// shardToMark is one of this node's shards whose fencing token doesn't say yet
+	// that cancellations are confirmed; LeaderShard: none.
+	shardToMark int
+}
+
+// reviewOwnership takes over shards, and hands back others to their home nodes.
+// It does nothing on a cluster state that may be old.
+func (m *Member) reviewOwnership(ctx context.Context) {
+	completeAsOf := m.cache.CompleteAsOf()
+	if completeAsOf.IsZero() || time.Since(completeAsOf) > tuning.ReadyStale {
+		return
+	}
+	plan := m.planOwnership()
+	m.client.SetBudgetShare(m.budgetShare())
+	if plan.shardToMark != clusterstate.LeaderShard {
+		m.FenceAndRaiseToken(ctx, plan.shardToMark)
+	}
+	for _, change := range plan.changes {
+		m.commitChange(ctx, change)
+	}
+}
+
+func (m *Member) commitChange(ctx context.Context, change ownershipChange) {
+	ctx, cancel := context.WithTimeout(ctx, 2*tuning.StateTimeout)
+	defer cancel()
+	if _, err := m.committer.Commit(ctx, change.transaction); err != nil {
+		m.logger.Info("shard not taken over", "shard", change.shard, "err", err)
+		return
+	}
+	m.logger.Info("shard changes owner", "shard", change.shard, "node", change.record.Owner,
+		"fencing_token", change.record.FencingToken, "previous_node", change.previousOwner)
+	// The new owner may act only once the cluster state has its record.
+	m.cache.RequestReadBarrier()
+}
+
+// planOwnership looks for shards to take over, to hand back, and to mark.
+func (m *Member) planOwnership() ownershipPlan {
+	now := time.Now()
+	m.clusterState.RLock()
+	defer m.clusterState.RUnlock()
+	m.noteSessions(now)
+	plan := ownershipPlan{shardToMark: clusterstate.LeaderShard}
+	self, live := m.clusterState.Nodes[m.NodeName]
+	if !live || self.Incarnation != m.Incarnation {
+		return plan
+	}
+	m.noteOwnedShards(now)
+	plan.shardToMark = m.shardToMark()
+	owned := m.ownedCount()
+	for shard := clusterstate.LeaderShard; shard < m.clusterState.ShardCount; shard++ {
+		record, known := m.clusterState.Shards[shard]
+		if known && m.ownerIsLive(record) {
+			delete(m.history.orphanedSince, shard)
+			if change, ok := m.handBack(shard, record, now); ok {
+				plan.changes = append(plan.changes, change)
+			}
+			continue
+		}
+		if change, ok := m.takeOver(shard, owned, now); ok {
+			plan.changes = append(plan.changes, change)
+			owned++
+		}
+	}
+	return plan
+}
+
+// noteSessions keeps since when each node has a session. The caller holds the
+// cluster state's lock.
+func (m *Member) noteSessions(now time.Time) {
+	sessionSince := m.history.sessionSince
+	for name := range m.clusterState.Nodes {
+		if _, ok := sessionSince[name]; !ok {
+			sessionSince[name] = now
+		}
+	}
+	for name := range sessionSince {
+		if _, ok := m.clusterState.Nodes[name]; !ok {
+			delete(sessionSince, name)
+		}
+	}
+}
+
+// noteOwnedShards keeps since when this node owns each of its shards. The
+// caller holds the cluster state's lock.
+func (m *Member) noteOwnedShards(now time.Time) {
+	ownedSince := m.history.ownedSince
+	for shard, record := range m.clusterState.Shards {
+		if _, ok := ownedSince[shard]; !m.ownedBySelf(record) {
+			delete(ownedSince, shard)
+		} else if !ok {
+			ownedSince[shard] = now
+		}
+	}
+}
+
+// shardToMark is one of this node's shards whose next fencing token is the
+// first to say that cancellations are confirmed; LeaderShard if there is none.
+// The caller holds the cluster state's lock.
+func (m *Member) shardToMark() int {
+	found := clusterstate.LeaderShard
+	for shard, record := range m.clusterState.Shards {
+		next := nextFencingToken(record.FencingToken, m.clusterState.SchemaVersion)
+		if shard != clusterstate.LeaderShard && m.ownedBySelf(record) && next > record.FencingToken+1 {
+			found = shard
+		}
+	}
+	return found
+}
+
+// takeOver plans to take a shard without a live owner, once it is this node's
+// turn. The caller holds the cluster state's lock.
+func (m *Member) takeOver(shard, owned int, now time.Time) (ownershipChange, bool) {
+	record, known := m.clusterState.Shards[shard]
+	if m.ownedBySelf(record) {
+		return ownershipChange{}, false // our session lapsed, but nobody has taken the shard
+	}
+	orphanedSince, ok := m.history.orphanedSince[shard]
+	if !ok {
+		orphanedSince = now
+		m.history.orphanedSince[shard] = now
+	}
+	if now.Sub(orphanedSince) < m.takeoverDelay(shard, record, known, owned) {
+		return ownershipChange{}, false
+	}
+	next := clusterstate.ShardRecord{
+		Owner:        m.NodeName,
+		Incarnation:  m.Incarnation,
+		FencingToken: nextFencingToken(record.FencingToken, m.clusterState.SchemaVersion),
+	}
+	conditions := []wire.Condition{sessionCondition(m.NodeName, m.clusterState.Nodes[m.NodeName])}
+	if record.Owner != m.NodeName && record.Owner != "" {
+		// Absent, or present as another process: either way the owner's session is gone.
+		conditions = append(conditions, sessionCondition(record.Owner, m.clusterState.Nodes[record.Owner]))
+	}
+	return ownershipChange{
+		shard:         shard,
+		previousOwner: record.Owner,
+		record:        next,
+		transaction:   ownershipTransaction(shard, record, next, conditions...),
+	}, true
+}
+
+// takeoverDelay is how long this node leaves a shard without a live owner to
+// others: none for its home node and its last owner, and otherwise the longer
+// the more shards it owns, so that nodes don't all want the same one. The
+// caller holds the cluster state's lock.
+func (m *Member) takeoverDelay(shard int, record clusterstate.Shard, known bool, owned int) time.Duration {
+	home := m.homeNode(shard)
+	if home == m.NodeName || record.Owner == m.NodeName {
+		return 0
+	}
+	delay := time.Duration(owned) * tuning.TakeoverStep
+	homeNode, homeIsLive := m.clusterState.Nodes[home]
+	homeLostIt := home == record.Owner && homeNode.Incarnation == record.Incarnation
+	if homeIsLive && !homeLostIt || !known {
+		delay += tuning.HomeGrace
+	}
+	return delay
+}
--- /dev/null
+++ b/internal/membership/member.go
@@ -0,0 +1,90 @@
+package membership
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/kvstore"
+	"sableusher/internal/tuning"
+)
+
+// Config is what a Member is made of.
+type Config struct {
+	NodeName      string
+	Incarnation   uint64   // tells this process from all others that ran under the name
+	NodeNames     []string // of the whole deployment, in an order that all nodes share
+	SchemaVersion int      // the newest that this process reads
+
+	Client       *kvstore.Client
+	Committer    *kvstore.Committer
+	Cache        *kvstore.WatchCache
+	ClusterState *clusterstate.State
+	Logger       *slog.Logger
+}
+
+// Member is this node's membership: its session and the shards that it owns. It
+// is safe for concurrent use. Methods whose comment says so need the cluster
+// state's lock, which is taken before the Member's own.
+type Member struct {
+	NodeName    string
+	Incarnation uint64 // tells this process from all others that ran under the name
+
+	nodeNames    []string
+	client       *kvstore.Client
+	committer    *kvstore.Committer
+	cache        *kvstore.WatchCache
+	clusterState *clusterstate.State
+	logger       *slog.Logger
+	session      *session
+	fences       runningFences
+	history      ownershipHistory
+}
+
+// New returns the membership of a node.
+func New(config Config) *Member {
+	return &Member{
+		NodeName:     config.NodeName,
+		Incarnation:  config.Incarnation,
+		nodeNames:    config.NodeNames,
+		client:       config.Client,
+		committer:    config.Committer,
+		cache:        config.Cache,
+		clusterState: config.ClusterState,
+		logger:       config.Logger,
+		session:      newSession(config),
+		fences:       runningFences{shards: map[int]bool{}},
+		history:      newOwnershipHistory(),
+	}
+}
+
+// Run keeps the session and takes over shards until ctx ends.
+func (m *Member) Run(ctx context.Context) error {
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error { return m.session.run(ctx) })
+	group.Go(func() error { return m.reviewPeriodically(ctx) })
+	return group.Wait()
+}
+
+// reviewPeriodically reviews the ownership of shards at each change of the
+// cluster state, and at least every tuning.MemberTick.
+func (m *Member) reviewPeriodically(ctx context.Context) error {
+	changed := m.clusterState.Subscribe()
+	ticker := time.NewTicker(tuning.MemberTick)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-ticker.C:
+		case <-changed:
+		}
+		m.reviewOwnership(ctx)
+	}
+}
+
+// HasReached reports whether the cluster state holds everything up to a revision.
+func (m *Member) HasReached(revision uint64) bool { return m.cache.Revision() >= revision }
--- /dev/null
+++ b/internal/membership/member_test.go
@@ -0,0 +1,64 @@
+package membership
+
+import (
+	"fmt"
+	"log/slog"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/kvstore"
+	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
+)
+
+// testIncarnation is that of all processes of the tests.
+const testIncarnation = 1
+
+// testCluster is one cluster state that several nodes share.
+type testCluster struct {
+	state   *clusterstate.State
+	members []*Member
+}
+
+func newTestCluster(nodeCount int) *testCluster {
+	logger := slog.New(slog.DiscardHandler)
+	cluster := &testCluster{state: clusterstate.New(nodeCount, logger)}
+	var names []string
+	for i := range nodeCount {
+		names = append(names, fmt.Sprintf("node-%d", i))
+	}
+	for _, name := range names {
+		client := kvstore.NewClient("127.0.0.1:1", kvstore.Limits{
+			RequestsPerSecond: 100, WritesPerSecond: 50, MaxTransactionOps: 8,
+		}, nil)
+		cluster.members = append(cluster.members, New(Config{
+			NodeName:      name,
+			Incarnation:   testIncarnation,
+			NodeNames:     names,
+			SchemaVersion: tuning.Level,
+			Client:        client,
+			Committer:     kvstore.NewCommitter(client, func([]wire.Op, uint64) {}),
+			Cache:         kvstore.NewWatchCache(client, clusterstate.LivePrefix, cluster.state, logger),
+			ClusterState:  cluster.state,
+			Logger:        logger,
+		}))
+	}
+	return cluster
+}
+
+// openSession gives a member a session as of a revision.
+func (c *testCluster) openSession(m *Member, modRevision uint64) {
+	c.state.Nodes[m.NodeName] = clusterstate.Node{
+		NodeRecord:  clusterstate.NodeRecord{Incarnation: testIncarnation},
+		ModRevision: modRevision,
+	}
+}
+
+// own gives a shard to a process.
+func (c *testCluster) own(shard int, owner *Member, incarnation, fencingToken, modRevision uint64) {
+	c.state.Shards[shard] = clusterstate.Shard{
+		ShardRecord: clusterstate.ShardRecord{
+			Owner: owner.NodeName, Incarnation: incarnation, FencingToken: fencingToken,
+		},
+		ModRevision: modRevision,
+	}
+}
--- a/internal/offload/host.go
+++ b/internal/offload/host.go
@@ -62,7 +62,7 @@
 	}
 	s.world.RLock()
 	defer s.world.RUnlock()
-	if _, _, leads := s.owner.Owns(clusterstate.LeaderShard); !leads {
+	if _, leads := s.owner.Ownership(clusterstate.LeaderShard); !leads {
 		return Message{}, ErrNotLeader
 	}
 	s.tell(&reply, &m)
--- a/internal/offload/spill.go
+++ b/internal/offload/spill.go
@@ -24,6 +24,7 @@
 	"sableusher/internal/config"
 	"sableusher/internal/federation"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/membership"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -46,7 +47,7 @@
 
 // Owner tells what this node owns. Callers hold the world's lock.
 type Owner interface {
-	Owns(part int) (token, stamp uint64, ok bool)
+	Ownership(shard int) (membership.Ownership, bool)
 }
 
 // ErrNotLeader: another node of this cell speaks for it.
@@ -105,7 +106,7 @@
 		case <-tick.C:
 		}
 		s.world.RLock()
-		_, _, leads := s.owner.Owns(clusterstate.LeaderShard)
+		_, leads := s.owner.Ownership(clusterstate.LeaderShard)
 		on := leads && s.world.SchemaVersion >= tuning.LevelCells
 		s.world.RUnlock()
 		if !on {
@@ -138,8 +139,8 @@
 // guards are the conditions of what a leader writes about another cell. Callers hold the
 // world's lock.
 func (s *Spill) guards(name string) ([]wire.Condition, bool) {
-	_, stamp, leads := s.owner.Owns(clusterstate.LeaderShard)
-	out := []wire.Condition{{Key: clusterstate.ShardKey(clusterstate.LeaderShard), ModRevision: stamp}, {Key: clusterstate.CellKey(name)}}
+	ownership, leads := s.owner.Ownership(clusterstate.LeaderShard)
+	out := []wire.Condition{{Key: clusterstate.ShardKey(clusterstate.LeaderShard), ModRevision: ownership.ModRevision}, {Key: clusterstate.CellKey(name)}}
 	if c := s.world.Cells[name]; c != nil {
 		out[1].ModRevision = c.ModRevision
 	}
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -389,7 +389,7 @@
 	} else {
 		c.storeSaturated = true
 	}
-	_, _, isLeader := c.membership.Owns(clusterstate.LeaderShard)
+	_, isLeader := c.membership.Ownership(clusterstate.LeaderShard)
 	c.collectsDemand = isLeader && c.now.Sub(c.demand.ComputedAt) >= tuning.DemandEvery
 	queue := c.buildQueue(inventory.HasFreeCapacity())
 	inventory.FilterFeasible(func(yield func(clusterstate.Resources) bool) {
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -275,7 +275,7 @@
 	} else if err != nil && !errors.Is(err, kvstore.ErrConditionFailed) && !errors.Is(err, kvstore.ErrUnavailable) && !change.harmlessWhenLate {
 		e.log.Info("change without an answer", "what", change.description, "err", err)
 		for _, shard := range change.shards {
-			e.membership.Fence(e.ctx, shard, false)
+			e.membership.Fence(e.ctx, shard)
 		}
 	}
 	e.mu.Lock()
@@ -326,7 +326,7 @@
 	defer e.cluster.RUnlock()
 	var urgent, idle []string
 	appendOwned := func(list *[]string, name string) {
-		if _, _, ok := e.membership.Owns(clusterstate.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines[name] && len(*list) < tuning.ReturnMax {
+		if _, ok := e.membership.Ownership(clusterstate.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines[name] && len(*list) < tuning.ReturnMax {
 			*list = append(*list, name)
 		}
 	}
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -63,7 +63,7 @@
 		if status.UnresolvedStart && c.hasStoppingTask(machine) && c.now.Sub(c.lastFenced[machine.Shard]) > tuning.FenceEvery {
 			// A start in doubt could still run a task that must not: raise the token.
 			c.lastFenced[machine.Shard] = c.now
-			go c.membership.Fence(c.ctx, machine.Shard, true)
+			go c.membership.FenceAndRaiseToken(c.ctx, machine.Shard)
 		}
 	}
 	c.evacuateOutboundLost(outboundLost, len(machines))
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -194,7 +194,7 @@
 // left every machine, where no change of a single record could end them. Only
 // the leader does so; it also sweeps chunks left by long jobs.
 func (c *cycle) finishJobs() {
-	if _, _, leads := c.membership.Owns(clusterstate.LeaderShard); !leads {
+	if _, leads := c.membership.Ownership(clusterstate.LeaderShard); !leads {
 		return
 	}
 	for id, job := range c.cluster.Jobs {
--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -70,8 +70,8 @@
 	for shard := range e.cluster.ShardCount {
 		_, c.liveShards[shard] = e.membership.OwnerOf(shard)
 		c.inFlightByShard[shard] = map[string]clusterstate.Resources{}
-		if token, modRevision, ok := e.membership.Owns(shard); ok {
-			c.fencingTokens[shard], c.shardRevisions[shard] = token, modRevision
+		if ownership, ok := e.membership.Ownership(shard); ok {
+			c.fencingTokens[shard], c.shardRevisions[shard] = ownership.FencingToken, ownership.ModRevision
 			if _, known := e.shardOwnedSince[shard]; !known {
 				e.shardOwnedSince[shard] = now
 				// A new owner hears of its machines at once rather than at their next report.
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -67,7 +67,10 @@
 		client := kvstore.NewClient("127.0.0.1:1", kvstore.Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxValueKiB: 16, MaxTransactionOps: 32}, nil)
 		committer := kvstore.NewCommitter(client, func([]wire.Op, uint64) {})
 		cache := kvstore.NewWatchCache(client, clusterstate.LivePrefix, fixture.cluster, log)
-		members := membership.New(node, 1, nodes, tuning.Level, client, committer, cache, fixture.cluster, log)
+		members := membership.New(membership.Config{
+			NodeName: node, Incarnation: 1, NodeNames: nodes, SchemaVersion: tuning.Level,
+			Client: client, Committer: committer, Cache: cache, ClusterState: fixture.cluster, Logger: log,
+		})
 		agents := agent.New(settings, fixture.cluster, members, func() time.Time { return testNow }, log, nil)
 		fixture.agents = append(fixture.agents, agents)
 		engine := New(settings, operator, fixture.cluster, members, agents, committer, client, nil, log)
@@ -556,7 +559,13 @@
 		client := kvstore.NewClient("10.0.0.1:1", kvstore.Limits{RequestsPerSecond: 1000, WritesPerSecond: 1000, MaxValueKiB: 16, MaxTransactionOps: 32}, transport)
 		engine.committer = kvstore.NewCommitter(client, func([]wire.Op, uint64) {})
 		node := fmt.Sprintf("node-%d", shard)
-		engine.membership = membership.New(node, 1, []string{node}, tuning.Level, client, engine.committer, kvstore.NewWatchCache(client, clusterstate.LivePrefix, fixture.cluster, slog.New(slog.DiscardHandler)), fixture.cluster, slog.New(slog.DiscardHandler))
+		discard := slog.New(slog.DiscardHandler)
+		engine.membership = membership.New(membership.Config{
+			NodeName: node, Incarnation: 1, NodeNames: []string{node}, SchemaVersion: tuning.Level,
+			Client: client, Committer: engine.committer,
+			Cache:        kvstore.NewWatchCache(client, clusterstate.LivePrefix, fixture.cluster, discard),
+			ClusterState: fixture.cluster, Logger: discard,
+		})
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = engine.committer.Run(ctx) }()
 		engine.ctx = ctx
--- a/internal/schemaversion/activator.go
+++ b/internal/schemaversion/activator.go
@@ -1,11 +1,8 @@
-// Package schemaversion brings in new forms of records. Each process tells with its
-// session which forms it reads; once all nodes of the deployment are there with
-// processes that read a form, the leader writes so, and from then on it is written.
-// Nobody takes that back.
 package schemaversion
 
 import (
 	"context"
+	"fmt"
 	"log/slog"
 	"time"
 
@@ -13,54 +10,63 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/membership"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
 
-var activeVersionGauge = promauto.NewGauge(prometheus.GaugeOpts{Name: "sableusher_record_level",
-	Help: "The form of records that is written: the newest that all nodes were seen to read."})
+var activeVersionGauge = promauto.NewGauge(prometheus.GaugeOpts{
+	Name: "sableusher_record_level",
+	Help: "The form of records that is written: the newest that all nodes were seen to read.",
+})
 
-// Committer commits items.
+// Committer commits transactions.
 type Committer interface {
-	Commit(ctx context.Context, it kvstore.Transaction) (uint64, error)
+	Commit(ctx context.Context, transaction kvstore.Transaction) (uint64, error)
 }
 
-// Owner tells what this node owns. Callers hold the world's lock.
+// Owner says what this node owns. The caller holds the cluster state's lock.
 type Owner interface {
-	Owns(part int) (token, stamp uint64, ok bool)
+	Ownership(shard int) (membership.Ownership, bool)
 }
 
-// LimitSwitcher are the state service's, lowered once records can be split.
+// LimitSwitcher is the key-value store's client, which keeps to lower limits
+// once records can be split.
 type LimitSwitcher interface {
 	ApplyUpcomingLimits()
 	MaxTransactionOps() int
 }
 
-// Activator is this node's part in it.
-type Activator struct {
-	settings          *config.Settings
-	clusterState      *clusterstate.State
-	ownership         Owner
-	committer         Committer
-	limits            LimitSwitcher
-	supportedVersion  int // the newest level that this process reads
-	logger            *slog.Logger
-	lastLoggedMissing string // what activation waits for, as last logged
-	lastLoggedVersion int    // as last logged
+// Config is what an Activator is made of.
+type Config struct {
+	NodeNames        []string // of the whole deployment
+	SupportedVersion int      // the newest that this process reads
+
+	ClusterState *clusterstate.State
+	Owner        Owner
+	Committer    Committer
+	Limits       LimitSwitcher
+	Logger       *slog.Logger
 }
 
-// NewActivator makes the duty of a process that reads records up to a level.
-func NewActivator(settings *config.Settings, supportedVersion int, w *clusterstate.State, o Owner, c Committer, l LimitSwitcher, log *slog.Logger) *Activator {
-	return &Activator{settings: settings, supportedVersion: supportedVersion, clusterState: w, ownership: o, committer: c, limits: l, logger: log}
+// Activator activates schema versions while this node leads, and follows their
+// activation on every node. Its methods belong to one goroutine, that of Run.
+type Activator struct {
+	config            Config
+	lastLoggedBlocker blocker
+	lastLoggedVersion int
 }
 
-// Run looks at the levels after each change of the view, until ctx ends.
-func (u *Activator) Run(ctx context.Context) error {
-	changed := u.clusterState.Subscribe()
+// NewActivator returns an activator.
+func NewActivator(config Config) *Activator { return &Activator{config: config} }
+
+// Run looks for a version to activate after each change of the cluster state,
+// until ctx ends.
+func (a *Activator) Run(ctx context.Context) error {
+	changed := a.config.ClusterState.Subscribe()
 	for {
-		u.check(ctx)
+		a.check(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -75,65 +81,133 @@
 	}
 }
 
-func (u *Activator) check(ctx context.Context) {
-	u.clusterState.RLock()
-	level := u.clusterState.SchemaVersion
-	item, missing := u.activationTransaction()
-	u.clusterState.RUnlock()
-	if level != u.lastLoggedVersion {
-		u.lastLoggedVersion = level
-		activeVersionGauge.Set(float64(level))
-		u.logger.Info("form of records", "level", level, "newest", u.supportedVersion)
-		if level >= tuning.LevelPipelines {
-			u.limits.ApplyUpcomingLimits()
-		}
-	}
-	if missing != u.lastLoggedMissing {
-		if u.lastLoggedMissing = missing; missing != "" {
-			u.logger.Info("new form of records waits for a node", "missing", missing)
-		}
-	}
-	if item == nil {
+// check follows the active version and commits the activation of the next one
+// where that is possible.
+func (a *Activator) check(ctx context.Context) {
+	a.config.ClusterState.RLock()
+	version := a.config.ClusterState.SchemaVersion
+	next := a.planActivation()
+	a.config.ClusterState.RUnlock()
+	a.followVersion(version)
+	a.logBlocker(next.blocker)
+	if next.transaction == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
 	defer cancel()
-	if _, err := u.committer.Commit(ctx, *item); err != nil {
-		u.logger.Info("new form of records not activated yet", "err", err)
+	if _, err := a.config.Committer.Commit(ctx, *next.transaction); err != nil {
+		a.config.Logger.Info("schema version not activated yet", "err", err)
+	}
+}
+
+// followVersion publishes a version that has become active, and lowers the
+// store's limits once records can be split.
+func (a *Activator) followVersion(version int) {
+	if version == a.lastLoggedVersion {
+		return
+	}
+	a.lastLoggedVersion = version
+	activeVersionGauge.Set(float64(version))
+	a.config.Logger.Info("schema version active",
+		"schema_version", version, "supported_version", a.config.SupportedVersion)
+	if version >= tuning.LevelPipelines {
+		a.config.Limits.ApplyUpcomingLimits()
+	}
+}
+
+// logBlocker logs what activation waits for when that has changed.
+func (a *Activator) logBlocker(b blocker) {
+	if b == a.lastLoggedBlocker {
+		return
+	}
+	a.lastLoggedBlocker = b
+	if b.reason != notBlocked {
+		a.config.Logger.Info("schema version waits", "reason", b.reason, "node", b.node)
 	}
 }
 
-// activationTransaction is the change that raises the level, if this node leads and every
-// node is there with a process that reads it. The sessions themselves guard it: a
-// node that goes down, or comes back as an older version, before it is applied
-// makes it fail. A node that is down or cut off has no session and is waited for.
-// Callers hold the world's lock.
-func (u *Activator) activationTransaction() (*kvstore.Transaction, string) {
-	if u.clusterState.SchemaVersion >= u.supportedVersion {
-		return nil, ""
+// blockReason says why a version that this process reads is not activated.
+type blockReason int
+
+const (
+	notBlocked blockReason = iota
+	// blockedByNode: a node has no session, or its process reads only older versions.
+	blockedByNode
+	// blockedByTransactionSize: there are more nodes than a transaction may have conditions.
+	blockedByTransactionSize
+)
+
+// String describes the reason.
+func (r blockReason) String() string {
+	switch r {
+	case notBlocked:
+		return "not blocked"
+	case blockedByNode:
+		return "node is absent or too old"
+	case blockedByTransactionSize:
+		return "more nodes than conditions in a transaction"
 	}
-	_, stamp, leads := u.ownership.Owns(clusterstate.LeaderShard)
+	return fmt.Sprintf("blockReason(%d)", int(r))
+}
+
+// blocker is what activation waits for.
+type blocker struct {
+	reason blockReason
+	node   string // where reason is blockedByNode
+}
+
+// activation is the change that activates a version, if it is possible now, and
+// what stands in the way of the newest one.
+type activation struct {
+	transaction *kvstore.Transaction // nil: nothing to commit
+	blocker     blocker
+}
+
+// planActivation plans to raise the version, if this node leads and every node
+// is there with a process that reads it. The sessions themselves are
+// conditions: a node that goes down, or comes back as an older version, before
+// the change is applied makes it fail. A node that is down or cut off has no
+// session and is waited for. The caller holds the cluster state's lock.
+func (a *Activator) planActivation() activation {
+	state := a.config.ClusterState
+	if state.SchemaVersion >= a.config.SupportedVersion {
+		return activation{}
+	}
+	leadership, leads := a.config.Owner.Ownership(clusterstate.LeaderShard)
 	if !leads {
-		return nil, ""
+		return activation{}
+	}
+	conditions := []wire.Condition{
+		{Key: clusterstate.SchemaVersionKey, ModRevision: state.SchemaVersionModRevision},
+		{Key: clusterstate.ShardKey(clusterstate.LeaderShard), ModRevision: leadership.ModRevision},
 	}
-	guards := []wire.Condition{{Key: clusterstate.SchemaVersionKey, ModRevision: u.clusterState.SchemaVersionModRevision}, {Key: clusterstate.ShardKey(clusterstate.LeaderShard), ModRevision: stamp}}
-	level, missing := u.supportedVersion, ""
-	for _, name := range u.settings.Nodes() {
-		n, live := u.clusterState.Nodes[name]
+	var blocked blocker
+	version := a.config.SupportedVersion
+	for _, name := range a.config.NodeNames {
+		node, live := state.Nodes[name]
 		if !live {
-			return nil, name
+			return activation{blocker: blocker{reason: blockedByNode, node: name}}
 		}
-		if n.SchemaVersion < u.supportedVersion {
-			// All may read one between.
-			level, missing = min(level, n.SchemaVersion), name
+		if node.SchemaVersion < a.config.SupportedVersion {
+			// All may read a version between.
+			version = min(version, node.SchemaVersion)
+			blocked = blocker{reason: blockedByNode, node: name}
 		}
-		guards = append(guards, wire.Condition{Key: clusterstate.NodeKey(name), ModRevision: n.ModRevision})
+		conditions = append(conditions, wire.Condition{Key: clusterstate.NodeKey(name), ModRevision: node.ModRevision})
+	}
+	if version <= state.SchemaVersion {
+		return activation{blocker: blocked}
 	}
-	if level <= u.clusterState.SchemaVersion {
-		return nil, missing
+	if len(conditions) > tuning.GuardsPerOp*a.config.Limits.MaxTransactionOps() {
+		return activation{blocker: blocker{reason: blockedByTransactionSize}}
 	}
-	if len(guards) > tuning.GuardsPerOp*u.limits.MaxTransactionOps() {
-		return nil, "more nodes than one transaction has conditions"
+	record := clusterstate.SchemaVersionRecord{Version: version}
+	return activation{
+		transaction: &kvstore.Transaction{
+			Conditions: conditions,
+			Ops:        []wire.Op{kvstore.PutOp(clusterstate.SchemaVersionKey, record)},
+			Priority:   kvstore.PriorityUrgent,
+		},
+		blocker: blocked,
 	}
-	return &kvstore.Transaction{Conditions: guards, Ops: []wire.Op{kvstore.PutOp(clusterstate.SchemaVersionKey, clusterstate.SchemaVersionRecord{Version: level})}, Priority: kvstore.PriorityUrgent}, missing
 }
--- a/internal/schemaversion/activator_test.go
+++ b/internal/schemaversion/activator_test.go
@@ -3,134 +3,184 @@
 import (
 	"context"
 	"fmt"
-	"io"
 	"log/slog"
 	"testing"
 
 	"pgregory.net/rapid"
 
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/membership"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
 
-// fakeCluster is a state service, and the views of nodes that lag behind it.
+// nodeIsDown stands for the version of a node without a process.
+const nodeIsDown = -1
+
+// fakeCluster is a key-value store with the sessions of a few nodes, and one
+// node's cluster state, which lags behind it.
 type fakeCluster struct {
 	t             *rapid.T
+	nodeNames     []string
 	modRevisions  map[string]uint64
 	values        map[string]wire.RawValue
 	revision      uint64
-	activeVersion int            // that each node's process reads, by name
-	nodeVersions  map[string]int // -1: it is down
-	maxOps        int
-	limitsApplied int
+	activeVersion int
+	nodeVersions  map[string]int // that each node's process reads
+	limitsApplied int            // times
+
+	state *clusterstate.State
+	shown map[string]uint64 // the modRevisions that the state holds
+}
+
+func newFakeCluster(t *rapid.T, nodeCount int) *fakeCluster {
+	f := &fakeCluster{
+		t:            t,
+		modRevisions: map[string]uint64{},
+		values:       map[string]wire.RawValue{},
+		nodeVersions: map[string]int{},
+		state:        clusterstate.New(nodeCount, slog.New(slog.DiscardHandler)),
+		shown:        map[string]uint64{},
+	}
+	for i := range nodeCount {
+		f.nodeNames = append(f.nodeNames, fmt.Sprintf("node-%d", i))
+	}
+	return f
 }
 
-func (r *fakeCluster) Commit(_ context.Context, it kvstore.Transaction) (uint64, error) {
-	for _, g := range it.Conditions {
-		if r.modRevisions[g.Key] != g.ModRevision {
+// Commit applies a transaction, and checks that it activates no version that a
+// running process doesn't read.
+func (f *fakeCluster) Commit(_ context.Context, transaction kvstore.Transaction) (uint64, error) {
+	for _, condition := range transaction.Conditions {
+		if f.modRevisions[condition.Key] != condition.ModRevision {
 			return 0, kvstore.ErrConditionFailed
 		}
 	}
-	for _, o := range it.Ops {
-		r.set(o.PutKey, o.Value)
-		if o.PutKey == clusterstate.SchemaVersionKey {
-			var rec clusterstate.SchemaVersionRecord
-			if err := wire.Decode(o.Value, &rec); err != nil || rec.Version <= r.activeVersion {
-				r.t.Fatalf("level %d after %d: %v", rec.Version, r.activeVersion, err)
-			}
-			for name, level := range r.nodeVersions {
-				if level < rec.Version {
-					r.t.Fatalf("level %d activated while %s runs level %d", rec.Version, name, level)
-				}
-			}
-			r.activeVersion = rec.Version
+	for _, op := range transaction.Ops {
+		f.put(op.PutKey, op.Value)
+		if op.PutKey == clusterstate.SchemaVersionKey {
+			f.activate(op.Value)
+		}
+	}
+	return f.revision, nil
+}
+
+func (f *fakeCluster) activate(value wire.RawValue) {
+	var record clusterstate.SchemaVersionRecord
+	if err := wire.Decode(value, &record); err != nil || record.Version <= f.activeVersion {
+		f.t.Fatalf("version %d after %d: %v", record.Version, f.activeVersion, err)
+	}
+	for name, version := range f.nodeVersions {
+		if version < record.Version {
+			f.t.Fatalf("version %d activated while %s runs version %d", record.Version, name, version)
 		}
 	}
-	return r.revision, nil
+	f.activeVersion = record.Version
 }
 
-func (r *fakeCluster) set(key string, v wire.RawValue) {
-	r.revision++
-	r.modRevisions[key], r.values[key] = r.revision, v
+func (f *fakeCluster) put(key string, value wire.RawValue) {
+	f.revision++
+	f.modRevisions[key], f.values[key] = f.revision, value
 }
 
-func (r *fakeCluster) Owns(int) (uint64, uint64, bool) { return 1, 0, true }
-func (r *fakeCluster) ApplyUpcomingLimits()            { r.limitsApplied++ }
-func (r *fakeCluster) MaxTransactionOps() int          { return r.maxOps }
+func (f *fakeCluster) Ownership(int) (membership.Ownership, bool) {
+	return membership.Ownership{FencingToken: 1}, true
+}
+func (f *fakeCluster) ApplyUpcomingLimits()   { f.limitsApplied++ }
+func (f *fakeCluster) MaxTransactionOps() int { return 10 }
 
-// TestNeverActivatedEarly: under any order of starts, ends and returns to the
-// version before, and with views that lag, the new form is written only while all
-// nodes run a process that reads it; once they do, it is, and limits are lowered. Where all
-// read a level between, that one is written.
-func TestVersionIsNeverActivatedEarly(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 5).Draw(t, "nodes")
-		r := &fakeCluster{t: t, modRevisions: map[string]uint64{}, values: map[string]wire.RawValue{}, nodeVersions: map[string]int{}, maxOps: 10}
-		set := &config.Settings{Node: "node-0"}
-		for i := 1; i < n; i++ {
-			set.Siblings = append(set.Siblings, config.Sibling{Node: fmt.Sprintf("node-%d", i)})
-		}
-		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		view := clusterstate.New(n, log)
-		u := NewActivator(set, tuning.Level, view, r, r, r, log)
-		seen := map[string]uint64{}
-		catchUp := func(only string) {
-			view.BeginUpdate()
-			for _, name := range append(set.Nodes(), "level") {
-				key := clusterstate.NodeKey(name)
-				if name == "level" {
-					key = clusterstate.SchemaVersionKey
-				}
-				if only != "" && only != key || seen[key] == r.modRevisions[key] {
-					continue
-				}
-				if seen[key] = r.modRevisions[key]; r.values[key] == nil {
-					view.Delete(key)
-				} else {
-					view.Put(key, r.values[key], r.modRevisions[key])
-				}
-			}
-			view.EndUpdate()
+// start starts a process that reads a version on a node.
+func (f *fakeCluster) start(name string, version int) {
+	f.nodeVersions[name] = version
+	record := clusterstate.NodeRecord{Incarnation: f.revision + 1, SchemaVersion: version}
+	f.put(clusterstate.NodeKey(name), wire.MustEncode(record))
+}
+
+// stop ends a node's process, and its session with it.
+func (f *fakeCluster) stop(name string) {
+	f.nodeVersions[name] = nodeIsDown
+	delete(f.modRevisions, clusterstate.NodeKey(name))
+	delete(f.values, clusterstate.NodeKey(name))
+}
+
+// keys are those of all sessions and of the active version.
+func (f *fakeCluster) keys() []string {
+	var keys []string
+	for _, name := range f.nodeNames {
+		keys = append(keys, clusterstate.NodeKey(name))
+	}
+	return append(keys, clusterstate.SchemaVersionKey)
+}
+
+// show brings the cluster state up to date for some keys.
+func (f *fakeCluster) show(keys ...string) {
+	f.state.BeginUpdate()
+	defer f.state.EndUpdate()
+	for _, key := range keys {
+		if f.shown[key] == f.modRevisions[key] {
+			continue
 		}
-		start := func(name string, level int) {
-			r.nodeVersions[name] = level
-			r.set(clusterstate.NodeKey(name), wire.MustEncode(clusterstate.NodeRecord{Incarnation: r.revision + 1, SchemaVersion: level}))
+		f.shown[key] = f.modRevisions[key]
+		if f.values[key] == nil {
+			f.state.Delete(key)
+		} else {
+			f.state.Put(key, f.values[key], f.modRevisions[key])
 		}
-		for _, name := range set.Nodes() {
-			start(name, 0)
+	}
+}
+
+// step does one thing that may happen to the cluster.
+func (f *fakeCluster) step(activator *Activator) {
+	name := rapid.SampledFrom(f.nodeNames).Draw(f.t, "node")
+	switch rapid.IntRange(0, 4).Draw(f.t, "step") {
+	case 0:
+		f.start(name, f.activeVersion) // going back further is for before activation
+	case 1:
+		f.start(name, rapid.IntRange(f.activeVersion, tuning.Level).Draw(f.t, "version"))
+	case 2:
+		f.stop(name)
+	case 3:
+		f.show(clusterstate.NodeKey(name))
+	case 4:
+		activator.check(f.t.Context())
+	}
+	if f.activeVersion != 0 && len(f.values[clusterstate.SchemaVersionKey]) == 0 {
+		f.t.Fatal("taken back")
+	}
+}
+
+// TestVersionIsNeverActivatedEarly: under any order of starts, ends and returns
+// to the version before, and with cluster states that lag, the new version is
+// written only while all nodes run a process that reads it; once they do, it is,
+// and limits are lowered. Where all read a version between, that one is written.
+func TestVersionIsNeverActivatedEarly(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		cluster := newFakeCluster(t, rapid.IntRange(1, 5).Draw(t, "nodes"))
+		activator := NewActivator(Config{
+			NodeNames:        cluster.nodeNames,
+			SupportedVersion: tuning.Level,
+			ClusterState:     cluster.state,
+			Owner:            cluster,
+			Committer:        cluster,
+			Limits:           cluster,
+			Logger:           slog.New(slog.DiscardHandler),
+		})
+		for _, name := range cluster.nodeNames {
+			cluster.start(name, 0)
 		}
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
-			name := rapid.SampledFrom(set.Nodes()).Draw(t, "node")
-			switch rapid.IntRange(0, 4).Draw(t, "what") {
-			case 0:
-				start(name, r.activeVersion) // going back further is for before activation
-			case 1:
-				start(name, rapid.IntRange(r.activeVersion, tuning.Level).Draw(t, "level"))
-			case 2: // its session ends with it
-				r.nodeVersions[name] = -1
-				delete(r.modRevisions, clusterstate.NodeKey(name))
-				delete(r.values, clusterstate.NodeKey(name))
-			case 3:
-				catchUp(clusterstate.NodeKey(name))
-			case 4:
-				u.check(t.Context())
-			}
-			if r.activeVersion != 0 && len(r.values[clusterstate.SchemaVersionKey]) == 0 {
-				t.Fatal("taken back")
-			}
+			cluster.step(activator)
+		}
+		for _, name := range cluster.nodeNames {
+			cluster.start(name, tuning.Level)
 		}
-		for _, name := range set.Nodes() {
-			start(name, tuning.Level)
+		for range 2 {
+			cluster.show(cluster.keys()...)
+			activator.check(t.Context())
 		}
-		catchUp("")
-		u.check(t.Context())
-		catchUp("")
-		u.check(t.Context())
-		if r.activeVersion != tuning.Level || r.limitsApplied == 0 {
-			t.Errorf("level %d, limits lowered %d times", r.activeVersion, r.limitsApplied)
+		if cluster.activeVersion != tuning.Level || cluster.limitsApplied == 0 {
+			t.Errorf("version %d, limits lowered %d times", cluster.activeVersion, cluster.limitsApplied)
 		}
 	})
 }
