--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -37,7 +37,7 @@
 	for _, name := range slices.Sorted(maps.Keys(c.cluster.Machines)) {
 		machine := c.cluster.Machines[name]
 		token, owned := c.fencingTokens[machine.Shard]
-		if !owned || machine.Deleting || c.deletedMachines[name] || c.keysInFlight[clusterstate.MachineKey(name)] {
+		if !owned || machine.Deleting || c.deletedMachines[name] || c.changes.inFlight(clusterstate.MachineKey(name)) {
 			continue
 		}
 		status := c.agents.MachineStatus(name, token)
@@ -137,7 +137,7 @@
 }
 
 // evacuationKinds are the kinds of jobs as plans of evacuation know them.
-var evacuationKinds = map[string]evacuation.WorkloadKind{wire.KindService: evacuation.Service, wire.KindGang: evacuation.Gang, wire.KindArray: evacuation.Array}
+var evacuationKinds = map[wire.JobKind]evacuation.WorkloadKind{wire.KindService: evacuation.Service, wire.KindGang: evacuation.Gang, wire.KindArray: evacuation.Array}
 
 // evacuationTasks gives what is on a machine, for the plan of its evacuation.
 func (c *cycle) evacuationTasks(name string) []evacuation.Task {
@@ -167,7 +167,7 @@
 	// What it held waits for this change as for its own: behind the ends of arrays' tasks
 	// replicas once waited for seconds more.
 	for _, binding := range machine.Bindings {
-		if c.effectiveRank(binding.Job) <= wire.PriorityRank(wire.PriorityHigh) {
+		if c.effectiveRank(binding.Job) <= wire.PriorityHigh.Rank() {
 			transaction.Priority = max(transaction.Priority, kvstore.PriorityHigh)
 		}
 		if binding.Job.Spec.Kind == wire.KindService {
