--- a/internal/autoscaler/rental.go
+++ b/internal/autoscaler/rental.go
@@ -12,6 +12,7 @@
 	"sableusher/internal/cloud"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -56,14 +57,14 @@
 	if !ok {
 		return // refused meanwhile
 	}
-	rentalRecord := clusterstate.RentalRecord{
+	rentalRecord := record.Rental{
 		Type:          kind.machineType,
 		Zone:          kind.zone,
 		Spot:          kind.spot,
 		Count:         count,
 		RequestedAtMs: time.Now().UnixMilli(),
 	}
-	key := clusterstate.RentalKey(name)
+	key := record.RentalKey(name)
 	modRevision, err := a.commit(ctx, kvstore.Transaction{
 		Conditions: []wire.Condition{{Key: key, ModRevision: 0}, leader},
 		Ops:        []wire.Op{kvstore.PutOp(key, rentalRecord)},
@@ -73,7 +74,7 @@
 		return
 	}
 	// A rental without an answer is resumed later.
-	_ = a.requestMachines(ctx, name, clusterstate.Rental{RentalRecord: rentalRecord, ModRevision: modRevision})
+	_ = a.requestMachines(ctx, name, clusterstate.Rental{Rental: rentalRecord, ModRevision: modRevision})
 }
 
 // resumeRentals asks again for the rentals without a known answer, and deletes the records of those
@@ -104,7 +105,7 @@
 		if slices.ContainsFunc(rental.Machines, a.lacksRecord) {
 			continue
 		}
-		key := clusterstate.RentalKey(name)
+		key := record.RentalKey(name)
 		deletions = append(deletions, kvstore.Transaction{
 			Conditions: []wire.Condition{leader, {Key: key, ModRevision: rental.ModRevision}},
 			Ops:        []wire.Op{kvstore.DeleteOp(key)},
@@ -145,10 +146,10 @@
 			a.rentals.recordRefusal(kind)
 		}
 	}
-	key := clusterstate.RentalKey(name)
+	key := record.RentalKey(name)
 	op := kvstore.DeleteOp(key)
 	if len(machines) > 0 {
-		rentalRecord := rental.RentalRecord
+		rentalRecord := rental.Rental
 		rentalRecord.Machines = machines
 		op = kvstore.PutOp(key, rentalRecord)
 	}
--- a/internal/autoscaler/scaleoutplan.go
+++ b/internal/autoscaler/scaleoutplan.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/scheduler"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -15,7 +15,7 @@
 // plannedMachine is a machine to be rented.
 type plannedMachine struct {
 	machineKind
-	free clusterstate.Resources
+	free record.Resources
 	// required is set for work of high priority, work that has waited long, and the minimum size.
 	required bool
 }
@@ -80,7 +80,7 @@
 	machineType := p.autoscaler.state.Types[kind.machineType]
 	p.machines = append(p.machines, plannedMachine{
 		machineKind: kind,
-		free:        clusterstate.Capacity(&machineType),
+		free:        record.Capacity(&machineType),
 		required:    request.required,
 	})
 	p.machinesInZone[kind.zone]++
@@ -99,7 +99,7 @@
 	tasksByZone := map[string]int{}
 	packing := groupPacking{
 		plan:        p,
-		need:        clusterstate.TaskResources(spec),
+		need:        record.TaskResources(spec),
 		tasksByZone: tasksByZone,
 		request: machineRequest{
 			spec:     spec,
@@ -121,7 +121,7 @@
 type groupPacking struct {
 	plan        *scaleOutPlan
 	request     machineRequest
-	need        clusterstate.Resources
+	need        record.Resources
 	tasksByZone map[string]int
 	next        int // the planned machines before it fit none of the tasks, which are alike
 }
--- a/internal/binpack/resources.go
+++ b/internal/binpack/resources.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 )
 
 // roundingTolerance keeps sums of fractions of cores and gigabytes from losing a task to rounding.
@@ -13,7 +13,7 @@
 type dimension struct{ part, whole float64 }
 
 // dimensions pairs the resources of part and whole.
-func dimensions(part, whole clusterstate.Resources) [3]dimension {
+func dimensions(part, whole record.Resources) [3]dimension {
 	return [3]dimension{
 		{part.CPUs, whole.CPUs},
 		{part.GPUs, whole.GPUs},
@@ -22,7 +22,7 @@
 }
 
 // FreeFraction returns the free fraction of the machine's scarcest resource, from 0 to 1.
-func FreeFraction(free, capacity clusterstate.Resources) float64 {
+func FreeFraction(free, capacity record.Resources) float64 {
 	fraction := 1.0
 	for _, d := range dimensions(free, capacity) {
 		if d.whole > 0 {
@@ -33,7 +33,7 @@
 }
 
 // TasksThatFit returns how many tasks with a need fit into free resources, at most math.MaxInt32.
-func TasksThatFit(need, free clusterstate.Resources) int {
+func TasksThatFit(need, free record.Resources) int {
 	count := math.MaxInt32
 	for _, d := range dimensions(need, free) {
 		if d.part > 0 {
--- a/internal/dependency/resolver.go
+++ b/internal/dependency/resolver.go
@@ -16,6 +16,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 )
 
@@ -52,7 +53,7 @@
 
 // outcome is what reading a final record gave.
 type outcome struct {
-	record clusterstate.FinalRecord
+	record record.Final
 	found  bool
 }
 
@@ -92,8 +93,8 @@
 	group.SetLimit(tuning.OutcomeLanes)
 	for i, id := range ids {
 		group.Go(func() error {
-			record, err := kvstore.ReadRecord[clusterstate.FinalRecord](ctx, r.reader, clusterstate.FinalKey(id))
-			outcomes[i] = outcome{record: record, found: err == nil}
+			finalRecord, err := kvstore.ReadRecord[record.Final](ctx, r.reader, record.FinalKey(id))
+			outcomes[i] = outcome{record: finalRecord, found: err == nil}
 			// An absent record proves nothing either way: the cluster state is older than the job, or
 			// the job is about to be live in it again.
 			if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -4,7 +4,7 @@
 // A session is a key under a lease that names the running process, its
 // incarnation. Each shard of the machines has one owner, named with a fencing
 // token in the shard's record; every change of owner raises the token. The
-// leader is the owner of the shard clusterstate.LeaderShard, so that leader
+// leader is the owner of the shard record.LeaderShard, so that leader
 // election is the same compare-and-swap as taking over a shard.
 //
 // The package never decides what an owner does with its shard, and never takes
--- a/internal/membership/failover.go
+++ b/internal/membership/failover.go
@@ -6,6 +6,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -30,7 +31,7 @@
 type ownershipChange struct {
 	shard         int
 	previousOwner string
-	record        clusterstate.ShardRecord
+	record        record.Shard
 	transaction   kvstore.Transaction
 }
 
@@ -51,7 +52,7 @@
 	}
 	plan := m.planOwnership()
 	m.client.SetBudgetShare(m.budgetShare())
-	if plan.shardToMark != clusterstate.LeaderShard {
+	if plan.shardToMark != record.LeaderShard {
 		m.FenceAndRaiseToken(ctx, plan.shardToMark)
 	}
 	for _, change := range plan.changes {
@@ -78,7 +79,7 @@
 	m.clusterState.RLock()
 	defer m.clusterState.RUnlock()
 	m.noteSessions(now)
-	plan := ownershipPlan{shardToMark: clusterstate.LeaderShard}
+	plan := ownershipPlan{shardToMark: record.LeaderShard}
 	self, live := m.clusterState.Nodes[m.NodeName]
 	if !live || self.Incarnation != m.Incarnation {
 		return plan
@@ -86,11 +87,11 @@
 	m.noteOwnedShards(now)
 	plan.shardToMark = m.shardToMark()
 	owned := m.ownedCount()
-	for shard := clusterstate.LeaderShard; shard < m.clusterState.ShardCount; shard++ {
-		record, known := m.clusterState.Shards[shard]
-		if known && m.ownerIsLive(record) {
+	for shard := record.LeaderShard; shard < m.clusterState.ShardCount; shard++ {
+		current, known := m.clusterState.Shards[shard]
+		if known && m.ownerIsLive(current) {
 			delete(m.history.orphanedSince, shard)
-			if change, ok := m.handBack(shard, record, now); ok {
+			if change, ok := m.handBack(shard, current, now); ok {
 				plan.changes = append(plan.changes, change)
 			}
 			continue
@@ -123,8 +124,8 @@
 // caller holds the cluster state's lock.
 func (m *Member) noteOwnedShards(now time.Time) {
 	ownedSince := m.history.ownedSince
-	for shard, record := range m.clusterState.Shards {
-		if _, ok := ownedSince[shard]; !m.ownedBySelf(record) {
+	for shard, current := range m.clusterState.Shards {
+		if _, ok := ownedSince[shard]; !m.ownedBySelf(current) {
 			delete(ownedSince, shard)
 		} else if !ok {
 			ownedSince[shard] = now
@@ -136,10 +137,10 @@
 // first to say that cancellations are confirmed; LeaderShard if there is none.
 // The caller holds the cluster state's lock.
 func (m *Member) shardToMark() int {
-	found := clusterstate.LeaderShard
-	for shard, record := range m.clusterState.Shards {
-		next := nextFencingToken(record.FencingToken, m.clusterState.SchemaVersion)
-		if shard != clusterstate.LeaderShard && m.ownedBySelf(record) && next > record.FencingToken+1 {
+	found := record.LeaderShard
+	for shard, current := range m.clusterState.Shards {
+		next := nextFencingToken(current.FencingToken, m.clusterState.SchemaVersion)
+		if shard != record.LeaderShard && m.ownedBySelf(current) && next > current.FencingToken+1 {
 			found = shard
 		}
 	}
@@ -149,8 +150,8 @@
 // takeOver plans to take a shard without a live owner, once it is this node's
 // turn. The caller holds the cluster state's lock.
 func (m *Member) takeOver(shard, owned int, now time.Time) (ownershipChange, bool) {
-	record, known := m.clusterState.Shards[shard]
-	if m.ownedBySelf(record) {
+	current, known := m.clusterState.Shards[shard]
+	if m.ownedBySelf(current) {
 		return ownershipChange{}, false // our session lapsed, but nobody has taken the shard
 	}
 	orphanedSince, ok := m.history.orphanedSince[shard]
@@ -158,24 +159,24 @@
 		orphanedSince = now
 		m.history.orphanedSince[shard] = now
 	}
-	if now.Sub(orphanedSince) < m.takeoverDelay(shard, record, known, owned) {
+	if now.Sub(orphanedSince) < m.takeoverDelay(shard, current, known, owned) {
 		return ownershipChange{}, false
 	}
-	next := clusterstate.ShardRecord{
+	next := record.Shard{
 		Owner:        m.NodeName,
 		Incarnation:  m.Incarnation,
-		FencingToken: nextFencingToken(record.FencingToken, m.clusterState.SchemaVersion),
+		FencingToken: nextFencingToken(current.FencingToken, m.clusterState.SchemaVersion),
 	}
 	conditions := []wire.Condition{sessionCondition(m.NodeName, m.clusterState.Nodes[m.NodeName])}
-	if record.Owner != m.NodeName && record.Owner != "" {
+	if current.Owner != m.NodeName && current.Owner != "" {
 		// Absent, or present as another process: either way the owner's session is gone.
-		conditions = append(conditions, sessionCondition(record.Owner, m.clusterState.Nodes[record.Owner]))
+		conditions = append(conditions, sessionCondition(current.Owner, m.clusterState.Nodes[current.Owner]))
 	}
 	return ownershipChange{
 		shard:         shard,
-		previousOwner: record.Owner,
+		previousOwner: current.Owner,
 		record:        next,
-		transaction:   ownershipTransaction(shard, record, next, conditions...),
+		transaction:   ownershipTransaction(shard, current, next, conditions...),
 	}, true
 }
 
@@ -183,14 +184,14 @@
 // others: none for its home node and its last owner, and otherwise the longer
 // the more shards it owns, so that nodes don't all want the same one. The
 // caller holds the cluster state's lock.
-func (m *Member) takeoverDelay(shard int, record clusterstate.Shard, known bool, owned int) time.Duration {
+func (m *Member) takeoverDelay(shard int, current clusterstate.Shard, known bool, owned int) time.Duration {
 	home := m.homeNode(shard)
-	if home == m.NodeName || record.Owner == m.NodeName {
+	if home == m.NodeName || current.Owner == m.NodeName {
 		return 0
 	}
 	delay := time.Duration(owned) * tuning.TakeoverStep
 	homeNode, homeIsLive := m.clusterState.Nodes[home]
-	homeLostIt := home == record.Owner && homeNode.Incarnation == record.Incarnation
+	homeLostIt := home == current.Owner && homeNode.Incarnation == current.Incarnation
 	if homeIsLive && !homeLostIt || !known {
 		delay += tuning.HomeGrace
 	}
--- a/internal/membership/failover_test.go
+++ b/internal/membership/failover_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/wire"
 )
 
@@ -27,7 +27,7 @@
 			if member != home {
 				t.Errorf("%s takes a shard whose home is back at once", member.NodeName)
 			}
-			unchanged := wire.Condition{Key: clusterstate.ShardKey(shard), ModRevision: 3}
+			unchanged := wire.Condition{Key: record.ShardKey(shard), ModRevision: 3}
 			if change.record.FencingToken != 5 || change.transaction.Conditions[0] != unchanged {
 				t.Errorf("record %+v with conditions %v", change.record, change.transaction.Conditions)
 			}
--- a/internal/membership/fencing.go
+++ b/internal/membership/fencing.go
@@ -92,7 +92,7 @@
 	if !known || !m.ownedBySelf(current) {
 		return true
 	}
-	next := current.ShardRecord
+	next := current.Shard
 	next.FenceCount++
 	if mode == raiseToken {
 		next.FencingToken = nextFencingToken(next.FencingToken, schemaVersion)
--- a/internal/membership/fencing_test.go
+++ b/internal/membership/fencing_test.go
@@ -5,7 +5,7 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 )
 
@@ -29,12 +29,12 @@
 	cluster := newTestCluster(3)
 	member := cluster.members[1]
 	cluster.openSession(member, 5)
-	for shard := clusterstate.LeaderShard; shard < 3; shard++ {
+	for shard := record.LeaderShard; shard < 3; shard++ {
 		cluster.own(shard, member, testIncarnation, tuning.CertainToken+4, 3)
 	}
 	cluster.own(unmarkedShard, member, testIncarnation, 4, 3)
-	cluster.own(clusterstate.LeaderShard, member, testIncarnation, 4, 3)
-	for version, want := range map[int]int{0: clusterstate.LeaderShard, tuning.LevelCertain: unmarkedShard} {
+	cluster.own(record.LeaderShard, member, testIncarnation, 4, 3)
+	for version, want := range map[int]int{0: record.LeaderShard, tuning.LevelCertain: unmarkedShard} {
 		cluster.state.SchemaVersion = version
 		if got := member.planOwnership().shardToMark; got != want {
 			t.Errorf("version %d: the token of shard %d is raised, want %d", version, got, want)
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -6,6 +6,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -37,7 +38,7 @@
 			SchemaVersion: tuning.Level,
 			Client:        client,
 			Committer:     kvstore.NewCommitter(client, func([]wire.Op, uint64) {}),
-			Cache:         kvstore.NewWatchCache(client, clusterstate.LivePrefix, cluster.state, logger),
+			Cache:         kvstore.NewWatchCache(client, record.LivePrefix, cluster.state, logger),
 			ClusterState:  cluster.state,
 			Logger:        logger,
 		}))
@@ -48,7 +49,7 @@
 // openSession gives a member a session as of a revision.
 func (c *testCluster) openSession(m *Member, modRevision uint64) {
 	c.state.Nodes[m.NodeName] = clusterstate.Node{
-		NodeRecord:  clusterstate.NodeRecord{Incarnation: testIncarnation},
+		Node:        record.Node{Incarnation: testIncarnation},
 		ModRevision: modRevision,
 	}
 }
@@ -56,7 +57,7 @@
 // own gives a shard to a process.
 func (c *testCluster) own(shard int, owner *Member, incarnation, fencingToken, modRevision uint64) {
 	c.state.Shards[shard] = clusterstate.Shard{
-		ShardRecord: clusterstate.ShardRecord{
+		Shard: record.Shard{
 			Owner: owner.NodeName, Incarnation: incarnation, FencingToken: fencingToken,
 		},
 		ModRevision: modRevision,
--- a/internal/membership/ownership.go
+++ b/internal/membership/ownership.go
@@ -3,6 +3,7 @@
 import (
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -19,47 +20,47 @@
 // doesn't own the shard, hasn't seen yet all that was written before it took
 // the shard, or is fencing it. The caller holds the cluster state's lock.
 func (m *Member) Ownership(shard int) (Ownership, bool) {
-	record, known := m.clusterState.Shards[shard]
-	if !known || !m.ownedBySelf(record) {
+	current, known := m.clusterState.Shards[shard]
+	if !known || !m.ownedBySelf(current) {
 		return Ownership{}, false
 	}
-	claim := Ownership{FencingToken: record.FencingToken, ModRevision: record.ModRevision}
-	return claim, m.cache.Revision() >= record.ModRevision && !m.fences.isRunning(shard)
+	claim := Ownership{FencingToken: current.FencingToken, ModRevision: current.ModRevision}
+	return claim, m.cache.Revision() >= current.ModRevision && !m.fences.isRunning(shard)
 }
 
 // MayServeAgents reports whether this node may answer the agents of a shard,
 // though it may not have rebuilt the shard's state yet, and with which fencing
 // token. The caller holds the cluster state's lock.
 func (m *Member) MayServeAgents(shard int) (fencingToken uint64, ok bool) {
-	record, known := m.clusterState.Shards[shard]
-	return record.FencingToken, known && m.ownedBySelf(record)
+	current, known := m.clusterState.Shards[shard]
+	return current.FencingToken, known && m.ownedBySelf(current)
 }
 
 // OwnerOf names a shard's owner and reports whether its session lives. The
 // caller holds the cluster state's lock.
 func (m *Member) OwnerOf(shard int) (owner string, isLive bool) {
-	record, known := m.clusterState.Shards[shard]
+	current, known := m.clusterState.Shards[shard]
 	if !known {
 		return "", false
 	}
-	return record.Owner, m.ownerIsLive(record)
+	return current.Owner, m.ownerIsLive(current)
 }
 
 // ownerIsLive reports whether the process that a record names has a session.
 // The caller holds the cluster state's lock.
-func (m *Member) ownerIsLive(record clusterstate.Shard) bool {
-	node, live := m.clusterState.Nodes[record.Owner]
-	return live && node.Incarnation == record.Incarnation
+func (m *Member) ownerIsLive(current clusterstate.Shard) bool {
+	node, live := m.clusterState.Nodes[current.Owner]
+	return live && node.Incarnation == current.Incarnation
 }
 
 // ownedBySelf reports whether a record names this process.
-func (m *Member) ownedBySelf(record clusterstate.Shard) bool {
-	return record.Owner == m.NodeName && record.Incarnation == m.Incarnation
+func (m *Member) ownedBySelf(current clusterstate.Shard) bool {
+	return current.Owner == m.NodeName && current.Incarnation == m.Incarnation
 }
 
 // homeNode is the node that owns a shard when all are well.
 func (m *Member) homeNode(shard int) string {
-	if shard == clusterstate.LeaderShard {
+	if shard == record.LeaderShard {
 		return m.nodeNames[0]
 	}
 	return m.nodeNames[shard%len(m.nodeNames)]
@@ -69,8 +70,8 @@
 // included. The caller holds the cluster state's lock.
 func (m *Member) ownedCount() int {
 	count := 0
-	for _, record := range m.clusterState.Shards {
-		if m.ownedBySelf(record) {
+	for _, current := range m.clusterState.Shards {
+		if m.ownedBySelf(current) {
 			count++
 		}
 	}
@@ -94,9 +95,9 @@
 // ownershipTransaction writes a shard's record, on condition that nobody has
 // changed it and that the other conditions hold.
 func ownershipTransaction(
-	shard int, current clusterstate.Shard, next clusterstate.ShardRecord, others ...wire.Condition,
+	shard int, current clusterstate.Shard, next record.Shard, others ...wire.Condition,
 ) kvstore.Transaction {
-	key := clusterstate.ShardKey(shard)
+	key := record.ShardKey(shard)
 	return kvstore.Transaction{
 		Conditions: append([]wire.Condition{{Key: key, ModRevision: current.ModRevision}}, others...),
 		Ops:        []wire.Op{kvstore.PutOp(key, next)},
@@ -106,5 +107,5 @@
 
 // sessionCondition holds while a node's session is the one that is known.
 func sessionCondition(name string, node clusterstate.Node) wire.Condition {
-	return wire.Condition{Key: clusterstate.NodeKey(name), ModRevision: node.ModRevision}
+	return wire.Condition{Key: record.NodeKey(name), ModRevision: node.ModRevision}
 }
--- a/internal/membership/ownership_test.go
+++ b/internal/membership/ownership_test.go
@@ -5,7 +5,7 @@
 
 	"pgregory.net/rapid"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 )
 
@@ -22,7 +22,7 @@
 		for _, member := range live {
 			cluster.openSession(member, 0)
 		}
-		for shard := clusterstate.LeaderShard; shard < nodeCount; shard++ {
+		for shard := record.LeaderShard; shard < nodeCount; shard++ {
 			owner := rapid.IntRange(-1, liveCount-1).Draw(t, "owner") // -1: none, unless one lives alone
 			if owner >= 0 || liveCount == 1 {
 				cluster.own(shard, live[max(owner, 0)], testIncarnation, 1, 0)
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -8,6 +8,7 @@
 
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -16,7 +17,7 @@
 // goroutine of run.
 type session struct {
 	nodeName     string
-	record       clusterstate.NodeRecord
+	record       record.Node
 	client       *kvstore.Client
 	committer    *kvstore.Committer
 	cache        *kvstore.WatchCache
@@ -30,7 +31,7 @@
 func newSession(config Config) *session {
 	return &session{
 		nodeName:     config.NodeName,
-		record:       clusterstate.NodeRecord{Incarnation: config.Incarnation, SchemaVersion: config.SchemaVersion},
+		record:       record.Node{Incarnation: config.Incarnation, SchemaVersion: config.SchemaVersion},
 		client:       config.Client,
 		committer:    config.Committer,
 		cache:        config.Cache,
@@ -102,7 +103,7 @@
 // answer leaves a registration that may be applied seconds later, and must not
 // take the place of the one that follows it.
 func (s *session) register(ctx context.Context) (uint64, error) {
-	key := clusterstate.NodeKey(s.nodeName)
+	key := record.NodeKey(s.nodeName)
 	current, err := s.client.Get(ctx, key)
 	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return 0, err
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -5,12 +5,12 @@
 	"maps"
 	"time"
 
-	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
 )
 
 // reservation keeps a machine for a task while other tasks are stopped there for it.
 type reservation struct {
-	task      clusterstate.TaskRef
+	task      record.TaskRef
 	expiresAt time.Time
 }
 
@@ -18,7 +18,7 @@
 type reservationTable map[string]reservation
 
 // reserve keeps a machine for a task until a time.
-func (t reservationTable) reserve(machine string, task clusterstate.TaskRef, expiresAt time.Time) {
+func (t reservationTable) reserve(machine string, task record.TaskRef, expiresAt time.Time) {
 	t[machine] = reservation{task: task, expiresAt: expiresAt}
 }
 
@@ -27,8 +27,8 @@
 
 // active yields the machines whose reservation has not expired, with the task that each is kept for, in no
 // particular order.
-func (t reservationTable) active(now time.Time) iter.Seq2[string, clusterstate.TaskRef] {
-	return func(yield func(string, clusterstate.TaskRef) bool) {
+func (t reservationTable) active(now time.Time) iter.Seq2[string, record.TaskRef] {
+	return func(yield func(string, record.TaskRef) bool) {
 		for machine, reservation := range t {
 			if !now.After(reservation.expiresAt) && !yield(machine, reservation.task) {
 				return
--- a/internal/schemaversion/activator.go
+++ b/internal/schemaversion/activator.go
@@ -12,6 +12,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/membership"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -173,13 +174,13 @@
 	if state.SchemaVersion >= a.config.SupportedVersion {
 		return activation{}
 	}
-	leadership, leads := a.config.Owner.Ownership(clusterstate.LeaderShard)
+	leadership, leads := a.config.Owner.Ownership(record.LeaderShard)
 	if !leads {
 		return activation{}
 	}
 	conditions := []wire.Condition{
-		{Key: clusterstate.SchemaVersionKey, ModRevision: state.SchemaVersionModRevision},
-		{Key: clusterstate.ShardKey(clusterstate.LeaderShard), ModRevision: leadership.ModRevision},
+		{Key: record.SchemaVersionKey, ModRevision: state.SchemaVersionModRevision},
+		{Key: record.ShardKey(record.LeaderShard), ModRevision: leadership.ModRevision},
 	}
 	var blocked blocker
 	version := a.config.SupportedVersion
@@ -193,7 +194,7 @@
 			version = min(version, node.SchemaVersion)
 			blocked = blocker{reason: blockedByNode, node: name}
 		}
-		conditions = append(conditions, wire.Condition{Key: clusterstate.NodeKey(name), ModRevision: node.ModRevision})
+		conditions = append(conditions, wire.Condition{Key: record.NodeKey(name), ModRevision: node.ModRevision})
 	}
 	if version <= state.SchemaVersion {
 		return activation{blocker: blocked}
@@ -201,11 +202,11 @@
 	if len(conditions) > tuning.GuardsPerOp*a.config.Limits.MaxTransactionOps() {
 		return activation{blocker: blocker{reason: blockedByTransactionSize}}
 	}
-	record := clusterstate.SchemaVersionRecord{Version: version}
+	next := record.SchemaVersion{Version: version}
 	return activation{
 		transaction: &kvstore.Transaction{
 			Conditions: conditions,
-			Ops:        []wire.Op{kvstore.PutOp(clusterstate.SchemaVersionKey, record)},
+			Ops:        []wire.Op{kvstore.PutOp(record.SchemaVersionKey, next)},
 			Priority:   kvstore.PriorityUrgent,
 		},
 		blocker: blocked,
--- a/internal/schemaversion/activator_test.go
+++ b/internal/schemaversion/activator_test.go
@@ -11,6 +11,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/membership"
+	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -59,7 +60,7 @@
 	}
 	for _, op := range transaction.Ops {
 		f.put(op.PutKey, op.Value)
-		if op.PutKey == clusterstate.SchemaVersionKey {
+		if op.PutKey == record.SchemaVersionKey {
 			f.activate(op.Value)
 		}
 	}
@@ -67,16 +68,16 @@
 }
 
 func (f *fakeCluster) activate(value wire.RawValue) {
-	var record clusterstate.SchemaVersionRecord
-	if err := wire.Decode(value, &record); err != nil || record.Version <= f.activeVersion {
-		f.t.Fatalf("version %d after %d: %v", record.Version, f.activeVersion, err)
+	var active record.SchemaVersion
+	if err := wire.Decode(value, &active); err != nil || active.Version <= f.activeVersion {
+		f.t.Fatalf("version %d after %d: %v", active.Version, f.activeVersion, err)
 	}
 	for name, version := range f.nodeVersions {
-		if version < record.Version {
-			f.t.Fatalf("version %d activated while %s runs version %d", record.Version, name, version)
+		if version < active.Version {
+			f.t.Fatalf("version %d activated while %s runs version %d", active.Version, name, version)
 		}
 	}
-	f.activeVersion = record.Version
+	f.activeVersion = active.Version
 }
 
 func (f *fakeCluster) put(key string, value wire.RawValue) {
@@ -93,24 +94,24 @@
 // start starts a process that reads a version on a node.
 func (f *fakeCluster) start(name string, version int) {
 	f.nodeVersions[name] = version
-	record := clusterstate.NodeRecord{Incarnation: f.revision + 1, SchemaVersion: version}
-	f.put(clusterstate.NodeKey(name), wire.MustEncode(record))
+	session := record.Node{Incarnation: f.revision + 1, SchemaVersion: version}
+	f.put(record.NodeKey(name), wire.MustEncode(session))
 }
 
 // stop ends a node's process, and its session with it.
 func (f *fakeCluster) stop(name string) {
 	f.nodeVersions[name] = nodeIsDown
-	delete(f.modRevisions, clusterstate.NodeKey(name))
-	delete(f.values, clusterstate.NodeKey(name))
+	delete(f.modRevisions, record.NodeKey(name))
+	delete(f.values, record.NodeKey(name))
 }
 
 // keys are those of all sessions and of the active version.
 func (f *fakeCluster) keys() []string {
 	var keys []string
 	for _, name := range f.nodeNames {
-		keys = append(keys, clusterstate.NodeKey(name))
+		keys = append(keys, record.NodeKey(name))
 	}
-	return append(keys, clusterstate.SchemaVersionKey)
+	return append(keys, record.SchemaVersionKey)
 }
 
 // show brings the cluster state up to date for some keys.
@@ -141,11 +142,11 @@
 	case 2:
 		f.stop(name)
 	case 3:
-		f.show(clusterstate.NodeKey(name))
+		f.show(record.NodeKey(name))
 	case 4:
 		activator.check(f.t.Context())
 	}
-	if f.activeVersion != 0 && len(f.values[clusterstate.SchemaVersionKey]) == 0 {
+	if f.activeVersion != 0 && len(f.values[record.SchemaVersionKey]) == 0 {
 		f.t.Fatal("taken back")
 	}
 }
