--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -63,7 +63,7 @@
 	defer s.clusterState.RUnlock()
 	job := s.clusterState.Jobs[spec.ID]
 	known := job != nil && job.HasRecord
-	rejection := admission.Validate(spec, s.teamsByName, s.clusterState.Types)
+	rejection := admission.Validate(spec, s.teamsByName, s.clusterState.Catalog.Types)
 	maxRetries, overLimit := s.retryPolicies.MaxRetries(spec.Class, request.requestedRetries)
 	if rejection == nil {
 		rejection = overLimit
@@ -72,7 +72,7 @@
 	return assessment{
 		known:                   known,
 		hasOtherDependencies:    known && !sameDependencies(job.Spec.Dependencies, spec.Dependencies),
-		machineTypesKnown:       len(s.clusterState.Types) > 0,
+		machineTypesKnown:       len(s.clusterState.Catalog.Types) > 0,
 		schemaVersion:           version,
 		sizeLimits:              s.clusterState.SizeLimits(s.committer.UpcomingMaxRecordBytes()),
 		maxRetries:              maxRetries,
