--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -90,7 +90,14 @@
 		Logger:        logger,
 	})
 
-	agents := agent.New(settings, state, members, cache.CompleteAsOf, logger, c.Transport)
+	agents := agent.New(agent.Config{
+		Settings:     settings,
+		ClusterState: state,
+		Membership:   members,
+		CompleteAsOf: cache.CompleteAsOf,
+		Logger:       logger,
+		Transport:    c.Transport,
+	})
 	peers, err := c.ConnectPeers(agents)
 	if err != nil {
 		return nil, err
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -72,7 +72,10 @@
 			NodeName: node, Incarnation: 1, NodeNames: nodes, SchemaVersion: tuning.Level,
 			Client: client, Committer: committer, Cache: cache, ClusterState: fixture.cluster, Logger: log,
 		})
-		agents := agent.New(settings, fixture.cluster, members, func() time.Time { return testNow }, log, nil)
+		agents := agent.New(agent.Config{
+			Settings: settings, ClusterState: fixture.cluster, Membership: members,
+			CompleteAsOf: func() time.Time { return testNow }, Logger: log,
+		})
 		fixture.agents = append(fixture.agents, agents)
 		engine := New(settings, operator, fixture.cluster, members, agents, committer, client, nil, log)
 		engine.ctx = context.Background()
