--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -53,7 +53,10 @@
 	limits := kvstore.Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxValueKiB: 16, MaxTransactionOps: 32}
 	client := kvstore.NewClient("127.0.0.1:1", limits, nil)
 	cache := kvstore.NewWatchCache(client, record.LivePrefix, state, logger)
-	member := membership.New("a", 1, []string{"a", "b"}, tuning.Level, client, nil, cache, state, logger)
+	member := membership.New(membership.Config{
+		NodeName: "a", Incarnation: 1, NodeNames: []string{"a", "b"}, SchemaVersion: tuning.Level,
+		Client: client, Cache: cache, ClusterState: state, Logger: logger,
+	})
 	f := &registryFixture{state: state, confirmedAt: time.Now(), peerAnsweredAt: time.Now()}
 	f.Registry = New(Config{
 		Settings: settings, ClusterState: state, Membership: member,
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -153,7 +153,7 @@
 		r.updates.adopt(h.report)
 	}
 	answer := emptyResponse(h.fencingToken)
-	if _, _, owns := r.membership.Owns(h.shard); h.recorded != nil && owns {
+	if _, owns := r.membership.Ownership(h.shard); h.recorded != nil && owns {
 		commands := r.commandsFor(m, commandParams{h.recorded, h.fencingToken, h.report.Sequence, h.now})
 		answer.Commands = append(answer.Commands, commands...)
 	}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -78,7 +78,17 @@
 	cache := kvstore.NewWatchCache(client, record.LivePrefix, state, logger)
 	committer := kvstore.NewCommitter(client, func(ops []wire.Op, revision uint64) { cache.ApplyOwn(ops, revision) })
 	committer.SetObserver(cache)
-	members := membership.New(settings.Node, c.Incarnation, settings.Nodes(), c.SchemaVersion, client, committer, cache, state, logger)
+	members := membership.New(membership.Config{
+		NodeName:      settings.Node,
+		Incarnation:   c.Incarnation,
+		NodeNames:     settings.Nodes(),
+		SchemaVersion: c.SchemaVersion,
+		Client:        client,
+		Committer:     committer,
+		Cache:         cache,
+		ClusterState:  state,
+		Logger:        logger,
+	})
 
 	agents := agent.New(agent.Config{
 		Settings:     settings,
@@ -112,7 +122,15 @@
 		Log:       logger,
 	})
 	dependencies := dependency.NewResolver(state, client, logger)
-	versions := schemaversion.NewActivator(settings, c.SchemaVersion, state, members, committer, client, logger)
+	versions := schemaversion.NewActivator(schemaversion.Config{
+		NodeNames:        settings.Nodes(),
+		SupportedVersion: c.SchemaVersion,
+		ClusterState:     state,
+		Owner:            members,
+		Committer:        committer,
+		Limits:           client,
+		Logger:           logger,
+	})
 	offloads := offload.New(operator, deployment.Teams, state, members, committer, peers, logger)
 	if len(operator.Cells) > 0 {
 		peers.SetCellHandler(offloads.Answer)
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -104,14 +104,14 @@
 // heartbeat.
 func (c *cycle) viewShard(shard int) {
 	_, c.shards.live[shard] = c.membership.OwnerOf(shard)
-	token, revision, owned := c.membership.Owns(shard)
+	ownership, owned := c.membership.Ownership(shard)
 	if !owned {
 		if _, entitled := c.membership.MayServeAgents(shard); !entitled {
 			c.shardTenure.end(shard)
 		}
 		return
 	}
-	c.shards.fencingTokens[shard], c.shards.revisions[shard] = token, revision
+	c.shards.fencingTokens[shard], c.shards.revisions[shard] = ownership.FencingToken, ownership.ModRevision
 	if !c.shardTenure.begin(shard, c.now) {
 		return
 	}
@@ -125,7 +125,7 @@
 func (c *cycle) schedule() {
 	c.inventory = c.refreshInventory()
 	c.limitStarts()
-	_, _, isLeader := c.membership.Owns(record.LeaderShard)
+	_, isLeader := c.membership.Ownership(record.LeaderShard)
 	c.collectsDemand = isLeader && c.now.Sub(c.demand.unmet.ComputedAt) >= tuning.DemandEvery
 	queue := c.buildQueue(c.inventory.HasFreeCapacity())
 	c.inventory.FilterFeasible(func(yield func(record.Resources) bool) {
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -48,7 +48,7 @@
 		transaction: kvstore.Transaction{
 			Conditions: []wire.Condition{{Key: key, ModRevision: job.ModRevision}},
 			Ops:        c.finalOps(job, wire.JobCancelled, job.DoneCount),
-			Urgent:     true,
+			Priority:   kvstore.PriorityUrgent,
 		},
 	}
 }
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -87,7 +87,7 @@
 				transaction: kvstore.Transaction{
 					Conditions: []wire.Condition{{Key: record.ShardKey(machine.Shard), ModRevision: c.shards.revisions[machine.Shard]}, {Key: record.MachineKey(name), ModRevision: machine.ModRevision}},
 					Ops:        []wire.Op{kvstore.DeleteOp(record.MachineKey(name))},
-					Background: true, // its record says that it is being deleted, so nobody counts on it
+					Priority:   kvstore.PriorityBackground, // its record says that it is being deleted, so nobody counts on it
 				},
 			})
 		}
@@ -184,7 +184,7 @@
 // left every machine, where no change of a single record could end them. Only
 // the leader does so; it also sweeps chunks left by long jobs.
 func (c *cycle) finishJobs() {
-	if _, _, leads := c.membership.Owns(record.LeaderShard); !leads {
+	if _, leads := c.membership.Ownership(record.LeaderShard); !leads {
 		return
 	}
 	for id, job := range c.cluster.Jobs {
@@ -271,7 +271,12 @@
 		// session can't: others bind gangs and services to the one on record, which
 		// this node ends at once, and both over and over. After a zone's leases had run
 		// out that used up the whole budget, so that the records were never mended.
-		transaction.Urgent, transaction.Background = newSession, machine != nil && !newSession
+		switch {
+		case newSession:
+			transaction.Priority = kvstore.PriorityUrgent
+		case machine != nil:
+			transaction.Priority = kvstore.PriorityBackground
+		}
 	}
 }
 
@@ -311,7 +316,7 @@
 		description: "stop gang " + binding.Ref.Job, keys: []string{key}, shards: []int{machine.Shard},
 		transaction: kvstore.Transaction{
 			Conditions: []wire.Condition{{Key: key, ModRevision: binding.Job.ModRevision}, {Key: record.ShardKey(machine.Shard), ModRevision: c.shards.revisions[machine.Shard]}},
-			Ops:        []wire.Op{op}, Urgent: true,
+			Ops:        []wire.Op{op}, Priority: kvstore.PriorityUrgent,
 		},
 	})
 }
