--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -117,8 +117,8 @@
 func (s *Server) encodeMarked(job, marked *clusterstate.Job, further []wire.Condition) kvstore.Transaction {
 	limits := s.clusterState.SizeLimits(s.committer.MaxRecordBytes())
 	if s.clusterState.SchemaVersion >= tuning.LevelPipelines && job.NeedsMigration(limits) {
-		if conditions, ops, ok := marked.MigrateChunk(limits, 0); ok {
-			return kvstore.Transaction{Conditions: append(conditions, further...), Ops: ops, Urgent: true}
+		if migration, ok := marked.MigrateChunk(limits, 0); ok {
+			return kvstore.Transaction{Conditions: append(migration.Conditions, further...), Ops: migration.Ops, Urgent: true}
 		}
 	}
 	op := marked.EncodeChunk(0, nil)
--- a/internal/api/server_test.go
+++ b/internal/api/server_test.go
@@ -351,7 +351,7 @@
 	for i := range first {
 		first[i] = record.Task{Index: i, State: record.TaskDone, Attempt: 1}
 	}
-	last := func(state int) record.FixedChunk {
+	last := func(state record.TaskState) record.FixedChunk {
 		return record.FixedChunk{Tasks: []record.Task{{Index: tasks - 2, State: record.TaskDone, Attempt: 1}, {Index: tasks - 1, State: state, Attempt: 1, Machine: "vm-000001", Session: 1}}}
 	}
 	live, marked := record.Job{Spec: s, Tasks: first}, record.Job{Spec: s, Tasks: first, CancelledAtMs: 5, CancelAfterRelease: true}
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -95,9 +95,7 @@
 	job := record.Job{Spec: *spec, SubmittedAtMs: time.Now().UnixMilli()}
 	rejection := assessed.rejection
 	if rejection == nil {
-		if reason := job.ChooseLayout(assessed.schemaVersion, assessed.sizeLimits); reason != "" {
-			rejection = errors.New(reason)
-		}
+		rejection = job.ChooseLayout(assessed.schemaVersion, assessed.sizeLimits)
 	}
 	if rejection != nil {
 		return s.rejectUnlessAccepted(ctx, spec.ID, rejection)
--- a/internal/clusterstate/catalog.go
+++ b/internal/clusterstate/catalog.go
@@ -33,3 +33,23 @@
 	}
 	c.Types = types
 }
+
+func (s *State) putCatalog(change recordChange) error {
+	catalog, err := decode[wire.Catalog](change)
+	if err != nil {
+		return err
+	}
+	s.Catalog.combined, s.Catalog.ModRevision = catalog.Types, change.modRevision
+	s.Catalog.rebuild()
+	return nil
+}
+
+func (s *State) putMachineType(change recordChange) error {
+	machineType, err := decode[wire.MachineType](change)
+	if err != nil {
+		return err
+	}
+	s.Catalog.single[machineType.Name] = machineType
+	s.Catalog.rebuild()
+	return nil
+}
--- /dev/null
+++ b/internal/clusterstate/cells.go
@@ -0,0 +1,60 @@
+package clusterstate
+
+import "sableusher/internal/record"
+
+// Cell is what is kept of another cell, with the outcomes of the guest jobs it sent.
+type Cell struct {
+	record.Cell
+	ModRevision   uint64                  // 0: there are only outcomes
+	GuestOutcomes map[uint64]GuestOutcome // by the number of the transfer
+}
+
+// GuestOutcome is how a guest job ended.
+type GuestOutcome struct {
+	record.GuestOutcome
+	ModRevision uint64
+}
+
+// cellEntry returns the entry of another cell, made if there is none.
+func (s *State) cellEntry(name string) *Cell {
+	cell := s.Cells[name]
+	if cell == nil {
+		cell = &Cell{GuestOutcomes: map[uint64]GuestOutcome{}}
+		s.Cells[name] = cell
+	}
+	return cell
+}
+
+func (s *State) putCell(change recordChange) error {
+	stored, err := decode[record.Cell](change)
+	if err != nil {
+		return err
+	}
+	cell := s.cellEntry(change.name)
+	cell.Cell, cell.ModRevision = stored, change.modRevision
+	return nil
+}
+
+func (s *State) deleteCell(change recordChange) {
+	cell := s.cellEntry(change.name)
+	cell.Cell, cell.ModRevision = record.Cell{}, 0
+}
+
+func (s *State) putGuestOutcome(change recordChange) error {
+	cell, transfer, ok := record.ParseGuestOutcomeKey(change.key)
+	if !ok {
+		return nil
+	}
+	outcome, err := decode[record.GuestOutcome](change)
+	if err != nil {
+		return err
+	}
+	s.cellEntry(cell).GuestOutcomes[transfer] = GuestOutcome{GuestOutcome: outcome, ModRevision: change.modRevision}
+	return nil
+}
+
+func (s *State) deleteGuestOutcome(change recordChange) {
+	if cell, transfer, ok := record.ParseGuestOutcomeKey(change.key); ok {
+		delete(s.cellEntry(cell).GuestOutcomes, transfer)
+	}
+}
--- /dev/null
+++ b/internal/clusterstate/chunks.go
@@ -0,0 +1,215 @@
+package clusterstate
+
+import "sableusher/internal/record"
+
+// A job's own record and those of its further chunks change in one transaction, but arrive one after another.
+// A chunk that the job's own record does not place is therefore kept as an orphan until that record changes.
+
+// jobEntry returns a job's entry, made if there is none.
+func (s *State) jobEntry(id string) *Job {
+	job := s.Jobs[id]
+	if job == nil {
+		job = &Job{}
+		s.Jobs[id] = job
+	}
+	return job
+}
+
+// removeIfEmpty forgets a job of which no record is left.
+func (s *State) removeIfEmpty(id string, job *Job) {
+	if !job.HasRecord && len(job.orphanChunks) == 0 {
+		delete(s.Jobs, id)
+	}
+}
+
+func (s *State) putJobRecord(change recordChange) error {
+	stored, err := record.DecodeJob(change.value)
+	if err != nil {
+		return err
+	}
+	id := stored.Spec.ID
+	s.changes.markJob(id)
+	job := s.jobEntry(id)
+	if stored.CancelledAtMs != job.CancelledAtMs || stored.PreemptedAttempt != job.PreemptedAttempt {
+		s.markMachinesOf(job)
+	}
+	isNew := !job.HasRecord
+	layoutChanged := stored.ChunkWidth != job.ChunkWidth || stored.FirstFixedChunk != job.FirstFixedChunk
+	if layoutChanged {
+		s.orphanChunks(job)
+	}
+	tasks := stored.Tasks
+	stored.Tasks = nil
+	if isNew {
+		job.EncodedBaseSize = record.EncodedBaseSize(stored)
+	}
+	job.Job, job.ModRevision, job.HasRecord = stored, change.modRevision, true
+	if isNew || layoutChanged {
+		s.adoptChunks(job)
+	}
+	s.setChunk(job, 0, tasks, change.modRevision)
+	if isNew {
+		s.addDependencies(id, job)
+	}
+	s.updateDependents(id)
+	return nil
+}
+
+// markMachinesOf enters the machines of a job's bound tasks into the change feeds.
+func (s *State) markMachinesOf(job *Job) {
+	job.ForEachStartedTask(func(task record.Task) {
+		if task.State == record.TaskBound {
+			s.changes.markMachine(task.Machine)
+		}
+	})
+}
+
+func (s *State) deleteJobRecord(change recordChange) {
+	id := change.name
+	job := s.Jobs[id]
+	if job == nil {
+		return
+	}
+	s.changes.markJob(id)
+	if job.HasRecord {
+		s.orphanChunks(job)
+		s.removeDependencies(id, job)
+	}
+	remains := &Job{orphanChunks: job.orphanChunks}
+	s.Jobs[id] = remains
+	s.removeIfEmpty(id, remains)
+	s.updateDependents(id)
+}
+
+func (s *State) putFixedChunk(change recordChange) error {
+	id, _, ok := record.ParseChunkKey(change.key)
+	if !ok {
+		return nil
+	}
+	tasks, err := record.DecodeFixedChunk(change.value)
+	if err != nil {
+		return err
+	}
+	s.putChunk(id, change, tasks)
+	return nil
+}
+
+func (s *State) putGroupedChunk(change recordChange) error {
+	id, _, ok := record.ParseChunkKey(change.key)
+	if !ok {
+		return nil
+	}
+	tasks, err := record.DecodeGroupedChunk(change.value)
+	if err != nil {
+		return err
+	}
+	s.putChunk(id, change, tasks)
+	return nil
+}
+
+// putChunk applies a further chunk of a job's tasks.
+func (s *State) putChunk(id string, change recordChange, tasks []record.Task) {
+	s.changes.markJob(id)
+	job := s.jobEntry(id)
+	if chunk, ok := job.ChunkIndexOf(change.key); ok && job.HasRecord {
+		s.setChunk(job, chunk, tasks, change.modRevision)
+		s.updateDependents(id)
+		return
+	}
+	job.addOrphan(change.key, orphanChunk{tasks: tasks, modRevision: change.modRevision})
+}
+
+func (s *State) deleteChunkRecord(change recordChange) {
+	id, _, ok := record.ParseChunkKey(change.key)
+	if !ok {
+		return
+	}
+	job := s.Jobs[id]
+	if job == nil {
+		return
+	}
+	s.changes.markJob(id)
+	delete(job.orphanChunks, change.key)
+	if chunk, ok := job.ChunkIndexOf(change.key); ok && job.HasRecord {
+		s.setChunk(job, chunk, nil, 0)
+	}
+	s.removeIfEmpty(id, job)
+}
+
+func (j *Job) addOrphan(key string, orphan orphanChunk) {
+	if j.orphanChunks == nil {
+		j.orphanChunks = map[string]orphanChunk{}
+	}
+	j.orphanChunks[key] = orphan
+}
+
+// orphanChunks makes the further chunks of a job orphans, as its own record is about to place them anew.
+func (s *State) orphanChunks(job *Job) {
+	for chunk, old := range job.Chunks {
+		for _, task := range old.Tasks {
+			s.indexTask(job, task, taskRemoved)
+		}
+		if chunk != 0 && old.ModRevision != 0 {
+			job.addOrphan(job.ChunkKey(chunk), orphanChunk{tasks: old.Tasks, modRevision: old.ModRevision})
+		}
+	}
+	job.Chunks = nil
+}
+
+// adoptChunks places the orphans that the job's layout has.
+func (s *State) adoptChunks(job *Job) {
+	for key, orphan := range job.orphanChunks {
+		if chunk, ok := job.ChunkIndexOf(key); ok {
+			delete(job.orphanChunks, key)
+			s.setChunk(job, chunk, orphan.tasks, orphan.modRevision)
+		}
+	}
+}
+
+// setChunk replaces a chunk's tasks and keeps the indexes in step.
+func (s *State) setChunk(job *Job, number int, tasks []record.Task, modRevision uint64) {
+	for len(job.Chunks) <= number {
+		job.Chunks = append(job.Chunks, Chunk{})
+	}
+	chunk := &job.Chunks[number]
+	old := chunk.Tasks
+	chunk.ModRevision, chunk.Tasks = modRevision, nil
+	if len(tasks) == 0 {
+		for _, task := range old {
+			s.indexTask(job, task, taskRemoved)
+		}
+		return
+	}
+	chunk.Tasks = job.fillChunk(number, tasks)
+	chunk.pendingCount = 0
+	// Only what differs is taken out of the indexes and put in again: a record of many tasks is written again
+	// for each of them.
+	for i, task := range chunk.Tasks {
+		if task.State == record.TaskPending {
+			chunk.pendingCount++
+		}
+		if i < len(old) {
+			if old[i] == task {
+				continue
+			}
+			s.indexTask(job, old[i], taskRemoved)
+		}
+		job.trackRetry(task)
+		s.indexTask(job, task, taskAdded)
+	}
+}
+
+// fillChunk returns the tasks of a chunk by position, with those that its record leaves out.
+func (j *Job) fillChunk(chunk int, tasks []record.Task) []record.Task {
+	first, end := j.TaskRange(chunk)
+	filled := make([]record.Task, end-first)
+	for i := range filled {
+		filled[i].Index = first + i
+	}
+	for _, task := range tasks {
+		if i := task.Index - first; i >= 0 && i < len(filled) {
+			filled[i] = task
+		}
+	}
+	return filled
+}
--- a/internal/clusterstate/dependencies.go
+++ b/internal/clusterstate/dependencies.go
@@ -7,142 +7,201 @@
 	"sableusher/internal/wire"
 )
 
-// A job may await others. What became of those is read from their records: a
-// live one tells by itself, one that is over by its final record, which the
-// resolver reads. Done and cancelled never turn back, so what was once seen
-// stands; what was not seen proves nothing.
-
-// addDependencies enters a job's awaited jobs into the index.
-func (w *State) addDependencies(id string, j *Job) {
-	for _, a := range j.Spec.Dependencies {
-		set := w.dependentsOf[a]
-		if set == nil {
-			set = map[string]struct{}{}
-			w.dependentsOf[a] = set
+// A job may depend on others. What became of those is read from their records: a live job shows it by itself,
+// a finished one by its final record, which the dependency resolver reads. Done and cancelled are final, so what
+// was once seen stands; what was not seen proves nothing.
+
+// dependencyIndex tracks which live jobs depend on which others. The State's lock guards it.
+type dependencyIndex struct {
+	dependentsOf map[string]map[string]struct{} // live jobs, by the job they depend on
+	finals       map[string]record.Final        // final records of the jobs depended on
+	unresolved   map[string]struct{}            // jobs depended on that are not live, their final record not read
+	cancelled    map[string]struct{}            // live jobs that depend on a cancelled one
+}
+
+func newDependencyIndex() dependencyIndex {
+	return dependencyIndex{
+		dependentsOf: map[string]map[string]struct{}{},
+		finals:       map[string]record.Final{},
+		unresolved:   map[string]struct{}{},
+		cancelled:    map[string]struct{}{},
+	}
+}
+
+// add enters the dependencies of a new job.
+func (x *dependencyIndex) add(id string, job *Job) {
+	for _, dependency := range job.Spec.Dependencies {
+		dependents := x.dependentsOf[dependency]
+		if dependents == nil {
+			dependents = map[string]struct{}{}
+			x.dependentsOf[dependency] = dependents
 		}
-		set[id] = struct{}{}
+		dependents[id] = struct{}{}
 	}
-	w.updateDependencies(id)
 }
 
-// removeDependencies takes a job that is over out of the index, and what only it needed.
-func (w *State) removeDependencies(id string, j *Job) {
-	for _, a := range j.Spec.Dependencies {
-		delete(w.dependentsOf[a], id)
-		if len(w.dependentsOf[a]) == 0 {
-			delete(w.dependentsOf, a)
-			delete(w.finalRecords, a)
-			delete(w.unresolvedDependencies, a)
+// remove takes out the dependencies of a job that is over, and what only it needed.
+func (x *dependencyIndex) remove(id string, job *Job) {
+	for _, dependency := range job.Spec.Dependencies {
+		delete(x.dependentsOf[dependency], id)
+		if len(x.dependentsOf[dependency]) == 0 {
+			delete(x.dependentsOf, dependency)
+			delete(x.finals, dependency)
+			delete(x.unresolved, dependency)
 		}
 	}
-	delete(w.dependencyCancelled, id)
+	delete(x.cancelled, id)
+}
+
+// dependencyOutcome is what is known of a job that another depends on.
+type dependencyOutcome int
+
+const (
+	dependencyUnknown   dependencyOutcome = iota // not live, its final record not read
+	dependencyLive                               // not over
+	dependencyMet                                // done
+	dependencyCancelled                          // cancelled, or to be cancelled: it is never done
+)
+
+// String returns the outcome's name.
+func (o dependencyOutcome) String() string {
+	return [...]string{"unknown", "live", "met", "cancelled"}[o]
 }
 
-// updateDependents looks again at the jobs that await one of which something changed.
-func (w *State) updateDependents(id string) {
-	for waiter := range w.dependentsOf[id] {
-		w.updateDependencies(waiter)
+// dependencyOutcome returns what is known of a job, and if it is done, when it was.
+func (s *State) dependencyOutcome(id string) (outcome dependencyOutcome, atMs int64) {
+	if final, over := s.dependencies.finals[id]; over {
+		if final.Status == wire.JobDone {
+			return dependencyMet, final.EndedAtMs
+		}
+		return dependencyCancelled, 0
+	}
+	live := s.Jobs[id]
+	switch {
+	case live == nil || !live.HasRecord:
+		return dependencyUnknown, 0
+	case live.Complete():
+		return dependencyMet, time.Now().UnixMilli()
+	case live.Cancelled() || live.DependencyCancelled:
+		return dependencyCancelled, 0
 	}
+	return dependencyLive, 0
 }
 
-// updateDependencies finds out what became of the jobs that one awaits.
-func (w *State) updateDependencies(id string) {
-	j := w.Jobs[id]
-	if j == nil || !j.HasRecord || j.DependencyCancelled {
+// addDependencies enters the dependencies of a new job into the index.
+func (s *State) addDependencies(id string, job *Job) {
+	s.dependencies.add(id, job)
+	s.updateDependencies(id)
+}
+
+// removeDependencies takes the dependencies of a job that is over out of the index.
+func (s *State) removeDependencies(id string, job *Job) { s.dependencies.remove(id, job) }
+
+// updateDependents looks again at the jobs that depend on one of which something changed.
+func (s *State) updateDependents(id string) {
+	for dependent := range s.dependencies.dependentsOf[id] {
+		s.updateDependencies(dependent)
+	}
+}
+
+// updateDependencies finds out what became of the jobs that one depends on.
+func (s *State) updateDependencies(id string) {
+	job := s.Jobs[id]
+	if job == nil || !job.HasRecord || job.DependencyCancelled {
 		return
 	}
-	w.markJobChanged(id)
-	for _, a := range j.Spec.Dependencies {
-		if _, ok := j.metDependencies[a]; ok {
+	s.changes.markJob(id)
+	for _, dependency := range job.Spec.Dependencies {
+		if _, ok := job.metDependencies[dependency]; ok {
 			continue
 		}
-		live := w.Jobs[a]
-		final, over := w.finalRecords[a]
-		switch {
-		case over && final.Status == wire.JobDone:
-			j.markDependencyMet(a, final.EndedAtMs)
-		case !over && live != nil && live.Complete():
-			delete(w.unresolvedDependencies, a)
-			j.markDependencyMet(a, time.Now().UnixMilli())
-		case over, live != nil && live.HasRecord && (live.Cancelled() || live.DependencyCancelled):
-			delete(w.unresolvedDependencies, a)
-			w.markDependencyCancelled(id, j)
+		outcome, atMs := s.dependencyOutcome(dependency)
+		if outcome == dependencyUnknown {
+			s.dependencies.unresolved[dependency] = struct{}{}
+			continue
+		}
+		delete(s.dependencies.unresolved, dependency)
+		switch outcome {
+		case dependencyMet:
+			job.markDependencyMet(dependency, atMs)
+		case dependencyCancelled:
+			s.markDependencyCancelled(id, job)
 			return
-		case live != nil && live.HasRecord:
-			delete(w.unresolvedDependencies, a)
-		default:
-			w.unresolvedDependencies[a] = struct{}{}
+		case dependencyLive, dependencyUnknown: // nothing to note
 		}
 	}
 }
 
-func (j *Job) markDependencyMet(a string, atMs int64) {
+func (j *Job) markDependencyMet(dependency string, atMs int64) {
 	if j.metDependencies == nil {
 		j.metDependencies = map[string]int64{}
 	}
-	j.metDependencies[a] = atMs
+	j.metDependencies[dependency] = atMs
 	j.DependenciesMetAtMs = max(j.DependenciesMetAtMs, atMs)
 }
 
-func (w *State) markDependencyCancelled(id string, j *Job) {
-	j.DependencyCancelled, j.DependencyCancelledAt = true, time.Now()
-	w.dependencyCancelled[id] = struct{}{}
-	w.updateDependents(id)
+func (s *State) markDependencyCancelled(id string, job *Job) {
+	job.DependencyCancelled, job.DependencyCancelledAt = true, time.Now()
+	s.dependencies.cancelled[id] = struct{}{}
+	s.updateDependents(id)
 }
 
-// HasUnmetDependencies tells whether a job that this one needs is not known to be done. It is
-// the one guard that every binding passes.
+// HasUnmetDependencies reports whether a job that this one depends on is not known to be done. Every binding
+// of a task is subject to it.
 func (j *Job) HasUnmetDependencies() bool {
 	return len(j.metDependencies) < len(j.Spec.Dependencies) || j.DependencyCancelled
 }
 
-// ReadySinceMs is when the job could have started at the earliest: its submission, or
-// the end of the last job that it awaits.
+// ReadySinceMs is when the job could have started at the earliest: its submission, or the end of the last job
+// it depends on.
 func (j *Job) ReadySinceMs() int64 { return max(j.SubmittedAtMs, j.DependenciesMetAtMs) }
 
-// ReadySince is SinceMs as a time.
+// ReadySince is ReadySinceMs as a time.
 func (j *Job) ReadySince() time.Time { return time.UnixMilli(j.ReadySinceMs()) }
 
-// Dependents gives the live jobs that await one. Callers hold the lock.
-func (w *State) Dependents(id string) map[string]struct{} { return w.dependentsOf[id] }
+// Dependents returns the live jobs that depend on one. Callers hold the lock, and change nothing.
+func (s *State) Dependents(id string) map[string]struct{} { return s.dependencies.dependentsOf[id] }
 
-// DependencyCancelled gives the live jobs that fall with one that they need. Callers hold the lock.
-func (w *State) DependencyCancelled() map[string]struct{} { return w.dependencyCancelled }
+// DependencyCancelled returns the live jobs that depend on a cancelled one and are to be cancelled with it.
+// Callers hold the lock, and change nothing.
+func (s *State) DependencyCancelled() map[string]struct{} { return s.dependencies.cancelled }
 
-// OutcomeUndecided tells whether a job may be about to fall with another: a poll must
-// not call it waiting. Callers hold the lock.
-func (w *State) OutcomeUndecided(j *Job) bool {
-	if j.DependencyCancelled {
+// OutcomeUndecided reports whether a job may be about to be cancelled with one it depends on: a poll must not
+// answer then that it is waiting. Callers hold the lock.
+func (s *State) OutcomeUndecided(job *Job) bool {
+	if job.DependencyCancelled {
 		return true
 	}
-	for _, a := range j.Spec.Dependencies {
-		if _, met := j.metDependencies[a]; !met {
-			if _, ok := w.unresolvedDependencies[a]; ok {
-				return true
-			}
+	for _, dependency := range job.Spec.Dependencies {
+		if _, met := job.metDependencies[dependency]; met {
+			continue
+		}
+		if _, unresolved := s.dependencies.unresolved[dependency]; unresolved {
+			return true
 		}
 	}
 	return false
 }
 
-// UnresolvedDependencies lists the awaited jobs whose final record is to be read.
-func (w *State) UnresolvedDependencies() []string {
-	w.RLock()
-	defer w.RUnlock()
-	out := make([]string, 0, len(w.unresolvedDependencies))
-	for id := range w.unresolvedDependencies {
-		out = append(out, id)
+// UnresolvedDependencies lists the jobs depended on whose final record is to be read. It takes the lock.
+func (s *State) UnresolvedDependencies() []string {
+	s.RLock()
+	defer s.RUnlock()
+	ids := make([]string, 0, len(s.dependencies.unresolved))
+	for id := range s.dependencies.unresolved {
+		ids = append(ids, id)
 	}
-	return out
+	return ids
 }
 
-// PutFinalRecord takes in the final record of an awaited job.
-func (w *State) PutFinalRecord(id string, rec record.Final) {
-	w.BeginUpdate()
-	defer w.EndUpdate()
-	if len(w.dependentsOf[id]) > 0 {
-		w.finalRecords[id] = rec
-		delete(w.unresolvedDependencies, id)
-		w.updateDependents(id)
+// PutFinalRecord applies the final record of a job that others depend on. It takes the lock.
+func (s *State) PutFinalRecord(id string, final record.Final) {
+	s.BeginUpdate()
+	defer s.EndUpdate()
+	if len(s.dependencies.dependentsOf[id]) == 0 {
+		return
 	}
+	s.dependencies.finals[id] = final
+	delete(s.dependencies.unresolved, id)
+	s.updateDependents(id)
 }
--- /dev/null
+++ b/internal/clusterstate/machines.go
@@ -0,0 +1,114 @@
+package clusterstate
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"sableusher/internal/record"
+	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
+)
+
+// Machine is a known machine: one with a record of its own, or one that an open rental lists.
+type Machine struct {
+	record.Machine
+	Name        string
+	Shard       int
+	ModRevision uint64 // 0: only a rental lists it
+	Bindings    map[record.TaskRef]Binding
+	Used        record.Resources // by the bound tasks
+	// PreemptibleByRank is what tasks that may be preempted alone take, by rank of priority.
+	PreemptibleByRank [wire.PriorityCount]record.Resources
+	// TasksByImage counts the bound tasks by image.
+	TasksByImage map[string]int
+}
+
+// addUsage adds what count tasks of a job take; count may be negative.
+func (m *Machine) addUsage(spec *wire.JobSpec, count int) {
+	need := record.TaskResources(spec)
+	m.Used = m.Used.AddTimes(need, float64(count))
+	if record.TaskPreemptible(spec) {
+		rank := spec.Priority.Rank()
+		m.PreemptibleByRank[rank] = m.PreemptibleByRank[rank].AddTimes(need, float64(count))
+	}
+	if m.TasksByImage[spec.Image] += count; m.TasksByImage[spec.Image] <= 0 {
+		delete(m.TasksByImage, spec.Image)
+	}
+}
+
+// resetUsage forgets the rounding errors of an empty machine.
+func (m *Machine) resetUsage() {
+	m.Used, m.PreemptibleByRank = record.Resources{}, [wire.PriorityCount]record.Resources{}
+}
+
+func compareMachineName(machine *Machine, name string) int { return cmp.Compare(machine.Name, name) }
+
+// machineEntry returns a machine's entry, made if there is none.
+func (s *State) machineEntry(name string) *Machine {
+	if machine := s.Machines[name]; machine != nil {
+		return machine
+	}
+	machine := &Machine{Name: name, Shard: record.ShardOf(name, s.ShardCount),
+		Bindings: map[record.TaskRef]Binding{}, TasksByImage: map[string]int{}}
+	s.Machines[name] = machine
+	s.longestMachineName = max(s.longestMachineName, len(name))
+	ofShard := s.MachinesByShard[machine.Shard]
+	at, _ := slices.BinarySearchFunc(ofShard, name, compareMachineName)
+	s.MachinesByShard[machine.Shard] = slices.Insert(ofShard, at, machine)
+	if orphans := s.OrphanBindings[name]; orphans != nil {
+		machine.Bindings = orphans
+		for _, binding := range orphans {
+			machine.addUsage(&binding.Job.Spec, 1)
+		}
+		delete(s.OrphanBindings, name)
+	}
+	return machine
+}
+
+func (s *State) putMachine(change recordChange) error {
+	stored, err := decode[record.Machine](change)
+	if err != nil {
+		return err
+	}
+	machine := s.machineEntry(change.name)
+	machine.Machine, machine.ModRevision = stored, change.modRevision
+	s.changes.markMachine(change.name)
+	return nil
+}
+
+func (s *State) deleteMachine(change recordChange) {
+	machine := s.Machines[change.name]
+	if machine == nil {
+		return
+	}
+	s.changes.markMachine(change.name)
+	if rental, ok := s.Rentals[s.rentalByMachine[change.name]]; ok {
+		// The rental still lists it: it counts as not yet up.
+		machine.Machine, machine.ModRevision = rental.InitialMachine(), 0
+		return
+	}
+	s.removeMachine(machine)
+}
+
+// removeMachine takes a machine out of the indexes; its bindings become orphans.
+func (s *State) removeMachine(machine *Machine) {
+	delete(s.Machines, machine.Name)
+	ofShard := s.MachinesByShard[machine.Shard]
+	if at, ok := slices.BinarySearchFunc(ofShard, machine.Name, compareMachineName); ok {
+		s.MachinesByShard[machine.Shard] = slices.Delete(ofShard, at, at+1)
+	}
+	if len(machine.Bindings) > 0 {
+		s.OrphanBindings[machine.Name] = maps.Clone(machine.Bindings)
+	}
+}
+
+// LongestMachineName is the length in bytes of the longest machine name so far. Callers hold the lock.
+func (s *State) LongestMachineName() int { return s.longestMachineName }
+
+// SizeLimits returns the limits of records of at most maxBytes, given the machine names so far. Callers hold
+// the lock.
+func (s *State) SizeLimits(maxBytes int) record.SizeLimits {
+	extraNameBytes := max(0, s.longestMachineName-tuning.TaskName)
+	return record.SizeLimits{MaxBytes: maxBytes, BoundTaskBytes: tuning.TaskBytes + extraNameBytes}
+}
--- /dev/null
+++ b/internal/clusterstate/migration_test.go
@@ -0,0 +1,256 @@
+package clusterstate
+
+import (
+	"fmt"
+	"log/slog"
+	"maps"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"sableusher/internal/record"
+	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
+)
+
+// recordStore is a store of records with mod revisions, and a state that follows it.
+type recordStore struct {
+	records      map[string]wire.RawValue
+	modRevisions map[string]uint64
+	revision     uint64
+	state        *State
+}
+
+func newRecordStore() *recordStore {
+	return &recordStore{
+		records:      map[string]wire.RawValue{},
+		modRevisions: map[string]uint64{},
+		state:        New(3, slog.New(slog.DiscardHandler)),
+	}
+}
+
+// commit applies operations if all conditions hold; the state sees them in any order.
+func (s *recordStore) commit(t *rapid.T, conditions []wire.Condition, ops []wire.Op) bool {
+	for _, condition := range conditions {
+		if s.modRevisions[condition.Key] != condition.ModRevision {
+			return false
+		}
+	}
+	s.revision++
+	s.state.BeginUpdate()
+	defer s.state.EndUpdate()
+	for _, op := range rapid.Permutation(ops).Draw(t, "order") {
+		if op.PutKey != "" {
+			s.records[op.PutKey], s.modRevisions[op.PutKey] = op.Value, s.revision
+			s.state.Put(op.PutKey, op.Value, s.revision)
+		} else {
+			delete(s.records, op.DeleteKey)
+			delete(s.modRevisions, op.DeleteKey)
+			s.state.Delete(op.DeleteKey)
+		}
+	}
+	return true
+}
+
+// reload reads all records anew, in any order, as a node does that starts.
+func (s *recordStore) reload(t *rapid.T) *State {
+	state := New(3, slog.New(slog.DiscardHandler))
+	state.BeginUpdate()
+	for _, key := range rapid.Permutation(slices.Sorted(maps.Keys(s.records))).Draw(t, "listed") {
+		state.Put(key, s.records[key], s.modRevisions[key])
+	}
+	state.EndUpdate()
+	return state
+}
+
+// deleteAll deletes all records.
+func (s *recordStore) deleteAll() {
+	s.state.BeginUpdate()
+	for _, key := range slices.Sorted(maps.Keys(s.records)) {
+		s.state.Delete(key)
+	}
+	s.state.EndUpdate()
+}
+
+// taskWrite is a change of some tasks of one chunk.
+type taskWrite struct {
+	conditions []wire.Condition
+	ops        []wire.Op
+	tasks      map[int]record.Task
+}
+
+// migrationModel is a job whose tasks change while its chunks are migrated, next to a plain map of its tasks.
+type migrationModel struct {
+	store     *recordStore
+	limits    record.SizeLimits
+	spec      wire.JobSpec
+	tasks     map[int]record.Task // those that were ever changed, by index
+	delayed   []taskWrite         // applied later, if their conditions still hold
+	migrating bool
+}
+
+func newMigrationModel(t *rapid.T) *migrationModel {
+	m := &migrationModel{
+		store: newRecordStore(),
+		limits: record.SizeLimits{
+			MaxBytes: rapid.IntRange(900, 16000).Draw(t, "room"), BoundTaskBytes: tuning.TaskBytes,
+		},
+		spec: wire.JobSpec{
+			ID: "run-7", Class: "c", Team: "t", Priority: wire.PriorityNormal, GPUs: 1,
+			Kind:      rapid.SampledFrom([]wire.JobKind{wire.KindArray, wire.KindGang}).Draw(t, "kind"),
+			TaskCount: rapid.IntRange(1, 600).Draw(t, "tasks"),
+		},
+		tasks: map[int]record.Task{},
+	}
+	if rapid.Bool().Draw(t, "counted") {
+		m.spec.MaxRetries = new(int)
+	}
+	job := record.Job{Spec: m.spec, SubmittedAtMs: 1764600000000}
+	m.store.commit(t, nil, []wire.Op{{PutKey: record.JobKey(m.spec.ID), Value: wire.MustEncode(job)}})
+	return m
+}
+
+func (m *migrationModel) job() *Job { return m.store.state.Jobs[m.spec.ID] }
+
+// drawTask draws the next state of a task.
+func (m *migrationModel) drawTask(t *rapid.T, index int) record.Task {
+	task := record.Task{
+		Index:   index,
+		State:   rapid.SampledFrom(taskStates).Draw(t, "state"),
+		Attempt: uint64(rapid.IntRange(1, 3).Draw(t, "attempt")),
+	}
+	if m.spec.MaxRetries != nil && task.State != record.TaskDone {
+		task.Failures = rapid.IntRange(0, 12).Draw(t, "failures")
+	}
+	if task.State == record.TaskBound {
+		task.Machine = fmt.Sprintf("vm-%06d", rapid.IntRange(0, 5).Draw(t, "machine"))
+		task.Session = 1
+	}
+	return task
+}
+
+// writeTasks changes some tasks of one chunk, now or later.
+func (m *migrationModel) writeTasks(t *rapid.T) {
+	job := m.job()
+	first, end := job.TaskRange(rapid.IntRange(0, job.ChunkCount()-1).Draw(t, "record"))
+	changes := map[int]record.Task{}
+	for range rapid.IntRange(1, 12).Draw(t, "changed") {
+		index := rapid.IntRange(first, end-1).Draw(t, "task")
+		changes[index] = m.drawTask(t, index)
+	}
+	chunk := job.ChunkOf(first)
+	write := taskWrite{job.ChunkConditions(chunk), []wire.Op{job.EncodeChunk(chunk, changes)}, changes}
+	if size := wire.JSONSize(write.ops[0].Value); job.MaxChunkSize(chunk, changes) < size {
+		t.Fatalf("record takes %d bytes, %d were expected", size, job.MaxChunkSize(chunk, changes))
+	}
+	if rapid.Bool().Draw(t, "late") {
+		m.delayed = append(m.delayed, write)
+		return
+	}
+	m.apply(t, write)
+}
+
+func (m *migrationModel) apply(t *rapid.T, write taskWrite) {
+	if m.store.commit(t, write.conditions, write.ops) {
+		maps.Copy(m.tasks, write.tasks)
+	}
+}
+
+// applyDelayed applies the oldest write that was delayed.
+func (m *migrationModel) applyDelayed(t *rapid.T) {
+	if len(m.delayed) > 0 {
+		write := m.delayed[0]
+		m.delayed = m.delayed[1:]
+		m.apply(t, write)
+	}
+}
+
+// migrate takes the next step of the job's migration.
+func (m *migrationModel) migrate(t *rapid.T) {
+	job := m.job()
+	if !job.NeedsMigration(m.limits) {
+		return
+	}
+	step, ok := job.MigrateChunk(m.limits, 4)
+	if !ok {
+		return
+	}
+	m.migrating = true
+	if len(step.Ops) > tuning.LeastTxnOps {
+		t.Fatalf("%d changes in one step", len(step.Ops))
+	}
+	if !m.store.commit(t, step.Conditions, step.Ops) {
+		t.Fatal("a migration from the newest state failed")
+	}
+}
+
+// check compares a state with the model.
+func (m *migrationModel) check(t *rapid.T, state *State) {
+	job := state.Jobs[m.spec.ID]
+	bound, done, retries := 0, 0, 0
+	for index := range m.spec.TaskCount {
+		want, ok := m.tasks[index]
+		if !ok {
+			want = record.Task{Index: index}
+		}
+		if got := job.Task(index); got != want {
+			t.Fatalf("task %d is %+v, want %+v (chunk width %d, first fixed chunk %d)",
+				index, got, want, job.ChunkWidth, job.FirstFixedChunk)
+		}
+		if want.State == record.TaskPending && want.Failures > 0 {
+			retries++
+			if job.PendingRetries[index].Failures != want.Failures {
+				t.Fatalf("task %d waits for a retry after %d failures, known as %+v",
+					index, want.Failures, job.PendingRetries[index])
+			}
+		}
+		switch want.State {
+		case record.TaskBound:
+			bound++
+		case record.TaskDone:
+			done++
+		case record.TaskPending:
+		}
+	}
+	if len(job.PendingRetries) != retries {
+		t.Fatalf("%d tasks wait for a retry, want %d", len(job.PendingRetries), retries)
+	}
+	if job.BoundCount != bound || job.DoneCount != done {
+		t.Fatalf("%d bound, %d done, want %d and %d", job.BoundCount, job.DoneCount, bound, done)
+	}
+}
+
+// TestMigrationUnderConcurrentWrites changes tasks of jobs of every size in every layout while their chunks are
+// migrated, with writers that pause in between, and compares with a plain map: nothing is lost, nothing written
+// twice, and what is written after the migration stays within the limit.
+func TestMigrationUnderConcurrentWrites(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		model := newMigrationModel(t)
+		for range rapid.IntRange(1, 60).Draw(t, "steps") {
+			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			case 0, 1:
+				model.writeTasks(t)
+			case 2:
+				model.migrate(t)
+			case 3:
+				model.applyDelayed(t)
+			}
+			model.check(t, model.store.state)
+			model.check(t, model.store.reload(t))
+		}
+		for range 20 {
+			if model.migrating {
+				model.migrate(t)
+			}
+		}
+		if job := model.job(); model.migrating && (job.ChunkWidth == 0 || job.FirstFixedChunk != 0) {
+			t.Fatalf("chunks were not migrated to the end: chunk width %d, first fixed chunk %d",
+				job.ChunkWidth, job.FirstFixedChunk)
+		}
+		model.store.deleteAll()
+		if len(model.store.state.Jobs) != 0 {
+			t.Fatal("a job without records is left")
+		}
+	})
+}
--- /dev/null
+++ b/internal/clusterstate/update.go
@@ -0,0 +1,140 @@
+package clusterstate
+
+import (
+	"strings"
+
+	"sableusher/internal/record"
+	"sableusher/internal/wire"
+)
+
+// recordChange is a record that was written or deleted.
+type recordChange struct {
+	key         string
+	name        string        // the key without its prefix
+	value       wire.RawValue // nothing where the record was deleted
+	modRevision uint64
+}
+
+// recordHandler applies the changes of the records with one prefix.
+type recordHandler struct {
+	prefix string
+	put    func(*State, recordChange) error
+	delete func(*State, recordChange) // nil: such records are never deleted
+}
+
+// prefixHandlers are the handlers of records of which there are many.
+var prefixHandlers = []recordHandler{
+	{record.JobPrefix, (*State).putJobRecord, (*State).deleteJobRecord},
+	{record.FixedChunkPrefix, (*State).putFixedChunk, (*State).deleteChunkRecord},
+	{record.GroupedChunkPrefix, (*State).putGroupedChunk, (*State).deleteChunkRecord},
+	{record.MachinePrefix, (*State).putMachine, (*State).deleteMachine},
+	{record.ShardPrefix, (*State).putShard, (*State).deleteShard},
+	{record.NodePrefix, (*State).putNode, (*State).deleteNode},
+	{record.QuotaPrefix, (*State).putQuota, (*State).deleteQuota},
+	{record.RentalPrefix, (*State).putRental, (*State).deleteRental},
+	{record.CellPrefix, (*State).putCell, (*State).deleteCell},
+	{record.GuestOutcomePrefix, (*State).putGuestOutcome, (*State).deleteGuestOutcome},
+	{record.MachineTypePrefix, (*State).putMachineType, nil},
+}
+
+// singleHandlers apply the changes of records of which there is one; these are never deleted.
+var singleHandlers = map[string]func(*State, recordChange) error{
+	record.CatalogKey:       (*State).putCatalog,
+	record.SchemaVersionKey: (*State).putSchemaVersion,
+}
+
+// BeginUpdate starts a group of changes that readers see as one. It takes the lock.
+func (s *State) BeginUpdate() { s.Lock() }
+
+// EndUpdate ends the group, releases the lock and notifies the subscribers.
+func (s *State) EndUpdate() {
+	subscribers := s.changes.subscribers
+	s.Unlock()
+	notify(subscribers)
+}
+
+// Put applies a written record; between BeginUpdate and EndUpdate. A record that cannot be read is logged and
+// otherwise ignored.
+func (s *State) Put(key string, value wire.RawValue, modRevision uint64) {
+	change := recordChange{key: key, value: value, modRevision: modRevision}
+	if err := s.put(change); err != nil {
+		s.log.Error("unreadable record", "key", key, "err", err)
+	}
+}
+
+func (s *State) put(change recordChange) error {
+	for _, handler := range prefixHandlers {
+		if name, ok := strings.CutPrefix(change.key, handler.prefix); ok {
+			change.name = name
+			return handler.put(s, change)
+		}
+	}
+	if put := singleHandlers[change.key]; put != nil {
+		return put(s, change)
+	}
+	return nil
+}
+
+// Delete applies the deletion of a record; between BeginUpdate and EndUpdate.
+func (s *State) Delete(key string) {
+	for _, handler := range prefixHandlers {
+		name, ok := strings.CutPrefix(key, handler.prefix)
+		if !ok {
+			continue
+		}
+		if handler.delete != nil {
+			handler.delete(s, recordChange{key: key, name: name})
+		}
+		return
+	}
+}
+
+// decode reads a record that needs no more than its codec.
+func decode[T any](change recordChange) (T, error) {
+	var value T
+	err := wire.Decode(change.value, &value)
+	return value, err
+}
+
+func (s *State) putShard(change recordChange) error {
+	shard, err := decode[record.Shard](change)
+	if err != nil {
+		return err
+	}
+	s.Shards[record.ParseShardKey(change.key)] = Shard{Shard: shard, ModRevision: change.modRevision}
+	return nil
+}
+
+func (s *State) deleteShard(change recordChange) { delete(s.Shards, record.ParseShardKey(change.key)) }
+
+func (s *State) putNode(change recordChange) error {
+	node, err := decode[record.Node](change)
+	if err != nil {
+		return err
+	}
+	s.Nodes[change.name] = Node{Node: node, ModRevision: change.modRevision}
+	return nil
+}
+
+func (s *State) deleteNode(change recordChange) { delete(s.Nodes, change.name) }
+
+func (s *State) putQuota(change recordChange) error {
+	quota, err := decode[record.Quota](change)
+	if err != nil {
+		return err
+	}
+	s.Quotas[change.name] = Quota{Quota: quota, ModRevision: change.modRevision}
+	return nil
+}
+
+func (s *State) deleteQuota(change recordChange) { delete(s.Quotas, change.name) }
+
+func (s *State) putSchemaVersion(change recordChange) error {
+	schema, err := decode[record.SchemaVersion](change)
+	if err != nil {
+		return err
+	}
+	s.SchemaVersion = max(s.SchemaVersion, schema.Version)
+	s.SchemaVersionModRevision = change.modRevision
+	return nil
+}
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -158,8 +158,8 @@
 			add(fmt.Sprintf("%s/record-%d", width.name, chunk), []wire.Op{job.EncodeChunk(chunk, change)})
 		}
 		add(width.name+"/final", job.FinalizeOps(wire.JobDone, 400, 1_700_000_060_000))
-		if guards, ops, ok := job.MigrateChunk(view.SizeLimits(4000), 1); ok {
-			messages = append(messages, message{width.name + "/move", wire.TxnRequest{Conditions: guards, Ops: ops}})
+		if migration, ok := job.MigrateChunk(view.SizeLimits(4000), 1); ok {
+			messages = append(messages, message{width.name + "/move", wire.TxnRequest{Conditions: migration.Conditions, Ops: migration.Ops}})
 		}
 	}
 	checkCBOR(t, "job_changes.txt", messages)
--- a/internal/offload/home.go
+++ b/internal/offload/home.go
@@ -248,8 +248,8 @@
 		default:
 			// Accepted in writes that are lost.
 			rec := record.Job{Spec: a.Spec, SubmittedAtMs: a.AtMs, OffloadedTo: there}
-			if why := rec.ChooseLayout(s.world.SchemaVersion, s.world.SizeLimits(s.commit.UpcomingMaxRecordBytes())); why != "" {
-				s.log.Error("job of another cell's inventory can't be recorded", "job", a.Spec.ID, "why", why)
+			if err := rec.ChooseLayout(s.world.SchemaVersion, s.world.SizeLimits(s.commit.UpcomingMaxRecordBytes())); err != nil {
+				s.log.Error("job of another cell's inventory can't be recorded", "job", a.Spec.ID, "err", err)
 			}
 			guards = append(guards, wire.Condition{Key: record.JobKey(a.Spec.ID)}, wire.Condition{Key: record.FinalKey(a.Spec.ID)})
 			op = kvstore.PutOp(record.JobKey(a.Spec.ID), rec)
--- a/internal/offload/host.go
+++ b/internal/offload/host.go
@@ -123,7 +123,7 @@
 		switch {
 		case j == nil && word.Status == federation.Held && before.Status == federation.Absent:
 			rec := record.Job{Spec: spec, SubmittedAtMs: a.AtMs, OffloadedFrom: &record.Transfer{Cell: m.Cell, Number: a.Number, Epoch: s.op.CellEpoch}}
-			if rec.ChooseLayout(s.world.SchemaVersion, s.world.SizeLimits(s.commit.UpcomingMaxRecordBytes())) != "" {
+			if rec.ChooseLayout(s.world.SchemaVersion, s.world.SizeLimits(s.commit.UpcomingMaxRecordBytes())) != nil {
 				guests, _ = guests.Release(a.Number, 0)
 				continue
 			}
--- a/internal/reconcile/reconcile.go
+++ b/internal/reconcile/reconcile.go
@@ -22,17 +22,17 @@
 
 // Decision is what to do about a task.
 type Decision struct {
-	Release          bool   // its binding ends
-	NextState        int    // what it is then: world.Idle or world.Done
-	Reason           string // for the log
-	WholeGang        bool   // all tasks of its attempt end with it
-	ResendCommands   bool   // its machine's worker is to be asked
-	ImagePresent     bool   // the machine has its image
-	TaskFailed       bool   // it failed by itself on this machine
-	PlacementRefused bool   // the machine had less room than was thought
-	BackOffJob       bool   // its job waits for a growing while
-	CountFailure     bool   // a repeat is spent
-	FailJob          bool   // the job fails with it
+	Release          bool             // its binding ends
+	NextState        record.TaskState // what it is then: world.Idle or world.Done
+	Reason           string           // for the log
+	WholeGang        bool             // all tasks of its attempt end with it
+	ResendCommands   bool             // its machine's worker is to be asked
+	ImagePresent     bool             // the machine has its image
+	TaskFailed       bool             // it failed by itself on this machine
+	PlacementRefused bool             // the machine had less room than was thought
+	BackOffJob       bool             // its job waits for a growing while
+	CountFailure     bool             // a repeat is spent
+	FailJob          bool             // the job fails with it
 }
 
 // Decide gives what to do about a task.
--- a/internal/reconcile/reconcile_test.go
+++ b/internal/reconcile/reconcile_test.go
@@ -54,7 +54,7 @@
 		tasks := make([]record.Task, n)
 		bound, ended, done := 0, false, false
 		for i := range tasks {
-			tasks[i] = record.Task{Index: i, State: rapid.SampledFrom([]int{record.TaskPending, record.TaskBound}).Draw(t, "state"), Attempt: rapid.Uint64Range(1, 3).Draw(t, "attempt")}
+			tasks[i] = record.Task{Index: i, State: rapid.SampledFrom([]record.TaskState{record.TaskPending, record.TaskBound}).Draw(t, "state"), Attempt: rapid.Uint64Range(1, 3).Draw(t, "attempt")}
 			if rapid.IntRange(0, 9).Draw(t, "done") == 0 {
 				tasks[i].State = record.TaskDone
 			}
--- a/internal/record/chunk.go
+++ b/internal/record/chunk.go
@@ -1,102 +1,149 @@
 package record
 
 import (
-	"fmt"
 	"slices"
 
 	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
 )
 
-// FixedChunk is a further chunk of tasks.
+// FixedChunk holds tuning.ChunkTasks tasks of a job, each in full: the first layout of a job's records.
 type FixedChunk struct {
 	Tasks    []Task `cbor:"k"`
-	Failures []int  `cbor:"f,omitempty"`
+	Failures []int  `cbor:"f,omitempty"` // as in Job
 }
 
-// GroupedChunk holds further tasks of a job with a Width.
+// GroupedChunk holds Job.ChunkWidth tasks of a job, equal ones as one group, so that the record stays within
+// a small value limit.
 type GroupedChunk struct {
 	Groups   []TaskGroup `cbor:"g"`
-	Failures []int       `cbor:"f,omitempty"`
+	Failures []int       `cbor:"f,omitempty"` // as in Job
 }
 
-// FixedChunkCount is the number of records a job's tasks take.
-func FixedChunkCount(tasks int) int { return (tasks + tuning.ChunkTasks - 1) / tuning.ChunkTasks }
-
-// TaskGroup is a number of tasks that are alike but for their numbers.
+// TaskGroup is a number of tasks that are equal but for their indexes.
 type TaskGroup struct {
 	_            struct{} `cbor:",toarray"`
-	State        int
+	State        TaskState
 	Attempt      uint64
 	Machine      string
 	Session      uint64
 	ChargedShard int
-	IndexRuns    []int // numbers: the first, how many more follow it, and so on
+	IndexRuns    []int // pairs: the first task's index and how many more follow it
 }
 
-// GroupTasks puts tasks that are alike together, in the order of their numbers.
-func GroupTasks(tasks []Task) []TaskGroup {
-	var out []TaskGroup
-	at := map[Task]int{}
-	for _, t := range tasks {
-		like := t
-		like.Index, like.Failures = 0, 0
-		g, ok := at[like]
+// groupTasks combines tasks that are equal but for their indexes, in the order of their indexes.
+func groupTasks(tasks []Task) []TaskGroup {
+	var groups []TaskGroup
+	groupOf := map[Task]int{}
+	for _, task := range tasks {
+		shape := task
+		shape.Index, shape.Failures = 0, 0
+		g, ok := groupOf[shape]
 		if !ok {
-			g = len(out)
-			at[like] = g
-			out = append(out, TaskGroup{State: t.State, Attempt: t.Attempt, Machine: t.Machine, Session: t.Session, ChargedShard: t.ChargedShard})
-		}
-		s := out[g].IndexRuns
-		if n := len(s); n > 0 && s[n-2]+s[n-1]+1 == t.Index {
-			s[n-1]++
-			continue
+			g = len(groups)
+			groupOf[shape] = g
+			groups = append(groups, TaskGroup{State: task.State, Attempt: task.Attempt, Machine: task.Machine,
+				Session: task.Session, ChargedShard: task.ChargedShard})
 		}
-		out[g].IndexRuns = append(s, t.Index, 0)
+		groups[g].IndexRuns = appendIndex(groups[g].IndexRuns, task.Index)
+	}
+	return groups
+}
+
+// appendIndex adds the index of a task to runs, to the last one if the index follows it.
+func appendIndex(runs []int, index int) []int {
+	if n := len(runs); n > 0 && runs[n-2]+runs[n-1]+1 == index {
+		runs[n-1]++
+		return runs
 	}
-	return out
+	return append(runs, index, 0)
 }
 
-func ExpandGroups(groups []TaskGroup) ([]Task, error) {
-	var out []Task
-	for _, g := range groups {
-		if len(g.IndexRuns)%2 != 0 {
-			return nil, fmt.Errorf("odd spans")
+// expandGroups returns the tasks of groups. It refuses groups with more tasks than a record may hold, or with
+// indexes outside of any job, so that a damaged record cannot fill the memory.
+func expandGroups(groups []TaskGroup) ([]Task, error) {
+	var tasks []Task
+	for _, group := range groups {
+		if len(group.IndexRuns)%2 != 0 {
+			return nil, &IndexRunsError{Length: len(group.IndexRuns)}
 		}
-		for s := 0; s < len(g.IndexRuns); s += 2 {
-			from, more := g.IndexRuns[s], g.IndexRuns[s+1]
-			if from < 0 || from >= tuning.MaxTasks || more < 0 || len(out)+more >= tuning.ChunkTasks {
-				return nil, fmt.Errorf("spans out of range")
+		for run := range slices.Chunk(group.IndexRuns, 2) {
+			first, following := run[0], run[1]
+			if first < 0 || first >= tuning.MaxTasks || following < 0 || len(tasks)+following >= tuning.ChunkTasks {
+				return nil, &IndexRunRangeError{First: first, Following: following}
 			}
-			for i := range more + 1 {
-				out = append(out, Task{Index: from + i, State: g.State, Attempt: g.Attempt, Machine: g.Machine, Session: g.Session, ChargedShard: g.ChargedShard})
+			for i := range following + 1 {
+				tasks = append(tasks, Task{Index: first + i, State: group.State, Attempt: group.Attempt,
+					Machine: group.Machine, Session: group.Session, ChargedShard: group.ChargedShard})
 			}
 		}
 	}
-	return out, nil
+	return tasks, nil
 }
 
-// countFailures gives the failures of tasks as their record holds them.
-func countFailures(tasks []Task) []int {
-	var out []int
-	for _, t := range tasks {
-		if t.Failures > 0 {
-			out = append(out, t.Index, t.Failures)
+// failurePairs returns the failures of tasks as their record holds them.
+func failurePairs(tasks []Task) []int {
+	var pairs []int
+	for _, task := range tasks {
+		if task.Failures > 0 {
+			pairs = append(pairs, task.Index, task.Failures)
 		}
 	}
-	return out
+	return pairs
 }
 
-// AttachFailures gives tasks the failures that stand beside them in their record.
-func AttachFailures(tasks []Task, failures []int) []Task {
-	if len(failures) == 0 {
+// attachFailures gives tasks, in place, the failures that stand beside them in their record.
+func attachFailures(tasks []Task, pairs []int) []Task {
+	if len(pairs) == 0 {
 		return tasks
 	}
-	count := map[int]int{}
-	for pair := range slices.Chunk(failures, 2) {
-		count[pair[0]] = pair[len(pair)-1]
+	failures := map[int]int{}
+	for pair := range slices.Chunk(pairs, 2) {
+		failures[pair[0]] = pair[len(pair)-1]
 	}
 	for i := range tasks {
-		tasks[i].Failures = count[tasks[i].Index]
+		tasks[i].Failures = failures[tasks[i].Index]
 	}
 	return tasks
 }
+
+// DecodeJob reads a job's own record. All tasks of its chunk are in Tasks then, with their failures; Groups and
+// Failures are empty.
+func DecodeJob(value wire.RawValue) (Job, error) {
+	var job Job
+	if err := wire.Decode(value, &job); err != nil {
+		return job, err
+	}
+	tasks, err := expandGroups(job.Groups)
+	if err != nil {
+		return job, err
+	}
+	if !job.validLayout() {
+		return job, &LayoutError{job.ChunkWidth, job.FirstFixedChunk, job.Spec.TaskCount}
+	}
+	job.Tasks = attachFailures(append(job.Tasks, tasks...), job.Failures)
+	job.Groups, job.Failures = nil, nil
+	return job, nil
+}
+
+// DecodeFixedChunk reads the tasks of a FixedChunk.
+func DecodeFixedChunk(value wire.RawValue) ([]Task, error) {
+	var chunk FixedChunk
+	if err := wire.Decode(value, &chunk); err != nil {
+		return nil, err
+	}
+	return attachFailures(chunk.Tasks, chunk.Failures), nil
+}
+
+// DecodeGroupedChunk reads the tasks of a GroupedChunk.
+func DecodeGroupedChunk(value wire.RawValue) ([]Task, error) {
+	var chunk GroupedChunk
+	if err := wire.Decode(value, &chunk); err != nil {
+		return nil, err
+	}
+	tasks, err := expandGroups(chunk.Groups)
+	if err != nil {
+		return nil, err
+	}
+	return attachFailures(tasks, chunk.Failures), nil
+}
--- a/internal/clusterstate/compatibility_test.go
+++ b/internal/record/compatibility_test.go
@@ -1,8 +1,7 @@
-package clusterstate_test
+package record_test
 
 import (
 	"encoding/hex"
-	"io"
 	"log/slog"
 	"os"
 	"reflect"
@@ -15,8 +14,8 @@
 	"sableusher/internal/wire"
 )
 
-// The records as they were before LevelPipelines, frozen: they must not follow the
-// code. Until all nodes read a newer level, every record must pass through these
+// The records as they were before schema version 1, frozen: they must not follow the
+// code. Until all nodes read a newer version, every record must pass through these
 // types unharmed, as an older node rewrites what it has read.
 type (
 	oldSpec struct {
@@ -127,85 +126,96 @@
 	}
 )
 
-// readFixture reads the records as the version before wrote them.
+// readFixture reads the records as the version before wrote them, by name.
 func readFixture(t *testing.T) map[string][]byte {
-	b, err := os.ReadFile("testdata/level0.txt")
+	t.Helper()
+	fixture, err := os.ReadFile("testdata/level0.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := map[string][]byte{}
-	for line := range strings.Lines(string(b)) {
+	records := map[string][]byte{}
+	for line := range strings.Lines(string(fixture)) {
 		name, code, _ := strings.Cut(strings.TrimSpace(line), " ")
-		if out[name], err = hex.DecodeString(code); err != nil {
+		if records[name], err = hex.DecodeString(code); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return out
+	return records
 }
 
-// roundTripBoth decodes a record as it was written into the old type and the new one, and
-// what the new one encodes to into the old type again: nothing may be lost.
-func roundTripBoth[Old, New any](t *testing.T, name string, b []byte) New {
+// checkRoundTrip decodes a record as it was written into the old type and the new one, and what the new one
+// encodes to into the old type again: nothing may be lost.
+func checkRoundTrip[Old, New any](t *testing.T, name string, encoded []byte) {
 	t.Helper()
-	var old, again Old
-	var rec New
-	for _, err := range []error{wire.Decode(b, &old), wire.Decode(b, &rec), wire.Decode(wire.MustEncode(rec), &again)} {
+	var before, after Old
+	var current New
+	for _, err := range []error{
+		wire.Decode(encoded, &before),
+		wire.Decode(encoded, &current),
+		wire.Decode(wire.MustEncode(current), &after),
+	} {
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 	}
-	if reflect.ValueOf(old).IsZero() || !reflect.DeepEqual(old, again) {
-		t.Errorf("%s: %+v became %+v", name, old, again)
+	if reflect.ValueOf(before).IsZero() || !reflect.DeepEqual(before, after) {
+		t.Errorf("%s: %+v became %+v", name, before, after)
 	}
-	return rec
 }
 
-// TestRecordsOfTheVersionBefore: each kind of record passes from the version before
-// to this one and back.
+// TestOldRecordsRoundTrip: each kind of record passes from the version before to this one and back.
 func TestOldRecordsRoundTrip(t *testing.T) {
-	b := readFixture(t)
-	roundTripBoth[oldJob, record.Job](t, "job", b["job"])
-	roundTripBoth[oldJob, record.Job](t, "job-cancelled", b["job-cancelled"])
-	roundTripBoth[oldChunk, record.FixedChunk](t, "chunk", b["chunk"])
-	roundTripBoth[oldMachine, record.Machine](t, "machine", b["machine"])
-	roundTripBoth[oldPart, record.Shard](t, "part", b["part"])
-	roundTripBoth[oldNode, record.Node](t, "node", b["node"])
-	roundTripBoth[oldQuota, record.Quota](t, "quota", b["quota"])
-	roundTripBoth[oldRental, record.Rental](t, "rental", b["rental"])
-	roundTripBoth[oldFinal, record.Final](t, "final", b["final"])
-	roundTripBoth[oldCatalog, wire.Catalog](t, "catalog", b["catalog"])
-	roundTripBoth[oldLearned, learner.Saved](t, "learned", b["learned"])
+	records := readFixture(t)
+	checkRoundTrip[oldJob, record.Job](t, "job", records["job"])
+	checkRoundTrip[oldJob, record.Job](t, "job-cancelled", records["job-cancelled"])
+	checkRoundTrip[oldChunk, record.FixedChunk](t, "chunk", records["chunk"])
+	checkRoundTrip[oldMachine, record.Machine](t, "machine", records["machine"])
+	checkRoundTrip[oldPart, record.Shard](t, "part", records["part"])
+	checkRoundTrip[oldNode, record.Node](t, "node", records["node"])
+	checkRoundTrip[oldQuota, record.Quota](t, "quota", records["quota"])
+	checkRoundTrip[oldRental, record.Rental](t, "rental", records["rental"])
+	checkRoundTrip[oldFinal, record.Final](t, "final", records["final"])
+	checkRoundTrip[oldCatalog, wire.Catalog](t, "catalog", records["catalog"])
+	checkRoundTrip[oldLearned, learner.Saved](t, "learned", records["learned"])
 
-	// What a node tells of its level must not disturb one that knows of none.
-	var n oldNode
-	if err := wire.Decode(wire.MustEncode(record.Node{Incarnation: 77, SchemaVersion: 3}), &n); err != nil || n.Inc != 77 {
-		t.Errorf("session with a level: %+v, %v", n, err)
+	// A node's schema version must not disturb a node that knows of none.
+	var node oldNode
+	encoded := wire.MustEncode(record.Node{Incarnation: 77, SchemaVersion: 3})
+	if err := wire.Decode(encoded, &node); err != nil || node.Inc != 77 {
+		t.Errorf("session with a schema version: %+v, %v", node, err)
 	}
 }
 
-// TestRewrittenAsBefore: a job read from the version before is written again in a
-// form that it reads, as long as nothing was moved: same keys, same layout.
+// TestOldJobKeepsItsLayout: a job read from the version before is written again in a form that it reads, as long
+// as nothing was migrated: same keys, same layout.
 func TestOldJobKeepsItsLayout(t *testing.T) {
-	b := readFixture(t)
-	w := clusterstate.New(3, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	w.BeginUpdate()
-	w.Put(record.JobKey("run-000412"), b["job"], 9)
-	w.EndUpdate()
-	j := w.Jobs["run-000412"]
-	op := j.EncodeChunk(0, map[int]record.Task{2: {Index: 2, State: record.TaskBound, Attempt: 1, Machine: "vm-5", Session: 1}})
+	encoded := readFixture(t)["job"]
+	state := clusterstate.New(3, slog.New(slog.DiscardHandler))
+	state.BeginUpdate()
+	state.Put(record.JobKey("run-000412"), encoded, 9)
+	state.EndUpdate()
+	op := state.Jobs["run-000412"].EncodeChunk(0, map[int]record.Task{
+		2: {Index: 2, State: record.TaskBound, Attempt: 1, Machine: "vm-5", Session: 1},
+	})
 	var before, after oldJob
-	if err := wire.Decode(b["job"], &before); err != nil {
+	if err := wire.Decode(encoded, &before); err != nil {
 		t.Fatal(err)
 	}
 	if err := wire.Decode(op.Value, &after); err != nil || op.PutKey != "s/j/run-000412" {
 		t.Fatalf("%s: %v", op.PutKey, err)
 	}
 	want := oldTask{Index: 2, State: 1, Attempt: 1, Machine: "vm-5", Session: 1}
-	if len(after.Tasks) != len(before.Tasks)+1 || after.Tasks[2] != want || !reflect.DeepEqual(after.Spec, before.Spec) {
+	sameSpec := reflect.DeepEqual(after.Spec, before.Spec)
+	if len(after.Tasks) != len(before.Tasks)+1 || after.Tasks[2] != want || !sameSpec {
 		t.Errorf("%+v became %+v", before, after)
 	}
-	// An older node neither rewrites nor minds what stands under keys of its own.
-	for _, key := range []string{record.SchemaVersionKey, record.GroupedChunkKey("run-000412", 1), record.MachineTypeKey("g8")} {
+}
+
+// TestNewKeysAreUnknownToOldNodes: an older node neither rewrites nor minds what stands under keys of its own.
+func TestNewKeysAreUnknownToOldNodes(t *testing.T) {
+	for _, key := range []string{
+		record.SchemaVersionKey, record.GroupedChunkKey("run-000412", 1), record.MachineTypeKey("g8"),
+	} {
 		for _, known := range []string{"s/j/", "s/t/", "s/m/", "s/p/", "s/n/", "s/q/", "s/r/", "f/", "l/"} {
 			if strings.HasPrefix(key, known) || key == "s/catalog" {
 				t.Errorf("%s would be read as another record", key)
--- a/internal/record/layout.go
+++ b/internal/record/layout.go
@@ -7,153 +7,119 @@
 	"sableusher/internal/wire"
 )
 
-// ValidLayout tells whether a record's layout is one that can be.
-func (r *Job) ValidLayout() bool {
-	return r.ChunkWidth == 0 && r.FirstFixedChunk == 0 ||
-		r.ChunkWidth >= 1 && r.ChunkWidth <= tuning.ChunkTasks && tuning.ChunkTasks%r.ChunkWidth == 0 && r.FirstFixedChunk >= 0 && r.FirstFixedChunk < FixedChunkCount(r.Spec.TaskCount)
+// A job's tasks are split into chunks, numbered from 0; each chunk is one record, the first one the job's own.
+// In the first layout every chunk is fixed. Since schema version 1 a job may have a ChunkWidth, and its chunks
+// are grouped ones. A job accepted before is migrated one fixed chunk at a time: its grouped chunks come first
+// then, and the fixed ones from FirstFixedChunk on follow them.
+
+// FixedChunkCount is the number of fixed chunks that so many tasks take.
+func FixedChunkCount(tasks int) int { return (tasks + tuning.ChunkTasks - 1) / tuning.ChunkTasks }
+
+// validLayout reports whether the job's chunks can be laid out as its record says.
+func (j *Job) validLayout() bool {
+	if j.ChunkWidth == 0 {
+		return j.FirstFixedChunk == 0
+	}
+	return j.ChunkWidth >= 1 && j.ChunkWidth <= tuning.ChunkTasks && tuning.ChunkTasks%j.ChunkWidth == 0 &&
+		j.FirstFixedChunk >= 0 && j.FirstFixedChunk < FixedChunkCount(j.Spec.TaskCount)
 }
 
-// GroupedChunkCount is the number of records with the job's own width.
-func (r *Job) GroupedChunkCount() int {
+// groupedChunkCount is the number of the job's grouped chunks.
+func (j *Job) groupedChunkCount() int {
 	switch {
-	case r.ChunkWidth == 0:
+	case j.ChunkWidth == 0:
 		return 0
-	case r.FirstFixedChunk > 0:
-		return r.FirstFixedChunk * (tuning.ChunkTasks / r.ChunkWidth)
+	case j.FirstFixedChunk > 0:
+		return j.FirstFixedChunk * (tuning.ChunkTasks / j.ChunkWidth)
 	}
-	return (r.Spec.TaskCount + r.ChunkWidth - 1) / r.ChunkWidth
+	return (j.Spec.TaskCount + j.ChunkWidth - 1) / j.ChunkWidth
 }
 
-// ChunkCount is the number of records that the job's tasks may take.
-func (r *Job) ChunkCount() int {
-	if r.ChunkWidth > 0 && r.FirstFixedChunk == 0 {
-		return r.GroupedChunkCount()
+// isGrouped reports whether a chunk of the job is a grouped one.
+func (j *Job) isGrouped(chunk int) bool { return j.ChunkWidth > 0 && chunk < j.groupedChunkCount() }
+
+// ChunkCount is the number of chunks, and so of records, that the job's tasks may take.
+func (j *Job) ChunkCount() int {
+	if j.ChunkWidth > 0 && j.FirstFixedChunk == 0 {
+		return j.groupedChunkCount()
 	}
-	return r.GroupedChunkCount() + FixedChunkCount(r.Spec.TaskCount) - r.FirstFixedChunk
+	return j.groupedChunkCount() + FixedChunkCount(j.Spec.TaskCount) - j.FirstFixedChunk
 }
 
-// ChunkOf is the record that holds a task.
-func (r *Job) ChunkOf(task int) int {
+// ChunkOf returns the chunk that holds a task.
+func (j *Job) ChunkOf(task int) int {
 	switch {
-	case r.ChunkWidth == 0:
+	case j.ChunkWidth == 0:
 		return task / tuning.ChunkTasks
-	case r.FirstFixedChunk == 0 || task < r.FirstFixedChunk*tuning.ChunkTasks:
-		return task / r.ChunkWidth
+	case j.FirstFixedChunk == 0 || task < j.FirstFixedChunk*tuning.ChunkTasks:
+		return task / j.ChunkWidth
 	}
-	return r.GroupedChunkCount() + task/tuning.ChunkTasks - r.FirstFixedChunk
+	return j.groupedChunkCount() + task/tuning.ChunkTasks - j.FirstFixedChunk
 }
 
-// TaskRange is the run of tasks that a record holds: from the first up to, not
-// including, the second.
-func (r *Job) TaskRange(k int) (int, int) {
-	lo, n := k*r.ChunkWidth, r.ChunkWidth
-	if f := r.GroupedChunkCount(); k >= f {
-		lo, n = (k-f+r.FirstFixedChunk)*tuning.ChunkTasks, tuning.ChunkTasks
+// TaskRange returns the indexes of a chunk's tasks, from first up to but not including end.
+func (j *Job) TaskRange(chunk int) (first, end int) {
+	first, width := chunk*j.ChunkWidth, j.ChunkWidth
+	if grouped := j.groupedChunkCount(); chunk >= grouped {
+		first, width = (chunk-grouped+j.FirstFixedChunk)*tuning.ChunkTasks, tuning.ChunkTasks
 	}
-	return lo, min(lo+n, r.Spec.TaskCount)
+	return first, min(first+width, j.Spec.TaskCount)
 }
 
-// ChunkKey is a record's key.
-func (r *Job) ChunkKey(k int) string {
-	switch f := r.GroupedChunkCount(); {
-	case k == 0:
-		return JobKey(r.Spec.ID)
-	case k < f:
-		return GroupedChunkKey(r.Spec.ID, k)
+// ChunkKey returns the key of a chunk's record.
+func (j *Job) ChunkKey(chunk int) string {
+	switch grouped := j.groupedChunkCount(); {
+	case chunk == 0:
+		return JobKey(j.Spec.ID)
+	case chunk < grouped:
+		return GroupedChunkKey(j.Spec.ID, chunk)
 	default:
-		return FixedChunkKey(r.Spec.ID, k-f+r.FirstFixedChunk)
+		return FixedChunkKey(j.Spec.ID, chunk-grouped+j.FirstFixedChunk)
 	}
 }
 
-// ChunkIndexOf finds which record of the job a key is, if its layout has it.
-func (r *Job) ChunkIndexOf(key string) (int, bool) {
-	_, n, ok := ParseChunkKey(key)
-	k := n
+// ChunkIndexOf returns which chunk of the job a FixedChunk's or GroupedChunk's key names, if the job's layout
+// has it.
+func (j *Job) ChunkIndexOf(key string) (int, bool) {
+	_, index, ok := ParseChunkKey(key)
+	chunk := index
 	if strings.HasPrefix(key, FixedChunkPrefix) {
-		k = n - r.FirstFixedChunk + r.GroupedChunkCount()
-	}
-	return k, ok && k > 0 && k < r.ChunkCount() && r.ChunkKey(k) == key
-}
-
-// EncodeTasks gives record k with these tasks.
-func (r *Job) EncodeTasks(k int, tasks []Task) wire.Op {
-	fine := r.ChunkWidth > 0 && k < r.GroupedChunkCount()
-	var v any
-	failures := countFailures(tasks)
-	switch {
-	case k == 0:
-		rec := *r
-		rec.Tasks, rec.Groups, rec.Failures = tasks, nil, failures
-		if fine {
-			rec.Tasks, rec.Groups = nil, GroupTasks(tasks)
-		}
-		v = rec
-	case fine:
-		v = GroupedChunk{GroupTasks(tasks), failures}
-	default:
-		v = FixedChunk{tasks, failures}
-	}
-	return wire.Op{PutKey: r.ChunkKey(k), Value: wire.MustEncode(v)}
-}
-
-// EncodedBaseSize is the most that a job's own record takes without tasks, as JSON.
-func EncodedBaseSize(rec Job) int {
-	// What is not there yet may come.
-	rec.CancelledAtMs, rec.PreemptedAttempt, rec.ChunkWidth, rec.FirstFixedChunk, rec.Tasks, rec.Groups = max(rec.SubmittedAtMs, 1), tuning.MaxTasks, tuning.ChunkTasks, tuning.MaxTasks, nil, nil
-	rec.CancelAfterRelease, rec.Failures = true, nil
-	if rec.Spec.MaxRetries != nil {
-		rec.Failed, rec.Failures = true, []int{0, 1}
+		chunk = index - j.FirstFixedChunk + j.groupedChunkCount()
 	}
-	return wire.JSONSize(wire.MustEncode(rec))
+	return chunk, ok && chunk > 0 && chunk < j.ChunkCount() && j.ChunkKey(chunk) == key
 }
 
-// SizeLimits is what one record may take, and what a bound task may take of it, in bytes
-// of their JSON form.
-type SizeLimits struct{ MaxBytes, BoundTaskBytes int }
-
-// ChunkWidth is how many tasks a record of a job should hold if its own record without
-// tasks takes so much; 0 if none can. A gang's tasks are bound together and may
-// each have a machine to themselves; an array whose tasks are on so many finds some
-// of them waiting.
-func (f SizeLimits) ChunkWidth(s *wire.JobSpec, bare int) int {
-	each := tuning.LikelyTaskBytes
-	if s.Kind == wire.KindGang {
-		each = f.BoundTaskBytes
-	}
-	each += failureBytesPerTask(s)
-	for w := tuning.ChunkTasks; w >= tuning.LeastWidth; w /= 2 {
-		if bare+min(w, s.TaskCount)*each <= f.MaxBytes {
-			return w
-		}
-	}
-	return 0
-}
-
-// ChooseLayout chooses the layout of a new job's records; it says why if the job's
-// description is more than one record may hold, now or under the limits that are
-// known to come.
-func (r *Job) ChooseLayout(level int, fit SizeLimits) string {
-	bare := EncodedBaseSize(*r)
-	width := fit.ChunkWidth(&r.Spec, bare)
+// ChooseLayout chooses the layout of a new job's records under a schema version. It returns
+// ErrDescriptionTooLarge if the job's own record would exceed the limits even without tasks.
+func (j *Job) ChooseLayout(schemaVersion int, limits SizeLimits) error {
+	baseSize := EncodedBaseSize(*j)
+	width := limits.ChunkWidth(&j.Spec, baseSize)
 	if width == 0 {
-		return "its description, awaits included, takes more than the state service holds in one record"
+		return ErrDescriptionTooLarge
 	}
-	if level >= tuning.LevelPipelines && !fit.FixedChunksFit(&r.Spec, bare) {
-		r.ChunkWidth = width
+	if schemaVersion >= tuning.LevelPipelines && !limits.FixedChunksFit(&j.Spec, baseSize) {
+		j.ChunkWidth = width
 	}
-	return ""
+	return nil
 }
 
-// FixedChunksFit tells whether old records of a job stay within it whatever becomes of
-// its tasks.
-func (f SizeLimits) FixedChunksFit(s *wire.JobSpec, bare int) bool {
-	return bare+min(s.TaskCount, tuning.ChunkTasks)*(f.BoundTaskBytes+failureBytesPerTask(s)) <= f.MaxBytes
-}
-
-// failureBytesPerTask is what a task of a job may take in its record beside its own state.
-func failureBytesPerTask(s *wire.JobSpec) int {
-	if s.MaxRetries == nil {
-		return 0
+// EncodeTasks returns the operation that writes a chunk of the job with these tasks.
+func (j *Job) EncodeTasks(chunk int, tasks []Task) wire.Op {
+	var value any
+	failures := failurePairs(tasks)
+	switch grouped := j.isGrouped(chunk); {
+	case chunk == 0 && grouped:
+		own := *j
+		own.Tasks, own.Groups, own.Failures = nil, groupTasks(tasks), failures
+		value = own
+	case chunk == 0:
+		own := *j
+		own.Tasks, own.Groups, own.Failures = tasks, nil, failures
+		value = own
+	case grouped:
+		value = GroupedChunk{Groups: groupTasks(tasks), Failures: failures}
+	default:
+		value = FixedChunk{Tasks: tasks, Failures: failures}
 	}
-	return tuning.FailureBytes
+	return wire.Op{PutKey: j.ChunkKey(chunk), Value: wire.MustEncode(value)}
 }
--- a/internal/record/resources.go
+++ b/internal/record/resources.go
@@ -1,36 +1,44 @@
 package record
 
-import (
-	"sableusher/internal/wire"
-)
+import "sableusher/internal/wire"
 
-// Resources is what tasks take.
+// Resources is an amount of what tasks take and machines have.
 type Resources struct {
 	CPUs     float64 `cbor:"c"`
 	GPUs     float64 `cbor:"g"`
 	MemoryGB float64 `cbor:"m,omitempty"`
 }
 
+// resourceTolerance absorbs rounding: amounts are decimal fractions, and their sums are not exact.
 const resourceTolerance = 1e-6
 
-// AddTimes adds n times b.
-func (a Resources) AddTimes(b Resources, n float64) Resources {
-	return Resources{a.CPUs + n*b.CPUs, a.GPUs + n*b.GPUs, a.MemoryGB + n*b.MemoryGB}
+// AddTimes returns r plus n times other; n may be negative.
+func (r Resources) AddTimes(other Resources, n float64) Resources {
+	return Resources{
+		CPUs:     r.CPUs + n*other.CPUs,
+		GPUs:     r.GPUs + n*other.GPUs,
+		MemoryGB: r.MemoryGB + n*other.MemoryGB,
+	}
 }
 
-// FitsIn tells whether a fits into b.
-func (a Resources) FitsIn(b Resources) bool {
-	return a.CPUs <= b.CPUs+resourceTolerance && a.GPUs <= b.GPUs+resourceTolerance && a.MemoryGB <= b.MemoryGB+resourceTolerance
+// FitsIn reports whether r is within limit in every dimension.
+func (r Resources) FitsIn(limit Resources) bool {
+	return r.CPUs <= limit.CPUs+resourceTolerance && r.GPUs <= limit.GPUs+resourceTolerance &&
+		r.MemoryGB <= limit.MemoryGB+resourceTolerance
 }
 
 // TaskResources is what one task of a job takes.
-func TaskResources(s *wire.JobSpec) Resources { return Resources{s.CPUs, s.GPUs, s.MemoryGB} }
+func TaskResources(spec *wire.JobSpec) Resources {
+	return Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
+}
 
-// TaskPreemptible tells whether a task of a job may be stopped alone for another's sake:
-// a service's user would notice, and a gang stops as a whole or not at all.
-func TaskPreemptible(s *wire.JobSpec) bool {
-	return s.Kind == wire.KindArray || s.Kind == wire.KindGang && s.TaskCount == 1
+// Capacity is what a machine of the type has.
+func Capacity(machineType *wire.MachineType) Resources {
+	return Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 }
 
-// Capacity of a machine type.
-func Capacity(t *wire.MachineType) Resources { return Resources{t.CPUs, t.GPUs, t.MemoryGB} }
+// TaskPreemptible reports whether one task of a job may be preempted alone: users would notice the loss of a
+// service's task, and a gang stops as a whole or not at all.
+func TaskPreemptible(spec *wire.JobSpec) bool {
+	return spec.Kind == wire.KindArray || spec.Kind == wire.KindGang && spec.TaskCount == 1
+}
--- /dev/null
+++ b/internal/record/size_test.go
@@ -0,0 +1,96 @@
+package record
+
+import (
+	"fmt"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
+)
+
+const submittedAtMs = 1764600000000
+
+// TestLargestFixedChunkFits: a full record stays within the smallest value limit seen (16 KiB as JSON), whatever
+// its tasks have gone through.
+func TestLargestFixedChunkFits(t *testing.T) {
+	job := Job{Spec: wire.JobSpec{ID: "run-00000000000000000001", TaskCount: tuning.MaxTasks}}
+	var tasks []Task
+	for range tuning.ChunkTasks {
+		tasks = append(tasks, Task{Index: tuning.MaxTasks, State: TaskBound, Attempt: 1 << 20,
+			Machine: "vm-000000231", Session: 1 << 20})
+	}
+	if op := job.EncodeTasks(1, tasks); float64(len(op.Value)) > tuning.ValueFraction*16*1024 {
+		t.Fatalf("%d bytes", len(op.Value))
+	}
+}
+
+// wideGang is a gang whose description is as long as they come.
+func wideGang(tasks int) wire.JobSpec {
+	return wire.JobSpec{
+		ID: "run-00000000000000000001", Class: "a-class-of-work", Team: "a-team-of-people", Kind: wire.KindGang,
+		Priority: wire.PriorityProduction, TaskCount: tasks, CPUs: 28.123456789, GPUs: 4, MemoryGB: 200.123456789,
+		Image: "image-000000001", ImageSizeGB: 5.123456789012, SameZone: true,
+		RuntimeEstimateSeconds: 70.1234567891234, CheckpointIntervalSeconds: 15, CheckpointSaveSeconds: 5,
+		DeadlineSeconds: 123.456789012345,
+		Dependencies:    []string{"run-00000000000000000002", "run-00000000000000000003"},
+	}
+}
+
+// TestGangRecordsFitSmallLimit: a gang of the widest kind with a machine for each task, and a full record of an
+// array, are written within a limit of 2 KiB.
+func TestGangRecordsFitSmallLimit(t *testing.T) {
+	limit := 2048
+	limits := SizeLimits{MaxBytes: int(float64(limit) * tuning.JSONShare), BoundTaskBytes: tuning.TaskBytes}
+	for _, taskCount := range []int{1, 32, 100, 5000} {
+		job := Job{Spec: wideGang(taskCount), SubmittedAtMs: submittedAtMs}
+		job.ChunkWidth = limits.ChunkWidth(&job.Spec, EncodedBaseSize(job))
+		if job.ChunkWidth == 0 {
+			t.Fatalf("%d tasks: no width", taskCount)
+		}
+		for chunk := range min(job.ChunkCount(), 3) {
+			var tasks []Task
+			first, end := job.TaskRange(chunk)
+			for i := first; i < end; i++ {
+				tasks = append(tasks, Task{Index: i, State: TaskBound, Attempt: 1234,
+					Machine: fmt.Sprintf("vm-%09d", i), Session: 12, ChargedShard: 3})
+			}
+			if size := wire.JSONSize(job.EncodeTasks(chunk, tasks).Value); size > limit {
+				t.Errorf("%d tasks: chunk %d takes %d bytes", taskCount, chunk, size)
+			}
+		}
+	}
+}
+
+// TestRecordsWithFailuresFit: where every task of a job waits for a retry, its records still have room for a task
+// to be bound again: else the job would stand still for ever.
+func TestRecordsWithFailuresFit(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		limit := rapid.SampledFrom([]float64{2048, 8192, 16384}).Draw(t, "limit")
+		limits := SizeLimits{MaxBytes: int(limit * tuning.JSONShare), BoundTaskBytes: tuning.TaskBytes}
+		retries := tuning.MaxRepeats
+		job := Job{SubmittedAtMs: submittedAtMs, Spec: wire.JobSpec{
+			ID: "run-00000000000000000001", Class: "c", Team: "t", Priority: wire.PriorityNormal, GPUs: 1,
+			Kind:       rapid.SampledFrom([]wire.JobKind{wire.KindArray, wire.KindGang}).Draw(t, "kind"),
+			TaskCount:  rapid.IntRange(1, 3000).Draw(t, "tasks"),
+			MaxRetries: &retries,
+		}}
+		baseSize := EncodedBaseSize(job)
+		if !limits.FixedChunksFit(&job.Spec, baseSize) {
+			if job.ChunkWidth = limits.ChunkWidth(&job.Spec, baseSize); job.ChunkWidth == 0 {
+				t.Fatal("no width")
+			}
+		}
+		chunk := rapid.IntRange(0, job.ChunkCount()-1).Draw(t, "record")
+		first, end := job.TaskRange(chunk)
+		tasks := []Task{{Index: first, State: TaskBound, Attempt: 1000, Machine: "vm-000000000", Session: 99,
+			ChargedShard: 3, Failures: retries}}
+		for i := first + 1; i < end; i++ {
+			tasks = append(tasks, Task{Index: i, Attempt: 999, Failures: retries})
+		}
+		if size := wire.JSONSize(job.EncodeTasks(chunk, tasks).Value); size > limits.MaxBytes {
+			t.Errorf("width %d: a record takes %d bytes of %d", job.ChunkWidth, size, limits.MaxBytes)
+		}
+	})
+}
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -16,7 +16,7 @@
 
 // releaseTask ends a binding in the record.
 // It gives the change that it is part of; nil if it is none, or can't be made just now.
-func (c *cycle) releaseTask(binding clusterstate.Binding, machineName string, state int, reason string) *recordEdit {
+func (c *cycle) releaseTask(binding clusterstate.Binding, machineName string, state record.TaskState, reason string) *recordEdit {
 	c.releaseBlocked = true
 	edit := c.editRecord(binding.Job, binding.Ref.Index)
 	if edit == nil {
--- a/internal/scheduler/recordmigration.go
+++ b/internal/scheduler/recordmigration.go
@@ -32,15 +32,15 @@
 				return
 			}
 		}
-		conditions, ops, ok := job.MigrateChunk(layout, tuning.MoveRound)
-		if !ok || len(ops) > c.committer.MaxTransactionOps() {
+		migration, ok := job.MigrateChunk(layout, tuning.MoveRound)
+		if !ok || len(migration.Ops) > c.committer.MaxTransactionOps() {
 			c.logWaiting(job, "its records can't be split far enough", nil)
 			return
 		}
 		migrated++
 		migrationSteps.Inc()
-		change := &recordChange{description: "move records of " + id, harmlessWhenLate: true, transaction: kvstore.Transaction{Conditions: conditions, Ops: ops}}
-		for _, condition := range conditions {
+		change := &recordChange{description: "move records of " + id, harmlessWhenLate: true, transaction: kvstore.Transaction{Conditions: migration.Conditions, Ops: migration.Ops}}
+		for _, condition := range migration.Conditions {
 			change.keys = append(change.keys, condition.Key)
 		}
 		c.outgoing = append(c.outgoing, change)
