--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -131,7 +131,7 @@
 	key := record.JobKey(spec.ID)
 	_, err := s.committer.Commit(ctx, kvstore.Transaction{
 		Conditions: []wire.Condition{{Key: key}, {Key: record.FinalKey(spec.ID)}},
-		Ops:        []wire.Op{kvstore.PutOp(key, job)}, Urgent: true,
+		Ops:        []wire.Op{kvstore.PutOp(key, job)}, Priority: kvstore.PriorityUrgent,
 	})
 	if err != nil {
 		if errors.Is(err, kvstore.ErrConditionFailed) {
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -131,9 +131,9 @@
 // leadership reports whether this controller is the leader, with the condition that a leader's
 // changes depend on. Callers hold the state's lock.
 func (a *Autoscaler) leadership() (condition wire.Condition, isLeader bool) {
-	_, modRevision, isLeader := a.members.Owns(record.LeaderShard)
+	ownership, isLeader := a.members.Ownership(record.LeaderShard)
 	key := record.ShardKey(record.LeaderShard)
-	return wire.Condition{Key: key, ModRevision: modRevision}, isLeader
+	return wire.Condition{Key: key, ModRevision: ownership.ModRevision}, isLeader
 }
 
 // commit makes a transaction and returns its revision.
