--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -42,7 +42,7 @@
 	machinesToReconcile machineSet // machines whose tasks' fate is to be looked at
 	lastSweep           time.Time  // when all machines were last looked at
 	gangFormation       gangFormation
-	lastLoggedReason    map[string]time.Time // when the log last said why a job waits
+	waitLog             waitLog
 	reservations        reservationTable
 	shardTenure         shardTenure
 	deletedMachines     deletedMachines
@@ -69,7 +69,7 @@
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
 		changes: newChangeTracker(), backoffs: backoffTable{}, ownerWaits: ownerWaits{}, machinesToReconcile: machineSet{},
-		gangFormation: gangFormation{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardTenure: shardTenure{}, deletedMachines: newDeletedMachines(),
+		gangFormation: gangFormation{}, waitLog: waitLog{}, reservations: reservationTable{}, shardTenure: shardTenure{}, deletedMachines: newDeletedMachines(),
 		migration: newMigrationSchedule(), fences: fenceLimiter{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
 		learning:        newLearning(operator, members.Incarnation, log),
--- a/internal/scheduler/homeshard.go
+++ b/internal/scheduler/homeshard.go
@@ -34,8 +34,8 @@
 }
 
 // prune drops the jobs that are over.
-func (w ownerWaits) prune(jobs map[string]*clusterstate.Job) {
-	maps.DeleteFunc(w, func(id string, _ ownerWait) bool { return jobs[id] == nil })
+func (w ownerWaits) prune(isOver func(job string) bool) {
+	maps.DeleteFunc(w, func(job string, _ ownerWait) bool { return isOver(job) })
 }
 
 // homeShard is the shard whose owner places a job: where its tasks already are, else the first in an
--- a/internal/scheduler/learner_checkpoint.go
+++ b/internal/scheduler/learner_checkpoint.go
@@ -27,7 +27,9 @@
 
 // RunLearner keeps the value function fitted and saved until ctx ends. It gives the error of ctx.
 func (e *Engine) RunLearner(ctx context.Context) error {
-	checkpoints := learnerCheckpoints{node: e.settings.Node, cluster: e.cluster, committer: e.committer, reader: e.reader}
+	checkpoints := learnerCheckpoints{
+		node: e.settings.Node, cluster: e.cluster, committer: e.committer, reader: e.reader,
+	}
 	e.restoreLearner(ctx, checkpoints)
 	refit := time.NewTicker(config.Seconds(e.operator.RefitS))
 	defer refit.Stop()
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -113,8 +113,8 @@
 }
 
 // prune drops what is kept of jobs that are over.
-func (l *learning) prune(jobs map[string]*clusterstate.Job) {
-	maps.DeleteFunc(l.values.byJob, func(id string, _ cachedValue) bool { return jobs[id] == nil })
+func (l *learning) prune(isOver func(job string) bool) {
+	maps.DeleteFunc(l.values.byJob, func(job string, _ cachedValue) bool { return isOver(job) })
 }
 
 // dropStaleAttempts drops what no attempt of a task needs any more.
--- a/internal/scheduler/prune.go
+++ b/internal/scheduler/prune.go
@@ -1,19 +1,14 @@
 package scheduler
 
-import (
-	"maps"
-	"time"
-)
-
 // pruneState drops what is kept of jobs that are over, and what has expired.
 func (c *cycle) pruneState() {
 	jobs := c.cluster.Jobs
 	isOver := func(id string) bool { return jobs[id] == nil }
-	c.learning.prune(jobs)
-	c.ownerWaits.prune(jobs)
+	c.learning.prune(isOver)
+	c.ownerWaits.prune(isOver)
 	c.demand.prune(jobs)
 	c.backoffs.prune(isOver)
-	maps.DeleteFunc(c.lastLoggedReason, func(id string, _ time.Time) bool { return isOver(id) })
+	c.waitLog.prune(isOver)
 	c.gangFormation.prune(isOver)
 	c.changes.pruneRejected(c.now)
 	c.deletedMachines.pruneTombstones(c.now)
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -149,7 +149,10 @@
 	}
 	within := 0.0
 	for _, objective := range c.settings.Deployment.Objectives {
-		if objective.Class == spec.Class && objective.Kind == objectiveWait && (within == 0 || objective.WithinS < within) {
+		if objective.Class != spec.Class || objective.Kind != objectiveWait {
+			continue
+		}
+		if within == 0 || objective.WithinS < within {
 			within = objective.WithinS
 		}
 	}
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -114,7 +114,8 @@
 	queued *queuedJob, candidates []*binpack.MachineInfo, zones *binpack.ZoneConstraint, accept machineFilter,
 ) []*binpack.MachineInfo {
 	job, spec := queued.job, &queued.job.Spec
-	if !c.operator.SpreadServices || spec.Kind != wire.KindService || spec.Spread || spec.SameZone || spec.TaskCount < 2 {
+	prefersSpread := c.operator.SpreadServices && spec.Kind == wire.KindService && spec.TaskCount >= 2
+	if !prefersSpread || spec.Spread || spec.SameZone {
 		return c.inventory.Allocate(&queued.Request, candidates, zones, accept)
 	}
 	preferred := binpack.ZoneConstraint{
@@ -184,7 +185,8 @@
 		unmet.CommonTask = c.demand.commonTask
 	}
 	unmet.Groups = append(unmet.Groups, UnplacedGroup{
-		Spec: &queued.job.Spec, Count: queued.Remaining, Zone: zone, Rank: queued.rank, SubmittedAt: queued.job.ReadySince(),
+		Spec: &queued.job.Spec, Count: queued.Remaining, Zone: zone, Rank: queued.rank,
+		SubmittedAt: queued.job.ReadySince(),
 	})
 }
 
--- a/internal/scheduler/waitreason.go
+++ b/internal/scheduler/waitreason.go
@@ -1,7 +1,10 @@
 package scheduler
 
 import (
+	"context"
 	"log/slog"
+	"maps"
+	"time"
 
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
@@ -23,13 +26,29 @@
 	waitRecordMigration waitReason = "records can't be split far enough"
 )
 
+// waitLog is when the log last said why a job waits, by job.
+type waitLog map[string]time.Time
+
+// due tells whether the log may say again why a job waits, and notes that it does.
+func (l waitLog) due(job string, now time.Time) bool {
+	if now.Sub(l[job]) < tuning.WhyEvery {
+		return false
+	}
+	l[job] = now
+	return true
+}
+
+// prune drops the jobs that are over.
+func (l waitLog) prune(isOver func(job string) bool) {
+	maps.DeleteFunc(l, func(job string, _ time.Time) bool { return isOver(job) })
+}
+
 // logWaiting logs why a job waits, at most every tuning.WhyEvery for each job. The candidate is the
 // machine that it could have used, if any.
 func (c *cycle) logWaiting(job *clusterstate.Job, reason waitReason, candidate *binpack.MachineInfo) {
-	if !c.log.Enabled(c.ctx, slog.LevelDebug) || c.now.Sub(c.lastLoggedReason[job.Spec.ID]) < tuning.WhyEvery {
+	if !c.log.Enabled(context.Background(), slog.LevelDebug) || !c.waitLog.due(job.Spec.ID, c.now) {
 		return
 	}
-	c.lastLoggedReason[job.Spec.ID] = c.now
 	machine := ""
 	if candidate != nil {
 		machine = candidate.Machine.Name
