--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"log/slog"
 	"maps"
 	"math"
 	"slices"
@@ -263,7 +262,7 @@
 	c.backoffs.prune(isOver)
 	maps.DeleteFunc(c.ownerWaits, func(id string, _ ownerWait) bool { return isOver(id) })
 	maps.DeleteFunc(c.unplacedSince, func(id string, _ time.Time) bool { return isOver(id) || c.cluster.Jobs[id].PendingCount() == 0 })
-	maps.DeleteFunc(c.lastLoggedReason, func(id string, _ time.Time) bool { return isOver(id) })
+	c.waitLog.prune(isOver)
 	c.gangFormation.prune(isOver)
 	c.deletedMachines.pruneTombstones(c.now)
 	c.reservations.prune(c.now)
@@ -476,7 +475,7 @@
 		open.MemoryGB = tuning.MaxAmount * tuning.MaxTasks
 		allowed := binpack.TasksThatFit(queued.Need, open)
 		if allowed < queued.Remaining {
-			c.logWaiting(job, "team's limit", nil)
+			c.logWaiting(job, reasonTeamLimit, nil)
 			queued.Remaining = allowed
 			if spec.Kind == wire.KindGang {
 				queued.Remaining = 0
@@ -617,7 +616,7 @@
 	if queued.Remaining == 0 {
 		return
 	}
-	c.logWaiting(job, "no room", nil)
+	c.logWaiting(job, reasonNoRoom, nil)
 	if _, ok := c.unplacedSince[spec.ID]; !ok {
 		c.unplacedSince[spec.ID] = c.now
 	}
@@ -743,7 +742,7 @@
 			continue
 		}
 		if c.recordFull(job, chunk, 1, picks[0].Machine.Name) {
-			c.logWaiting(job, "its record is full", nil)
+			c.logWaiting(job, reasonRecordFull, nil)
 			i = hi - 1
 			continue
 		}
@@ -774,12 +773,12 @@
 		return false
 	}
 	if job.Spec.Kind != wire.KindGang && c.tasksBound >= tuning.RoundTasks || !c.quota.Allows(charged, team, c.usage(charged, team).AddTimes(queued.Need, 1)) {
-		c.logWaiting(job, "its team's grant in this part, or the round is full", candidate)
+		c.logWaiting(job, reasonGrantOrCycle, candidate)
 		return false
 	}
 	edit := c.editRecord(job, index)
 	if edit == nil {
-		c.logWaiting(job, "a change of its record is on its way", nil)
+		c.logWaiting(job, reasonRecordBusy, nil)
 		return false
 	}
 	session := max(candidate.Machine.Session, 1)
@@ -809,16 +808,3 @@
 	c.log.Debug("task placed", "task", ref, "attempt", attempt, "machine", candidate.Machine.Name, "image", c.inventory.HasImage(job.Spec.Image, candidate))
 	return true
 }
-
-// logWaiting logs now and then why a job waits.
-func (c *cycle) logWaiting(job *clusterstate.Job, reason string, candidate *binpack.MachineInfo) {
-	if !c.log.Enabled(c.ctx, slog.LevelDebug) || c.now.Sub(c.lastLoggedReason[job.Spec.ID]) < tuning.WhyEvery {
-		return
-	}
-	c.lastLoggedReason[job.Spec.ID] = c.now
-	machine := ""
-	if candidate != nil {
-		machine = candidate.Machine.Name
-	}
-	c.log.Debug("job waits", "job", job.Spec.ID, "why", reason, "machine", machine, "pending", job.PendingCount())
-}
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"log/slog"
 	"sync"
 	"time"
@@ -38,14 +37,13 @@
 	log        *slog.Logger
 
 	mu                  sync.Mutex
-	ctx                 context.Context
 	changes             changeTracker
 	backoffs            backoffTable
 	ownerWaits          map[string]ownerWait // jobs that wait though room was seen for them elsewhere
 	machinesToReconcile machineSet           // machines whose tasks' fate is to be looked at
 	lastSweep           time.Time            // when all machines were last looked at
 	gangFormation       gangFormation
-	lastLoggedReason    map[string]time.Time // when the log last said why a job waits
+	waitLog             waitLog
 	reservations        reservationTable
 	shardTenure         shardTenure
 	deletedMachines     deletedMachines
@@ -105,7 +103,7 @@
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
 		changes: newChangeTracker(), backoffs: backoffTable{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: machineSet{}, cachedValues: map[string]cachedValue{},
-		gangFormation: gangFormation{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardTenure: shardTenure{}, deletedMachines: newDeletedMachines(),
+		gangFormation: gangFormation{}, waitLog: waitLog{}, reservations: reservationTable{}, shardTenure: shardTenure{}, deletedMachines: newDeletedMachines(),
 		nextReorder: map[string]time.Time{}, migration: newMigrationSchedule(), fences: fenceLimiter{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
 		learning: learning{
@@ -120,7 +118,6 @@
 func (e *Engine) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	e.ctx = ctx
 	clusterChanged := e.cluster.Subscribe()
 	cycleDuration := time.Duration(0)
 	idle := time.NewTimer(tuning.PlaceIdle)
@@ -135,7 +132,7 @@
 		case <-idle.C:
 		}
 		start := time.Now()
-		e.RunCycle(start, &wg)
+		e.runCycle(ctx, start, &wg)
 		cycleDuration = time.Since(start)
 		idle.Reset(tuning.PlaceIdle)
 		select {
@@ -164,144 +161,69 @@
 	}
 }
 
-// recordChange is one change of records on its way.
-type recordChange struct {
-	description      string
-	transaction      kvstore.Transaction
-	keys             []string
-	shards           []int
-	bindings         []pendingBinding
-	harmlessWhenLate bool // harmless if it is applied late: its own record's guard decides
-	onResult         func(ok bool)
-}
-
-// pendingBinding is a task on its way to a machine.
-type pendingBinding struct {
-	task         record.TaskRef
-	machine      string
-	chargedShard int // whose grant it uses
-	team         string
-	need         record.Resources
-}
-
-// RunCycle takes in what the workers told and places what can be placed.
-func (e *Engine) RunCycle(now time.Time, wg *sync.WaitGroup) {
+// runCycle holds one scheduling cycle and starts the changes that it has decided on. What it starts is counted in
+// running.
+func (e *Engine) runCycle(ctx context.Context, now time.Time, running *sync.WaitGroup) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
+	c := e.planCycle(now, e.log.Enabled(ctx, slog.LevelDebug))
+	for _, call := range c.backgroundCalls {
+		running.Go(func() { call(ctx) })
+	}
+	for _, change := range c.outgoing {
+		id := e.changes.start(change)
+		running.Go(func() { e.commitChange(ctx, id, change) })
+	}
+}
+
+// planCycle takes in what has changed and decides on everything that a cycle does. It writes nothing: the changes and
+// calls that it has decided on are in the cycle.
+func (e *Engine) planCycle(now time.Time, logsWaiting bool) *cycle {
 	heardMachines := e.agents.TakeUpdatedMachines()
-	e.machinesToReconcile.addAll(heardMachines)
-	e.machinesToRefresh.addAll(heardMachines)
 	e.cluster.RLock()
+	defer e.cluster.RUnlock()
 	changedMachines := e.changeFeed.TakeMachines()
-	e.machinesToReconcile.addAll(changedMachines)
-	e.machinesToRefresh.addAll(changedMachines)
+	for _, names := range []map[string]struct{}{heardMachines, changedMachines} {
+		e.machinesToReconcile.addAll(names)
+		e.machinesToRefresh.addAll(names)
+	}
 	c := e.newCycle(now)
+	c.logsWaiting = logsWaiting
 	c.adoptMachines()
 	if now.Sub(e.lastSweep) >= tuning.SweepEvery {
 		e.lastSweep = now
-		c.accrueMachineTime()
-		c.pruneState()
-		c.deleteFailedMachines()
-		for shard := range c.fencingTokens {
-			for _, machine := range c.cluster.MachinesByShard[shard] {
-				e.machinesToReconcile.add(machine.Name)
-			}
-		}
+		c.sweep()
 	}
 	c.reconcileMachines()
 	c.schedule()
 	c.buildChanges()
 	c.migrateRecords()
 	c.cancelDependents()
-	for _, grant := range e.quota.PlanChanges(now, c.shardRevisions, c.usage) {
-		change := &recordChange{description: "grant", transaction: grant.Transaction, shards: []int{grant.Shard}, onResult: func(bool) { grant.Done() }}
-		c.outgoing = append(c.outgoing, change)
-	}
-	e.cluster.RUnlock()
-	for _, change := range c.outgoing {
-		id := e.changes.start(change)
-		wg.Go(func() { e.commitChange(id, change) })
-	}
+	c.planGrants()
+	return c
 }
 
-// commitChange commits one change. If no answer comes, the parts concerned are fenced
-// first, so that the change is either in the view or can never be applied.
-func (e *Engine) commitChange(id uint64, change *recordChange) {
-	ctx, cancel := context.WithTimeout(e.ctx, tuning.CommitTimeout)
-	revision, err := e.committer.Commit(ctx, change.transaction)
-	cancel()
-	if errors.Is(err, kvstore.ErrRejected) {
-		e.log.Error("change refused as malformed", "what", change.description, "err", err)
-	} else if err != nil && !errors.Is(err, kvstore.ErrConditionFailed) && !errors.Is(err, kvstore.ErrUnavailable) && !change.harmlessWhenLate {
-		e.log.Info("change without an answer", "what", change.description, "err", err)
-		for _, shard := range change.shards {
-			e.membership.Fence(e.ctx, shard, false)
+// sweep does what follows from time alone: it accrues machine time, forgets what is over, deletes failed machines and
+// has all machines of this node's shards reconciled.
+func (c *cycle) sweep() {
+	c.accrueMachineTime()
+	c.pruneState()
+	c.deleteFailedMachines()
+	for shard := range c.fencingTokens {
+		for _, machine := range c.cluster.MachinesByShard[shard] {
+			c.machinesToReconcile.add(machine.Name)
 		}
 	}
-	e.mu.Lock()
-	e.changes.finish(id)
-	if errors.Is(err, kvstore.ErrRejected) {
-		e.changes.reject(change, time.Now().Add(tuning.RefusedPause))
-	}
-	e.mu.Unlock()
-	if err != nil {
-		e.log.Debug("change not made", "what", change.description, "err", err)
-	} else {
-		e.log.Debug("change made", "what", change.description, "revision", revision)
-	}
-	for _, binding := range change.bindings {
-		if err == nil {
-			e.agents.RequestDispatch(binding.machine)
-		}
-	}
-	if change.onResult != nil {
-		change.onResult(err == nil)
-	}
-	e.wake()
-}
-
-// ConfirmDeleted tells that the cloud has confirmed a machine's deletion.
-func (e *Engine) ConfirmDeleted(names []string) {
-	e.mu.Lock()
-	for _, name := range names {
-		e.deletedMachines.confirm(name, time.Now())
-		e.machinesToReconcile.add(name)
-	}
-	e.mu.Unlock()
-	e.wake()
 }
 
-// MachinesToDelete lists machines to be deleted at the cloud, first those on which tasks are still bound:
-// they start elsewhere once the deletion is confirmed. waited tells whether there are any.
-func (e *Engine) MachinesToDelete() (names []string, tasksWait bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.cluster.RLock()
-	defer e.cluster.RUnlock()
-	var urgent, idle []string
-	appendOwned := func(list *[]string, name string) {
-		if _, _, ok := e.membership.Owns(record.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines.isConfirmed(name) && len(*list) < tuning.ReturnMax {
-			*list = append(*list, name)
-		}
-	}
-	bindingTargets := map[string]bool{}
-	for binding := range e.changes.bindings() {
-		bindingTargets[binding.machine] = true
-	}
-	for name, machine := range e.cluster.Machines {
-		switch {
-		case machine.Deleting && len(machine.Bindings) > 0:
-			appendOwned(&urgent, name)
-		// Nothing is placed on a drained machine any more: once it is empty it can go.
-		case machine.Deleting || machine.Draining && len(machine.Bindings) == 0 && !bindingTargets[name]:
-			appendOwned(&idle, name)
-		}
-	}
-	for name := range e.cluster.OrphanBindings {
-		appendOwned(&urgent, name)
+// planGrants adds the changes of the teams' grants in this node's shards.
+func (c *cycle) planGrants() {
+	for _, grant := range c.quota.PlanChanges(c.now, c.shardRevisions, c.usage) {
+		c.outgoing = append(c.outgoing, &recordChange{
+			description: "grant", transaction: grant.Transaction, shards: []int{grant.Shard},
+			onResult: func(bool) { grant.Done() },
+		})
 	}
-	names = append(urgent, idle...)
-	return names[:min(len(names), tuning.ReturnMax)], len(urgent) > 0
 }
 
 // Demand is what could not be placed, for the pool.
@@ -311,7 +233,6 @@
 	return e.demand
 }
 
-// Graced is the slack a task needs to save.
 func stopGraceSeconds(spec *wire.JobSpec) float64 {
 	return spec.CheckpointSaveSeconds + tuning.StopMargin.Seconds()
 }
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -31,6 +31,7 @@
 
 // deleteFailedMachines deletes machines that are silent, stuck or failing.
 func (c *cycle) deleteFailedMachines() {
+	engine := c.Engine
 	var machines []failuredetector.Machine
 	var outboundLost []outboundLostMachine
 	reachableZones := c.countReachableZones()
@@ -62,7 +63,7 @@
 		}
 		if status.UnresolvedStart && c.hasStoppingTask(machine) && c.fences.allow(machine.Shard, c.now) {
 			// A start in doubt could still run a task that must not: raise the token.
-			go c.membership.Fence(c.ctx, machine.Shard, true)
+			c.inBackground(func(ctx context.Context) { engine.membership.Fence(ctx, machine.Shard, true) })
 		}
 	}
 	c.evacuateOutboundLost(outboundLost, len(machines))
@@ -80,23 +81,26 @@
 		c.agents.RequestDispatch(name)
 	}
 	for shard, node := range judgement.ShardTransfers {
-		go c.membership.TransferShard(c.ctx, shard, node)
+		c.inBackground(func(ctx context.Context) { engine.membership.TransferShard(ctx, shard, node) })
 	}
 	if len(judgement.AskPeersAbout) > 0 {
-		engine := c.Engine
-		go func() {
-			heard := engine.peers.QueryRecentlyHeard(engine.ctx, judgement.AskPeersAbout)
-			engine.mu.Lock()
-			defer engine.mu.Unlock()
-			engine.failureDetector.RecordPeerAnswers(time.Now(), judgement.AskPeersAbout, heard)
-			engine.wake()
-		}()
+		c.inBackground(func(ctx context.Context) { engine.askPeers(ctx, judgement.AskPeersAbout) })
 	}
 	for _, victim := range judgement.Deletions {
 		c.deleteMachine(victim)
 	}
 }
 
+// askPeers asks the other nodes which of some machines they have heard from, and has their answers weighed in the next
+// cycle.
+func (e *Engine) askPeers(ctx context.Context, machines []string) {
+	heard := e.peers.QueryRecentlyHeard(ctx, machines)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.failureDetector.RecordPeerAnswers(time.Now(), machines, heard)
+	e.wake()
+}
+
 // recordMachineDown records that a machine which reports but hears nothing, or hears but reaches no node, is not up
 // until that is over. Its owner knows; gangs and services are placed by other nodes too, to which it looked
 // like the emptiest machine there is, and what was bound to it waited until its lease had run out, over and over.
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -29,7 +29,7 @@
 	}
 	queued.Remaining = len(idle)
 	if c.changes.inFlight(record.JobKey(spec.ID)) || c.needsMigration(job) || forming && slices.ContainsFunc(idle, func(i int) bool { return c.taskState(job, i).Attempt >= attempt }) {
-		c.logWaiting(job, "its last attempt has not left yet, or a change is on its way", nil)
+		c.logWaiting(job, reasonAttemptLeaving, nil)
 		queued.Remaining = 0
 		return
 	}
@@ -54,7 +54,7 @@
 		}
 	}
 	if picks == nil {
-		c.logWaiting(job, "no room for all its tasks", nil)
+		c.logWaiting(job, reasonNoRoomForGang, nil)
 		return
 	}
 	queued.Remaining = 0
@@ -69,12 +69,12 @@
 	}
 	for k, n := range adds {
 		if c.recordFull(job, k, n, picks[0].Machine.Name) {
-			c.logWaiting(job, "its records are full", nil)
+			c.logWaiting(job, reasonRecordFull, nil)
 			return
 		}
 	}
 	if !c.quota.Allows(queued.homeShard, spec.Team, c.usage(queued.homeShard, spec.Team).AddTimes(queued.Need, float64(len(picks)))) {
-		c.logWaiting(job, "its team's grant in this part", nil)
+		c.logWaiting(job, reasonTeamGrant, nil)
 		return
 	}
 	for x, n := range picks {
--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"context"
 	"maps"
 	"slices"
 	"time"
@@ -16,11 +17,14 @@
 // cycle is one look at the view; it collects the changes to make.
 type cycle struct {
 	*Engine
-	now                     time.Time
-	fencingTokens           map[int]uint64
-	shardRevisions          map[int]uint64
-	recordEdits             map[recordKey]*recordEdit
-	outgoing                []*recordChange
+	now            time.Time
+	fencingTokens  map[int]uint64
+	shardRevisions map[int]uint64
+	recordEdits    map[recordKey]*recordEdit
+	outgoing       []*recordChange
+	// backgroundCalls are calls to other nodes or the key-value store that the cycle doesn't wait for.
+	backgroundCalls         []func(context.Context)
+	logsWaiting             bool                        // whether the log takes in why jobs wait
 	inFlightByMachine       map[string]record.Resources // on their way, by machine
 	inFlightByShard         map[int]map[string]record.Resources
 	inFlightByJob           map[string]int // tasks on their way, by job
@@ -89,6 +93,11 @@
 	return c
 }
 
+// inBackground has a call made after the cycle, without waiting for it.
+func (c *cycle) inBackground(call func(context.Context)) {
+	c.backgroundCalls = append(c.backgroundCalls, call)
+}
+
 func (c *cycle) addInFlight(binding pendingBinding) {
 	c.inFlightByMachine[binding.machine] = c.inFlightByMachine[binding.machine].AddTimes(binding.need, 1)
 	c.inFlightByShard[binding.chargedShard][binding.team] = c.inFlightByShard[binding.chargedShard][binding.team].AddTimes(binding.need, 1)
--- a/internal/scheduler/recordmigration.go
+++ b/internal/scheduler/recordmigration.go
@@ -34,7 +34,7 @@
 		}
 		conditions, ops, ok := job.MigrateChunk(layout, tuning.MoveRound)
 		if !ok || len(ops) > c.committer.MaxTransactionOps() {
-			c.logWaiting(job, "its records can't be split far enough", nil)
+			c.logWaiting(job, reasonRecordTooLarge, nil)
 			return
 		}
 		migrated++
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -75,7 +75,6 @@
 		})
 		fixture.agents = append(fixture.agents, agents)
 		engine := New(settings, operator, fixture.cluster, members, agents, committer, client, nil, log)
-		engine.ctx = context.Background()
 		fixture.engines = append(fixture.engines, engine)
 	}
 	return fixture
@@ -563,7 +562,6 @@
 		engine.membership = membership.New(node, 1, []string{node}, tuning.Level, client, engine.committer, kvstore.NewWatchCache(client, record.LivePrefix, fixture.cluster, slog.New(slog.DiscardHandler)), fixture.cluster, slog.New(slog.DiscardHandler))
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = engine.committer.Run(ctx) }()
-		engine.ctx = ctx
 		change := &recordChange{description: "tasks of run-1", keys: []string{record.JobKey("run-1")}, shards: []int{shard},
 			bindings:    []pendingBinding{{record.TaskRef{Job: "run-1"}, name, shard, "t", record.Resources{GPUs: 1}}},
 			transaction: kvstore.Transaction{Conditions: []wire.Condition{{Key: record.ShardKey(shard)}}, Ops: []wire.Op{kvstore.PutOp(record.JobKey("run-1"), 1)}}}
@@ -572,7 +570,7 @@
 		engine.mu.Unlock()
 		done := make(chan struct{})
 		go func() {
-			engine.commitChange(id, change)
+			engine.commitChange(ctx, id, change)
 			close(done)
 		}()
 		time.Sleep(20 * time.Second)
