--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -95,9 +95,7 @@
 	job := record.Job{Spec: *spec, SubmittedAtMs: time.Now().UnixMilli()}
 	rejection := assessed.rejection
 	if rejection == nil {
-		if reason := job.ChooseLayout(assessed.schemaVersion, assessed.sizeLimits); reason != "" {
-			rejection = errors.New(reason)
-		}
+		rejection = job.ChooseLayout(assessed.schemaVersion, assessed.sizeLimits)
 	}
 	if rejection != nil {
 		return s.rejectUnlessAccepted(ctx, spec.ID, rejection)
@@ -133,7 +131,7 @@
 	key := record.JobKey(spec.ID)
 	_, err := s.committer.Commit(ctx, kvstore.Transaction{
 		Conditions: []wire.Condition{{Key: key}, {Key: record.FinalKey(spec.ID)}},
-		Ops:        []wire.Op{kvstore.PutOp(key, job)}, Urgent: true,
+		Ops:        []wire.Op{kvstore.PutOp(key, job)}, Priority: kvstore.PriorityUrgent,
 	})
 	if err != nil {
 		if errors.Is(err, kvstore.ErrConditionFailed) {
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -42,7 +42,7 @@
 	case err != nil && !isNotApplied(err) && !change.harmlessWhenLate:
 		e.log.Info("change has no known outcome", "change", change.description, "err", err)
 		for _, shard := range change.shards {
-			e.membership.Fence(ctx, shard, false)
+			e.membership.Fence(ctx, shard)
 		}
 	}
 	e.mu.Lock()
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -13,6 +13,7 @@
 	"sableusher/internal/config"
 	"sableusher/internal/evacuation"
 	"sableusher/internal/failuredetector"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -63,7 +64,7 @@
 		}
 		if status.UnresolvedStart && c.hasStoppingTask(machine) && c.fences.allow(machine.Shard, c.now) {
 			// A start in doubt could still run a task that must not: raise the token.
-			c.inBackground(func(ctx context.Context) { engine.membership.Fence(ctx, machine.Shard, true) })
+			c.inBackground(func(ctx context.Context) { engine.membership.FenceAndRaiseToken(ctx, machine.Shard) })
 		}
 	}
 	c.evacuateOutboundLost(outboundLost, len(machines))
@@ -108,7 +109,7 @@
 	c.log.Info("machine "+reason, "machine", machine.Name, "tasks", len(machine.Bindings))
 	machineRecord := machine.Machine
 	machineRecord.Up = false
-	c.updateMachineRecord("machine "+reason+" "+machine.Name, machine.Name, machine.Shard, machineRecord, machine.ModRevision).HighPriority = true
+	c.updateMachineRecord("machine "+reason+" "+machine.Name, machine.Name, machine.Shard, machineRecord, machine.ModRevision).Priority = kvstore.PriorityHigh
 	c.machinesToRefresh.add(machine.Name)
 }
 
@@ -170,8 +171,12 @@
 	// What it held waits for this change as for its own: behind the ends of arrays' tasks
 	// replicas once waited for seconds more.
 	for _, binding := range machine.Bindings {
-		transaction.Urgent = transaction.Urgent || binding.Job.Spec.Kind == wire.KindService
-		transaction.HighPriority = transaction.HighPriority || c.effectiveRank(binding.Job) <= wire.PriorityHigh.Rank()
+		if c.effectiveRank(binding.Job) <= wire.PriorityHigh.Rank() {
+			transaction.Priority = max(transaction.Priority, kvstore.PriorityHigh)
+		}
+		if binding.Job.Spec.Kind == wire.KindService {
+			transaction.Priority = kvstore.PriorityUrgent
+		}
 	}
 }
 
--- a/internal/scheduler/machinedeletion.go
+++ b/internal/scheduler/machinedeletion.go
@@ -27,7 +27,7 @@
 	defer e.cluster.RUnlock()
 	var urgent, idle []string
 	appendOwned := func(list *[]string, name string) {
-		if _, _, ok := e.membership.Owns(record.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines.isConfirmed(name) && len(*list) < tuning.ReturnMax {
+		if _, ok := e.membership.Ownership(record.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines.isConfirmed(name) && len(*list) < tuning.ReturnMax {
 			*list = append(*list, name)
 		}
 	}
--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -75,8 +75,8 @@
 	for shard := range e.cluster.ShardCount {
 		_, c.liveShards[shard] = e.membership.OwnerOf(shard)
 		c.inFlightByShard[shard] = map[string]record.Resources{}
-		if token, modRevision, ok := e.membership.Owns(shard); ok {
-			c.fencingTokens[shard], c.shardRevisions[shard] = token, modRevision
+		if ownership, ok := e.membership.Ownership(shard); ok {
+			c.fencingTokens[shard], c.shardRevisions[shard] = ownership.FencingToken, ownership.ModRevision
 			if e.shardTenure.begin(shard, now) {
 				// A new owner hears of its machines at once rather than at their next report.
 				for _, machine := range e.cluster.MachinesByShard[shard] {
@@ -278,8 +278,12 @@
 	for _, key := range slices.Sorted(maps.Keys(conditions)) {
 		change.transaction.Conditions = append(change.transaction.Conditions, wire.Condition{Key: key, ModRevision: conditions[key]})
 	}
-	change.transaction.Urgent = job.Spec.Priority == wire.PriorityProduction
-	change.transaction.HighPriority = c.effectiveRank(job) <= wire.PriorityHigh.Rank()
+	switch {
+	case job.Spec.Priority == wire.PriorityProduction:
+		change.transaction.Priority = kvstore.PriorityUrgent
+	case c.effectiveRank(job) <= wire.PriorityHigh.Rank():
+		change.transaction.Priority = kvstore.PriorityHigh
+	}
 	c.outgoing = append(c.outgoing, change)
 }
 
