--- a/internal/golden/fill_test.go
+++ b/internal/golden/fill_test.go
@@ -1,6 +1,7 @@
 package golden_test
 
 import (
+	"encoding/xml"
 	"fmt"
 	"reflect"
 	"strings"
@@ -30,20 +31,6 @@
 		return
 	}
 	switch v.Kind() {
-	case reflect.Bool:
-		v.SetBool(true)
-	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(f.count)
-	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32:
-		v.SetUint(uint64(f.count))
-	case reflect.Uint64:
-		v.SetUint(1<<63 + uint64(f.count))
-	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(f.count) + 0.1)
-	case reflect.String:
-		v.SetString(fmt.Sprintf("text-%d", f.count))
-	case reflect.Interface:
-		v.Set(reflect.ValueOf(fmt.Sprintf("any-%d", f.count)))
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
 		f.fill(t, name, v.Elem())
@@ -63,6 +50,29 @@
 				f.fill(t, name, v.Field(i))
 			}
 		}
+	default:
+		f.fillScalar(t, name, v)
+	}
+}
+
+// fillScalar sets v, which consists of nothing else, to a value made of the count.
+func (f *filler) fillScalar(t *testing.T, name string, v reflect.Value) {
+	t.Helper()
+	switch {
+	case v.Kind() == reflect.Bool:
+		v.SetBool(true)
+	case v.CanInt():
+		v.SetInt(f.count)
+	case v.Kind() == reflect.Uint64:
+		v.SetUint(1<<63 + uint64(f.count)) // shows a field that has become narrower
+	case v.CanUint():
+		v.SetUint(uint64(f.count))
+	case v.CanFloat():
+		v.SetFloat(float64(f.count) + 0.1)
+	case v.Kind() == reflect.String:
+		v.SetString(fmt.Sprintf("text-%d", f.count))
+	case v.Kind() == reflect.Interface:
+		v.Set(reflect.ValueOf(fmt.Sprintf("any-%d", f.count)))
 	default:
 		t.Fatalf("%s: no value for %s", name, v.Type())
 	}
@@ -109,43 +119,51 @@
 	}
 }
 
-// writeByTag prints a value by the names in its tags, one value a line, and fails if one of them is zero.
-func writeByTag(t *testing.T, out *strings.Builder, format, path string, v reflect.Value, mayBeZero bool) {
+// tagWriter prints a value by the names in its tags, one value a line.
+type tagWriter struct {
+	out        strings.Builder
+	format     string // of the tags
+	everyField bool   // fail if a field is zero
+}
+
+func (w *tagWriter) write(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
+	if w.everyField && v.IsZero() {
+		t.Errorf("%s is not set", path)
+	}
 	switch v.Kind() {
 	case reflect.Pointer:
 		if v.IsNil() {
-			fmt.Fprintf(out, "%s = none\n", path)
+			fmt.Fprintf(&w.out, "%s = none\n", path)
 			return
 		}
-		writeByTag(t, out, format, path, v.Elem(), mayBeZero)
-		return
+		w.write(t, path, v.Elem())
 	case reflect.Slice:
 		for i := range v.Len() {
-			writeByTag(t, out, format, fmt.Sprintf("%s[%d]", path, i), v.Index(i), mayBeZero)
+			w.write(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 		}
 		if v.Len() == 0 {
-			fmt.Fprintf(out, "%s = none\n", path)
+			fmt.Fprintf(&w.out, "%s = none\n", path)
 		}
 	case reflect.Struct:
-		for i := range v.NumField() {
-			field := v.Type().Field(i)
-			tag, ok := field.Tag.Lookup(format)
-			if !ok {
-				if field.IsExported() && v.Type().PkgPath() != "encoding/xml" {
-					t.Errorf("%s: a field without a tag", path)
-				}
-				continue
-			}
-			if field.Type.PkgPath() != "encoding/xml" {
-				writeByTag(t, out, format, path+"/"+tag, v.Field(i), mayBeZero)
-			}
-		}
-		return
+		w.writeStruct(t, path, v)
 	default:
-		fmt.Fprintf(out, "%s = %v\n", path, v.Interface())
+		fmt.Fprintf(&w.out, "%s = %v\n", path, v.Interface())
 	}
-	if v.IsZero() && !mayBeZero {
-		t.Errorf("%s is not set", path)
+}
+
+// writeStruct prints the fields that have a tag; one that is exported must have one.
+func (w *tagWriter) writeStruct(t *testing.T, path string, v reflect.Value) {
+	t.Helper()
+	for i := range v.NumField() {
+		field := v.Type().Field(i)
+		tag, tagged := field.Tag.Lookup(w.format)
+		isElementName := field.Type == reflect.TypeFor[xml.Name]()
+		switch {
+		case tagged && !isElementName:
+			w.write(t, path+"/"+tag, v.Field(i))
+		case !tagged && field.IsExported():
+			t.Errorf("%s: a field without a tag", path)
+		}
 	}
 }
--- /dev/null
+++ b/internal/golden/job_changes_test.go
@@ -0,0 +1,69 @@
+package golden_test
+
+import (
+	"fmt"
+	"log/slog"
+	"testing"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
+	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
+)
+
+// layout is how a job's tasks are spread over its records.
+type layout struct {
+	name            string
+	chunkWidth      int
+	firstFixedChunk int
+}
+
+var layouts = []layout{
+	{name: "chunks"},
+	{name: "groups", chunkWidth: tuning.ChunkTasks / 4},
+	{name: "half-moved", chunkWidth: tuning.ChunkTasks / 4, firstFixedChunk: 1},
+}
+
+// liveJob gives a job of some records as the cluster state has it.
+func liveJob(l layout) (*clusterstate.State, *clusterstate.Job) {
+	spec := arraySpec(2 * tuning.ChunkTasks)
+	spec.MaxRetries = new(3)
+	job := record.Job{
+		Spec: spec, SubmittedAtMs: submittedMs, ChunkWidth: l.chunkWidth, FirstFixedChunk: l.firstFixedChunk,
+	}
+	state := clusterstate.New(3, slog.New(slog.DiscardHandler))
+	state.BeginUpdate()
+	defer state.EndUpdate()
+	state.Put(record.JobKey(spec.ID), wire.MustEncode(job), 11)
+	return state, state.Jobs[spec.ID]
+}
+
+// changedTasks are tasks at the edges of records, some of which have failed before.
+func changedTasks() map[int]record.Task {
+	tasks := map[int]record.Task{}
+	for _, index := range []int{0, 1, 2, 49, 50, 51, tuning.ChunkTasks - 1, tuning.ChunkTasks, tuning.ChunkTasks + 1} {
+		task := boundTask(index, 1, "vm-1")
+		task.Failures = index % 3
+		tasks[index] = task
+	}
+	return tasks
+}
+
+// TestJobChanges: a job's changes, made from the cluster state, keep their keys, order and bytes.
+func TestJobChanges(t *testing.T) {
+	var messages []message
+	for _, l := range layouts {
+		state, job := liveJob(l)
+		for chunk := range job.ChunkCount() {
+			name := fmt.Sprintf("%s/record-%d/0", l.name, chunk)
+			messages = append(messages, message{name, job.EncodeChunk(chunk, changedTasks())})
+		}
+		for i, op := range job.FinalizeOps(wire.JobDone, 400, laterMs) {
+			messages = append(messages, message{fmt.Sprintf("%s/final/%d", l.name, i), op})
+		}
+		if conditions, ops, ok := job.MigrateChunk(state.SizeLimits(4000), 1); ok {
+			messages = append(messages, message{l.name + "/move", wire.TxnRequest{Conditions: conditions, Ops: ops}})
+		}
+	}
+	checkCBOR(t, "job_changes.txt", messages)
+}
--- a/internal/golden/peers_test.go
+++ b/internal/golden/peers_test.go
@@ -16,37 +16,12 @@
 func TestPeerMessages(t *testing.T) {
 	var out strings.Builder
 	for _, m := range []proto.Message{
-		&peerpb.HeardRequest{}, &peerpb.HeardReply{}, &peerpb.ImagesRequest{}, &peerpb.ImagesReply{}, &peerpb.Image{}, &peerpb.CellMessage{},
+		&peerpb.HeardRequest{}, &peerpb.HeardReply{}, &peerpb.ImagesRequest{}, &peerpb.ImagesReply{},
+		&peerpb.Image{}, &peerpb.CellMessage{},
 	} {
-		descriptor := m.ProtoReflect().Descriptor()
-		fmt.Fprintf(&out, "message %s\n", descriptor.FullName())
-		for i := range descriptor.Fields().Len() {
-			field := descriptor.Fields().Get(i)
-			fmt.Fprintf(&out, "  field %s %s %s = %d\n", field.Cardinality(), field.Kind(), field.Name(), field.Number())
-		}
-		count := 0
-		fillProto(m.ProtoReflect(), &count)
-		encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
-		if err != nil {
-			t.Fatal(err)
-		}
-		fmt.Fprintf(&out, "  bytes %x\n", encoded)
-		decoded := m.ProtoReflect().New().Interface()
-		if err := proto.Unmarshal(encoded, decoded); err != nil || !proto.Equal(m, decoded) {
-			t.Errorf("%s: %v was read as %v, %v", descriptor.FullName(), m, decoded, err)
-		}
-		if again, err := (proto.MarshalOptions{Deterministic: true}).Marshal(decoded); err != nil || !bytes.Equal(again, encoded) {
-			t.Errorf("%s: read and written again: %x, %v", descriptor.FullName(), again, err)
-		}
-	}
-	services := peerpb.File_internal_peer_peerpb_peer_proto.Services()
-	for i := range services.Len() {
-		service := services.Get(i)
-		for j := range service.Methods().Len() {
-			method := service.Methods().Get(j)
-			fmt.Fprintf(&out, "method /%s/%s (%s) %s\n", service.FullName(), method.Name(), method.Input().FullName(), method.Output().FullName())
-		}
+		writeProtoMessage(t, &out, m)
 	}
+	writeProtoServices(&out, (&peerpb.CellMessage{}).ProtoReflect().Descriptor().ParentFile().Services())
 	for _, method := range []string{
 		peerpb.Peer_Heard_FullMethodName, peerpb.Peer_Images_FullMethodName, peerpb.Cells_Exchange_FullMethodName,
 	} {
@@ -55,6 +30,44 @@
 	checkText(t, "peers.txt", out.String())
 }
 
+// writeProtoMessage prints a message's fields and its bytes with all of them set. Read from these bytes it must be
+// the same message, and be written as the same bytes.
+func writeProtoMessage(t *testing.T, out *strings.Builder, m proto.Message) {
+	t.Helper()
+	descriptor := m.ProtoReflect().Descriptor()
+	fmt.Fprintf(out, "message %s\n", descriptor.FullName())
+	for i := range descriptor.Fields().Len() {
+		field := descriptor.Fields().Get(i)
+		fmt.Fprintf(out, "  field %s %s %s = %d\n", field.Cardinality(), field.Kind(), field.Name(), field.Number())
+	}
+	count := 0
+	fillProto(m.ProtoReflect(), &count)
+	deterministic := proto.MarshalOptions{Deterministic: true}
+	encoded, err := deterministic.Marshal(m)
+	if err != nil {
+		t.Fatal(err)
+	}
+	fmt.Fprintf(out, "  bytes %x\n", encoded)
+	decoded := m.ProtoReflect().New().Interface()
+	if err := proto.Unmarshal(encoded, decoded); err != nil || !proto.Equal(m, decoded) {
+		t.Errorf("%s: %v was read as %v, %v", descriptor.FullName(), m, decoded, err)
+	}
+	if again, err := deterministic.Marshal(decoded); err != nil || !bytes.Equal(again, encoded) {
+		t.Errorf("%s: read and written again: %x, %v", descriptor.FullName(), again, err)
+	}
+}
+
+func writeProtoServices(out *strings.Builder, services protoreflect.ServiceDescriptors) {
+	for i := range services.Len() {
+		service := services.Get(i)
+		for j := range service.Methods().Len() {
+			method := service.Methods().Get(j)
+			fmt.Fprintf(out, "method /%s/%s (%s) %s\n",
+				service.FullName(), method.Name(), method.Input().FullName(), method.Output().FullName())
+		}
+	}
+}
+
 // fillProto sets every field to a value of its own.
 func fillProto(m protoreflect.Message, count *int) {
 	fields := m.Descriptor().Fields()
--- a/internal/golden/settings_test.go
+++ b/internal/golden/settings_test.go
@@ -21,9 +21,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var out strings.Builder
-	writeByTag(t, &out, "toml", "", reflect.ValueOf(*settings), false)
-	checkText(t, "settings.txt", out.String())
+	w := tagWriter{format: "toml", everyField: true}
+	w.write(t, "", reflect.ValueOf(*settings))
+	checkText(t, "settings.txt", w.out.String())
 }
 
 // TestSettingsRefused: a setting that is missing or out of range is refused with the same words.
@@ -52,14 +52,16 @@
 // TestOperatorSettings: the operators' settings are read from the same names into the same values.
 func TestOperatorSettings(t *testing.T) {
 	var out strings.Builder
-	for _, file := range []string{"", "testdata/operator.xml", "../../deploy/cells.xml", "../../deploy/classes.xml", "../../deploy/zones.xml"} {
+	for _, file := range []string{
+		"", "testdata/operator.xml", "../../deploy/cells.xml", "../../deploy/classes.xml", "../../deploy/zones.xml",
+	} {
 		settings, err := config.LoadOperator(file)
 		if err != nil {
 			t.Fatalf("%s: %v", file, err)
 		}
-		everyField := file == "testdata/operator.xml"
-		fmt.Fprintf(&out, "file %q\n", file)
-		writeByTag(t, &out, "xml", "", reflect.ValueOf(*settings), !everyField)
+		w := tagWriter{format: "xml", everyField: file == "testdata/operator.xml"}
+		w.write(t, "", reflect.ValueOf(*settings))
+		fmt.Fprintf(&out, "file %q\n%s", file, w.out.String())
 	}
 	checkText(t, "operator.txt", out.String())
 }
