--- a/internal/golden/job_changes_test.go
+++ b/internal/golden/job_changes_test.go
@@ -61,8 +61,9 @@
 		for i, op := range job.FinalizeOps(wire.JobDone, 400, laterMs) {
 			messages = append(messages, message{fmt.Sprintf("%s/final/%d", l.name, i), op})
 		}
-		if conditions, ops, ok := job.MigrateChunk(state.SizeLimits(4000), 1); ok {
-			messages = append(messages, message{l.name + "/move", wire.TxnRequest{Conditions: conditions, Ops: ops}})
+		if migration, ok := job.MigrateChunk(state.SizeLimits(4000), 1); ok {
+			transaction := wire.TxnRequest{Conditions: migration.Conditions, Ops: migration.Ops}
+			messages = append(messages, message{l.name + "/move", transaction})
 		}
 	}
 	checkCBOR(t, "job_changes.txt", messages)
--- a/internal/offload/host.go
+++ b/internal/offload/host.go
@@ -62,7 +62,7 @@
 	}
 	s.world.RLock()
 	defer s.world.RUnlock()
-	if _, _, leads := s.owner.Owns(record.LeaderShard); !leads {
+	if _, leads := s.owner.Ownership(record.LeaderShard); !leads {
 		return Message{}, ErrNotLeader
 	}
 	s.tell(&reply, &m)
@@ -123,7 +123,7 @@
 		switch {
 		case j == nil && word.Status == federation.Held && before.Status == federation.Absent:
 			rec := record.Job{Spec: spec, SubmittedAtMs: a.AtMs, OffloadedFrom: &record.Transfer{Cell: m.Cell, Number: a.Number, Epoch: s.op.CellEpoch}}
-			if rec.ChooseLayout(s.world.SchemaVersion, s.world.SizeLimits(s.commit.UpcomingMaxRecordBytes())) != "" {
+			if rec.ChooseLayout(s.world.SchemaVersion, s.world.SizeLimits(s.commit.UpcomingMaxRecordBytes())) != nil {
 				guests, _ = guests.Release(a.Number, 0)
 				continue
 			}
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -390,7 +390,7 @@
 	} else {
 		c.storeSaturated = true
 	}
-	_, _, isLeader := c.membership.Owns(record.LeaderShard)
+	_, isLeader := c.membership.Ownership(record.LeaderShard)
 	c.collectsDemand = isLeader && c.now.Sub(c.demand.ComputedAt) >= tuning.DemandEvery
 	queue := c.buildQueue(inventory.HasFreeCapacity())
 	inventory.FilterFeasible(func(yield func(record.Resources) bool) {
