--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -155,7 +155,7 @@
 	if c.inventory.Examined() > 2*machines {
 		t.Errorf("%d machines examined for %d jobs on %d machines", c.inventory.Examined(), jobs, machines)
 	}
-	if n := len(c.demand.Groups); n != jobs {
+	if n := len(c.demand.unmet.Groups); n != jobs {
 		t.Errorf("demand names %d of %d jobs", n, jobs)
 	}
 }
@@ -281,7 +281,7 @@
 		for _, engine := range fixture.engines {
 			fixture.cluster.RLock()
 			c := engine.newCycle(testNow)
-			for p := range c.fencingTokens {
+			for p := range c.shards.fencingTokens {
 				engine.shardTenure[p] = testNow.Add(-owned)
 			}
 			c.deleteFailedMachines()
