--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -17,16 +17,16 @@
 // hundreds of arrays that wait behind a full fleet would each pass all of its machines.
 func (c *cycle) preemptFor(queued *queuedJob, taskIndex int, inventory *binpack.Inventory, zones *binpack.ZoneConstraint) bool {
 	task := record.TaskRef{Job: queued.job.Spec.ID, Index: taskIndex}
-	if c.tasksAwaitingPreemption[task] {
+	if c.preempting.awaiting[task] {
 		return true // room is being freed for it already
 	}
-	if c.machinesPreempted >= tuning.RoundStops || c.preemptionMisses[queued.rank].Covers(&queued.Request) {
+	if c.preempting.machines >= tuning.RoundStops || c.preempting.failed[queued.rank].Covers(&queued.Request) {
 		return false
 	}
 	first := (c.firstLiveShard(queued.job) + taskIndex + c.shardRotation(queued)) % c.cluster.ShardCount
 	for offset := range c.cluster.ShardCount {
 		shard := (first + offset) % c.cluster.ShardCount
-		_, owned := c.fencingTokens[shard]
+		_, owned := c.shards.fencingTokens[shard]
 		limit := 1 // that there is one is all that matters where another node decides
 		if owned {
 			limit = tuning.PreemptLook
@@ -45,7 +45,7 @@
 	}
 	// What must stand in certain zones may have missed for that alone.
 	if !queued.job.Spec.SameZone && !queued.job.Spec.Spread {
-		c.preemptionMisses[queued.rank].Add(&queued.Request)
+		c.preempting.failed[queued.rank].Add(&queued.Request)
 	}
 	return false
 }
@@ -55,7 +55,7 @@
 // others take for ready, and all would wait for it. By the clock alone the turns passed in the
 // midst of stops, and room was made twice.
 func (c *cycle) shardRotation(queued *queuedJob) int {
-	since, ok := c.unplacedSince[queued.job.Spec.ID]
+	since, ok := c.demand.unplacedSince[queued.job.Spec.ID]
 	if !ok || queued.rank > wire.PriorityHigh.Rank() {
 		return 0
 	}
@@ -73,7 +73,7 @@
 
 // preemptibleTasks gives the tasks on a machine that may be stopped for a job.
 func (c *cycle) preemptibleTasks(candidate *binpack.MachineInfo, queued *queuedJob) []preemption.Victim {
-	preemptor := preemption.Preemptor{Rank: queued.rank, WithinGuarantee: queued.withinGuarantee, GuaranteedOnArrival: c.guaranteedOnArrival[queued.job.Spec.ID], Team: queued.job.Spec.Team, Need: queued.Need}
+	preemptor := preemption.Preemptor{Rank: queued.rank, WithinGuarantee: queued.withinGuarantee, GuaranteedOnArrival: c.guarantees.onArrival[queued.job.Spec.ID], Team: queued.job.Spec.Team, Need: queued.Need}
 	var victims []preemption.Victim
 	for _, binding := range candidate.Machine.Bindings {
 		if preemptor.MayPreempt(c.runningJob(binding.Job)) && !binding.Job.Cancelled() && record.TaskPreemptible(&binding.Job.Spec) && !c.agents.StopRequested(binding) {
@@ -85,10 +85,10 @@
 
 // preemptTasks stops tasks on a machine until another has room there, and keeps the room.
 func (c *cycle) preemptTasks(candidate *binpack.MachineInfo, queued *queuedJob, task record.TaskRef, victims []preemption.Victim) {
-	c.machinesPreempted++
+	c.preempting.machines++
 	c.inventory.ReserveAll(candidate, task.Job)
 	c.reservations.reserve(candidate.Machine.Name, task, c.now.Add(tuning.PreemptHold))
-	c.tasksAwaitingPreemption[task] = true
+	c.preempting.awaiting[task] = true
 	for _, victim := range victims {
 		grace := 0.0
 		if queued.rank > 0 && victim.Binding.Job.Spec.CheckpointIntervalSeconds > 0 {
@@ -102,13 +102,13 @@
 // runningJob is what a running job has to say for itself.
 func (c *cycle) runningJob(job *clusterstate.Job) preemption.RunningJob {
 	_, guaranteed := c.quota.Guarantee(job.Spec.Team)
-	return preemption.RunningJob{Rank: c.effectiveRank(job), WithinGuarantee: c.runningWithinGuarantee[job.Spec.ID], TeamHasGuarantee: guaranteed, Team: job.Spec.Team,
+	return preemption.RunningJob{Rank: c.effectiveRank(job), WithinGuarantee: c.guarantees.running[job.Spec.ID], TeamHasGuarantee: guaranteed, Team: job.Spec.Team,
 		EndsSoon: job.Spec.Kind == wire.KindArray && c.predictedRunTime(job) < tuning.Passing}
 }
 
 // lostMachineSeconds is the work lost when a task is stopped, in machine seconds.
 func (c *cycle) lostMachineSeconds(binding clusterstate.Binding, candidate *binpack.MachineInfo) float64 {
-	task := c.agents.ObserveTask(binding, candidate.Machine.Name, c.fencingTokens[candidate.Machine.Shard])
+	task := c.agents.ObserveTask(binding, candidate.Machine.Name, c.shards.fencingTokens[candidate.Machine.Shard])
 	ran := 0.0
 	if task.State == wire.TaskRunning {
 		ran = c.now.Sub(task.Since).Seconds()
