--- a/internal/kvstore/batch_test.go
+++ b/internal/kvstore/batch_test.go
@@ -12,7 +12,7 @@
 // and stays within the limits, whatever is queued.
 func TestBatchNeverChangesAKeyTwice(t *testing.T) {
 	const maxOps = 8
-	keys := []string{"a", "b", "c", "d", "e", "f"}
+	keys := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"} // more than maxOps
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxTransactionOps: maxOps}
 		committer := NewCommitter(NewClient(testAddress, limits, nil), ignoreApplied)
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -18,8 +18,9 @@
 	ErrNotFound = errors.New("not found")
 	// ErrCompacted reports a watch from a revision that the store no longer keeps.
 	ErrCompacted = errors.New("revision compacted")
-	// ErrRejected reports a request that is malformed or names an expired lease;
-	// nothing was changed. Errors that match it are of type *RejectedError.
+	// ErrRejected reports an answer with any other status: the request is malformed
+	// or names an expired lease, and is taken for not executed. Errors that match it
+	// are of type *RejectedError.
 	ErrRejected = errors.New("request rejected")
 )
 
--- a/internal/kvstore/inflight_test.go
+++ b/internal/kvstore/inflight_test.go
@@ -126,3 +126,22 @@
 	}
 	return true
 }
+
+// TestFindAppliedIgnoresEarlierTransactions: the same change of an earlier
+// transaction that is still tracked is not taken for a later one's.
+func TestFindAppliedIgnoresEarlierTransactions(t *testing.T) {
+	_, cache := newTestCache(nil, minimalLimits, mapSink{})
+	ops := []wire.Op{PutOp("s/a", 1)}
+	cache.TrackInFlight(ops)
+	cache.ApplyOwn(ops, 3)
+	before := cache.TrackInFlight(ops)
+	if revision, ok := cache.FindApplied(ops, before); ok {
+		t.Errorf("sent after %d, found at %d", before, revision)
+	}
+	cache.applyWatch(0, wire.WatchResponse{Revision: 5, Events: []wire.Event{
+		{PutKey: "s/a", Value: wire.MustEncode(1), ModRevision: 5},
+	}}, time.Now())
+	if revision, ok := cache.FindApplied(ops, before); !ok || revision != 5 {
+		t.Errorf("found at %d: %v", revision, ok)
+	}
+}
--- a/internal/kvstore/watchcache_test.go
+++ b/internal/kvstore/watchcache_test.go
@@ -136,3 +136,25 @@
 		}
 	}
 }
+
+// TestLateWatchDoesNotUndoOwnDelete: a watch's answer that ends before a delete
+// of the node's own must not bring the key back.
+func TestLateWatchDoesNotUndoOwnDelete(t *testing.T) {
+	sink := mapSink{}
+	_, cache := newTestCache(nil, minimalLimits, sink)
+	put := func(revision uint64) wire.WatchResponse {
+		return wire.WatchResponse{Revision: revision, Events: []wire.Event{
+			{PutKey: "s/a", Value: wire.MustEncode(revision), ModRevision: revision},
+		}}
+	}
+	cache.applyWatch(0, put(1), time.Now())
+	cache.ApplyOwn([]wire.Op{DeleteOp("s/a")}, 5)
+	cache.applyWatch(1, put(3), time.Now())
+	if value, ok := sink["s/a"]; ok {
+		t.Errorf("the deleted key is back with %q", value)
+	}
+	cache.applyWatch(3, put(7), time.Now())
+	if sink["s/a"] != string(wire.MustEncode(7)) {
+		t.Errorf("the key that was put again is %q", sink["s/a"])
+	}
+}
