--- a/internal/clusterstate/migration_test.go
+++ b/internal/clusterstate/migration_test.go
@@ -166,8 +166,8 @@
 	}
 }
 
-// migrate takes the next step of the job's migration.
-func (m *migrationModel) migrate(t *rapid.T) {
+// migrate takes the next step of the job's migration, now or, if allowed, later.
+func (m *migrationModel) migrate(t *rapid.T, mayDelay bool) {
 	job := m.job()
 	if !job.NeedsMigration(m.limits) {
 		return
@@ -176,10 +176,14 @@
 	if !ok {
 		return
 	}
-	m.migrating = true
 	if len(step.Ops) > tuning.LeastTxnOps {
 		t.Fatalf("%d changes in one step", len(step.Ops))
 	}
+	if mayDelay && rapid.Bool().Draw(t, "late") {
+		m.delayed = append(m.delayed, taskWrite{conditions: step.Conditions, ops: step.Ops})
+		return
+	}
+	m.migrating = true
 	if !m.store.commit(t, step.Conditions, step.Ops) {
 		t.Fatal("a migration from the newest state failed")
 	}
@@ -232,7 +236,7 @@
 			case 0, 1:
 				model.writeTasks(t)
 			case 2:
-				model.migrate(t)
+				model.migrate(t, true)
 			case 3:
 				model.applyDelayed(t)
 			}
@@ -241,13 +245,16 @@
 		}
 		for range 20 {
 			if model.migrating {
-				model.migrate(t)
+				model.migrate(t, false)
 			}
 		}
 		if job := model.job(); model.migrating && (job.ChunkWidth == 0 || job.FirstFixedChunk != 0) {
 			t.Fatalf("chunks were not migrated to the end: chunk width %d, first fixed chunk %d",
 				job.ChunkWidth, job.FirstFixedChunk)
 		}
+		if job := model.job(); model.migrating && len(job.orphanChunks) != 0 {
+			t.Fatalf("%d chunks of the old layout are left", len(job.orphanChunks))
+		}
 		model.store.deleteAll()
 		if len(model.store.state.Jobs) != 0 {
 			t.Fatal("a job without records is left")
