--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -37,7 +37,7 @@
 	reachableZones := c.countReachableZones()
 	for _, name := range slices.Sorted(maps.Keys(c.cluster.Machines)) {
 		machine := c.cluster.Machines[name]
-		token, owned := c.fencingTokens[machine.Shard]
+		token, owned := c.shards.fencingTokens[machine.Shard]
 		if !owned || machine.Deleting || c.deletedMachines.isConfirmed(name) || c.changes.inFlight(record.MachineKey(name)) {
 			continue
 		}
@@ -50,7 +50,7 @@
 		if machine.Up && status.InboundLost {
 			c.recordMachineDown(machine, "hears nothing")
 		}
-		empty := len(machine.Bindings) == 0 && c.inFlightByMachine[name] == (record.Resources{})
+		empty := len(machine.Bindings) == 0 && c.inFlight.byMachine[name] == (record.Resources{})
 		switch {
 		case !machine.Up && status.LastHeard.IsZero():
 			if c.bootTimedOut(machine) && !c.failureDetector.ZoneUnstable(machine.Zone) {
