--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -12,10 +12,7 @@
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/failuredetector"
-	"sableusher/internal/fairshare"
-	"sableusher/internal/jobqueue"
 	"sableusher/internal/kvstore"
-	"sableusher/internal/learner"
 	"sableusher/internal/membership"
 	"sableusher/internal/quota"
 	"sableusher/internal/record"
@@ -41,9 +38,9 @@
 	ctx                 context.Context
 	changes             changeTracker
 	backoffs            backoffTable
-	ownerWaits          map[string]ownerWait // jobs that wait though room was seen for them elsewhere
-	machinesToReconcile machineSet           // machines whose tasks' fate is to be looked at
-	lastSweep           time.Time            // when all machines were last looked at
+	ownerWaits          ownerWaits
+	machinesToReconcile machineSet // machines whose tasks' fate is to be looked at
+	lastSweep           time.Time  // when all machines were last looked at
 	gangFormation       gangFormation
 	lastLoggedReason    map[string]time.Time // when the log last said why a job waits
 	reservations        reservationTable
@@ -52,67 +49,31 @@
 	failureDetector     failuredetector.Detector
 	fences              fenceLimiter
 	lastArrayPlacement  time.Time // when arrays were last given room
-	// withinGuarantee holds the waiting jobs within their team's guarantee, as of a time.
-	withinGuarantee        map[string]bool
-	guaranteesAt           time.Time
-	runningWithinGuarantee map[string]bool          // the jobs whose running tasks lie within it
-	guaranteedOnArrival    map[string]bool          // whether a job lay within it when this node first saw it
-	capacityShort          [wire.PriorityCount]bool // not all waiting arrays of a rank can be in time with the room there is
-	missesAllObjectives    map[string]bool          // waiting arrays that can be in time for none of their aims
-	reachableObjective     map[string]time.Time     // the aim that each of the others can meet with the room there is
-	objectivesAt           time.Time
-	lastServiceShortage    time.Time                // when a service last found no room
-	unplacedSince          map[string]time.Time     // since when a job finds none for a task
-	recentArrivals         fairshare.Tracker        // what arrived lately of classes and teams
-	underserved            map[fairshare.Group]bool // who of them has had least of what is due
-	nextReorder            map[string]time.Time     // when time alone next moves a waiting job in line
-	lastFullReorder        time.Time                // when all of them were last put in line anew
-	cachedValues           map[string]cachedValue
-	cachedState            *learner.State // what is chosen in, as of a time
-	cachedStateAt          time.Time
-	changeFeed             *clusterstate.ChangeFeed
-	waitingJobs            *jobqueue.Queue[*clusterstate.Job]
-	queueBuffer            []queuedJob // of the round before, its memory used again
-	retainedInventory      *binpack.Inventory
-	machinesToRefresh      machineSet // machines whose workers told something that the stock has not taken in
-	demand                 UnmetDemand
-	learning               learning
-	reader                 kvstore.Reader
-	peers                  Peers
-	remoteImages           imageHints
-	wakeup                 chan struct{}
-	needPerGPU             record.Resources // what GPU work takes beside each GPU
-	commonNeed             record.Resources // what a task of the work that asks for most cores takes
-	commonNeedAt           time.Time        // when it last did
-	migration              migrationSchedule
-}
-
-// cachedValue is a job's value as of a time.
-type cachedValue struct {
-	value      float64
-	computedAt time.Time
-}
-
-// ownerWait is since when a job waits, with so many tasks, for another part's owner.
-type ownerWait struct {
-	since    time.Time
-	lastSeen time.Time
-	pending  int
+	guarantees          guarantees
+	objectives          objectives
+	waiting             waitingJobs
+	changeFeed          *clusterstate.ChangeFeed
+	retainedInventory   *binpack.Inventory
+	machinesToRefresh   machineSet // machines whose workers told something that the stock has not taken in
+	demand              demandState
+	learning            learning
+	reader              kvstore.Reader
+	peers               Peers
+	remoteImages        imageHints
+	wakeup              chan struct{}
+	migration           migrationSchedule
 }
 
 // New makes an engine.
 func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *agent.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
-		changes: newChangeTracker(), backoffs: backoffTable{}, ownerWaits: map[string]ownerWait{}, unplacedSince: map[string]time.Time{}, machinesToReconcile: machineSet{}, cachedValues: map[string]cachedValue{},
+		changes: newChangeTracker(), backoffs: backoffTable{}, ownerWaits: ownerWaits{}, machinesToReconcile: machineSet{},
 		gangFormation: gangFormation{}, lastLoggedReason: map[string]time.Time{}, reservations: reservationTable{}, shardTenure: shardTenure{}, deletedMachines: newDeletedMachines(),
-		nextReorder: map[string]time.Time{}, migration: newMigrationSchedule(), fences: fenceLimiter{}, reader: reader, peers: peers,
+		migration: newMigrationSchedule(), fences: fenceLimiter{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
-		learning: learning{
-			learner:  learner.New(operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, members.Incarnation, log),
-			runTimes: learner.NewEstimates(), pendingRewards: map[taskAttempt]int64{}, startedAt: map[taskAttempt]time.Time{}, recentResponsiveness: 0.5,
-		},
-		wakeup: make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waitingJobs: jobqueue.New[*clusterstate.Job](), machinesToRefresh: machineSet{},
+		learning:        newLearning(operator, members.Incarnation, log),
+		wakeup:          make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waiting: newWaitingJobs(), demand: newDemandState(), machinesToRefresh: machineSet{},
 	}
 }
 
@@ -200,9 +161,11 @@
 	if now.Sub(e.lastSweep) >= tuning.SweepEvery {
 		e.lastSweep = now
 		c.accrueMachineTime()
+		c.demand.updateNeedPerGPU(c.cluster.Jobs)
+		c.demand.updateCommonTask(c.cluster.Jobs, now)
 		c.pruneState()
 		c.deleteFailedMachines()
-		for shard := range c.fencingTokens {
+		for shard := range c.shards.fencingTokens {
 			for _, machine := range c.cluster.MachinesByShard[shard] {
 				e.machinesToReconcile.add(machine.Name)
 			}
@@ -213,7 +176,7 @@
 	c.buildChanges()
 	c.migrateRecords()
 	c.cancelDependents()
-	for _, grant := range e.quota.PlanChanges(now, c.shardRevisions, c.usage) {
+	for _, grant := range e.quota.PlanChanges(now, c.shards.revisions, c.usage) {
 		change := &recordChange{description: "grant", transaction: grant.Transaction, shards: []int{grant.Shard}, onResult: func(bool) { grant.Done() }}
 		c.outgoing = append(c.outgoing, change)
 	}
@@ -308,7 +271,7 @@
 func (e *Engine) Demand() UnmetDemand {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.demand
+	return e.demand.unmet
 }
 
 // Graced is the slack a task needs to save.
--- /dev/null
+++ b/internal/scheduler/learner_checkpoint.go
@@ -0,0 +1,135 @@
+package scheduler
+
+import (
+	"context"
+	"errors"
+	"time"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/config"
+	"sableusher/internal/kvstore"
+	"sableusher/internal/learner"
+	"sableusher/internal/record"
+	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
+)
+
+// learnerCheckpoints saves what was learned under the node's name in the key-value store.
+type learnerCheckpoints struct {
+	node      string
+	cluster   *clusterstate.State
+	committer *kvstore.Committer
+	reader    kvstore.Reader
+}
+
+// Learner gives the learner that the autoscaler shares.
+func (e *Engine) Learner() *learner.Learner { return e.learning.learner }
+
+// RunLearner keeps the value function fitted and saved until ctx ends. It gives the error of ctx.
+func (e *Engine) RunLearner(ctx context.Context) error {
+	checkpoints := learnerCheckpoints{node: e.settings.Node, cluster: e.cluster, committer: e.committer, reader: e.reader}
+	e.restoreLearner(ctx, checkpoints)
+	refit := time.NewTicker(config.Seconds(e.operator.RefitS))
+	defer refit.Stop()
+	save := time.NewTicker(tuning.LearnSave)
+	defer save.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-refit.C:
+			e.refitLearner()
+		case <-save.C:
+			checkpoint := e.learning.learner.Save()
+			e.learning.runTimes.Save(&checkpoint)
+			if err := checkpoints.save(ctx, checkpoint); err != nil {
+				e.log.Debug("learner checkpoint not saved", "err", err)
+			}
+		}
+	}
+}
+
+// refitLearner fits the value function to the rewards seen and drops decisions that none will come for.
+func (e *Engine) refitLearner() {
+	if err := e.learning.learner.Refit(); err != nil {
+		e.log.Info("learner not refitted", "err", err)
+	}
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.cluster.RLock()
+	defer e.cluster.RUnlock()
+	e.learning.dropStaleAttempts(e.cluster.Jobs)
+}
+
+// restoreLearner goes on from the checkpoint saved under the node's name. It is advice only: what is
+// corrupt or of another form is ignored.
+func (e *Engine) restoreLearner(ctx context.Context, checkpoints learnerCheckpoints) {
+	checkpoint, err := checkpoints.load(ctx)
+	if err == nil {
+		err = e.learning.learner.Restore(checkpoint)
+	}
+	switch {
+	case errors.Is(err, kvstore.ErrNotFound) || ctx.Err() != nil:
+	case err != nil:
+		e.log.Info("learner checkpoint ignored", "err", err)
+	default:
+		e.learning.runTimes.Restore(checkpoint)
+		e.log.Info("learner checkpoint restored", "rewards", checkpoint.Paid)
+	}
+}
+
+// save writes a checkpoint.
+func (s learnerCheckpoints) save(ctx context.Context, checkpoint learner.Saved) error {
+	ctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
+	defer cancel()
+	_, err := s.committer.Commit(ctx, kvstore.Transaction{Ops: s.ops(checkpoint)})
+	return err
+}
+
+// ops gives the changes that save a checkpoint, in the form that the schema version asks for.
+func (s learnerCheckpoints) ops(checkpoint learner.Saved) []wire.Op {
+	s.cluster.RLock()
+	version := s.cluster.SchemaVersion
+	s.cluster.RUnlock()
+	if version < tuning.LevelPipelines {
+		return []wire.Op{kvstore.PutOp(record.LearnerCheckpointKey(s.node), checkpoint)}
+	}
+	var ops []wire.Op
+	for i, piece := range checkpoint.Split(s.committer.MaxRecordBytes(), time.Now().UnixMilli()) {
+		ops = append(ops, kvstore.PutOp(record.LearnerCheckpointPieceKey(s.node, i), piece))
+	}
+	return ops
+}
+
+// load reads the checkpoint: in pieces, or as one record, as it was before tuning.LevelPipelines.
+func (s learnerCheckpoints) load(ctx context.Context) (learner.Saved, error) {
+	checkpoint, err := s.read(ctx, record.LearnerCheckpointPieceKey(s.node, 0))
+	if errors.Is(err, kvstore.ErrNotFound) {
+		return s.read(ctx, record.LearnerCheckpointKey(s.node))
+	}
+	for i := 1; i < checkpoint.Of && err == nil; i++ {
+		var piece learner.Saved
+		if piece, err = s.read(ctx, record.LearnerCheckpointPieceKey(s.node, i)); err == nil {
+			err = checkpoint.Join(piece)
+		}
+	}
+	return checkpoint, err
+}
+
+// read reads a record, again and again while the key-value store does not answer.
+func (s learnerCheckpoints) read(ctx context.Context, key string) (learner.Saved, error) {
+	for {
+		var checkpoint learner.Saved
+		entry, err := s.reader.Get(ctx, key)
+		switch {
+		case err == nil:
+			return checkpoint, wire.Decode(entry.Value, &checkpoint)
+		case errors.Is(err, kvstore.ErrNotFound) || ctx.Err() != nil:
+			return checkpoint, err
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(tuning.StateRetry):
+		}
+	}
+}
