--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -220,9 +220,9 @@
 
 // accept notes a heartbeat that is newer than all before; otherwise it says why it is to be dropped. Callers
 // hold the cluster state's lock.
-func (n heartbeatHistory) accept(h *heartbeatRequest) dropReason {
+func (history heartbeatHistory) accept(h *heartbeatRequest) dropReason {
 	report := h.report
-	newest := n[report.Machine]
+	newest := history[report.Machine]
 	switch {
 	case report.Session < newest.session:
 		return droppedEarlierSession
@@ -234,15 +234,15 @@
 	case h.recorded != nil && report.Session < h.recorded.Session:
 		return droppedEarlierSession
 	}
-	n[report.Machine] = heartbeatPosition{report.Session, report.Sequence, h.now}
+	history[report.Machine] = heartbeatPosition{report.Session, report.Sequence, h.now}
 	return notDropped
 }
 
 // removeOld forgets the heartbeats that came longer ago than any copy of them could still arrive.
-func (n heartbeatHistory) removeOld(lease time.Duration, now time.Time) {
-	for name, position := range n {
+func (history heartbeatHistory) removeOld(lease time.Duration, now time.Time) {
+	for name, position := range history {
 		if now.Sub(position.receivedAt) > tuning.MarkLeases*lease {
-			delete(n, name)
+			delete(history, name)
 		}
 	}
 }
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -144,6 +144,7 @@
 		o.Errorf("its lease ends %v after it is back", status.LeaseExpiry.Sub(restoredAt))
 	}
 	o.commandAfter(10 * time.Second)
+	o.expect("its agent still looks for the owner", true, false)
 	o.commandAfter(11 * time.Second)
 	o.expect("no heartbeat follows", false, true)
 }
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -55,6 +55,36 @@
 	}
 }
 
+// TestOnlyWhatNoPeerHearsIsDead: a silent machine that another node hears is kept, and so is one that the peers did
+// not answer about; one that no peer hears is deleted.
+func TestOnlyWhatNoPeerHearsIsDead(t *testing.T) {
+	for _, c := range []struct {
+		name        string
+		heardBy     string
+		peersSilent bool
+		deleted     bool
+	}{
+		{name: "heard by none", deleted: true},
+		{name: "heard by another node", heardBy: "node-1"},
+		{name: "no answer", peersSilent: true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			s := newTestSite(2, 20)
+			s.peersSilent = c.peersSilent
+			s.run(0, 20)
+			name := s.machines[3].Name
+			s.silent[name] = true
+			if c.heardBy != "" {
+				s.heardByPeers[name] = c.heardBy
+			}
+			s.run(20, 200)
+			if _, deleted := s.deletedAt[name]; deleted != c.deleted || len(s.deletedAt) > 1 {
+				t.Errorf("deleted %v", s.deletedAt)
+			}
+		})
+	}
+}
+
 // TestOverdueCancellationDeletesDuringPartition: nothing keeps a cancelled task beyond its time.
 func TestOverdueCancellationDeletesDuringPartition(t *testing.T) {
 	s := newTestSite(2, 20)
--- a/internal/failuredetector/fixture_test.go
+++ b/internal/failuredetector/fixture_test.go
@@ -38,6 +38,7 @@
 	machines     []Machine
 	silent       map[string]bool
 	heardByPeers map[string]string // machines that another node hears, and that node
+	peersSilent  bool              // no peer answers
 	deletedAt    map[string]time.Time
 }
 
@@ -69,7 +70,7 @@
 			machine.LastHeard = now
 		}
 	}
-	if len(assessment.AskPeersAbout) > 0 {
+	if len(assessment.AskPeersAbout) > 0 && !s.peersSilent {
 		s.detector.RecordPeerAnswers(now, assessment.AskPeersAbout, s.heardByPeers)
 	}
 	for _, deletion := range assessment.Deletions {
--- a/internal/failuredetector/zones_test.go
+++ b/internal/failuredetector/zones_test.go
@@ -164,3 +164,36 @@
 		}
 	})
 }
+
+// TestEachPartitionHasItsOwnRoster: a machine that came between two partitions counts as added after the first and
+// as one that worked on after the second.
+func TestEachPartitionHasItsOwnRoster(t *testing.T) {
+	s := newTestSite(2, 20)
+	s.run(0, 20)
+	second := 20
+	for partition := range 2 {
+		for _, machine := range s.inCutZone() {
+			s.silent[machine.Name] = true
+		}
+		before := len(s.inCutZone())
+		s.run(second, second+20)
+		second += 20
+		clear(s.silent)
+		left := len(s.inCutZone())
+		if partition == 0 {
+			at := atSecond(second)
+			added := Machine{Name: "new", Zone: cutZone, Up: true, OwnedSince: at, LastHeard: at}
+			s.machines = append(s.machines, added)
+		}
+		var returns []zonehealth.ReturnSummary
+		for end := second + 600; second < end; second++ {
+			if summary, ok := s.step(atSecond(second)).ZoneReturns[cutZone]; ok {
+				returns = append(returns, summary)
+			}
+		}
+		want := zonehealth.ReturnSummary{Continued: left, Deleted: before - left, Added: 1 - partition}
+		if len(returns) != 1 || returns[0] != want {
+			t.Fatalf("partition %d: reported %v, want %v once", partition, returns, want)
+		}
+	}
+}
