--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -13,22 +13,11 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"sableusher/internal/agent"
-	"sableusher/internal/api"
-	"sableusher/internal/autoscaler"
-	"sableusher/internal/cloud"
-	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/dependency"
-	"sableusher/internal/kvstore"
-	"sableusher/internal/membership"
 	"sableusher/internal/offload"
 	"sableusher/internal/peerrpc"
-	"sableusher/internal/record"
 	"sableusher/internal/scheduler"
-	"sableusher/internal/schemaversion"
-	"sableusher/internal/tuning"
-	"sableusher/internal/wire"
 )
 
 // PeerTransport connects a controller with the other nodes and with other cells.
@@ -71,33 +60,10 @@
 // ConnectPeers.
 func New(c Config) (*Controller, error) {
 	settings, operator, logger := c.Settings, c.Operator, c.Logger
-	deployment := &settings.Deployment
-
-	client := newStoreClient(settings, c.Transport)
-	state := clusterstate.New(deployment.Size, logger)
-	cache := kvstore.NewWatchCache(client, record.LivePrefix, state, logger)
-	committer := kvstore.NewCommitter(client, func(ops []wire.Op, revision uint64) { cache.ApplyOwn(ops, revision) })
-	committer.SetObserver(cache)
-	members := membership.New(membership.Config{
-		NodeName:      settings.Node,
-		Incarnation:   c.Incarnation,
-		NodeNames:     settings.Nodes(),
-		SchemaVersion: c.SchemaVersion,
-		Client:        client,
-		Committer:     committer,
-		Cache:         cache,
-		ClusterState:  state,
-		Logger:        logger,
-	})
-
-	agents := agent.New(agent.Config{
-		Settings:     settings,
-		ClusterState: state,
-		Membership:   members,
-		CompleteAsOf: cache.CompleteAsOf,
-		Logger:       logger,
-		Transport:    c.Transport,
-	})
+	store := newStore(&c)
+	client, state, committer := store.client, store.state, store.committer
+	members := store.newMembership(&c)
+	agents := store.newAgents(&c, members)
 	peers, err := c.ConnectPeers(agents)
 	if err != nil {
 		return nil, err
@@ -105,73 +71,21 @@
 	agents.SetPeerLastAnswered(peers.LastAnswered)
 
 	engine := scheduler.New(settings, operator, state, members, agents, committer, client, peers, logger)
-	cloudClient := cloud.New(cloud.Options{
-		Address:           settings.Outside.Cloud,
-		RequestsPerSecond: deployment.Cloud.RPS,
-		Controllers:       deployment.Size,
-		Transport:         c.Transport,
-	})
-	scaler := autoscaler.New(autoscaler.Options{
-		Settings:  settings,
-		Operator:  operator,
-		State:     state,
-		Members:   members,
-		Scheduler: engine,
-		Cloud:     cloudClient,
-		Committer: committer,
-		Log:       logger,
-	})
+	scaler := store.newAutoscaler(&c, members, engine)
 	dependencies := dependency.NewResolver(state, client, logger)
-	versions := schemaversion.NewActivator(schemaversion.Config{
-		NodeNames:        settings.Nodes(),
-		SupportedVersion: c.SchemaVersion,
-		ClusterState:     state,
-		Owner:            members,
-		Committer:        committer,
-		Limits:           client,
-		Logger:           logger,
-	})
-	offloads := offload.New(operator, deployment.Teams, state, members, committer, peers, logger)
+	versions := store.newActivator(&c, members)
+	offloads := offload.New(operator, settings.Deployment.Teams, state, members, committer, peers, logger)
 	if len(operator.Cells) > 0 {
 		peers.SetCellHandler(offloads.Answer)
 	}
-	server := api.New(api.Config{
-		Settings:     settings,
-		Operator:     operator,
-		ClusterState: state,
-		Reader:       client,
-		Committer:    committer,
-		Barrier:      cache,
-		Agents:       agents,
-		Logger:       logger,
-	})
+	server := store.newServer(&c, agents)
 	return &Controller{handler: server.Handler(), loops: []func(context.Context) error{
-		cache.Run, committer.Run, members.Run, agents.Run,
+		store.cache.Run, committer.Run, members.Run, agents.Run,
 		engine.Run, engine.RunLearner, engine.TrackRemoteImages,
 		scaler.Run, peers.Run, dependencies.Run, versions.Run, offloads.Run,
 	}}, nil
 }
 
-// newStoreClient makes the client of the key-value store with this node's share of its limits.
-func newStoreClient(settings *config.Settings, transport http.RoundTripper) *kvstore.Client {
-	limits := &settings.Deployment.State
-	client := kvstore.NewClient(settings.Outside.State, kvstore.Limits{
-		BudgetShare:       tuning.StateShare / float64(settings.Deployment.Size),
-		RequestsPerSecond: limits.RPS,
-		WritesPerSecond:   limits.WriteRPS,
-		MaxValueKiB:       limits.ValueKB,
-		MaxTransactionOps: limits.TxnOps,
-	}, transport)
-	upcoming := settings.NextState()
-	client.SetUpcomingLimits(kvstore.Limits{
-		RequestsPerSecond: upcoming.RPS,
-		WritesPerSecond:   upcoming.WriteRPS,
-		MaxValueKiB:       upcoming.ValueKB,
-		MaxTransactionOps: upcoming.TxnOps,
-	})
-	return client
-}
-
 // Handler serves users, agents and health checks.
 func (c *Controller) Handler() http.Handler { return c.handler }
 
