--- a/internal/record/compatibility_test.go
+++ b/internal/record/compatibility_test.go
@@ -70,7 +70,7 @@
 		Drain   bool   `cbor:"d,omitempty"`
 		Gone    bool   `cbor:"g,omitempty"`
 	}
-	oldPart struct {
+	oldShard struct {
 		Owner string `cbor:"o"`
 		Inc   uint64 `cbor:"i"`
 		Token uint64 `cbor:"e"`
@@ -102,7 +102,7 @@
 		Done   int    `cbor:"d"`
 		AtMs   int64  `cbor:"t"`
 	}
-	oldType struct {
+	oldMachineType struct {
 		Name      string   `cbor:"sku"`
 		CPUs      float64  `cbor:"vcpus"`
 		GPUs      float64  `cbor:"cards"`
@@ -115,9 +115,9 @@
 		Zones     []string `cbor:"harbors"`
 	}
 	oldCatalog struct {
-		Types []oldType `cbor:"hulls"`
+		Types []oldMachineType `cbor:"hulls"`
 	}
-	oldLearned struct {
+	oldLearnerCheckpoint struct {
 		Form    int                  `cbor:"f"`
 		Weights []float64            `cbor:"w"`
 		Paid    int                  `cbor:"p"`
@@ -129,7 +129,7 @@
 // readFixture reads the records as the version before wrote them, by name.
 func readFixture(t *testing.T) map[string][]byte {
 	t.Helper()
-	fixture, err := os.ReadFile("testdata/level0.txt")
+	fixture, err := os.ReadFile("testdata/schemaversion0.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,13 +170,13 @@
 	checkRoundTrip[oldJob, record.Job](t, "job-cancelled", records["job-cancelled"])
 	checkRoundTrip[oldChunk, record.FixedChunk](t, "chunk", records["chunk"])
 	checkRoundTrip[oldMachine, record.Machine](t, "machine", records["machine"])
-	checkRoundTrip[oldPart, record.Shard](t, "part", records["part"])
+	checkRoundTrip[oldShard, record.Shard](t, "part", records["part"])
 	checkRoundTrip[oldNode, record.Node](t, "node", records["node"])
 	checkRoundTrip[oldQuota, record.Quota](t, "quota", records["quota"])
 	checkRoundTrip[oldRental, record.Rental](t, "rental", records["rental"])
 	checkRoundTrip[oldFinal, record.Final](t, "final", records["final"])
 	checkRoundTrip[oldCatalog, wire.Catalog](t, "catalog", records["catalog"])
-	checkRoundTrip[oldLearned, learner.Saved](t, "learned", records["learned"])
+	checkRoundTrip[oldLearnerCheckpoint, learner.Saved](t, "learned", records["learned"])
 
 	// A node's schema version must not disturb a node that knows of none.
 	var node oldNode
