--- a/internal/scheduler/prune.go
+++ b/internal/scheduler/prune.go
@@ -1,10 +1,5 @@
 package scheduler
 
-import (
-	"maps"
-	"time"
-)
-
 // pruneState drops what is kept of jobs that are over, and what has expired.
 func (c *cycle) pruneState() {
 	jobs := c.cluster.Jobs
@@ -13,7 +8,7 @@
 	c.ownerWaits.prune(jobs)
 	c.demand.prune(jobs)
 	c.backoffs.prune(isOver)
-	maps.DeleteFunc(c.lastLoggedReason, func(id string, _ time.Time) bool { return isOver(id) })
+	c.waitLog.prune(isOver)
 	c.gangFormation.prune(isOver)
 	c.changes.pruneRejected(c.now)
 	c.deletedMachines.pruneTombstones(c.now)
