--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"context"
 	"time"
 
 	"sableusher/internal/binpack"
@@ -21,7 +22,9 @@
 
 	recordEdits map[recordKey]*recordEdit
 	outgoing    []*recordChange
-	tasksBound  int
+	// backgroundCalls are calls to other nodes or the key-value store that the cycle doesn't wait for.
+	backgroundCalls []func(context.Context)
+	tasksBound      int
 
 	preempting          preemptionProgress
 	dependentNeedsByJob map[string]dependentNeeds // what jobs that need others ask of them
@@ -29,6 +32,7 @@
 	storeSaturated bool // the key-value store's budget is the bottleneck
 	collectsDemand bool // this cycle accounts the unmet demand for the autoscaler
 	releaseBlocked bool // a task's end could not be written yet
+	logsWaiting    bool // the log takes in why jobs wait
 
 	failingJobs    map[string]bool      // jobs that a change of this cycle ends as failed
 	brokenAttempts map[gangAttempt]bool // whether an attempt is broken, worked out once a cycle
@@ -120,6 +124,11 @@
 	}
 }
 
+// inBackground has a call made after the cycle, without waiting for it.
+func (c *cycle) inBackground(call func(context.Context)) {
+	c.backgroundCalls = append(c.backgroundCalls, call)
+}
+
 // schedule places what waits: it brings the inventory up to date, orders the queue, and then goes
 // through its priorities one after the other. What is left over is the unmet demand.
 func (c *cycle) schedule() {
--- a/internal/scheduler/waitreason.go
+++ b/internal/scheduler/waitreason.go
@@ -1,11 +1,8 @@
 package scheduler
 
 import (
-	"log/slog"
-
 	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
-	"sableusher/internal/tuning"
 )
 
 // waitReason is why a job waits, as the log tells it.
@@ -26,10 +23,9 @@
 // logWaiting logs why a job waits, at most every tuning.WhyEvery for each job. The candidate is the
 // machine that it could have used, if any.
 func (c *cycle) logWaiting(job *clusterstate.Job, reason waitReason, candidate *binpack.MachineInfo) {
-	if !c.log.Enabled(c.ctx, slog.LevelDebug) || c.now.Sub(c.lastLoggedReason[job.Spec.ID]) < tuning.WhyEvery {
+	if !c.logsWaiting || !c.waitLog.allow(job.Spec.ID, c.now) {
 		return
 	}
-	c.lastLoggedReason[job.Spec.ID] = c.now
 	machine := ""
 	if candidate != nil {
 		machine = candidate.Machine.Name
