--- a/internal/agent/dispatch.go
+++ b/internal/agent/dispatch.go
@@ -85,7 +85,7 @@
 	r.clusterState.RLock()
 	defer r.clusterState.RUnlock()
 	recorded := r.clusterState.Machines[machineName]
-	fencingToken, _, owns := r.membership.Owns(record.ShardOf(machineName, r.clusterState.ShardCount))
+	ownership, owns := r.membership.Ownership(record.ShardOf(machineName, r.clusterState.ShardCount))
 	if recorded == nil || recorded.Deleting || !owns || time.Since(r.completeAsOf()) > r.leases.maxStateAge() {
 		return nil, false
 	}
@@ -95,7 +95,7 @@
 	if m.address == "" {
 		m.address = recorded.Address
 	}
-	params := commandParams{recorded: recorded, fencingToken: fencingToken, now: time.Now()}
+	params := commandParams{recorded: recorded, fencingToken: ownership.FencingToken, now: time.Now()}
 	if m.commandInFlight || m.address == "" || r.awaitsHeartbeat(m, params.now) {
 		return nil, false
 	}
--- a/internal/offload/spill.go
+++ b/internal/offload/spill.go
@@ -24,6 +24,7 @@
 	"sableusher/internal/config"
 	"sableusher/internal/federation"
 	"sableusher/internal/kvstore"
+	"sableusher/internal/membership"
 	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -47,7 +48,7 @@
 
 // Owner tells what this node owns. Callers hold the world's lock.
 type Owner interface {
-	Owns(part int) (token, stamp uint64, ok bool)
+	Ownership(shard int) (membership.Ownership, bool)
 }
 
 // ErrNotLeader: another node of this cell speaks for it.
@@ -106,7 +107,7 @@
 		case <-tick.C:
 		}
 		s.world.RLock()
-		_, _, leads := s.owner.Owns(record.LeaderShard)
+		_, leads := s.owner.Ownership(record.LeaderShard)
 		on := leads && s.world.SchemaVersion >= tuning.LevelCells
 		s.world.RUnlock()
 		if !on {
@@ -139,8 +140,8 @@
 // guards are the conditions of what a leader writes about another cell. Callers hold the
 // world's lock.
 func (s *Spill) guards(name string) ([]wire.Condition, bool) {
-	_, stamp, leads := s.owner.Owns(record.LeaderShard)
-	out := []wire.Condition{{Key: record.ShardKey(record.LeaderShard), ModRevision: stamp}, {Key: record.CellKey(name)}}
+	ownership, leads := s.owner.Ownership(record.LeaderShard)
+	out := []wire.Condition{{Key: record.ShardKey(record.LeaderShard), ModRevision: ownership.ModRevision}, {Key: record.CellKey(name)}}
 	if c := s.world.Cells[name]; c != nil {
 		out[1].ModRevision = c.ModRevision
 	}
@@ -158,7 +159,7 @@
 func (s *Spill) do(ctx context.Context, guards []wire.Condition, ops []wire.Op) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
 	defer cancel()
-	_, err := s.commit.Commit(ctx, kvstore.Transaction{Conditions: guards, Ops: ops, HighPriority: true})
+	_, err := s.commit.Commit(ctx, kvstore.Transaction{Conditions: guards, Ops: ops, Priority: kvstore.PriorityHigh})
 	return err
 }
 
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -13,6 +13,7 @@
 	"sableusher/internal/config"
 	"sableusher/internal/evacuation"
 	"sableusher/internal/failuredetector"
+	"sableusher/internal/kvstore"
 	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
@@ -31,12 +32,13 @@
 
 // deleteFailedMachines deletes machines that are silent, stuck or failing.
 func (c *cycle) deleteFailedMachines() {
+	engine := c.Engine
 	var machines []failuredetector.Machine
 	var outboundLost []outboundLostMachine
 	reachableZones := c.countReachableZones()
 	for _, name := range slices.Sorted(maps.Keys(c.cluster.Machines)) {
 		machine := c.cluster.Machines[name]
-		token, owned := c.fencingTokens[machine.Shard]
+		token, owned := c.shards.fencingTokens[machine.Shard]
 		if !owned || machine.Deleting || c.deletedMachines.isConfirmed(name) || c.changes.inFlight(record.MachineKey(name)) {
 			continue
 		}
@@ -49,7 +51,7 @@
 		if machine.Up && status.InboundLost {
 			c.recordMachineDown(machine, "hears nothing")
 		}
-		empty := len(machine.Bindings) == 0 && c.inFlightByMachine[name] == (record.Resources{})
+		empty := len(machine.Bindings) == 0 && c.inFlight.byMachine[name] == (record.Resources{})
 		switch {
 		case !machine.Up && status.LastHeard.IsZero():
 			if c.bootTimedOut(machine) && !c.failureDetector.ZoneUnstable(machine.Zone) {
@@ -62,7 +64,7 @@
 		}
 		if status.UnresolvedStart && c.hasStoppingTask(machine) && c.fences.allow(machine.Shard, c.now) {
 			// A start in doubt could still run a task that must not: raise the token.
-			go c.membership.Fence(c.ctx, machine.Shard, true)
+			c.inBackground(func(ctx context.Context) { engine.membership.FenceAndRaiseToken(ctx, machine.Shard) })
 		}
 	}
 	c.evacuateOutboundLost(outboundLost, len(machines))
@@ -80,23 +82,26 @@
 		c.agents.RequestDispatch(name)
 	}
 	for shard, node := range judgement.ShardTransfers {
-		go c.membership.TransferShard(c.ctx, shard, node)
+		c.inBackground(func(ctx context.Context) { engine.membership.TransferShard(ctx, shard, node) })
 	}
 	if len(judgement.AskPeersAbout) > 0 {
-		engine := c.Engine
-		go func() {
-			heard := engine.peers.QueryRecentlyHeard(engine.ctx, judgement.AskPeersAbout)
-			engine.mu.Lock()
-			defer engine.mu.Unlock()
-			engine.failureDetector.RecordPeerAnswers(time.Now(), judgement.AskPeersAbout, heard)
-			engine.wake()
-		}()
+		c.inBackground(func(ctx context.Context) { engine.askPeers(ctx, judgement.AskPeersAbout) })
 	}
 	for _, victim := range judgement.Deletions {
 		c.deleteMachine(victim)
 	}
 }
 
+// askPeers asks the other nodes which of some machines they have heard from, and has their answers weighed in the next
+// cycle.
+func (e *Engine) askPeers(ctx context.Context, machines []string) {
+	heard := e.peers.QueryRecentlyHeard(ctx, machines)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.failureDetector.RecordPeerAnswers(time.Now(), machines, heard)
+	e.wake()
+}
+
 // recordMachineDown records that a machine which reports but hears nothing, or hears but reaches no node, is not up
 // until that is over. Its owner knows; gangs and services are placed by other nodes too, to which it looked
 // like the emptiest machine there is, and what was bound to it waited until its lease had run out, over and over.
@@ -104,7 +109,7 @@
 	c.log.Info("machine "+reason, "machine", machine.Name, "tasks", len(machine.Bindings))
 	machineRecord := machine.Machine
 	machineRecord.Up = false
-	c.updateMachineRecord("machine "+reason+" "+machine.Name, machine.Name, machine.Shard, machineRecord, machine.ModRevision).HighPriority = true
+	c.updateMachineRecord("machine "+reason+" "+machine.Name, machine.Name, machine.Shard, machineRecord, machine.ModRevision).Priority = kvstore.PriorityHigh
 	c.machinesToRefresh.add(machine.Name)
 }
 
@@ -166,8 +171,12 @@
 	// What it held waits for this change as for its own: behind the ends of arrays' tasks
 	// replicas once waited for seconds more.
 	for _, binding := range machine.Bindings {
-		transaction.Urgent = transaction.Urgent || binding.Job.Spec.Kind == wire.KindService
-		transaction.HighPriority = transaction.HighPriority || c.effectiveRank(binding.Job) <= wire.PriorityHigh.Rank()
+		if c.effectiveRank(binding.Job) <= wire.PriorityHigh.Rank() {
+			transaction.Priority = max(transaction.Priority, kvstore.PriorityHigh)
+		}
+		if binding.Job.Spec.Kind == wire.KindService {
+			transaction.Priority = kvstore.PriorityUrgent
+		}
 	}
 }
 
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -16,7 +16,7 @@
 
 // releaseTask ends a binding in the record.
 // It gives the change that it is part of; nil if it is none, or can't be made just now.
-func (c *cycle) releaseTask(binding clusterstate.Binding, machineName string, state int, reason string) *recordEdit {
+func (c *cycle) releaseTask(binding clusterstate.Binding, machineName string, state record.TaskState, reason string) *recordEdit {
 	c.releaseBlocked = true
 	edit := c.editRecord(binding.Job, binding.Ref.Index)
 	if edit == nil {
@@ -33,10 +33,10 @@
 	edit.tasks[binding.Ref.Index] = released
 	// A gang's tasks end together, also those in other nodes' parts: there the
 	// job's record alone is the guard, as this node doesn't own the part.
-	if shard := record.ShardOf(machineName, c.cluster.ShardCount); c.shardRevisions[shard] != 0 {
+	if shard := record.ShardOf(machineName, c.cluster.ShardCount); c.shards.revisions[shard] != 0 {
 		edit.shards[shard] = true
 	}
-	c.recordEnd(binding, state == record.TaskDone, machineName)
+	c.learning.recordEnd(c.now, c.cluster, binding, state == record.TaskDone, machineName)
 	c.log.Debug("task leaves machine", "task", binding.Ref, "attempt", binding.Attempt, "machine", machineName, "why", reason)
 	return edit
 }
@@ -62,7 +62,7 @@
 		if machine == nil {
 			continue
 		}
-		token, owned := c.fencingTokens[machine.Shard]
+		token, owned := c.shards.fencingTokens[machine.Shard]
 		if !owned {
 			continue
 		}
@@ -85,15 +85,15 @@
 			c.outgoing = append(c.outgoing, &recordChange{
 				description: "forget machine " + name, keys: []string{record.MachineKey(name)}, shards: []int{machine.Shard},
 				transaction: kvstore.Transaction{
-					Conditions: []wire.Condition{{Key: record.ShardKey(machine.Shard), ModRevision: c.shardRevisions[machine.Shard]}, {Key: record.MachineKey(name), ModRevision: machine.ModRevision}},
+					Conditions: []wire.Condition{{Key: record.ShardKey(machine.Shard), ModRevision: c.shards.revisions[machine.Shard]}, {Key: record.MachineKey(name), ModRevision: machine.ModRevision}},
 					Ops:        []wire.Op{kvstore.DeleteOp(record.MachineKey(name))},
-					Background: true, // its record says that it is being deleted, so nobody counts on it
+					Priority:   kvstore.PriorityBackground, // its record says that it is being deleted, so nobody counts on it
 				},
 			})
 		}
 	}
 	for name, bindings := range c.cluster.OrphanBindings {
-		if _, owned := c.fencingTokens[record.ShardOf(name, c.cluster.ShardCount)]; owned && c.deletedMachines.isConfirmed(name) {
+		if _, owned := c.shards.fencingTokens[record.ShardOf(name, c.cluster.ShardCount)]; owned && c.deletedMachines.isConfirmed(name) {
 			for _, binding := range bindings {
 				c.releaseTask(binding, name, record.TaskPending, "machine deleted")
 			}
@@ -143,7 +143,7 @@
 			c.countFailure(binding, edit, decision.FailJob)
 		}
 	case task.Presence == agent.PresenceAlive:
-		c.recordRunning(binding, task.TaskObservation)
+		c.learning.recordRunning(c.now, binding, task.TaskObservation)
 	}
 	if spec.Kind != wire.KindGang || task.Presence == agent.PresenceExited || task.Presence == agent.PresenceSessionEnded {
 		return
@@ -184,7 +184,7 @@
 // left every machine, where no change of a single record could end them. Only
 // the leader does so; it also sweeps chunks left by long jobs.
 func (c *cycle) finishJobs() {
-	if _, _, leads := c.membership.Owns(record.LeaderShard); !leads {
+	if _, leads := c.membership.Ownership(record.LeaderShard); !leads {
 		return
 	}
 	for id, job := range c.cluster.Jobs {
@@ -242,7 +242,7 @@
 		shard := record.ShardOf(name, c.cluster.ShardCount)
 		key := record.MachineKey(name)
 		machine := c.cluster.Machines[name]
-		if _, owned := c.shardRevisions[shard]; !owned || c.changes.inFlight(key) || machine != nil && machine.Deleting {
+		if _, owned := c.shards.revisions[shard]; !owned || c.changes.inFlight(key) || machine != nil && machine.Deleting {
 			continue
 		}
 		// A report that a cut has held back may come long after its machine was deleted:
@@ -263,7 +263,7 @@
 		}
 		newSession := machine != nil && machineRecord.Session != session
 		// A new session of a machine that hears nothing or reaches no node is recorded, but not that it is up.
-		status := c.agents.MachineStatus(name, c.fencingTokens[shard])
+		status := c.agents.MachineStatus(name, c.shards.fencingTokens[shard])
 		up := !status.OutboundLost && (status.InboundConfirmed || !status.InboundLost && (machineRecord.Up || machineRecord.Address == ""))
 		machineRecord.Type, machineRecord.Zone, machineRecord.Spot, machineRecord.Address, machineRecord.Up, machineRecord.Session = report.MachineType, report.Zone, report.Spot, report.Address, up, session
 		transaction := c.updateMachineRecord("machine is up "+name, name, shard, machineRecord, modRevision)
@@ -271,7 +271,12 @@
 		// session can't: others bind gangs and services to the one on record, which
 		// this node ends at once, and both over and over. After a zone's leases had run
 		// out that used up the whole budget, so that the records were never mended.
-		transaction.Urgent, transaction.Background = newSession, machine != nil && !newSession
+		switch {
+		case newSession:
+			transaction.Priority = kvstore.PriorityUrgent
+		case machine != nil:
+			transaction.Priority = kvstore.PriorityBackground
+		}
 	}
 }
 
@@ -310,8 +315,8 @@
 	c.outgoing = append(c.outgoing, &recordChange{
 		description: "stop gang " + binding.Ref.Job, keys: []string{key}, shards: []int{machine.Shard},
 		transaction: kvstore.Transaction{
-			Conditions: []wire.Condition{{Key: key, ModRevision: binding.Job.ModRevision}, {Key: record.ShardKey(machine.Shard), ModRevision: c.shardRevisions[machine.Shard]}},
-			Ops:        []wire.Op{op}, Urgent: true,
+			Conditions: []wire.Condition{{Key: key, ModRevision: binding.Job.ModRevision}, {Key: record.ShardKey(machine.Shard), ModRevision: c.shards.revisions[machine.Shard]}},
+			Ops:        []wire.Op{op}, Priority: kvstore.PriorityUrgent,
 		},
 	})
 }
--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -3,9 +3,7 @@
 import (
 	"maps"
 	"slices"
-	"time"
 
-	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/record"
@@ -13,31 +11,6 @@
 	"sableusher/internal/wire"
 )
 
-// cycle is one look at the view; it collects the changes to make.
-type cycle struct {
-	*Engine
-	now                     time.Time
-	fencingTokens           map[int]uint64
-	shardRevisions          map[int]uint64
-	recordEdits             map[recordKey]*recordEdit
-	outgoing                []*recordChange
-	inFlightByMachine       map[string]record.Resources // on their way, by machine
-	inFlightByShard         map[int]map[string]record.Resources
-	inFlightByJob           map[string]int // tasks on their way, by job
-	liveShards              []bool         // parts whose owner lives
-	tasksBound              int
-	inventory               *binpack.Inventory
-	storeSaturated          bool                                       // the state service's budget is the bottleneck
-	machinesPreempted       int                                        // machines on which room is being freed in this round
-	collectsDemand          bool                                       // this round counts the demand for the pool
-	tasksAwaitingPreemption map[record.TaskRef]bool                    // tasks that room is being freed for
-	preemptionMisses        [wire.PriorityCount]binpack.FailedRequests // needs for which nothing could be stopped anywhere, by rank
-	releaseBlocked          bool                                       // a task's end could not be written yet
-	failingJobs             map[string]bool                            // jobs that a change of this round ends as failed
-	brokenAttempts          map[gangAttempt]bool                       // whether an attempt is broken, looked at once a round
-	dependentNeedsByJob     map[string]dependentNeeds                  // what jobs that need others ask of them
-}
-
 // recordKey names one record of a job.
 type recordKey struct {
 	job         *clusterstate.Job
@@ -61,43 +34,9 @@
 	failsJob    bool // a task of it has no repeat left: the job fails
 }
 
-func (e *Engine) newCycle(now time.Time) *cycle {
-	c := &cycle{Engine: e, now: now, fencingTokens: map[int]uint64{}, shardRevisions: map[int]uint64{}, recordEdits: map[recordKey]*recordEdit{}, brokenAttempts: map[gangAttempt]bool{}, failingJobs: map[string]bool{},
-		inFlightByMachine: map[string]record.Resources{}, inFlightByShard: map[int]map[string]record.Resources{}, inFlightByJob: map[string]int{},
-		liveShards: make([]bool, e.cluster.ShardCount), tasksAwaitingPreemption: make(map[record.TaskRef]bool, len(e.reservations))}
-	for _, reservation := range e.reservations {
-		c.tasksAwaitingPreemption[reservation.task] = true
-	}
-	for shard := range e.cluster.ShardCount {
-		_, c.liveShards[shard] = e.membership.OwnerOf(shard)
-		c.inFlightByShard[shard] = map[string]record.Resources{}
-		if token, modRevision, ok := e.membership.Owns(shard); ok {
-			c.fencingTokens[shard], c.shardRevisions[shard] = token, modRevision
-			if e.shardTenure.begin(shard, now) {
-				// A new owner hears of its machines at once rather than at their next report.
-				for _, machine := range e.cluster.MachinesByShard[shard] {
-					e.agents.RequestDispatch(machine.Name)
-				}
-			}
-		} else if _, entitled := e.membership.MayServeAgents(shard); !entitled {
-			e.shardTenure.end(shard)
-		}
-	}
-	for binding := range e.changes.bindings() {
-		c.addInFlight(binding)
-	}
-	return c
-}
-
-func (c *cycle) addInFlight(binding pendingBinding) {
-	c.inFlightByMachine[binding.machine] = c.inFlightByMachine[binding.machine].AddTimes(binding.need, 1)
-	c.inFlightByShard[binding.chargedShard][binding.team] = c.inFlightByShard[binding.chargedShard][binding.team].AddTimes(binding.need, 1)
-	c.inFlightByJob[binding.task.Job]++
-}
-
 // usage is what a team's tasks of a part take, those on their way included.
 func (c *cycle) usage(shard int, team string) record.Resources {
-	return c.cluster.UsageByShard[shard][team].AddTimes(c.inFlightByShard[shard][team], 1)
+	return c.cluster.UsageByShard[shard][team].AddTimes(c.inFlight.byTeam[shard][team], 1)
 }
 
 // editRecord opens the record that holds a task; nil while a change of it is on its
@@ -258,7 +197,7 @@
 		change.keys = append(change.keys, op.PutKey)
 	}
 	for _, shard := range slices.Sorted(maps.Keys(shards)) {
-		if modRevision, owned := c.shardRevisions[shard]; owned {
+		if modRevision, owned := c.shards.revisions[shard]; owned {
 			change.shards = append(change.shards, shard)
 			conditions[record.ShardKey(shard)] = modRevision
 		} else {
@@ -269,8 +208,12 @@
 	for _, key := range slices.Sorted(maps.Keys(conditions)) {
 		change.transaction.Conditions = append(change.transaction.Conditions, wire.Condition{Key: key, ModRevision: conditions[key]})
 	}
-	change.transaction.Urgent = job.Spec.Priority == wire.PriorityProduction
-	change.transaction.HighPriority = c.effectiveRank(job) <= wire.PriorityHigh.Rank()
+	switch {
+	case job.Spec.Priority == wire.PriorityProduction:
+		change.transaction.Priority = kvstore.PriorityUrgent
+	case c.effectiveRank(job) <= wire.PriorityHigh.Rank():
+		change.transaction.Priority = kvstore.PriorityHigh
+	}
 	c.outgoing = append(c.outgoing, change)
 }
 
@@ -280,7 +223,7 @@
 	change := &recordChange{
 		description: description, keys: []string{key}, shards: []int{shard}, harmlessWhenLate: true,
 		transaction: kvstore.Transaction{
-			Conditions: []wire.Condition{{Key: record.ShardKey(shard), ModRevision: c.shardRevisions[shard]}, {Key: key, ModRevision: modRevision}},
+			Conditions: []wire.Condition{{Key: record.ShardKey(shard), ModRevision: c.shards.revisions[shard]}, {Key: key, ModRevision: modRevision}},
 			Ops:        []wire.Op{kvstore.PutOp(key, machineRecord)},
 		},
 	}
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -68,14 +68,16 @@
 		client := kvstore.NewClient("127.0.0.1:1", kvstore.Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxValueKiB: 16, MaxTransactionOps: 32}, nil)
 		committer := kvstore.NewCommitter(client, func([]wire.Op, uint64) {})
 		cache := kvstore.NewWatchCache(client, record.LivePrefix, fixture.cluster, log)
-		members := membership.New(node, 1, nodes, tuning.Level, client, committer, cache, fixture.cluster, log)
+		members := membership.New(membership.Config{
+			NodeName: node, Incarnation: 1, NodeNames: nodes, SchemaVersion: tuning.Level,
+			Client: client, Committer: committer, Cache: cache, ClusterState: fixture.cluster, Logger: log,
+		})
 		agents := agent.New(agent.Config{
 			Settings: settings, ClusterState: fixture.cluster, Membership: members,
 			CompleteAsOf: func() time.Time { return testNow }, Logger: log,
 		})
 		fixture.agents = append(fixture.agents, agents)
 		engine := New(settings, operator, fixture.cluster, members, agents, committer, client, nil, log)
-		engine.ctx = context.Background()
 		fixture.engines = append(fixture.engines, engine)
 	}
 	return fixture
@@ -152,7 +154,7 @@
 	if c.inventory.Examined() > 2*machines {
 		t.Errorf("%d machines examined for %d jobs on %d machines", c.inventory.Examined(), jobs, machines)
 	}
-	if n := len(c.demand.Groups); n != jobs {
+	if n := len(c.demand.unmet.Groups); n != jobs {
 		t.Errorf("demand names %d of %d jobs", n, jobs)
 	}
 }
@@ -278,7 +280,7 @@
 		for _, engine := range fixture.engines {
 			fixture.cluster.RLock()
 			c := engine.newCycle(testNow)
-			for p := range c.fencingTokens {
+			for p := range c.shards.fencingTokens {
 				engine.shardTenure[p] = testNow.Add(-owned)
 			}
 			c.deleteFailedMachines()
@@ -350,10 +352,10 @@
 		}
 		return c.outgoing[0].transaction
 	}
-	if transaction := heartbeat(1, false); transaction.Urgent || !transaction.Background {
+	if transaction := heartbeat(1, false); transaction.Priority != kvstore.PriorityBackground {
 		t.Errorf("up: %+v", transaction)
 	}
-	if transaction := heartbeat(2, true); !transaction.Urgent || transaction.Background {
+	if transaction := heartbeat(2, true); transaction.Priority != kvstore.PriorityUrgent {
 		t.Errorf("a new session: %+v", transaction)
 	}
 }
@@ -560,10 +562,15 @@
 		client := kvstore.NewClient("10.0.0.1:1", kvstore.Limits{RequestsPerSecond: 1000, WritesPerSecond: 1000, MaxValueKiB: 16, MaxTransactionOps: 32}, transport)
 		engine.committer = kvstore.NewCommitter(client, func([]wire.Op, uint64) {})
 		node := fmt.Sprintf("node-%d", shard)
-		engine.membership = membership.New(node, 1, []string{node}, tuning.Level, client, engine.committer, kvstore.NewWatchCache(client, record.LivePrefix, fixture.cluster, slog.New(slog.DiscardHandler)), fixture.cluster, slog.New(slog.DiscardHandler))
+		discard := slog.New(slog.DiscardHandler)
+		engine.membership = membership.New(membership.Config{
+			NodeName: node, Incarnation: 1, NodeNames: []string{node}, SchemaVersion: tuning.Level,
+			Client: client, Committer: engine.committer,
+			Cache:        kvstore.NewWatchCache(client, record.LivePrefix, fixture.cluster, discard),
+			ClusterState: fixture.cluster, Logger: discard,
+		})
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = engine.committer.Run(ctx) }()
-		engine.ctx = ctx
 		change := &recordChange{description: "tasks of run-1", keys: []string{record.JobKey("run-1")}, shards: []int{shard},
 			bindings:    []pendingBinding{{record.TaskRef{Job: "run-1"}, name, shard, "t", record.Resources{GPUs: 1}}},
 			transaction: kvstore.Transaction{Conditions: []wire.Condition{{Key: record.ShardKey(shard)}}, Ops: []wire.Op{kvstore.PutOp(record.JobKey("run-1"), 1)}}}
@@ -572,7 +579,7 @@
 		engine.mu.Unlock()
 		done := make(chan struct{})
 		go func() {
-			engine.commitChange(id, change)
+			engine.commitChange(ctx, id, change)
 			close(done)
 		}()
 		time.Sleep(20 * time.Second)
