--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -156,7 +156,7 @@
 // endWaits drops what is kept of a job because it waits: a task of it starts on a machine, whose
 // reservation for the job, if any, is used now.
 func (c *cycle) endWaits(job string, candidate *binpack.MachineInfo) {
-	delete(c.ownerWaits, job)
+	delete(c.pace.ownerWaits, job)
 	delete(c.demand.unplacedSince, job)
 	if candidate.ReservedFor == job {
 		c.reservations.release(candidate.Machine.Name)
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -164,8 +164,8 @@
 // limitStarts lets arrays start only every tuning.PressedGap while the key-value store's budget is the
 // bottleneck.
 func (c *cycle) limitStarts() {
-	if c.committer.QueueLength() < tuning.PressedItems || c.now.Sub(c.lastArrayPlacement) > tuning.PressedGap {
-		c.lastArrayPlacement = c.now
+	if c.committer.QueueLength() < tuning.PressedItems || c.now.Sub(c.pace.lastArrayStart) > tuning.PressedGap {
+		c.pace.lastArrayStart = c.now
 		return
 	}
 	c.storeSaturated = true
--- a/internal/scheduler/deadlines.go
+++ b/internal/scheduler/deadlines.go
@@ -82,7 +82,7 @@
 	if len(objectives) == 0 {
 		return jobDeadline{at: job.ReadySince().Add(tuning.NoDeadline), validUntil: never}
 	}
-	if first, ok := c.objectives.attainable[job.Spec.ID]; ok {
+	if first, ok := c.order.objectives.attainable[job.Spec.ID]; ok {
 		if i := slices.IndexFunc(objectives, func(at time.Time) bool { return !at.Before(first) }); i > 0 {
 			objectives = objectives[i:]
 		}
@@ -90,7 +90,7 @@
 	deadline, slack := c.firstReachable(objectives, runTime)
 	guardTime := max(tuning.DeadlineGuardMin, time.Duration(tuning.DeadlineGuard*float64(runTime)))
 	switch {
-	case slack < 0 || c.objectives.unattainable[job.Spec.ID]:
+	case slack < 0 || c.order.objectives.unattainable[job.Spec.ID]:
 		return jobDeadline{at: deadline, validUntil: never}
 	case slack < guardTime:
 		return jobDeadline{at: deadline, near: true, validUntil: c.now.Add(slack)}
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"sableusher/internal/agent"
-	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/failuredetector"
@@ -35,7 +34,7 @@
 	mu                  sync.Mutex
 	changes             changeTracker
 	backoffs            backoffTable
-	ownerWaits          ownerWaits
+	pace                placementPace
 	machinesToReconcile machineSet // machines whose tasks' fate is to be looked at
 	lastSweep           time.Time  // when all machines were last looked at
 	gangFormation       gangFormation
@@ -45,18 +44,13 @@
 	deletedMachines     deletedMachines
 	failureDetector     failuredetector.Detector
 	fences              fenceLimiter
-	lastArrayPlacement  time.Time // when arrays were last given room
-	guarantees          guarantees
-	objectives          objectives
-	waiting             waitingJobs
+	order               queueOrder
 	changeFeed          *clusterstate.ChangeFeed
-	retainedInventory   *binpack.Inventory
-	machinesToRefresh   machineSet // machines whose workers told something that the stock has not taken in
+	inventoryCache      inventoryCache
 	demand              demandState
 	learning            learning
 	reader              kvstore.Reader
 	peers               Peers
-	remoteImages        imageHints
 	wakeup              chan struct{}
 	migration           migrationSchedule
 }
@@ -65,12 +59,12 @@
 func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *agent.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
 	return &Engine{
 		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
-		changes: newChangeTracker(), backoffs: backoffTable{}, ownerWaits: ownerWaits{}, machinesToReconcile: machineSet{},
+		changes: newChangeTracker(), backoffs: backoffTable{}, pace: placementPace{ownerWaits: ownerWaits{}}, machinesToReconcile: machineSet{},
 		gangFormation: gangFormation{}, waitLog: waitLog{}, reservations: reservationTable{}, shardTenure: shardTenure{}, deletedMachines: newDeletedMachines(),
 		migration: newMigrationSchedule(), fences: fenceLimiter{}, reader: reader, peers: peers,
 		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
 		learning:        newLearning(operator, members.Incarnation, log),
-		wakeup:          make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waiting: newWaitingJobs(), demand: newDemandState(), machinesToRefresh: machineSet{},
+		wakeup:          make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), order: queueOrder{waiting: newWaitingJobs()}, demand: newDemandState(), inventoryCache: inventoryCache{toRefresh: machineSet{}},
 	}
 }
 
@@ -145,7 +139,7 @@
 	changedMachines := e.changeFeed.TakeMachines()
 	for _, names := range []map[string]struct{}{heardMachines, changedMachines} {
 		e.machinesToReconcile.addAll(names)
-		e.machinesToRefresh.addAll(names)
+		e.inventoryCache.toRefresh.addAll(names)
 	}
 	c := e.newCycle(now)
 	c.logsWaiting = logsWaiting
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -110,7 +110,7 @@
 	machineRecord := machine.Machine
 	machineRecord.Up = false
 	c.updateMachineRecord("machine "+reason+" "+machine.Name, machine.Name, machine.Shard, machineRecord, machine.ModRevision).Priority = kvstore.PriorityHigh
-	c.machinesToRefresh.add(machine.Name)
+	c.inventoryCache.toRefresh.add(machine.Name)
 }
 
 // outboundLostMachine is a mute machine, and when its lease ends.
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -42,14 +42,14 @@
 
 // updateGuarantees finds what lies within the teams' guarantees.
 func (c *cycle) updateGuarantees() {
-	earlier := c.guarantees.onArrival
-	c.guarantees = guarantees{
+	earlier := c.order.guarantees.onArrival
+	c.order.guarantees = guarantees{
 		updatedAt: c.now, jobs: map[string]bool{}, running: map[string]bool{},
 		onArrival: make(map[string]bool, len(earlier)),
 	}
 	for team, jobs := range c.startableJobsOfGuaranteedTeams() {
 		limit, _ := c.quota.Guarantee(team)
-		c.guarantees.addTeam(limit, jobs, earlier, c.guaranteeOrder)
+		c.order.guarantees.addTeam(limit, jobs, earlier, c.guaranteeOrder)
 	}
 }
 
--- a/internal/scheduler/guarantees_test.go
+++ b/internal/scheduler/guarantees_test.go
@@ -29,7 +29,7 @@
 			cluster.put(record.JobKey(spec.ID), record.Job{Spec: spec, SubmittedAtMs: now.UnixMilli()})
 			c := updateGuaranteesUnderShortage(engine, now)
 			checkGuarantees(t, c, guarantee, given)
-			if c.guarantees.onArrival[spec.ID] {
+			if c.order.guarantees.onArrival[spec.ID] {
 				given[spec.ID] = true
 			}
 		}
@@ -45,7 +45,7 @@
 	defer engine.cluster.RUnlock()
 	c := engine.newCycle(now)
 	c.inventory = c.refreshInventory()
-	c.objectives.capacityShort = [wire.PriorityCount]bool{true, true, true, true}
+	c.order.objectives.capacityShort = [wire.PriorityCount]bool{true, true, true, true}
 	c.updateGuarantees()
 	return c
 }
@@ -53,14 +53,14 @@
 // checkGuarantees checks that what is guaranteed stays within the guarantee and includes all that was given.
 func checkGuarantees(t *rapid.T, c *cycle, guarantee float64, given map[string]bool) {
 	sum := 0.0
-	for id := range c.guarantees.jobs {
+	for id := range c.order.guarantees.jobs {
 		sum += float64(c.cluster.Jobs[id].Spec.TaskCount)
 	}
 	if sum > guarantee+1e-9 {
 		t.Fatalf("%v GPUs assured of %v", sum, guarantee)
 	}
 	for id := range given {
-		if !c.guarantees.jobs[id] {
+		if !c.order.guarantees.jobs[id] {
 			t.Fatalf("%s has lost its guarantee", id)
 		}
 	}
--- a/internal/scheduler/homeshard.go
+++ b/internal/scheduler/homeshard.go
@@ -11,6 +11,12 @@
 	"sableusher/internal/wire"
 )
 
+// placementPace is what spaces placements out over time and over nodes.
+type placementPace struct {
+	ownerWaits     ownerWaits
+	lastArrayStart time.Time // when arrays were last placed
+}
+
 // ownerWait is since when a job waits, with so many tasks, for the owner of its home shard.
 type ownerWait struct {
 	since    time.Time
@@ -85,7 +91,7 @@
 // isArrayUnderShortage tells whether a job is an array of a priority whose waiting arrays can't all meet their
 // objectives.
 func (c *cycle) isArrayUnderShortage(queued *queuedJob) bool {
-	return c.objectives.capacityShort[queued.rank] && queued.job.Spec.Kind == wire.KindArray
+	return c.order.objectives.capacityShort[queued.rank] && queued.job.Spec.Kind == wire.KindArray
 }
 
 // firstLiveShard is the first shard in a job's own order whose owner lives.
@@ -103,7 +109,7 @@
 // node's turn to do so instead. The shards take turns: at once, all but one would fail for the
 // condition on the record.
 func (c *cycle) homeOwnerTimedOut(queued *queuedJob) bool {
-	since := c.ownerWaits.note(c.now, queued.job)
+	since := c.pace.ownerWaits.note(c.now, queued.job)
 	turn := int(c.now.UnixMilli()/tuning.DealHold.Milliseconds()) + c.firstLiveShard(queued.job)
 	hold := tuning.DealHold
 	if c.isArrayUnderShortage(queued) {
--- a/internal/scheduler/imagehints.go
+++ b/internal/scheduler/imagehints.go
@@ -27,7 +27,7 @@
 		}
 		if images := e.peers.QueryImages(ctx); len(images) > 0 {
 			e.mu.Lock()
-			e.remoteImages = imageHints{machinesByImage: images, updatedAt: time.Now()}
+			e.inventoryCache.remoteImages = imageHints{machinesByImage: images, updatedAt: time.Now()}
 			e.mu.Unlock()
 		}
 	}
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -9,6 +9,13 @@
 	"sableusher/internal/tuning"
 )
 
+// inventoryCache keeps the inventory from cycle to cycle, with what is to be told to it.
+type inventoryCache struct {
+	inventory    *binpack.Inventory // nil before the first cycle
+	toRefresh    machineSet         // machines of whose agents there is news
+	remoteImages imageHints
+}
+
 // refreshInventory brings the inventory that is kept from cycle to cycle up to date: what changed, what is
 // in flight, what is reserved, and which images are believed to be where.
 func (c *cycle) refreshInventory() *binpack.Inventory {
@@ -16,10 +23,10 @@
 		Now: c.now, State: c.cluster, LiveShards: c.shards.live, FencingTokens: c.shards.fencingTokens,
 		AssessReadiness: c.readiness,
 	}
-	inventory := binpack.Refresh(c.retainedInventory, snapshot, c.changeFeed.TakeMachines(), c.machinesToRefresh)
-	c.retainedInventory = inventory
+	inventory := binpack.Refresh(c.inventoryCache.inventory, snapshot, c.changeFeed.TakeMachines(), c.inventoryCache.toRefresh)
+	c.inventoryCache.inventory = inventory
 	inventory.NeedPerGPU, inventory.CommonNeed = c.demand.needPerGPU, c.demand.commonTask
-	clear(c.machinesToRefresh)
+	clear(c.inventoryCache.toRefresh)
 	for name, amount := range c.inFlight.byMachine {
 		inventory.ConsumeByName(name, amount)
 	}
@@ -36,8 +43,8 @@
 	if c.now.Sub(inventory.HintsUpdatedAt(binpack.OwnMachines)) >= tuning.HoldersLife {
 		inventory.SetImageHints(binpack.OwnMachines, c.now, c.ownImageHints())
 	}
-	if inventory.HintsUpdatedAt(binpack.OtherMachines) != c.remoteImages.updatedAt {
-		inventory.SetImageHints(binpack.OtherMachines, c.remoteImages.updatedAt, c.remoteImageHints())
+	if inventory.HintsUpdatedAt(binpack.OtherMachines) != c.inventoryCache.remoteImages.updatedAt {
+		inventory.SetImageHints(binpack.OtherMachines, c.inventoryCache.remoteImages.updatedAt, c.remoteImageHints())
 	}
 }
 
@@ -57,7 +64,7 @@
 // remoteImageHints gives pairs of an image and a machine of another node that is believed to hold it.
 func (c *cycle) remoteImageHints() iter.Seq2[string, string] {
 	return func(yield func(image, machine string) bool) {
-		for image, machines := range c.remoteImages.machinesByImage {
+		for image, machines := range c.inventoryCache.remoteImages.machinesByImage {
 			for machine := range machines {
 				if !yield(image, machine) {
 					return
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -42,7 +42,7 @@
 // services are not counted: they come before, and take what they need whole. It reads records and
 // estimates only, so that all nodes find nearly the same.
 func (c *cycle) assessObjectives() {
-	state := &c.objectives
+	state := &c.order.objectives
 	state.assessedAt, state.unattainable, state.attainable = c.now, map[string]bool{}, map[string]time.Time{}
 	state.capacityShort = [wire.PriorityCount]bool{}
 	work := c.collectArrayWork()
@@ -62,7 +62,7 @@
 			continue
 		}
 		rank, share, runTime := c.effectiveRank(job), c.machineShare(&job.Spec), c.estimatedRunTime(job)
-		c.objectives.arrivals.RecordArrival(c.now, fairshare.Arrival{
+		c.order.objectives.arrivals.RecordArrival(c.now, fairshare.Arrival{
 			JobID: id, Class: job.Spec.Class, Team: job.Spec.Team, Tasks: job.Spec.TaskCount, At: job.ReadySince(),
 		})
 		work.runningMachineS[rank] += float64(job.BoundCount) * share * runTime.Seconds() / 2 // half is left on average
@@ -89,7 +89,7 @@
 
 // assessRank finds which objectives the waiting arrays of one priority rank can meet.
 func (c *cycle) assessRank(rank int, work *arrayWork) {
-	state, waiting := &c.objectives, work.waiting[rank]
+	state, waiting := &c.order.objectives, work.waiting[rank]
 	capacity := c.capacityForRank(rank)
 	if capacity < 1 {
 		return // nothing is up: who could be in time can't be told
@@ -128,7 +128,7 @@
 	if job.Spec.Kind == wire.KindService && c.serviceCapacityScarce() {
 		return 1 + job.BoundCount // the fewest replicas left first
 	}
-	if job.Spec.Kind != wire.KindArray || !c.objectives.capacityShort[c.effectiveRank(job)] {
+	if job.Spec.Kind != wire.KindArray || !c.order.objectives.capacityShort[c.effectiveRank(job)] {
 		return 0
 	}
 	if c.hasOverdueTurn(job) || c.nearLastObjective(job) {
@@ -147,7 +147,7 @@
 // can. Behind smaller ones that keep coming a large one would miss it though there is capacity for all by
 // then: one in a hundred did where capacity was a little short.
 func (c *cycle) nearLastObjective(job *clusterstate.Job) bool {
-	if _, ok := c.objectives.attainable[job.Spec.ID]; !ok {
+	if _, ok := c.order.objectives.attainable[job.Spec.ID]; !ok {
 		return false
 	}
 	objectives, runTime := c.objectiveTimes(job), c.estimatedRunTime(job)
@@ -185,7 +185,7 @@
 // due while capacity is short. By size alone a class of large arrays would wait for as long as smaller ones
 // keep coming. Their arrays come first in their turn, in the order that holds among all.
 func (c *cycle) hasUnderservedTurn(job *clusterstate.Job) bool {
-	state := &c.objectives
+	state := &c.order.objectives
 	if len(state.underserved) == 0 || job.Spec.Kind != wire.KindArray || !state.capacityShort[c.effectiveRank(job)] {
 		return false
 	}
@@ -203,14 +203,14 @@
 // what can be in time they would wait as long as capacity is short, be it for hours; so in their turn they
 // come first, the oldest of them before the others.
 func (c *cycle) hasOverdueTurn(job *clusterstate.Job) bool {
-	return c.objectives.unattainable[job.Spec.ID] && c.now.Sub(job.ReadySince()) > tuning.FloorAfter &&
+	return c.order.objectives.unattainable[job.Spec.ID] && c.now.Sub(job.ReadySince()) > tuning.FloorAfter &&
 		c.currentTurn() == turnOfOverdue
 }
 
 // missesObjectives tells whether an array stands behind those that can be in time: it can't, and it is not
 // its turn.
 func (c *cycle) missesObjectives(job *clusterstate.Job) bool {
-	return c.objectives.unattainable[job.Spec.ID] && !c.hasOverdueTurn(job)
+	return c.order.objectives.unattainable[job.Spec.ID] && !c.hasOverdueTurn(job)
 }
 
 // capacityForRank is the capacity, in machines that are up, that work of a priority rank may use: what is
--- a/internal/scheduler/objectives_test.go
+++ b/internal/scheduler/objectives_test.go
@@ -37,7 +37,7 @@
 				checkQueueOrder(t, queue[i-1], queued)
 			}
 		}
-		if c.objectives.capacityShort[queue[0].rank] {
+		if c.order.objectives.capacityShort[queue[0].rank] {
 			short++
 		} else {
 			ample++
@@ -77,8 +77,8 @@
 	if slack < 0 && !key.MissesObjectives && !hasTurn {
 		t.Fatalf("%v is past all objectives and not late", key)
 	}
-	if (key.SizeClass != 0) != c.objectives.capacityShort[queued.rank] {
-		t.Fatalf("%v though short is %v", key, c.objectives.capacityShort)
+	if (key.SizeClass != 0) != c.order.objectives.capacityShort[queued.rank] {
+		t.Fatalf("%v though short is %v", key, c.order.objectives.capacityShort)
 	}
 }
 
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -73,7 +73,7 @@
 
 // preemptibleTasks gives the tasks on a machine that may be stopped for a job.
 func (c *cycle) preemptibleTasks(candidate *binpack.MachineInfo, queued *queuedJob) []preemption.Victim {
-	preemptor := preemption.Preemptor{Rank: queued.rank, WithinGuarantee: queued.withinGuarantee, GuaranteedOnArrival: c.guarantees.onArrival[queued.job.Spec.ID], Team: queued.job.Spec.Team, Need: queued.Need}
+	preemptor := preemption.Preemptor{Rank: queued.rank, WithinGuarantee: queued.withinGuarantee, GuaranteedOnArrival: c.order.guarantees.onArrival[queued.job.Spec.ID], Team: queued.job.Spec.Team, Need: queued.Need}
 	var victims []preemption.Victim
 	for _, binding := range candidate.Machine.Bindings {
 		if preemptor.MayPreempt(c.runningJob(binding.Job)) && !binding.Job.Cancelled() && record.TaskPreemptible(&binding.Job.Spec) && !c.agents.StopRequested(binding) {
@@ -102,7 +102,7 @@
 // runningJob is what a running job has to say for itself.
 func (c *cycle) runningJob(job *clusterstate.Job) preemption.RunningJob {
 	_, guaranteed := c.quota.Guarantee(job.Spec.Team)
-	return preemption.RunningJob{Rank: c.effectiveRank(job), WithinGuarantee: c.guarantees.running[job.Spec.ID], TeamHasGuarantee: guaranteed, Team: job.Spec.Team,
+	return preemption.RunningJob{Rank: c.effectiveRank(job), WithinGuarantee: c.order.guarantees.running[job.Spec.ID], TeamHasGuarantee: guaranteed, Team: job.Spec.Team,
 		EndsSoon: job.Spec.Kind == wire.KindArray && c.predictedRunTime(job) < tuning.Passing}
 }
 
--- a/internal/scheduler/prune.go
+++ b/internal/scheduler/prune.go
@@ -5,7 +5,7 @@
 	jobs := c.cluster.Jobs
 	isOver := func(id string) bool { return jobs[id] == nil }
 	c.learning.prune(isOver)
-	c.ownerWaits.prune(isOver)
+	c.pace.ownerWaits.prune(isOver)
 	c.demand.prune(jobs)
 	c.backoffs.prune(isOver)
 	c.waitLog.prune(isOver)
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -11,6 +11,13 @@
 	"sableusher/internal/wire"
 )
 
+// queueOrder is what decides the order of the waiting jobs, with the jobs in it, from cycle to cycle.
+type queueOrder struct {
+	guarantees guarantees
+	objectives objectives
+	waiting    waitingJobs
+}
+
 // waitingJobs keeps the jobs that wait in scheduling order from cycle to cycle.
 type waitingJobs struct {
 	queue *jobqueue.Queue[*clusterstate.Job]
@@ -59,20 +66,20 @@
 // moves when it does, and all of them now and then, as estimates move too.
 func (c *cycle) buildQueue(hasCapacity bool) []queuedJob {
 	changed := c.changeFeed.TakeJobs()
-	if c.now.Sub(c.guarantees.updatedAt) >= tuning.AssuredEvery && (c.waiting.queue.Len() > 0 || len(changed) > 0) {
+	if c.now.Sub(c.order.guarantees.updatedAt) >= tuning.AssuredEvery && (c.order.waiting.queue.Len() > 0 || len(changed) > 0) {
 		c.findReorderedJobs(changed)
 	}
 	for id := range changed {
 		c.updateQueueEntry(id)
 	}
-	queue := c.waiting.buffer[:0]
-	c.waiting.queue.Each(func(key jobqueue.Key, job *clusterstate.Job) bool {
+	queue := c.order.waiting.buffer[:0]
+	c.order.waiting.queue.Each(func(key jobqueue.Key, job *clusterstate.Job) bool {
 		if !c.backoffs.active(key.JobID, c.now) {
 			queue = append(queue, c.newQueuedJob(key, job))
 		}
 		return true
 	})
-	c.waiting.buffer = queue
+	c.order.waiting.buffer = queue
 	c.orderByValue(queue, hasCapacity)
 	return queue
 }
@@ -80,15 +87,15 @@
 // findReorderedJobs brings guarantees and objectives up to date and adds the waiting jobs that they or
 // time have moved to those that changed.
 func (c *cycle) findReorderedJobs(changed map[string]struct{}) {
-	if c.now.Sub(c.objectives.assessedAt) >= tuning.InTimeEvery {
+	if c.now.Sub(c.order.objectives.assessedAt) >= tuning.InTimeEvery {
 		c.assessObjectives()
 	}
 	c.updateGuarantees()
-	all := c.now.Sub(c.waiting.lastFullReorder) >= tuning.TurnEvery
+	all := c.now.Sub(c.order.waiting.lastFullReorder) >= tuning.TurnEvery
 	if all {
-		c.waiting.lastFullReorder = c.now
+		c.order.waiting.lastFullReorder = c.now
 	}
-	c.waiting.queue.Each(func(key jobqueue.Key, job *clusterstate.Job) bool {
+	c.order.waiting.queue.Each(func(key jobqueue.Key, job *clusterstate.Job) bool {
 		if all || c.keyOutdated(key, job) {
 			changed[key.JobID] = struct{}{}
 		}
@@ -98,24 +105,24 @@
 
 // keyOutdated tells whether a waiting job's key no longer says what holds.
 func (c *cycle) keyOutdated(key jobqueue.Key, job *clusterstate.Job) bool {
-	return key.WithinGuarantee != c.guarantees.jobs[key.JobID] ||
+	return key.WithinGuarantee != c.order.guarantees.jobs[key.JobID] ||
 		key.Underserved != c.hasUnderservedTurn(job) ||
 		key.MissesObjectives != c.missesObjectives(job) ||
 		key.SizeClass != c.sizeClass(job) ||
-		c.now.After(c.waiting.nextReorder[key.JobID])
+		c.now.After(c.order.waiting.nextReorder[key.JobID])
 }
 
 // updateQueueEntry puts a job into the queue, where it belongs now, or takes it out.
 func (c *cycle) updateQueueEntry(id string) {
 	job := c.cluster.Jobs[id]
 	if job == nil || !job.CanStart() || !c.holdsStartRight(job) || job.PendingCount() == 0 {
-		c.waiting.remove(id)
+		c.order.waiting.remove(id)
 		return
 	}
 	deadline := c.effectiveDeadline(job)
-	c.waiting.put(jobqueue.Key{
+	c.order.waiting.put(jobqueue.Key{
 		PriorityRank:     c.effectiveRank(job),
-		WithinGuarantee:  c.guarantees.jobs[id],
+		WithinGuarantee:  c.order.guarantees.jobs[id],
 		Underserved:      c.hasUnderservedTurn(job),
 		MissesObjectives: c.missesObjectives(job),
 		SizeClass:        c.sizeClass(job),
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -119,11 +119,11 @@
 	}
 	if decision.TaskFailed {
 		c.agents.RecordTaskFailure(machineName, spec.ID)
-		c.machinesToRefresh.add(machineName)
+		c.inventoryCache.toRefresh.add(machineName)
 	}
 	if decision.PlacementRefused {
 		c.agents.RecordStartRefusal(machineName)
-		c.machinesToRefresh.add(machineName)
+		c.inventoryCache.toRefresh.add(machineName)
 	}
 	if decision.BackOffJob {
 		c.backoffs.extend(spec.ID, c.now)
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -401,7 +401,7 @@
 	fixture.addJob(gangSpec(1, 3))
 	total := 0
 	for i, engine := range fixture.engines {
-		engine.remoteImages = imageHints{machinesByImage: held, updatedAt: testNow}
+		engine.inventoryCache.remoteImages = imageHints{machinesByImage: held, updatedAt: testNow}
 		_, bound := fixture.runCycle(i)
 		total += len(bound)
 		for _, b := range bound {
