--- a/internal/failuredetector/deletion.go
+++ b/internal/failuredetector/deletion.go
@@ -15,21 +15,21 @@
 // minDeletions is how many machines may be deleted in tuning.DeadWindow however few there are.
 const minDeletions = 2
 
-// deletionCandidate is a silent machine that is due to be given up, with its step in the evacuation plan.
+// deletionCandidate is a suspected machine that is due to be given up, with its step in the evacuation plan.
 type deletionCandidate struct {
 	machine *Machine
 	step    evacuation.Step
 }
 
-// deletionCandidates gives the silent machines that are due to be given up, in the order of the evacuation plan.
+// deletionCandidates gives the suspected machines that are due to be given up, in the order of the evacuation plan.
 // Only what no other node hears either is dead.
 func (d *Detector) deletionCandidates(
-	now time.Time, silent []*Machine, tasksOn func(*Machine) []evacuation.Task,
+	now time.Time, suspected []*Machine, tasksOn func(*Machine) []evacuation.Task,
 ) []deletionCandidate {
 	var lost []evacuation.Machine
 	byName := map[string]*Machine{}
 	movable := map[string]int{} // machines with movable services, by zones that are unavailable
-	for _, machine := range silent {
+	for _, machine := range suspected {
 		if !d.peers.heardByNone(machine.Name) {
 			continue
 		}
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -43,7 +43,7 @@
 	ZoneReturns map[string]zonehealth.ReturnSummary
 }
 
-// Detector follows the silent machines of one node. The zero value with Timing is ready for use. It is not safe
+// Detector follows the suspected machines of one node. The zero value with Timing is ready for use. It is not safe
 // for concurrent use.
 type Detector struct {
 	Timing Timing
@@ -64,18 +64,18 @@
 	assessment.ZoneChanges = transitions
 	assessment.ZoneReturns = d.rosters.update(transitions, machines)
 
-	silent := d.classify(now, machines, &assessment)
-	suspects := suspectNames(silent, assessment.ProbeMachines)
-	d.peers.forgetOld(now, suspects)
-	assessment.AskPeersAbout = d.peers.machinesToAskAbout(now, suspects)
+	suspected := d.classify(now, machines, &assessment)
+	uncertain := uncertainMachines(suspected, assessment.ProbeMachines)
+	d.peers.forgetOld(now, uncertain)
+	assessment.AskPeersAbout = d.peers.machinesToAskAbout(now, uncertain)
 	assessment.ShardTransfers = d.peers.shardTransfers(machines)
 
 	d.pace.forgetOld(now)
 	up := countUp(machines)
-	if d.nodeIsCutOff(len(silent), up, heartbeats) {
+	if d.nodeIsCutOff(len(suspected), up, heartbeats) {
 		return assessment
 	}
-	for _, candidate := range d.deletionCandidates(now, silent, tasksOn) {
+	for _, candidate := range d.deletionCandidates(now, suspected, tasksOn) {
 		if d.mayDelete(candidate.machine, up, now) {
 			deletion := Deletion{candidate.machine.Name, d.deletionReason(now, candidate)}
 			assessment.Deletions = append(assessment.Deletions, deletion)
@@ -84,11 +84,11 @@
 	return assessment
 }
 
-// classify gives the machines that have been silent for so long that they may be dead. It adds to the
-// assessment those to be probed, and the deletion of those that hold a cancelled task: no cap and no answer of a
-// peer can keep that beyond its time.
+// classify gives the suspected machines: those that have been silent for so long that they may be dead. It adds to
+// the assessment those to be probed, and the deletion of those that hold a cancelled task: no cap and no answer of
+// a peer can keep that beyond its time.
 func (d *Detector) classify(now time.Time, machines []Machine, assessment *Assessment) []*Machine {
-	var silent []*Machine
+	var suspected []*Machine
 	for i := range machines {
 		machine := &machines[i]
 		silence := d.silence(machine, now)
@@ -99,12 +99,12 @@
 			deletion := Deletion{machine.Name, "silent with a cancelled task"}
 			assessment.Deletions = append(assessment.Deletions, deletion)
 		case silence > d.Timing.deadAfter(), machine.CommandUnanswered && silence > d.deadAfterProbe(machine):
-			silent = append(silent, machine)
+			suspected = append(suspected, machine)
 		case silence > d.Timing.probeAfter():
 			assessment.ProbeMachines = append(assessment.ProbeMachines, machine.Name)
 		}
 	}
-	return silent
+	return suspected
 }
 
 // silence is for how long a machine has been silent. After a partition the agents of its zone find back to this
@@ -130,9 +130,9 @@
 }
 
 // nodeIsCutOff tells whether it is this node that is cut off, not the machines that are dead: most of them are
-// silent at once, and no zone is heard that would show that it is the others that are cut off.
-func (d *Detector) nodeIsCutOff(silent, up int, heartbeats zonehealth.HeartbeatCount) bool {
-	return silent*2 > up && up > 2 && !d.otherZonesHeard(heartbeats)
+// suspected at once, and no zone is heard that would show that it is the others that are cut off.
+func (d *Detector) nodeIsCutOff(suspected, up int, heartbeats zonehealth.HeartbeatCount) bool {
+	return suspected*2 > up && up > 2 && !d.otherZonesHeard(heartbeats)
 }
 
 // otherZonesHeard tells whether, beside the zones that are unavailable, others are heard well.
--- a/internal/failuredetector/doc.go
+++ b/internal/failuredetector/doc.go
@@ -1,9 +1,9 @@
 // Package failuredetector decides which machines that are not heard from are given up. A machine that died has
 // to be replaced soon; one that is only cut off from this node runs its tasks on, and deleting it loses them. So
-// silence is judged by what the silent machines have in common: where a whole zone falls silent at once, the
+// silence is judged by what the suspected machines have in common: where a whole zone falls silent at once, the
 // zone is cut off, and its machines are left alone until their leases have expired.
 //
-// The package owns what the peers answered about silent machines, the pace of deletions and which machines
+// The package owns what the peers answered about suspected machines, the pace of deletions and which machines
 // stood in a zone when it was cut off. Package zonehealth makes the zones' states of the counts it is given.
 //
 // It is a pure state machine: it has no clock, no network and no records. What it gives up leaves a machine by
--- a/internal/failuredetector/peers.go
+++ b/internal/failuredetector/peers.go
@@ -8,13 +8,13 @@
 	"sableusher/internal/tuning"
 )
 
-// peerAnswer is what the peers said of a silent machine.
+// peerAnswer is what the peers said of a suspected machine.
 type peerAnswer struct {
 	receivedAt time.Time
 	node       string // that has heard the machine; empty: none has
 }
 
-// peerKnowledge is what the peers said of silent machines, and when they were last asked.
+// peerKnowledge is what the peers said of suspected machines, and when they were last asked.
 type peerKnowledge struct {
 	answers map[string]peerAnswer
 	askedAt time.Time
@@ -30,11 +30,11 @@
 	}
 }
 
-// suspectNames gives the names of the machines that are silent, and of those that are probed: the answers about
+// uncertainMachines gives the names of the suspected machines and of those that are probed: the answers about
 // them must be here by the time they are needed.
-func suspectNames(silent []*Machine, probed []string) map[string]bool {
-	names := make(map[string]bool, len(silent)+len(probed))
-	for _, machine := range silent {
+func uncertainMachines(suspected []*Machine, probed []string) map[string]bool {
+	names := make(map[string]bool, len(suspected)+len(probed))
+	for _, machine := range suspected {
 		names[machine.Name] = true
 	}
 	for _, name := range probed {
@@ -43,21 +43,21 @@
 	return names
 }
 
-// forgetOld forgets the answers about machines that are not suspected any more, and those that are too old to
+// forgetOld forgets the answers about machines that are not uncertain any more, and those that are too old to
 // prove anything.
-func (p *peerKnowledge) forgetOld(now time.Time, suspects map[string]bool) {
+func (p *peerKnowledge) forgetOld(now time.Time, uncertain map[string]bool) {
 	maps.DeleteFunc(p.answers, func(name string, answer peerAnswer) bool {
-		return !suspects[name] || now.Sub(answer.receivedAt) > 2*tuning.AskEvery
+		return !uncertain[name] || now.Sub(answer.receivedAt) > 2*tuning.AskEvery
 	})
 }
 
-// machinesToAskAbout gives the suspects in the order of their names if the peers are to be asked now.
-func (p *peerKnowledge) machinesToAskAbout(now time.Time, suspects map[string]bool) []string {
-	if len(suspects) == 0 || now.Sub(p.askedAt) < tuning.AskEvery {
+// machinesToAskAbout gives the uncertain machines in the order of their names if the peers are to be asked now.
+func (p *peerKnowledge) machinesToAskAbout(now time.Time, uncertain map[string]bool) []string {
+	if len(uncertain) == 0 || now.Sub(p.askedAt) < tuning.AskEvery {
 		return nil
 	}
 	p.askedAt = now
-	return slices.Sorted(maps.Keys(suspects))
+	return slices.Sorted(maps.Keys(uncertain))
 }
 
 // heardByNone tells whether the peers were asked about a machine and none has heard it.
