--- a/internal/clusterstate/machines_test.go
+++ b/internal/clusterstate/machines_test.go
@@ -23,7 +23,7 @@
 	state := New(testShards, slog.New(slog.DiscardHandler))
 	rental := record.Rental{Type: "g8", Zone: "east", Count: 1, RequestedAtMs: 5, Machines: []string{"vm-1"}}
 	update(state, func() { state.Put(record.RentalKey("r-1"), wire.MustEncode(rental), 1) })
-	if machine := state.Machines["vm-1"]; machine == nil || machine.Type != "g8" || machine.CreatedAtMs != 5 || machine.Up {
+	if machine := state.Machines["vm-1"]; machine == nil || machine.Machine != rental.InitialMachine() || machine.Up {
 		t.Fatalf("machine of a rental is %+v", machine)
 	}
 	up := record.Machine{Type: "g8", Zone: "east", CreatedAtMs: 5, Up: true}
--- a/internal/record/layout_test.go
+++ b/internal/record/layout_test.go
@@ -60,8 +60,11 @@
 		_, end := job.TaskRange(0)
 		for index := range end {
 			if rapid.Bool().Draw(t, "started") {
-				tasks = append(tasks, Task{Index: index, State: TaskBound, Machine: "vm-1",
-					Attempt: rapid.Uint64Range(1, 3).Draw(t, "attempt"), Failures: rapid.IntRange(0, 2).Draw(t, "failures")})
+				tasks = append(tasks, Task{
+					Index: index, State: TaskBound, Machine: "vm-1",
+					Attempt:  rapid.Uint64Range(1, 3).Draw(t, "attempt"),
+					Failures: rapid.IntRange(0, 2).Draw(t, "failures"),
+				})
 			}
 		}
 		decoded, err := DecodeJob(job.EncodeTasks(0, tasks).Value)
@@ -88,10 +91,12 @@
 	for _, layout := range []struct{ width, firstFixed int }{
 		{-1, 0}, {3, 0}, {tuning.ChunkTasks * 2, 0}, {0, 1}, {16, -1}, {16, 2},
 	} {
-		job := Job{Spec: wire.JobSpec{ID: "run-7", TaskCount: 200}, ChunkWidth: layout.width, FirstFixedChunk: layout.firstFixed}
+		job := Job{Spec: wire.JobSpec{ID: "run-7", TaskCount: 200}}
+		job.ChunkWidth, job.FirstFixedChunk = layout.width, layout.firstFixed
 		_, err := DecodeJob(wire.MustEncode(job))
 		var invalid *LayoutError
-		if !errors.As(err, &invalid) || invalid.ChunkWidth != layout.width || invalid.FirstFixedChunk != layout.firstFixed {
+		want := LayoutError{layout.width, layout.firstFixed, job.Spec.TaskCount}
+		if !errors.As(err, &invalid) || *invalid != want {
 			t.Errorf("%+v gave %v", layout, err)
 		}
 	}
