--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -192,7 +192,7 @@
 // given up, or its job is over. Otherwise the cluster state may be older than the report. Callers hold the
 // cluster state's lock.
 func (r *Registry) attemptEnded(ref record.TaskRef, attempt uint64) bool {
-	job := r.clusterState.Jobs[ref.Job]
+	job := r.clusterState.Jobs[ref.JobID]
 	if job == nil {
 		return true // starts follow durable bindings, so the job was there and is over
 	}
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -47,7 +47,7 @@
 	for shard, node := range []string{"a", "b"} {
 		state.Nodes[node] = clusterstate.Node{Node: record.Node{Incarnation: 1}}
 		state.Shards[shard] = clusterstate.Shard{
-			Shard: record.Shard{Owner: node, Incarnation: 1, FencingToken: testToken},
+			Shard: record.Shard{Owner: node, OwnerIncarnation: 1, FencingToken: testToken},
 		}
 	}
 	limits := kvstore.Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxValueKiB: 16, MaxTransactionOps: 32}
@@ -133,7 +133,7 @@
 // newBinding makes the binding of a task to a session of its agent, alone and among those of its machine.
 func newBinding(session uint64) (map[record.TaskRef]clusterstate.Binding, clusterstate.Binding) {
 	binding := clusterstate.Binding{
-		Ref: record.TaskRef{Job: "run-1"}, Job: &clusterstate.Job{}, Attempt: 1, Session: session,
+		Ref: record.TaskRef{JobID: "run-1"}, Job: &clusterstate.Job{}, Attempt: 1, Session: session,
 	}
 	return map[record.TaskRef]clusterstate.Binding{binding.Ref: binding}, binding
 }
--- a/internal/agent/heartbeat_test.go
+++ b/internal/agent/heartbeat_test.go
@@ -41,7 +41,7 @@
 			revision:        10, ownerToken: testToken, shownToken: 1,
 		}
 		d.machineName = d.addMachine(ownShard)
-		d.binding = clusterstate.Binding{Ref: record.TaskRef{Job: "run-1"}, Attempt: 2, Session: 2}
+		d.binding = clusterstate.Binding{Ref: record.TaskRef{JobID: "run-1"}, Attempt: 2, Session: 2}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			if rapid.IntRange(0, 4).Draw(t, "step") == 0 {
 				d.moveShardThereAndBack(t)
@@ -56,7 +56,7 @@
 	for _, owner := range []string{"b", "a"} {
 		d.ownerToken++
 		d.revision++
-		shardRecord := record.Shard{Owner: owner, Incarnation: 1, FencingToken: d.ownerToken}
+		shardRecord := record.Shard{Owner: owner, OwnerIncarnation: 1, FencingToken: d.ownerToken}
 		d.put(record.ShardKey(ownShard), wire.MustEncode(shardRecord), d.revision)
 		if rapid.Bool().Draw(t, "removed") {
 			d.removeExpired()
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -136,7 +136,7 @@
 // and mu.
 func (r *Registry) removeStopRequests(now time.Time) {
 	for key, request := range r.stopRequests {
-		job := r.clusterState.Jobs[key.ref.Job]
+		job := r.clusterState.Jobs[key.ref.JobID]
 		if job == nil || !job.HasRecord {
 			delete(r.stopRequests, key)
 			continue
--- a/internal/autoscaler/headroom_test.go
+++ b/internal/autoscaler/headroom_test.go
@@ -28,7 +28,7 @@
 			Bindings: map[record.TaskRef]clusterstate.Binding{},
 		}
 		for replica := range rapid.IntRange(0, 4).Draw(t, "replicas") {
-			ref := record.TaskRef{Job: fmt.Sprintf("run-%d", i), Index: replica}
+			ref := record.TaskRef{JobID: fmt.Sprintf("run-%d", i), Index: replica}
 			machine.Bindings[ref] = clusterstate.Binding{Ref: ref, Job: job}
 			usedByZone[zone] += 0.25
 		}
--- a/internal/clusterstate/bindings.go
+++ b/internal/clusterstate/bindings.go
@@ -49,7 +49,7 @@
 // indexBinding adds a bound task to its machine or removes it, or to the orphans if the machine is unknown.
 func (s *State) indexBinding(job *Job, task record.Task, change indexChange) {
 	s.changes.markMachine(task.Machine)
-	ref := record.TaskRef{Job: job.Spec.ID, Index: task.Index}
+	ref := record.TaskRef{JobID: job.Spec.ID, Index: task.Index}
 	binding := Binding{Ref: ref, Job: job, Attempt: task.Attempt, Session: task.Session}
 	machine := s.Machines[task.Machine]
 	if machine == nil {
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -133,7 +133,7 @@
 				Type: "g8", Zone: "east", Address: "10.0.0.1:80", CreatedAtMs: submittedMs, Up: true,
 			}},
 			{"node/version-before", record.Node{Incarnation: 77}},
-			{"shard/given", record.Shard{Owner: "n0", Incarnation: 7, FencingToken: 12, HandedOff: true}},
+			{"shard/given", record.Shard{Owner: "n0", OwnerIncarnation: 7, FencingToken: 12, HandedOff: true}},
 		},
 	))
 }
@@ -160,7 +160,7 @@
 		{"ended guest", record.GuestOutcomeKey("b", 12)},
 		{"learner", record.LearnerCheckpointKey("n0")},
 		{"learner piece", record.LearnerCheckpointPieceKey("n0", 2)},
-		{"task", record.TaskRef{Job: "run-000412", Index: 12}.String()},
+		{"task", record.TaskRef{JobID: "run-000412", Index: 12}.String()},
 	} {
 		fmt.Fprintf(&out, "%s: %s\n", line.name, line.key)
 	}
--- a/internal/membership/failover.go
+++ b/internal/membership/failover.go
@@ -163,9 +163,9 @@
 		return ownershipChange{}, false
 	}
 	next := record.Shard{
-		Owner:        m.NodeName,
-		Incarnation:  m.Incarnation,
-		FencingToken: nextFencingToken(current.FencingToken, m.clusterState.SchemaVersion),
+		Owner:            m.NodeName,
+		OwnerIncarnation: m.Incarnation,
+		FencingToken:     nextFencingToken(current.FencingToken, m.clusterState.SchemaVersion),
 	}
 	conditions := []wire.Condition{sessionCondition(m.NodeName, m.clusterState.Nodes[m.NodeName])}
 	if current.Owner != m.NodeName && current.Owner != "" {
@@ -191,7 +191,7 @@
 	}
 	delay := time.Duration(owned) * tuning.TakeoverStep
 	homeNode, homeIsLive := m.clusterState.Nodes[home]
-	homeLostIt := home == current.Owner && homeNode.Incarnation == current.Incarnation
+	homeLostIt := home == current.Owner && homeNode.Incarnation == current.OwnerIncarnation
 	if homeIsLive && !homeLostIt || !known {
 		delay += tuning.HomeGrace
 	}
--- a/internal/membership/handover.go
+++ b/internal/membership/handover.go
@@ -27,9 +27,9 @@
 		return ownershipChange{}, false
 	}
 	next := record.Shard{
-		Owner:        home,
-		Incarnation:  homeNode.Incarnation,
-		FencingToken: nextFencingToken(current.FencingToken, m.clusterState.SchemaVersion),
+		Owner:            home,
+		OwnerIncarnation: homeNode.Incarnation,
+		FencingToken:     nextFencingToken(current.FencingToken, m.clusterState.SchemaVersion),
 	}
 	self := sessionCondition(m.NodeName, m.clusterState.Nodes[m.NodeName])
 	return ownershipChange{
@@ -52,10 +52,10 @@
 		return
 	}
 	next := record.Shard{
-		Owner:        to,
-		Incarnation:  target.Incarnation,
-		FencingToken: nextFencingToken(current.FencingToken, schemaVersion),
-		HandedOff:    true,
+		Owner:            to,
+		OwnerIncarnation: target.Incarnation,
+		FencingToken:     nextFencingToken(current.FencingToken, schemaVersion),
+		HandedOff:        true,
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*tuning.StateTimeout)
 	defer cancel()
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -58,7 +58,7 @@
 func (c *testCluster) own(shard int, owner *Member, incarnation, fencingToken, modRevision uint64) {
 	c.state.Shards[shard] = clusterstate.Shard{
 		Shard: record.Shard{
-			Owner: owner.NodeName, Incarnation: incarnation, FencingToken: fencingToken,
+			Owner: owner.NodeName, OwnerIncarnation: incarnation, FencingToken: fencingToken,
 		},
 		ModRevision: modRevision,
 	}
--- a/internal/membership/ownership.go
+++ b/internal/membership/ownership.go
@@ -50,12 +50,12 @@
 // The caller holds the cluster state's lock.
 func (m *Member) ownerIsLive(current clusterstate.Shard) bool {
 	node, live := m.clusterState.Nodes[current.Owner]
-	return live && node.Incarnation == current.Incarnation
+	return live && node.Incarnation == current.OwnerIncarnation
 }
 
 // ownedBySelf reports whether a record names this process.
 func (m *Member) ownedBySelf(current clusterstate.Shard) bool {
-	return current.Owner == m.NodeName && current.Incarnation == m.Incarnation
+	return current.Owner == m.NodeName && current.OwnerIncarnation == m.Incarnation
 }
 
 // homeNode is the node that owns a shard when all are well.
--- a/internal/offload/home.go
+++ b/internal/offload/home.go
@@ -157,7 +157,7 @@
 			standing.WithLabelValues(name, s.String()).Set(map[bool]float64{true: 1}[s == m.Standing])
 		}
 	}
-	next.Standing, next.Returns, next.InventoryReceived = int(m.Standing), m.Returns, m.Settled
+	next.Standing, next.ReturnCount, next.InventoryReceived = int(m.Standing), m.Returns, m.Settled
 	next.PeerEpoch = max(next.PeerEpoch, m.Epoch, line.Other)
 	if list != nil && settled {
 		next.LastSentTransfer = max(next.LastSentTransfer, list.High)
@@ -301,7 +301,7 @@
 
 // member is a cell's record as the machine of members sees it.
 func member(name string, rec record.Cell) federation.Member {
-	return federation.Member{Name: name, Epoch: rec.PeerEpoch, Standing: federation.Standing(rec.Standing), Since: time.UnixMilli(rec.StandingSinceMs), Returns: rec.Returns,
+	return federation.Member{Name: name, Epoch: rec.PeerEpoch, Standing: federation.Standing(rec.Standing), Since: time.UnixMilli(rec.StandingSinceMs), Returns: rec.ReturnCount,
 		Settled: rec.InventoryReceived, Fenced: rec.FencedEpoch}
 }
 
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -67,7 +67,7 @@
 			for k := range rapid.IntRange(0, 4).Draw(t, "tasks") {
 				job := &clusterstate.Job{}
 				job.Spec = wire.JobSpec{ID: "j", GPUs: float64(rapid.IntRange(1, 2).Draw(t, "gpus"))}
-				tasks[machine] = append(tasks[machine], Victim{Binding: clusterstate.Binding{Ref: record.TaskRef{Job: machine.Machine.Name, Index: k}, Job: job},
+				tasks[machine] = append(tasks[machine], Victim{Binding: clusterstate.Binding{Ref: record.TaskRef{JobID: machine.Machine.Name, Index: k}, Job: job},
 					Rank: rapid.IntRange(1, 3).Draw(t, "rank"), LostMachineSeconds: float64(rapid.IntRange(1, 50).Draw(t, "cost"))})
 			}
 		}
--- a/internal/record/cell.go
+++ b/internal/record/cell.go
@@ -10,7 +10,7 @@
 	LastReceivedTransfer uint64 `cbor:"h,omitempty"` // the highest number of a transfer taken from there
 	Standing             int    `cbor:"s,omitempty"` // a federation.Standing
 	StandingSinceMs      int64  `cbor:"m,omitempty"`
-	Returns              int    `cbor:"r,omitempty"` // how often it came back, less those forgiven
+	ReturnCount          int    `cbor:"r,omitempty"` // how often it came back, less those forgiven
 	InventoryReceived    bool   `cbor:"k,omitempty"` // its inventory under these epochs is complete
 	FencedEpoch          uint64 `cbor:"f,omitempty"` // its epochs up to this one are refused
 }
--- a/internal/record/membership.go
+++ b/internal/record/membership.go
@@ -19,11 +19,11 @@
 
 // Shard says which node owns a shard. Every change of owner raises the fencing token.
 type Shard struct {
-	Owner        string `cbor:"o"`
-	Incarnation  uint64 `cbor:"i"` // of the owner
-	FencingToken uint64 `cbor:"e"`
-	HandedOff    bool   `cbor:"g,omitempty"` // its home node gave it up, as it could not reach the agents
-	FenceCount   uint64 `cbor:"c,omitempty"` // counts rewrites that only fence older transactions
+	Owner            string `cbor:"o"`
+	OwnerIncarnation uint64 `cbor:"i"` // of the owner
+	FencingToken     uint64 `cbor:"e"`
+	HandedOff        bool   `cbor:"g,omitempty"` // its home node gave it up, as it could not reach the agents
+	FenceCount       uint64 `cbor:"c,omitempty"` // counts rewrites that only fence older transactions
 }
 
 // Node marks a node's live session; it is attached to the node's lease in the store.
--- a/internal/record/task.go
+++ b/internal/record/task.go
@@ -50,12 +50,12 @@
 
 // TaskRef names a task.
 type TaskRef struct {
-	Job   string
+	JobID string
 	Index int
 }
 
 // String returns the task's name, which ParseTaskRef reads.
-func (r TaskRef) String() string { return r.Job + "/" + strconv.Itoa(r.Index) }
+func (r TaskRef) String() string { return r.JobID + "/" + strconv.Itoa(r.Index) }
 
 // ParseTaskRef reads a task's name.
 func ParseTaskRef(s string) (TaskRef, bool) {
@@ -64,5 +64,5 @@
 	if !ok || err != nil || index < 0 {
 		return TaskRef{}, false
 	}
-	return TaskRef{Job: job, Index: index}, true
+	return TaskRef{JobID: job, Index: index}, true
 }
--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -76,7 +76,7 @@
 		charged = candidate.Machine.Shard
 	}
 	return taskStart{
-		task:    record.TaskRef{Job: job, Index: task.Index},
+		task:    record.TaskRef{JobID: job, Index: task.Index},
 		attempt: attempt, failures: task.Failures, candidate: candidate, charged: charged,
 	}
 }
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -63,7 +63,7 @@
 	u.byMachine[binding.machine] = u.byMachine[binding.machine].AddTimes(binding.need, 1)
 	teams := u.byTeam[binding.chargedShard]
 	teams[binding.team] = teams[binding.team].AddTimes(binding.need, 1)
-	u.tasksByJob[binding.task.Job]++
+	u.tasksByJob[binding.task.JobID]++
 }
 
 // preemptionProgress is what a cycle has done to make room by stopping tasks.
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -147,7 +147,7 @@
 func (c *cycle) evacuationTasks(name string) []evacuation.Task {
 	var tasks []evacuation.Task
 	for _, binding := range c.cluster.Machines[name].Bindings {
-		tasks = append(tasks, evacuation.Task{JobID: binding.Ref.Job, Kind: evacuationKinds[binding.Job.Spec.Kind], PriorityRank: c.effectiveRank(binding.Job), PlacedReplicas: binding.Job.BoundCount})
+		tasks = append(tasks, evacuation.Task{JobID: binding.Ref.JobID, Kind: evacuationKinds[binding.Job.Spec.Kind], PriorityRank: c.effectiveRank(binding.Job), PlacedReplicas: binding.Job.BoundCount})
 	}
 	return tasks
 }
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -24,7 +24,7 @@
 		inventory.ConsumeByName(name, amount)
 	}
 	for name, task := range c.reservations.active(c.now) {
-		inventory.ReserveFor(name, task.Job)
+		inventory.ReserveFor(name, task.JobID)
 	}
 	c.refreshImageHints(inventory)
 	return inventory
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -120,7 +120,7 @@
 // dropStaleAttempts drops what no attempt of a task needs any more.
 func (l *learning) dropStaleAttempts(jobs map[string]*clusterstate.Job) {
 	stale := func(start taskAttempt) bool {
-		job := jobs[start.task.Job]
+		job := jobs[start.task.JobID]
 		return job == nil || !job.HasRecord || job.Task(start.task.Index).Attempt > start.attempt
 	}
 	maps.DeleteFunc(l.pendingRewards, func(start taskAttempt, _ int64) bool { return stale(start) })
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -16,7 +16,7 @@
 // once there is none, like needs of the same rank are not looked at again in this round:
 // hundreds of arrays that wait behind a full fleet would each pass all of its machines.
 func (c *cycle) preemptFor(queued *queuedJob, taskIndex int, inventory *binpack.Inventory, zones *binpack.ZoneConstraint) bool {
-	task := record.TaskRef{Job: queued.job.Spec.ID, Index: taskIndex}
+	task := record.TaskRef{JobID: queued.job.Spec.ID, Index: taskIndex}
 	if c.preempting.awaiting[task] {
 		return true // room is being freed for it already
 	}
@@ -65,7 +65,7 @@
 // countReservedZones counts with a job's tasks the machines on which room is being freed for it.
 func (c *cycle) countReservedZones(jobID string, zones *binpack.ZoneConstraint) {
 	for name, task := range c.reservations.active(c.now) {
-		if machine := c.cluster.Machines[name]; machine != nil && task.Job == jobID {
+		if machine := c.cluster.Machines[name]; machine != nil && task.JobID == jobID {
 			zones.TasksByZone[machine.Zone]++
 		}
 	}
@@ -86,7 +86,7 @@
 // preemptTasks stops tasks on a machine until another has room there, and keeps the room.
 func (c *cycle) preemptTasks(candidate *binpack.MachineInfo, queued *queuedJob, task record.TaskRef, victims []preemption.Victim) {
 	c.preempting.machines++
-	c.inventory.ReserveAll(candidate, task.Job)
+	c.inventory.ReserveAll(candidate, task.JobID)
 	c.reservations.reserve(candidate.Machine.Name, task, c.now.Add(tuning.PreemptHold))
 	c.preempting.awaiting[task] = true
 	for _, victim := range victims {
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -48,7 +48,7 @@
 	task.Failures++
 	edit.tasks[binding.Ref.Index] = task
 	if lastRetry {
-		edit.failsJob, c.failingJobs[binding.Ref.Job] = true, true
+		edit.failsJob, c.failingJobs[binding.Ref.JobID] = true, true
 	}
 	c.log.Info("task failed", "task", binding.Ref, "attempt", binding.Attempt, "failures", task.Failures, "repeats", *binding.Job.Spec.MaxRetries, "ends", lastRetry)
 }
@@ -135,7 +135,7 @@
 	case decision.WholeGang:
 		for taskIndex := range spec.TaskCount {
 			if other := c.taskState(binding.Job, taskIndex); other.State == record.TaskBound && other.Attempt == binding.Attempt {
-				c.releaseTask(clusterstate.Binding{Ref: record.TaskRef{Job: spec.ID, Index: taskIndex}, Job: binding.Job, Attempt: other.Attempt, Session: other.Session}, other.Machine, decision.NextState, "done with its gang")
+				c.releaseTask(clusterstate.Binding{Ref: record.TaskRef{JobID: spec.ID, Index: taskIndex}, Job: binding.Job, Attempt: other.Attempt, Session: other.Session}, other.Machine, decision.NextState, "done with its gang")
 			}
 		}
 	case decision.Release:
@@ -304,7 +304,7 @@
 // tasks see the record at once and tell their workers within the time in which a
 // gang's saves must begin.
 func (c *cycle) requestGangStop(binding clusterstate.Binding, machine *clusterstate.Machine) {
-	key := record.JobKey(binding.Ref.Job)
+	key := record.JobKey(binding.Ref.JobID)
 	if binding.Job.PreemptedAttempt == binding.Attempt || c.changes.inFlight(key) || c.recordEdits[recordKey{binding.Job, 0}] != nil || c.needsMigration(binding.Job) {
 		return
 	}
@@ -313,7 +313,7 @@
 	marked.PreemptedAttempt = binding.Attempt
 	op := marked.EncodeChunk(0, nil)
 	c.outgoing = append(c.outgoing, &recordChange{
-		description: "stop gang " + binding.Ref.Job, keys: []string{key}, shards: []int{machine.Shard},
+		description: "stop gang " + binding.Ref.JobID, keys: []string{key}, shards: []int{machine.Shard},
 		transaction: kvstore.Transaction{
 			Conditions: []wire.Condition{{Key: key, ModRevision: binding.Job.ModRevision}, {Key: record.ShardKey(machine.Shard), ModRevision: c.shards.revisions[machine.Shard]}},
 			Ops:        []wire.Op{op}, Priority: kvstore.PriorityUrgent,
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -11,7 +11,7 @@
 // TestReservationEndsByReleaseOrTime: a machine is kept for one task until it is released or its time is over.
 func TestReservationEndsByReleaseOrTime(t *testing.T) {
 	table := reservationTable{}
-	first, second := record.TaskRef{Job: "a"}, record.TaskRef{Job: "b", Index: 1}
+	first, second := record.TaskRef{JobID: "a"}, record.TaskRef{JobID: "b", Index: 1}
 	table.reserve("m1", first, testNow)
 	table.reserve("m2", first, testNow.Add(time.Second))
 	table.reserve("m3", first, testNow.Add(time.Second))
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -55,9 +55,9 @@
 	fixture.put("s/catalog", wire.Catalog{Types: []wire.MachineType{testType}})
 	for i, node := range nodes {
 		fixture.cluster.Nodes[node] = clusterstate.Node{Node: record.Node{Incarnation: 1}}
-		fixture.cluster.Shards[i] = clusterstate.Shard{Shard: record.Shard{Owner: node, Incarnation: 1, FencingToken: 7}}
+		fixture.cluster.Shards[i] = clusterstate.Shard{Shard: record.Shard{Owner: node, OwnerIncarnation: 1, FencingToken: 7}}
 	}
-	fixture.cluster.Shards[record.LeaderShard] = clusterstate.Shard{Shard: record.Shard{Owner: nodes[0], Incarnation: 1, FencingToken: 7}}
+	fixture.cluster.Shards[record.LeaderShard] = clusterstate.Shard{Shard: record.Shard{Owner: nodes[0], OwnerIncarnation: 1, FencingToken: 7}}
 	for _, node := range nodes {
 		settings := &config.Settings{Node: node}
 		deployment := &settings.Deployment
@@ -442,7 +442,7 @@
 	for i, engine := range fixture.engines {
 		fixture.runCycle(i)
 		for name, h := range engine.reservations {
-			if h.task.Job == service.ID {
+			if h.task.JobID == service.ID {
 				zones[fixture.cluster.Machines[name].Zone]++
 			}
 		}
@@ -572,7 +572,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = engine.committer.Run(ctx) }()
 		change := &recordChange{description: "tasks of run-1", keys: []string{record.JobKey("run-1")}, shards: []int{shard},
-			bindings:    []pendingBinding{{record.TaskRef{Job: "run-1"}, name, shard, "t", record.Resources{GPUs: 1}}},
+			bindings:    []pendingBinding{{record.TaskRef{JobID: "run-1"}, name, shard, "t", record.Resources{GPUs: 1}}},
 			transaction: kvstore.Transaction{Conditions: []wire.Condition{{Key: record.ShardKey(shard)}}, Ops: []wire.Op{kvstore.PutOp(record.JobKey("run-1"), 1)}}}
 		engine.mu.Lock()
 		id := engine.changes.start(change)
--- a/internal/simulation/fakeagent.go
+++ b/internal/simulation/fakeagent.go
@@ -116,7 +116,7 @@
 				for _, m := range mates {
 					m.agent.statusChanged = true
 					m.task.State = wire.TaskRunning
-					m.task.readyAt = now.Add(a.region.remainingRunTime(record.TaskRef{Job: k.task.Job}, &t.spec))
+					m.task.readyAt = now.Add(a.region.remainingRunTime(record.TaskRef{JobID: k.task.JobID}, &t.spec))
 				}
 			} else if now.After(t.readyAt) {
 				a.exitTask(k, t, wire.ExitCauseGangIncomplete, false)
@@ -148,7 +148,7 @@
 				a.region.Checker.TaskCompleted(m.attempt.task)
 				m.agent.exitTask(m.attempt, m.task, wire.ExitCauseDone, false)
 			}
-			a.region.taskCompleted(k.task.Job)
+			a.region.taskCompleted(k.task.JobID)
 		case wire.TaskCheckpointing:
 			if now.After(t.readyAt) {
 				a.region.checkpointed[k.task] = true
@@ -194,7 +194,7 @@
 }
 
 func (a *fakeAgent) startTask(k attempt, now time.Time) {
-	spec, ok := a.region.Checker.JobSpec(k.task.Job)
+	spec, ok := a.region.Checker.JobSpec(k.task.JobID)
 	t := &agentTask{TaskStatus: wire.TaskStatus{Task: k.task.String(), Attempt: k.number, State: wire.TaskFetchingImage}, spec: spec}
 	a.tasks[k] = t
 	a.statusChanged = true
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -292,7 +292,7 @@
 	spec := &job.spec
 	waiting, inZone, pinnedZone := 0, map[string]int{}, spec.Zone
 	for i := range spec.TaskCount {
-		placements := c.placements[record.TaskRef{Job: spec.ID, Index: i}]
+		placements := c.placements[record.TaskRef{JobID: spec.ID, Index: i}]
 		if len(placements) == 0 && !job.completedTasks[i] {
 			waiting++
 		}
@@ -346,7 +346,7 @@
 func (c *InvariantChecker) teamUsage(team string) record.Resources {
 	var use record.Resources
 	for ref, at := range c.placements {
-		if s := &c.jobs[ref.Job].spec; s.Team == team {
+		if s := &c.jobs[ref.JobID].spec; s.Team == team {
 			use = use.AddTimes(record.TaskResources(s), float64(len(at)))
 		}
 	}
@@ -371,8 +371,8 @@
 	defer c.mu.Unlock()
 	found := map[string]bool{}
 	for ref, at := range c.placements {
-		if j := c.jobs[ref.Job]; len(at) > 0 && j.accepted && !j.cancelRequested && j.finalState == "" {
-			found[ref.Job] = true
+		if j := c.jobs[ref.JobID]; len(at) > 0 && j.accepted && !j.cancelRequested && j.finalState == "" {
+			found[ref.JobID] = true
 		}
 	}
 	return slices.Sorted(maps.Keys(found))
@@ -385,7 +385,7 @@
 	found := map[string]bool{}
 	for ref, at := range c.placements {
 		for m := range at {
-			if ref.Job == id {
+			if ref.JobID == id {
 				found[m] = true
 			}
 		}
@@ -471,7 +471,7 @@
 func (c *InvariantChecker) TaskFailed(ref record.TaskRef) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.jobs[ref.Job].failures[ref.Index]++
+	c.jobs[ref.JobID].failures[ref.Index]++
 }
 
 // FailureAcknowledged notes that the service has acknowledged a task's failure: it must have spent
@@ -479,7 +479,7 @@
 func (c *InvariantChecker) FailureAcknowledged(ref record.TaskRef) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	j := c.jobs[ref.Job]
+	j := c.jobs[ref.JobID]
 	j.acknowledgedFailures[ref.Index]++
 	if limit, ok := c.retryLimit(&j.spec); ok && j.acknowledgedFailures[ref.Index] > limit+1 {
 		c.violation("repeats", "%s failed %d times, %d repeats allowed", ref, j.acknowledgedFailures[ref.Index], limit)
@@ -518,7 +518,7 @@
 func (c *InvariantChecker) TaskStarted(ref record.TaskRef, placement Placement) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	job := c.jobs[ref.Job]
+	job := c.jobs[ref.JobID]
 	if job == nil {
 		c.violation("invented", "%s runs", ref)
 		return
@@ -559,7 +559,7 @@
 	}
 	inZone := 0
 	for i := range spec.TaskCount {
-		for _, q := range c.placements[record.TaskRef{Job: spec.ID, Index: i}] {
+		for _, q := range c.placements[record.TaskRef{JobID: spec.ID, Index: i}] {
 			if q.Zone == placement.Zone {
 				inZone++
 			} else if spec.SameZone {
@@ -585,7 +585,7 @@
 
 func (c *InvariantChecker) checkCancelledTasks() {
 	for ref, at := range c.placements {
-		cancelledAt := c.jobs[ref.Job].cancelledAt
+		cancelledAt := c.jobs[ref.JobID].cancelledAt
 		if len(at) > 0 && !cancelledAt.IsZero() && time.Since(cancelledAt) > c.settings.Cancel() {
 			c.violation("ran_cancelled", "%s: %v after", ref, time.Since(cancelledAt))
 		}
@@ -610,7 +610,7 @@
 func (c *InvariantChecker) TaskCompleted(ref record.TaskRef) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.jobs[ref.Job].completedTasks[ref.Index] = true
+	c.jobs[ref.JobID].completedTasks[ref.Index] = true
 }
 
 // JobCompleted tells whether all tasks of a job have completed.
@@ -635,7 +635,7 @@
 func (c *InvariantChecker) TaskIsDone(ref record.TaskRef) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.jobs[ref.Job].completedTasks[ref.Index]
+	return c.jobs[ref.JobID].completedTasks[ref.Index]
 }
 
 // UnfinishedJobs lists the accepted jobs that were neither told done nor cancelled,
--- a/internal/simulation/region.go
+++ b/internal/simulation/region.go
@@ -291,7 +291,7 @@
 			continue
 		}
 		for o, t := range w.tasks {
-			if o.task.Job == member.task.Job && o.number == member.number && (t.State == wire.TaskAwaitingGang || t.State == wire.TaskRunning || t.State == wire.TaskCheckpointing) {
+			if o.task.JobID == member.task.JobID && o.number == member.number && (t.State == wire.TaskAwaitingGang || t.State == wire.TaskRunning || t.State == wire.TaskCheckpointing) {
 				out = append(out, gangMember{w, o, t})
 			}
 		}
--- a/internal/simulation/region_test.go
+++ b/internal/simulation/region_test.go
@@ -376,7 +376,7 @@
 		r.Wait()
 		time.Sleep(3 * time.Minute)
 		for i := range 2 {
-			if !r.checkpointed[record.TaskRef{Job: spec.ID, Index: i}] {
+			if !r.checkpointed[record.TaskRef{JobID: spec.ID, Index: i}] {
 				t.Errorf("task %d did not save", i)
 			}
 		}
@@ -433,7 +433,7 @@
 // can't fail would prove nothing.
 func TestCheckerDetectsEachViolation(t *testing.T) {
 	at := func(m, typ, zone string, spot bool) Placement { return Placement{m, typ, zone, spot} }
-	ref := func(i int) record.TaskRef { return record.TaskRef{Job: "run-1", Index: i} }
+	ref := func(i int) record.TaskRef { return record.TaskRef{JobID: "run-1", Index: i} }
 	base := wire.JobSpec{ID: "run-1", Team: "bound", Kind: wire.KindArray, TaskCount: 8, GPUs: 1}
 	defects := map[string][]struct {
 		name string
@@ -526,8 +526,8 @@
 					time.Sleep(5 * time.Minute)
 				}
 				for k := range 1 + i/4*9 {
-					o.TaskStarted(record.TaskRef{Job: id, Index: k}, at("a", "large", "east", false))
-					o.TaskCompleted(record.TaskRef{Job: id, Index: k})
+					o.TaskStarted(record.TaskRef{JobID: id, Index: k}, at("a", "large", "east", false))
+					o.TaskCompleted(record.TaskRef{JobID: id, Index: k})
 				}
 			}
 			o.CheckServedShares()
--- a/internal/simulation/retry_test.go
+++ b/internal/simulation/retry_test.go
@@ -66,7 +66,7 @@
 			s.Dependencies = []string{fmt.Sprintf("run-%06d", 1+rnd.IntN(i))}
 		}
 		for range rnd.IntN(3) {
-			r.InjectTaskFailures(record.TaskRef{Job: s.ID, Index: rnd.IntN(s.TaskCount)}, 1+rnd.IntN(3))
+			r.InjectTaskFailures(record.TaskRef{JobID: s.ID, Index: rnd.IntN(s.TaskCount)}, 1+rnd.IntN(3))
 		}
 		at := time.Duration(i*5) * time.Second
 		r.wg.Go(func() {
--- a/internal/simulation/sessionrecord_test.go
+++ b/internal/simulation/sessionrecord_test.go
@@ -43,7 +43,7 @@
 				_ = wire.Decode(row.Value, &node)
 			}
 			_ = wire.Decode(rows[record.ShardKey(0)].Value, &home)
-			if !there || home.Owner != "node-0" || home.Incarnation != node.Incarnation {
+			if !there || home.Owner != "node-0" || home.OwnerIncarnation != node.Incarnation {
 				t.Errorf("seed %d: session there %v (%+v), its part is %+v", seed, there, node, home)
 			}
 		}
