--- a/internal/autoscaler/scaleoutplan.go
+++ b/internal/autoscaler/scaleoutplan.go
@@ -136,7 +136,7 @@
 	if machine == nil {
 		return false
 	}
-	machine.free = machine.free.AddTimes(g.need, -1)
+	machine.free = machine.free.Minus(g.need)
 	g.tasksByZone[machine.zone]++
 	if g.request.spec.SameZone {
 		g.request.zone = machine.zone
--- a/internal/binpack/allocate.go
+++ b/internal/binpack/allocate.go
@@ -164,7 +164,7 @@
 	if inv.CommonNeed.CPUs == 0 || need.GPUs > 0 || info.Capacity.GPUs > 0 || need.CPUs >= inv.CommonNeed.CPUs {
 		return false
 	}
-	return TasksThatFit(inv.CommonNeed, info.Free) > TasksThatFit(inv.CommonNeed, info.Free.AddTimes(need, -1))
+	return TasksThatFit(inv.CommonNeed, info.Free) > TasksThatFit(inv.CommonNeed, info.Free.Minus(need))
 }
 
 // leavesGPUShare reports whether a task without GPUs leaves a machine the other resources that
@@ -174,5 +174,5 @@
 		CPUs:     inv.NeedPerGPU.CPUs * info.Free.GPUs,
 		MemoryGB: inv.NeedPerGPU.MemoryGB * info.Free.GPUs,
 	}
-	return need.FitsIn(info.Free.AddTimes(reserved, -1))
+	return need.FitsIn(info.Free.Minus(reserved))
 }
--- a/internal/binpack/allocate_test.go
+++ b/internal/binpack/allocate_test.go
@@ -54,7 +54,7 @@
 		for _, info := range inv.ready {
 			common := TasksThatFit(commonNeed, info.Free)
 			commonBefore += common
-			beside += TasksThatFit(request.Need, info.Free.AddTimes(commonNeed, -float64(common)))
+			beside += TasksThatFit(request.Need, info.Free.PlusTimes(commonNeed, -float64(common)))
 		}
 		picks := inv.Allocate(request, inv.FittingMachines(request), unconstrained(), nil)
 		commonAfter := 0
--- a/internal/binpack/gang_test.go
+++ b/internal/binpack/gang_test.go
@@ -52,7 +52,7 @@
 			}
 		}
 		for name, free := range before {
-			want, left := free.AddTimes(request.Need, -float64(placed[name])), inv.machines[name].Free
+			want, left := free.PlusTimes(request.Need, -float64(placed[name])), inv.machines[name].Free
 			if left != want || placed[name] > TasksThatFit(request.Need, free) {
 				t.Errorf("%s has %v left of %v after %d tasks", name, left, free, placed[name])
 			}
--- a/internal/binpack/inventory.go
+++ b/internal/binpack/inventory.go
@@ -46,7 +46,7 @@
 // adjustFree adds a multiple of some resources to what a machine has free.
 func (inv *Inventory) adjustFree(info *MachineInfo, resources record.Resources, times float64) {
 	inv.markModified(info)
-	info.Free = info.Free.AddTimes(resources, times)
+	info.Free = info.Free.PlusTimes(resources, times)
 }
 
 func (inv *Inventory) markModified(info *MachineInfo) {
--- a/internal/binpack/refresh.go
+++ b/internal/binpack/refresh.go
@@ -133,7 +133,7 @@
 	_, info.Owned = inv.snapshot.FencingTokens[machine.Shard]
 	capacity, isKnownType := inv.types.capacity[machine.Type]
 	info.Capacity = capacity
-	info.recordedFree = capacity.AddTimes(machine.Used, -1)
+	info.recordedFree = capacity.Minus(machine.Used)
 	info.Free, info.ReservedFor, info.modified = info.recordedFree, "", false
 	info.boundImages.ClearAll()
 	for image := range machine.TasksByImage {
--- a/internal/clusterstate/bindings.go
+++ b/internal/clusterstate/bindings.go
@@ -39,7 +39,7 @@
 		usage = s.UsageByShard[task.ChargedShard-1]
 	}
 	team := job.Spec.Team
-	usage[team] = usage[team].AddTimes(record.TaskResources(&job.Spec), float64(change))
+	usage[team] = usage[team].PlusTimes(record.TaskResources(&job.Spec), float64(change))
 	if job.BoundByShard == nil {
 		job.BoundByShard = make([]int, s.ShardCount)
 	}
--- a/internal/clusterstate/machines.go
+++ b/internal/clusterstate/machines.go
@@ -27,10 +27,10 @@
 // addUsage adds what count tasks of a job take; count may be negative.
 func (m *Machine) addUsage(spec *wire.JobSpec, count int) {
 	need := record.TaskResources(spec)
-	m.Used = m.Used.AddTimes(need, float64(count))
+	m.Used = m.Used.PlusTimes(need, float64(count))
 	if record.TaskPreemptible(spec) {
 		rank := spec.Priority.Rank()
-		m.PreemptibleByRank[rank] = m.PreemptibleByRank[rank].AddTimes(need, float64(count))
+		m.PreemptibleByRank[rank] = m.PreemptibleByRank[rank].PlusTimes(need, float64(count))
 	}
 	if m.TasksByImage[spec.Image] += count; m.TasksByImage[spec.Image] <= 0 {
 		delete(m.TasksByImage, spec.Image)
--- a/internal/offload/host.go
+++ b/internal/offload/host.go
@@ -262,7 +262,7 @@
 		for image := range m.TasksByImage {
 			images[image]++
 		}
-		free := record.Capacity(&t).AddTimes(m.Used, -1)
+		free := record.Capacity(&t).Minus(m.Used)
 		if free.GPUs > 0 || t.GPUs == 0 && free.CPUs > 0 {
 			// Whole GPUs, cores in fours and GB in sixteens: what is told need not be exact.
 			free = record.Resources{CPUs: float64(int(free.CPUs/4)) * 4, GPUs: float64(int(free.GPUs)), MemoryGB: float64(int(free.MemoryGB/16)) * 16}
--- a/internal/preemption/preemption.go
+++ b/internal/preemption/preemption.go
@@ -59,7 +59,7 @@
 		}
 		free := machine.Free
 		for lowerRank := rank; lowerRank < len(machine.Machine.PreemptibleByRank); lowerRank++ {
-			free = free.AddTimes(machine.Machine.PreemptibleByRank[lowerRank], 1)
+			free = free.Plus(machine.Machine.PreemptibleByRank[lowerRank])
 		}
 		if !request.Need.FitsIn(free) || !binpack.Eligible(request.Spec, machine.Machine) || !zones.Allows(machine.Machine.Zone) {
 			continue
@@ -93,7 +93,7 @@
 		if need.FitsIn(free) {
 			return victims[:i], cost, true
 		}
-		free = free.AddTimes(record.TaskResources(&victim.Binding.Job.Spec), 1)
+		free = free.Plus(record.TaskResources(&victim.Binding.Job.Spec))
 		cost += victim.LostMachineSeconds
 	}
 	return victims, cost, need.FitsIn(free)
--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -80,7 +80,7 @@
 				if need.FitsIn(freed) {
 					t.Errorf("task %d is stopped for nothing", i)
 				}
-				freed = freed.AddTimes(record.TaskResources(&victim.Binding.Job.Spec), 1)
+				freed = freed.Plus(record.TaskResources(&victim.Binding.Job.Spec))
 				cost += victim.LostMachineSeconds
 			}
 			if !need.FitsIn(freed) {
@@ -94,7 +94,7 @@
 					break
 				}
 				sum += x.LostMachineSeconds
-				free = free.AddTimes(record.TaskResources(&x.Binding.Job.Spec), 1)
+				free = free.Plus(record.TaskResources(&x.Binding.Job.Spec))
 			}
 			if need.FitsIn(free) && sum < cost {
 				t.Errorf("%s makes room for %v, chosen for %v", machine.Machine.Name, sum, cost)
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -139,7 +139,7 @@
 	var others record.Resources
 	for shard, grant := range quota.Grants {
 		if shard != strconv.Itoa(key.shard) {
-			others = others.AddTimes(grant, 1)
+			others = others.Plus(grant)
 		}
 	}
 	grant, headroom := grantOf(quota, key.shard), m.headroom(limit)
@@ -206,7 +206,7 @@
 	if !r.limited {
 		return used
 	}
-	return least(used.AddTimes(r.headroom, 0.5), grant)
+	return least(used.PlusTimes(r.headroom, 0.5), grant)
 }
 
 // reductionDue tells whether a grant has been larger than needed for long enough to be lowered: a small
@@ -215,7 +215,7 @@
 	if surplusFor > tuning.GrantSlow {
 		return true
 	}
-	isSmall := r.limited && grant.FitsIn(needed.AddTimes(r.headroom, 0.5))
+	isSmall := r.limited && grant.FitsIn(needed.PlusTimes(r.headroom, 0.5))
 	return surplusFor > tuning.GrantIdle && !isSmall
 }
 
@@ -229,7 +229,7 @@
 func (m *GrantManager) hasAmpleRest(quota clusterstate.Quota, limit record.Resources) bool {
 	var granted record.Resources
 	for _, grant := range quota.Grants {
-		granted = granted.AddTimes(grant, 1)
+		granted = granted.Plus(grant)
 	}
 	return granted.CPUs <= (1-tuning.GrantRest)*limit.CPUs && granted.GPUs <= (1-tuning.GrantRest)*limit.GPUs
 }
--- a/internal/record/resources.go
+++ b/internal/record/resources.go
@@ -12,8 +12,14 @@
 // resourceTolerance absorbs rounding: amounts are decimal fractions, and their sums are not exact.
 const resourceTolerance = 1e-6
 
-// AddTimes returns r plus n times other; n may be negative.
-func (r Resources) AddTimes(other Resources, n float64) Resources {
+// Plus returns r plus other.
+func (r Resources) Plus(other Resources) Resources { return r.PlusTimes(other, 1) }
+
+// Minus returns r minus other.
+func (r Resources) Minus(other Resources) Resources { return r.PlusTimes(other, -1) }
+
+// PlusTimes returns r plus n times other; n may be negative.
+func (r Resources) PlusTimes(other Resources, n float64) Resources {
 	return Resources{
 		CPUs:     r.CPUs + n*other.CPUs,
 		GPUs:     r.GPUs + n*other.GPUs,
--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -133,7 +133,7 @@
 // does not, more is requested.
 func (c *cycle) grantCovers(queued *queuedJob, shard, tasks int) bool {
 	team := queued.job.Spec.Team
-	return c.quota.Allows(shard, team, c.usage(shard, team).AddTimes(queued.Need, float64(tasks)))
+	return c.quota.Allows(shard, team, c.usage(shard, team).PlusTimes(queued.Need, float64(tasks)))
 }
 
 // boundTask is the record of a binding. The machine's session is the newest that this node knows.
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -60,9 +60,9 @@
 
 // add counts a binding.
 func (u *inFlightUsage) add(binding pendingBinding) {
-	u.byMachine[binding.machine] = u.byMachine[binding.machine].AddTimes(binding.need, 1)
+	u.byMachine[binding.machine] = u.byMachine[binding.machine].Plus(binding.need)
 	teams := u.byTeam[binding.chargedShard]
-	teams[binding.team] = teams[binding.team].AddTimes(binding.need, 1)
+	teams[binding.team] = teams[binding.team].Plus(binding.need)
 	u.tasksByJob[binding.task.JobID]++
 }
 
@@ -176,10 +176,10 @@
 	usage := map[string]record.Resources{}
 	for shard := range c.cluster.ShardCount {
 		for team, amount := range c.cluster.UsageByShard[shard] {
-			usage[team] = usage[team].AddTimes(amount, 1)
+			usage[team] = usage[team].Plus(amount)
 		}
 		for team, amount := range c.inFlight.byTeam[shard] {
-			usage[team] = usage[team].AddTimes(amount, 1)
+			usage[team] = usage[team].Plus(amount)
 		}
 	}
 	return usage
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -79,7 +79,7 @@
 		switch {
 		case !job.HasRecord || job.Cancelled() || need.GPUs == 0:
 		case job.Spec.Kind == wire.KindArray:
-			arrays = arrays.AddTimes(need, 1)
+			arrays = arrays.Plus(need)
 		default:
 			most.CPUs = max(most.CPUs, need.CPUs/need.GPUs)
 			most.MemoryGB = max(most.MemoryGB, need.MemoryGB/need.GPUs)
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -24,7 +24,7 @@
 	if limit, ok := c.quota.Limit(spec.Team); ok {
 		c.applyTeamLimit(queued, limit, usage)
 	}
-	usage[spec.Team] = usage[spec.Team].AddTimes(queued.Need, float64(queued.Remaining))
+	usage[spec.Team] = usage[spec.Team].PlusTimes(queued.Need, float64(queued.Remaining))
 }
 
 // applyTeamLimit lowers how many tasks of a job may be placed to what its team's limit leaves.
@@ -32,7 +32,7 @@
 	queued *queuedJob, limit record.Resources, usage map[string]record.Resources,
 ) {
 	job, spec := queued.job, &queued.job.Spec
-	open := limit.AddTimes(usage[spec.Team], -1)
+	open := limit.Minus(usage[spec.Team])
 	open.MemoryGB = tuning.MaxAmount * tuning.MaxTasks // limits are of cores and GPUs
 	allowed := binpack.TasksThatFit(queued.Need, open)
 	if allowed >= queued.Remaining {
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -31,7 +31,7 @@
 
 // reserve takes room in the budget for some tasks of a job; false, and nothing taken, if they exceed it.
 func (b *guaranteeBudget) reserve(job *clusterstate.Job, tasks int) bool {
-	total := b.reserved.AddTimes(record.TaskResources(&job.Spec), float64(tasks))
+	total := b.reserved.PlusTimes(record.TaskResources(&job.Spec), float64(tasks))
 	total.MemoryGB = 0 // guarantees are of cores and GPUs
 	if !total.FitsIn(b.limit) {
 		return false
--- a/internal/scheduler/learner_reward.go
+++ b/internal/scheduler/learner_reward.go
@@ -58,7 +58,7 @@
 		return 0
 	}
 	capacity := record.Capacity(&machineType)
-	rest := capacity.AddTimes(record.TaskResources(spec), -1)
+	rest := capacity.Minus(record.TaskResources(spec))
 	return 1 - binpack.FreeFraction(rest, capacity)
 }
 
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -223,7 +223,7 @@
 		for _, candidate := range c.inventory.ReadyMachines(shard) {
 			free := candidate.Free
 			for lower := rank; lower < len(candidate.Machine.PreemptibleByRank); lower++ {
-				free = free.AddTimes(candidate.Machine.PreemptibleByRank[lower], 1)
+				free = free.Plus(candidate.Machine.PreemptibleByRank[lower])
 			}
 			if commonTask.CPUs > 0 {
 				sum += float64(binpack.TasksThatFit(commonTask, free))
@@ -246,7 +246,7 @@
 	for _, machineType := range c.cluster.Catalog.Types {
 		capacity := record.Capacity(&machineType)
 		if need.FitsIn(capacity) {
-			least = min(least, 1-binpack.FreeFraction(capacity.AddTimes(need, -1), capacity))
+			least = min(least, 1-binpack.FreeFraction(capacity.Minus(need), capacity))
 		}
 	}
 	return least
--- a/internal/scheduler/recordchange.go
+++ b/internal/scheduler/recordchange.go
@@ -36,7 +36,7 @@
 
 // usage is what a team's tasks of a part take, those on their way included.
 func (c *cycle) usage(shard int, team string) record.Resources {
-	return c.cluster.UsageByShard[shard][team].AddTimes(c.inFlight.byTeam[shard][team], 1)
+	return c.cluster.UsageByShard[shard][team].Plus(c.inFlight.byTeam[shard][team])
 }
 
 // editRecord opens the record that holds a task; nil while a change of it is on its
--- a/internal/simulation/fakeagent.go
+++ b/internal/simulation/fakeagent.go
@@ -205,14 +205,14 @@
 	used := record.Resources{}
 	for o, x := range a.tasks {
 		if x.State != wire.TaskExited && o != k {
-			used = used.AddTimes(record.TaskResources(&x.spec), 1)
+			used = used.Plus(record.TaskResources(&x.spec))
 			if o.task == k.task {
 				a.exitTask(k, t, wire.ExitCauseAlreadyRunning, false)
 				return
 			}
 		}
 	}
-	if !used.AddTimes(record.TaskResources(&spec), 1).FitsIn(record.Capacity(&a.machineType)) {
+	if !used.Plus(record.TaskResources(&spec)).FitsIn(record.Capacity(&a.machineType)) {
 		a.exitTask(k, t, wire.ExitCauseNoCapacity, false)
 		return
 	}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -106,7 +106,7 @@
 		free := record.Capacity(&w.machineType)
 		for _, t := range w.tasks {
 			if t.State != wire.TaskExited {
-				free = free.AddTimes(record.TaskResources(&t.spec), -1)
+				free = free.Minus(record.TaskResources(&t.spec))
 			}
 		}
 		out = append(out, FreeCapacity{w.placement(), free})
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -315,7 +315,7 @@
 		if pinnedZone != "" && r.Zone != pinnedZone || r.Spot && !spec.AllowSpot || len(spec.MachineTypes) > 0 && !slices.Contains(spec.MachineTypes, r.Type) {
 			continue
 		}
-		for free := r.Free; need.FitsIn(free) && fits[r.Zone] < minTasks; free = free.AddTimes(need, -1) {
+		for free := r.Free; need.FitsIn(free) && fits[r.Zone] < minTasks; free = free.Minus(need) {
 			if spec.Spread && inZone[r.Zone]+fits[r.Zone] >= (spec.TaskCount+1)/2 {
 				break
 			}
@@ -333,7 +333,7 @@
 
 // withinTeamLimit tells whether a team may run so many more tasks of a job. Callers hold the lock.
 func (c *InvariantChecker) withinTeamLimit(s *wire.JobSpec, tasks int) bool {
-	use := c.teamUsage(s.Team).AddTimes(record.TaskResources(s), float64(tasks))
+	use := c.teamUsage(s.Team).PlusTimes(record.TaskResources(s), float64(tasks))
 	for _, t := range c.settings.Deployment.Teams {
 		if t.Name == s.Team && (t.GPUsMax > 0 && use.GPUs > t.GPUsMax+1e-6 || t.CPUsMax > 0 && use.CPUs > t.CPUsMax+1e-6) {
 			return false
@@ -347,7 +347,7 @@
 	var use record.Resources
 	for ref, at := range c.placements {
 		if s := &c.jobs[ref.JobID].spec; s.Team == team {
-			use = use.AddTimes(record.TaskResources(s), float64(len(at)))
+			use = use.PlusTimes(record.TaskResources(s), float64(len(at)))
 		}
 	}
 	return use
