--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -64,21 +64,3 @@
 	}
 	return s
 }
-
-// Shard is a shard's ownership.
-type Shard struct {
-	record.Shard
-	ModRevision uint64
-}
-
-// Node is a node's live session.
-type Node struct {
-	record.Node
-	ModRevision uint64
-}
-
-// Quota is a team's grants.
-type Quota struct {
-	record.Quota
-	ModRevision uint64
-}
--- a/internal/clusterstate/update.go
+++ b/internal/clusterstate/update.go
@@ -96,39 +96,6 @@
 	return value, err
 }
 
-func (s *State) putShard(change recordChange) error {
-	shard, err := decode[record.Shard](change)
-	if err != nil {
-		return err
-	}
-	s.Shards[record.ParseShardKey(change.key)] = Shard{Shard: shard, ModRevision: change.modRevision}
-	return nil
-}
-
-func (s *State) deleteShard(change recordChange) { delete(s.Shards, record.ParseShardKey(change.key)) }
-
-func (s *State) putNode(change recordChange) error {
-	node, err := decode[record.Node](change)
-	if err != nil {
-		return err
-	}
-	s.Nodes[change.name] = Node{Node: node, ModRevision: change.modRevision}
-	return nil
-}
-
-func (s *State) deleteNode(change recordChange) { delete(s.Nodes, change.name) }
-
-func (s *State) putQuota(change recordChange) error {
-	quota, err := decode[record.Quota](change)
-	if err != nil {
-		return err
-	}
-	s.Quotas[change.name] = Quota{Quota: quota, ModRevision: change.modRevision}
-	return nil
-}
-
-func (s *State) deleteQuota(change recordChange) { delete(s.Quotas, change.name) }
-
 func (s *State) putSchemaVersion(change recordChange) error {
 	schema, err := decode[record.SchemaVersion](change)
 	if err != nil {
