--- a/internal/golden/fill_test.go
+++ b/internal/golden/fill_test.go
@@ -45,16 +45,27 @@
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, value)
 	case reflect.Struct:
-		for i := range v.NumField() {
-			if isEncoded(v.Type().Field(i)) {
-				f.fill(t, name, v.Field(i))
-			}
-		}
+		f.fillFields(t, name, v)
 	default:
 		f.fillScalar(t, name, v)
 	}
 }
 
+// fillFields sets the fields of a struct. Those of an embedded struct are encoded as the outer one's own, so it
+// does not count.
+func (f *filler) fillFields(t *testing.T, name string, v reflect.Value) {
+	t.Helper()
+	for i := range v.NumField() {
+		field := v.Type().Field(i)
+		switch {
+		case field.Anonymous && field.Type.Kind() == reflect.Struct:
+			f.fillFields(t, name, v.Field(i))
+		case isEncoded(field):
+			f.fill(t, name, v.Field(i))
+		}
+	}
+}
+
 // fillScalar sets v, which consists of nothing else, to a value made of the count.
 func (f *filler) fillScalar(t *testing.T, name string, v reflect.Value) {
 	t.Helper()
