--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -118,13 +118,20 @@
 	limits := s.clusterState.SizeLimits(s.committer.MaxRecordBytes())
 	if s.clusterState.SchemaVersion >= tuning.LevelPipelines && job.NeedsMigration(limits) {
 		if migration, ok := marked.MigrateChunk(limits, 0); ok {
-			return kvstore.Transaction{Conditions: append(migration.Conditions, further...), Ops: migration.Ops,
-				Priority: kvstore.PriorityUrgent}
+			return kvstore.Transaction{
+				Conditions: append(migration.Conditions, further...),
+				Ops:        migration.Ops,
+				Priority:   kvstore.PriorityUrgent,
+			}
 		}
 	}
 	op := marked.EncodeChunk(0, nil)
 	unchanged := []wire.Condition{{Key: op.PutKey, ModRevision: job.ModRevision}}
-	return kvstore.Transaction{Conditions: slices.Concat(further, unchanged), Ops: []wire.Op{op}, Priority: kvstore.PriorityUrgent}
+	return kvstore.Transaction{
+		Conditions: slices.Concat(further, unchanged),
+		Ops:        []wire.Op{op},
+		Priority:   kvstore.PriorityUrgent,
+	}
 }
 
 // waitUntilReleased waits until no task of a cancelled job is bound, as far as this cluster state goes, for
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -17,7 +17,9 @@
 		ID: "run-000412", Class: "train", Team: "vision", Kind: wire.KindArray, Priority: wire.PriorityHigh,
 		TaskCount: tasks, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07", ImageSizeGB: 6.2,
 		MachineTypes: []string{"g8"}, Zone: "east", AllowSpot: true,
-		RuntimeEstimateSeconds: 240, CheckpointIntervalSeconds: 30, CheckpointSaveSeconds: 4, DeadlineSeconds: 900,
+		JobTiming: wire.JobTiming{
+			RuntimeEstimateSeconds: 240, CheckpointIntervalSeconds: 30, CheckpointSaveSeconds: 4, DeadlineSeconds: 900,
+		},
 	}
 }
 
--- a/internal/graph/compile.go
+++ b/internal/graph/compile.go
@@ -206,7 +206,12 @@
 		Priority:  map[string]wire.Priority{"": wire.PriorityNormal, "high": wire.PriorityHigh, "normal": wire.PriorityNormal, "low": wire.PriorityLow}[a.Priority],
 		TaskCount: 1, CPUs: amount("cpus", a.CPUs), GPUs: amount("gpus", a.GPUs), MemoryGB: amount("memory_gb", a.MemoryGB), ImageSizeGB: amount("image_gb", a.ImageGB),
 		SameZone: yes("one_zone", a.OneZone), Spread: yes("spread", a.Spread), AllowSpot: yes("spot", a.Spot),
-		RuntimeEstimateSeconds: amount("estimate_s", a.EstimateS), CheckpointIntervalSeconds: amount("checkpoint_s", a.CheckpointS), CheckpointSaveSeconds: amount("save_s", a.SaveS), DeadlineSeconds: amount("deadline_s", a.DeadlineS),
+		JobTiming: wire.JobTiming{
+			RuntimeEstimateSeconds:    amount("estimate_s", a.EstimateS),
+			CheckpointIntervalSeconds: amount("checkpoint_s", a.CheckpointS),
+			CheckpointSaveSeconds:     amount("save_s", a.SaveS),
+			DeadlineSeconds:           amount("deadline_s", a.DeadlineS),
+		},
 	}
 	for i, t := range a.Types {
 		s.MachineTypes = append(s.MachineTypes, text(fmt.Sprintf("types/%d", i), t, true))
--- a/internal/record/size_test.go
+++ b/internal/record/size_test.go
@@ -32,9 +32,11 @@
 		ID: "run-00000000000000000001", Class: "a-class-of-work", Team: "a-team-of-people", Kind: wire.KindGang,
 		Priority: wire.PriorityProduction, TaskCount: tasks, CPUs: 28.123456789, GPUs: 4, MemoryGB: 200.123456789,
 		Image: "image-000000001", ImageSizeGB: 5.123456789012, SameZone: true,
-		RuntimeEstimateSeconds: 70.1234567891234, CheckpointIntervalSeconds: 15, CheckpointSaveSeconds: 5,
-		DeadlineSeconds: 123.456789012345,
-		Dependencies:    []string{"run-00000000000000000002", "run-00000000000000000003"},
+		JobTiming: wire.JobTiming{
+			RuntimeEstimateSeconds: 70.1234567891234, CheckpointIntervalSeconds: 15, CheckpointSaveSeconds: 5,
+			DeadlineSeconds: 123.456789012345,
+		},
+		Dependencies: []string{"run-00000000000000000002", "run-00000000000000000003"},
 	}
 }
 
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -43,7 +43,7 @@
 	lead := 40 * time.Second
 	for i := range 36 {
 		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-			TaskCount: 1 + rnd.IntN(6), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 200}
+			TaskCount: 1 + rnd.IntN(6), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 1, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 200}}
 		if rnd.IntN(4) == 0 {
 			s.Kind, s.Priority, s.TaskCount = wire.KindGang, wire.PriorityHigh, 1+rnd.IntN(3)
 		}
--- a/internal/simulation/combinations_test.go
+++ b/internal/simulation/combinations_test.go
@@ -313,7 +313,7 @@
 	// The last tasks of a job with several records end in changes of further ones.
 	for i := range 4 {
 		many := wire.JobSpec{ID: fmt.Sprintf("run-%06d", 900+i), Class: "many", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: tuning.ChunkTasks + 5,
-			CPUs: 0.1, MemoryGB: 0.2, Image: "img-1", ImageSizeGB: 1, RuntimeEstimateSeconds: 30}
+			CPUs: 0.1, MemoryGB: 0.2, Image: "img-1", ImageSizeGB: 1, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 30}}
 		r.wg.Go(func() {
 			time.Sleep(time.Duration(20+50*i) * time.Second)
 			r.SimulateUser(ctx, many, 30, 0)
--- a/internal/simulation/cpuregion_test.go
+++ b/internal/simulation/cpuregion_test.go
@@ -97,7 +97,7 @@
 		replicas := 0
 		for i := range 44 {
 			s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Team: fmt.Sprintf("team-%d", rnd.IntN(4)), Class: "cuts", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-				TaskCount: 4 + rnd.IntN(30), CPUs: 8, MemoryGB: 13, AllowSpot: true, Image: fmt.Sprintf("img-%d", rnd.IntN(6)), ImageSizeGB: 1.2, RuntimeEstimateSeconds: 15}
+				TaskCount: 4 + rnd.IntN(30), CPUs: 8, MemoryGB: 13, AllowSpot: true, Image: fmt.Sprintf("img-%d", rnd.IntN(6)), ImageSizeGB: 1.2, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 15}}
 			at, run, stop := time.Duration(max(0, i-24)*rnd.IntN(24))*time.Second/2, float64(6+rnd.IntN(25)), time.Duration(0)
 			if i < 14 {
 				s.Class, s.Kind, s.Priority, s.TaskCount, s.CPUs, s.MemoryGB, s.AllowSpot, s.Spread, s.RuntimeEstimateSeconds = "live", wire.KindService, wire.PriorityProduction, []int{5, 6, 16}[rnd.IntN(3)], 1, 1.5, false, true, 0
--- a/internal/simulation/fairshare_test.go
+++ b/internal/simulation/fairshare_test.go
@@ -65,7 +65,7 @@
 		const burst, large = 260, 50
 		submit := func(n int, class string, tasks int) {
 			spec := wire.JobSpec{ID: fmt.Sprintf("run-%06d", n), Class: class, Team: fmt.Sprint("team-", n%4), Kind: wire.KindArray, Priority: wire.PriorityNormal,
-				TaskCount: tasks, CPUs: 6, GPUs: 1, MemoryGB: 40, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 20, AllowSpot: true}
+				TaskCount: tasks, CPUs: 6, GPUs: 1, MemoryGB: 40, Image: "img", ImageSizeGB: 1, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 20}, AllowSpot: true}
 			r.wg.Go(func() { r.SimulateUser(ctx, spec, 20, 0) })
 		}
 		n := 0
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -253,7 +253,7 @@
 				continue
 			}
 			s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", 700000+n), Class: "c", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-				TaskCount: 1 + rnd.IntN(4), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img-0", ImageSizeGB: 2, RuntimeEstimateSeconds: 15}
+				TaskCount: 1 + rnd.IntN(4), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img-0", ImageSizeGB: 2, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 15}}
 			var fields map[string]any
 			_ = wire.Decode(wire.MustEncode(s), &fields)
 			why, want := "", http.StatusUnprocessableEntity
@@ -289,7 +289,7 @@
 		for n := first; ctx.Err() == nil && time.Now().Before(until); n++ {
 			time.Sleep(time.Duration(150+rnd.IntN(200)) * time.Millisecond)
 			s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", n), Class: "short", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: 1,
-				CPUs: 2, MemoryGB: 8, Image: "img-0", ImageSizeGB: 2, RuntimeEstimateSeconds: 6, AllowSpot: true}
+				CPUs: 2, MemoryGB: 8, Image: "img-0", ImageSizeGB: 2, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 6}, AllowSpot: true}
 			var stop time.Duration
 			if rnd.IntN(4) == 0 {
 				stop = time.Duration(1+rnd.IntN(12)) * time.Second
--- a/internal/simulation/federation_test.go
+++ b/internal/simulation/federation_test.go
@@ -51,7 +51,7 @@
 	c := NewFederation(ctx, names, cellSettings, testTypes[:1], 2, 120, rnd, slog.New(slog.NewTextHandler(&logged, nil)))
 	const jobs = 90
 	for i := range jobs {
-		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprint("img-", i%3), ImageSizeGB: 2, RuntimeEstimateSeconds: 20}
+		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprint("img-", i%3), ImageSizeGB: 2, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 20}}
 		cell, at := "a", time.Duration(30+rnd.IntN(60))*time.Second
 		var stop time.Duration
 		switch i % 6 {
@@ -146,7 +146,7 @@
 	start := time.Now()
 	for i := range 60 {
 		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: 8,
-			CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 2, RuntimeEstimateSeconds: 20, AllowSpot: true}
+			CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 2, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 20}, AllowSpot: true}
 		c.Regions["a"].wg.Go(func() { c.SimulateUser(ctx, "a", s, 20, 0) })
 	}
 	time.Sleep(40 * time.Second)
--- a/internal/simulation/largeregion_test.go
+++ b/internal/simulation/largeregion_test.go
@@ -47,7 +47,7 @@
 
 func largeRegionSpec(rnd *rand.Rand, i int) (wire.JobSpec, float64, time.Duration) {
 	s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i), Team: fmt.Sprintf("team-%d", rnd.IntN(8)),
-		Image: fmt.Sprintf("img-%d", rnd.IntN(16)), ImageSizeGB: 2 + 6*rnd.Float64(), RuntimeEstimateSeconds: 30}
+		Image: fmt.Sprintf("img-%d", rnd.IntN(16)), ImageSizeGB: 2 + 6*rnd.Float64(), JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 30}}
 	run := 10 + 60*rnd.Float64()
 	var cancel time.Duration
 	switch k := rnd.IntN(10); {
--- a/internal/simulation/onewaylinks_test.go
+++ b/internal/simulation/onewaylinks_test.go
@@ -26,7 +26,7 @@
 	r := newThreeControllerRegion(ctx, combinationSettings, 10, 7, slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	for i := range 60 {
 		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "g", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityHigh, TaskCount: 2, CPUs: 16, GPUs: 2,
-			MemoryGB: 20, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 20}
+			MemoryGB: 20, Image: "img", ImageSizeGB: 1, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 20}}
 		if i%4 == 0 {
 			s.Kind, s.Priority, s.TaskCount, s.CPUs, s.GPUs, s.RuntimeEstimateSeconds = wire.KindService, wire.PriorityProduction, 3, 4, 1, 0
 		}
--- a/internal/simulation/region_test.go
+++ b/internal/simulation/region_test.go
@@ -46,7 +46,7 @@
 // testSpec draws a job.
 func testSpec(rnd *rand.Rand, i int) (wire.JobSpec, float64, time.Duration) {
 	s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"open", "bound"}[rnd.IntN(2)],
-		CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprintf("img-%d", rnd.IntN(3)), ImageSizeGB: 2, RuntimeEstimateSeconds: 15}
+		CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprintf("img-%d", rnd.IntN(3)), ImageSizeGB: 2, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 15}}
 	var cancel time.Duration
 	if rnd.IntN(5) == 0 {
 		cancel = time.Duration(rnd.IntN(60)) * time.Second
@@ -326,13 +326,13 @@
 		r := newThreeControllerRegion(ctx, testSettings, 5, 3, log)
 		for i, kind := range []wire.JobKind{wire.KindArray, wire.KindGang} {
 			spec := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: kind, Priority: wire.PriorityNormal,
-				TaskCount: 700 - 400*i, CPUs: 0.05, MemoryGB: 0.1, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 5, SameZone: i == 0}
+				TaskCount: 700 - 400*i, CPUs: 0.05, MemoryGB: 0.1, Image: "img", ImageSizeGB: 1, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 5}, SameZone: i == 0}
 			r.wg.Go(func() { r.SimulateUser(ctx, spec, 5, 0) })
 		}
 		// Nine whole machines: more than any part can have, so the gang would starve
 		// if only one part's machines counted.
 		wide := wire.JobSpec{ID: "run-000003", Class: "c", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityHigh,
-			TaskCount: 9, CPUs: 32, GPUs: 4, MemoryGB: 200, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 5}
+			TaskCount: 9, CPUs: 32, GPUs: 4, MemoryGB: 200, Image: "img", ImageSizeGB: 1, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 5}}
 		r.wg.Go(func() { r.SimulateUser(ctx, wide, 5, 0) })
 		time.Sleep(4 * time.Minute)
 		cancel()
@@ -354,7 +354,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		r := newThreeControllerRegion(ctx, testSettings, 5, 5, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		spec := wire.JobSpec{ID: "run-000001", Class: "c", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityHigh, TaskCount: 2,
-			CPUs: 32, GPUs: 4, MemoryGB: 200, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 60, AllowSpot: true, CheckpointIntervalSeconds: 10, CheckpointSaveSeconds: 3}
+			CPUs: 32, GPUs: 4, MemoryGB: 200, Image: "img", ImageSizeGB: 1, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 60, CheckpointIntervalSeconds: 10, CheckpointSaveSeconds: 3}, AllowSpot: true}
 		r.wg.Go(func() { r.SimulateUser(ctx, spec, 90, 0) })
 		time.Sleep(60 * time.Second)
 		r.mu.Lock()
--- a/internal/simulation/retry_test.go
+++ b/internal/simulation/retry_test.go
@@ -53,7 +53,7 @@
 	}
 	for i := range 24 {
 		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-			TaskCount: 1 + rnd.IntN(6), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 10}
+			TaskCount: 1 + rnd.IntN(6), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 1, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 10}}
 		if rnd.IntN(3) == 0 {
 			s.Kind, s.Priority, s.TaskCount, s.SameZone = wire.KindGang, wire.PriorityHigh, 1+rnd.IntN(3), true
 		}
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -25,7 +25,7 @@
 	for i := range jobs {
 		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", first+i), Class: fmt.Sprintf("p%d", i%4), Team: []string{"open", "bound"}[rnd.IntN(2)],
 			Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 1 + rnd.IntN(8), CPUs: 1, MemoryGB: 4, Image: fmt.Sprintf("img-%d", rnd.IntN(3)),
-			ImageSizeGB: 1, RuntimeEstimateSeconds: 8, AllowSpot: rnd.IntN(2) == 0}
+			ImageSizeGB: 1, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 8}, AllowSpot: rnd.IntN(2) == 0}
 		if rnd.IntN(4) == 0 {
 			s.Kind, s.TaskCount, s.SameZone = wire.KindGang, 1+rnd.IntN(3), true
 		}
@@ -104,7 +104,7 @@
 		at := time.Duration(rnd.IntN(90)) * time.Second
 		if i < 3 {
 			spec, run, stop, at = wire.JobSpec{ID: spec.ID, Class: "wide", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-				TaskCount: 90 + 90*i, CPUs: 0.5, MemoryGB: 2, Image: "img-0", ImageSizeGB: 1, RuntimeEstimateSeconds: 100}, 130, time.Duration(i/2)*100*time.Second, 5*time.Second
+				TaskCount: 90 + 90*i, CPUs: 0.5, MemoryGB: 2, Image: "img-0", ImageSizeGB: 1, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 100}}, 130, time.Duration(i/2)*100*time.Second, 5*time.Second
 		}
 		r.wg.Go(func() {
 			time.Sleep(at)
@@ -146,7 +146,7 @@
 	// several. They take long to play, so one day has them.
 	for i, tasks := range []int{200, 500} {
 		wide := wire.JobSpec{ID: fmt.Sprintf("run-%06d", 90+i), Class: "wide", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityNormal,
-			TaskCount: tasks, CPUs: 0.05, MemoryGB: 0.1, Image: "img-0", ImageSizeGB: 1, RuntimeEstimateSeconds: 10}
+			TaskCount: tasks, CPUs: 0.05, MemoryGB: 0.1, Image: "img-0", ImageSizeGB: 1, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 10}}
 		if seed == 1 {
 			r.wg.Go(func() { r.SimulateUser(ctx, wide, 10, 0) })
 		}
--- a/internal/simulation/zoneoutage_test.go
+++ b/internal/simulation/zoneoutage_test.go
@@ -186,7 +186,7 @@
 	}
 	for i := range arrays {
 		spec := wire.JobSpec{ID: fmt.Sprintf("run-%06d", services+i+1), Class: "a", Team: []string{"open", "bound"}[i%2], Kind: wire.KindArray, Priority: wire.PriorityNormal,
-			TaskCount: 4 + rnd.IntN(20), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 15, AllowSpot: true}
+			TaskCount: 4 + rnd.IntN(20), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 1, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 15}, AllowSpot: true}
 		run, at := 5+20*rnd.Float64(), time.Duration(70+rnd.IntN(60))*time.Second
 		r.wg.Go(func() {
 			time.Sleep(at)
--- a/internal/simulation/zonepower_test.go
+++ b/internal/simulation/zonepower_test.go
@@ -87,7 +87,7 @@
 		r.wg.Go(func() { r.SimulateUser(ctx, spec, 5, 100*time.Second+at+away+3*time.Minute) })
 	}
 	for i := range machines / 3 {
-		spec := wire.JobSpec{ID: fmt.Sprintf("run-%06d", services+i+1), Team: "open", AllowSpot: true, Image: "img-0", ImageSizeGB: 2, CheckpointIntervalSeconds: 5, CheckpointSaveSeconds: 1}
+		spec := wire.JobSpec{ID: fmt.Sprintf("run-%06d", services+i+1), Team: "open", AllowSpot: true, Image: "img-0", ImageSizeGB: 2, JobTiming: wire.JobTiming{CheckpointIntervalSeconds: 5, CheckpointSaveSeconds: 1}}
 		if i%2 == 0 {
 			spec.Class, spec.Kind, spec.Priority, spec.TaskCount, spec.CPUs, spec.GPUs, spec.MemoryGB = "a", wire.KindArray, wire.PriorityNormal, 4+rnd.IntN(20), 4, 1, 20
 			spec.RuntimeEstimateSeconds = 15
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -39,12 +39,17 @@
 	Spread       *bool     `cbor:"spread"`
 	AllowSpot    *bool     `cbor:"standby"`
 
+	submissionTiming
+
+	Dependencies *[]string `cbor:"awaits"`
+}
+
+// submissionTiming is the JobTiming of a submission.
+type submissionTiming struct {
 	RuntimeEstimateSeconds    *float64 `cbor:"reckon_s"`
 	CheckpointIntervalSeconds *float64 `cbor:"landfall_s"`
 	CheckpointSaveSeconds     *float64 `cbor:"stow_s"`
 	DeadlineSeconds           *float64 `cbor:"cutoff_s"`
-
-	Dependencies *[]string `cbor:"awaits"`
 }
 
 // IsValidJobID tells whether id has the form of job ids.
@@ -94,9 +99,11 @@
 		Spread:      c.flag("spread", in.Spread),
 		AllowSpot:   c.flag("standby", in.AllowSpot),
 
-		RuntimeEstimateSeconds:    c.amount("reckon_s", in.RuntimeEstimateSeconds),
-		CheckpointIntervalSeconds: c.amount("landfall_s", in.CheckpointIntervalSeconds),
-		CheckpointSaveSeconds:     c.amount("stow_s", in.CheckpointSaveSeconds),
+		JobTiming: JobTiming{
+			RuntimeEstimateSeconds:    c.amount("reckon_s", in.RuntimeEstimateSeconds),
+			CheckpointIntervalSeconds: c.amount("landfall_s", in.CheckpointIntervalSeconds),
+			CheckpointSaveSeconds:     c.amount("stow_s", in.CheckpointSaveSeconds),
+		},
 	}
 	if c.err == nil && !IsValidJobID(spec.ID) {
 		c.reject("id", "not of the form of job ids")
--- a/internal/wire/user.go
+++ b/internal/wire/user.go
@@ -84,10 +84,7 @@
 	Spread       bool     `cbor:"spread"`           // tasks in more than one zone
 	AllowSpot    bool     `cbor:"standby"`
 
-	RuntimeEstimateSeconds    float64 `cbor:"reckon_s"`
-	CheckpointIntervalSeconds float64 `cbor:"landfall_s"` // 0: no checkpoints
-	CheckpointSaveSeconds     float64 `cbor:"stow_s"`     // how long a task takes to save its progress
-	DeadlineSeconds           float64 `cbor:"cutoff_s,omitempty"`
+	JobTiming
 
 	// Dependencies names the jobs that must be done before any task of this one starts. From
 	// tuning.LevelPipelines on: an older version would lose it.
@@ -97,6 +94,14 @@
 	MaxRetries *int `cbor:"repeats,omitempty"`
 }
 
+// JobTiming is what a user says of the time that a job takes. It is encoded as part of its JobSpec.
+type JobTiming struct {
+	RuntimeEstimateSeconds    float64 `cbor:"reckon_s"`           // of each task
+	CheckpointIntervalSeconds float64 `cbor:"landfall_s"`         // 0: no checkpoints
+	CheckpointSaveSeconds     float64 `cbor:"stow_s"`             // how long a task takes to save its progress
+	DeadlineSeconds           float64 `cbor:"cutoff_s,omitempty"` // after submission; 0: none
+}
+
 // JobResponse answers a submission or a cancellation.
 type JobResponse struct {
 	ID    string   `cbor:"id"`
