--- a/internal/preemption/preemption_test.go
+++ b/internal/preemption/preemption_test.go
@@ -67,7 +67,7 @@
 			for k := range rapid.IntRange(0, 4).Draw(t, "tasks") {
 				job := &clusterstate.Job{}
 				job.Spec = wire.JobSpec{ID: "j", GPUs: float64(rapid.IntRange(1, 2).Draw(t, "gpus"))}
-				tasks[machine] = append(tasks[machine], Victim{Binding: clusterstate.Binding{Ref: record.TaskRef{Job: machine.Machine.Name, Index: k}, Job: job},
+				tasks[machine] = append(tasks[machine], Victim{Binding: clusterstate.Binding{Ref: record.TaskRef{JobID: machine.Machine.Name, Index: k}, Job: job},
 					Rank: rapid.IntRange(1, 3).Draw(t, "rank"), LostMachineSeconds: float64(rapid.IntRange(1, 50).Draw(t, "cost"))})
 			}
 		}
@@ -80,7 +80,7 @@
 				if need.FitsIn(freed) {
 					t.Errorf("task %d is stopped for nothing", i)
 				}
-				freed = freed.AddTimes(record.TaskResources(&victim.Binding.Job.Spec), 1)
+				freed = freed.Plus(record.TaskResources(&victim.Binding.Job.Spec))
 				cost += victim.LostMachineSeconds
 			}
 			if !need.FitsIn(freed) {
@@ -94,7 +94,7 @@
 					break
 				}
 				sum += x.LostMachineSeconds
-				free = free.AddTimes(record.TaskResources(&x.Binding.Job.Spec), 1)
+				free = free.Plus(record.TaskResources(&x.Binding.Job.Spec))
 			}
 			if need.FitsIn(free) && sum < cost {
 				t.Errorf("%s makes room for %v, chosen for %v", machine.Machine.Name, sum, cost)
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -60,10 +60,10 @@
 
 // add counts a binding.
 func (u *inFlightUsage) add(binding pendingBinding) {
-	u.byMachine[binding.machine] = u.byMachine[binding.machine].AddTimes(binding.need, 1)
+	u.byMachine[binding.machine] = u.byMachine[binding.machine].Plus(binding.need)
 	teams := u.byTeam[binding.chargedShard]
-	teams[binding.team] = teams[binding.team].AddTimes(binding.need, 1)
-	u.tasksByJob[binding.task.Job]++
+	teams[binding.team] = teams[binding.team].Plus(binding.need)
+	u.tasksByJob[binding.task.JobID]++
 }
 
 // preemptionProgress is what a cycle has done to make room by stopping tasks.
@@ -164,8 +164,8 @@
 // limitStarts lets arrays start only every tuning.PressedGap while the key-value store's budget is the
 // bottleneck.
 func (c *cycle) limitStarts() {
-	if c.committer.QueueLength() < tuning.PressedItems || c.now.Sub(c.lastArrayPlacement) > tuning.PressedGap {
-		c.lastArrayPlacement = c.now
+	if c.committer.QueueLength() < tuning.PressedItems || c.now.Sub(c.pace.lastArrayStart) > tuning.PressedGap {
+		c.pace.lastArrayStart = c.now
 		return
 	}
 	c.storeSaturated = true
@@ -176,10 +176,10 @@
 	usage := map[string]record.Resources{}
 	for shard := range c.cluster.ShardCount {
 		for team, amount := range c.cluster.UsageByShard[shard] {
-			usage[team] = usage[team].AddTimes(amount, 1)
+			usage[team] = usage[team].Plus(amount)
 		}
 		for team, amount := range c.inFlight.byTeam[shard] {
-			usage[team] = usage[team].AddTimes(amount, 1)
+			usage[team] = usage[team].Plus(amount)
 		}
 	}
 	return usage
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -113,14 +113,14 @@
 }
 
 // prune drops what is kept of jobs that are over.
-func (l *learning) prune(jobs map[string]*clusterstate.Job) {
-	maps.DeleteFunc(l.values.byJob, func(id string, _ cachedValue) bool { return jobs[id] == nil })
+func (l *learning) prune(isOver func(job string) bool) {
+	maps.DeleteFunc(l.values.byJob, func(job string, _ cachedValue) bool { return isOver(job) })
 }
 
 // dropStaleAttempts drops what no attempt of a task needs any more.
 func (l *learning) dropStaleAttempts(jobs map[string]*clusterstate.Job) {
 	stale := func(start taskAttempt) bool {
-		job := jobs[start.task.Job]
+		job := jobs[start.task.JobID]
 		return job == nil || !job.HasRecord || job.Task(start.task.Index).Attempt > start.attempt
 	}
 	maps.DeleteFunc(l.pendingRewards, func(start taskAttempt, _ int64) bool { return stale(start) })
