--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -104,7 +104,17 @@
 	}
 	agents.SetPeerLastAnswered(peers.LastAnswered)
 
-	engine := scheduler.New(settings, operator, state, members, agents, committer, client, peers, logger)
+	engine := scheduler.New(scheduler.Config{
+		Settings:     settings,
+		Operator:     operator,
+		ClusterState: state,
+		Membership:   members,
+		Agents:       agents,
+		Committer:    committer,
+		Reader:       client,
+		Peers:        peers,
+		Logger:       logger,
+	})
 	cloudClient := cloud.New(cloud.Options{
 		Address:           settings.Outside.Cloud,
 		RequestsPerSecond: deployment.Cloud.RPS,
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -19,58 +19,108 @@
 	"sableusher/internal/wire"
 )
 
-// Engine runs the placement rounds of this node's parts.
-type Engine struct {
+// Config is what an engine works with. The caller runs and closes what is in it.
+type Config struct {
+	Settings     *config.Settings
+	Operator     *config.Operator
+	ClusterState *clusterstate.State
+	Membership   *membership.Member
+	Agents       *agent.Registry
+	Committer    *kvstore.Committer
+	Reader       kvstore.Reader
+	Peers        Peers
+	Logger       *slog.Logger
+}
+
+// dependencies are the parts of the controller that the engine works with; they guard themselves.
+type dependencies struct {
 	settings   *config.Settings
 	operator   *config.Operator
 	cluster    *clusterstate.State
 	membership *membership.Member
 	agents     *agent.Registry
 	committer  *kvstore.Committer
-	quota      *quota.GrantManager
-	// retryRules paces tasks that failed by themselves.
-	retryRules retry.Policies
+	reader     kvstore.Reader
+	peers      Peers
 	log        *slog.Logger
+}
 
-	mu                  sync.Mutex
-	changes             changeTracker
-	backoffs            backoffTable
-	ownerWaits          ownerWaits
-	machinesToReconcile machineSet // machines whose tasks' fate is to be looked at
-	lastSweep           time.Time  // when all machines were last looked at
-	gangFormation       gangFormation
-	waitLog             waitLog
-	reservations        reservationTable
-	shardTenure         shardTenure
+// jobState is what the engine keeps of single jobs beside their records.
+type jobState struct {
+	backoffs      backoffTable
+	ownerWaits    ownerWaits
+	gangFormation gangFormation
+	waitLog       waitLog
+}
+
+// machineState is what the engine keeps of single machines beside their records.
+type machineState struct {
+	machinesToReconcile machineSet // something new is known of them, or of their tasks
+	machinesToRefresh   machineSet // the inventory has not taken in what is new
 	deletedMachines     deletedMachines
 	failureDetector     failuredetector.Detector
 	fences              fenceLimiter
-	lastArrayPlacement  time.Time // when arrays were last given room
-	guarantees          guarantees
-	objectives          objectives
-	waiting             waitingJobs
-	changeFeed          *clusterstate.ChangeFeed
-	retainedInventory   *binpack.Inventory
-	machinesToRefresh   machineSet // machines whose workers told something that the stock has not taken in
-	demand              demandState
-	learning            learning
-	reader              kvstore.Reader
-	peers               Peers
-	remoteImages        imageHints
-	wakeup              chan struct{}
-	migration           migrationSchedule
 }
 
-// New makes an engine.
-func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *agent.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
+// Engine runs the scheduling cycles of this node's shards. It is safe for concurrent use; each part of its state is a
+// type of its own that the engine's lock guards.
+type Engine struct {
+	dependencies
+	retryRules retry.Policies // pace tasks that failed by themselves
+	wakeup     chan struct{}  // asks for a cycle
+
+	mu sync.Mutex // guards all that follows; it is taken before the cluster state's lock
+
+	changes      changeTracker
+	migration    migrationSchedule
+	shardTenure  shardTenure
+	quota        *quota.GrantManager
+	reservations reservationTable
+	jobState
+	machineState
+
+	waiting    waitingJobs
+	guarantees guarantees
+	objectives objectives
+	demand     demandState
+	learning   learning
+
+	changeFeed         *clusterstate.ChangeFeed
+	retainedInventory  *binpack.Inventory // of the last cycle, refreshed in the next
+	remoteImages       imageHints
+	lastSweep          time.Time
+	lastArrayPlacement time.Time // when arrays could last start
+}
+
+// New makes an engine; nothing runs before Run.
+func New(c Config) *Engine {
+	timing := failuredetector.Timing{HeartbeatInterval: c.Settings.Report(), LeaseDuration: c.Settings.Lease()}
 	return &Engine{
-		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
-		changes: newChangeTracker(), backoffs: backoffTable{}, ownerWaits: ownerWaits{}, machinesToReconcile: machineSet{},
-		gangFormation: gangFormation{}, waitLog: waitLog{}, reservations: reservationTable{}, shardTenure: shardTenure{}, deletedMachines: newDeletedMachines(),
-		migration: newMigrationSchedule(), fences: fenceLimiter{}, reader: reader, peers: peers,
-		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
-		learning:        newLearning(operator, members.Incarnation, log),
-		wakeup:          make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), waiting: newWaitingJobs(), demand: newDemandState(), machinesToRefresh: machineSet{},
+		dependencies: dependencies{
+			settings: c.Settings, operator: c.Operator, cluster: c.ClusterState, membership: c.Membership,
+			agents: c.Agents, committer: c.Committer, reader: c.Reader, peers: c.Peers, log: c.Logger,
+		},
+		retryRules:   retry.NewPolicies(c.Operator.Classes),
+		wakeup:       make(chan struct{}, 1),
+		changes:      newChangeTracker(),
+		migration:    newMigrationSchedule(),
+		shardTenure:  shardTenure{},
+		quota:        quota.New(c.Settings.Deployment.Teams, c.ClusterState),
+		reservations: reservationTable{},
+		jobState: jobState{
+			backoffs: backoffTable{}, ownerWaits: ownerWaits{}, gangFormation: gangFormation{}, waitLog: waitLog{},
+		},
+		machineState: machineState{
+			machinesToReconcile: machineSet{},
+			machinesToRefresh:   machineSet{},
+			deletedMachines:     newDeletedMachines(),
+			failureDetector:     failuredetector.Detector{Timing: timing},
+			fences:              fenceLimiter{},
+		},
+		waiting:    newWaitingJobs(),
+		demand:     newDemandState(),
+		learning:   newLearning(c.Operator, c.Membership.Incarnation, c.Logger),
+		changeFeed: c.ClusterState.FollowChanges(),
 	}
 }
 
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -77,7 +77,10 @@
 			CompleteAsOf: func() time.Time { return testNow }, Logger: log,
 		})
 		fixture.agents = append(fixture.agents, agents)
-		engine := New(settings, operator, fixture.cluster, members, agents, committer, client, nil, log)
+		engine := New(Config{
+			Settings: settings, Operator: operator, ClusterState: fixture.cluster, Membership: members, Agents: agents,
+			Committer: committer, Reader: client, Logger: log,
+		})
 		fixture.engines = append(fixture.engines, engine)
 	}
 	return fixture
