--- a/internal/scheduler/prune.go
+++ b/internal/scheduler/prune.go
@@ -4,8 +4,8 @@
 func (c *cycle) pruneState() {
 	jobs := c.cluster.Jobs
 	isOver := func(id string) bool { return jobs[id] == nil }
-	c.learning.prune(jobs)
-	c.ownerWaits.prune(jobs)
+	c.learning.prune(isOver)
+	c.ownerWaits.prune(isOver)
 	c.demand.prune(jobs)
 	c.backoffs.prune(isOver)
 	c.waitLog.prune(isOver)
