--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -63,7 +63,7 @@
 	u.byMachine[binding.machine] = u.byMachine[binding.machine].AddTimes(binding.need, 1)
 	teams := u.byTeam[binding.chargedShard]
 	teams[binding.team] = teams[binding.team].AddTimes(binding.need, 1)
-	u.tasksByJob[binding.task.Job]++
+	u.tasksByJob[binding.task.JobID]++
 }
 
 // preemptionProgress is what a cycle has done to make room by stopping tasks.
@@ -164,8 +164,8 @@
 // limitStarts lets arrays start only every tuning.PressedGap while the key-value store's budget is the
 // bottleneck.
 func (c *cycle) limitStarts() {
-	if c.committer.QueueLength() < tuning.PressedItems || c.now.Sub(c.lastArrayPlacement) > tuning.PressedGap {
-		c.lastArrayPlacement = c.now
+	if c.committer.QueueLength() < tuning.PressedItems || c.now.Sub(c.pace.lastArrayStart) > tuning.PressedGap {
+		c.pace.lastArrayStart = c.now
 		return
 	}
 	c.storeSaturated = true
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"sableusher/internal/agent"
-	"sableusher/internal/binpack"
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/config"
 	"sableusher/internal/failuredetector"
@@ -45,18 +44,9 @@
 	log        *slog.Logger
 }
 
-// jobState is what the engine keeps of single jobs beside their records.
-type jobState struct {
-	backoffs      backoffTable
-	ownerWaits    ownerWaits
-	gangFormation gangFormation
-	waitLog       waitLog
-}
-
 // machineState is what the engine keeps of single machines beside their records.
 type machineState struct {
 	machinesToReconcile machineSet // something new is known of them, or of their tasks
-	machinesToRefresh   machineSet // the inventory has not taken in what is new
 	deletedMachines     deletedMachines
 	failureDetector     failuredetector.Detector
 	fences              fenceLimiter
@@ -76,20 +66,19 @@
 	shardTenure  shardTenure
 	quota        *quota.GrantManager
 	reservations reservationTable
-	jobState
 	machineState
 
-	waiting    waitingJobs
-	guarantees guarantees
-	objectives objectives
-	demand     demandState
-	learning   learning
-
-	changeFeed         *clusterstate.ChangeFeed
-	retainedInventory  *binpack.Inventory // of the last cycle, refreshed in the next
-	remoteImages       imageHints
-	lastSweep          time.Time
-	lastArrayPlacement time.Time // when arrays could last start
+	order         queueOrder
+	pace          placementPace
+	backoffs      backoffTable
+	gangFormation gangFormation
+	demand        demandState
+	learning      learning
+	waitLog       waitLog
+
+	changeFeed     *clusterstate.ChangeFeed
+	inventoryCache inventoryCache
+	lastSweep      time.Time
 }
 
 // New makes an engine; nothing runs before Run.
@@ -107,20 +96,21 @@
 		shardTenure:  shardTenure{},
 		quota:        quota.New(c.Settings.Deployment.Teams, c.ClusterState),
 		reservations: reservationTable{},
-		jobState: jobState{
-			backoffs: backoffTable{}, ownerWaits: ownerWaits{}, gangFormation: gangFormation{}, waitLog: waitLog{},
-		},
 		machineState: machineState{
 			machinesToReconcile: machineSet{},
-			machinesToRefresh:   machineSet{},
 			deletedMachines:     newDeletedMachines(),
 			failureDetector:     failuredetector.Detector{Timing: timing},
 			fences:              fenceLimiter{},
 		},
-		waiting:    newWaitingJobs(),
-		demand:     newDemandState(),
-		learning:   newLearning(c.Operator, c.Membership.Incarnation, c.Logger),
-		changeFeed: c.ClusterState.FollowChanges(),
+		order:          queueOrder{waiting: newWaitingJobs()},
+		pace:           placementPace{ownerWaits: ownerWaits{}},
+		backoffs:       backoffTable{},
+		gangFormation:  gangFormation{},
+		demand:         newDemandState(),
+		learning:       newLearning(c.Operator, c.Membership.Incarnation, c.Logger),
+		waitLog:        waitLog{},
+		changeFeed:     c.ClusterState.FollowChanges(),
+		inventoryCache: inventoryCache{toRefresh: machineSet{}},
 	}
 }
 
@@ -195,7 +185,7 @@
 	changedMachines := e.changeFeed.TakeMachines()
 	for _, names := range []map[string]struct{}{heardMachines, changedMachines} {
 		e.machinesToReconcile.addAll(names)
-		e.machinesToRefresh.addAll(names)
+		e.inventoryCache.toRefresh.addAll(names)
 	}
 	c := e.newCycle(now)
 	c.logsWaiting = logsWaiting
