--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -47,7 +47,7 @@
 	Done func()
 }
 
-// UsageFunc gives what a team's tasks take that are charged to a shard, bindings in flight included.
+// UsageFunc returns what a team's tasks take that are charged to a shard, bindings in flight included.
 type UsageFunc func(shard int, team string) record.Resources
 
 // New makes a manager of the teams' grants.
@@ -67,7 +67,7 @@
 	return manager
 }
 
-// Allows tells whether a team may use so much of a shard. If its grant does not cover it, the next
+// Allows reports whether a team may use so much of a shard. If its grant does not cover it, the next
 // PlanChanges tries to raise it.
 func (m *GrantManager) Allows(shard int, team string, usage record.Resources) bool {
 	if _, limited := m.Limit(team); !limited {
@@ -86,12 +86,12 @@
 	return false
 }
 
-// grantOf gives a shard's grant in a team's record.
+// grantOf returns a shard's grant in a team's record.
 func grantOf(quota clusterstate.Quota, shard int) record.Resources {
 	return quota.Grants[strconv.Itoa(shard)]
 }
 
-// PlanChanges gives the changes of grants that are due now. owned gives the modification revision of the
+// PlanChanges returns the changes of grants that are due now. owned gives the modification revision of the
 // ownership record of each of this node's shards.
 func (m *GrantManager) PlanChanges(now time.Time, owned map[int]uint64, usage UsageFunc) []Change {
 	m.takeCompletions()
@@ -112,7 +112,7 @@
 	}
 }
 
-// planRaises gives the changes that raise grants to what was requested.
+// planRaises returns the changes that raise grants to what was requested.
 func (m *GrantManager) planRaises(owned map[int]uint64) []Change {
 	var changes []Change
 	for key, requested := range m.requested {
@@ -130,7 +130,7 @@
 	return changes
 }
 
-// raised gives a grant raised to what was requested and some headroom, within what the other shards'
+// raised returns a grant raised to what was requested and some headroom, within what the other shards'
 // grants leave of the limit.
 func (m *GrantManager) raised(
 	key grantKey, quota clusterstate.Quota, requested record.Resources,
@@ -162,7 +162,7 @@
 	headroom record.Resources
 }
 
-// planReductions gives the changes that lower grants which have been larger than needed for a while.
+// planReductions returns the changes that lower grants which have been larger than needed for a while.
 func (m *GrantManager) planReductions(now time.Time, owned map[int]uint64, usage UsageFunc) []Change {
 	var changes []Change
 	for team, quota := range m.state.Quotas {
@@ -190,7 +190,7 @@
 	return changes
 }
 
-// surplusFor gives for how long a grant has been larger than needed; 0 the first time.
+// surplusFor returns for how long a grant has been larger than needed; 0 the first time.
 func (m *GrantManager) surplusFor(now time.Time, key grantKey) time.Duration {
 	since, known := m.surplusSince[key]
 	if !known {
@@ -200,7 +200,7 @@
 	return now.Sub(since)
 }
 
-// needed gives what a shard needs of its grant: what is used, and half the headroom for a team with a limit.
+// needed returns what a shard needs of its grant: what is used, and half the headroom for a team with a limit.
 func (r surplusRule) needed(grant, usage record.Resources) record.Resources {
 	used := withoutMemory(usage)
 	if !r.limited {
@@ -209,7 +209,7 @@
 	return least(used.AddTimes(r.headroom, 0.5), grant)
 }
 
-// reductionDue tells whether a grant has been larger than needed for long enough to be lowered: a small
+// reductionDue reports whether a grant has been larger than needed for long enough to be lowered: a small
 // surplus is kept for longer.
 func (r surplusRule) reductionDue(surplusFor time.Duration, grant, needed record.Resources) bool {
 	if surplusFor > tuning.GrantSlow {
@@ -225,7 +225,7 @@
 	return record.Resources{CPUs: math.Floor(limit.CPUs * fraction), GPUs: math.Floor(limit.GPUs * fraction)}
 }
 
-// hasAmpleRest tells whether enough of a limit is ungranted for whoever requests more.
+// hasAmpleRest reports whether enough of a limit is ungranted for whoever requests more.
 func (m *GrantManager) hasAmpleRest(quota clusterstate.Quota, limit record.Resources) bool {
 	var granted record.Resources
 	for _, grant := range quota.Grants {
@@ -234,7 +234,7 @@
 	return granted.CPUs <= (1-tuning.GrantRest)*limit.CPUs && granted.GPUs <= (1-tuning.GrantRest)*limit.GPUs
 }
 
-// newChange gives the change of a grant, conditional on the revision of the ownership record of its shard. Until
+// newChange returns the change of a grant, conditional on the revision of the ownership record of its shard. Until
 // it is done, no other change of the team is planned.
 func (m *GrantManager) newChange(
 	key grantKey, quota clusterstate.Quota, ownership uint64, grant record.Resources,
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -5,7 +5,7 @@
 	"sableusher/internal/tuning"
 )
 
-// Limit gives the most that a team's tasks may take; a dimension without a limit is unbounded. It gives
+// Limit returns the most that a team's tasks may take; a dimension without a limit is unbounded. It returns
 // false for a team without any limit.
 func (m *GrantManager) Limit(team string) (record.Resources, bool) {
 	settings, ok := m.teams[team]
@@ -15,8 +15,8 @@
 	return unboundedWhereZero(settings.CPUsMax, settings.GPUsMax), true
 }
 
-// Guarantee gives what a team need not wait for others within; a dimension without a guarantee is
-// unbounded. It gives false for a team without any guarantee.
+// Guarantee returns what a team need not wait for others within; a dimension without a guarantee is
+// unbounded. It returns false for a team without any guarantee.
 func (m *GrantManager) Guarantee(team string) (record.Resources, bool) {
 	settings, ok := m.teams[team]
 	if !ok || settings.CPUs == 0 && settings.GPUs == 0 {
@@ -25,7 +25,7 @@
 	return unboundedWhereZero(settings.CPUs, settings.GPUs), true
 }
 
-// unboundedWhereZero gives an amount of cores and GPUs, where 0 stands for no bound; memory has none.
+// unboundedWhereZero returns an amount of cores and GPUs, where 0 stands for no bound; memory has none.
 func unboundedWhereZero(cpus, gpus float64) record.Resources {
 	amount := record.Resources{CPUs: cpus, GPUs: gpus, MemoryGB: tuning.MaxAmount}
 	if cpus == 0 {
@@ -37,17 +37,17 @@
 	return amount
 }
 
-// withoutMemory gives the cores and GPUs of an amount: grants are of those alone.
+// withoutMemory returns the cores and GPUs of an amount: grants are of those alone.
 func withoutMemory(amount record.Resources) record.Resources {
 	return record.Resources{CPUs: amount.CPUs, GPUs: amount.GPUs}
 }
 
-// least gives the lesser cores and the lesser GPUs of two amounts.
+// least returns the lesser cores and the lesser GPUs of two amounts.
 func least(a, b record.Resources) record.Resources {
 	return record.Resources{CPUs: min(a.CPUs, b.CPUs), GPUs: min(a.GPUs, b.GPUs)}
 }
 
-// most gives the greater cores and the greater GPUs of two amounts.
+// most returns the greater cores and the greater GPUs of two amounts.
 func most(a, b record.Resources) record.Resources {
 	return record.Resources{CPUs: max(a.CPUs, b.CPUs), GPUs: max(a.GPUs, b.GPUs)}
 }
--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// chunkBindable tells whether a task of a chunk waits and its record can be changed now.
+// chunkBindable reports whether a task of a chunk waits and its record can be changed now.
 func (c *cycle) chunkBindable(job *clusterstate.Job, chunk int) bool {
 	return !job.ChunkFullyAssigned(chunk) && !c.changes.inFlight(job.ChunkKey(chunk))
 }
@@ -81,7 +81,7 @@
 	}
 }
 
-// bindTask adds a binding to the changes of its record. It gives false, and changes nothing, if the
+// bindTask adds a binding to the changes of its record. It returns false, and changes nothing, if the
 // task may not start now.
 func (c *cycle) bindTask(queued *queuedJob, start taskStart) bool {
 	job, machine := queued.job, start.candidate.Machine
@@ -110,7 +110,7 @@
 	return true
 }
 
-// mayBind tells whether a task may be bound now: its job may start tasks here, the cycle starts no more
+// mayBind reports whether a task may be bound now: its job may start tasks here, the cycle starts no more
 // than it should, and its team's grant of the charged shard covers it.
 func (c *cycle) mayBind(queued *queuedJob, start taskStart) bool {
 	job := queued.job
@@ -129,7 +129,7 @@
 	return true
 }
 
-// grantCovers tells whether a shard's grant of a job's team covers so many more of its tasks. If it
+// grantCovers reports whether a shard's grant of a job's team covers so many more of its tasks. If it
 // does not, more is requested.
 func (c *cycle) grantCovers(queued *queuedJob, shard, tasks int) bool {
 	team := queued.job.Spec.Team
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -45,7 +45,7 @@
 	live          []bool         // by shard: its owner lives
 }
 
-// owns tells whether a shard is this node's.
+// owns reports whether a shard is this node's.
 func (v *shardView) owns(shard int) bool {
 	_, owned := v.fencingTokens[shard]
 	return owned
@@ -66,10 +66,10 @@
 	u.tasksByJob[binding.task.JobID]++
 }
 
-// preemptionProgress is what a cycle has done to make room by stopping tasks.
+// preemptionProgress is what a cycle has done to make capacity by stopping tasks.
 type preemptionProgress struct {
-	machines int                                        // on which room is being made in this cycle
-	awaiting map[record.TaskRef]bool                    // tasks that room is being made for
+	machines int                                        // on which tasks are stopped in this cycle
+	awaiting map[record.TaskRef]bool                    // tasks that others are stopped for
 	failed   [wire.PriorityCount]binpack.FailedRequests // requests for which nothing could be stopped anywhere, by rank
 }
 
--- a/internal/scheduler/deadlines.go
+++ b/internal/scheduler/deadlines.go
@@ -57,7 +57,7 @@
 	return deadlines
 }
 
-// firstReachable gives the first of some times by which a task that starts now can still be over, else the
+// firstReachable returns the first of some times by which a task that starts now can still be over, else the
 // last, and the slack that is left; negative if it would be late.
 func (c *cycle) firstReachable(objectives []time.Time, runTime time.Duration) (at time.Time, slack time.Duration) {
 	for _, at = range objectives {
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -91,7 +91,7 @@
 	return needs
 }
 
-// earliestNonZero gives the earlier of two times, of which either may be the zero time for none.
+// earliestNonZero returns the earlier of two times, of which either may be the zero time for none.
 func earliestNonZero(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -60,13 +60,13 @@
 	return count
 }
 
-// inRetryBackoff tells whether a task that failed is not to be retried yet.
+// inRetryBackoff reports whether a task that failed is not to be retried yet.
 func (c *cycle) inRetryBackoff(job *clusterstate.Job, taskIndex int) bool {
 	retry, ok := job.PendingRetries[taskIndex]
 	return ok && c.now.Sub(retry.SeenAt) < c.retryRules.Backoff(job.Spec.Class, retry.Failures)
 }
 
-// holdsStartRight tells whether the right to start a job is with this cell as it is now (safety
+// holdsStartRight reports whether the right to start a job is with this cell as it is now (safety
 // invariant 17): a guest that was taken under an earlier epoch may have been released since, in writes
 // that are lost; and a cell that lost writes starts nothing before it knows what the others hold of
 // its own.
@@ -131,7 +131,7 @@
 	return zones
 }
 
-// inTrustedZones gives those of some machines whose zones are trusted with services; all of them if
+// inTrustedZones returns those of some machines whose zones are trusted with services; all of them if
 // there is none, as a replica in a zone that may be lost again is better than none.
 func (c *cycle) inTrustedZones(candidates []*binpack.MachineInfo) []*binpack.MachineInfo {
 	trusted := slices.DeleteFunc(slices.Clone(candidates), func(candidate *binpack.MachineInfo) bool {
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -16,7 +16,7 @@
 	forming bool // tasks of the attempt are bound already
 }
 
-// placeGang gives a gang capacity for all its tasks or none. One node does so for each gang, over the
+// placeGang returns a gang capacity for all its tasks or none. One node does so for each gang, over the
 // machines of all shards, in one transaction: the owner of the gang's home shard, whose grant it uses.
 // The owners of its machines start the tasks as they see them bound. Where an owner has used the capacity
 // meanwhile, its agent refuses and the gang is placed anew.
@@ -61,7 +61,7 @@
 	return start
 }
 
-// gangMayStart tells whether a gang's record can be changed, and no task of its last attempt has ended
+// gangMayStart reports whether a gang's record can be changed, and no task of its last attempt has ended
 // while others are still on machines.
 func (c *cycle) gangMayStart(job *clusterstate.Job, start gangStart) bool {
 	if c.changes.inFlight(record.JobKey(job.Spec.ID)) || c.needsMigration(job) {
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// gangBindable tells whether a gang can be bound to machines as a whole: this cycle starts no more than it
+// gangBindable reports whether a gang can be bound to machines as a whole: this cycle starts no more than it
 // should, the gang's records hold the bindings and the grant of its home shard covers them.
 func (c *cycle) gangBindable(queued *queuedJob, start gangStart, picks []*binpack.MachineInfo) bool {
 	job := queued.job
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -29,7 +29,7 @@
 	reserved record.Resources
 }
 
-// reserve takes room in the budget for some tasks of a job; false, and nothing taken, if they exceed it.
+// reserve takes some tasks of a job from the budget; false, and nothing taken, if they exceed it.
 func (b *guaranteeBudget) reserve(job *clusterstate.Job, tasks int) bool {
 	total := b.reserved.AddTimes(record.TaskResources(&job.Spec), float64(tasks))
 	total.MemoryGB = 0 // guarantees are of cores and GPUs
--- a/internal/scheduler/homeshard.go
+++ b/internal/scheduler/homeshard.go
@@ -88,7 +88,7 @@
 	return best
 }
 
-// isArrayUnderShortage tells whether a job is an array of a priority whose waiting arrays can't all meet their
+// isArrayUnderShortage reports whether a job is an array of a priority whose waiting arrays can't all meet their
 // objectives.
 func (c *cycle) isArrayUnderShortage(queued *queuedJob) bool {
 	return c.order.objectives.capacityShort[queued.rank] && queued.job.Spec.Kind == wire.KindArray
@@ -105,7 +105,7 @@
 	return hashed
 }
 
-// homeOwnerTimedOut tells whether the owner of a job's home shard has had time to place it and it is this
+// homeOwnerTimedOut reports whether the owner of a job's home shard has had time to place it and it is this
 // node's turn to do so instead. The shards take turns: at once, all but one would fail for the
 // condition on the record.
 func (c *cycle) homeOwnerTimedOut(queued *queuedJob) bool {
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -9,10 +9,10 @@
 	"sableusher/internal/tuning"
 )
 
-// inventoryCache keeps the inventory from cycle to cycle, with what is to be told to it.
+// inventoryCache keeps the inventory from cycle to cycle, with what it does not show yet.
 type inventoryCache struct {
 	inventory    *binpack.Inventory // nil before the first cycle
-	toRefresh    machineSet         // machines of whose agents there is news
+	toRefresh    machineSet         // machines whose agents have sent news
 	remoteImages imageHints
 }
 
@@ -23,10 +23,11 @@
 		Now: c.now, State: c.cluster, LiveShards: c.shards.live, FencingTokens: c.shards.fencingTokens,
 		AssessReadiness: c.readiness,
 	}
-	inventory := binpack.Refresh(c.inventoryCache.inventory, snapshot, c.changeFeed.TakeMachines(), c.inventoryCache.toRefresh)
-	c.inventoryCache.inventory = inventory
+	cache := &c.inventoryCache
+	inventory := binpack.Refresh(cache.inventory, snapshot, c.changeFeed.TakeMachines(), cache.toRefresh)
+	cache.inventory = inventory
 	inventory.NeedPerGPU, inventory.CommonNeed = c.demand.needPerGPU, c.demand.commonTask
-	clear(c.inventoryCache.toRefresh)
+	clear(cache.toRefresh)
 	for name, amount := range c.inFlight.byMachine {
 		inventory.ConsumeByName(name, amount)
 	}
@@ -48,7 +49,7 @@
 	}
 }
 
-// ownImageHints gives pairs of an image and a machine of this node that is believed to hold it.
+// ownImageHints returns pairs of an image and a machine of this node that is believed to hold it.
 func (c *cycle) ownImageHints() iter.Seq2[string, string] {
 	return func(yield func(image, machine string) bool) {
 		for image, machines := range c.agents.MachinesByImage() {
@@ -61,7 +62,7 @@
 	}
 }
 
-// remoteImageHints gives pairs of an image and a machine of another node that is believed to hold it.
+// remoteImageHints returns pairs of an image and a machine of another node that is believed to hold it.
 func (c *cycle) remoteImageHints() iter.Seq2[string, string] {
 	return func(yield func(image, machine string) bool) {
 		for image, machines := range c.inventoryCache.remoteImages.machinesByImage {
@@ -88,23 +89,23 @@
 	}
 }
 
-// isSchedulable tells whether tasks may start on a machine of this node, by what its agent reports.
+// isSchedulable reports whether tasks may start on a machine of this node, by what its agent reports.
 func (c *cycle) isSchedulable(machine *clusterstate.Machine) bool {
 	return c.agents.MachineStatus(machine.Name, c.shards.fencingTokens[machine.Shard]).Schedulable
 }
 
-// isLikelyUp tells whether tasks may be planned on another node's machine.
+// isLikelyUp reports whether tasks may be planned on another node's machine.
 func (c *cycle) isLikelyUp(machine *clusterstate.Machine) bool {
 	return c.shards.live[machine.Shard] && (machine.Up || c.likelyBooted(machine))
 }
 
-// bootOverdue tells whether a machine should have come up long ago.
+// bootOverdue reports whether a machine should have come up long ago.
 func (c *cycle) bootOverdue(machine *clusterstate.Machine) bool {
 	late := c.bootTimes(machine, tuning.BootLate)
 	return c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > max(late, tuning.BootLateMin)
 }
 
-// likelyBooted tells whether a machine should be up by now.
+// likelyBooted reports whether a machine should be up by now.
 func (c *cycle) likelyBooted(machine *clusterstate.Machine) bool {
 	boot := c.bootTimes(machine, tuning.BootLikely)
 	return machine.CreatedAtMs > 0 && c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > boot && !c.bootOverdue(machine)
--- a/internal/scheduler/learner_checkpoint.go
+++ b/internal/scheduler/learner_checkpoint.go
@@ -22,10 +22,10 @@
 	reader    kvstore.Reader
 }
 
-// Learner gives the learner that the autoscaler shares.
+// Learner returns the learner that the autoscaler shares.
 func (e *Engine) Learner() *learner.Learner { return e.learning.learner }
 
-// RunLearner keeps the value function fitted and saved until ctx ends. It gives the error of ctx.
+// RunLearner keeps the value function fitted and saved until ctx ends. It returns the error of ctx.
 func (e *Engine) RunLearner(ctx context.Context) error {
 	checkpoints := learnerCheckpoints{
 		node: e.settings.Node, cluster: e.cluster, committer: e.committer, reader: e.reader,
@@ -88,7 +88,7 @@
 	return err
 }
 
-// ops gives the changes that save a checkpoint, in the form that the schema version asks for.
+// ops returns the changes that save a checkpoint, in the form that the schema version asks for.
 func (s learnerCheckpoints) ops(checkpoint learner.Saved) []wire.Op {
 	s.cluster.RLock()
 	version := s.cluster.SchemaVersion
--- a/internal/scheduler/learner_value.go
+++ b/internal/scheduler/learner_value.go
@@ -22,7 +22,7 @@
 	computedAt time.Time
 }
 
-// scoreJob gives the value Q(s, a) of starting a task of a job now (paper, section 3.1).
+// scoreJob returns the value Q(s, a) of starting a task of a job now (paper, section 3.1).
 func (c *cycle) scoreJob(job *clusterstate.Job) learner.Choice {
 	l := &c.learning
 	if l.values.state == nil || c.now.Sub(l.values.stateAt) > tuning.ValueLife {
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -14,7 +14,7 @@
 	"sableusher/internal/wire"
 )
 
-// learning is the scheduler's part of reinforcement learning, after the paper that docs/design.md names:
+// learning is the scheduler's part of reinforcement learning, after the paper that docs/design.md follows:
 // the model of the scheduling problem (section 3.2) is here, the value function Q (section 3.3) in
 // package learner. The files learner_*.go hold its parts by their names there: state, action, reward,
 // value, policy. The engine's lock guards it.
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -92,7 +92,7 @@
 	state, waiting := &c.order.objectives, work.waiting[rank]
 	capacity := c.capacityForRank(rank)
 	if capacity < 1 {
-		return // nothing is up: who could be in time can't be told
+		return // nothing is up: no objective can be assessed
 	}
 	for i := range waiting {
 		waiting[i].ServiceTime = time.Duration(float64(waiting[i].ServiceTime) / capacity)
@@ -137,13 +137,13 @@
 	return 1 + bits.Len(uint(float64(job.PendingCount())*c.estimatedRunTime(job).Seconds()))
 }
 
-// serviceCapacityScarce tells whether services have found no capacity of late, as after the loss of a zone.
+// serviceCapacityScarce reports whether services have found no capacity of late, as after the loss of a zone.
 // Then one replica of each starts before the second of any, and those with the fewest left go first.
 func (c *cycle) serviceCapacityScarce() bool {
 	return c.now.Sub(c.demand.lastServiceShortage) < tuning.ServicesLack
 }
 
-// nearLastObjective tells whether an array has to start soon to meet the last of its objectives, which it
+// nearLastObjective reports whether an array has to start soon to meet the last of its objectives, which it
 // can. Behind smaller ones that keep coming a large one would miss it though there is capacity for all by
 // then: one in a hundred did where capacity was a little short.
 func (c *cycle) nearLastObjective(job *clusterstate.Job) bool {
@@ -181,7 +181,7 @@
 // currentTurn is the turn at the time of the cycle.
 func (c *cycle) currentTurn() turn { return turn(c.now.Unix() % tuning.FloorTurns) }
 
-// hasUnderservedTurn tells whether it is the turn of an array whose class or team has had least of what is
+// hasUnderservedTurn reports whether it is the turn of an array whose class or team has had least of what is
 // due while capacity is short. By size alone a class of large arrays would wait for as long as smaller ones
 // keep coming. Their arrays come first in their turn, in the order that holds among all.
 func (c *cycle) hasUnderservedTurn(job *clusterstate.Job) bool {
@@ -199,7 +199,7 @@
 	}
 }
 
-// hasOverdueTurn tells whether it is the turn of arrays that have missed their objectives for long. Behind
+// hasOverdueTurn reports whether it is the turn of arrays that have missed their objectives for long. Behind
 // what can be in time they would wait as long as capacity is short, be it for hours; so in their turn they
 // come first, the oldest of them before the others.
 func (c *cycle) hasOverdueTurn(job *clusterstate.Job) bool {
@@ -207,7 +207,7 @@
 		c.currentTurn() == turnOfOverdue
 }
 
-// missesObjectives tells whether an array stands behind those that can be in time: it can't, and it is not
+// missesObjectives reports whether an array stands behind those that can be in time: it can't, and it is not
 // its turn.
 func (c *cycle) missesObjectives(job *clusterstate.Job) bool {
 	return c.order.objectives.unattainable[job.Spec.ID] && !c.hasOverdueTurn(job)
@@ -215,8 +215,8 @@
 
 // capacityForRank is the capacity, in machines that are up, that work of a priority rank may use: what is
 // free and what work of its own rank or below takes. Where work takes no GPUs, it is counted in common
-// tasks: a machine with room for one counted as much as one with room for four, and one too small for any
-// as well.
+// tasks: by the share that is free, a machine for one of them would count as much as one for four, and so
+// would one too small for any.
 func (c *cycle) capacityForRank(rank int) float64 {
 	commonTask, sum := c.demand.commonTask, 0.0
 	for shard := range c.cluster.ShardCount {
@@ -235,8 +235,8 @@
 	return sum
 }
 
-// machineShare is what a task takes of a machine, of the type of which it takes least, or of the room for a
-// common task: in the unit that capacityForRank counts in.
+// machineShare is what a task takes of a machine, of the type of which it takes least, or of what a
+// common task takes: in the unit that capacityForRank counts in.
 func (c *cycle) machineShare(spec *wire.JobSpec) float64 {
 	need := record.TaskResources(spec)
 	if commonTask := c.demand.commonTask; commonTask.CPUs > 0 {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -61,12 +61,13 @@
 // unknownShard is the home shard of a job for which none was chosen yet.
 const unknownShard = -1
 
-// buildQueue gives the jobs that wait, in scheduling order. The order is kept between cycles: jobs of
+// buildQueue returns the jobs that wait, in scheduling order. The order is kept between cycles: jobs of
 // which something changed are moved to where they belong, those that time or their team's guarantee
 // moves when it does, and all of them now and then, as estimates move too.
 func (c *cycle) buildQueue(hasCapacity bool) []queuedJob {
 	changed := c.changeFeed.TakeJobs()
-	if c.now.Sub(c.order.guarantees.updatedAt) >= tuning.AssuredEvery && (c.order.waiting.queue.Len() > 0 || len(changed) > 0) {
+	outdated := c.now.Sub(c.order.guarantees.updatedAt) >= tuning.AssuredEvery
+	if outdated && (c.order.waiting.queue.Len() > 0 || len(changed) > 0) {
 		c.findReorderedJobs(changed)
 	}
 	for id := range changed {
@@ -103,7 +104,7 @@
 	})
 }
 
-// keyOutdated tells whether a waiting job's key no longer says what holds.
+// keyOutdated reports whether what a waiting job's key says no longer holds.
 func (c *cycle) keyOutdated(key jobqueue.Key, job *clusterstate.Job) bool {
 	return key.WithinGuarantee != c.order.guarantees.jobs[key.JobID] ||
 		key.Underserved != c.hasUnderservedTurn(job) ||
@@ -133,7 +134,7 @@
 	}, job, deadline.validUntil)
 }
 
-// newQueuedJob gives a waiting job as one cycle sees it.
+// newQueuedJob returns a waiting job as one cycle sees it.
 func (c *cycle) newQueuedJob(key jobqueue.Key, job *clusterstate.Job) queuedJob {
 	return queuedJob{
 		Request: binpack.Request{
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -23,7 +23,7 @@
 	return "all machines"
 }
 
-// machineFilter tells whether a machine may be used; nil accepts all.
+// machineFilter reports whether a machine may be used; nil accepts all.
 type machineFilter func(*binpack.MachineInfo) bool
 
 // placeFirstReplica places one replica of a service that has lost all of them, before any has capacity
@@ -157,7 +157,7 @@
 }
 
 // allocateAnywhere takes capacity for a job's tasks in all shards, and binds them to this node's machines
-// if their owner has left them. What has capacity elsewhere is only counted. It gives what zones are left.
+// if their owner has left them. What has capacity elsewhere is only counted. It returns what zones are left.
 func (c *cycle) allocateAnywhere(queued *queuedJob) binpack.ZoneConstraint {
 	job := queued.job
 	chunk := c.chunkToPlace(job)
@@ -190,7 +190,7 @@
 	})
 }
 
-// mayPreempt tells whether other work may be stopped for a job: if it is of high priority or within its
+// mayPreempt reports whether other work may be stopped for a job: if it is of high priority or within its
 // team's guarantee. For gangs of several tasks nothing is stopped.
 func (c *cycle) mayPreempt(queued *queuedJob) bool {
 	spec := &queued.job.Spec
@@ -200,8 +200,8 @@
 	return queued.withinGuarantee || queued.rank <= wire.PriorityHigh.Rank()
 }
 
-// preemptForTasks makes room for the first of a job's missing tasks, until there is no shard left in
-// which any could be made.
+// preemptForTasks stops other work for the first of a job's missing tasks, until there is no shard left in
+// which any could be stopped.
 func (c *cycle) preemptForTasks(queued *queuedJob, missing int, zones *binpack.ZoneConstraint) {
 	c.countReservedZones(queued.job.Spec.ID, zones)
 	for taskIndex := range min(missing, tuning.PreemptTasks) {
