--- a/internal/binpack/allocate.go
+++ b/internal/binpack/allocate.go
@@ -17,15 +17,14 @@
 func (inv *Inventory) Allocate(
 	request *Request, candidates []*MachineInfo, constraint *ZoneConstraint, filter func(*MachineInfo) bool,
 ) []*MachineInfo {
-	a := allocation{inv: inv, request: request, constraint: constraint}
+	a := allocation{inv: inv, request: request}
 	for _, info := range candidates {
-		if a.accepts(info, filter) {
+		if a.accepts(info, constraint, filter) {
 			t := a.tierOf(info)
 			a.tiers[t] = append(a.tiers[t], info)
 		}
 	}
-	a.fillTiers()
-	return a.picks
+	return a.fillTiers(constraint)
 }
 
 // tier is a combination of drawbacks of a machine, the weightiest in the highest bit. Machines of
@@ -63,20 +62,21 @@
 	return 0
 }
 
-// allocation is one run of Allocate.
+// allocation is one run of Allocate. The constraint is handed along rather than kept in it: kept
+// beside the machines, each caller's would be allocated on the heap.
 type allocation struct {
-	inv        *Inventory
-	request    *Request
-	constraint *ZoneConstraint
-	tiers      [tierCount][]*MachineInfo
-	picks      []*MachineInfo
+	inv     *Inventory
+	request *Request
+	tiers   [tierCount][]*MachineInfo
 }
 
-func (a *allocation) accepts(info *MachineInfo, filter func(*MachineInfo) bool) bool {
+func (a *allocation) accepts(
+	info *MachineInfo, constraint *ZoneConstraint, filter func(*MachineInfo) bool,
+) bool {
 	return a.request.mayUse(info) &&
 		(filter == nil || filter(info)) &&
 		a.request.fits(info) &&
-		a.constraint.Allows(info.Machine.Zone)
+		constraint.Allows(info.Machine.Zone)
 }
 
 func (a *allocation) tierOf(info *MachineInfo) tier {
@@ -98,35 +98,41 @@
 		tierUnused.when(info.Free == info.Capacity)
 }
 
-func (a *allocation) fillTiers() {
+// fillTiers places the remaining tasks and returns the machine of each.
+func (a *allocation) fillTiers(constraint *ZoneConstraint) []*MachineInfo {
+	var picks []*MachineInfo
 	for t := range tier(tierCount) {
 		if a.prefersSmallMachines() && len(a.tiers[t]) > 1 {
 			a.inv.sortForReplicas(a.tiers[t])
 		}
 		for _, info := range a.tiers[t] {
-			a.fill(info, t)
+			for range a.fill(info, t, constraint) {
+				picks = append(picks, info)
+			}
 			if a.request.Remaining == 0 {
-				return
+				return picks
 			}
 		}
 	}
+	return picks
 }
 
-// fill places as many tasks on a machine as fit. A machine that has become one where a further
-// task would displace a common one is put off to the tier of those.
-func (a *allocation) fill(info *MachineInfo, t tier) {
+// fill places as many tasks on a machine as fit and returns their number. A machine that has become
+// one where a further task would displace a common one is put off to the tier of those.
+func (a *allocation) fill(info *MachineInfo, t tier, constraint *ZoneConstraint) (placed int) {
 	zone := info.Machine.Zone
-	for a.request.Remaining > 0 && a.request.Need.FitsIn(info.Free) && a.constraint.Allows(zone) {
+	for a.request.Remaining > 0 && a.request.Need.FitsIn(info.Free) && constraint.Allows(zone) {
 		if t&tierDisplacesCommon == 0 && a.inv.displacesCommon(a.request.Need, info) {
 			later := t | tierDisplacesCommon
 			a.tiers[later] = append(a.tiers[later], info)
-			return
+			break
 		}
 		a.inv.adjustFree(info, a.request.Need, -1)
-		a.constraint.addTasks(a.request.Spec, zone, 1)
-		a.picks = append(a.picks, info)
+		constraint.addTasks(a.request.Spec, zone, 1)
 		a.request.Remaining--
+		placed++
 	}
+	return placed
 }
 
 // prefersSmallMachines reports whether the machines within a tier are sorted for replicas.
