--- a/internal/membership/failover.go
+++ b/internal/membership/failover.go
@@ -151,9 +151,6 @@
 // turn. The caller holds the cluster state's lock.
 func (m *Member) takeOver(shard, owned int, now time.Time) (ownershipChange, bool) {
 	current, known := m.clusterState.Shards[shard]
-	if m.ownedBySelf(current) {
-		return ownershipChange{}, false // our session lapsed, but nobody has taken the shard
-	}
 	orphanedSince, ok := m.history.orphanedSince[shard]
 	if !ok {
 		orphanedSince = now
