--- a/internal/membership/handover_test.go
+++ b/internal/membership/handover_test.go
@@ -65,7 +65,7 @@
 	}
 	owner.fences.end(shard)
 	change, ok := changeOf(owner, shard)
-	want := record.Shard{Owner: home.NodeName, Incarnation: testIncarnation, FencingToken: 5}
+	want := record.Shard{Owner: home.NodeName, OwnerIncarnation: testIncarnation, FencingToken: 5}
 	if !ok || change.record != want {
 		t.Errorf("handed back: %v, %+v", ok, change.record)
 	}
