--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -17,7 +17,9 @@
 		ID: "run-000412", Class: "train", Team: "vision", Kind: wire.KindArray, Priority: wire.PriorityHigh,
 		TaskCount: tasks, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07", ImageSizeGB: 6.2,
 		MachineTypes: []string{"g8"}, Zone: "east", AllowSpot: true,
-		RuntimeEstimateSeconds: 240, CheckpointIntervalSeconds: 30, CheckpointSaveSeconds: 4, DeadlineSeconds: 900,
+		JobTiming: wire.JobTiming{
+			RuntimeEstimateSeconds: 240, CheckpointIntervalSeconds: 30, CheckpointSaveSeconds: 4, DeadlineSeconds: 900,
+		},
 	}
 }
 
@@ -133,7 +135,7 @@
 				Type: "g8", Zone: "east", Address: "10.0.0.1:80", CreatedAtMs: submittedMs, Up: true,
 			}},
 			{"node/version-before", record.Node{Incarnation: 77}},
-			{"shard/given", record.Shard{Owner: "n0", Incarnation: 7, FencingToken: 12, HandedOff: true}},
+			{"shard/given", record.Shard{Owner: "n0", OwnerIncarnation: 7, FencingToken: 12, HandedOff: true}},
 		},
 	))
 }
@@ -160,7 +162,7 @@
 		{"ended guest", record.GuestOutcomeKey("b", 12)},
 		{"learner", record.LearnerCheckpointKey("n0")},
 		{"learner piece", record.LearnerCheckpointPieceKey("n0", 2)},
-		{"task", record.TaskRef{Job: "run-000412", Index: 12}.String()},
+		{"task", record.TaskRef{JobID: "run-000412", Index: 12}.String()},
 	} {
 		fmt.Fprintf(&out, "%s: %s\n", line.name, line.key)
 	}
--- a/internal/simulation/region_test.go
+++ b/internal/simulation/region_test.go
@@ -46,7 +46,7 @@
 // testSpec draws a job.
 func testSpec(rnd *rand.Rand, i int) (wire.JobSpec, float64, time.Duration) {
 	s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i), Class: "c", Team: []string{"open", "bound"}[rnd.IntN(2)],
-		CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprintf("img-%d", rnd.IntN(3)), ImageSizeGB: 2, RuntimeEstimateSeconds: 15}
+		CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprintf("img-%d", rnd.IntN(3)), ImageSizeGB: 2, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 15}}
 	var cancel time.Duration
 	if rnd.IntN(5) == 0 {
 		cancel = time.Duration(rnd.IntN(60)) * time.Second
@@ -326,13 +326,13 @@
 		r := newThreeControllerRegion(ctx, testSettings, 5, 3, log)
 		for i, kind := range []wire.JobKind{wire.KindArray, wire.KindGang} {
 			spec := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: kind, Priority: wire.PriorityNormal,
-				TaskCount: 700 - 400*i, CPUs: 0.05, MemoryGB: 0.1, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 5, SameZone: i == 0}
+				TaskCount: 700 - 400*i, CPUs: 0.05, MemoryGB: 0.1, Image: "img", ImageSizeGB: 1, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 5}, SameZone: i == 0}
 			r.wg.Go(func() { r.SimulateUser(ctx, spec, 5, 0) })
 		}
 		// Nine whole machines: more than any part can have, so the gang would starve
 		// if only one part's machines counted.
 		wide := wire.JobSpec{ID: "run-000003", Class: "c", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityHigh,
-			TaskCount: 9, CPUs: 32, GPUs: 4, MemoryGB: 200, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 5}
+			TaskCount: 9, CPUs: 32, GPUs: 4, MemoryGB: 200, Image: "img", ImageSizeGB: 1, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 5}}
 		r.wg.Go(func() { r.SimulateUser(ctx, wide, 5, 0) })
 		time.Sleep(4 * time.Minute)
 		cancel()
@@ -354,7 +354,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		r := newThreeControllerRegion(ctx, testSettings, 5, 5, slog.New(slog.NewTextHandler(io.Discard, nil)))
 		spec := wire.JobSpec{ID: "run-000001", Class: "c", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityHigh, TaskCount: 2,
-			CPUs: 32, GPUs: 4, MemoryGB: 200, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 60, AllowSpot: true, CheckpointIntervalSeconds: 10, CheckpointSaveSeconds: 3}
+			CPUs: 32, GPUs: 4, MemoryGB: 200, Image: "img", ImageSizeGB: 1, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 60, CheckpointIntervalSeconds: 10, CheckpointSaveSeconds: 3}, AllowSpot: true}
 		r.wg.Go(func() { r.SimulateUser(ctx, spec, 90, 0) })
 		time.Sleep(60 * time.Second)
 		r.mu.Lock()
@@ -376,7 +376,7 @@
 		r.Wait()
 		time.Sleep(3 * time.Minute)
 		for i := range 2 {
-			if !r.checkpointed[record.TaskRef{Job: spec.ID, Index: i}] {
+			if !r.checkpointed[record.TaskRef{JobID: spec.ID, Index: i}] {
 				t.Errorf("task %d did not save", i)
 			}
 		}
@@ -433,7 +433,7 @@
 // can't fail would prove nothing.
 func TestCheckerDetectsEachViolation(t *testing.T) {
 	at := func(m, typ, zone string, spot bool) Placement { return Placement{m, typ, zone, spot} }
-	ref := func(i int) record.TaskRef { return record.TaskRef{Job: "run-1", Index: i} }
+	ref := func(i int) record.TaskRef { return record.TaskRef{JobID: "run-1", Index: i} }
 	base := wire.JobSpec{ID: "run-1", Team: "bound", Kind: wire.KindArray, TaskCount: 8, GPUs: 1}
 	defects := map[string][]struct {
 		name string
@@ -526,8 +526,8 @@
 					time.Sleep(5 * time.Minute)
 				}
 				for k := range 1 + i/4*9 {
-					o.TaskStarted(record.TaskRef{Job: id, Index: k}, at("a", "large", "east", false))
-					o.TaskCompleted(record.TaskRef{Job: id, Index: k})
+					o.TaskStarted(record.TaskRef{JobID: id, Index: k}, at("a", "large", "east", false))
+					o.TaskCompleted(record.TaskRef{JobID: id, Index: k})
 				}
 			}
 			o.CheckServedShares()
--- a/internal/simulation/retry_test.go
+++ b/internal/simulation/retry_test.go
@@ -53,7 +53,7 @@
 	}
 	for i := range 24 {
 		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-			TaskCount: 1 + rnd.IntN(6), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 10}
+			TaskCount: 1 + rnd.IntN(6), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 1, JobTiming: wire.JobTiming{RuntimeEstimateSeconds: 10}}
 		if rnd.IntN(3) == 0 {
 			s.Kind, s.Priority, s.TaskCount, s.SameZone = wire.KindGang, wire.PriorityHigh, 1+rnd.IntN(3), true
 		}
@@ -66,7 +66,7 @@
 			s.Dependencies = []string{fmt.Sprintf("run-%06d", 1+rnd.IntN(i))}
 		}
 		for range rnd.IntN(3) {
-			r.InjectTaskFailures(record.TaskRef{Job: s.ID, Index: rnd.IntN(s.TaskCount)}, 1+rnd.IntN(3))
+			r.InjectTaskFailures(record.TaskRef{JobID: s.ID, Index: rnd.IntN(s.TaskCount)}, 1+rnd.IntN(3))
 		}
 		at := time.Duration(i*5) * time.Second
 		r.wg.Go(func() {
