--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -45,7 +45,7 @@
 	live          []bool         // by shard: its owner lives
 }
 
-// owns tells whether a shard is this node's.
+// owns reports whether a shard is this node's.
 func (v *shardView) owns(shard int) bool {
 	_, owned := v.fencingTokens[shard]
 	return owned
@@ -60,16 +60,16 @@
 
 // add counts a binding.
 func (u *inFlightUsage) add(binding pendingBinding) {
-	u.byMachine[binding.machine] = u.byMachine[binding.machine].AddTimes(binding.need, 1)
+	u.byMachine[binding.machine] = u.byMachine[binding.machine].Plus(binding.need)
 	teams := u.byTeam[binding.chargedShard]
-	teams[binding.team] = teams[binding.team].AddTimes(binding.need, 1)
+	teams[binding.team] = teams[binding.team].Plus(binding.need)
 	u.tasksByJob[binding.task.JobID]++
 }
 
-// preemptionProgress is what a cycle has done to make room by stopping tasks.
+// preemptionProgress is what a cycle has done to make capacity by stopping tasks.
 type preemptionProgress struct {
-	machines int                                        // on which room is being made in this cycle
-	awaiting map[record.TaskRef]bool                    // tasks that room is being made for
+	machines int                                        // on which tasks are stopped in this cycle
+	awaiting map[record.TaskRef]bool                    // tasks that others are stopped for
 	failed   [wire.PriorityCount]binpack.FailedRequests // requests for which nothing could be stopped anywhere, by rank
 }
 
@@ -176,10 +176,10 @@
 	usage := map[string]record.Resources{}
 	for shard := range c.cluster.ShardCount {
 		for team, amount := range c.cluster.UsageByShard[shard] {
-			usage[team] = usage[team].AddTimes(amount, 1)
+			usage[team] = usage[team].Plus(amount)
 		}
 		for team, amount := range c.inFlight.byTeam[shard] {
-			usage[team] = usage[team].AddTimes(amount, 1)
+			usage[team] = usage[team].Plus(amount)
 		}
 	}
 	return usage
