--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -18,53 +18,99 @@
 	"sableusher/internal/wire"
 )
 
-// Engine runs the placement rounds of this node's parts.
-type Engine struct {
+// Config is what an engine works with. The caller runs and closes what is in it.
+type Config struct {
+	Settings     *config.Settings
+	Operator     *config.Operator
+	ClusterState *clusterstate.State
+	Membership   *membership.Member
+	Agents       *agent.Registry
+	Committer    *kvstore.Committer
+	Reader       kvstore.Reader
+	Peers        Peers
+	Logger       *slog.Logger
+}
+
+// dependencies are the parts of the controller that the engine works with; they guard themselves.
+type dependencies struct {
 	settings   *config.Settings
 	operator   *config.Operator
 	cluster    *clusterstate.State
 	membership *membership.Member
 	agents     *agent.Registry
 	committer  *kvstore.Committer
-	quota      *quota.GrantManager
-	// retryRules paces tasks that failed by themselves.
-	retryRules retry.Policies
+	reader     kvstore.Reader
+	peers      Peers
 	log        *slog.Logger
+}
 
-	mu                  sync.Mutex
-	changes             changeTracker
-	backoffs            backoffTable
-	pace                placementPace
-	machinesToReconcile machineSet // machines whose tasks' fate is to be looked at
-	lastSweep           time.Time  // when all machines were last looked at
-	gangFormation       gangFormation
-	waitLog             waitLog
-	reservations        reservationTable
-	shardTenure         shardTenure
+// machineState is what the engine keeps of single machines beside their records.
+type machineState struct {
+	machinesToReconcile machineSet // something new is known of them, or of their tasks
 	deletedMachines     deletedMachines
 	failureDetector     failuredetector.Detector
 	fences              fenceLimiter
-	order               queueOrder
-	changeFeed          *clusterstate.ChangeFeed
-	inventoryCache      inventoryCache
-	demand              demandState
-	learning            learning
-	reader              kvstore.Reader
-	peers               Peers
-	wakeup              chan struct{}
-	migration           migrationSchedule
 }
 
-// New makes an engine.
-func New(settings *config.Settings, operator *config.Operator, cluster *clusterstate.State, members *membership.Member, agents *agent.Registry, committer *kvstore.Committer, reader kvstore.Reader, peers Peers, log *slog.Logger) *Engine {
+// Engine runs the scheduling cycles of this node's shards. It is safe for concurrent use; each part of its state is a
+// type of its own that the engine's lock guards.
+type Engine struct {
+	dependencies
+	retryRules retry.Policies // pace tasks that failed by themselves
+	wakeup     chan struct{}  // asks for a cycle
+
+	mu sync.Mutex // guards all that follows; it is taken before the cluster state's lock
+
+	changes      changeTracker
+	migration    migrationSchedule
+	shardTenure  shardTenure
+	quota        *quota.GrantManager
+	reservations reservationTable
+	machineState
+
+	order         queueOrder
+	pace          placementPace
+	backoffs      backoffTable
+	gangFormation gangFormation
+	demand        demandState
+	learning      learning
+	waitLog       waitLog
+
+	changeFeed     *clusterstate.ChangeFeed
+	inventoryCache inventoryCache
+	lastSweep      time.Time
+}
+
+// New makes an engine; nothing runs before Run.
+func New(c Config) *Engine {
+	timing := failuredetector.Timing{HeartbeatInterval: c.Settings.Report(), LeaseDuration: c.Settings.Lease()}
 	return &Engine{
-		settings: settings, operator: operator, cluster: cluster, membership: members, agents: agents, committer: committer, quota: quota.New(settings.Deployment.Teams, cluster), retryRules: retry.NewPolicies(operator.Classes), log: log,
-		changes: newChangeTracker(), backoffs: backoffTable{}, pace: placementPace{ownerWaits: ownerWaits{}}, machinesToReconcile: machineSet{},
-		gangFormation: gangFormation{}, waitLog: waitLog{}, reservations: reservationTable{}, shardTenure: shardTenure{}, deletedMachines: newDeletedMachines(),
-		migration: newMigrationSchedule(), fences: fenceLimiter{}, reader: reader, peers: peers,
-		failureDetector: failuredetector.Detector{Timing: failuredetector.Timing{HeartbeatInterval: settings.Report(), LeaseDuration: settings.Lease()}},
-		learning:        newLearning(operator, members.Incarnation, log),
-		wakeup:          make(chan struct{}, 1), changeFeed: cluster.FollowChanges(), order: queueOrder{waiting: newWaitingJobs()}, demand: newDemandState(), inventoryCache: inventoryCache{toRefresh: machineSet{}},
+		dependencies: dependencies{
+			settings: c.Settings, operator: c.Operator, cluster: c.ClusterState, membership: c.Membership,
+			agents: c.Agents, committer: c.Committer, reader: c.Reader, peers: c.Peers, log: c.Logger,
+		},
+		retryRules:   retry.NewPolicies(c.Operator.Classes),
+		wakeup:       make(chan struct{}, 1),
+		changes:      newChangeTracker(),
+		migration:    newMigrationSchedule(),
+		shardTenure:  shardTenure{},
+		quota:        quota.New(c.Settings.Deployment.Teams, c.ClusterState),
+		reservations: reservationTable{},
+		machineState: machineState{
+			machinesToReconcile: machineSet{},
+			deletedMachines:     newDeletedMachines(),
+			failureDetector:     failuredetector.Detector{Timing: timing},
+			fences:              fenceLimiter{},
+		},
+		order:          queueOrder{waiting: newWaitingJobs()},
+		pace:           placementPace{ownerWaits: ownerWaits{}},
+		backoffs:       backoffTable{},
+		gangFormation:  gangFormation{},
+		demand:         newDemandState(),
+		learning:       newLearning(c.Operator, c.Membership.Incarnation, c.Logger),
+		waitLog:        waitLog{},
+		changeFeed:     c.ClusterState.FollowChanges(),
+		inventoryCache: inventoryCache{toRefresh: machineSet{}},
 	}
 }
 
