--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -114,7 +114,7 @@
 		return
 	}
 	demand := a.scheduler.Demand()
-	a.unavailableZones = a.scheduler.PartitionedZones()
+	a.unavailableZones = a.scheduler.UnavailableZones()
 	isStale := time.Since(demand.ComputedAt) > tuning.DemandStale
 	precedesScaleOut := demand.ComputedAt.Before(a.lastScaleOut)
 	if isStale || precedesScaleOut {
--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -42,7 +42,7 @@
 		if task.State != record.TaskPending || c.inRetryBackoff(job, taskIndex) {
 			continue
 		}
-		if c.recordFull(job, chunk, 1, picks[0].Machine.Name) {
+		if c.chunkFull(job, chunk, 1, picks[0].Machine.Name) {
 			c.logWaiting(job, waitRecordFull, nil)
 			taskIndex = endOfChunk - 1
 			continue
@@ -88,7 +88,7 @@
 	if !c.mayBind(queued, start) {
 		return false
 	}
-	edit := c.editRecord(job, start.task.Index)
+	edit := c.editChunk(job, start.task.Index)
 	if edit == nil {
 		c.logWaiting(job, waitChangeInFlight, nil)
 		return false
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -10,9 +10,26 @@
 	"sableusher/internal/tuning"
 )
 
+// changeKind says what a change does, for the log.
+type changeKind string
+
+const (
+	changeOfTasks           changeKind = "tasks of a job"
+	changeOfJobEnd          changeKind = "end of a job"
+	changeOfCancelledJob    changeKind = "cancellation with a job that is needed"
+	changeOfGangStop        changeKind = "stop of a gang"
+	changeOfMigration       changeKind = "migration of a job's records"
+	changeOfGrant           changeKind = "grant of a team"
+	changeOfMachineUp       changeKind = "machine up"
+	changeOfMachineDown     changeKind = "machine down"
+	changeOfMachineDeletion changeKind = "deletion of a machine"
+	changeOfDeletedRecord   changeKind = "deletion of a machine's record"
+)
+
 // recordChange is one compare-and-swap of records that a cycle has decided on.
 type recordChange struct {
-	description string // for the log
+	kind        changeKind
+	subject     string // the job or machine that is changed, for the log
 	transaction kvstore.Transaction
 	keys        []string // of the records that no other change may write meanwhile
 	shards      []int    // owned by this node, to be fenced if the outcome stays unknown
@@ -38,9 +55,10 @@
 	rejected := errors.Is(err, kvstore.ErrRejected)
 	switch {
 	case rejected:
-		e.log.Error("change rejected as malformed", "change", change.description, "err", err)
+		e.log.Error("change rejected as malformed", "change", string(change.kind), "subject", change.subject,
+			"err", err)
 	case err != nil && !isNotApplied(err) && !change.harmlessWhenLate:
-		e.log.Info("change has no known outcome", "change", change.description, "err", err)
+		e.log.Info("change has no known outcome", "change", string(change.kind), "subject", change.subject, "err", err)
 		for _, shard := range change.shards {
 			e.membership.Fence(ctx, shard)
 		}
@@ -52,9 +70,9 @@
 	}
 	e.mu.Unlock()
 	if err != nil {
-		e.log.Debug("change not applied", "change", change.description, "err", err)
+		e.log.Debug("change not applied", "change", string(change.kind), "subject", change.subject, "err", err)
 	} else {
-		e.log.Debug("change applied", "change", change.description, "revision", revision)
+		e.log.Debug("change applied", "change", string(change.kind), "subject", change.subject, "revision", revision)
 		for _, binding := range change.bindings {
 			e.agents.RequestDispatch(binding.machine)
 		}
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -20,8 +20,8 @@
 	// inventory is the free capacity in this cycle; what is placed or expected is taken from it.
 	inventory *binpack.Inventory
 
-	recordEdits map[recordKey]*recordEdit
-	outgoing    []*recordChange
+	chunkEdits map[chunkKey]*chunkEdit
+	outgoing   []*recordChange
 	// backgroundCalls are calls to other nodes or the key-value store that the cycle doesn't wait for.
 	backgroundCalls []func(context.Context)
 	tasksBound      int
@@ -31,7 +31,6 @@
 
 	storeSaturated bool // the key-value store's budget is the bottleneck
 	collectsDemand bool // this cycle accounts the unmet demand for the autoscaler
-	releaseBlocked bool // a task's end could not be written yet
 	logsWaiting    bool // the log takes in why jobs wait
 
 	failingJobs    map[string]bool      // jobs that a change of this cycle ends as failed
@@ -86,7 +85,7 @@
 			byTeam:     map[int]map[string]record.Resources{},
 			tasksByJob: map[string]int{},
 		},
-		recordEdits:    map[recordKey]*recordEdit{},
+		chunkEdits:     map[chunkKey]*chunkEdit{},
 		preempting:     preemptionProgress{awaiting: make(map[record.TaskRef]bool, len(e.reservations))},
 		failingJobs:    map[string]bool{},
 		brokenAttempts: map[gangAttempt]bool{},
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -42,7 +42,8 @@
 func (c *cycle) cancelDependent(job *clusterstate.Job) *recordChange {
 	key := record.JobKey(job.Spec.ID)
 	return &recordChange{
-		description:      "end " + job.Spec.ID + " with what it needs",
+		kind:             changeOfCancelledJob,
+		subject:          job.Spec.ID,
 		keys:             []string{key},
 		harmlessWhenLate: true,
 		transaction: kvstore.Transaction{
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -15,7 +15,6 @@
 	"sableusher/internal/quota"
 	"sableusher/internal/retry"
 	"sableusher/internal/tuning"
-	"sableusher/internal/wire"
 )
 
 // Config is what an engine works with. The caller runs and closes what is in it.
@@ -151,7 +150,8 @@
 	e.cluster.RLock()
 	machineCount := len(e.cluster.Machines)
 	e.cluster.RUnlock()
-	return min(max(tuning.PlaceGap, tuning.PlaceGap*time.Duration(machineCount)/tuning.PlaceGapMachines), tuning.PlaceGapMax)
+	interval := tuning.PlaceGap * time.Duration(machineCount) / tuning.PlaceGapMachines
+	return min(max(tuning.PlaceGap, interval), tuning.PlaceGapMax)
 }
 
 func (e *Engine) wake() {
@@ -222,7 +222,7 @@
 func (c *cycle) planGrants() {
 	for _, grant := range c.quota.PlanChanges(c.now, c.shards.revisions, c.usage) {
 		c.outgoing = append(c.outgoing, &recordChange{
-			description: "grant", transaction: grant.Transaction, shards: []int{grant.Shard},
+			kind: changeOfGrant, transaction: grant.Transaction, shards: []int{grant.Shard},
 			onResult: func(bool) { grant.Done() },
 		})
 	}
@@ -234,7 +234,3 @@
 	defer e.mu.Unlock()
 	return e.demand.unmet
 }
-
-func stopGraceSeconds(spec *wire.JobSpec) float64 {
-	return spec.CheckpointSaveSeconds + tuning.StopMargin.Seconds()
-}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -106,7 +106,7 @@
 		bindingsByChunk[job.ChunkOf(task.Index)]++
 	}
 	for chunk, bindings := range bindingsByChunk {
-		if c.recordFull(job, chunk, bindings, picks[0].Machine.Name) {
+		if c.chunkFull(job, chunk, bindings, picks[0].Machine.Name) {
 			c.logWaiting(job, waitRecordFull, nil)
 			return false
 		}
--- /dev/null
+++ b/internal/scheduler/gangattempt.go
@@ -0,0 +1,98 @@
+package scheduler
+
+import (
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/kvstore"
+	"sableusher/internal/reconcile"
+	"sableusher/internal/record"
+	"sableusher/internal/wire"
+)
+
+// gangAttempt names one attempt of a gang.
+type gangAttempt struct {
+	job     *clusterstate.Job
+	attempt uint64
+}
+
+// stopGangTask has a task of a gang stopped if its attempt is marked to be stopped as a whole, or can no longer run
+// whole.
+func (c *cycle) stopGangTask(binding clusterstate.Binding, machine string) {
+	if binding.Job.PreemptedAttempt == binding.Attempt {
+		c.agents.RequestStop(binding, machine, stopGraceSeconds(&binding.Job.Spec))
+	}
+	if !c.agents.StopRequested(binding) && c.isBroken(gangAttempt{job: binding.Job, attempt: binding.Attempt}) {
+		c.agents.RequestStop(binding, machine, 0)
+	}
+}
+
+// isBroken reports whether a gang's attempt can no longer run whole. It is worked out once a cycle.
+func (c *cycle) isBroken(attempt gangAttempt) bool {
+	broken, known := c.brokenAttempts[attempt]
+	if !known {
+		broken = c.findBroken(attempt)
+		c.brokenAttempts[attempt] = broken
+	}
+	return broken
+}
+
+// findBroken finds whether a task of an attempt has ended, or not all of them were bound in time.
+func (c *cycle) findBroken(attempt gangAttempt) bool {
+	spec := &attempt.job.Spec
+	taskAt := func(taskIndex int) record.Task { return c.taskState(attempt.job, taskIndex) }
+	switch reconcile.GangStateOf(spec.TaskCount, taskAt, attempt.attempt) {
+	case reconcile.GangBroken:
+		return true
+	case reconcile.GangWhole:
+		c.gangFormation.formed(spec.ID)
+		return false
+	default:
+		return c.gangFormation.timedOut(spec.ID, spec.TaskCount, c.now)
+	}
+}
+
+// requestGangStop marks a gang's attempt to be stopped as a whole. The owners of all its tasks see the mark at once and
+// command their agents within the time in which a gang's checkpoints must begin.
+func (c *cycle) requestGangStop(binding clusterstate.Binding, machine *clusterstate.Machine) {
+	job, key := binding.Job, record.JobKey(binding.Ref.JobID)
+	if job.PreemptedAttempt == binding.Attempt || c.changes.inFlight(key) ||
+		c.chunkEdits[chunkKey{job: job, chunk: 0}] != nil || c.needsMigration(job) {
+		return
+	}
+	c.changes.reserveKey(key)
+	marked := *job
+	marked.PreemptedAttempt = binding.Attempt
+	c.outgoing = append(c.outgoing, &recordChange{
+		kind: changeOfGangStop, subject: job.Spec.ID, keys: []string{key}, shards: []int{machine.Shard},
+		transaction: kvstore.Transaction{
+			Conditions: []wire.Condition{
+				{Key: key, ModRevision: job.ModRevision},
+				{Key: record.ShardKey(machine.Shard), ModRevision: c.shards.revisions[machine.Shard]},
+			},
+			Ops:      []wire.Op{marked.EncodeChunk(0, nil)},
+			Priority: kvstore.PriorityUrgent,
+		},
+	})
+}
+
+// isPartlyDone reports whether some tasks of a gang are done, and none is on a machine any more.
+func isPartlyDone(job *clusterstate.Job) bool {
+	return job.Spec.Kind == wire.KindGang && job.DoneCount > 0 && job.BoundCount == 0 && job.HasRecord &&
+		!job.Complete() && !job.Cancelled()
+}
+
+// completeGang ends the tasks of a gang that is partly done. A gang completes together, so all of its tasks are done:
+// the heartbeats that said so of the others were lost, with an agent's session or its machine. Without this the gang
+// would wait for ever, as its last attempt would look as if it had not left.
+func (c *cycle) completeGang(job *clusterstate.Job) {
+	for taskIndex := range job.Spec.TaskCount {
+		task := c.taskState(job, taskIndex)
+		if task.State != record.TaskPending {
+			continue
+		}
+		if edit := c.editChunk(job, taskIndex); edit != nil {
+			edit.tasks[taskIndex] = record.Task{Index: taskIndex, State: record.TaskDone, Attempt: task.Attempt}
+		}
+	}
+	c.log.Info("gang completed by some of its tasks", "job_id", job.Spec.ID, "done", job.DoneCount,
+		"count", job.Spec.TaskCount)
+}
--- a/internal/scheduler/machinedeletion.go
+++ b/internal/scheduler/machinedeletion.go
@@ -1,13 +1,15 @@
 package scheduler
 
 import (
+	"slices"
 	"time"
 
 	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 )
 
-// ConfirmDeleted tells that the cloud has confirmed a machine's deletion.
+// ConfirmDeleted takes in that the cloud has confirmed the deletion of machines: their tasks are released in the next
+// cycle.
 func (e *Engine) ConfirmDeleted(names []string) {
 	e.mu.Lock()
 	for _, name := range names {
@@ -18,35 +20,43 @@
 	e.wake()
 }
 
-// MachinesToDelete lists machines to be deleted at the cloud, first those on which tasks are still bound:
-// they start elsewhere once the deletion is confirmed. waited tells whether there are any.
-func (e *Engine) MachinesToDelete() (names []string, tasksWait bool) {
+// MachinesToDelete returns machines of this node's shards to be deleted at the cloud, at most tuning.ReturnMax. First
+// come those on which tasks are still bound, as these start elsewhere once the deletion is confirmed; tasksWaiting
+// reports whether there are any.
+func (e *Engine) MachinesToDelete() (names []string, tasksWaiting bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cluster.RLock()
 	defer e.cluster.RUnlock()
-	var urgent, idle []string
-	appendOwned := func(list *[]string, name string) {
-		if _, ok := e.membership.Ownership(record.ShardOf(name, e.cluster.ShardCount)); ok && !e.deletedMachines.isConfirmed(name) && len(*list) < tuning.ReturnMax {
-			*list = append(*list, name)
-		}
-	}
 	bindingTargets := map[string]bool{}
 	for binding := range e.changes.bindings() {
 		bindingTargets[binding.machine] = true
 	}
+	var withTasks, idle []string
 	for name, machine := range e.cluster.Machines {
 		switch {
 		case machine.Deleting && len(machine.Bindings) > 0:
-			appendOwned(&urgent, name)
-		// Nothing is placed on a drained machine any more: once it is empty it can go.
+			withTasks = e.appendDeletable(withTasks, name)
+		// Nothing is placed on a draining machine any more: once it is empty it can go.
 		case machine.Deleting || machine.Draining && len(machine.Bindings) == 0 && !bindingTargets[name]:
-			appendOwned(&idle, name)
+			idle = e.appendDeletable(idle, name)
 		}
 	}
 	for name := range e.cluster.OrphanBindings {
-		appendOwned(&urgent, name)
+		withTasks = e.appendDeletable(withTasks, name)
+	}
+	names = slices.Concat(withTasks, idle)
+	return names[:min(len(names), tuning.ReturnMax)], len(withTasks) > 0
+}
+
+// appendDeletable appends a machine to a list that is not full, if the machine is this node's and its deletion is not
+// confirmed yet.
+func (e *Engine) appendDeletable(names []string, name string) []string {
+	if len(names) >= tuning.ReturnMax || e.deletedMachines.isConfirmed(name) {
+		return names
+	}
+	if _, owned := e.membership.Ownership(record.ShardOf(name, e.cluster.ShardCount)); !owned {
+		return names
 	}
-	names = append(urgent, idle...)
-	return names[:min(len(names), tuning.ReturnMax)], len(urgent) > 0
+	return append(names, name)
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -574,7 +574,7 @@
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = engine.committer.Run(ctx) }()
-		change := &recordChange{description: "tasks of run-1", keys: []string{record.JobKey("run-1")}, shards: []int{shard},
+		change := &recordChange{kind: changeOfTasks, subject: "run-1", keys: []string{record.JobKey("run-1")}, shards: []int{shard},
 			bindings:    []pendingBinding{{record.TaskRef{JobID: "run-1"}, name, shard, "t", record.Resources{GPUs: 1}}},
 			transaction: kvstore.Transaction{Conditions: []wire.Condition{{Key: record.ShardKey(shard)}}, Ops: []wire.Op{kvstore.PutOp(record.JobKey("run-1"), 1)}}}
 		engine.mu.Lock()
--- /dev/null
+++ b/internal/scheduler/zones.go
@@ -0,0 +1,89 @@
+package scheduler
+
+import (
+	"slices"
+	"time"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/client_golang/prometheus/promauto"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/config"
+	"sableusher/internal/failuredetector"
+	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
+	"sableusher/internal/zonehealth"
+)
+
+var zoneStateGauge = promauto.NewGaugeVec(prometheus.GaugeOpts{
+	Name: "sableusher_zone_state",
+	Help: "1 for the state of each zone as this node sees it, once it has changed.",
+}, []string{"zone", "state"})
+
+// UnavailableZones returns the zones that are cut off from this node.
+func (e *Engine) UnavailableZones() []string {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.failureDetector.UnavailableZones()
+}
+
+// reportZones logs and counts what has changed of the zones' states.
+func (c *cycle) reportZones(assessment *failuredetector.Assessment) {
+	for _, change := range assessment.ZoneChanges {
+		c.log.Info("zone state changed", "zone", change.Zone, "state", change.To, "former_state", change.From,
+			"duration", change.TimeInFormerState.Round(time.Second), "waiting_for", change.WaitingFor)
+		for _, state := range zonehealth.States {
+			value := 0.0
+			if state == change.To {
+				value = 1
+			}
+			zoneStateGauge.WithLabelValues(change.Zone, state.String()).Set(value)
+		}
+	}
+	for zone, summary := range assessment.ZoneReturns {
+		c.log.Info("zone is back", "zone", zone, "continued", summary.Continued, "restarted", summary.Restarted,
+			"deleted", summary.Deleted, "added", summary.Added)
+	}
+}
+
+// controllerInZone reports whether a controller stands in a zone and would renew leases there while the zone is cut
+// off.
+func (c *cycle) controllerInZone(zone string) bool {
+	if c.cluster.SchemaVersion < tuning.LevelCertain {
+		return false
+	}
+	inZone := func(sibling config.Sibling) bool { return sibling.Zone == zone }
+	return c.settings.Zone == zone || slices.ContainsFunc(c.settings.Siblings, inZone)
+}
+
+// countReachableZones counts the zones that are not cut off.
+func (c *cycle) countReachableZones() int {
+	reachable := map[string]bool{}
+	for _, machineType := range c.cluster.Catalog.Types {
+		for _, zone := range machineType.Zones {
+			if !c.failureDetector.ZoneUnavailable(zone) {
+				reachable[zone] = true
+			}
+		}
+	}
+	return len(reachable)
+}
+
+// serviceCanMove reports whether a service on a machine in a zone that is cut off could start in another one, of so
+// many that are not.
+func (c *cycle) serviceCanMove(machine *clusterstate.Machine, reachableZones int) bool {
+	if !c.failureDetector.ZoneUnavailable(machine.Zone) || reachableZones == 0 {
+		return false
+	}
+	for _, binding := range machine.Bindings {
+		spec := &binding.Job.Spec
+		if spec.Kind != wire.KindService || spec.Zone != "" {
+			continue
+		}
+		// Spread over two zones, half of the tasks may stand in the one that is left, and as a rule do.
+		if reachableZones > 1 || !spec.Spread || spec.TaskCount == 1 {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/simulation/zoneoutage_test.go
+++ b/internal/simulation/zoneoutage_test.go
@@ -35,7 +35,7 @@
 
 var sessionLogPattern = regexp.MustCompile(`msg="session open" node=(\S+) .*incarnation=(\S+)`)
 
-var zoneLogPattern = regexp.MustCompile(`msg="zone changes" node=(\S+) zone=(\S+) state=(\S+)`)
+var zoneLogPattern = regexp.MustCompile(`msg="zone state changed" node=(\S+) zone=(\S+) state=(\S+)`)
 
 // zoneStates gives the states that each node's last process has told of each zone, in turn.
 func (l *logBuffer) zoneStates() map[string][]string {
--- a/internal/simulation/zonepower_test.go
+++ b/internal/simulation/zonepower_test.go
@@ -25,7 +25,7 @@
 	return otherwise
 }
 
-var deletionLogPattern = regexp.MustCompile(`msg="deleting a machine" node=(\S+) machine=\S+ why="silent for [^,]*, (service|gang|array|holds)`)
+var deletionLogPattern = regexp.MustCompile(`msg="deleting a machine" node=(\S+) machine=\S+ reason="silent for [^,]*, (service|gang|array|holds)`)
 
 // outOfOrderDeletions finds deletions that one node decided in one look, but not in the order of the plan:
 // services, gangs, arrays, nothing.
