--- a/internal/membership/failover.go
+++ b/internal/membership/failover.go
@@ -187,9 +187,7 @@
 		return 0
 	}
 	delay := time.Duration(owned) * tuning.TakeoverStep
-	homeNode, homeIsLive := m.clusterState.Nodes[home]
-	homeLostIt := home == current.Owner && homeNode.Incarnation == current.OwnerIncarnation
-	if homeIsLive && !homeLostIt || !known {
+	if _, homeIsLive := m.clusterState.Nodes[home]; homeIsLive || !known {
 		delay += tuning.HomeGrace
 	}
 	return delay
