--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// exceedsTeamLimit tells whether the tasks that must run at once take more than the team may: one task
+// exceedsTeamLimit reports whether the tasks that must run at once take more than the team may: one task
 // of an array, all tasks of another job.
 func exceedsTeamLimit(spec *wire.JobSpec, team *config.Team) bool {
 	need := record.TaskResources(spec)
@@ -47,7 +47,7 @@
 		team.GPUsMax > 0 && taskCount*need.GPUs > team.GPUsMax+limitTolerance
 }
 
-// fitsAnyType tells whether an empty machine of a type and zone that the job allows holds one task.
+// fitsAnyType reports whether an empty machine of a type and zone that the job allows holds one task.
 func fitsAnyType(spec *wire.JobSpec, types map[string]wire.MachineType) bool {
 	need := record.TaskResources(spec)
 	for name, machineType := range types {
--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -16,12 +16,12 @@
 // cancellation is the change that marks a job as cancelled.
 type cancellation struct {
 	transaction kvstore.Transaction
-	// confirmed: the user may be told as soon as the change is durable.
+	// confirmed: the answer to the user needs only that the change is durable.
 	confirmed bool
 }
 
-// cancelJob cancels a job and gives its final state once that may be told: until no task of it is on a
-// machine the answer is errTasksStopping. A job that is over stays as it is.
+// cancelJob cancels a job and gives its final state once that may be confirmed: until no task of it is
+// on a machine the answer is errTasksStopping. A job that is over stays as it is.
 func (s *Server) cancelJob(ctx context.Context, id string) (wire.JobState, error) {
 	for marked := false; ctx.Err() == nil; {
 		status, err := s.jobStatus(ctx, id)
@@ -57,7 +57,7 @@
 const (
 	nothingToMark         markOutcome = iota // it is not live, or is cancelled or complete already
 	cancellationMarked                       // its tasks are to be released first
-	cancellationConfirmed                    // the user may be told at once
+	cancellationConfirmed                    // it may be confirmed to the user at once
 )
 
 // String names the outcome.
@@ -158,7 +158,7 @@
 	return true
 }
 
-// isReleased tells whether no task of a cancelled job is bound.
+// isReleased reports whether no task of a cancelled job is bound.
 func (s *Server) isReleased(id string) bool {
 	s.clusterState.RLock()
 	defer s.clusterState.RUnlock()
--- a/internal/api/cancel_test.go
+++ b/internal/api/cancel_test.go
@@ -60,13 +60,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			server := runningServer()
 			server.onCommit = func() { server.putJob(cancelledWithTask) }
-			if status, _ := server.cancel(testJobID); status != http.StatusServiceUnavailable || len(server.committed) != 1 {
+			const unavailable = http.StatusServiceUnavailable
+			if status, _ := server.cancel(testJobID); status != unavailable || len(server.committed) != 1 {
 				t.Errorf("a task is on a machine: %d, %d writes", status, len(server.committed))
 			}
 			if _, state := server.poll(testJobID); state != wire.JobRunning {
 				t.Errorf("a task is on a machine: %q", state)
 			}
-			if status, _ := server.cancel(testJobID); status != http.StatusServiceUnavailable || len(server.committed) != 1 {
+			if status, _ := server.cancel(testJobID); status != unavailable || len(server.committed) != 1 {
 				t.Errorf("asked again: %d, %d writes", status, len(server.committed))
 			}
 			server.putJob(cancelled)
@@ -134,7 +135,7 @@
 
 // TestCancellationAtCompletion: the last task of a job with several records ends in a change of a further one,
 // with which a cancellation at that moment does not collide. Such a job is done, for every node and every
-// question, since users may have been told so before it was marked; what depends on it may start. Once it was
+// question, since users may have had that answer before it was marked; what depends on it may start. Once it was
 // called cancelled, and done when the leader had ended it.
 func TestCancellationAtCompletion(t *testing.T) {
 	const whileMarked = "while it is marked"
@@ -166,8 +167,8 @@
 // TestCancellationWithOlderVersions: nodes of an older version confirm cancellations at once. Until all nodes
 // confirm them after release the new ones do as they do, or a poll would call a job running that was called
 // cancelled, as it did on days with an upgrade; the schema version is a condition of such a cancellation.
-// What was confirmed before stays confirmed; of what can't be told from the late change of a process that
-// has ended neither is said.
+// What was confirmed before stays confirmed; of what may be the late change of a process that has ended
+// neither is answered.
 func TestCancellationWithOlderVersions(t *testing.T) {
 	confirmedAtOnce := record.Job{Spec: testSpec(), Tasks: boundTasks(), CancelledAtMs: 5}
 	server := newTestServer()
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -9,7 +9,7 @@
 	"sableusher/internal/wire"
 )
 
-// sameDependencies tells whether two submissions depend on the same jobs, in any order.
+// sameDependencies reports whether two submissions depend on the same jobs, in any order.
 func sameDependencies(a, b []string) bool {
 	return len(a) == len(b) && slices.Equal(slices.Sorted(slices.Values(a)), slices.Sorted(slices.Values(b)))
 }
--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -9,8 +9,8 @@
 	"sableusher/internal/wire"
 )
 
-// Errors of a question about a job. Users are told the text of errNoSuchJob; to the others the answer
-// is errStoreUnavailable.
+// Errors of a question about a job. Users receive the text of errNoSuchJob, and that of
+// errStoreUnavailable for the others.
 var (
 	errNoSuchJob = errors.New("no such job")
 	// errDependencyUndecided: the job is cancelled with one that it depends on, or may be; until its
@@ -36,7 +36,7 @@
 	Reason string
 }
 
-// Error gives the reason, which the user is told.
+// Error gives the reason, which is sent to the user.
 func (e *RejectedError) Error() string { return e.Reason }
 
 // UnavailableError is a request that can't be answered now; the client is asked to repeat it.
@@ -44,7 +44,7 @@
 	Reason string
 }
 
-// Error gives the reason, which the client is told.
+// Error gives the reason, which is sent to the client.
 func (e *UnavailableError) Error() string { return e.Reason }
 
 // Reasons for which a request can't be answered now.
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -29,7 +29,7 @@
 	UpcomingMaxRecordBytes() int
 }
 
-// ReadBarrier tells how recent the cluster state is.
+// ReadBarrier is how recent the cluster state is.
 type ReadBarrier interface {
 	// WaitForReadBarrier returns once the cluster state holds every change made before the call.
 	WaitForReadBarrier(ctx context.Context) error
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -19,7 +19,7 @@
 	if final, ok := s.finalRecords.cached(id); ok {
 		return finalStatus(id, final), nil
 	}
-	// Another node may have told the user more than this cluster state holds: wait for a revision that
+	// Another node may have answered from a newer cluster state than this one: wait for a revision that
 	// was fetched after the request came.
 	if err := s.barrier.WaitForReadBarrier(ctx); err != nil {
 		return wire.JobStatus{}, fmt.Errorf("read barrier: %w", err)
@@ -68,7 +68,7 @@
 	return wire.JobPending
 }
 
-// isCancellationConfirmed tells whether a job is cancelled and may be called so. A cancellation that is
+// isCancellationConfirmed reports whether a job is cancelled and may be called so. A cancellation that is
 // confirmed after release is so once no task is left, never before: nothing that renews a lease behind
 // a partition can then keep one beyond its time. A binding in a further chunk may have been committed
 // just before the cancellation, so the cluster state must be as new as that. Callers hold the lock of the
@@ -80,7 +80,7 @@
 	return !job.CancelAfterRelease || job.FullyReleased() && s.barrier.Revision() >= job.ModRevision
 }
 
-// isCancellationUncertain tells whether a cancellation may be neither confirmed nor denied: a node of a
+// isCancellationUncertain reports whether a cancellation may be neither confirmed nor denied: a node of a
 // version before tuning.LevelCertain may have confirmed it at once, or it may be the late change of one
 // that has ended. That passes with the last task. Callers hold the lock of the cluster state.
 func (s *Server) isCancellationUncertain(job *clusterstate.Job) bool {
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -36,7 +36,7 @@
 	retryLimitsNotSupported bool  // retries were asked for that not all nodes would count
 }
 
-// submitJob accepts a job, or tells the state of the one that has its id. A repeated request is answered
+// submitJob accepts a job, or gives the state of the one that has its id. A repeated request is answered
 // for the job that was accepted, whatever it says now.
 func (s *Server) submitJob(ctx context.Context, request submission) (acceptance, error) {
 	assessed := s.assess(request)
--- a/internal/dependency/resolver_test.go
+++ b/internal/dependency/resolver_test.go
@@ -59,7 +59,7 @@
 	state.Put(record.JobKey(dependentJobID), wire.MustEncode(job), 1)
 }
 
-// waitsStill gives the resolver time, and tells whether the dependent job still waits.
+// waitsStill gives the resolver time, and reports whether the dependent job still waits.
 func waitsStill(state *clusterstate.State) bool {
 	time.Sleep(3 * tuning.OutcomeRetry)
 	state.RLock()
@@ -81,7 +81,7 @@
 		go func() { _ = NewResolver(state, reader, logger).Run(ctx) }()
 		putDependentJob(state)
 		if !waitsStill(state) {
-			t.Error("released though nothing tells of the first")
+			t.Error("released though nothing is known of the first")
 		}
 		reader.set(func() { reader.unavailable = true })
 		if !waitsStill(state) {
--- a/internal/golden/fill_test.go
+++ b/internal/golden/fill_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// isEncoded tells whether a field is part of the encoded form.
+// isEncoded reports whether a field is part of the encoded form.
 func isEncoded(field reflect.StructField) bool {
 	if !field.IsExported() {
 		return false
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -1,5 +1,5 @@
 // Package golden_test holds the bytes of everything that leaves a process: durable records, messages to
-// workers, users, the key-value store, the cloud and other controllers, and the settings that are read.
+// agents, users, the key-value store, the cloud and other controllers, and the settings that are read.
 // It has tests only. A change of one of these bytes breaks nodes of another version, stored data or
 // programs of others; run with -update only for a change that is meant to do so.
 package golden_test
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -14,10 +14,10 @@
 	"sableusher/internal/wire"
 )
 
-// TestWorkerMessages: heartbeats, their answers and commands keep their bytes.
-func TestWorkerMessages(t *testing.T) {
+// TestAgentMessages: heartbeats, their answers and commands keep their bytes.
+func TestAgentMessages(t *testing.T) {
 	notice, grace := 12.5, 0.0
-	checkCBOR(t, "workers.txt", slices.Concat(
+	checkCBOR(t, "agents.txt", slices.Concat(
 		filled[wire.Heartbeat](t, "heartbeat"),
 		filled[wire.TaskStatus](t, "task-status"),
 		filled[wire.HeartbeatResponse](t, "heartbeat-answer"),
--- a/internal/peerrpc/doc.go
+++ b/internal/peerrpc/doc.go
@@ -3,5 +3,5 @@
 //
 // Nothing here is durable and nothing is proof: a lost, late or repeated answer costs time, never safety.
 // What a hint says about an agent counts only if the answering node's cluster state is recent; what cells
-// tell each other is checked against records by package offload.
+// report to each other is checked against records by package offload.
 package peerrpc
--- a/internal/peerrpc/service.go
+++ b/internal/peerrpc/service.go
@@ -16,7 +16,7 @@
 type AgentRegistry interface {
 	// RecentlyHeard gives those of the machines whose agents the node has heard from lately.
 	RecentlyHeard(machines []string) []string
-	// HasFreshState tells whether the node's cluster state is recent.
+	// HasFreshState reports whether the node's cluster state is recent.
 	HasFreshState() bool
 	// MachinesByImage gives the machines that are believed to hold an image, by its name.
 	MachinesByImage() map[string][]string
--- a/internal/retry/errors.go
+++ b/internal/retry/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// LimitError says that a submission asks for more retries than its class allows. Users are told its text.
+// LimitError says that a submission asks for more retries than its class allows. Its text is sent to the user.
 type LimitError struct {
 	Requested int
 	Allowed   int
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -26,7 +26,7 @@
 	return policies
 }
 
-// Enabled tells whether any class limits retries. Where none does, no failure is counted and what a
+// Enabled reports whether any class limits retries. Where none does, no failure is counted and what a
 // submission asks for is not looked at.
 func (p Policies) Enabled() bool { return len(p) > 0 }
 
@@ -62,5 +62,5 @@
 	return longest
 }
 
-// Exhausted tells whether a task with so many failures has no retry left. Without a limit it always has.
+// Exhausted reports whether a task with so many failures has no retry left. Without a limit it always has.
 func Exhausted(limit *int, failures int) bool { return limit != nil && failures >= *limit }
--- a/internal/wire/agent.go
+++ b/internal/wire/agent.go
@@ -72,7 +72,7 @@
 	CheckpointSaved bool      `cbor:"saved,omitempty"` // a stopped task has saved its progress
 }
 
-// Command tells an agent what to do with one attempt of a task.
+// Command instructs an agent what to do with one attempt of a task.
 type Command struct {
 	Kind         CommandKind `cbor:"order"`
 	Task         string      `cbor:"haul"`
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -101,7 +101,7 @@
 	return len(canonical)
 }
 
-// EqualValues tells whether two encoded values are the same value. Their bytes may differ, as the
+// EqualValues reports whether two encoded values are the same value. Their bytes may differ, as the
 // key-value store keeps values and not bytes.
 func EqualValues(a, b []byte) bool {
 	if bytes.Equal(a, b) {
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -39,7 +39,7 @@
 	}
 	w.Header().Set("Content-Type", ContentType)
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // the client may be gone; nobody else could be told
+	_, _ = w.Write(body) // the client may be gone: there is nobody to report an error to
 }
 
 // NewTransport makes the transport of requests to one kind of counterpart. dialTimeout bounds
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -19,8 +19,8 @@
 
 var jobIDPattern = regexp.MustCompile(`^run-[0-9]{1,20}$`)
 
-// submission is a job as its user sends it. Every field is a pointer, to tell a missing field from
-// zero. Errors of the codec, which users are told, name this type and the types of its fields.
+// submission is a job as its user sends it. Every field is a pointer, to distinguish a missing field
+// from zero. Errors of the codec, which users receive, name this type and the types of its fields.
 type submission struct {
 	ID           *string   `cbor:"id"`
 	Class        *string   `cbor:"lot"`
@@ -52,7 +52,7 @@
 	DeadlineSeconds           *float64 `cbor:"cutoff_s"`
 }
 
-// IsValidJobID tells whether id has the form of job ids.
+// IsValidJobID reports whether id has the form of job ids.
 func IsValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
 // DecodeSubmission reads a submission strictly: every fault of form is an error, fields that are
--- a/internal/wire/submission_test.go
+++ b/internal/wire/submission_test.go
@@ -66,7 +66,7 @@
 	return values
 }
 
-// isValidName tells whether a value is valid in a field that takes any short name.
+// isValidName reports whether a value is valid in a field that takes any short name.
 func isValidName(field string, value any) bool {
 	takesAnyName := slices.Contains([]string{"lot", "crew", "tackle", "harbor"}, field)
 	name, ok := value.(string)
--- a/internal/wire/user.go
+++ b/internal/wire/user.go
@@ -59,7 +59,7 @@
 // String gives the state as the protocol names it.
 func (s JobState) String() string { return string(s) }
 
-// IsFinal tells whether a job in this state never leaves it.
+// IsFinal reports whether a job in this state never leaves it.
 func (s JobState) IsFinal() bool {
 	return s == JobDone || s == JobCancelled || s == JobFailed
 }
