--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -143,18 +143,18 @@
 	return a.committer.Commit(ctx, transaction)
 }
 
-// purpose says in the log what a transaction is for.
-type purpose string
+// transactionPurpose says in the log what a transaction is for.
+type transactionPurpose string
 
 const (
-	deleteRentalRecord purpose = "delete rental record"
-	drainMachine       purpose = "drain machine"
-	recordMachine      purpose = "record machine"
+	deleteRentalRecord transactionPurpose = "delete rental record"
+	drainMachine       transactionPurpose = "drain machine"
+	recordMachine      transactionPurpose = "record machine"
 )
 
 // commitAll makes independent transactions at once, so that the committer groups them, and waits
 // for them. One that fails is decided anew by the next resize.
-func (a *Autoscaler) commitAll(ctx context.Context, transactions []kvstore.Transaction, purpose purpose) {
+func (a *Autoscaler) commitAll(ctx context.Context, transactions []kvstore.Transaction, purpose transactionPurpose) {
 	var group sync.WaitGroup
 	for _, transaction := range transactions {
 		group.Go(func() {
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -4,7 +4,6 @@
 	"math"
 	"time"
 
-	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 	"sableusher/internal/wire"
 )
@@ -84,44 +83,6 @@
 	return longest
 }
 
-// zoneReserve returns the capacity to keep free in each zone for the loss of another, in machines:
-// so much that the configured share of what the zone with the most services holds of them fits in
-// the other zones together. While a zone is unavailable nothing is kept: the reserve is there to be
-// used. Callers hold the state's lock.
-func (a *Autoscaler) zoneReserve() map[string]float64 {
-	reserve := map[string]float64{}
-	if a.operator.ZoneReserve == 0 || len(a.unavailableZones) > 0 {
-		return reserve
-	}
-	largest := a.largestServiceShare()
-	for _, machineType := range a.state.Catalog.Types {
-		for _, zone := range machineType.Zones {
-			reserve[zone] = largest * a.operator.ZoneReserve
-		}
-	}
-	for zone := range reserve {
-		reserve[zone] /= float64(max(len(reserve)-1, 1))
-	}
-	return reserve
-}
-
-// largestServiceShare returns what services that may run in any zone take in the zone with the most
-// of them, in machines.
-func (a *Autoscaler) largestServiceShare() float64 {
-	byZone, largest := map[string]float64{}, 0.0
-	for _, machine := range a.state.Machines {
-		for _, binding := range machine.Bindings {
-			spec := &binding.Job.Spec
-			if spec.Kind != wire.KindService || spec.Zone != "" {
-				continue
-			}
-			byZone[machine.Zone] += a.machineEquivalents(spec) / float64(spec.TaskCount)
-			largest = max(largest, byZone[machine.Zone])
-		}
-	}
-	return largest
-}
-
 // fitsBesideGPUWork reports whether a job uses no GPU though all machines have them: as a rule it
 // fits beside other work, and no machine is kept for it.
 func (a *Autoscaler) fitsBesideGPUWork(spec *wire.JobSpec) bool {
@@ -132,32 +93,3 @@
 	}
 	return spec.GPUs == 0
 }
-
-// machineEquivalents returns what a job takes, in machines of the type of which it takes least.
-func (a *Autoscaler) machineEquivalents(spec *wire.JobSpec) float64 {
-	need := record.TaskResources(spec)
-	perTask := math.Inf(1)
-	for _, machineType := range a.state.Catalog.Types {
-		perTask = min(perTask, machineFraction(need, record.Capacity(&machineType)))
-	}
-	if math.IsInf(perTask, 1) {
-		return 0
-	}
-	return perTask * float64(spec.TaskCount)
-}
-
-// machineFraction returns the fraction of a machine that a need takes, by the resource of which it
-// takes most.
-func machineFraction(need, capacity record.Resources) float64 {
-	fraction := 0.0
-	for _, resource := range [...]struct{ need, capacity float64 }{
-		{need.CPUs, capacity.CPUs},
-		{need.GPUs, capacity.GPUs},
-		{need.MemoryGB, capacity.MemoryGB},
-	} {
-		if resource.capacity > 0 {
-			fraction = max(fraction, resource.need/resource.capacity)
-		}
-	}
-	return fraction
-}
--- /dev/null
+++ b/internal/autoscaler/zonereserve.go
@@ -0,0 +1,41 @@
+package autoscaler
+
+import "sableusher/internal/wire"
+
+// zoneReserve returns the capacity to keep free in each zone for the loss of another, in machines:
+// so much that the configured share of what the zone with the most services holds of them fits in
+// the other zones together. While a zone is unavailable nothing is kept: the reserve is there to be
+// used. Callers hold the state's lock.
+func (a *Autoscaler) zoneReserve() map[string]float64 {
+	reserve := map[string]float64{}
+	if a.operator.ZoneReserve == 0 || len(a.unavailableZones) > 0 {
+		return reserve
+	}
+	largest := a.largestServiceShare()
+	for _, machineType := range a.state.Catalog.Types {
+		for _, zone := range machineType.Zones {
+			reserve[zone] = largest * a.operator.ZoneReserve
+		}
+	}
+	for zone := range reserve {
+		reserve[zone] /= float64(max(len(reserve)-1, 1))
+	}
+	return reserve
+}
+
+// largestServiceShare returns what services that may run in any zone take in the zone with the most
+// of them, in machines.
+func (a *Autoscaler) largestServiceShare() float64 {
+	byZone, largest := map[string]float64{}, 0.0
+	for _, machine := range a.state.Machines {
+		for _, binding := range machine.Bindings {
+			spec := &binding.Job.Spec
+			if spec.Kind != wire.KindService || spec.Zone != "" {
+				continue
+			}
+			byZone[machine.Zone] += a.machineEquivalents(spec) / float64(spec.TaskCount)
+			largest = max(largest, byZone[machine.Zone])
+		}
+	}
+	return largest
+}
