--- a/internal/federation/member_test.go
+++ b/internal/federation/membership_test.go
@@ -21,7 +21,7 @@
 func TestMember(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := Member{Name: "b"}
-		h := Heard{Named: true, Epoch: 1}
+		h := Observation{Configured: true, Epoch: 1}
 		now, silent, fenced := start, true, uint64(0)
 		quiet, well, turns := time.Duration(0), time.Duration(0), 0
 		for range rapid.IntRange(1, 60).Draw(t, "spells") {
@@ -30,48 +30,48 @@
 				silent = !silent
 			case 3:
 				h.Epoch++
-				h.Settled = false
+				h.InventoryExchanged = false
 			case 4:
 				h.Draining = !h.Draining
 			case 5:
-				h.Named = rapid.IntRange(0, 3).Draw(t, "named") > 0
+				h.Configured = rapid.IntRange(0, 3).Draw(t, "named") > 0
 			case 6:
 				if f, err := m.Forget(m.Epoch, now); err == nil {
 					m, fenced = f, m.Epoch
-				} else if m.Standing == Lost {
+				} else if m.Standing == StandingLost {
 					t.Fatalf("can't be forgotten: %v", err)
 				}
 			case 7:
-				h.Settled = true
+				h.InventoryExchanged = true
 			}
 			for range rapid.IntRange(1, 90).Draw(t, "seconds") {
 				now = now.Add(time.Second)
 				if !silent {
-					h.At = now
+					h.LastHeard = now
 				}
 				was := m
 				m = m.Step(now, h)
-				if m.Takes() != was.Takes() {
+				if m.AcceptsOffers() != was.AcceptsOffers() {
 					turns++
 				}
 				quiet, well = quiet+time.Second, well+time.Second
-				if !silent || !h.Named {
+				if !silent || !h.Configured {
 					quiet = 0
 				}
-				if silent || !h.Named || !h.Settled || h.Draining || h.Epoch <= fenced {
+				if silent || !h.Configured || !h.InventoryExchanged || h.Draining || h.Epoch <= fenced {
 					well = 0
 				}
-				if m.Takes() && (now.Sub(h.At) >= tuning.CellDoubt || !h.Named || m.Epoch <= fenced || !m.Settled || m.Epoch != h.Epoch) {
+				if m.AcceptsOffers() && (now.Sub(h.LastHeard) >= tuning.CellDoubt || !h.Configured || m.Epoch <= fenced || !m.InventoryExchanged || m.Epoch != h.Epoch) {
 					t.Fatalf("work is offered to %+v, of which is known %+v", m, h)
 				}
-				if quiet > tuning.CellLost+2*time.Second && m.Standing != Lost && m.Standing != Unknown && m.Standing != Left {
+				if quiet > tuning.CellLost+2*time.Second && m.Standing != StandingLost && m.Standing != StandingUnknown && m.Standing != StandingRemoved {
 					t.Fatalf("silent for %v and %v", quiet, m.Standing)
 				}
-				if well > tuning.CellProbation<<tuning.ProbationReturns+2*time.Second && !m.Takes() {
-					t.Fatalf("well for %v and %v, waits for %s", well, m.Standing, m.Waits(now))
+				if well > tuning.CellProbation<<tuning.ProbationReturns+2*time.Second && !m.AcceptsOffers() {
+					t.Fatalf("well for %v and %v, waits for %s", well, m.Standing, m.WaitingFor(now))
 				}
-				if (m.Waits(now) == "") != m.Takes() {
-					t.Fatalf("%v waits for %q", m.Standing, m.Waits(now))
+				if (m.WaitingFor(now) == "") != m.AcceptsOffers() {
+					t.Fatalf("%v waits for %q", m.Standing, m.WaitingFor(now))
 				}
 			}
 		}
@@ -104,7 +104,7 @@
 	if free := h.slots - h.busy; free <= 0 {
 		wait = float64(run) * (0.5 + float64(len(h.queue))/float64(h.slots))
 	}
-	return Digest{At: at, Rooms: []Room{{Free: record.Resources{GPUs: 1}, Count: max(h.slots-h.busy, 0)}}, Waits: []float64{wait, wait, wait}, Guests: 1 << 20}
+	return Digest{ReceivedAt: at, FreeCapacities: []FreeCapacity{{Free: record.Resources{GPUs: 1}, Count: max(h.slots-h.busy, 0)}}, WaitSecondsByRank: []float64{wait, wait, wait}, RemainingTasks: 1 << 20}
 }
 
 // play lets tasks arrive in three cells for some minutes, of which the first has four times its
@@ -158,14 +158,14 @@
 // byDigest is the choice as it is made, on digests of up to three seconds.
 func byDigest(from int, now time.Time, told []Digest, flight []int, real []*host) int {
 	here := real[from].digest(now, 30)
-	w := &Work{ID: "run-1", Need: record.Resources{GPUs: 1}, Tasks: 1, HereS: here.Waits[0]}
-	var list []Candidate
+	w := &OffloadCandidate{JobID: "run-1", TaskResources: record.Resources{GPUs: 1}, TaskCount: 1, LocalWaitSeconds: here.WaitSecondsByRank[0]}
+	var list []TargetCell
 	for i := range told {
 		if i != from {
-			list = append(list, Candidate{Name: fmt.Sprint(i), Digest: told[i], TransferS: 1, Flight: flight[i]})
+			list = append(list, TargetCell{Name: fmt.Sprint(i), Digest: told[i], TransferSeconds: 1, TasksInFlight: flight[i]})
 		}
 	}
-	to, ok := Choose(now, w, list, rand.New(rand.NewPCG(uint64(now.Unix()), uint64(flight[0]+flight[1]+flight[2]))))
+	to, ok := ChooseCell(now, w, list, rand.New(rand.NewPCG(uint64(now.Unix()), uint64(flight[0]+flight[1]+flight[2]))))
 	if !ok {
 		return from
 	}
@@ -200,52 +200,52 @@
 // nothing that would not gain by the margin.
 func TestChoose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var list []Candidate
+		var list []TargetCell
 		for i := range rapid.IntRange(0, 4).Draw(t, "cells") {
-			d := Digest{At: start.Add(-time.Duration(rapid.IntRange(0, 12).Draw(t, "age")) * time.Second), FetchS: 1, BootS: 20, Guests: rapid.IntRange(0, 60).Draw(t, "guests")}
+			d := Digest{ReceivedAt: start.Add(-time.Duration(rapid.IntRange(0, 12).Draw(t, "age")) * time.Second), FetchSecondsPerGB: 1, BootSeconds: 20, RemainingTasks: rapid.IntRange(0, 60).Draw(t, "guests")}
 			for range rapid.IntRange(0, 4).Draw(t, "rooms") {
-				d.Rooms = append(d.Rooms, Room{Zone: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
+				d.FreeCapacities = append(d.FreeCapacities, FreeCapacity{Zone: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "zone"), Spot: rapid.Bool().Draw(t, "spot"),
 					Free: record.Resources{CPUs: 32, GPUs: float64(rapid.IntRange(0, 4).Draw(t, "free"))}, Count: rapid.IntRange(1, 20).Draw(t, "count")})
 			}
 			if w := rapid.IntRange(-1, 100).Draw(t, "wait"); w >= 0 {
-				d.Waits = []float64{float64(w), float64(w), float64(w)}
+				d.WaitSecondsByRank = []float64{float64(w), float64(w), float64(w)}
 			}
-			list = append(list, Candidate{Name: fmt.Sprint(i), Digest: d, TransferS: rapid.Float64Range(0, 5).Draw(t, "transfer"), Flight: rapid.IntRange(0, 30).Draw(t, "flight")})
+			list = append(list, TargetCell{Name: fmt.Sprint(i), Digest: d, TransferSeconds: rapid.Float64Range(0, 5).Draw(t, "transfer"), TasksInFlight: rapid.IntRange(0, 30).Draw(t, "flight")})
 		}
-		w := &Work{ID: "run-1", Need: record.Resources{CPUs: 4, GPUs: 1}, Tasks: rapid.IntRange(1, 30).Draw(t, "tasks"),
-			OneZone: rapid.Bool().Draw(t, "one zone"), Spot: rapid.Bool().Draw(t, "may spot"), Rank: 1, ImageGB: 4, HereS: rapid.Float64Range(0, 200).Draw(t, "here"),
-			Guest: rapid.IntRange(0, 5).Draw(t, "guest") == 0}
-		to, ok := Choose(start, w, list, rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed"))))
+		w := &OffloadCandidate{JobID: "run-1", TaskResources: record.Resources{CPUs: 4, GPUs: 1}, TaskCount: rapid.IntRange(1, 30).Draw(t, "tasks"),
+			SameZone: rapid.Bool().Draw(t, "one zone"), AllowSpot: rapid.Bool().Draw(t, "may spot"), PriorityRank: 1, ImageSizeGB: 4, LocalWaitSeconds: rapid.Float64Range(0, 200).Draw(t, "here"),
+			OffloadedHere: rapid.IntRange(0, 5).Draw(t, "guest") == 0}
+		to, ok := ChooseCell(start, w, list, rand.New(rand.NewPCG(1, rapid.Uint64().Draw(t, "seed"))))
 		if !ok {
 			return
 		}
 		c := list[to[0]-'0']
 		zones := map[string]int{}
-		for _, r := range c.Digest.Rooms {
-			if w.Spot || !r.Spot {
+		for _, r := range c.Digest.FreeCapacities {
+			if w.AllowSpot || !r.Spot {
 				zones[r.Zone] += r.Count * int(r.Free.GPUs)
 			}
 		}
 		room := zones["x"] + zones["y"]
-		if w.OneZone {
+		if w.SameZone {
 			room = max(zones["x"], zones["y"])
 		}
 		wait := 0.0
-		if room-c.Flight < w.Tasks {
-			if len(c.Digest.Waits) == 0 {
-				t.Fatalf("%d tasks go where %d have room, %d on their way", w.Tasks, room, c.Flight)
+		if room-c.TasksInFlight < w.TaskCount {
+			if len(c.Digest.WaitSecondsByRank) == 0 {
+				t.Fatalf("%d tasks go where %d have room, %d on their way", w.TaskCount, room, c.TasksInFlight)
 			}
-			wait = c.Digest.Waits[1] + c.Digest.BootS
+			wait = c.Digest.WaitSecondsByRank[1] + c.Digest.BootSeconds
 		}
 		switch {
-		case w.Guest:
+		case w.OffloadedHere:
 			t.Fatal("a guest goes on")
-		case start.Sub(c.Digest.At) > tuning.DigestLife:
-			t.Fatalf("chosen by a word of %v ago", start.Sub(c.Digest.At))
-		case c.Flight+w.Tasks > c.Digest.Guests:
-			t.Fatalf("%d guests where %d are taken", c.Flight+w.Tasks, c.Digest.Guests)
-		case c.TransferS+4+wait+tuning.SpillLeast.Seconds() > w.HereS:
-			t.Fatalf("goes for %.1f s, here it waits %.1f s", c.TransferS+4+wait, w.HereS)
+		case start.Sub(c.Digest.ReceivedAt) > tuning.DigestLife:
+			t.Fatalf("chosen by a word of %v ago", start.Sub(c.Digest.ReceivedAt))
+		case c.TasksInFlight+w.TaskCount > c.Digest.RemainingTasks:
+			t.Fatalf("%d guests where %d are taken", c.TasksInFlight+w.TaskCount, c.Digest.RemainingTasks)
+		case c.TransferSeconds+4+wait+tuning.SpillLeast.Seconds() > w.LocalWaitSeconds:
+			t.Fatalf("goes for %.1f s, here it waits %.1f s", c.TransferSeconds+4+wait, w.LocalWaitSeconds)
 		}
 	})
 }
--- a/internal/federation/handover_test.go
+++ b/internal/federation/transfer_test.go
@@ -26,12 +26,12 @@
 
 // side is one cell in the model: what its state service holds of the job, and what runs.
 type side struct {
-	line    Line
+	line    EpochPair
 	clean   bool // nothing of an earlier epoch runs any more
 	settled bool // home: it has the host's inventory of this epoch
-	home    Home
+	home    HomeTransfer
 	next    uint64 // numbers used
-	guests  Guests
+	guests  HostTransfers
 	on      [tasks]bool
 	done    [tasks]bool // as its records have it, while the right is there
 }
@@ -41,10 +41,10 @@
 	env    Envelope
 	toHost bool
 	kind   string // ask, word, have, list?, list
-	ask    Ask
-	word   Word
+	ask    TransferRequest
+	word   TransferStatus
 	list   string // an inventory as it is told apart by the model's set of messages
-	guests Guests
+	guests HostTransfers
 }
 
 func (m message) key() string {
@@ -79,7 +79,7 @@
 
 func (w model) copy() model {
 	w.sent = maps.Clone(w.sent)
-	w.cells[1].guests.List = slices.Clone(w.cells[1].guests.List)
+	w.cells[1].guests.Transfers = slices.Clone(w.cells[1].guests.Transfers)
 	return w
 }
 
@@ -104,21 +104,21 @@
 	}
 	home, host := &w.cells[0], &w.cells[1]
 	free := func(s *side) bool { return s.clean && s.on == none }
-	homeMay := home.clean && (home.settled || bad == "home starts before it has the inventory") && home.home.State == Here
+	homeMay := home.clean && (home.settled || bad == "home starts before it has the inventory") && home.home.State == HomeOwned
 
 	// Home's leader.
 	if homeMay && free(home) && w.gives > 0 {
-		if h, ok := home.home.Give(home.next + 1); ok {
+		if h, ok := home.home.Offload(home.next + 1); ok {
 			add("give", func(n *model) { n.cells[0].home, n.gives = h, n.gives-1; n.cells[0].next++ })
 		}
 	}
-	if a, ok := home.home.Ask(); ok && home.settled {
+	if a, ok := home.home.Request(); ok && home.settled {
 		add("ask", func(n *model) { send(n, message{toHost: true, kind: "ask", ask: a}) })
 		if !home.home.Recalled && !w.quiet {
 			add("recall", func(n *model) { n.cells[0].home.Recalled = true })
 		}
 		if bad == "home takes back what it hears nothing of" {
-			add("take back", func(n *model) { n.cells[0].home.State = Here })
+			add("take back", func(n *model) { n.cells[0].home.State = HomeOwned })
 		}
 	}
 	if !w.asked && !w.quiet {
@@ -127,23 +127,27 @@
 	if !home.settled && home.clean {
 		add("ask for the inventory", func(n *model) { send(n, message{toHost: true, kind: "list?"}) })
 	}
-	if w.told == None {
+	if w.told == ResultNone {
 		switch h := home.home; {
-		case h.State == Ended:
+		case h.State == HomeEnded:
 			add("tell", func(n *model) {
 				n.told = h.Result
-				if h.Result == Done && n.ran != all || h.Result == Cancelled && (home.on != none || host.on != none) {
+				if h.Result == ResultDone && n.ran != all || h.Result == ResultCancelled && (home.on != none || host.on != none) {
 					n.broken = "told " + fmt.Sprint(h.Result) + " too soon"
 				}
 			})
 		case homeMay && free(home) && home.done == all:
-			add("end here", func(n *model) { n.cells[0].home.State, n.cells[0].home.Result, n.told = Ended, Done, Done })
+			add("end here", func(n *model) {
+				n.cells[0].home.State, n.cells[0].home.Result, n.told = HomeEnded, ResultDone, ResultDone
+			})
 		case homeMay && free(home) && h.Cancelled:
-			add("end here cancelled", func(n *model) { n.cells[0].home.State, n.cells[0].home.Result, n.told = Ended, Cancelled, Cancelled })
+			add("end here cancelled", func(n *model) {
+				n.cells[0].home.State, n.cells[0].home.Result, n.told = HomeEnded, ResultCancelled, ResultCancelled
+			})
 		}
 	}
 	// The host's.
-	for _, x := range host.guests.List {
+	for _, x := range host.guests.Transfers {
 		bound := 0
 		for _, on := range host.on {
 			if on {
@@ -160,22 +164,22 @@
 			add(fmt.Sprint("release ", x.Number), func(n *model) { n.cells[1].guests = g; n.cells[1].done = none })
 		}
 		if host.done == all {
-			if g, ok := host.guests.End(x.Number, Done, bound); ok {
+			if g, ok := host.guests.Complete(x.Number, ResultDone, bound); ok {
 				add(fmt.Sprint("done ", x.Number), func(n *model) { n.cells[1].guests = g; n.cells[1].done = none })
 			}
 		} else if x.Cancelled {
-			if g, ok := host.guests.End(x.Number, Cancelled, bound); ok {
+			if g, ok := host.guests.Complete(x.Number, ResultCancelled, bound); ok {
 				add(fmt.Sprint("cancelled ", x.Number), func(n *model) { n.cells[1].guests = g; n.cells[1].done = none })
 			}
 		}
-		if x.Status == Over {
-			add(fmt.Sprint("word ", x.Number), func(n *model) { send(n, message{kind: "word", word: host.guests.Word(x.Number)}) })
+		if x.Status == HostEnded {
+			add(fmt.Sprint("word ", x.Number), func(n *model) { send(n, message{kind: "word", word: host.guests.Status(x.Number)}) })
 		}
 	}
 	// Tasks start where the right is, run, and end.
 	guest := uint64(0)
-	for _, x := range host.guests.List {
-		if host.guests.Startable(x.Number, host.line.Own) || bad == "a restored host goes on with its guests" && x.Status == Held && !x.Cancelled {
+	for _, x := range host.guests.Transfers {
+		if host.guests.CanStart(x.Number, host.line.Own) || bad == "a restored host goes on with its guests" && x.Status == HostHolds && !x.Cancelled {
 			guest = x.Number
 		}
 	}
@@ -193,7 +197,7 @@
 					if n.cells[1-c].on[i] {
 						n.broken = "ran_twice"
 					}
-					if n.told != None && !n.forgot {
+					if n.told != ResultNone && !n.forgot {
 						n.broken = "ran after it was told"
 					}
 				})
@@ -210,14 +214,14 @@
 				n.kept[c], n.lost[c], n.forgot = nil, n.lost[c]-1, n.forgot || c == 0
 				s := &n.cells[c]
 				s.line.Own, s.on, s.clean, s.settled = own, on, false, c == 1
-				s.guests.List = slices.Clone(s.guests.List)
+				s.guests.Transfers = slices.Clone(s.guests.Transfers)
 			})
 		}
 		if s := &w.cells[c]; !s.clean && (s.on == none || bad == "a restored cell counts as clean at once") {
 			add(fmt.Sprint("clean ", c), func(n *model) {
 				s := &n.cells[c]
 				s.clean, s.done = true, none
-				s.guests = s.guests.Clean(s.line.Own)
+				s.guests = s.guests.DropEarlierEpochs(s.line.Own)
 				// The machines are gone, and what was done is done again.
 			})
 		} else if !s.clean {
@@ -231,7 +235,7 @@
 		if m.toHost {
 			to = 1
 		}
-		line, ok := w.cells[to].line.Takes(m.env)
+		line, ok := w.cells[to].line.Accept(m.env)
 		if bad == "messages of earlier epochs count" {
 			ok = true
 		}
@@ -250,22 +254,22 @@
 					return
 				}
 				if bad == "numbers fence nothing" {
-					s.guests.High = 0
+					s.guests.HighestNumber = 0
 				}
-				var word Word
-				s.guests, word = s.guests.Hear(m.ask, s.line.Own, true)
+				var word TransferStatus
+				s.guests, word = s.guests.ApplyRequest(m.ask, s.line.Own, true)
 				send(n, message{kind: "word", word: word})
 			case "word":
 				if !s.settled && bad != "home starts before it has the inventory" {
 					return
 				}
-				if s.home.Has(m.word) || bad == "home takes no word" {
+				if s.home.ReleasesHost(m.word) || bad == "home takes no word" {
 					send(n, message{toHost: true, kind: "have", word: m.word})
 					return
 				}
-				s.home = s.home.Hear(m.word)
+				s.home = s.home.ApplyStatus(m.word)
 			case "have":
-				s.guests = s.guests.Drop(m.word.Number)
+				s.guests = s.guests.Forget(m.word.Number)
 			case "list?":
 				if s.clean {
 					send(n, message{kind: "list", guests: s.guests, list: fmt.Sprint(s.guests)})
@@ -273,8 +277,8 @@
 			case "list":
 				if !s.settled && s.clean {
 					s.settled = true
-					s.next = max(s.next, m.guests.High)
-					s.home = s.home.Settle(m.guests.List)
+					s.next = max(s.next, m.guests.HighestNumber)
+					s.home = s.home.Reconcile(m.guests.Transfers)
 				}
 			}
 		})
@@ -285,7 +289,7 @@
 func first(lost [2]int, gives int) model {
 	w := model{lost: lost, gives: gives, sent: map[string]message{}}
 	for c := range w.cells {
-		w.cells[c].line, w.cells[c].clean, w.cells[c].settled = Line{1, 1}, true, true
+		w.cells[c].line, w.cells[c].clean, w.cells[c].settled = EpochPair{1, 1}, true, true
 	}
 	return w
 }
@@ -336,7 +340,7 @@
 		for _, j := range next[i] {
 			before[j] = append(before[j], i)
 		}
-		if w.told != None {
+		if w.told != ResultNone {
 			good[i] = true
 			queue = append(queue, i)
 		}
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -126,7 +126,7 @@
 		filled[offload.Word](t, "answer"),
 		filled[offload.Inventory](t, "inventory"),
 		filled[federation.Digest](t, "digest"),
-		filled[federation.Room](t, "free-machines"),
+		filled[federation.FreeCapacity](t, "free-machines"),
 		[]message{
 			{"message/question", offload.Message{
 				Cell: "a", From: 1, To: 2,
@@ -135,7 +135,7 @@
 			}},
 			{"message/answer", offload.Message{
 				Cell: "b", From: 2, To: 1,
-				Words: []offload.Word{{Number: 3, Status: int(federation.Over), Final: wire.JobDone, Done: 2}},
+				Words: []offload.Word{{Number: 3, Status: int(federation.HostEnded), Final: wire.JobDone, Done: 2}},
 			}},
 		},
 	))
--- a/internal/offload/home.go
+++ b/internal/offload/home.go
@@ -22,10 +22,10 @@
 // words lead to.
 
 // home is a job as the machine sees it.
-func home(j *clusterstate.Job) federation.Home {
-	h := federation.Home{Cancelled: j.Cancelled()}
+func home(j *clusterstate.Job) federation.HomeTransfer {
+	h := federation.HomeTransfer{Cancelled: j.Cancelled()}
 	if j.OffloadedTo != nil {
-		h.State, h.Number, h.Recalled = federation.Away, j.OffloadedTo.Number, j.OffloadedTo.Recalled
+		h.State, h.Number, h.Recalled = federation.HomeOffloaded, j.OffloadedTo.Number, j.OffloadedTo.Recalled
 	}
 	return h
 }
@@ -40,8 +40,8 @@
 	s.mu.Unlock()
 	s.world.RLock()
 	rec := s.record(c.Name)
-	line := federation.Line{Own: s.op.CellEpoch, Other: rec.PeerEpoch}
-	m := Message{Cell: s.op.CellName, From: line.Own, To: line.Other, Draining: s.op.CellDrain, Have: have, Want: !s.settled(rec)}
+	line := federation.EpochPair{Own: s.op.CellEpoch, Peer: rec.PeerEpoch}
+	m := Message{Cell: s.op.CellName, From: line.Own, To: line.Peer, Draining: s.op.CellDrain, Have: have, Want: !s.settled(rec)}
 	if s.settled(rec) {
 		jobs := s.away(c.Name)
 		for _, n := range s.turns(h, jobs) {
@@ -98,8 +98,8 @@
 
 // take takes an answer in: words first, so that a record that says settled follows what it rests
 // on.
-func (s *Spill) take(ctx context.Context, name string, line federation.Line, m Message, sent []uint64) error {
-	line, counts := line.Takes(federation.Envelope{From: m.From, To: m.To})
+func (s *Spill) take(ctx context.Context, name string, line federation.EpochPair, m Message, sent []uint64) error {
+	line, counts := line.Accept(federation.Envelope{From: m.From, To: m.To})
 	s.world.RLock()
 	counts = counts && m.From > s.record(name).FencedEpoch
 	s.world.RUnlock()
@@ -110,13 +110,13 @@
 	h.have = slices.DeleteFunc(h.have, func(n uint64) bool { return slices.Contains(sent, n) })
 	if counts && m.Digest != nil {
 		h.digest = *m.Digest
-		h.digest.At = now
+		h.digest.ReceivedAt = now
 	}
 	s.mu.Unlock()
 	done := counts
 	if counts {
 		for _, w := range m.Words {
-			if federation.Status(w.Status) == federation.Held {
+			if federation.HostStatus(w.Status) == federation.HostHolds {
 				s.mu.Lock()
 				h.held[w.Number] = true
 				s.mu.Unlock()
@@ -137,7 +137,7 @@
 }
 
 // stand brings the record of another cell up to date.
-func (s *Spill) stand(ctx context.Context, name string, line federation.Line, settled bool, list *Inventory) error {
+func (s *Spill) stand(ctx context.Context, name string, line federation.EpochPair, settled bool, list *Inventory) error {
 	s.mu.Lock()
 	h := *s.heard[name]
 	s.mu.Unlock()
@@ -149,16 +149,16 @@
 		return ErrNotLeader
 	}
 	next := s.under(rec)
-	m := member(name, next).Step(time.Now(), federation.Heard{Named: true, At: h.at, Epoch: h.epoch, Draining: h.draining, Settled: settled})
+	m := member(name, next).Step(time.Now(), federation.Observation{Configured: true, LastHeard: h.at, Epoch: h.epoch, Draining: h.draining, InventoryExchanged: settled})
 	if m.Standing != federation.Standing(rec.Standing) {
-		s.log.Info("cell changes", "cell", name, "standing", m.Standing, "before", federation.Standing(rec.Standing), "epoch", m.Epoch, "waits for", m.Waits(time.Now()))
+		s.log.Info("cell changes", "cell", name, "standing", m.Standing, "before", federation.Standing(rec.Standing), "epoch", m.Epoch, "waits for", m.WaitingFor(time.Now()))
 		next.StandingSinceMs = m.Since.UnixMilli()
-		for _, s := range federation.Standings {
+		for _, s := range federation.AllStandings {
 			standing.WithLabelValues(name, s.String()).Set(map[bool]float64{true: 1}[s == m.Standing])
 		}
 	}
-	next.Standing, next.ReturnCount, next.InventoryReceived = int(m.Standing), m.Returns, m.Settled
-	next.PeerEpoch = max(next.PeerEpoch, m.Epoch, line.Other)
+	next.Standing, next.ReturnCount, next.InventoryReceived = int(m.Standing), m.Returns, m.InventoryExchanged
+	next.PeerEpoch = max(next.PeerEpoch, m.Epoch, line.Peer)
 	if list != nil && settled {
 		next.LastSentTransfer = max(next.LastSentTransfer, list.High)
 	}
@@ -177,7 +177,7 @@
 	if j == nil {
 		s.world.RUnlock()
 		// It is ended or here again; a cell that does not know yet what is away says nothing.
-		if federation.Status(w.Status) == federation.Over && s.settled(rec) {
+		if federation.HostStatus(w.Status) == federation.HostEnded && s.settled(rec) {
 			s.mu.Lock()
 			if h := s.heard[name]; !slices.Contains(h.have, w.Number) && len(h.have) < tuning.CellAsks {
 				h.have = append(h.have, w.Number)
@@ -186,17 +186,17 @@
 		}
 		return nil
 	}
-	result := federation.Done
+	result := federation.ResultDone
 	if w.Final != wire.JobDone {
-		result = federation.Cancelled
+		result = federation.ResultCancelled
 	}
-	after := home(j).Hear(federation.Word{Number: w.Number, Status: federation.Status(w.Status), Result: result})
+	after := home(j).ApplyStatus(federation.TransferStatus{Number: w.Number, Status: federation.HostStatus(w.Status), Result: result})
 	var ops []wire.Op
 	switch {
-	case after.State == federation.Here:
+	case after.State == federation.HomeOwned:
 		g, op := rewrite(j, func(r *record.Job) { r.OffloadedTo = nil })
 		guards, ops = append(guards, g), append(ops, op)
-	case after.State == federation.Ended:
+	case after.State == federation.HomeEnded:
 		status, done := w.Final, w.Done
 		if status == "" {
 			status = j.CancelledStatus() // refused or sent home after its user had cancelled it
@@ -212,7 +212,7 @@
 	if err := s.do(ctx, guards, ops); err != nil {
 		return err
 	}
-	if after.State == federation.Here {
+	if after.State == federation.HomeOwned {
 		s.log.Info("job comes back", "job", j.Spec.ID, "from", name, "number", w.Number)
 	} else {
 		s.log.Info("job ended in another cell", "job", j.Spec.ID, "cell", name, "number", w.Number, "status", w.Final)
@@ -278,7 +278,7 @@
 			s.world.RUnlock()
 			return fmt.Errorf("not forgotten: %w", err)
 		}
-		rec.FencedEpoch, rec.Standing, rec.StandingSinceMs, rec.InventoryReceived = after.Fenced, int(after.Standing), after.Since.UnixMilli(), after.Settled
+		rec.FencedEpoch, rec.Standing, rec.StandingSinceMs, rec.InventoryReceived = after.FencedEpoch, int(after.Standing), after.Since.UnixMilli(), after.InventoryExchanged
 		ops = append(ops, kvstore.PutOp(record.CellKey(f.Name), rec))
 	} else if rec.PeerEpoch <= rec.FencedEpoch {
 		for _, j := range s.away(f.Name) {
@@ -302,21 +302,21 @@
 // member is a cell's record as the machine of members sees it.
 func member(name string, rec record.Cell) federation.Member {
 	return federation.Member{Name: name, Epoch: rec.PeerEpoch, Standing: federation.Standing(rec.Standing), Since: time.UnixMilli(rec.StandingSinceMs), Returns: rec.ReturnCount,
-		Settled: rec.InventoryReceived, Fenced: rec.FencedEpoch}
+		InventoryExchanged: rec.InventoryReceived, FencedEpoch: rec.FencedEpoch}
 }
 
 // offer gives away what is expected to start sooner elsewhere.
 func (s *Spill) offer(ctx context.Context) error {
 	now := time.Now()
 	s.world.RLock()
-	var list []federation.Candidate
+	var list []federation.TargetCell
 	flight := map[string]int{}
 	for _, c := range s.op.Cells {
 		rec := s.record(c.Name)
 		s.mu.Lock()
 		h := s.heard[c.Name]
-		if s.settled(rec) && federation.Standing(rec.Standing) == federation.Joined {
-			list = append(list, federation.Candidate{Name: c.Name, Digest: h.digest, TransferS: c.TransferS})
+		if s.settled(rec) && federation.Standing(rec.Standing) == federation.StandingJoined {
+			list = append(list, federation.TargetCell{Name: c.Name, Digest: h.digest, TransferSeconds: c.TransferS})
 		}
 		s.mu.Unlock()
 	}
@@ -327,7 +327,7 @@
 	for _, j := range s.world.Jobs {
 		// What was given since the digest came is on its way.
 		if j.HasRecord && j.OffloadedTo != nil {
-			if i := slices.IndexFunc(list, func(c federation.Candidate) bool { return c.Name == j.OffloadedTo.Cell }); i >= 0 && time.UnixMilli(j.OffloadedAtMs).After(list[i].Digest.At.Add(-tuning.CellExchange)) {
+			if i := slices.IndexFunc(list, func(c federation.TargetCell) bool { return c.Name == j.OffloadedTo.Cell }); i >= 0 && time.UnixMilli(j.OffloadedAtMs).After(list[i].Digest.ReceivedAt.Add(-tuning.CellExchange)) {
 				flight[j.OffloadedTo.Cell] += j.Spec.TaskCount
 			}
 		}
@@ -348,11 +348,11 @@
 			wait[rank] = s.wait(rank)
 		}
 		for i := range list {
-			list[i].Flight = flight[list[i].Name]
+			list[i].TasksInFlight = flight[list[i].Name]
 		}
-		w := federation.Work{ID: id, Need: record.TaskResources(&j.Spec), Tasks: j.Spec.TaskCount, OneZone: j.Spec.SameZone, Types: j.Spec.MachineTypes,
-			Spot: j.Spec.AllowSpot, Rank: rank, Image: j.Spec.Image, ImageGB: j.Spec.ImageSizeGB, HereS: max(wait[rank], now.Sub(j.ReadySince()).Seconds()), Guest: j.OffloadedFrom != nil}
-		if to, ok := federation.Choose(now, &w, list, rand.New(rand.NewPCG(rand.Uint64(), 1))); ok {
+		w := federation.OffloadCandidate{JobID: id, TaskResources: record.TaskResources(&j.Spec), TaskCount: j.Spec.TaskCount, SameZone: j.Spec.SameZone, MachineTypes: j.Spec.MachineTypes,
+			AllowSpot: j.Spec.AllowSpot, PriorityRank: rank, Image: j.Spec.Image, ImageSizeGB: j.Spec.ImageSizeGB, LocalWaitSeconds: max(wait[rank], now.Sub(j.ReadySince()).Seconds()), OffloadedHere: j.OffloadedFrom != nil}
+		if to, ok := federation.ChooseCell(now, &w, list, rand.New(rand.NewPCG(rand.Uint64(), 1))); ok {
 			gifts = append(gifts, gift{j, to})
 			flight[to] += j.Spec.TaskCount
 		}
@@ -365,7 +365,7 @@
 			rec = s.record(g.to)
 			guards[g.to], _ = s.guards(g.to)
 		}
-		if _, ok := home(g.job).Give(rec.LastSentTransfer + 1); !ok || len(ops[g.to]) >= s.commit.MaxTransactionOps()-1 {
+		if _, ok := home(g.job).Offload(rec.LastSentTransfer + 1); !ok || len(ops[g.to]) >= s.commit.MaxTransactionOps()-1 {
 			continue
 		}
 		rec.LastSentTransfer++
--- a/internal/offload/host.go
+++ b/internal/offload/host.go
@@ -40,17 +40,17 @@
 	if !leads || !on {
 		return Message{}, ErrNotLeader
 	}
-	line, counts := federation.Line{Own: s.op.CellEpoch, Other: rec.PeerEpoch}.Takes(federation.Envelope{From: m.From, To: m.To})
-	if line.Other != rec.PeerEpoch {
+	line, counts := federation.EpochPair{Own: s.op.CellEpoch, Peer: rec.PeerEpoch}.Accept(federation.Envelope{From: m.From, To: m.To})
+	if line.Peer != rec.PeerEpoch {
 		// Known before anything is said under it: a late message of an epoch before counts
 		// no more.
 		next := s.under(rec)
-		next.PeerEpoch = line.Other
+		next.PeerEpoch = line.Peer
 		if err := s.do(ctx, guards, []wire.Op{kvstore.PutOp(record.CellKey(m.Cell), next)}); err != nil {
 			return Message{}, err
 		}
 	}
-	reply := Message{Cell: s.op.CellName, From: line.Own, To: line.Other, Draining: s.op.CellDrain}
+	reply := Message{Cell: s.op.CellName, From: line.Own, To: line.Peer, Draining: s.op.CellDrain}
 	if !counts || m.From <= rec.FencedEpoch {
 		return reply, nil
 	}
@@ -76,14 +76,14 @@
 	guests, jobs := s.guests(name)
 	guards, _ := s.guards(name)
 	var ops []wire.Op
-	kept := guests.Clean(s.op.CellEpoch)
+	kept := guests.DropEarlierEpochs(s.op.CellEpoch)
 	for n, j := range jobs {
-		if kept.Word(n).Status == federation.Absent && j.BoundCount == 0 && len(ops) < s.commit.MaxTransactionOps() {
+		if kept.Status(n).Status == federation.HostAbsent && j.BoundCount == 0 && len(ops) < s.commit.MaxTransactionOps() {
 			guards = append(guards, wire.Condition{Key: record.JobKey(j.Spec.ID), ModRevision: j.ModRevision})
 			ops = append(ops, kvstore.DeleteOp(record.JobKey(j.Spec.ID)))
 		}
 	}
-	left := len(guests.List) - len(kept.List) - len(ops)
+	left := len(guests.Transfers) - len(kept.Transfers) - len(ops)
 	s.world.RUnlock()
 	if len(ops) > 0 {
 		if err := s.do(ctx, guards, ops); err != nil {
@@ -116,12 +116,12 @@
 		j := jobs[a.Number]
 		spec := a.Spec
 		fits := j == nil && room >= spec.TaskCount && s.takes(&spec)
-		before := guests.Word(a.Number)
-		after, word := guests.Hear(federation.Ask{Number: a.Number, Cancelled: a.Cancelled, Recalled: a.Recalled}, s.op.CellEpoch, fits)
+		before := guests.Status(a.Number)
+		after, word := guests.ApplyRequest(federation.TransferRequest{Number: a.Number, Cancelled: a.Cancelled, Recalled: a.Recalled}, s.op.CellEpoch, fits)
 		guests = after
-		next.LastReceivedTransfer = max(next.LastReceivedTransfer, guests.High)
+		next.LastReceivedTransfer = max(next.LastReceivedTransfer, guests.HighestNumber)
 		switch {
-		case j == nil && word.Status == federation.Held && before.Status == federation.Absent:
+		case j == nil && word.Status == federation.HostHolds && before.Status == federation.HostAbsent:
 			rec := record.Job{Spec: spec, SubmittedAtMs: a.AtMs, OffloadedFrom: &record.Transfer{Cell: m.Cell, Number: a.Number, Epoch: s.op.CellEpoch}}
 			if rec.ChooseLayout(s.world.SchemaVersion, s.world.SizeLimits(s.commit.UpcomingMaxRecordBytes())) != nil {
 				guests, _ = guests.Release(a.Number, 0)
@@ -186,7 +186,7 @@
 func (s *Spill) tell(reply, m *Message) {
 	guests, jobs := s.guests(m.Cell)
 	word := func(n uint64) Word {
-		out := Word{Number: n, Status: int(guests.Word(n).Status)}
+		out := Word{Number: n, Status: int(guests.Status(n).Status)}
 		if j := jobs[n]; j != nil {
 			out.Done = j.DoneCount
 		}
@@ -200,19 +200,19 @@
 	said := map[uint64]bool{}
 	for _, a := range m.Asks {
 		// Of an offer that was not looked at nothing is known yet.
-		if a.Number <= guests.High {
+		if a.Number <= guests.HighestNumber {
 			reply.Words = append(reply.Words, word(a.Number))
 			said[a.Number] = true
 		}
 	}
-	for _, g := range guests.List {
-		if g.Status == federation.Over && !said[g.Number] && len(reply.Words) < 2*tuning.CellAsks {
+	for _, g := range guests.Transfers {
+		if g.Status == federation.HostEnded && !said[g.Number] && len(reply.Words) < 2*tuning.CellAsks {
 			reply.Words = append(reply.Words, word(g.Number))
 		}
 	}
 	if m.Want {
-		list := &Inventory{High: guests.High}
-		for _, g := range guests.List {
+		list := &Inventory{High: guests.HighestNumber}
+		for _, g := range guests.Transfers {
 			if j := jobs[g.Number]; j != nil {
 				list.Held = append(list.Held, Ask{Number: g.Number, AtMs: j.SubmittedAtMs, Spec: j.Spec})
 			} else {
@@ -269,21 +269,21 @@
 			count[like{m.Type, m.Zone, m.Spot, free}]++
 		}
 	}
-	d := &federation.Digest{FetchS: fetch, BootS: boot, Guests: s.room()}
+	d := &federation.Digest{FetchSecondsPerGB: fetch, BootSeconds: boot, RemainingTasks: s.room()}
 	for l, n := range count {
-		d.Rooms = append(d.Rooms, federation.Room{Type: l.typ, Zone: l.zone, Spot: l.spot, Free: l.free, Count: n})
+		d.FreeCapacities = append(d.FreeCapacities, federation.FreeCapacity{Type: l.typ, Zone: l.zone, Spot: l.spot, Free: l.free, Count: n})
 	}
-	slices.SortFunc(d.Rooms, func(a, b federation.Room) int {
+	slices.SortFunc(d.FreeCapacities, func(a, b federation.FreeCapacity) int {
 		return cmp.Or(cmp.Compare(a.Type, b.Type), cmp.Compare(a.Zone, b.Zone), cmp.Compare(a.Free.GPUs, b.Free.GPUs), cmp.Compare(a.Free.CPUs, b.Free.CPUs), cmp.Compare(a.Free.MemoryGB, b.Free.MemoryGB))
 	})
-	d.Rooms = federation.Shrink(d.Rooms)
+	d.FreeCapacities = federation.LargestCapacities(d.FreeCapacities)
 	for _, image := range slices.Sorted(maps.Keys(images)) {
 		if images[image]*tuning.DigestHeld >= up && len(d.Images) < tuning.DigestShapes {
 			d.Images = append(d.Images, image)
 		}
 	}
 	for rank := range wire.PriorityCount {
-		d.Waits = append(d.Waits, s.wait(rank))
+		d.WaitSecondsByRank = append(d.WaitSecondsByRank, s.wait(rank))
 	}
 	return d
 }
--- a/internal/offload/spill.go
+++ b/internal/offload/spill.go
@@ -119,7 +119,7 @@
 				err := s.exchange(ctx, c)
 				if err != nil {
 					// What is silent is doubted, and then lost, by time alone.
-					err = errors.Join(err, s.stand(ctx, c.Name, federation.Line{}, false, nil))
+					err = errors.Join(err, s.stand(ctx, c.Name, federation.EpochPair{}, false, nil))
 					s.log.Debug("cell not spoken with", "cell", c.Name, "err", err)
 				}
 				return nil
@@ -176,20 +176,20 @@
 
 // guests gives what is held of a cell's, for the machine to decide by. Callers hold the world's
 // lock.
-func (s *Spill) guests(name string) (federation.Guests, map[uint64]*clusterstate.Job) {
-	g, jobs := federation.Guests{High: s.record(name).LastReceivedTransfer}, map[uint64]*clusterstate.Job{}
+func (s *Spill) guests(name string) (federation.HostTransfers, map[uint64]*clusterstate.Job) {
+	g, jobs := federation.HostTransfers{HighestNumber: s.record(name).LastReceivedTransfer}, map[uint64]*clusterstate.Job{}
 	for _, j := range s.world.Jobs {
 		if j.HasRecord && j.OffloadedFrom != nil && j.OffloadedFrom.Cell == name {
 			jobs[j.OffloadedFrom.Number] = j
-			g.List = append(g.List, federation.Guest{Number: j.OffloadedFrom.Number, Epoch: j.OffloadedFrom.Epoch, Status: federation.Held, Cancelled: j.Cancelled(), Recalled: j.OffloadedFrom.Recalled})
+			g.Transfers = append(g.Transfers, federation.HostTransfer{Number: j.OffloadedFrom.Number, Epoch: j.OffloadedFrom.Epoch, Status: federation.HostHolds, Cancelled: j.Cancelled(), Recalled: j.OffloadedFrom.Recalled})
 		}
 	}
 	if c := s.world.Cells[name]; c != nil {
 		for n := range c.GuestOutcomes {
-			g.List = append(g.List, federation.Guest{Number: n, Status: federation.Over})
+			g.Transfers = append(g.Transfers, federation.HostTransfer{Number: n, Status: federation.HostEnded})
 		}
 	}
-	slices.SortFunc(g.List, func(a, b federation.Guest) int { return cmp.Compare(a.Number, b.Number) })
+	slices.SortFunc(g.Transfers, func(a, b federation.HostTransfer) int { return cmp.Compare(a.Number, b.Number) })
 	return g, jobs
 }
 
