--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -23,7 +23,7 @@
 // PeerTransport connects a controller with the other nodes and with other cells.
 type PeerTransport interface {
 	scheduler.Peers
-	offload.Line
+	offload.Transport
 	// LastAnswered tells when a node last answered this one; zero if it never did.
 	LastAnswered(node string) time.Time
 	// SetCellHandler sets what answers other cells. It is called before Run, if at all.
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -122,20 +122,20 @@
 func TestCellMessages(t *testing.T) {
 	checkCBOR(t, "cells.txt", slices.Concat(
 		filled[offload.Message](t, "message"),
-		filled[offload.Ask](t, "question"),
-		filled[offload.Word](t, "answer"),
+		filled[offload.Request](t, "question"),
+		filled[offload.Status](t, "answer"),
 		filled[offload.Inventory](t, "inventory"),
 		filled[federation.Digest](t, "digest"),
 		filled[federation.FreeCapacity](t, "free-machines"),
 		[]message{
 			{"message/question", offload.Message{
-				Cell: "a", From: 1, To: 2,
-				Asks: []offload.Ask{{Number: 4, AtMs: submittedMs, Spec: arraySpec(2)}},
-				Have: []uint64{3},
+				Cell: "a", FromEpoch: 1, ToEpoch: 2,
+				Requests:       []offload.Request{{Number: 4, SubmittedAtMs: submittedMs, Spec: arraySpec(2)}},
+				EndedTransfers: []uint64{3},
 			}},
 			{"message/answer", offload.Message{
-				Cell: "b", From: 2, To: 1,
-				Words: []offload.Word{{Number: 3, Status: int(federation.HostEnded), Final: wire.JobDone, Done: 2}},
+				Cell: "b", FromEpoch: 2, ToEpoch: 1,
+				Statuses: []offload.Status{{Number: 3, Status: int(federation.HostEnded), FinalState: wire.JobDone, DoneCount: 2}},
 			}},
 		},
 	))
--- a/internal/offload/host.go
+++ b/internal/offload/host.go
@@ -21,72 +21,72 @@
 // this cell tells of itself.
 
 // Answer answers another cell's leader. An error means that nothing is said.
-func (s *Spill) Answer(ctx context.Context, m Message) (Message, error) {
-	i := slices.IndexFunc(s.op.Cells, func(c config.Cell) bool { return c.Name == m.Cell })
+func (s *Offloader) Answer(ctx context.Context, m Message) (Message, error) {
+	i := slices.IndexFunc(s.operator.Cells, func(c config.Cell) bool { return c.Name == m.Cell })
 	if i < 0 {
 		return Message{}, fmt.Errorf("cell %q is not named here", m.Cell)
 	}
 	select {
-	case s.busy <- struct{}{}:
-		defer func() { <-s.busy }()
+	case s.answerSlot <- struct{}{}:
+		defer func() { <-s.answerSlot }()
 	case <-ctx.Done():
 		return Message{}, ctx.Err()
 	}
-	s.world.RLock()
-	rec := s.record(m.Cell)
-	guards, leads := s.guards(m.Cell)
-	on := s.world.SchemaVersion >= tuning.LevelCells
-	s.world.RUnlock()
+	s.clusterState.RLock()
+	rec := s.cellRecord(m.Cell)
+	guards, leads := s.leaderConditions(m.Cell)
+	on := s.clusterState.SchemaVersion >= tuning.LevelCells
+	s.clusterState.RUnlock()
 	if !leads || !on {
 		return Message{}, ErrNotLeader
 	}
-	line, counts := federation.EpochPair{Own: s.op.CellEpoch, Peer: rec.PeerEpoch}.Accept(federation.Envelope{From: m.From, To: m.To})
+	line, counts := federation.EpochPair{Own: s.operator.CellEpoch, Peer: rec.PeerEpoch}.Accept(federation.Envelope{From: m.FromEpoch, To: m.ToEpoch})
 	if line.Peer != rec.PeerEpoch {
 		// Known before anything is said under it: a late message of an epoch before counts
 		// no more.
-		next := s.under(rec)
+		next := s.underOwnEpoch(rec)
 		next.PeerEpoch = line.Peer
-		if err := s.do(ctx, guards, []wire.Op{kvstore.PutOp(record.CellKey(m.Cell), next)}); err != nil {
+		if err := s.commit(ctx, guards, []wire.Op{kvstore.PutOp(record.CellKey(m.Cell), next)}); err != nil {
 			return Message{}, err
 		}
 	}
-	reply := Message{Cell: s.op.CellName, From: line.Own, To: line.Peer, Draining: s.op.CellDrain}
-	if !counts || m.From <= rec.FencedEpoch {
+	reply := Message{Cell: s.operator.CellName, FromEpoch: line.Own, ToEpoch: line.Peer, Draining: s.operator.CellDrain}
+	if !counts || m.FromEpoch <= rec.FencedEpoch {
 		return reply, nil
 	}
-	if err := s.clean(ctx, m.Cell); err != nil {
+	if err := s.dropEarlierEpochs(ctx, m.Cell); err != nil {
 		return Message{}, err
 	}
-	if err := s.hear(ctx, m); err != nil {
+	if err := s.applyRequests(ctx, m); err != nil {
 		return Message{}, err
 	}
-	s.world.RLock()
-	defer s.world.RUnlock()
-	if _, leads := s.owner.Ownership(record.LeaderShard); !leads {
+	s.clusterState.RLock()
+	defer s.clusterState.RUnlock()
+	if _, leads := s.ownership.Ownership(record.LeaderShard); !leads {
 		return Message{}, ErrNotLeader
 	}
-	s.tell(&reply, &m)
+	s.fillAnswer(&reply, &m)
 	return reply, nil
 }
 
-// clean drops what was held under an epoch of this cell before: nothing of it runs, as the new
+// dropEarlierEpochs drops what was held under an epoch of this cell before: nothing of it runs, as the new
 // epoch says.
-func (s *Spill) clean(ctx context.Context, name string) error {
-	s.world.RLock()
-	guests, jobs := s.guests(name)
-	guards, _ := s.guards(name)
+func (s *Offloader) dropEarlierEpochs(ctx context.Context, name string) error {
+	s.clusterState.RLock()
+	guests, jobs := s.hostTransfers(name)
+	guards, _ := s.leaderConditions(name)
 	var ops []wire.Op
-	kept := guests.DropEarlierEpochs(s.op.CellEpoch)
+	kept := guests.DropEarlierEpochs(s.operator.CellEpoch)
 	for n, j := range jobs {
-		if kept.Status(n).Status == federation.HostAbsent && j.BoundCount == 0 && len(ops) < s.commit.MaxTransactionOps() {
+		if kept.Status(n).Status == federation.HostAbsent && j.BoundCount == 0 && len(ops) < s.committer.MaxTransactionOps() {
 			guards = append(guards, wire.Condition{Key: record.JobKey(j.Spec.ID), ModRevision: j.ModRevision})
 			ops = append(ops, kvstore.DeleteOp(record.JobKey(j.Spec.ID)))
 		}
 	}
 	left := len(guests.Transfers) - len(kept.Transfers) - len(ops)
-	s.world.RUnlock()
+	s.clusterState.RUnlock()
 	if len(ops) > 0 {
-		if err := s.do(ctx, guards, ops); err != nil {
+		if err := s.commit(ctx, guards, ops); err != nil {
 			return err
 		}
 	}
@@ -96,76 +96,76 @@
 	return nil
 }
 
-// hear carries out what another cell asks: it takes offers in order, passes on cancellations and
+// applyRequests carries out what another cell asks: it takes offers in order, passes on cancellations and
 // recalls, releases what is wanted back and forgets what home has.
-func (s *Spill) hear(ctx context.Context, m Message) error {
-	s.world.RLock()
-	guests, jobs := s.guests(m.Cell)
-	guards, _ := s.guards(m.Cell)
-	rec := s.record(m.Cell)
+func (s *Offloader) applyRequests(ctx context.Context, m Message) error {
+	s.clusterState.RLock()
+	guests, jobs := s.hostTransfers(m.Cell)
+	guards, _ := s.leaderConditions(m.Cell)
+	rec := s.cellRecord(m.Cell)
 	next := rec
 	var ops []wire.Op
-	budget := s.commit.MaxTransactionOps() - 1
+	budget := s.committer.MaxTransactionOps() - 1
 	change := func(g wire.Condition, op wire.Op) { guards, ops = append(guards, g), append(ops, op) }
-	room := s.room()
+	room := s.remainingTasks()
 	var told []func() // once it is durable
-	for _, a := range m.Asks {
+	for _, a := range m.Requests {
 		if len(ops) >= budget {
 			break
 		}
 		j := jobs[a.Number]
 		spec := a.Spec
-		fits := j == nil && room >= spec.TaskCount && s.takes(&spec)
+		fits := j == nil && room >= spec.TaskCount && s.acceptsJob(&spec)
 		before := guests.Status(a.Number)
-		after, word := guests.ApplyRequest(federation.TransferRequest{Number: a.Number, Cancelled: a.Cancelled, Recalled: a.Recalled}, s.op.CellEpoch, fits)
+		after, word := guests.ApplyRequest(federation.TransferRequest{Number: a.Number, Cancelled: a.Cancelled, Recalled: a.Recalled}, s.operator.CellEpoch, fits)
 		guests = after
 		next.LastReceivedTransfer = max(next.LastReceivedTransfer, guests.HighestNumber)
 		switch {
 		case j == nil && word.Status == federation.HostHolds && before.Status == federation.HostAbsent:
-			rec := record.Job{Spec: spec, SubmittedAtMs: a.AtMs, OffloadedFrom: &record.Transfer{Cell: m.Cell, Number: a.Number, Epoch: s.op.CellEpoch}}
-			if rec.ChooseLayout(s.world.SchemaVersion, s.world.SizeLimits(s.commit.UpcomingMaxRecordBytes())) != nil {
+			rec := record.Job{Spec: spec, SubmittedAtMs: a.SubmittedAtMs, OffloadedFrom: &record.Transfer{Cell: m.Cell, Number: a.Number, Epoch: s.operator.CellEpoch}}
+			if rec.ChooseLayout(s.clusterState.SchemaVersion, s.clusterState.SizeLimits(s.committer.UpcomingMaxRecordBytes())) != nil {
 				guests, _ = guests.Release(a.Number, 0)
 				continue
 			}
 			room -= spec.TaskCount
 			change(wire.Condition{Key: record.JobKey(spec.ID)}, kvstore.PutOp(record.JobKey(spec.ID), rec))
 			told = append(told, func() {
-				s.log.Info("job taken from another cell", "job", spec.ID, "cell", m.Cell, "number", a.Number)
+				s.logger.Info("job taken from another cell", "job", spec.ID, "cell", m.Cell, "number", a.Number)
 			})
 		case j == nil:
-		case (a.Recalled || s.op.CellDrain) && !j.Cancelled() && j.BoundCount == 0 && j.DoneCount == 0:
+		case (a.Recalled || s.operator.CellDrain) && !j.Cancelled() && j.BoundCount == 0 && j.DoneCount == 0:
 			if _, ok := guests.Release(a.Number, j.BoundCount); ok {
 				change(wire.Condition{Key: record.JobKey(spec.ID), ModRevision: j.ModRevision}, kvstore.DeleteOp(record.JobKey(spec.ID)))
 				ops = append(ops, j.DeleteFurtherChunks(budget-len(ops))...)
-				told = append(told, func() { s.log.Info("job sent home", "job", spec.ID, "cell", m.Cell, "number", a.Number) })
+				told = append(told, func() { s.logger.Info("job sent home", "job", spec.ID, "cell", m.Cell, "number", a.Number) })
 			}
 		case a.Cancelled && !j.Cancelled():
-			change(rewrite(j, func(r *record.Job) {
+			change(rewriteJob(j, func(r *record.Job) {
 				r.CancelledAtMs, r.CancelAfterRelease = max(time.Now().UnixMilli(), 1), true
 			}))
 		case a.Recalled && !j.OffloadedFrom.Recalled:
-			change(rewrite(j, func(r *record.Job) {
+			change(rewriteJob(j, func(r *record.Job) {
 				back := *r.OffloadedFrom
 				back.Recalled = true
 				r.OffloadedFrom = &back
 			}))
 		}
 	}
-	if c := s.world.Cells[m.Cell]; c != nil {
-		for _, n := range m.Have {
+	if c := s.clusterState.Cells[m.Cell]; c != nil {
+		for _, n := range m.EndedTransfers {
 			if o, ok := c.GuestOutcomes[n]; ok && len(ops) < budget {
 				change(wire.Condition{Key: record.GuestOutcomeKey(m.Cell, n), ModRevision: o.ModRevision}, kvstore.DeleteOp(record.GuestOutcomeKey(m.Cell, n)))
 			}
 		}
 	}
-	s.world.RUnlock()
+	s.clusterState.RUnlock()
 	if next != rec {
 		ops = append(ops, kvstore.PutOp(record.CellKey(m.Cell), next))
 	}
 	if len(ops) == 0 {
 		return nil
 	}
-	if err := s.do(ctx, guards, ops); err != nil {
+	if err := s.commit(ctx, guards, ops); err != nil {
 		return err
 	}
 	for _, tell := range told {
@@ -174,72 +174,72 @@
 	return nil
 }
 
-// takes tells whether a job of another cell may run here at all.
-func (s *Spill) takes(spec *wire.JobSpec) bool {
-	t := s.teams[spec.Team]
+// acceptsJob tells whether a job of another cell may run here at all.
+func (s *Offloader) acceptsJob(spec *wire.JobSpec) bool {
+	t := s.teamsByName[spec.Team]
 	// A limit is the home's to keep; what is away would have to be set aside in both.
 	return t.GPUsMax == 0 && t.CPUsMax == 0 && spec.Kind != wire.KindService && len(spec.Dependencies) == 0 &&
-		admission.Validate(spec, s.teams, s.world.Catalog.Types) == nil && s.world.Jobs[spec.ID] == nil
+		admission.Validate(spec, s.teamsByName, s.clusterState.Catalog.Types) == nil && s.clusterState.Jobs[spec.ID] == nil
 }
 
-// tell puts into an answer what the records say. Callers hold the world's lock.
-func (s *Spill) tell(reply, m *Message) {
-	guests, jobs := s.guests(m.Cell)
-	word := func(n uint64) Word {
-		out := Word{Number: n, Status: int(guests.Status(n).Status)}
+// fillAnswer puts into an answer what the records say. Callers hold the world's lock.
+func (s *Offloader) fillAnswer(reply, m *Message) {
+	guests, jobs := s.hostTransfers(m.Cell)
+	word := func(n uint64) Status {
+		out := Status{Number: n, Status: int(guests.Status(n).Status)}
 		if j := jobs[n]; j != nil {
-			out.Done = j.DoneCount
+			out.DoneCount = j.DoneCount
 		}
-		if c := s.world.Cells[m.Cell]; c != nil {
+		if c := s.clusterState.Cells[m.Cell]; c != nil {
 			if o, ok := c.GuestOutcomes[n]; ok {
-				out.Final, out.Done = o.Status, o.DoneCount
+				out.FinalState, out.DoneCount = o.Status, o.DoneCount
 			}
 		}
 		return out
 	}
 	said := map[uint64]bool{}
-	for _, a := range m.Asks {
+	for _, a := range m.Requests {
 		// Of an offer that was not looked at nothing is known yet.
 		if a.Number <= guests.HighestNumber {
-			reply.Words = append(reply.Words, word(a.Number))
+			reply.Statuses = append(reply.Statuses, word(a.Number))
 			said[a.Number] = true
 		}
 	}
 	for _, g := range guests.Transfers {
-		if g.Status == federation.HostEnded && !said[g.Number] && len(reply.Words) < 2*tuning.CellAsks {
-			reply.Words = append(reply.Words, word(g.Number))
+		if g.Status == federation.HostEnded && !said[g.Number] && len(reply.Statuses) < 2*tuning.CellAsks {
+			reply.Statuses = append(reply.Statuses, word(g.Number))
 		}
 	}
-	if m.Want {
-		list := &Inventory{High: guests.HighestNumber}
+	if m.WantsInventory {
+		list := &Inventory{HighestNumber: guests.HighestNumber}
 		for _, g := range guests.Transfers {
 			if j := jobs[g.Number]; j != nil {
-				list.Held = append(list.Held, Ask{Number: g.Number, AtMs: j.SubmittedAtMs, Spec: j.Spec})
+				list.Held = append(list.Held, Request{Number: g.Number, SubmittedAtMs: j.SubmittedAtMs, Spec: j.Spec})
 			} else {
-				list.Over = append(list.Over, word(g.Number))
+				list.Ended = append(list.Ended, word(g.Number))
 			}
 		}
-		reply.List = list
+		reply.Inventory = list
 	}
 	reply.Digest = s.digest()
 }
 
-// room is how many more tasks of other cells' jobs are taken. Callers hold the world's lock.
-func (s *Spill) room() int {
-	if s.op.CellDrain {
+// remainingTasks is how many more tasks of other cells' jobs are taken. Callers hold the world's lock.
+func (s *Offloader) remainingTasks() int {
+	if s.operator.CellDrain {
 		return 0
 	}
 	held := 0
-	for _, j := range s.world.Jobs {
+	for _, j := range s.clusterState.Jobs {
 		if j.HasRecord && j.OffloadedFrom != nil {
 			held += j.Spec.TaskCount - j.DoneCount
 		}
 	}
-	return max(s.op.CellGuests-held, 0)
+	return max(s.operator.CellGuests-held, 0)
 }
 
 // digest tells what this cell has free. Callers hold the world's lock.
-func (s *Spill) digest() *federation.Digest {
+func (s *Offloader) digest() *federation.Digest {
 	type like struct {
 		typ, zone string
 		spot      bool
@@ -247,11 +247,11 @@
 	}
 	count, images, up := map[like]int{}, map[string]int{}, 0
 	fetch, boot := 0.0, 0.0
-	for _, t := range s.world.Catalog.Types {
+	for _, t := range s.clusterState.Catalog.Types {
 		boot = max(boot, t.BootSeconds)
 	}
-	for _, m := range s.world.Machines {
-		t, ok := s.world.Catalog.Types[m.Type]
+	for _, m := range s.clusterState.Machines {
+		t, ok := s.clusterState.Catalog.Types[m.Type]
 		if !ok || !m.Up || m.Deleting || m.Draining {
 			continue
 		}
@@ -269,7 +269,7 @@
 			count[like{m.Type, m.Zone, m.Spot, free}]++
 		}
 	}
-	d := &federation.Digest{FetchSecondsPerGB: fetch, BootSeconds: boot, RemainingTasks: s.room()}
+	d := &federation.Digest{FetchSecondsPerGB: fetch, BootSeconds: boot, RemainingTasks: s.remainingTasks()}
 	for l, n := range count {
 		d.FreeCapacities = append(d.FreeCapacities, federation.FreeCapacity{Type: l.typ, Zone: l.zone, Spot: l.spot, Free: l.free, Count: n})
 	}
@@ -283,17 +283,17 @@
 		}
 	}
 	for rank := range wire.PriorityCount {
-		d.WaitSecondsByRank = append(d.WaitSecondsByRank, s.wait(rank))
+		d.WaitSecondsByRank = append(d.WaitSecondsByRank, s.expectedWaitSeconds(rank))
 	}
 	return d
 }
 
-// wait is how long work of a rank without room is expected to wait here, in seconds: what waits
+// expectedWaitSeconds is how long work of a rank without room is expected to wait here, in seconds: what waits
 // of its rank and above, over the pace at which what runs of those ends. Callers hold the
 // world's lock.
-func (s *Spill) wait(rank int) float64 {
+func (s *Offloader) expectedWaitSeconds(rank int) float64 {
 	waits, runs := 0.0, 0.0
-	for _, j := range s.world.Jobs {
+	for _, j := range s.clusterState.Jobs {
 		if !j.HasRecord || j.Cancelled() || j.OffloadedTo != nil || j.Spec.Priority.Rank() > rank || j.Spec.Kind == wire.KindService {
 			continue
 		}
--- a/internal/offload/message.go
+++ b/internal/offload/message.go
@@ -9,41 +9,41 @@
 // pair. It carries the senders' questions about their own jobs, and what the other needs
 // to answer; all of it is a look at records and may be lost, doubled or late.
 type Message struct {
-	Cell     string `cbor:"c"` // the sender
-	From     uint64 `cbor:"f"` // its epoch
-	To       uint64 `cbor:"t"` // the receiver's, as the sender knows it
-	Draining bool   `cbor:"d,omitempty"`
+	Cell      string `cbor:"c"` // the sender
+	FromEpoch uint64 `cbor:"f"` // its epoch
+	ToEpoch   uint64 `cbor:"t"` // the receiver's, as the sender knows it
+	Draining  bool   `cbor:"d,omitempty"`
 	// Of a question: transfers of the sender's own jobs, those whose end it has, and whether it
 	// wants to know all that the receiver holds of its own.
-	Asks []Ask    `cbor:"a,omitempty"`
-	Have []uint64 `cbor:"h,omitempty"`
-	Want bool     `cbor:"w,omitempty"`
+	Requests       []Request `cbor:"a,omitempty"`
+	EndedTransfers []uint64  `cbor:"h,omitempty"`
+	WantsInventory bool      `cbor:"w,omitempty"`
 	// Of an answer.
-	Words  []Word             `cbor:"o,omitempty"`
-	List   *Inventory         `cbor:"l,omitempty"`
-	Digest *federation.Digest `cbor:"g,omitempty"`
+	Statuses  []Status           `cbor:"o,omitempty"`
+	Inventory *Inventory         `cbor:"l,omitempty"`
+	Digest    *federation.Digest `cbor:"g,omitempty"`
 }
 
-// Ask is a question about one transfer; the first ones offer the job.
-type Ask struct {
-	Number    uint64       `cbor:"n"`
-	Cancelled bool         `cbor:"x,omitempty"`
-	Recalled  bool         `cbor:"r,omitempty"`
-	AtMs      int64        `cbor:"t"` // when the job was submitted
-	Spec      wire.JobSpec `cbor:"s"`
+// Request is a question about one transfer; the first ones offer the job.
+type Request struct {
+	Number        uint64       `cbor:"n"`
+	Cancelled     bool         `cbor:"x,omitempty"`
+	Recalled      bool         `cbor:"r,omitempty"`
+	SubmittedAtMs int64        `cbor:"t"` // when the job was submitted
+	Spec          wire.JobSpec `cbor:"s"`
 }
 
-// Word is what the receiver's records say of one transfer.
-type Word struct {
-	Number uint64        `cbor:"n"`
-	Status int           `cbor:"s"`           // cell.Status
-	Final  wire.JobState `cbor:"f,omitempty"` // the final state, if it is over
-	Done   int           `cbor:"d,omitempty"` // tasks done
+// Status is what the receiver's records say of one transfer.
+type Status struct {
+	Number     uint64        `cbor:"n"`
+	Status     int           `cbor:"s"`           // cell.Status
+	FinalState wire.JobState `cbor:"f,omitempty"` // the final state, if it is over
+	DoneCount  int           `cbor:"d,omitempty"` // tasks done
 }
 
 // Inventory is all that the receiver holds of the sender's jobs.
 type Inventory struct {
-	High uint64 `cbor:"h"`
-	Held []Ask  `cbor:"l,omitempty"` // those that are not over, with what is needed to know them again
-	Over []Word `cbor:"o,omitempty"`
+	HighestNumber uint64    `cbor:"h"`
+	Held          []Request `cbor:"l,omitempty"` // those that are not over, with what is needed to know them again
+	Ended         []Status  `cbor:"o,omitempty"`
 }
--- a/internal/peerrpc/cells_test.go
+++ b/internal/peerrpc/cells_test.go
@@ -14,11 +14,11 @@
 // TestExchangeFindsTheCellLeader: of a cell's nodes one can't be reached, one does not lead and one names no
 // cells; the leader's reply comes through whole, and it is asked first the next time.
 func TestExchangeFindsTheCellLeader(t *testing.T) {
-	question := offload.Message{Cell: "a", From: 2, To: 3, Asks: []offload.Ask{
+	question := offload.Message{Cell: "a", FromEpoch: 2, ToEpoch: 3, Requests: []offload.Request{
 		{Number: 7, Spec: wire.JobSpec{ID: "run-1", TaskCount: 4}},
 	}}
-	answer := offload.Message{Cell: "b", From: 3, To: 2, Words: []offload.Word{
-		{Number: 7, Status: 2, Final: wire.JobDone, Done: 4},
+	answer := offload.Message{Cell: "b", FromEpoch: 3, ToEpoch: 2, Statuses: []offload.Status{
+		{Number: 7, Status: 2, FinalState: wire.JobDone, DoneCount: 4},
 	}}
 	notLeaderCalls := 0
 	var notLeader CellHandler = func(context.Context, offload.Message) (offload.Message, error) {
