--- a/internal/autoscaler/sizing.go
+++ b/internal/autoscaler/sizing.go
@@ -50,17 +50,17 @@
 // decideSize gives the last decision its reward and makes the next one.
 func (a *Autoscaler) decideSize(sizes *learner.Learner, now time.Time, required, planned int) {
 	if a.sizing.pendingReward != 0 {
-		sizes.Pay(a.sizing.pendingReward, a.scheduler.ProvisioningReward())
+		sizes.Reward(a.sizing.pendingReward, a.scheduler.ProvisioningReward())
 	}
 	a.state.RLock()
 	present := len(a.state.Machines)
 	a.state.RUnlock()
 	state := a.scheduler.ProvisioningState()
-	var choices []learner.Choice
+	var choices []learner.ScoredAction
 	best := 0
 	for i, fraction := range tuning.SizeFractions {
 		machines := float64(present+required) + fraction*float64(planned-required)
-		action := &learner.Action{Size: true, Fraction: fraction, Machines: machines}
+		action := &learner.Action{IsScaling: true, ScaleFraction: fraction, Machines: machines}
 		choices = append(choices, sizes.Score(&state, action))
 		if choices[i].Value >= choices[best].Value {
 			best = i
@@ -70,7 +70,7 @@
 		best = explored
 	}
 	a.sizing = sizingDecision{
-		pendingReward: sizes.Take(choices[best]),
+		pendingReward: sizes.TakeAction(choices[best]),
 		decidedAt:     now,
 		fraction:      tuning.SizeFractions[best],
 	}
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -128,7 +128,7 @@
 		filled[record.TaskGroup](t, "group"),
 		filled[wire.Catalog](t, "catalog"),
 		filled[wire.MachineType](t, "machine-type"),
-		filled[learner.Saved](t, "learner-checkpoint"),
+		filled[learner.Checkpoint](t, "learner-checkpoint"),
 		[]message{
 			{"quota/no-grants", record.Quota{Grants: map[string]record.Resources{}}},
 			{"machine/in-use", record.Machine{
--- a/internal/learner/learner.go
+++ b/internal/learner/learner.go
@@ -20,173 +20,173 @@
 )
 
 var (
-	payoffs     = promauto.NewHistogram(prometheus.HistogramOpts{Name: "sableusher_learn_payoff", Help: "Payoffs received.", Buckets: prometheus.LinearBuckets(0, 0.1, 11)})
-	explored    = promauto.NewCounter(prometheus.CounterOpts{Name: "sableusher_learn_explored_total", Help: "Random picks."})
-	refits      = promauto.NewCounterVec(prometheus.CounterOpts{Name: "sableusher_learn_refits_total", Help: "Refits of the readout by outcome."}, []string{"outcome"})
-	refitError  = promauto.NewGauge(prometheus.GaugeOpts{Name: "sableusher_learn_refit_error", Help: "Root mean square error of the last refit."})
-	chosenValue = promauto.NewGauge(prometheus.GaugeOpts{Name: "sableusher_learn_chosen_value", Help: "Value of the last choice."})
+	rewardHistogram    = promauto.NewHistogram(prometheus.HistogramOpts{Name: "sableusher_learn_payoff", Help: "Payoffs received.", Buckets: prometheus.LinearBuckets(0, 0.1, 11)})
+	explorationCounter = promauto.NewCounter(prometheus.CounterOpts{Name: "sableusher_learn_explored_total", Help: "Random picks."})
+	refitCounter       = promauto.NewCounterVec(prometheus.CounterOpts{Name: "sableusher_learn_refits_total", Help: "Refits of the readout by outcome."}, []string{"outcome"})
+	refitErrorGauge    = promauto.NewGauge(prometheus.GaugeOpts{Name: "sableusher_learn_refit_error", Help: "Root mean square error of the last refit."})
+	chosenValueGauge   = promauto.NewGauge(prometheus.GaugeOpts{Name: "sableusher_learn_chosen_value", Help: "Value of the last choice."})
 )
 
-// width of the features: reservoir, input and a constant.
-const width = tuning.ReservoirUnits + inputWidth + 1
+// featureWidth of the features: reservoir, input and a constant.
+const featureWidth = tuning.ReservoirUnits + inputWidth + 1
 
-// Choice is a scored action; scoring leaves no trace in the learner.
-type Choice struct {
-	Value  float64
-	memory []float64
-	phi    []float64
+// ScoredAction is a scored action; scoring leaves no trace in the learner.
+type ScoredAction struct {
+	Value          float64
+	reservoirState []float64
+	features       []float64
 }
 
-type decision struct {
-	phi    []float64
-	next   []float64 // features of the decision that followed
-	payoff float64
-	paid   bool
+type pendingDecision struct {
+	features     []float64
+	nextFeatures []float64 // features of the decision that followed
+	reward       float64
+	rewarded     bool
 }
 
-type sample struct {
-	phi    []float64
-	target float64
+type trainingSample struct {
+	features []float64
+	target   float64
 }
 
 // Learner is a SARSA learner.
 type Learner struct {
-	rate, discount, epsilon float64
-	cold                    int
-	log                     *slog.Logger
+	learningRate, discount, explorationRate float64
+	warmUpRewards                           int
+	logger                                  *slog.Logger
 
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	res     *reservoir
-	memory  []float64
-	weights []float64
-	open    map[int64]*decision
-	last    int64
-	paid    int
-	samples []sample
-	at      int
+	mu             sync.Mutex
+	random         *rand.Rand
+	reservoir      *reservoir
+	reservoirState []float64
+	weights        []float64
+	pending        map[int64]*pendingDecision
+	lastDecision   int64
+	rewardCount    int
+	samples        []trainingSample
+	nextSample     int
 }
 
 // New makes a fresh learner that orders by its values after so many payoffs.
-func New(rate, discount, epsilon float64, cold int, seed uint64, log *slog.Logger) *Learner {
-	return &Learner{rate: rate, discount: discount, epsilon: epsilon, cold: cold, log: log,
-		rnd: rand.New(rand.NewPCG(seed, 1)), res: newReservoir(tuning.ReservoirSeed), memory: make([]float64, tuning.ReservoirUnits),
-		weights: make([]float64, width), open: map[int64]*decision{}}
+func New(learningRate, discount, explorationRate float64, warmUpRewards int, seed uint64, logger *slog.Logger) *Learner {
+	return &Learner{learningRate: learningRate, discount: discount, explorationRate: explorationRate, warmUpRewards: warmUpRewards, logger: logger,
+		random: rand.New(rand.NewPCG(seed, 1)), reservoir: newReservoir(tuning.ReservoirSeed), reservoirState: make([]float64, tuning.ReservoirUnits),
+		weights: make([]float64, featureWidth), pending: map[int64]*pendingDecision{}}
 }
 
 // Warm tells whether the values may order jobs.
 func (l *Learner) Warm() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.paid >= l.cold
+	return l.rewardCount >= l.warmUpRewards
 }
 
 // Explore tells whether the next pick is to be random, and which of n it is.
 func (l *Learner) Explore(n int) (int, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if n < 2 || l.rnd.Float64() >= l.epsilon {
+	if n < 2 || l.random.Float64() >= l.explorationRate {
 		return 0, false
 	}
-	explored.Inc()
-	return l.rnd.IntN(n), true
+	explorationCounter.Inc()
+	return l.random.IntN(n), true
 }
 
 // Score values an action without taking it.
-func (l *Learner) Score(s *State, a *Action) Choice {
+func (l *Learner) Score(s *State, a *Action) ScoredAction {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	u := encode(s, a)
-	x := l.res.step(l.memory, u)
-	phi := make([]float64, 0, width)
+	u := encodeInput(s, a)
+	x := l.reservoir.nextState(l.reservoirState, u)
+	phi := make([]float64, 0, featureWidth)
 	phi = append(phi, x...)
 	phi = append(phi, u...)
 	phi = append(phi, 1)
-	return Choice{Value: dot(l.weights, phi), memory: x, phi: phi}
+	return ScoredAction{Value: dot(l.weights, phi), reservoirState: x, features: phi}
 }
 
-// Take makes a scored action the one that was chosen: only now does the
+// TakeAction makes a scored action the one that was chosen: only now does the
 // memory move on. The returned number names the decision for its payoff.
-func (l *Learner) Take(c Choice) int64 {
+func (l *Learner) TakeAction(c ScoredAction) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	chosenValue.Set(c.Value)
-	l.memory = c.memory
-	if d := l.open[l.last]; d != nil {
-		d.next = c.phi
-		l.settle(l.last, d)
+	chosenValueGauge.Set(c.Value)
+	l.reservoirState = c.reservoirState
+	if d := l.pending[l.lastDecision]; d != nil {
+		d.nextFeatures = c.features
+		l.addSample(l.lastDecision, d)
 	}
-	l.last++
-	l.open[l.last] = &decision{phi: c.phi}
-	if old := l.last - tuning.OpenDecisions; l.open[old] != nil {
-		delete(l.open, old) // its payoff never came
+	l.lastDecision++
+	l.pending[l.lastDecision] = &pendingDecision{features: c.features}
+	if old := l.lastDecision - tuning.OpenDecisions; l.pending[old] != nil {
+		delete(l.pending, old) // its payoff never came
 	}
-	return l.last
+	return l.lastDecision
 }
 
-// Pay gives a decision its payoff, long after it was taken.
-func (l *Learner) Pay(id int64, payoff float64) {
+// Reward gives a decision its payoff, long after it was taken.
+func (l *Learner) Reward(id int64, reward float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	d := l.open[id]
-	if d == nil || d.paid || math.IsNaN(payoff) || math.IsInf(payoff, 0) {
+	d := l.pending[id]
+	if d == nil || d.rewarded || math.IsNaN(reward) || math.IsInf(reward, 0) {
 		return
 	}
-	d.paid, d.payoff = true, payoff
-	l.paid++
-	payoffs.Observe(payoff)
-	l.settle(id, d)
+	d.rewarded, d.reward = true, reward
+	l.rewardCount++
+	rewardHistogram.Observe(reward)
+	l.addSample(id, d)
 }
 
-// settle turns a decision with payoff and successor into a sample.
-func (l *Learner) settle(id int64, d *decision) {
-	if !d.paid || d.next == nil {
+// addSample turns a decision with payoff and successor into a sample.
+func (l *Learner) addSample(id int64, d *pendingDecision) {
+	if !d.rewarded || d.nextFeatures == nil {
 		return
 	}
-	delete(l.open, id)
-	q := dot(l.weights, d.phi)
-	s := sample{d.phi, q + l.rate*(d.payoff+l.discount*dot(l.weights, d.next)-q)}
+	delete(l.pending, id)
+	q := dot(l.weights, d.features)
+	s := trainingSample{d.features, q + l.learningRate*(d.reward+l.discount*dot(l.weights, d.nextFeatures)-q)}
 	if len(l.samples) < tuning.LearnSamples {
 		l.samples = append(l.samples, s)
 	} else {
-		l.samples[l.at] = s
+		l.samples[l.nextSample] = s
 	}
-	l.at = (l.at + 1) % tuning.LearnSamples
+	l.nextSample = (l.nextSample + 1) % tuning.LearnSamples
 }
 
 // Refit fits the readout to the samples by ridge regression. A fit that fails
 // or is not finite leaves the last good weights.
 func (l *Learner) Refit() error {
 	l.mu.Lock()
-	samples := append([]sample(nil), l.samples...)
+	samples := append([]trainingSample(nil), l.samples...)
 	l.mu.Unlock()
 	if len(samples) < tuning.LearnMinSamples {
 		return nil
 	}
-	weights, rms, err := ridge(samples)
+	weights, rms, err := ridgeRegression(samples)
 	if err != nil {
-		refits.WithLabelValues("failed").Inc()
+		refitCounter.WithLabelValues("failed").Inc()
 		return fmt.Errorf("refit: %w", err)
 	}
-	refits.WithLabelValues("good").Inc()
-	refitError.Set(rms)
+	refitCounter.WithLabelValues("good").Inc()
+	refitErrorGauge.Set(rms)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.weights = weights
-	l.log.Debug("values refitted", "samples", len(samples), "error", rms, "payoffs", l.paid)
+	l.logger.Debug("values refitted", "samples", len(samples), "error", rms, "payoffs", l.rewardCount)
 	return nil
 }
 
-func ridge(samples []sample) ([]float64, float64, error) {
-	x := mat.NewDense(len(samples), width, nil)
+func ridgeRegression(samples []trainingSample) ([]float64, float64, error) {
+	x := mat.NewDense(len(samples), featureWidth, nil)
 	y := mat.NewVecDense(len(samples), nil)
 	for i, s := range samples {
-		x.SetRow(i, s.phi)
+		x.SetRow(i, s.features)
 		y.SetVec(i, s.target)
 	}
 	var gram mat.SymDense
 	gram.SymOuterK(1, x.T())
-	for i := range width {
+	for i := range featureWidth {
 		gram.SetSym(i, i, gram.At(i, i)+tuning.Ridge)
 	}
 	var rhs mat.VecDense
@@ -199,7 +199,7 @@
 	if err := chol.SolveVecTo(&w, &rhs); err != nil {
 		return nil, 0, err
 	}
-	out := make([]float64, width)
+	out := make([]float64, featureWidth)
 	for i := range out {
 		if out[i] = w.AtVec(i); math.IsNaN(out[i]) || math.IsInf(out[i], 0) {
 			return nil, 0, errors.New("not finite")
@@ -207,7 +207,7 @@
 	}
 	sum := 0.0
 	for _, s := range samples {
-		d := dot(out, s.phi) - s.target
+		d := dot(out, s.features) - s.target
 		sum += d * d
 	}
 	return out, math.Sqrt(sum / float64(len(samples))), nil
@@ -221,56 +221,56 @@
 	return s
 }
 
-// Saved is the durable form of what was learned.
-type Saved struct {
-	Form    int                  `cbor:"f"`
-	Weights []float64            `cbor:"w"`
-	Paid    int                  `cbor:"p"`
-	Runs    map[string][]float64 `cbor:"r"` // completed run times by class, newest last
-	Ratios  map[string][]float64 `cbor:"q"` // run time over its owner's estimate
+// Checkpoint is the durable form of what was learned.
+type Checkpoint struct {
+	Version        int                  `cbor:"f"`
+	Weights        []float64            `cbor:"w"`
+	RewardCount    int                  `cbor:"p"`
+	Runs           map[string][]float64 `cbor:"r"` // completed run times by class, newest last
+	EstimateRatios map[string][]float64 `cbor:"q"` // run time over its owner's estimate
 	// Where it is kept in pieces: how many there are, and when they were written.
-	Of   int   `cbor:"n,omitempty"`
-	AtMs int64 `cbor:"t,omitempty"`
+	PieceCount  int   `cbor:"n,omitempty"`
+	WrittenAtMs int64 `cbor:"t,omitempty"`
 }
 
 // Split gives the same in pieces of at most room bytes of JSON, to be written
 // together. Figures are cut to six digits: they are advice, and shorter so.
-func (s Saved) Split(room int, atMs int64) []Saved {
-	bare := Saved{Form: s.Form, Paid: s.Paid, AtMs: atMs, Of: tuning.LearnClasses}
-	out := []Saved{bare}
-	free := room - wire.JSONSize(wire.MustEncode(bare))
+func (s Checkpoint) Split(maxBytes int, atMs int64) []Checkpoint {
+	bare := Checkpoint{Version: s.Version, RewardCount: s.RewardCount, WrittenAtMs: atMs, PieceCount: tuning.LearnClasses}
+	out := []Checkpoint{bare}
+	free := maxBytes - wire.JSONSize(wire.MustEncode(bare))
 	// last gives the piece that has room for so much.
-	last := func(size int) *Saved {
+	last := func(size int) *Checkpoint {
 		if free < size {
 			out = append(out, bare)
-			free = room - wire.JSONSize(wire.MustEncode(bare))
+			free = maxBytes - wire.JSONSize(wire.MustEncode(bare))
 		}
 		free -= size
 		return &out[len(out)-1]
 	}
 	for _, w := range s.Weights {
-		w = short(w)
+		w = roundToSixDigits(w)
 		p := last(wire.JSONSize(wire.MustEncode(w)) + 1)
 		p.Weights = append(p.Weights, w)
 	}
-	for i, from := range []map[string][]float64{s.Runs, s.Ratios} {
+	for i, from := range []map[string][]float64{s.Runs, s.EstimateRatios} {
 		for _, class := range slices.Sorted(maps.Keys(from)) {
 			list := slices.Clone(from[class])
 			for i := range list {
-				list[i] = short(list[i])
+				list[i] = roundToSixDigits(list[i])
 			}
 			p := last(wire.JSONSize(wire.MustEncode(map[string][]float64{class: list})))
-			add([]*map[string][]float64{&p.Runs, &p.Ratios}[i], map[string][]float64{class: list})
+			mergeLists([]*map[string][]float64{&p.Runs, &p.EstimateRatios}[i], map[string][]float64{class: list})
 		}
 	}
 	for i := range out {
-		out[i].Of = len(out)
+		out[i].PieceCount = len(out)
 	}
 	return out
 }
 
-// short cuts a figure to six digits.
-func short(v float64) float64 {
+// roundToSixDigits cuts a figure to six digits.
+func roundToSixDigits(v float64) float64 {
 	out, err := strconv.ParseFloat(strconv.FormatFloat(v, 'g', 6, 64), 64)
 	if err != nil {
 		return v
@@ -278,19 +278,19 @@
 	return out
 }
 
-// Join adds the next piece; one of another time is refused.
-func (s *Saved) Join(piece Saved) error {
-	if piece.AtMs != s.AtMs || piece.Of != s.Of || piece.Form != s.Form {
+// Append adds the next piece; one of another time is refused.
+func (s *Checkpoint) Append(piece Checkpoint) error {
+	if piece.WrittenAtMs != s.WrittenAtMs || piece.PieceCount != s.PieceCount || piece.Version != s.Version {
 		return errors.New("pieces of different times")
 	}
 	s.Weights = append(s.Weights, piece.Weights...)
-	add(&s.Runs, piece.Runs)
-	add(&s.Ratios, piece.Ratios)
+	mergeLists(&s.Runs, piece.Runs)
+	mergeLists(&s.EstimateRatios, piece.EstimateRatios)
 	return nil
 }
 
-// add copies lists into a map that may not be made yet.
-func add(to *map[string][]float64, from map[string][]float64) {
+// mergeLists copies lists into a map that may not be made yet.
+func mergeLists(to *map[string][]float64, from map[string][]float64) {
 	if *to == nil {
 		*to = map[string][]float64{}
 	}
@@ -298,17 +298,17 @@
 }
 
 // Save gives the readout's durable form.
-func (l *Learner) Save() Saved {
+func (l *Learner) Save() Checkpoint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return Saved{Form: tuning.LearnForm, Weights: append([]float64(nil), l.weights...), Paid: l.paid}
+	return Checkpoint{Version: tuning.LearnForm, Weights: append([]float64(nil), l.weights...), RewardCount: l.rewardCount}
 }
 
 // Restore goes on from a saved form; another form, width or a figure that is
 // not finite is refused.
-func (l *Learner) Restore(s Saved) error {
-	if s.Form != tuning.LearnForm || len(s.Weights) != width || s.Paid < 0 {
-		return fmt.Errorf("form %d with %d weights, not form %d with %d", s.Form, len(s.Weights), tuning.LearnForm, width)
+func (l *Learner) Restore(s Checkpoint) error {
+	if s.Version != tuning.LearnForm || len(s.Weights) != featureWidth || s.RewardCount < 0 {
+		return fmt.Errorf("form %d with %d weights, not form %d with %d", s.Version, len(s.Weights), tuning.LearnForm, featureWidth)
 	}
 	for _, w := range s.Weights {
 		if math.IsNaN(w) || math.IsInf(w, 0) {
@@ -317,6 +317,6 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.weights, l.paid = append([]float64(nil), s.Weights...), s.Paid
+	l.weights, l.rewardCount = append([]float64(nil), s.Weights...), s.RewardCount
 	return nil
 }
--- a/internal/learner/learn_test.go
+++ b/internal/learner/learner_test.go
@@ -14,12 +14,12 @@
 
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-func drawChoice(t *rapid.T) (*State, *Action) {
+func drawStateAndAction(t *rapid.T) (*State, *Action) {
 	f := rapid.Float64()
-	s := &State{RunningS: f.Draw(t, "running"), NextFreeS: f.Draw(t, "next"), BacklogS: f.Draw(t, "backlog"), Idle: f.Draw(t, "idle"),
-		Shares: rapid.MapOf(rapid.String(), f).Draw(t, "shares")}
-	a := &Action{Class: rapid.String().Draw(t, "class"), Team: rapid.String().Draw(t, "team"), RunS: f.Draw(t, "run"),
-		Interactive: rapid.Bool().Draw(t, "interactive"), Size: rapid.Bool().Draw(t, "size"), Fraction: f.Draw(t, "fraction"), Machines: f.Draw(t, "machines")}
+	s := &State{RunningWorkSeconds: f.Draw(t, "running"), NextFreeSeconds: f.Draw(t, "next"), BacklogSeconds: f.Draw(t, "backlog"), IdleMachines: f.Draw(t, "idle"),
+		TeamShares: rapid.MapOf(rapid.String(), f).Draw(t, "shares")}
+	a := &Action{Class: rapid.String().Draw(t, "class"), Team: rapid.String().Draw(t, "team"), RunSeconds: f.Draw(t, "run"),
+		Interactive: rapid.Bool().Draw(t, "interactive"), IsScaling: rapid.Bool().Draw(t, "size"), ScaleFraction: f.Draw(t, "fraction"), Machines: f.Draw(t, "machines")}
 	return s, a
 }
 
@@ -27,7 +27,7 @@
 // every entry lies within 0 and 1.
 func TestInputsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		u := encode(drawChoice(t))
+		u := encodeInput(drawStateAndAction(t))
 		if len(u) != inputWidth {
 			t.Fatalf("width %d", len(u))
 		}
@@ -40,17 +40,17 @@
 }
 
 // TestReservoirForgets: two memories under the same inputs become the same.
-func TestReservoirForgets(t *testing.T) {
+func TestReservoirForgetsItsInitialState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newReservoir(rapid.Uint64().Draw(t, "seed"))
 		a, b := make([]float64, tuning.ReservoirUnits), make([]float64, tuning.ReservoirUnits)
 		for i := range b {
 			b[i] = 1
 		}
-		s, act := drawChoice(t)
-		u := encode(s, act)
+		s, act := drawStateAndAction(t)
+		u := encodeInput(s, act)
 		for range 60 {
-			a, b = r.step(a, u), r.step(b, u)
+			a, b = r.nextState(a, u), r.nextState(b, u)
 		}
 		for i := range a {
 			if math.Abs(a[i]-b[i]) > 1e-3 {
@@ -61,20 +61,20 @@
 }
 
 // TestScoringLeavesNoTrace: only the action that is taken moves the memory.
-func TestScoringLeavesNoTrace(t *testing.T) {
+func TestScoringDoesNotChangeTheReservoir(t *testing.T) {
 	l := New(0.2, 0.8, 0, 0, 1, quiet)
-	s, a := &State{Idle: 3}, &Action{Class: "x", RunS: 10}
-	before := append([]float64(nil), l.memory...)
+	s, a := &State{IdleMachines: 3}, &Action{Class: "x", RunSeconds: 10}
+	before := append([]float64(nil), l.reservoirState...)
 	c := l.Score(s, a)
 	for i := range before {
-		if l.memory[i] != before[i] {
+		if l.reservoirState[i] != before[i] {
 			t.Fatal("scoring moved the memory")
 		}
 	}
-	l.Take(c)
+	l.TakeAction(c)
 	moved := false
 	for i := range before {
-		moved = moved || l.memory[i] != before[i]
+		moved = moved || l.reservoirState[i] != before[i]
 	}
 	if !moved {
 		t.Fatal("taking did not move the memory")
@@ -82,31 +82,31 @@
 }
 
 // TestLearnsWhatPays: of two classes the one that pays gets the higher value.
-func TestLearnsWhatPays(t *testing.T) {
+func TestHigherRewardGetsHigherValue(t *testing.T) {
 	l := New(0.2, 0.8, 0.05, 10, 1, quiet)
 	s := &State{}
 	classes := map[string]float64{"pays": 1, "costs": 0}
 	for round := range 40 {
 		for range 20 {
 			for c, r := range classes {
-				l.Pay(l.Take(l.Score(s, &Action{Class: c, RunS: 10})), r)
+				l.Reward(l.TakeAction(l.Score(s, &Action{Class: c, RunSeconds: 10})), r)
 			}
 		}
 		if err := l.Refit(); err != nil {
 			t.Fatalf("round %d: %v", round, err)
 		}
 	}
-	good, bad := l.Score(s, &Action{Class: "pays", RunS: 10}).Value, l.Score(s, &Action{Class: "costs", RunS: 10}).Value
+	good, bad := l.Score(s, &Action{Class: "pays", RunSeconds: 10}).Value, l.Score(s, &Action{Class: "costs", RunSeconds: 10}).Value
 	if good <= bad+0.1 || !l.Warm() {
 		t.Fatalf("values %v and %v", good, bad)
 	}
 }
 
 // TestBadFitsKeepWeights: a sample that is not finite must not spoil the values.
-func TestBadFitsKeepWeights(t *testing.T) {
+func TestFailedFitKeepsWeights(t *testing.T) {
 	l := New(0.2, 0.8, 0, 0, 1, quiet)
 	for range 100 {
-		l.Pay(l.Take(l.Score(&State{}, &Action{Class: "a"})), 0.5)
+		l.Reward(l.TakeAction(l.Score(&State{}, &Action{Class: "a"})), 0.5)
 	}
 	if err := l.Refit(); err != nil {
 		t.Fatal(err)
@@ -122,18 +122,18 @@
 }
 
 // TestSavedForms: another form, width or a figure that is not finite is refused.
-func TestSavedForms(t *testing.T) {
+func TestInvalidCheckpointsAreRefused(t *testing.T) {
 	l := New(0.2, 0.8, 0, 0, 1, quiet)
 	good := l.Save()
 	if err := l.Restore(good); err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*Saved){
-		"form":   func(s *Saved) { s.Form++ },
-		"width":  func(s *Saved) { s.Weights = s.Weights[1:] },
-		"nan":    func(s *Saved) { s.Weights = append([]float64{math.NaN()}, s.Weights[1:]...) },
-		"count":  func(s *Saved) { s.Paid = -1 },
-		"absent": func(s *Saved) { *s = Saved{} },
+	for name, spoil := range map[string]func(*Checkpoint){
+		"form":   func(s *Checkpoint) { s.Version++ },
+		"width":  func(s *Checkpoint) { s.Weights = s.Weights[1:] },
+		"nan":    func(s *Checkpoint) { s.Weights = append([]float64{math.NaN()}, s.Weights[1:]...) },
+		"count":  func(s *Checkpoint) { s.RewardCount = -1 },
+		"absent": func(s *Checkpoint) { *s = Checkpoint{} },
 	} {
 		s := good
 		spoil(&s)
@@ -145,54 +145,54 @@
 
 // TestMedianOfCompletedRuns: the owner's estimate holds until enough runs were
 // seen, corrected by the class's bias; then the median does.
-func TestMedianOfCompletedRuns(t *testing.T) {
-	e := NewEstimates()
-	if got := e.RunS("a", 100); got != 100 {
+func TestRunTimeIsMedianOfCompletedRuns(t *testing.T) {
+	e := NewRunTimeEstimates()
+	if got := e.ExpectedRunSeconds("a", 100); got != 100 {
 		t.Fatalf("without runs: %v", got)
 	}
-	e.Completed("a", 50, 100)
-	if got := e.RunS("a", 200); got != 100 {
+	e.RecordRun("a", 50, 100)
+	if got := e.ExpectedRunSeconds("a", 200); got != 100 {
 		t.Fatalf("with one run of half its estimate: %v", got)
 	}
 	for _, r := range []float64{math.NaN(), -1, 0, math.Inf(1)} {
-		e.Completed("a", r, 100)
+		e.RecordRun("a", r, 100)
 	}
 	for range tuning.LearnEnough {
-		e.Completed("a", 300, 100)
+		e.RecordRun("a", 300, 100)
 	}
-	if got := e.RunS("a", 1); got != 300 {
+	if got := e.ExpectedRunSeconds("a", 1); got != 300 {
 		t.Fatalf("median: %v", got)
 	}
 }
 
 // TestSavedInPieces: whatever was learned is kept in pieces that stay within a
 // limit, and goes together again; a piece of another time is refused.
-func TestSavedInPieces(t *testing.T) {
+func TestCheckpointInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		figures := rapid.SliceOfN(rapid.Float64Range(-1e6, 1e6), 0, 8)
-		in := Saved{Form: tuning.LearnForm, Paid: rapid.IntRange(0, 1e6).Draw(t, "paid"),
-			Weights: rapid.SliceOfN(rapid.Float64Range(-1e6, 1e6), 1, 200).Draw(t, "weights"),
-			Runs:    rapid.MapOfN(rapid.StringMatching("[a-z]{1,40}"), figures, 0, 20).Draw(t, "runs"),
-			Ratios:  rapid.MapOfN(rapid.StringMatching("[a-z]{1,40}"), figures, 0, 20).Draw(t, "ratios")}
+		in := Checkpoint{Version: tuning.LearnForm, RewardCount: rapid.IntRange(0, 1e6).Draw(t, "paid"),
+			Weights:        rapid.SliceOfN(rapid.Float64Range(-1e6, 1e6), 1, 200).Draw(t, "weights"),
+			Runs:           rapid.MapOfN(rapid.StringMatching("[a-z]{1,40}"), figures, 0, 20).Draw(t, "runs"),
+			EstimateRatios: rapid.MapOfN(rapid.StringMatching("[a-z]{1,40}"), figures, 0, 20).Draw(t, "ratios")}
 		room := rapid.IntRange(600, 4000).Draw(t, "room")
 		pieces := in.Split(room, 5)
-		var out Saved
+		var out Checkpoint
 		for i, p := range pieces {
 			b := wire.MustEncode(p)
 			if n := wire.JSONSize(b); n > room {
 				t.Fatalf("a piece takes %d of %d bytes", n, room)
 			}
-			var read Saved
+			var read Checkpoint
 			if err := wire.Decode(b, &read); err != nil {
 				t.Fatal(err)
 			}
 			if i == 0 {
 				out = read
-			} else if err := out.Join(read); err != nil {
+			} else if err := out.Append(read); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if out.Of != len(pieces) || out.Paid != in.Paid || len(out.Weights) != len(in.Weights) || len(out.Runs) != len(in.Runs) || len(out.Ratios) != len(in.Ratios) {
+		if out.PieceCount != len(pieces) || out.RewardCount != in.RewardCount || len(out.Weights) != len(in.Weights) || len(out.Runs) != len(in.Runs) || len(out.EstimateRatios) != len(in.EstimateRatios) {
 			t.Fatalf("%+v became %+v", in, out)
 		}
 		for i, w := range in.Weights {
@@ -201,8 +201,8 @@
 			}
 		}
 		other := pieces[0]
-		other.AtMs++
-		if out.Join(other) == nil {
+		other.WrittenAtMs++
+		if out.Append(other) == nil {
 			t.Fatal("a piece of another time was taken")
 		}
 	})
--- a/internal/learner/reservoir.go
+++ b/internal/learner/reservoir.go
@@ -12,21 +12,21 @@
 
 // State is what a choice is made in.
 type State struct {
-	RunningS  float64            // work left of running tasks, in machine seconds
-	NextFreeS float64            // time until a machine is expected to become free
-	BacklogS  float64            // work of waiting tasks, in machine seconds
-	Idle      float64            // idle machines
-	Shares    map[string]float64 // of each team in the queue
+	RunningWorkSeconds float64            // work left of running tasks, in machine seconds
+	NextFreeSeconds    float64            // time until a machine is expected to become free
+	BacklogSeconds     float64            // work of waiting tasks, in machine seconds
+	IdleMachines       float64            // idle machines
+	TeamShares         map[string]float64 // of each team in the queue
 }
 
 // Action is a waiting job, or a size of the pool.
 type Action struct {
-	Class, Team string
-	RunS        float64
-	Interactive bool
-	Size        bool
-	Fraction    float64 // of the way from the smallest to the largest size
-	Machines    float64 // that size
+	Class, Team   string
+	RunSeconds    float64
+	Interactive   bool
+	IsScaling     bool
+	ScaleFraction float64 // of the way from the smallest to the largest size
+	Machines      float64 // that size
 }
 
 // Widths of the encoding: fixed whatever the number of teams and classes.
@@ -35,52 +35,52 @@
 	inputWidth  = 4 + bucketCount + 2*bucketCount + 5
 )
 
-func bucket(name string) int {
+func hashBucket(name string) int {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(name))
 	return int(h.Sum32() % bucketCount)
 }
 
-// squash maps amounts of any size into 0 to 1.
-func squash(v, scale float64) float64 {
+// saturate maps amounts of any size into 0 to 1.
+func saturate(v, scale float64) float64 {
 	if math.IsNaN(v) || v <= 0 {
 		return 0
 	}
 	return 1 - 1/(1+min(v, tuning.MaxAmount)/scale)
 }
 
-// encode gives the input of a choice; every entry lies within 0 and 1.
-func encode(s *State, a *Action) []float64 {
+// encodeInput gives the input of a choice; every entry lies within 0 and 1.
+func encodeInput(s *State, a *Action) []float64 {
 	u := make([]float64, inputWidth)
-	u[0] = squash(s.RunningS, tuning.LearnWorkScale)
-	u[1] = squash(s.NextFreeS, tuning.LearnTimeScale)
-	u[2] = squash(s.BacklogS, tuning.LearnWorkScale)
-	u[3] = squash(s.Idle, tuning.LearnCountScale)
+	u[0] = saturate(s.RunningWorkSeconds, tuning.LearnWorkScale)
+	u[1] = saturate(s.NextFreeSeconds, tuning.LearnTimeScale)
+	u[2] = saturate(s.BacklogSeconds, tuning.LearnWorkScale)
+	u[3] = saturate(s.IdleMachines, tuning.LearnCountScale)
 	at := 4
-	for team, share := range s.Shares {
-		b := at + bucket(team)
+	for team, share := range s.TeamShares {
+		b := at + hashBucket(team)
 		u[b] = min(1, u[b]+max(0, min(1, share)))
 	}
 	at += bucketCount
-	if a.Size {
+	if a.IsScaling {
 		at += 2 * bucketCount
 		u[at+2] = 1
-		u[at+3] = max(0, min(1, a.Fraction))
-		u[at+4] = squash(a.Machines, tuning.LearnCountScale)
+		u[at+3] = max(0, min(1, a.ScaleFraction))
+		u[at+4] = saturate(a.Machines, tuning.LearnCountScale)
 		return u
 	}
-	u[at+bucket(a.Class)] = 1
+	u[at+hashBucket(a.Class)] = 1
 	at += bucketCount
-	u[at+bucket(a.Team)] = 1
+	u[at+hashBucket(a.Team)] = 1
 	at += bucketCount
-	u[at] = squash(a.RunS, tuning.LearnTimeScale)
+	u[at] = saturate(a.RunSeconds, tuning.LearnTimeScale)
 	if a.Interactive {
 		u[at+1] = 1
 	}
 	return u
 }
 
-type edge struct {
+type connection struct {
 	from   int
 	weight float64
 }
@@ -88,47 +88,47 @@
 // reservoir is a fixed random recurrent layer. It is seeded by a constant, so
 // that saved readouts fit it after a restart.
 type reservoir struct {
-	inner [][]edge
-	input [][]edge
+	recurrent [][]connection
+	input     [][]connection
 }
 
 func newReservoir(seed uint64) *reservoir {
 	rnd := rand.New(rand.NewPCG(seed, seed))
 	n := tuning.ReservoirUnits
-	r := &reservoir{inner: make([][]edge, n), input: make([][]edge, n)}
+	r := &reservoir{recurrent: make([][]connection, n), input: make([][]connection, n)}
 	norm := 0.0
 	for i := range n {
 		row := 0.0
 		for j := range n {
 			if rnd.Float64() < tuning.ReservoirDensity {
 				w := rnd.Float64()
-				r.inner[i] = append(r.inner[i], edge{j, w})
+				r.recurrent[i] = append(r.recurrent[i], connection{j, w})
 				row += w
 			}
 		}
 		for j := range inputWidth {
 			if rnd.Float64() < tuning.InputDensity {
-				r.input[i] = append(r.input[i], edge{j, 2*rnd.Float64() - 1})
+				r.input[i] = append(r.input[i], connection{j, 2*rnd.Float64() - 1})
 			}
 		}
 		norm = max(norm, row)
 	}
 	// A sigmoid's slope is at most 1/4: with row sums of at most 4 times the
 	// contraction, two memories come closer at every step and the start is forgotten.
-	for i := range r.inner {
-		for j := range r.inner[i] {
-			r.inner[i][j].weight *= 4 * tuning.ReservoirContraction / norm
+	for i := range r.recurrent {
+		for j := range r.recurrent[i] {
+			r.recurrent[i][j].weight *= 4 * tuning.ReservoirContraction / norm
 		}
 	}
 	return r
 }
 
-// step gives the memory that follows x under an input; x is not changed.
-func (r *reservoir) step(x, u []float64) []float64 {
+// nextState gives the memory that follows x under an input; x is not changed.
+func (r *reservoir) nextState(x, u []float64) []float64 {
 	next := make([]float64, len(x))
 	for i := range next {
 		sum := 0.0
-		for _, e := range r.inner[i] {
+		for _, e := range r.recurrent[i] {
 			sum += e.weight * x[e.from]
 		}
 		for _, e := range r.input[i] {
--- a/internal/record/compatibility_test.go
+++ b/internal/record/compatibility_test.go
@@ -176,7 +176,7 @@
 	checkRoundTrip[oldRental, record.Rental](t, "rental", records["rental"])
 	checkRoundTrip[oldFinal, record.Final](t, "final", records["final"])
 	checkRoundTrip[oldCatalog, wire.Catalog](t, "catalog", records["catalog"])
-	checkRoundTrip[oldLearnerCheckpoint, learner.Saved](t, "learned", records["learned"])
+	checkRoundTrip[oldLearnerCheckpoint, learner.Checkpoint](t, "learned", records["learned"])
 
 	// A node's schema version must not disturb a node that knows of none.
 	var node oldNode
--- a/internal/scheduler/deadlines.go
+++ b/internal/scheduler/deadlines.go
@@ -102,7 +102,7 @@
 // predictedRunTime is how long a task of a job is expected to run, by the runs seen of its class and its
 // owner's estimate.
 func (c *cycle) predictedRunTime(job *clusterstate.Job) time.Duration {
-	return config.Seconds(c.learning.runTimes.RunS(job.Spec.Class, job.Spec.RuntimeEstimateSeconds))
+	return config.Seconds(c.learning.runTimes.ExpectedRunSeconds(job.Spec.Class, job.Spec.RuntimeEstimateSeconds))
 }
 
 // estimatedRunTime is how long a task of a job runs by its owner's estimate, or as predicted without one.
--- a/internal/scheduler/learner_action.go
+++ b/internal/scheduler/learner_action.go
@@ -13,7 +13,7 @@
 	return &learner.Action{
 		Class:       job.Spec.Class,
 		Team:        job.Spec.Team,
-		RunS:        c.learning.runTimes.RunS(job.Spec.Class, job.Spec.RuntimeEstimateSeconds),
+		RunSeconds:  c.learning.runTimes.ExpectedRunSeconds(job.Spec.Class, job.Spec.RuntimeEstimateSeconds),
 		Interactive: c.effectiveRank(job) <= wire.PriorityHigh.Rank(),
 	}
 }
--- a/internal/scheduler/learner_checkpoint.go
+++ b/internal/scheduler/learner_checkpoint.go
@@ -76,12 +76,12 @@
 		e.log.Info("learner checkpoint ignored", "err", err)
 	default:
 		e.learning.runTimes.Restore(checkpoint)
-		e.log.Info("learner checkpoint restored", "rewards", checkpoint.Paid)
+		e.log.Info("learner checkpoint restored", "rewards", checkpoint.RewardCount)
 	}
 }
 
 // save writes a checkpoint.
-func (s learnerCheckpoints) save(ctx context.Context, checkpoint learner.Saved) error {
+func (s learnerCheckpoints) save(ctx context.Context, checkpoint learner.Checkpoint) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
 	defer cancel()
 	_, err := s.committer.Commit(ctx, kvstore.Transaction{Ops: s.ops(checkpoint)})
@@ -89,7 +89,7 @@
 }
 
 // ops gives the changes that save a checkpoint, in the form that the schema version asks for.
-func (s learnerCheckpoints) ops(checkpoint learner.Saved) []wire.Op {
+func (s learnerCheckpoints) ops(checkpoint learner.Checkpoint) []wire.Op {
 	s.cluster.RLock()
 	version := s.cluster.SchemaVersion
 	s.cluster.RUnlock()
@@ -104,24 +104,24 @@
 }
 
 // load reads the checkpoint: in pieces, or as one record, as it was before tuning.LevelPipelines.
-func (s learnerCheckpoints) load(ctx context.Context) (learner.Saved, error) {
+func (s learnerCheckpoints) load(ctx context.Context) (learner.Checkpoint, error) {
 	checkpoint, err := s.read(ctx, record.LearnerCheckpointPieceKey(s.node, 0))
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return s.read(ctx, record.LearnerCheckpointKey(s.node))
 	}
-	for i := 1; i < checkpoint.Of && err == nil; i++ {
-		var piece learner.Saved
+	for i := 1; i < checkpoint.PieceCount && err == nil; i++ {
+		var piece learner.Checkpoint
 		if piece, err = s.read(ctx, record.LearnerCheckpointPieceKey(s.node, i)); err == nil {
-			err = checkpoint.Join(piece)
+			err = checkpoint.Append(piece)
 		}
 	}
 	return checkpoint, err
 }
 
 // read reads a record, again and again while the key-value store does not answer.
-func (s learnerCheckpoints) read(ctx context.Context, key string) (learner.Saved, error) {
+func (s learnerCheckpoints) read(ctx context.Context, key string) (learner.Checkpoint, error) {
 	for {
-		var checkpoint learner.Saved
+		var checkpoint learner.Checkpoint
 		entry, err := s.reader.Get(ctx, key)
 		switch {
 		case err == nil:
--- a/internal/scheduler/learner_reward.go
+++ b/internal/scheduler/learner_reward.go
@@ -86,7 +86,7 @@
 	delete(l.pendingRewards, start)
 	l.recentResponsiveness += (responsiveness - l.recentResponsiveness) / recentResponsivenessWindow
 	reward := l.reward(responsiveness)
-	l.learner.Pay(id, reward)
+	l.learner.Reward(id, reward)
 	l.log.Debug("decision rewarded", "task", start.task, "responsiveness", responsiveness,
 		"utilization", l.utilization.value(), "reward", reward)
 }
--- a/internal/scheduler/learner_state.go
+++ b/internal/scheduler/learner_state.go
@@ -11,34 +11,34 @@
 // (section 3.2, "State Space"): the work of running jobs, the time until a machine becomes free, the
 // backlog, the idle machines, and each team's share of the waiting jobs.
 func (l *learning) state(cluster *clusterstate.State) learner.State {
-	state := learner.State{Shares: map[string]float64{}, NextFreeS: math.Inf(1)}
+	state := learner.State{TeamShares: map[string]float64{}, NextFreeSeconds: math.Inf(1)}
 	waitingJobs := 0.0
 	for _, job := range cluster.Jobs {
 		if !job.CanStart() {
 			continue
 		}
-		runS := l.runTimes.RunS(job.Spec.Class, job.Spec.RuntimeEstimateSeconds)
+		runS := l.runTimes.ExpectedRunSeconds(job.Spec.Class, job.Spec.RuntimeEstimateSeconds)
 		// Half of a task's run time is left on average.
-		state.RunningS += float64(job.BoundCount) * runS / 2
+		state.RunningWorkSeconds += float64(job.BoundCount) * runS / 2
 		if job.BoundCount > 0 && runS > 0 {
-			state.NextFreeS = min(state.NextFreeS, runS/2/float64(job.BoundCount))
+			state.NextFreeSeconds = min(state.NextFreeSeconds, runS/2/float64(job.BoundCount))
 		}
 		if pending := float64(job.PendingCount()); pending > 0 {
-			state.BacklogS += pending * runS
-			state.Shares[job.Spec.Team]++
+			state.BacklogSeconds += pending * runS
+			state.TeamShares[job.Spec.Team]++
 			waitingJobs++
 		}
 	}
-	for team := range state.Shares {
-		state.Shares[team] /= waitingJobs
+	for team := range state.TeamShares {
+		state.TeamShares[team] /= waitingJobs
 	}
 	for _, machine := range cluster.Machines {
 		if machine.Up && len(machine.Bindings) == 0 {
-			state.Idle++
+			state.IdleMachines++
 		}
 	}
-	if state.Idle > 0 || math.IsInf(state.NextFreeS, 1) {
-		state.NextFreeS = 0
+	if state.IdleMachines > 0 || math.IsInf(state.NextFreeSeconds, 1) {
+		state.NextFreeSeconds = 0
 	}
 	return state
 }
--- a/internal/scheduler/learner_value.go
+++ b/internal/scheduler/learner_value.go
@@ -23,7 +23,7 @@
 }
 
 // scoreJob gives the value Q(s, a) of starting a task of a job now (paper, section 3.1).
-func (c *cycle) scoreJob(job *clusterstate.Job) learner.Choice {
+func (c *cycle) scoreJob(job *clusterstate.Job) learner.ScoredAction {
 	l := &c.learning
 	if l.values.state == nil || c.now.Sub(l.values.stateAt) > tuning.ValueLife {
 		state := l.state(c.cluster)
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -23,7 +23,7 @@
 	log      *slog.Logger
 
 	learner  *learner.Learner
-	runTimes *learner.Estimates // of each class, the paper's estimated model
+	runTimes *learner.RunTimeEstimates // of each class, the paper's estimated model
 	// pendingRewards are the actions taken whose reward is not known yet, by the learner's number.
 	pendingRewards map[taskAttempt]int64
 	startedAt      map[taskAttempt]time.Time
@@ -49,7 +49,7 @@
 		learner: learner.New(
 			operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, seed, log,
 		),
-		runTimes:             learner.NewEstimates(),
+		runTimes:             learner.NewRunTimeEstimates(),
 		pendingRewards:       map[taskAttempt]int64{},
 		startedAt:            map[taskAttempt]time.Time{},
 		recentResponsiveness: initialResponsiveness,
@@ -66,7 +66,7 @@
 		return
 	}
 	choice := c.scoreJob(queued.job)
-	l.pendingRewards[taskAttempt{binding.task, attempt}] = l.learner.Take(choice)
+	l.pendingRewards[taskAttempt{binding.task, attempt}] = l.learner.TakeAction(choice)
 	l.log.Debug("task chosen", "task", binding.task, "value", choice.Value, "near_deadline", queued.nearDeadline)
 }
 
@@ -104,7 +104,7 @@
 		responsiveness = responsivenessOf(runS, now.Sub(binding.Job.ReadySince()).Seconds())
 		l.utilization.finishedMachineS += runS * shareOfMachine(cluster, spec, machineName)
 		if binding.Attempt == 1 { // a later attempt may have resumed from a checkpoint
-			l.runTimes.Completed(spec.Class, runS, spec.RuntimeEstimateSeconds)
+			l.runTimes.RecordRun(spec.Class, runS, spec.RuntimeEstimateSeconds)
 		}
 	}
 	if id, ok := l.pendingRewards[start]; ok {
