--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -70,7 +70,17 @@
 	}
 	agents.SetPeerLastAnswered(peers.LastAnswered)
 
-	engine := scheduler.New(settings, operator, state, members, agents, committer, client, peers, logger)
+	engine := scheduler.New(scheduler.Config{
+		Settings:     settings,
+		Operator:     operator,
+		ClusterState: state,
+		Membership:   members,
+		Agents:       agents,
+		Committer:    committer,
+		Reader:       client,
+		Peers:        peers,
+		Logger:       logger,
+	})
 	scaler := store.newAutoscaler(&c, members, engine)
 	dependencies := dependency.NewResolver(state, client, logger)
 	versions := store.newActivator(&c, members)
