--- a/internal/scheduler/deadlines.go
+++ b/internal/scheduler/deadlines.go
@@ -57,7 +57,7 @@
 	return deadlines
 }
 
-// firstReachable gives the first of some times by which a task that starts now can still be over, else the
+// firstReachable returns the first of some times by which a task that starts now can still be over, else the
 // last, and the slack that is left; negative if it would be late.
 func (c *cycle) firstReachable(objectives []time.Time, runTime time.Duration) (at time.Time, slack time.Duration) {
 	for _, at = range objectives {
@@ -102,7 +102,7 @@
 // predictedRunTime is how long a task of a job is expected to run, by the runs seen of its class and its
 // owner's estimate.
 func (c *cycle) predictedRunTime(job *clusterstate.Job) time.Duration {
-	return config.Seconds(c.learning.runTimes.RunS(job.Spec.Class, job.Spec.RuntimeEstimateSeconds))
+	return config.Seconds(c.learning.runTimes.ExpectedRunSeconds(job.Spec.Class, job.Spec.RuntimeEstimateSeconds))
 }
 
 // estimatedRunTime is how long a task of a job runs by its owner's estimate, or as predicted without one.
--- a/internal/scheduler/learner_checkpoint.go
+++ b/internal/scheduler/learner_checkpoint.go
@@ -22,10 +22,10 @@
 	reader    kvstore.Reader
 }
 
-// Learner gives the learner that the autoscaler shares.
+// Learner returns the learner that the autoscaler shares.
 func (e *Engine) Learner() *learner.Learner { return e.learning.learner }
 
-// RunLearner keeps the value function fitted and saved until ctx ends. It gives the error of ctx.
+// RunLearner keeps the value function fitted and saved until ctx ends. It returns the error of ctx.
 func (e *Engine) RunLearner(ctx context.Context) error {
 	checkpoints := learnerCheckpoints{
 		node: e.settings.Node, cluster: e.cluster, committer: e.committer, reader: e.reader,
@@ -76,20 +76,20 @@
 		e.log.Info("learner checkpoint ignored", "err", err)
 	default:
 		e.learning.runTimes.Restore(checkpoint)
-		e.log.Info("learner checkpoint restored", "rewards", checkpoint.Paid)
+		e.log.Info("learner checkpoint restored", "rewards", checkpoint.RewardCount)
 	}
 }
 
 // save writes a checkpoint.
-func (s learnerCheckpoints) save(ctx context.Context, checkpoint learner.Saved) error {
+func (s learnerCheckpoints) save(ctx context.Context, checkpoint learner.Checkpoint) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
 	defer cancel()
 	_, err := s.committer.Commit(ctx, kvstore.Transaction{Ops: s.ops(checkpoint)})
 	return err
 }
 
-// ops gives the changes that save a checkpoint, in the form that the schema version asks for.
-func (s learnerCheckpoints) ops(checkpoint learner.Saved) []wire.Op {
+// ops returns the changes that save a checkpoint, in the form that the schema version asks for.
+func (s learnerCheckpoints) ops(checkpoint learner.Checkpoint) []wire.Op {
 	s.cluster.RLock()
 	version := s.cluster.SchemaVersion
 	s.cluster.RUnlock()
@@ -104,24 +104,24 @@
 }
 
 // load reads the checkpoint: in pieces, or as one record, as it was before tuning.LevelPipelines.
-func (s learnerCheckpoints) load(ctx context.Context) (learner.Saved, error) {
+func (s learnerCheckpoints) load(ctx context.Context) (learner.Checkpoint, error) {
 	checkpoint, err := s.read(ctx, record.LearnerCheckpointPieceKey(s.node, 0))
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return s.read(ctx, record.LearnerCheckpointKey(s.node))
 	}
-	for i := 1; i < checkpoint.Of && err == nil; i++ {
-		var piece learner.Saved
+	for i := 1; i < checkpoint.PieceCount && err == nil; i++ {
+		var piece learner.Checkpoint
 		if piece, err = s.read(ctx, record.LearnerCheckpointPieceKey(s.node, i)); err == nil {
-			err = checkpoint.Join(piece)
+			err = checkpoint.Append(piece)
 		}
 	}
 	return checkpoint, err
 }
 
 // read reads a record, again and again while the key-value store does not answer.
-func (s learnerCheckpoints) read(ctx context.Context, key string) (learner.Saved, error) {
+func (s learnerCheckpoints) read(ctx context.Context, key string) (learner.Checkpoint, error) {
 	for {
-		var checkpoint learner.Saved
+		var checkpoint learner.Checkpoint
 		entry, err := s.reader.Get(ctx, key)
 		switch {
 		case err == nil:
