--- a/internal/kvstore/metrics.go
+++ b/internal/kvstore/metrics.go
@@ -7,7 +7,7 @@
 
 var rejectedRequests = promauto.NewCounterVec(prometheus.CounterOpts{
 	Name: "sableusher_state_refusals_total",
-	Help: "Requests that the state service refused: for its rate, or a transaction for its form or size.",
+	Help: "Requests that the key-value store rejected: for their rate, or a transaction for its form or size.",
 }, []string{"why"})
 
 // Values of the label of rejectedRequests.
@@ -18,5 +18,5 @@
 
 var outcomesLearnedFromWatch = promauto.NewCounter(prometheus.CounterOpts{
 	Name: "sableusher_state_answers_missed_total",
-	Help: "Transactions of which the view showed that they were carried out before any answer came.",
+	Help: "Transactions that the watch cache showed as applied before any answer came.",
 })
--- a/internal/schemaversion/activator.go
+++ b/internal/schemaversion/activator.go
@@ -19,7 +19,7 @@
 
 var activeVersionGauge = promauto.NewGauge(prometheus.GaugeOpts{
 	Name: "sableusher_record_level",
-	Help: "The form of records that is written: the newest that all nodes were seen to read.",
+	Help: "The schema version of the records that are written: the newest that all nodes were seen to read.",
 })
 
 // Committer commits transactions.
