--- /dev/null
+++ b/internal/api/handlers_test.go
@@ -0,0 +1,50 @@
+package api
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"testing"
+
+	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
+)
+
+// TestHeartbeats: a heartbeat is answered by the registry of agents; one that can't be decoded, or names no
+// machine or session, is refused.
+func TestHeartbeats(t *testing.T) {
+	for name, c := range map[string]struct {
+		body []byte
+		want int
+	}{
+		"complete":   {wire.MustEncode(wire.Heartbeat{Machine: "vm-1", Session: 1}), http.StatusOK},
+		"no machine": {wire.MustEncode(wire.Heartbeat{Session: 1}), http.StatusBadRequest},
+		"no session": {wire.MustEncode(wire.Heartbeat{Machine: "vm-1"}), http.StatusBadRequest},
+		"not cbor":   {[]byte("{}"), http.StatusBadRequest},
+		"too large":  {make([]byte, tuning.StateBody+1), http.StatusBadRequest},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if status, _ := newTestServer().send(http.MethodPost, "/agent/beat", c.body); status != c.want {
+				t.Errorf("%d, want %d", status, c.want)
+			}
+		})
+	}
+}
+
+// TestConcurrencyLimit: beyond the limit requests are refused at once, and served again when others are done.
+func TestConcurrencyLimit(t *testing.T) {
+	server := &Server{requestSlots: make(chan struct{}, 1)}
+	status := func() int {
+		recorder := httptest.NewRecorder()
+		served := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
+		server.limitConcurrency(served).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/", nil))
+		return recorder.Code
+	}
+	server.requestSlots <- struct{}{} // another request is being served
+	if got := status(); got != http.StatusServiceUnavailable {
+		t.Errorf("%d beyond the limit", got)
+	}
+	<-server.requestSlots
+	if got := status(); got != http.StatusOK || len(server.requestSlots) != 0 {
+		t.Errorf("%d within the limit, %d slots held afterwards", got, len(server.requestSlots))
+	}
+}
