--- a/internal/binpack/allocate_test.go
+++ b/internal/binpack/allocate_test.go
@@ -99,3 +99,25 @@
 		t.Errorf("placed on %s, where its image takes 10 s", picks[0].Machine.Name)
 	}
 }
+
+// TestReplicasPreferFastFetch: of machines that are alike but for the rate at which they fetch
+// images, a replica without GPUs is placed on the fastest.
+func TestReplicasPreferFastFetch(t *testing.T) {
+	cluster := newTestCluster(
+		wire.MachineType{Name: "slow", CPUs: 8, MemoryGB: 64, ImageFetchGBps: 0.2, Zones: testZones},
+		wire.MachineType{Name: "fast", CPUs: 8, MemoryGB: 64, ImageFetchGBps: 0.8, Zones: testZones},
+	)
+	job := wire.JobSpec{Kind: wire.KindService, TaskCount: 1, CPUs: 1, MemoryGB: 0.5}
+	for i, machineType := range []string{"slow", "fast", "slow"} {
+		cluster.putMachine(i, record.Machine{Type: machineType, Zone: "east", Up: true}, job, 0)
+	}
+	request := newRequest(&wire.JobSpec{
+		ID: "a", Kind: wire.KindService, TaskCount: 1, CPUs: 1, MemoryGB: 0.5, Image: "i",
+	})
+	inv := Refresh(nil, cluster.snapshot())
+	filterFor(inv, request)
+	picks := inv.Allocate(request, inv.FittingMachines(request), unconstrained(), nil)
+	if len(picks) != 1 || picks[0].Machine.Type != "fast" {
+		t.Errorf("placed on %v, want the fast machine", machineNames(picks))
+	}
+}
