--- a/internal/zonehealth/tracker_test.go
+++ b/internal/zonehealth/tracker_test.go
@@ -199,3 +199,23 @@
 		t.Fatalf("forgiven, and on probation for %v", probation)
 	}
 }
+
+// TestReturnsAreForgivenOneByOne: while a zone serves, each ProbationForgive takes one of its
+// returns back and no more.
+func TestReturnsAreForgivenOneByOne(t *testing.T) {
+	zone := &flappingZone{tracker: Tracker{Timing: testTiming}, now: testStart}
+	zone.observe(10, time.Second)
+	for range tuning.ProbationReturns {
+		zone.loseAndReturn(t)
+	}
+	history := zone.tracker.history("east")
+	for want := tuning.ProbationReturns; want > 0; want-- {
+		if history.state != Serving || history.unforgivenReturns != want {
+			t.Fatalf("%v with %d returns, want %d", history.state, history.unforgivenReturns, want)
+		}
+		zone.observe(10, tuning.ProbationForgive)
+	}
+	if history.unforgivenReturns != 0 {
+		t.Fatalf("%d returns are not forgiven", history.unforgivenReturns)
+	}
+}
