--- a/internal/clusterstate/catalog.go
+++ b/internal/clusterstate/catalog.go
@@ -34,22 +34,12 @@
 	c.Types = types
 }
 
-func (s *State) putCatalog(change recordChange) error {
-	catalog, err := decode[wire.Catalog](change)
-	if err != nil {
-		return err
-	}
+func (s *State) putCatalog(change recordChange, catalog wire.Catalog) {
 	s.Catalog.combined, s.Catalog.ModRevision = catalog.Types, change.modRevision
 	s.Catalog.rebuild()
-	return nil
 }
 
-func (s *State) putMachineType(change recordChange) error {
-	machineType, err := decode[wire.MachineType](change)
-	if err != nil {
-		return err
-	}
+func (s *State) putMachineType(change recordChange, machineType wire.MachineType) {
 	s.Catalog.single[machineType.Name] = machineType
 	s.Catalog.rebuild()
-	return nil
 }
--- a/internal/clusterstate/cells.go
+++ b/internal/clusterstate/cells.go
@@ -25,14 +25,9 @@
 	return cell
 }
 
-func (s *State) putCell(change recordChange) error {
-	stored, err := decode[record.Cell](change)
-	if err != nil {
-		return err
-	}
+func (s *State) putCell(change recordChange, stored record.Cell) {
 	cell := s.cellEntry(change.name)
 	cell.Cell, cell.ModRevision = stored, change.modRevision
-	return nil
 }
 
 func (s *State) deleteCell(change recordChange) {
@@ -40,17 +35,11 @@
 	cell.Cell, cell.ModRevision = record.Cell{}, 0
 }
 
-func (s *State) putGuestOutcome(change recordChange) error {
-	cell, transfer, ok := record.ParseGuestOutcomeKey(change.key)
-	if !ok {
-		return nil
-	}
-	outcome, err := decode[record.GuestOutcome](change)
-	if err != nil {
-		return err
+func (s *State) putGuestOutcome(change recordChange, outcome record.GuestOutcome) {
+	if cell, transfer, ok := record.ParseGuestOutcomeKey(change.key); ok {
+		stored := GuestOutcome{GuestOutcome: outcome, ModRevision: change.modRevision}
+		s.cellEntry(cell).GuestOutcomes[transfer] = stored
 	}
-	s.cellEntry(cell).GuestOutcomes[transfer] = GuestOutcome{GuestOutcome: outcome, ModRevision: change.modRevision}
-	return nil
 }
 
 func (s *State) deleteGuestOutcome(change recordChange) {
--- a/internal/clusterstate/chunks.go
+++ b/internal/clusterstate/chunks.go
@@ -22,11 +22,7 @@
 	}
 }
 
-func (s *State) putJobRecord(change recordChange) error {
-	stored, err := record.DecodeJob(change.value)
-	if err != nil {
-		return err
-	}
+func (s *State) putJob(change recordChange, stored record.Job) {
 	id := stored.Spec.ID
 	s.changes.markJob(id)
 	job := s.jobEntry(id)
@@ -52,7 +48,6 @@
 		s.addDependencies(id, job)
 	}
 	s.updateDependents(id)
-	return nil
 }
 
 // markMachinesOf enters the machines of a job's bound tasks into the change feeds.
@@ -64,7 +59,7 @@
 	})
 }
 
-func (s *State) deleteJobRecord(change recordChange) {
+func (s *State) deleteJob(change recordChange) {
 	id := change.name
 	job := s.Jobs[id]
 	if job == nil {
@@ -81,34 +76,12 @@
 	s.updateDependents(id)
 }
 
-func (s *State) putFixedChunk(change recordChange) error {
-	id, _, ok := record.ParseChunkKey(change.key)
-	if !ok {
-		return nil
-	}
-	tasks, err := record.DecodeFixedChunk(change.value)
-	if err != nil {
-		return err
-	}
-	s.putChunk(id, change, tasks)
-	return nil
-}
-
-func (s *State) putGroupedChunk(change recordChange) error {
+// putChunk applies a further chunk of a job's tasks.
+func (s *State) putChunk(change recordChange, tasks []record.Task) {
 	id, _, ok := record.ParseChunkKey(change.key)
 	if !ok {
-		return nil
-	}
-	tasks, err := record.DecodeGroupedChunk(change.value)
-	if err != nil {
-		return err
+		return
 	}
-	s.putChunk(id, change, tasks)
-	return nil
-}
-
-// putChunk applies a further chunk of a job's tasks.
-func (s *State) putChunk(id string, change recordChange, tasks []record.Task) {
 	s.changes.markJob(id)
 	job := s.jobEntry(id)
 	if chunk, ok := job.ChunkIndexOf(change.key); ok && job.HasRecord {
@@ -119,7 +92,7 @@
 	job.addOrphan(change.key, orphanChunk{tasks: tasks, modRevision: change.modRevision})
 }
 
-func (s *State) deleteChunkRecord(change recordChange) {
+func (s *State) deleteChunk(change recordChange) {
 	id, _, ok := record.ParseChunkKey(change.key)
 	if !ok {
 		return
--- a/internal/clusterstate/machines.go
+++ b/internal/clusterstate/machines.go
@@ -66,15 +66,10 @@
 	return machine
 }
 
-func (s *State) putMachine(change recordChange) error {
-	stored, err := decode[record.Machine](change)
-	if err != nil {
-		return err
-	}
+func (s *State) putMachine(change recordChange, stored record.Machine) {
 	machine := s.machineEntry(change.name)
 	machine.Machine, machine.ModRevision = stored, change.modRevision
 	s.changes.markMachine(change.name)
-	return nil
 }
 
 func (s *State) deleteMachine(change recordChange) {
--- a/internal/clusterstate/ownership.go
+++ b/internal/clusterstate/ownership.go
@@ -14,24 +14,14 @@
 	ModRevision uint64
 }
 
-func (s *State) putShard(change recordChange) error {
-	shard, err := decode[record.Shard](change)
-	if err != nil {
-		return err
-	}
+func (s *State) putShard(change recordChange, shard record.Shard) {
 	s.Shards[record.ParseShardKey(change.key)] = Shard{Shard: shard, ModRevision: change.modRevision}
-	return nil
 }
 
 func (s *State) deleteShard(change recordChange) { delete(s.Shards, record.ParseShardKey(change.key)) }
 
-func (s *State) putNode(change recordChange) error {
-	node, err := decode[record.Node](change)
-	if err != nil {
-		return err
-	}
+func (s *State) putNode(change recordChange, node record.Node) {
 	s.Nodes[change.name] = Node{Node: node, ModRevision: change.modRevision}
-	return nil
 }
 
 func (s *State) deleteNode(change recordChange) { delete(s.Nodes, change.name) }
--- a/internal/clusterstate/quotas.go
+++ b/internal/clusterstate/quotas.go
@@ -8,13 +8,8 @@
 	ModRevision uint64
 }
 
-func (s *State) putQuota(change recordChange) error {
-	quota, err := decode[record.Quota](change)
-	if err != nil {
-		return err
-	}
+func (s *State) putQuota(change recordChange, quota record.Quota) {
 	s.Quotas[change.name] = Quota{Quota: quota, ModRevision: change.modRevision}
-	return nil
 }
 
 func (s *State) deleteQuota(change recordChange) { delete(s.Quotas, change.name) }
--- a/internal/clusterstate/rentals.go
+++ b/internal/clusterstate/rentals.go
@@ -12,11 +12,7 @@
 // rental is deleted, or it would count as coming up again. Callers hold the lock.
 func (s *State) ListedInRental(machine string) bool { return s.rentalByMachine[machine] != "" }
 
-func (s *State) putRental(change recordChange) error {
-	rental, err := decode[record.Rental](change)
-	if err != nil {
-		return err
-	}
+func (s *State) putRental(change recordChange, rental record.Rental) {
 	if old, ok := s.Rentals[change.name]; ok && len(old.Machines) > 0 {
 		s.removeRental(change.name)
 	}
@@ -28,7 +24,6 @@
 			s.changes.markMachine(name)
 		}
 	}
-	return nil
 }
 
 func (s *State) deleteRental(change recordChange) { s.removeRental(change.name) }
--- a/internal/clusterstate/update.go
+++ b/internal/clusterstate/update.go
@@ -24,23 +24,46 @@
 
 // prefixHandlers are the handlers of records of which there are many.
 var prefixHandlers = []recordHandler{
-	{record.JobPrefix, (*State).putJobRecord, (*State).deleteJobRecord},
-	{record.FixedChunkPrefix, (*State).putFixedChunk, (*State).deleteChunkRecord},
-	{record.GroupedChunkPrefix, (*State).putGroupedChunk, (*State).deleteChunkRecord},
-	{record.MachinePrefix, (*State).putMachine, (*State).deleteMachine},
-	{record.ShardPrefix, (*State).putShard, (*State).deleteShard},
-	{record.NodePrefix, (*State).putNode, (*State).deleteNode},
-	{record.QuotaPrefix, (*State).putQuota, (*State).deleteQuota},
-	{record.RentalPrefix, (*State).putRental, (*State).deleteRental},
-	{record.CellPrefix, (*State).putCell, (*State).deleteCell},
-	{record.GuestOutcomePrefix, (*State).putGuestOutcome, (*State).deleteGuestOutcome},
-	{record.MachineTypePrefix, (*State).putMachineType, nil},
+	{record.JobPrefix, decodedBy(record.DecodeJob, (*State).putJob), (*State).deleteJob},
+	{record.FixedChunkPrefix, decodedBy(record.DecodeFixedChunk, (*State).putChunk), (*State).deleteChunk},
+	{record.GroupedChunkPrefix, decodedBy(record.DecodeGroupedChunk, (*State).putChunk), (*State).deleteChunk},
+	{record.MachinePrefix, decoded((*State).putMachine), (*State).deleteMachine},
+	{record.ShardPrefix, decoded((*State).putShard), (*State).deleteShard},
+	{record.NodePrefix, decoded((*State).putNode), (*State).deleteNode},
+	{record.QuotaPrefix, decoded((*State).putQuota), (*State).deleteQuota},
+	{record.RentalPrefix, decoded((*State).putRental), (*State).deleteRental},
+	{record.CellPrefix, decoded((*State).putCell), (*State).deleteCell},
+	{record.GuestOutcomePrefix, decoded((*State).putGuestOutcome), (*State).deleteGuestOutcome},
+	{record.MachineTypePrefix, decoded((*State).putMachineType), nil},
 }
 
-// singleHandlers apply the changes of records of which there is one; these are never deleted.
+// singleHandlers apply the writes of records of which there is one; these are never deleted.
 var singleHandlers = map[string]func(*State, recordChange) error{
-	record.CatalogKey:       (*State).putCatalog,
-	record.SchemaVersionKey: (*State).putSchemaVersion,
+	record.CatalogKey:       decoded((*State).putCatalog),
+	record.SchemaVersionKey: decoded((*State).putSchemaVersion),
+}
+
+// decodedBy returns the handler that decodes a written record and applies what it says.
+func decodedBy[T any](
+	decode func(wire.RawValue) (T, error), apply func(*State, recordChange, T),
+) func(*State, recordChange) error {
+	return func(s *State, change recordChange) error {
+		value, err := decode(change.value)
+		if err != nil {
+			return err
+		}
+		apply(s, change, value)
+		return nil
+	}
+}
+
+// decoded is decodedBy for records that need no more than their codec.
+func decoded[T any](apply func(*State, recordChange, T)) func(*State, recordChange) error {
+	return decodedBy(func(encoded wire.RawValue) (T, error) {
+		var value T
+		err := wire.Decode(encoded, &value)
+		return value, err
+	}, apply)
 }
 
 // BeginUpdate starts a group of changes that readers see as one. It takes the lock.
@@ -89,19 +112,7 @@
 	}
 }
 
-// decode reads a record that needs no more than its codec.
-func decode[T any](change recordChange) (T, error) {
-	var value T
-	err := wire.Decode(change.value, &value)
-	return value, err
-}
-
-func (s *State) putSchemaVersion(change recordChange) error {
-	schema, err := decode[record.SchemaVersion](change)
-	if err != nil {
-		return err
-	}
+func (s *State) putSchemaVersion(change recordChange, schema record.SchemaVersion) {
 	s.SchemaVersion = max(s.SchemaVersion, schema.Version)
 	s.SchemaVersionModRevision = change.modRevision
-	return nil
 }
