--- /dev/null
+++ b/internal/learner/input.go
@@ -0,0 +1,91 @@
+package learner
+
+import (
+	"hash/fnv"
+	"math"
+
+	"sableusher/internal/tuning"
+)
+
+// State is the state s that an action is chosen in (paper, section 3.1).
+type State struct {
+	RunningWorkSeconds float64            // work left of running tasks, in machine seconds
+	NextFreeSeconds    float64            // until a machine is expected to become free
+	BacklogSeconds     float64            // work of waiting tasks, in machine seconds
+	IdleMachines       float64            // how many are idle
+	TeamShares         map[string]float64 // of each team in the queue, 0 to 1
+}
+
+// Action is an action a: a waiting job that starts, or a number of machines to rent.
+type Action struct {
+	Class, Team   string
+	RunSeconds    float64 // expected, of a task
+	Interactive   bool
+	IsScaling     bool    // the action is a number of machines; only the fields below count
+	ScaleFraction float64 // of the way from the smallest to the largest number, 0 to 1
+	Machines      float64
+}
+
+// Widths of the encoding, which don't depend on the number of teams and classes.
+const (
+	bucketCount  = tuning.LearnBuckets
+	stateScalars = 4
+	jobScalars   = 2
+	scaleScalars = 3
+	inputWidth   = stateScalars + bucketCount + 2*bucketCount + jobScalars + scaleScalars
+)
+
+func hashBucket(name string) int {
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(name)) // never fails
+	return int(hash.Sum32() % bucketCount)
+}
+
+// saturate maps amounts of any size into 0 to 1; scale becomes one half.
+func saturate(amount, scale float64) float64 {
+	if math.IsNaN(amount) || amount <= 0 {
+		return 0
+	}
+	return 1 - 1/(1+min(amount, tuning.MaxAmount)/scale)
+}
+
+func clamp01(value float64) float64 { return max(0, min(1, value)) }
+
+// encodeInput returns the reservoir's input for an action in a state; each entry lies within 0 and 1.
+// Its parts are the state's scalars, the teams' shares, the action's class, its team, what else is
+// known of a job, and what is known of a number of machines.
+func encodeInput(state *State, action *Action) []float64 {
+	input := make([]float64, inputWidth)
+	input[0] = saturate(state.RunningWorkSeconds, tuning.LearnWorkScale)
+	input[1] = saturate(state.NextFreeSeconds, tuning.LearnTimeScale)
+	input[2] = saturate(state.BacklogSeconds, tuning.LearnWorkScale)
+	input[3] = saturate(state.IdleMachines, tuning.LearnCountScale)
+	shares := input[stateScalars:][:bucketCount]
+	for team, share := range state.TeamShares {
+		bucket := hashBucket(team)
+		shares[bucket] = min(1, shares[bucket]+clamp01(share))
+	}
+	actionInput := input[stateScalars+bucketCount:]
+	if action.IsScaling {
+		encodeScaling(actionInput[2*bucketCount+jobScalars:], action)
+	} else {
+		encodeJob(actionInput, action)
+	}
+	return input
+}
+
+func encodeJob(input []float64, action *Action) {
+	class, team, scalars := input[:bucketCount], input[bucketCount:2*bucketCount], input[2*bucketCount:]
+	class[hashBucket(action.Class)] = 1
+	team[hashBucket(action.Team)] = 1
+	scalars[0] = saturate(action.RunSeconds, tuning.LearnTimeScale)
+	if action.Interactive {
+		scalars[1] = 1
+	}
+}
+
+func encodeScaling(input []float64, action *Action) {
+	input[0] = 1
+	input[1] = clamp01(action.ScaleFraction)
+	input[2] = saturate(action.Machines, tuning.LearnCountScale)
+}
--- a/internal/learner/learner_test.go
+++ b/internal/learner/learner_test.go
@@ -1,7 +1,6 @@
 package learner
 
 import (
-	"io"
 	"log/slog"
 	"math"
 	"testing"
@@ -12,15 +11,31 @@
 	"sableusher/internal/wire"
 )
 
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
+// newTestLearner returns a learner with the paper's rates.
+func newTestLearner(explorationRate float64, warmUpRewards int) *Learner {
+	return New(Config{LearningRate: 0.2, Discount: 0.8, ExplorationRate: explorationRate,
+		WarmUpRewards: warmUpRewards, Seed: 1, Logger: slog.New(slog.DiscardHandler)})
+}
 
 func drawStateAndAction(t *rapid.T) (*State, *Action) {
 	f := rapid.Float64()
-	s := &State{RunningWorkSeconds: f.Draw(t, "running"), NextFreeSeconds: f.Draw(t, "next"), BacklogSeconds: f.Draw(t, "backlog"), IdleMachines: f.Draw(t, "idle"),
-		TeamShares: rapid.MapOf(rapid.String(), f).Draw(t, "shares")}
-	a := &Action{Class: rapid.String().Draw(t, "class"), Team: rapid.String().Draw(t, "team"), RunSeconds: f.Draw(t, "run"),
-		Interactive: rapid.Bool().Draw(t, "interactive"), IsScaling: rapid.Bool().Draw(t, "size"), ScaleFraction: f.Draw(t, "fraction"), Machines: f.Draw(t, "machines")}
-	return s, a
+	state := &State{
+		RunningWorkSeconds: f.Draw(t, "running"),
+		NextFreeSeconds:    f.Draw(t, "next"),
+		BacklogSeconds:     f.Draw(t, "backlog"),
+		IdleMachines:       f.Draw(t, "idle"),
+		TeamShares:         rapid.MapOf(rapid.String(), f).Draw(t, "shares"),
+	}
+	action := &Action{
+		Class:         rapid.String().Draw(t, "class"),
+		Team:          rapid.String().Draw(t, "team"),
+		RunSeconds:    f.Draw(t, "run"),
+		Interactive:   rapid.Bool().Draw(t, "interactive"),
+		IsScaling:     rapid.Bool().Draw(t, "size"),
+		ScaleFraction: f.Draw(t, "fraction"),
+		Machines:      f.Draw(t, "machines"),
+	}
+	return state, action
 }
 
 // TestInputsAreBounded: whatever is observed, the encoding has its width and
@@ -62,7 +77,7 @@
 
 // TestScoringLeavesNoTrace: only the action that is taken moves the memory.
 func TestScoringDoesNotChangeTheReservoir(t *testing.T) {
-	l := New(0.2, 0.8, 0, 0, 1, quiet)
+	l := newTestLearner(0, 0)
 	s, a := &State{IdleMachines: 3}, &Action{Class: "x", RunSeconds: 10}
 	before := append([]float64(nil), l.reservoirState...)
 	c := l.Score(s, a)
@@ -83,7 +98,7 @@
 
 // TestLearnsWhatPays: of two classes the one that pays gets the higher value.
 func TestHigherRewardGetsHigherValue(t *testing.T) {
-	l := New(0.2, 0.8, 0.05, 10, 1, quiet)
+	l := newTestLearner(0.05, 10)
 	s := &State{}
 	classes := map[string]float64{"pays": 1, "costs": 0}
 	for round := range 40 {
@@ -96,7 +111,8 @@
 			t.Fatalf("round %d: %v", round, err)
 		}
 	}
-	good, bad := l.Score(s, &Action{Class: "pays", RunSeconds: 10}).Value, l.Score(s, &Action{Class: "costs", RunSeconds: 10}).Value
+	good := l.Score(s, &Action{Class: "pays", RunSeconds: 10}).Value
+	bad := l.Score(s, &Action{Class: "costs", RunSeconds: 10}).Value
 	if good <= bad+0.1 || !l.Warm() {
 		t.Fatalf("values %v and %v", good, bad)
 	}
@@ -104,7 +120,7 @@
 
 // TestBadFitsKeepWeights: a sample that is not finite must not spoil the values.
 func TestFailedFitKeepsWeights(t *testing.T) {
-	l := New(0.2, 0.8, 0, 0, 1, quiet)
+	l := newTestLearner(0, 0)
 	for range 100 {
 		l.Reward(l.TakeAction(l.Score(&State{}, &Action{Class: "a"})), 0.5)
 	}
@@ -123,7 +139,7 @@
 
 // TestSavedForms: another form, width or a figure that is not finite is refused.
 func TestInvalidCheckpointsAreRefused(t *testing.T) {
-	l := New(0.2, 0.8, 0, 0, 1, quiet)
+	l := newTestLearner(0, 0)
 	good := l.Save()
 	if err := l.Restore(good); err != nil {
 		t.Fatal(err)
@@ -192,7 +208,9 @@
 				t.Fatal(err)
 			}
 		}
-		if out.PieceCount != len(pieces) || out.RewardCount != in.RewardCount || len(out.Weights) != len(in.Weights) || len(out.Runs) != len(in.Runs) || len(out.EstimateRatios) != len(in.EstimateRatios) {
+		if out.PieceCount != len(pieces) || out.RewardCount != in.RewardCount ||
+			len(out.Weights) != len(in.Weights) || len(out.Runs) != len(in.Runs) ||
+			len(out.EstimateRatios) != len(in.EstimateRatios) {
 			t.Fatalf("%+v became %+v", in, out)
 		}
 		for i, w := range in.Weights {
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -46,9 +46,14 @@
 	return learning{
 		operator: operator,
 		log:      log,
-		learner: learner.New(
-			operator.LearnRate, operator.Discount, operator.Exploration, operator.ColdPayoffs, seed, log,
-		),
+		learner: learner.New(learner.Config{
+			LearningRate:    operator.LearnRate,
+			Discount:        operator.Discount,
+			ExplorationRate: operator.Exploration,
+			WarmUpRewards:   operator.ColdPayoffs,
+			Seed:            seed,
+			Logger:          log,
+		}),
 		runTimes:             learner.NewRunTimeEstimates(),
 		pendingRewards:       map[taskAttempt]int64{},
 		startedAt:            map[taskAttempt]time.Time{},
