--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -12,7 +12,7 @@
 // gangStart is the attempt that a gang's waiting tasks are bound for.
 type gangStart struct {
 	attempt uint64
-	idle    []record.Task
+	idle    []int // indexes of the tasks to be bound
 	forming bool // tasks of the attempt are bound already
 }
 
@@ -41,19 +41,20 @@
 	queued.Remaining = 0
 	if c.shards.owns(queued.homeShard) && c.gangBindable(queued, start, picks) {
 		for i, pick := range picks {
-			c.bindTask(queued, newTaskStart(start.idle[i], job.Spec.ID, start.attempt, pick, queued.homeShard))
+			task := c.taskState(job, start.idle[i])
+			c.bindTask(queued, newTaskStart(task, job.Spec.ID, start.attempt, pick, queued.homeShard))
 		}
 	}
 }
 
 // gangStart finds the tasks of a gang that wait, and its last attempt.
 func (c *cycle) gangStart(job *clusterstate.Job) gangStart {
-	var start gangStart
+	start := gangStart{idle: make([]int, 0, job.PendingCount())}
 	for taskIndex := range job.Spec.TaskCount {
 		task := c.taskState(job, taskIndex)
 		start.attempt = max(start.attempt, task.Attempt)
 		if task.State == record.TaskPending {
-			start.idle = append(start.idle, task)
+			start.idle = append(start.idle, taskIndex)
 		} else {
 			start.forming = true
 		}
@@ -67,8 +68,8 @@
 	if c.changes.inFlight(record.JobKey(job.Spec.ID)) || c.needsMigration(job) {
 		return false
 	}
-	return !start.forming || !slices.ContainsFunc(start.idle, func(task record.Task) bool {
-		return task.Attempt >= start.attempt
+	return !start.forming || !slices.ContainsFunc(start.idle, func(taskIndex int) bool {
+		return c.taskState(job, taskIndex).Attempt >= start.attempt
 	})
 }
 
@@ -102,8 +103,8 @@
 		return false
 	}
 	bindingsByChunk := map[int]int{}
-	for _, task := range start.idle {
-		bindingsByChunk[job.ChunkOf(task.Index)]++
+	for _, taskIndex := range start.idle {
+		bindingsByChunk[job.ChunkOf(taskIndex)]++
 	}
 	for chunk, bindings := range bindingsByChunk {
 		if c.recordFull(job, chunk, bindings, picks[0].Machine.Name) {
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -138,7 +138,9 @@
 	if queued.Remaining == 0 {
 		return
 	}
-	zones := c.allocateAnywhere(queued)
+	chunk := c.chunkToPlace(job)
+	zones := c.zoneConstraint(job, chunk)
+	c.allocateAnywhere(queued, chunk, &zones)
 	if queued.Remaining == 0 {
 		return
 	}
@@ -157,26 +159,23 @@
 }
 
 // allocateAnywhere takes capacity for a job's tasks in all shards, and binds them to this node's machines
-// if their owner has left them. What has capacity elsewhere is only counted. It returns what zones are left.
-func (c *cycle) allocateAnywhere(queued *queuedJob) binpack.ZoneConstraint {
+// if their owner has left them. What has capacity elsewhere is only counted.
+func (c *cycle) allocateAnywhere(queued *queuedJob, chunk int, zones *binpack.ZoneConstraint) {
 	job := queued.job
-	chunk := c.chunkToPlace(job)
-	zones := c.zoneConstraint(job, chunk)
 	candidates := c.inventory.FittingMachines(&queued.Request)
 	if job.Spec.Kind == wire.KindGang {
 		if job.Spec.SameZone && zones.PinnedZone == "" {
 			zones.PinnedZone = c.inventory.RoomiestZone(&queued.Request, candidates)
 		}
-		c.inventory.Allocate(&queued.Request, candidates, &zones, nil) // kept whole for it
-		return zones
+		c.inventory.Allocate(&queued.Request, candidates, zones, nil) // kept whole for it
+		return
 	}
-	picks := c.inventory.Allocate(&queued.Request, candidates, &zones, func(candidate *binpack.MachineInfo) bool {
+	picks := c.inventory.Allocate(&queued.Request, candidates, zones, func(candidate *binpack.MachineInfo) bool {
 		return candidate.Machine.Shard != queued.homeShard
 	})
 	if len(picks) > 0 && (queued.rank <= wire.PriorityHigh.Rank() || c.homeOwnerTimedOut(queued)) {
 		c.bindToOwnMachines(queued, chunk, picks)
 	}
-	return zones
 }
 
 // addUnmet adds what is left of a job to the unmet demand.
