--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -13,10 +13,10 @@
 type gangStart struct {
 	attempt uint64
 	idle    []int // indexes of the tasks to be bound
-	forming bool // tasks of the attempt are bound already
+	forming bool  // tasks of the attempt are bound already
 }
 
-// placeGang returns a gang capacity for all its tasks or none. One node does so for each gang, over the
+// placeGang allocates capacity for all of a gang's tasks or for none. One node does so for each gang, over the
 // machines of all shards, in one transaction: the owner of the gang's home shard, whose grant it uses.
 // The owners of its machines start the tasks as they see them bound. Where an owner has used the capacity
 // meanwhile, its agent refuses and the gang is placed anew.
