--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -23,7 +23,7 @@
 // PeerTransport connects a controller with the other nodes and with other cells.
 type PeerTransport interface {
 	scheduler.Peers
-	offload.Line
+	offload.Transport
 	// LastAnswered tells when a node last answered this one; zero if it never did.
 	LastAnswered(node string) time.Time
 	// SetCellHandler sets what answers other cells. It is called before Run, if at all.
@@ -70,7 +70,17 @@
 	}
 	agents.SetPeerLastAnswered(peers.LastAnswered)
 
-	engine := scheduler.New(settings, operator, state, members, agents, committer, client, peers, logger)
+	engine := scheduler.New(scheduler.Config{
+		Settings:     settings,
+		Operator:     operator,
+		ClusterState: state,
+		Membership:   members,
+		Agents:       agents,
+		Committer:    committer,
+		Reader:       client,
+		Peers:        peers,
+		Logger:       logger,
+	})
 	scaler := store.newAutoscaler(&c, members, engine)
 	dependencies := dependency.NewResolver(state, client, logger)
 	versions := store.newActivator(&c, members)
