--- /dev/null
+++ b/internal/preemption/plan_test.go
@@ -0,0 +1,88 @@
+package preemption
+
+import (
+	"fmt"
+	"math"
+	"testing"
+
+	"pgregory.net/rapid"
+
+	"sableusher/internal/binpack"
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
+	"sableusher/internal/wire"
+)
+
+// drawMachine draws a machine with some free GPUs.
+func drawMachine(t *rapid.T, name string) *binpack.MachineInfo {
+	free := record.Resources{GPUs: float64(rapid.IntRange(0, 2).Draw(t, "free"))}
+	return &binpack.MachineInfo{Machine: &clusterstate.Machine{Name: name}, Free: free}
+}
+
+// drawVictims draws tasks on a machine.
+func drawVictims(t *rapid.T, machine string) []Victim {
+	var victims []Victim
+	for index := range rapid.IntRange(0, 4).Draw(t, "tasks") {
+		job := &clusterstate.Job{}
+		job.Spec = wire.JobSpec{ID: "j", GPUs: float64(rapid.IntRange(1, 2).Draw(t, "gpus"))}
+		victims = append(victims, Victim{
+			Binding:            clusterstate.Binding{Ref: record.TaskRef{JobID: machine, Index: index}, Job: job},
+			Rank:               rapid.IntRange(1, 3).Draw(t, "rank"),
+			LostMachineSeconds: float64(rapid.IntRange(1, 50).Draw(t, "cost")),
+		})
+	}
+	return victims
+}
+
+// checkPlan checks that a plan makes room for a need and stops no task that could be spared, and returns its cost.
+func checkPlan(t *rapid.T, need record.Resources, plan Plan) float64 {
+	cost, free := 0.0, plan.Machine.Free
+	for i, victim := range plan.Victims {
+		if need.FitsIn(free) {
+			t.Errorf("task %d is stopped for nothing", i)
+		}
+		free = free.Plus(record.TaskResources(&victim.Binding.Job.Spec))
+		cost += victim.LostMachineSeconds
+	}
+	if !need.FitsIn(free) {
+		t.Errorf("%v freed for %v", free, need)
+	}
+	if cost != plan.LostMachineSeconds {
+		t.Errorf("the plan says that it loses %v, its victims lose %v", plan.LostMachineSeconds, cost)
+	}
+	return cost
+}
+
+// TestCheapestPlanIsMinimal: no machine makes room at a lower cost than the one chosen, the tasks stopped make room,
+// and none of them could be spared.
+func TestCheapestPlanIsMinimal(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		need := record.Resources{GPUs: float64(rapid.IntRange(1, 4).Draw(t, "need"))}
+		victims := map[*binpack.MachineInfo][]Victim{}
+		var machines []*binpack.MachineInfo
+		for i := range rapid.IntRange(1, 6).Draw(t, "machines") {
+			machine := drawMachine(t, fmt.Sprint("m", i))
+			machines = append(machines, machine)
+			victims[machine] = drawVictims(t, machine.Machine.Name)
+		}
+		victimsOn := func(machine *binpack.MachineInfo) []Victim { return victims[machine] }
+		plan, ok := CheapestPlan(need, machines, victimsOn)
+		cost := math.Inf(1)
+		if ok {
+			cost = checkPlan(t, need, plan)
+		}
+		for _, machine := range machines {
+			sum, free := 0.0, machine.Free
+			for _, victim := range victims[machine] { // in order by now
+				if need.FitsIn(free) {
+					break
+				}
+				sum += victim.LostMachineSeconds
+				free = free.Plus(record.TaskResources(&victim.Binding.Job.Spec))
+			}
+			if need.FitsIn(free) && sum < cost {
+				t.Errorf("%s makes room for %v, chosen for %v", machine.Machine.Name, sum, cost)
+			}
+		}
+	})
+}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -9,16 +9,16 @@
 	"sableusher/internal/wire"
 )
 
-// preemptFor frees room for a task of higher priority on the machine of this
-// node's parts where the least work is lost. All nodes play this round, but only
-// an owner knows what its tasks would lose: the part is chosen by what all know,
-// the machine by its owner. It tells whether there is a part where room could be made;
-// once there is none, like needs of the same rank are not looked at again in this round:
-// hundreds of arrays that wait behind a full fleet would each pass all of its machines.
-func (c *cycle) preemptFor(queued *queuedJob, taskIndex int, inventory *binpack.Inventory, zones *binpack.ZoneConstraint) bool {
+// preemptForTask makes room for a task of a waiting job by stopping tasks on the machine where the least work is lost,
+// and reports whether there is a shard where room could be made. All nodes do so in their cycles, but only a shard's
+// owner knows what its tasks would lose: the shard is chosen by what all nodes know, the machine by the owner.
+//
+// Once there is no such shard, like requests of the same rank are not looked at again in this cycle: hundreds of arrays
+// that wait behind a full cluster would each pass all of its machines.
+func (c *cycle) preemptForTask(queued *queuedJob, taskIndex int, zones *binpack.ZoneConstraint) bool {
 	task := record.TaskRef{JobID: queued.job.Spec.ID, Index: taskIndex}
 	if c.preempting.awaiting[task] {
-		return true // room is being freed for it already
+		return true // room is being made for it already
 	}
 	if c.preempting.machines >= tuning.RoundStops || c.preempting.failed[queued.rank].Covers(&queued.Request) {
 		return false
@@ -26,34 +26,46 @@
 	first := (c.firstLiveShard(queued.job) + taskIndex + c.shardRotation(queued)) % c.cluster.ShardCount
 	for offset := range c.cluster.ShardCount {
 		shard := (first + offset) % c.cluster.ShardCount
-		_, owned := c.shards.fencingTokens[shard]
-		limit := 1 // that there is one is all that matters where another node decides
-		if owned {
-			limit = tuning.PreemptLook
+		if c.preemptInShard(shard, queued, task, zones) {
+			return true
 		}
-		candidates := preemption.CandidateMachines(inventory.ReadyMachines(shard), &queued.Request, queued.rank, zones, limit)
-		if len(candidates) == 0 {
-			continue
-		}
-		if owned {
-			if best, victims := preemption.CheapestMachine(queued.Need, candidates, func(candidate *binpack.MachineInfo) []preemption.Victim { return c.preemptibleTasks(candidate, queued) }); best != nil {
-				c.preemptTasks(best, queued, task, victims)
-				zones.TasksByZone[best.Machine.Zone]++
-			}
-		}
-		return true
 	}
-	// What must stand in certain zones may have missed for that alone.
+	// What must stand in certain zones may have failed for that alone.
 	if !queued.job.Spec.SameZone && !queued.job.Spec.Spread {
 		c.preempting.failed[queued.rank].Add(&queued.Request)
 	}
 	return false
 }
 
-// shardRotation moves the part at which urgent work that finds no room has it made, every PreemptTurn that
-// it still finds none: an owner may know that the machines of its part are not to be had which
-// others take for ready, and all would wait for it. By the clock alone the turns passed in the
-// midst of stops, and room was made twice.
+// preemptInShard makes room for a task in a shard if it is this node's, and reports whether room could be made there.
+func (c *cycle) preemptInShard(
+	shard int, queued *queuedJob, task record.TaskRef, zones *binpack.ZoneConstraint,
+) bool {
+	search := preemption.Search{Request: &queued.Request, Rank: queued.rank, Zones: zones, Limit: 1}
+	owned := c.shards.owns(shard)
+	if owned {
+		// Elsewhere its owner decides: that there is one machine is all that matters.
+		search.Limit = tuning.PreemptLook
+	}
+	candidates := search.Candidates(c.inventory.ReadyMachines(shard))
+	if len(candidates) == 0 {
+		return false
+	}
+	if !owned {
+		return true
+	}
+	victimsOn := func(machine *binpack.MachineInfo) []preemption.Victim { return c.preemptibleTasks(machine, queued) }
+	if plan, ok := preemption.CheapestPlan(queued.Need, candidates, victimsOn); ok {
+		c.preempt(plan, queued, task)
+		zones.TasksByZone[plan.Machine.Machine.Zone]++
+	}
+	return true
+}
+
+// shardRotation moves the shard in which room is made first for urgent work, every tuning.PreemptTurn that it finds
+// none: the owner of a shard may know that machines are not to be had which other nodes take for ready, and all would
+// wait for it. It counts from when the work first found no room: by the clock alone the turns would pass in the midst
+// of stops, and room would be made twice.
 func (c *cycle) shardRotation(queued *queuedJob) int {
 	since, ok := c.demand.unplacedSince[queued.job.Spec.ID]
 	if !ok || queued.rank > wire.PriorityHigh.Rank() {
@@ -62,7 +74,7 @@
 	return int(c.now.Sub(since) / tuning.PreemptTurn)
 }
 
-// countReservedZones counts with a job's tasks the machines on which room is being freed for it.
+// countReservedZones counts, with a job's tasks, the machines on which room is being made for it.
 func (c *cycle) countReservedZones(jobID string, zones *binpack.ZoneConstraint) {
 	for name, task := range c.reservations.active(c.now) {
 		if machine := c.cluster.Machines[name]; machine != nil && task.JobID == jobID {
@@ -71,50 +83,70 @@
 	}
 }
 
-// preemptibleTasks gives the tasks on a machine that may be stopped for a job.
-func (c *cycle) preemptibleTasks(candidate *binpack.MachineInfo, queued *queuedJob) []preemption.Victim {
-	preemptor := preemption.Preemptor{Rank: queued.rank, WithinGuarantee: queued.withinGuarantee, GuaranteedOnArrival: c.order.guarantees.onArrival[queued.job.Spec.ID], Team: queued.job.Spec.Team, Need: queued.Need}
+// preemptibleTasks returns the tasks on a machine that may be stopped for a waiting job.
+func (c *cycle) preemptibleTasks(machine *binpack.MachineInfo, queued *queuedJob) []preemption.Victim {
+	preemptor := preemption.Preemptor{
+		Rank:                queued.rank,
+		Team:                queued.job.Spec.Team,
+		WithinGuarantee:     queued.withinGuarantee,
+		GuaranteedOnArrival: c.order.guarantees.onArrival[queued.job.Spec.ID],
+	}
 	var victims []preemption.Victim
-	for _, binding := range candidate.Machine.Bindings {
-		if preemptor.MayPreempt(c.runningJob(binding.Job)) && !binding.Job.Cancelled() && record.TaskPreemptible(&binding.Job.Spec) && !c.agents.StopRequested(binding) {
-			victims = append(victims, preemption.Victim{Binding: binding, Rank: c.effectiveRank(binding.Job), LostMachineSeconds: c.lostMachineSeconds(binding, candidate)})
+	for _, binding := range machine.Machine.Bindings {
+		job := binding.Job
+		if !preemptor.MayPreempt(c.runningJob(job)) || job.Cancelled() || !record.TaskPreemptible(&job.Spec) ||
+			c.agents.StopRequested(binding) {
+			continue
 		}
+		victims = append(victims, preemption.Victim{
+			Binding:            binding,
+			Rank:               c.effectiveRank(job),
+			LostMachineSeconds: c.lostMachineSeconds(binding, machine.Machine),
+		})
 	}
 	return victims
 }
 
-// preemptTasks stops tasks on a machine until another has room there, and keeps the room.
-func (c *cycle) preemptTasks(candidate *binpack.MachineInfo, queued *queuedJob, task record.TaskRef, victims []preemption.Victim) {
-	c.preempting.machines++
-	c.inventory.ReserveAll(candidate, task.JobID)
-	c.reservations.reserve(candidate.Machine.Name, task, c.now.Add(tuning.PreemptHold))
-	c.preempting.awaiting[task] = true
-	for _, victim := range victims {
-		grace := 0.0
-		if queued.rank > 0 && victim.Binding.Job.Spec.CheckpointIntervalSeconds > 0 {
-			grace = stopGraceSeconds(&victim.Binding.Job.Spec)
-		}
-		c.log.Debug("stopping a task for one of higher priority", "task", victim.Binding.Ref, "for", task, "machine", candidate.Machine.Name)
-		c.agents.RequestStop(victim.Binding, candidate.Machine.Name, grace)
-	}
-}
-
-// runningJob is what a running job has to say for itself.
+// runningJob is a job as it stands against those that would preempt it.
 func (c *cycle) runningJob(job *clusterstate.Job) preemption.RunningJob {
 	_, guaranteed := c.quota.Guarantee(job.Spec.Team)
-	return preemption.RunningJob{Rank: c.effectiveRank(job), WithinGuarantee: c.order.guarantees.running[job.Spec.ID], TeamHasGuarantee: guaranteed, Team: job.Spec.Team,
-		EndsSoon: job.Spec.Kind == wire.KindArray && c.predictedRunTime(job) < tuning.Passing}
+	return preemption.RunningJob{
+		Rank:             c.effectiveRank(job),
+		Team:             job.Spec.Team,
+		TeamHasGuarantee: guaranteed,
+		WithinGuarantee:  c.order.guarantees.running[job.Spec.ID],
+		EndsSoon:         job.Spec.Kind == wire.KindArray && c.predictedRunTime(job) < tuning.Passing,
+	}
 }
 
-// lostMachineSeconds is the work lost when a task is stopped, in machine seconds.
-func (c *cycle) lostMachineSeconds(binding clusterstate.Binding, candidate *binpack.MachineInfo) float64 {
-	task := c.agents.ObserveTask(binding, candidate.Machine.Name, c.shards.fencingTokens[candidate.Machine.Shard])
+// lostMachineSeconds is the work lost when a task is stopped: what it has done since it began, or at most since its
+// last checkpoint.
+func (c *cycle) lostMachineSeconds(binding clusterstate.Binding, machine *clusterstate.Machine) float64 {
+	task := c.agents.ObserveTask(binding, machine.Name, c.shards.fencingTokens[machine.Shard])
 	ran := 0.0
 	if task.State == wire.TaskRunning {
 		ran = c.now.Sub(task.Since).Seconds()
 	}
-	if checkpointSeconds := binding.Job.Spec.CheckpointIntervalSeconds; checkpointSeconds > 0 {
-		ran = min(ran, checkpointSeconds)
+	if interval := binding.Job.Spec.CheckpointIntervalSeconds; interval > 0 {
+		ran = min(ran, interval)
 	}
 	return 1 + ran
 }
+
+// preempt stops the victims of a plan for a waiting task, and reserves their machine for it.
+func (c *cycle) preempt(plan preemption.Plan, queued *queuedJob, task record.TaskRef) {
+	machine := plan.Machine.Machine.Name
+	c.preempting.machines++
+	c.inventory.ReserveAll(plan.Machine, task.JobID)
+	c.reservations.reserve(machine, task, c.now.Add(tuning.PreemptHold))
+	c.preempting.awaiting[task] = true
+	for _, victim := range plan.Victims {
+		spec := &victim.Binding.Job.Spec
+		grace := 0.0
+		if queued.rank > 0 && spec.CheckpointIntervalSeconds > 0 {
+			grace = stopGraceSeconds(spec)
+		}
+		c.log.Debug("preempting a task", "task", victim.Binding.Ref, "preemptor", task, "machine", machine)
+		c.agents.RequestStop(victim.Binding, machine, grace)
+	}
+}
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -17,7 +17,8 @@
 	table.reserve("m3", first, testNow.Add(time.Second))
 	table.reserve("m3", second, testNow.Add(time.Minute))
 	table.release("m2")
-	if active := maps.Collect(table.active(testNow)); len(active) != 2 || active["m1"] != first || active["m3"] != second {
+	active := maps.Collect(table.active(testNow))
+	if len(active) != 2 || active["m1"] != first || active["m3"] != second {
 		t.Errorf("reserved: %v", active)
 	}
 	if active := maps.Collect(table.active(testNow.Add(1))); len(active) != 1 || active["m3"] != second {
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -204,7 +204,7 @@
 func (c *cycle) preemptForTasks(queued *queuedJob, missing int, zones *binpack.ZoneConstraint) {
 	c.countReservedZones(queued.job.Spec.ID, zones)
 	for taskIndex := range min(missing, tuning.PreemptTasks) {
-		if !c.preemptFor(queued, taskIndex, c.inventory, zones) {
+		if !c.preemptForTask(queued, taskIndex, zones) {
 			return
 		}
 	}
