--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -135,7 +135,9 @@
 			}},
 			{"message/answer", offload.Message{
 				Cell: "b", FromEpoch: 2, ToEpoch: 1,
-				Statuses: []offload.Status{{Number: 3, Status: int(federation.HostEnded), FinalState: wire.JobDone, DoneCount: 2}},
+				Statuses: []offload.Status{
+					{Number: 3, Status: int(federation.HostEnded), FinalState: wire.JobDone, DoneCount: 2},
+				},
 			}},
 		},
 	))
