--- a/internal/federation/membership_test.go
+++ b/internal/federation/member_test.go
@@ -68,10 +68,10 @@
 					t.Fatalf("silent for %v and %v", quiet, m.Standing)
 				}
 				if well > tuning.CellProbation<<tuning.ProbationReturns+2*time.Second && !m.AcceptsOffers() {
-					t.Fatalf("well for %v and %v, waits for %s", well, m.Standing, m.WaitingFor(now))
+					t.Fatalf("well for %v and %v, waits for %s", well, m.Standing, m.WaitReason(now))
 				}
-				if (m.WaitingFor(now) == "") != m.AcceptsOffers() {
-					t.Fatalf("%v waits for %q", m.Standing, m.WaitingFor(now))
+				if (m.WaitReason(now) == "") != m.AcceptsOffers() {
+					t.Fatalf("%v waits for %q", m.Standing, m.WaitReason(now))
 				}
 			}
 		}
--- a/internal/federation/placement.go
+++ b/internal/federation/placement.go
@@ -1,135 +1,104 @@
 package federation
 
 import (
-	"cmp"
 	"math/rand/v2"
 	"slices"
 	"time"
 
-	"sableusher/internal/binpack"
 	"sableusher/internal/record"
 	"sableusher/internal/tuning"
 )
 
-// FreeCapacity is a number of like machines of a cell with like free room.
-type FreeCapacity struct {
-	Type  string
-	Zone  string
-	Spot  bool
-	Free  record.Resources // on each
-	Count int
-}
-
-// Digest is what a cell tells the others of itself: a hint, stamped and aged, of some KB whatever
-// the cell's size. A wrong one costs an offer that is refused.
-type Digest struct {
-	ReceivedAt        time.Time      `cbor:"-"`           // when it arrived here
-	FreeCapacities    []FreeCapacity `cbor:"r,omitempty"` // the largest, up to tuning.DigestShapes
-	WaitSecondsByRank []float64      `cbor:"w,omitempty"` // by rank, in seconds: how long work without room is expected to wait
-	Images            []string       `cbor:"i,omitempty"` // held on many machines
-	FetchSecondsPerGB float64        `cbor:"f"`           // seconds for a GB of image
-	BootSeconds       float64        `cbor:"b"`           // until a machine that is rented is up, in seconds
-	RemainingTasks    int            `cbor:"g"`           // tasks of others that it takes at most beside those it has
-}
+// cellsCompared is how many cells are drawn, of which the better one is offered a job.
+const cellsCompared = 2
 
-// LargestCapacities keeps the rooms that hold most, so that a digest stays within its size.
-func LargestCapacities(rooms []FreeCapacity) []FreeCapacity {
-	sum := func(r FreeCapacity) float64 { return float64(r.Count) * (r.Free.GPUs + r.Free.CPUs/64) }
-	out := slices.Clone(rooms)
-	slices.SortStableFunc(out, func(a, b FreeCapacity) int { return -cmp.Compare(sum(a), sum(b)) })
-	return out[:min(len(out), tuning.DigestShapes)]
-}
-
-// OffloadCandidate is a job that could start elsewhere.
+// OffloadCandidate is a job that could start in another cell.
 type OffloadCandidate struct {
 	JobID            string
 	TaskResources    record.Resources // of each task
 	TaskCount        int
-	SameZone         bool     // all in one zone
+	SameZone         bool     // all tasks in one zone
 	MachineTypes     []string // allowed types; none: any
 	AllowSpot        bool     // may use spot machines
 	PriorityRank     int
 	Image            string
 	ImageSizeGB      float64
-	LocalWaitSeconds float64 // how long until it is expected to start here, in seconds
+	LocalWaitSeconds float64 // until it is expected to start here
 	OffloadedHere    bool    // came from another cell itself
 }
 
-// fittingTasks counts the tasks of a job that a digest's rooms take: all of them together, or in the zone
-// that takes most.
-func (d *Digest) fittingTasks(w *OffloadCandidate) int {
-	zones := map[string]int{}
-	for _, r := range d.FreeCapacities {
-		if r.Spot && !w.AllowSpot || len(w.MachineTypes) > 0 && !slices.Contains(w.MachineTypes, r.Type) {
-			continue
-		}
-		zone := r.Zone
-		if !w.SameZone {
-			zone = ""
-		}
-		zones[zone] += r.Count * binpack.TasksThatFit(w.TaskResources, r.Free)
-	}
-	most := 0
-	for _, n := range zones {
-		most = max(most, n)
+// allows tells whether the job may use machines of a kind.
+func (c *OffloadCandidate) allows(capacity FreeCapacity) bool {
+	if capacity.Spot && !c.AllowSpot {
+		return false
 	}
-	return most
+	return len(c.MachineTypes) == 0 || slices.Contains(c.MachineTypes, capacity.Type)
 }
 
-// TargetCell is a cell that work may be offered to.
+// TargetCell is a cell that jobs may be offered to.
 type TargetCell struct {
 	Name            string
 	Digest          Digest
-	TransferSeconds float64 // what a transfer there costs, in seconds, by the operators
-	TasksInFlight   int     // tasks offered to it and not yet answered
+	TransferSeconds float64 // cost of a transfer there, as its operators set it
+	TasksInFlight   int     // tasks offered to it since its digest
 }
 
-// expectedStart gives after how many seconds a job is expected to start in a cell; ok is false if it
-// is not to be offered there: no fresh word, no more guests, or too much on its way. Where there is
-// no room for all of it now it waits its turn and a boot.
-func (c *TargetCell) expectedStart(w *OffloadCandidate, now time.Time) (after float64, ok bool) {
-	d := &c.Digest
-	if d.ReceivedAt.IsZero() || now.Sub(d.ReceivedAt) > tuning.DigestLife || c.TasksInFlight+w.TaskCount > d.RemainingTasks {
+// expectedStart returns after how many seconds a job is expected to start in the cell. ok is false if the job
+// is not to be offered there: the digest is too old, the cell accepts no more tasks, or too many are in flight.
+// A job that does not fit now as a whole waits for its turn and for a machine to boot.
+func (c *TargetCell) expectedStart(candidate *OffloadCandidate, now time.Time) (seconds float64, ok bool) {
+	digest := &c.Digest
+	expired := digest.ReceivedAt.IsZero() || now.Sub(digest.ReceivedAt) > tuning.DigestLife
+	if expired || c.TasksInFlight+candidate.TaskCount > digest.RemainingTasks {
 		return 0, false
 	}
-	after = c.TransferSeconds
-	if !slices.Contains(d.Images, w.Image) {
-		after += w.ImageSizeGB * d.FetchSecondsPerGB
+	seconds = c.TransferSeconds
+	if !slices.Contains(digest.Images, candidate.Image) {
+		seconds += candidate.ImageSizeGB * digest.FetchSecondsPerGB
 	}
-	room := d.fittingTasks(w) - c.TasksInFlight
 	switch {
-	case room >= w.TaskCount && float64(c.TasksInFlight+w.TaskCount) <= tuning.SpillFlight*float64(d.fittingTasks(w)):
-	case w.PriorityRank >= len(d.WaitSecondsByRank):
+	case c.fitsNow(candidate):
+	case candidate.PriorityRank >= len(digest.WaitSecondsByRank):
 		return 0, false
 	default:
-		after += d.WaitSecondsByRank[w.PriorityRank] + d.BootSeconds
+		seconds += digest.WaitSecondsByRank[candidate.PriorityRank] + digest.BootSeconds
 	}
-	return after, true
+	return seconds, true
+}
+
+// fitsNow tells whether all tasks of a job fit beside those in flight, and use only a part of what is free, as
+// other cells read the same digest.
+func (c *TargetCell) fitsNow(candidate *OffloadCandidate) bool {
+	fitting := c.Digest.fittingTasks(candidate)
+	inFlight := c.TasksInFlight + candidate.TaskCount
+	return inFlight <= fitting && float64(inFlight) <= tuning.SpillFlight*float64(fitting)
 }
 
-// ChooseCell says to which of some cells a job is best offered, if to any: one of two that are drawn,
-// so that not all cells that heard the same digest choose the same, if it is expected to
-// start there sooner than here by a margin. What came from elsewhere stays: one hop.
-func ChooseCell(now time.Time, w *OffloadCandidate, from []TargetCell, rnd *rand.Rand) (to string, ok bool) {
-	if w.OffloadedHere {
+// ChooseCell returns the cell that a job is best offered to; ok is false if it should stay. It takes the better
+// one of two cells that are drawn with random, so that not all cells with the same digests choose the same one,
+// if the job is expected to start there sooner than here by a margin. A job that came from another cell stays.
+func ChooseCell(
+	now time.Time, candidate *OffloadCandidate, cells []TargetCell, random *rand.Rand,
+) (name string, ok bool) {
+	if candidate.OffloadedHere {
 		return "", false
 	}
-	margin := max(tuning.SpillLeast.Seconds(), tuning.SpillMargin*w.LocalWaitSeconds)
-	list := slices.Clone(from)
-	rnd.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	best, tried := 0.0, 0
-	for i := range list {
-		after, may := list[i].expectedStart(w, now)
-		if !may {
+	margin := max(tuning.SpillLeast.Seconds(), tuning.SpillMargin*candidate.LocalWaitSeconds)
+	drawn := slices.Clone(cells)
+	random.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
+	soonest, compared := 0.0, 0
+	for i := range drawn {
+		seconds, possible := drawn[i].expectedStart(candidate, now)
+		if !possible {
 			continue
 		}
-		tried++
-		if after+margin <= w.LocalWaitSeconds && (!ok || after < best) {
-			to, best, ok = list[i].Name, after, true
+		compared++
+		if seconds+margin <= candidate.LocalWaitSeconds && (!ok || seconds < soonest) {
+			name, soonest, ok = drawn[i].Name, seconds, true
 		}
-		if tried == 2 {
+		if compared == cellsCompared {
 			break
 		}
 	}
-	return to, ok
+	return name, ok
 }
--- a/internal/offload/home.go
+++ b/internal/offload/home.go
@@ -151,7 +151,7 @@
 	next := s.underOwnEpoch(rec)
 	m := memberOf(name, next).Step(time.Now(), federation.Observation{Configured: true, LastHeard: h.lastHeard, Epoch: h.epoch, Draining: h.draining, InventoryExchanged: settled})
 	if m.Standing != federation.Standing(rec.Standing) {
-		s.logger.Info("cell changes", "cell", name, "standing", m.Standing, "before", federation.Standing(rec.Standing), "epoch", m.Epoch, "waits for", m.WaitingFor(time.Now()))
+		s.logger.Info("cell changes", "cell", name, "standing", m.Standing, "before", federation.Standing(rec.Standing), "epoch", m.Epoch, "waits for", m.WaitReason(time.Now()))
 		next.StandingSinceMs = m.Since.UnixMilli()
 		for _, s := range federation.AllStandings {
 			standingGauge.WithLabelValues(name, s.String()).Set(map[bool]float64{true: 1}[s == m.Standing])
