--- a/internal/scheduler/deadlines.go
+++ b/internal/scheduler/deadlines.go
@@ -59,9 +59,9 @@
 
 // firstReachable returns the first of some times by which a task that starts now can still be over, else the
 // last, and the slack that is left; negative if it would be late.
-func (c *cycle) firstReachable(objectives []time.Time, runTime time.Duration) (at time.Time, slack time.Duration) {
+func firstReachable(now time.Time, objectives []time.Time, runTime time.Duration) (at time.Time, slack time.Duration) {
 	for _, at = range objectives {
-		if slack = at.Sub(c.now) - runTime; slack >= 0 {
+		if slack = at.Sub(now) - runTime; slack >= 0 {
 			break
 		}
 	}
@@ -87,7 +87,7 @@
 			objectives = objectives[i:]
 		}
 	}
-	deadline, slack := c.firstReachable(objectives, runTime)
+	deadline, slack := firstReachable(c.now, objectives, runTime)
 	guardTime := max(tuning.DeadlineGuardMin, time.Duration(tuning.DeadlineGuard*float64(runTime)))
 	switch {
 	case slack < 0 || c.order.objectives.unattainable[job.Spec.ID]:
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -79,7 +79,7 @@
 		}
 		further := c.needsOfDependents(dependent)
 		needs.rank = min(needs.rank, further.rank, job.Spec.Priority.Rank())
-		own, _ := c.firstReachable(c.deadlineObjectives(job), c.predictedRunTime(job))
+		own, _ := firstReachable(c.now, c.deadlineObjectives(job), c.predictedRunTime(job))
 		if by := earliestNonZero(further.deadline, own); !by.IsZero() {
 			needs.deadline = earliestNonZero(needs.deadline, by.Add(-c.predictedRunTime(job)))
 		}
--- /dev/null
+++ b/internal/scheduler/homeshard_test.go
@@ -0,0 +1,42 @@
+package scheduler
+
+import (
+	"testing"
+	"time"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/record"
+	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
+)
+
+// TestOwnerWaitBeginsAnewWithProgress: a job waits for the owner of its home shard since it was first noted, until
+// a task of it is placed or it is not noted for longer than tuning.DealHold.
+func TestOwnerWaitBeginsAnewWithProgress(t *testing.T) {
+	job := &clusterstate.Job{Job: record.Job{Spec: wire.JobSpec{ID: "a", TaskCount: 4}}}
+	waits := ownerWaits{}
+	for _, step := range []struct {
+		name  string
+		after time.Duration // since the first step
+		bound int
+		since time.Duration
+	}{
+		{"first", 0, 0, 0},
+		{"noted again", tuning.DealHold, 0, 0},
+		{"at the end of its time", 2 * tuning.DealHold, 0, 0},
+		{"not noted for longer", 3*tuning.DealHold + 1, 0, 3*tuning.DealHold + 1},
+		{"a task placed", 4 * tuning.DealHold, 1, 4 * tuning.DealHold},
+		{"noted again after it", 5 * tuning.DealHold, 1, 4 * tuning.DealHold},
+	} {
+		job.BoundCount = step.bound
+		if since := waits.note(testNow.Add(step.after), job).Sub(testNow); since != step.since {
+			t.Errorf("%s: waits since %v, want %v", step.name, since, step.since)
+		}
+	}
+	if waits.prune(func(string) bool { return false }); len(waits) != 1 {
+		t.Error("a live job was dropped")
+	}
+	if waits.prune(func(id string) bool { return id == "a" }); len(waits) != 0 {
+		t.Error("a job that is over was kept")
+	}
+}
--- /dev/null
+++ b/internal/scheduler/learner_reward_test.go
@@ -0,0 +1,50 @@
+package scheduler
+
+import (
+	"math"
+	"testing"
+	"time"
+
+	"sableusher/internal/tuning"
+)
+
+// TestUtilizationIsFinishedOverHeld: utilization is the machine time of finished tasks over the time held, never
+// above one, and both sides fade by half in tuning.UtilizationFade.
+func TestUtilizationIsFinishedOverHeld(t *testing.T) {
+	var used utilization
+	if used.value() != 0 {
+		t.Errorf("utilization of nothing is %v", used.value())
+	}
+	used.accrue(testNow, 10)
+	if used.heldMachineS != 0 {
+		t.Errorf("%v s held before any time has passed", used.heldMachineS)
+	}
+	now := testNow.Add(time.Second)
+	used.accrue(now, 10)
+	used.finishedMachineS += 4
+	if math.Abs(used.value()-0.4) > 1e-3 {
+		t.Errorf("utilization is %v, want 0.4", used.value())
+	}
+	used.accrue(now.Add(tuning.UtilizationFade), 0)
+	if math.Abs(used.finishedMachineS-2) > 1e-3 || math.Abs(used.heldMachineS-5) > 1e-2 {
+		t.Errorf("%v of %v s after half has faded", used.finishedMachineS, used.heldMachineS)
+	}
+	if used.finishedMachineS = 1000; used.value() != 1 {
+		t.Errorf("utilization is %v, want at most 1", used.value())
+	}
+}
+
+// TestResponsivenessIsRunTimeOverAllTime follows equation 1 of the paper.
+func TestResponsivenessIsRunTimeOverAllTime(t *testing.T) {
+	for _, test := range []struct{ runS, sinceReadyS, want float64 }{
+		{10, 40, 0.25},
+		{10, 10, 1},
+		{10, 5, 1}, // clocks that differ
+		{0, 0, 0},
+		{0, 10, 0},
+	} {
+		if got := responsivenessOf(test.runS, test.sinceReadyS); got != test.want {
+			t.Errorf("responsiveness of %v s in %v s is %v, want %v", test.runS, test.sinceReadyS, got, test.want)
+		}
+	}
+}
--- a/internal/scheduler/objectives_test.go
+++ b/internal/scheduler/objectives_test.go
@@ -66,18 +66,18 @@
 // checkQueueEntry checks a job's key against its objectives and turns.
 func checkQueueEntry(t *rapid.T, c *cycle, queued queuedJob) {
 	key := queued.key
-	_, slack := c.firstReachable(c.objectiveTimes(queued.job), c.predictedRunTime(queued.job))
+	_, slack := firstReachable(c.now, c.objectiveTimes(queued.job), c.predictedRunTime(queued.job))
 	hasTurn := c.hasOverdueTurn(queued.job)
-	if hasTurn && (key.MissesObjectives || key.SizeClass != -1) {
+	if hasTurn && (key.MissesObjectives || key.SizeClass != sizeClassFirst) {
 		t.Fatalf("%v has its turn and stands behind", key)
 	}
-	if c.nearLastObjective(queued.job) && key.SizeClass != -1 {
+	if c.nearLastObjective(queued.job) && key.SizeClass != sizeClassFirst {
 		t.Fatalf("%v is near its last objective and stands behind", key)
 	}
 	if slack < 0 && !key.MissesObjectives && !hasTurn {
 		t.Fatalf("%v is past all objectives and not late", key)
 	}
-	if (key.SizeClass != 0) != c.order.objectives.capacityShort[queued.rank] {
+	if (key.SizeClass != sizeClassNone) != c.order.objectives.capacityShort[queued.rank] {
 		t.Fatalf("%v though short is %v", key, c.order.objectives.capacityShort)
 	}
 }
