--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -31,7 +31,7 @@
 	Log       *slog.Logger
 }
 
-// Autoscaler is one controller's autoscaler; see Run. Apart from the rental book, its state belongs
+// Autoscaler is one controller's autoscaler; see Run. Apart from the rental tracker, its state belongs
 // to the goroutine that resizes.
 type Autoscaler struct {
 	settings  *config.Settings
@@ -43,12 +43,12 @@
 	committer *kvstore.Committer
 	log       *slog.Logger
 
-	rentals          rentalBook
+	rentals          rentalTracker
 	lastScaleOut     time.Time            // when machines were last rented
 	unavailableZones []string             // machines rented there could not send heartbeats
 	idleSince        map[string]time.Time // by machine
 	arrivals         map[string]arrival   // by job
-	listing          listingMemory
+	listing          listingTracker
 	sizing           sizingDecision
 }
 
@@ -63,10 +63,10 @@
 		cloud:     options.Cloud,
 		committer: options.Committer,
 		log:       options.Log,
-		rentals:   newRentalBook(),
+		rentals:   newRentalTracker(),
 		idleSince: map[string]time.Time{},
 		arrivals:  map[string]arrival{},
-		listing:   newListingMemory(),
+		listing:   newListingTracker(),
 	}
 }
 
--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -13,15 +13,15 @@
 	"sableusher/internal/wire"
 )
 
-// listingMemory is what is kept between two of the cloud's lists.
-type listingMemory struct {
+// listingTracker is what is kept between two of the cloud's lists.
+type listingTracker struct {
 	listedAt       time.Time
 	unknownSince   map[string]time.Time // by machine without a machineRecord
 	missedListings map[string]int       // lists in a row that lacked a machine which should be listed
 }
 
-func newListingMemory() listingMemory {
-	return listingMemory{unknownSince: map[string]time.Time{}, missedListings: map[string]int{}}
+func newListingTracker() listingTracker {
+	return listingTracker{unknownSince: map[string]time.Time{}, missedListings: map[string]int{}}
 }
 
 // reconcileListing compares the cloud's list with the records: machines that failed, or that are
