--- a/internal/binpack/resources.go
+++ b/internal/binpack/resources.go
@@ -9,10 +9,10 @@
 // roundingTolerance keeps sums of fractions of cores and gigabytes from losing a task to rounding.
 const roundingTolerance = 1e-6
 
-// dimension is one kind of resource: what is available of it, and how much of that is asked for.
+// dimension is one kind of resource in two amounts, the first a part of the second.
 type dimension struct{ part, whole float64 }
 
-// dimensions pairs the resources of part and whole.
+// dimensions pairs the amounts of each resource.
 func dimensions(part, whole record.Resources) [3]dimension {
 	return [3]dimension{
 		{part.CPUs, whole.CPUs},
