--- /dev/null
+++ b/cmd/sableusher/graph_report.go
@@ -0,0 +1,143 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"strings"
+	"text/tabwriter"
+
+	"sableusher/internal/graph"
+)
+
+// outputFormat is how reports are printed.
+type outputFormat string
+
+const (
+	outputTable outputFormat = "table"
+	outputJSON  outputFormat = "json"
+)
+
+func parseOutputFormat(text string) (outputFormat, error) {
+	switch format := outputFormat(text); format {
+	case outputTable, outputJSON:
+		return format, nil
+	}
+	return "", fmt.Errorf("--output: %q is neither table nor json", text)
+}
+
+// graphReport is the result of checking one file.
+type graphReport struct {
+	File   string        `json:"file"`
+	Faults []graph.Fault `json:"faults"`
+	Jobs   []plannedJob  `json:"jobs,omitempty"`
+}
+
+// Values of plannedJob.ReleasedBy: what starts a job once its upstream has ended.
+const (
+	releasedByRecords = "records" // the scheduler, by the job's dependencies
+	releasedByRun     = "run"     // the owner of the run, by submitting it
+)
+
+// plannedJob is a job of a run as a report prints it.
+type plannedJob struct {
+	TaskID      string   `json:"task_id"`
+	MapIndex    *int     `json:"map_index,omitempty"` // nil if the task is not mapped
+	JobID       string   `json:"job_id"`
+	Class       string   `json:"class"`
+	Team        string   `json:"team"`
+	Image       string   `json:"image"`
+	TaskCount   int      `json:"tasks"`
+	MaxRetries  *int     `json:"retries,omitempty"` // nil if there is no limit
+	TriggerRule string   `json:"trigger_rule"`
+	Upstream    []string `json:"upstream"` // ids of jobs
+	ReleasedBy  string   `json:"released_by"`
+}
+
+// planJobs describes the jobs of a run; the upstream of each is given by position in jobs.
+func planJobs(jobs []graph.Job) []plannedJob {
+	var plan []plannedJob
+	for _, job := range jobs {
+		planned := plannedJob{
+			TaskID:      job.Task,
+			JobID:       job.Spec.ID,
+			Class:       job.Spec.Class,
+			Team:        job.Spec.Team,
+			Image:       job.Spec.Image,
+			TaskCount:   job.Spec.TaskCount,
+			MaxRetries:  job.Spec.MaxRetries,
+			TriggerRule: job.Rule,
+			Upstream:    []string{},
+			ReleasedBy:  releasedByRecords,
+		}
+		if job.Map >= 0 {
+			planned.MapIndex = &job.Map
+		}
+		if job.Held {
+			planned.ReleasedBy = releasedByRun
+		}
+		for _, position := range job.Upstream {
+			planned.Upstream = append(planned.Upstream, jobs[position].Spec.ID)
+		}
+		plan = append(plan, planned)
+	}
+	return plan
+}
+
+// reportPrinter prints reports; with tables, faults go to a stream of their own.
+type reportPrinter struct {
+	out    io.Writer
+	faults io.Writer
+}
+
+func (p reportPrinter) print(reports []graphReport, format outputFormat) error {
+	if format == outputJSON {
+		encoder := json.NewEncoder(p.out)
+		encoder.SetIndent("", "  ")
+		return encoder.Encode(reports)
+	}
+	for i := range reports {
+		if err := p.printTable(&reports[i]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// printTable prints a file's faults, or a table of its jobs if it has none.
+func (p reportPrinter) printTable(report *graphReport) error {
+	for _, fault := range report.Faults {
+		if _, err := fmt.Fprintln(p.faults, fault); err != nil {
+			return err
+		}
+	}
+	if len(report.Faults) > 0 {
+		return nil
+	}
+	if _, err := fmt.Fprintf(p.out, "%s: good, %d jobs\n", report.File, len(report.Jobs)); err != nil {
+		return err
+	}
+	var rows strings.Builder
+	rows.WriteString("TASK\tJOB\tCLASS\tTASKS\tRETRIES\tTRIGGER RULE\tWAITS FOR\tRELEASED BY\n")
+	for i := range report.Jobs {
+		rows.WriteString(report.Jobs[i].row())
+	}
+	table := tabwriter.NewWriter(p.out, 0, 4, 2, ' ', 0)
+	if _, err := io.WriteString(table, rows.String()); err != nil {
+		return err
+	}
+	return table.Flush()
+}
+
+// row is a line of the table, its cells separated by tabs.
+func (j *plannedJob) row() string {
+	task, retries := j.TaskID, "any"
+	if j.MapIndex != nil {
+		task = fmt.Sprintf("%s[%d]", task, *j.MapIndex)
+	}
+	if j.MaxRetries != nil {
+		retries = fmt.Sprint(*j.MaxRetries)
+	}
+	return fmt.Sprintf("%s\t%s\t%s\t%d\t%s\t%s\t%d\t%s\n", task, j.JobID, j.Class, j.TaskCount, retries,
+		j.TriggerRule, len(j.Upstream), j.ReleasedBy)
+}
--- a/cmd/sableusher/serve.go
+++ b/cmd/sableusher/serve.go
@@ -15,6 +15,7 @@
 	"strings"
 	"syscall"
 
+	"github.com/spf13/cobra"
 	"golang.org/x/net/netutil"
 	"golang.org/x/sync/errgroup"
 
@@ -24,7 +25,69 @@
 	"sableusher/internal/tuning"
 )
 
-func logger() *slog.Logger {
+const (
+	// maxIncarnation is the largest incarnation of a node: every whole number up to it is
+	// exact as a JSON number too.
+	maxIncarnation = 1 << 52
+	// minConnections is the least number of connections that are served at once, however
+	// few sockets the machine allows.
+	minConnections = 16
+	bytesPerMiB    = 1 << 20
+)
+
+func serveCommand() *cobra.Command {
+	var paths settingsPaths
+	cmd := &cobra.Command{
+		Use:   "serve",
+		Short: "Run a controller node until it is ended.",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			settings, operator, err := paths.load()
+			if err != nil {
+				return err
+			}
+			return serve(cmd.Context(), settings, operator)
+		},
+	}
+	paths.addFlags(cmd)
+	return cmd
+}
+
+// serve runs a node until ctx ends or a signal asks it to stop.
+func serve(ctx context.Context, settings *config.Settings, operator *config.Operator) error {
+	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
+	defer stop()
+	logger := newLogger().With("node", settings.Node)
+	applyMachineLimits(&settings.Deployment)
+
+	node, err := newNode(settings, operator, logger)
+	if err != nil {
+		return err
+	}
+	listener, err := listen(settings)
+	if err != nil {
+		return err
+	}
+	server := newServer(node.Handler(), logger)
+
+	group, groupCtx := errgroup.WithContext(ctx)
+	group.Go(func() error { return node.Run(groupCtx) })
+	group.Go(func() error { return server.Serve(listener) })
+	group.Go(func() error {
+		<-groupCtx.Done()
+		return shutdown(groupCtx, server)
+	})
+	logger.Info("serving", "listen", settings.Listen, "shards", settings.Deployment.Size)
+	if err := group.Wait(); err != nil && !endsOrderly(err) {
+		return err
+	}
+	logger.Info("stopped")
+	return nil
+}
+
+// newLogger returns a logger to standard error at the level that LOG_LEVEL names: error,
+// debug, or info for anything else.
+func newLogger() *slog.Logger {
 	level := slog.LevelInfo
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
 	case "error":
@@ -35,47 +98,60 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 }
 
-// serve runs a node until ctx ends or a signal asks it to stop.
-func serve(ctx context.Context, set *config.Settings, op *config.Operator) error {
-	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
-	defer stop()
-	log := logger().With("node", set.Node)
-	d := &set.Deployment
-	runtime.GOMAXPROCS(max(1, int(d.Limits.CPUShare+0.5)))
+// applyMachineLimits sets the Go runtime's processors, garbage collection and memory limit
+// to the share of the machine that the platform grants.
+func applyMachineLimits(deployment *config.Deployment) {
+	limits := &deployment.Limits
+	runtime.GOMAXPROCS(max(1, int(limits.CPUShare+0.5)))
 	debug.SetGCPercent(tuning.GCPercent)
-	debug.SetMemoryLimit(int64(d.Limits.MemMB * tuning.MemoryShare * (1 << 20)))
+	debug.SetMemoryLimit(int64(limits.MemMB * tuning.MemoryShare * bytesPerMiB))
+}
 
-	node, err := controller.New(controller.Config{
-		Settings: set, Operator: op, Incarnation: rand.Uint64N(1<<52) + 1, SchemaVersion: tuning.Level, Logger: log,
+// newNode builds the controller node, with an incarnation of its own, and its transport to
+// the other nodes.
+func newNode(
+	settings *config.Settings, operator *config.Operator, logger *slog.Logger,
+) (*controller.Controller, error) {
+	return controller.New(controller.Config{
+		Settings:      settings,
+		Operator:      operator,
+		Incarnation:   rand.Uint64N(maxIncarnation) + 1,
+		SchemaVersion: tuning.Level,
+		Logger:        logger,
 		ConnectPeers: func(agents peerrpc.AgentRegistry) (controller.PeerTransport, error) {
-			return peerrpc.New(set, agents, log)
+			return peerrpc.New(settings, agents, logger)
 		},
 	})
-	if err != nil {
-		return err
-	}
+}
 
-	listener, err := net.Listen("tcp4", set.Listen)
+// listen opens the listener for users and agents, bounded by the node's share of sockets.
+func listen(settings *config.Settings) (net.Listener, error) {
+	listener, err := net.Listen("tcp4", settings.Listen)
 	if err != nil {
-		return fmt.Errorf("listen: %w", err)
+		return nil, fmt.Errorf("listen: %w", err)
 	}
-	listener = netutil.LimitListener(listener, max(16, int(float64(d.Limits.MaxSockets)*tuning.SocketShare)))
-	server := &http.Server{Handler: node.Handler(), ReadTimeout: tuning.ReadTimeout, IdleTimeout: tuning.IdleTimeout,
-		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
+	maxSockets := float64(settings.Deployment.Limits.MaxSockets)
+	return netutil.LimitListener(listener, max(minConnections, int(maxSockets*tuning.SocketShare))), nil
+}
 
-	g, ctx := errgroup.WithContext(ctx)
-	g.Go(func() error { return node.Run(ctx) })
-	g.Go(func() error { return server.Serve(listener) })
-	g.Go(func() error {
-		<-ctx.Done()
-		grace, cancel := context.WithTimeout(context.WithoutCancel(ctx), tuning.StopGrace)
-		defer cancel()
-		return server.Shutdown(grace)
-	})
-	log.Info("serving", "listen", set.Listen, "parts", d.Size)
-	if err := g.Wait(); err != nil && !errors.Is(err, context.Canceled) && !errors.Is(err, http.ErrServerClosed) {
-		return err
+func newServer(handler http.Handler, logger *slog.Logger) *http.Server {
+	return &http.Server{
+		Handler:     handler,
+		ReadTimeout: tuning.ReadTimeout,
+		IdleTimeout: tuning.IdleTimeout,
+		ErrorLog:    slog.NewLogLogger(logger.Handler(), slog.LevelDebug),
 	}
-	log.Info("stopped")
-	return nil
+}
+
+// shutdown waits for the requests in progress. It is called with a context that has ended,
+// so it takes only the values of ctx and bounds the wait itself.
+func shutdown(ctx context.Context, server *http.Server) error {
+	graceCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), tuning.StopGrace)
+	defer cancel()
+	return server.Shutdown(graceCtx)
+}
+
+// endsOrderly reports whether err is what a node that was asked to stop returns.
+func endsOrderly(err error) bool {
+	return errors.Is(err, context.Canceled) || errors.Is(err, http.ErrServerClosed)
 }
