--- /dev/null
+++ b/internal/reconcile/decision_test.go
@@ -0,0 +1,80 @@
+package reconcile
+
+import (
+	"testing"
+
+	"sableusher/internal/agent"
+	"sableusher/internal/record"
+	"sableusher/internal/wire"
+)
+
+var (
+	allPresences = []agent.TaskPresence{
+		agent.PresenceUnknown, agent.PresenceAlive, agent.PresenceExited, agent.PresenceSessionEnded,
+		agent.PresenceAbsent,
+	}
+	allCauses = []wire.ExitCause{
+		wire.ExitCauseDone, wire.ExitCauseError, wire.ExitCauseStopped, wire.ExitCauseNoCapacity,
+		wire.ExitCauseAlreadyRunning, wire.ExitCauseUnknownTask, "new",
+	}
+	allKinds = []wire.JobKind{wire.KindArray, wire.KindGang, wire.KindService}
+)
+
+// allBoundTasks are bound tasks of all presences, causes, kinds and flags.
+func allBoundTasks() []BoundTask {
+	var tasks []BoundTask
+	for _, presence := range allPresences {
+		for _, cause := range allCauses {
+			for _, kind := range allKinds {
+				for bits := range 16 {
+					tasks = append(tasks, BoundTask{
+						TaskObservation: agent.TaskObservation{Presence: presence, Cause: cause},
+						JobKind:         kind,
+						JobCancelled:    bits&1 != 0, StopRequested: bits&2 != 0,
+						RetriesLimited: bits&4 != 0, RetriesExhausted: bits&8 != 0,
+					})
+				}
+			}
+		}
+	}
+	return tasks
+}
+
+// TestDecideEveryObservation goes through all presences, causes and kinds: a binding ends only by proof, and a task is
+// done only when its agent says so and nobody has cancelled it.
+func TestDecideEveryObservation(t *testing.T) {
+	seen := map[Decision]bool{}
+	for _, task := range allBoundTasks() {
+		decision := Decide(task)
+		seen[decision] = true
+		exited := task.Presence == agent.PresenceExited
+		proof := exited || task.Presence == agent.PresenceSessionEnded ||
+			task.Presence == agent.PresenceAbsent && task.StopRequested
+		if decision.Release != proof {
+			t.Errorf("%+v: %+v", task, decision)
+		}
+		done := exited && task.Cause == wire.ExitCauseDone && task.JobKind != wire.KindService && !task.JobCancelled
+		if (decision.NextState == record.TaskDone) != done ||
+			decision.WholeGang != (done && task.JobKind == wire.KindGang) {
+			t.Errorf("%+v: %+v", task, decision)
+		}
+		checkFailure(t, task, decision)
+	}
+	if len(seen) < 10 {
+		t.Errorf("only %d different decisions", len(seen))
+	}
+}
+
+// checkFailure checks what a decision says of a task's failure and of its job.
+func checkFailure(t *testing.T, task BoundTask, decision Decision) {
+	t.Helper()
+	failed := task.Presence == agent.PresenceExited && task.Cause == wire.ExitCauseError
+	failsJob := decision.CountFailure && task.RetriesExhausted && !task.JobCancelled
+	if decision.CountFailure != (failed && task.RetriesLimited) || decision.FailJob != failsJob ||
+		decision.CountFailure && decision.BackOffJob {
+		t.Errorf("%+v: %+v", task, decision)
+	}
+	if decision.TaskFailed && task.Cause != wire.ExitCauseError || decision.PlacementRefused && decision.TaskFailed {
+		t.Errorf("%+v: %+v", task, decision)
+	}
+}
