--- a/internal/kvstore/committer.go
+++ b/internal/kvstore/committer.go
@@ -84,8 +84,9 @@
 }
 
 // Commit commits one transaction and returns the revision at which it was
-// applied. ErrConditionFailed, ErrUnavailable and ErrRejected mean that it was
-// not applied, ErrOutcomeUnknown that it may have been or may yet be.
+// applied. ErrConditionFailed and ErrUnavailable prove that it was not applied;
+// ErrOutcomeUnknown means that it may have been or may yet be; ErrRejected means
+// that the store answered with a status of another kind, as to a malformed one.
 func (c *Committer) Commit(ctx context.Context, transaction Transaction) (uint64, error) {
 	p := &pendingTransaction{
 		Transaction: transaction,
