--- a/internal/scheduler/cycle_bench_test.go
+++ b/internal/scheduler/cycle_bench_test.go
@@ -109,3 +109,22 @@
 	}
 	return cluster
 }
+
+// BenchmarkRound is one round of a large region with some room and a queue.
+func BenchmarkRound(b *testing.B) {
+	fixture := newTestCluster(b)
+	for i := range 1500 {
+		name := fixture.addMachine(i, i%2 == 0)
+		if i%5 != 0 {
+			spec := gangSpec(100000+i, 1)
+			fixture.addJob(spec, record.Task{State: record.TaskBound, Attempt: 1, Machine: name, Session: 1})
+		}
+	}
+	for i := range 200 {
+		fixture.addJob(arraySpec(i, 40))
+	}
+	b.ReportAllocs()
+	for b.Loop() {
+		fixture.runCycle(0)
+	}
+}
