--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -22,7 +22,7 @@
 		return errDependenciesInactive
 	}
 	if slices.Contains(spec.Dependencies, spec.ID) {
-		return &RejectedError{Reason: "awaits itself"}
+		return &rejectedError{Reason: "awaits itself"}
 	}
 	missing, err := s.dependenciesNotLive(spec)
 	if err != nil || len(missing) == 0 {
@@ -48,7 +48,7 @@
 		if job == nil || !job.HasRecord {
 			missing = append(missing, id)
 		} else if job.Spec.Kind == wire.KindService {
-			return nil, &RejectedError{Reason: "awaits " + id + ", a service, which is never done"}
+			return nil, &rejectedError{Reason: "awaits " + id + ", a service, which is never done"}
 		}
 	}
 	return missing, nil
@@ -59,7 +59,7 @@
 	for _, id := range ids {
 		_, err := s.finalRecords.read(ctx, id)
 		if errors.Is(err, errNoSuchJob) {
-			return &RejectedError{Reason: "awaits " + id + ", which was never accepted"}
+			return &rejectedError{Reason: "awaits " + id + ", which was never accepted"}
 		}
 		if err != nil {
 			return errStoreUnavailable
--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -20,50 +20,50 @@
 	errOwnedByOtherCell = errors.New("another cell answers for the job")
 )
 
-// InvalidRequestError is a request that can't be decoded.
-type InvalidRequestError struct {
+// invalidRequestError is a request that can't be decoded.
+type invalidRequestError struct {
 	Err error
 }
 
 // Error gives the fault of form.
-func (e *InvalidRequestError) Error() string { return e.Err.Error() }
+func (e *invalidRequestError) Error() string { return e.Err.Error() }
 
 // Unwrap gives the decoder's error.
-func (e *InvalidRequestError) Unwrap() error { return e.Err }
+func (e *invalidRequestError) Unwrap() error { return e.Err }
 
-// RejectedError is a job that can't be accepted, now or later.
-type RejectedError struct {
+// rejectedError is a job that can't be accepted, now or later.
+type rejectedError struct {
 	Reason string
 }
 
 // Error gives the reason, which is sent to the user.
-func (e *RejectedError) Error() string { return e.Reason }
+func (e *rejectedError) Error() string { return e.Reason }
 
-// UnavailableError is a request that can't be answered now; the client is asked to repeat it.
-type UnavailableError struct {
+// unavailableError is a request that can't be answered now; the client is asked to repeat it.
+type unavailableError struct {
 	Reason string
 }
 
 // Error gives the reason, which is sent to the client.
-func (e *UnavailableError) Error() string { return e.Reason }
+func (e *unavailableError) Error() string { return e.Reason }
 
 // Reasons for which a request can't be answered now.
 var (
-	errBusy                 = &UnavailableError{Reason: "busy"}
-	errStoreUnavailable     = &UnavailableError{Reason: "state service away"}
-	errStateStale           = &UnavailableError{Reason: "no view of the state service"}
-	errMachineTypesUnknown  = &UnavailableError{Reason: "machine types not known yet"}
-	errDependenciesInactive = &UnavailableError{Reason: "not all nodes know of awaited jobs yet"}
-	errRetryLimitsInactive  = &UnavailableError{Reason: "not all nodes count repeats yet"}
-	errTasksStopping        = &UnavailableError{Reason: "its tasks are being stopped"}
+	errBusy                 = &unavailableError{Reason: "busy"}
+	errStoreUnavailable     = &unavailableError{Reason: "state service away"}
+	errStateStale           = &unavailableError{Reason: "no view of the state service"}
+	errMachineTypesUnknown  = &unavailableError{Reason: "machine types not known yet"}
+	errDependenciesInactive = &unavailableError{Reason: "not all nodes know of awaited jobs yet"}
+	errRetryLimitsInactive  = &unavailableError{Reason: "not all nodes count repeats yet"}
+	errTasksStopping        = &unavailableError{Reason: "its tasks are being stopped"}
 )
 
 // writeError answers a request with the status and message of an error.
 func writeError(w http.ResponseWriter, err error) {
 	var (
-		invalid     *InvalidRequestError
-		rejected    *RejectedError
-		unavailable *UnavailableError
+		invalid     *invalidRequestError
+		rejected    *rejectedError
+		unavailable *unavailableError
 	)
 	switch {
 	case errors.As(err, &invalid):
@@ -79,7 +79,7 @@
 	}
 }
 
-func writeUnavailable(w http.ResponseWriter, err *UnavailableError) {
+func writeUnavailable(w http.ResponseWriter, err *unavailableError) {
 	w.Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
 	writeMessage(w, http.StatusServiceUnavailable, err.Reason)
 }
--- a/internal/api/errors_test.go
+++ b/internal/api/errors_test.go
@@ -17,9 +17,9 @@
 		status  int
 		message string
 	}{
-		{&InvalidRequestError{Err: errors.New("not a map")}, http.StatusBadRequest, "not a map"},
+		{&invalidRequestError{Err: errors.New("not a map")}, http.StatusBadRequest, "not a map"},
 		{errNoSuchJob, http.StatusNotFound, "no such job"},
-		{&RejectedError{Reason: "unknown team"}, http.StatusUnprocessableEntity, "unknown team"},
+		{&rejectedError{Reason: "unknown team"}, http.StatusUnprocessableEntity, "unknown team"},
 		{errBusy, http.StatusServiceUnavailable, "busy"},
 		{fmt.Errorf("wrapped: %w", errTasksStopping), http.StatusServiceUnavailable, "its tasks are being stopped"},
 		{errOwnedByOtherCell, http.StatusServiceUnavailable, "state service away"},
--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -70,15 +70,15 @@
 func (s *Server) decodeSubmission(r *http.Request) (submission, error) {
 	body, err := wire.ReadBody(r.Body, tuning.BodyLimit)
 	if err != nil {
-		return submission{}, &InvalidRequestError{Err: err}
+		return submission{}, &invalidRequestError{Err: err}
 	}
 	var request submission
 	if request.spec, err = wire.DecodeSubmission(body); err != nil {
-		return submission{}, &InvalidRequestError{Err: err}
+		return submission{}, &invalidRequestError{Err: err}
 	}
 	if s.retryPolicies.Enabled() {
 		if request.requestedRetries, err = wire.DecodeMaxRetries(body); err != nil {
-			return submission{}, &InvalidRequestError{Err: err}
+			return submission{}, &invalidRequestError{Err: err}
 		}
 	}
 	return request, nil
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -41,7 +41,7 @@
 func (s *Server) submitJob(ctx context.Context, request submission) (acceptance, error) {
 	assessed := s.assess(request)
 	if assessed.hasOtherDependencies {
-		return acceptance{}, &RejectedError{Reason: "another job has this id: it awaits other jobs"}
+		return acceptance{}, &rejectedError{Reason: "another job has this id: it awaits other jobs"}
 	}
 	if !assessed.known {
 		accepted, err := s.acceptNewJob(ctx, request, assessed)
@@ -119,7 +119,7 @@
 	case err == nil:
 		return acceptance{state: status.State}, nil
 	case errors.Is(err, errNoSuchJob):
-		return acceptance{}, &RejectedError{Reason: rejection.Error()}
+		return acceptance{}, &rejectedError{Reason: rejection.Error()}
 	default:
 		return acceptance{}, errStoreUnavailable
 	}
