--- a/internal/scheduler/cycle_bench_test.go
+++ b/internal/scheduler/cycle_bench_test.go
@@ -110,21 +110,20 @@
 	return cluster
 }
 
-// BenchmarkRound is one round of a large region with some room and a queue.
-func BenchmarkRound(b *testing.B) {
-	fixture := newTestCluster(b)
+// BenchmarkCycle is one cycle of a large region with some room and a queue.
+func BenchmarkCycle(b *testing.B) {
+	cluster := newTestCluster(b)
 	for i := range 1500 {
-		name := fixture.addMachine(i, i%2 == 0)
+		name := cluster.addMachine(i, i%2 == 0)
 		if i%5 != 0 {
-			spec := gangSpec(100000+i, 1)
-			fixture.addJob(spec, record.Task{State: record.TaskBound, Attempt: 1, Machine: name, Session: 1})
+			cluster.addJob(gangSpec(100000+i, 1), boundTask(0, name))
 		}
 	}
 	for i := range 200 {
-		fixture.addJob(arraySpec(i, 40))
+		cluster.addJob(arraySpec(i, 40))
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		fixture.runCycle(0)
+		cluster.runCycle(0)
 	}
 }
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"log/slog"
 	"testing"
 	"time"
@@ -17,15 +16,21 @@
 	"sableusher/internal/wire"
 )
 
-const testShards = 5
+const (
+	testShards  = 5
+	testToken   = 7 // fencing token of every shard
+	testAddress = "10.1.0.1:9000"
+)
 
 var (
 	testZones = []string{"east", "west", "north"}
-	testType  = wire.MachineType{Name: "m", CPUs: 32, GPUs: 4, MemoryGB: 256, ImageCacheGB: 50, BootSeconds: 30, Zones: testZones}
-	testNow   = time.Now()
+	testType  = wire.MachineType{
+		Name: "m", CPUs: 32, GPUs: 4, MemoryGB: 256, ImageCacheGB: 50, BootSeconds: 30, Zones: testZones,
+	}
+	testNow = time.Now()
 )
 
-// testCluster is a view of a region that several nodes share, each with an engine.
+// testCluster is the cluster state of a region that several nodes share, each with an engine and a shard.
 type testCluster struct {
 	cluster  *clusterstate.State
 	engines  []*Engine
@@ -33,79 +38,114 @@
 	revision uint64
 }
 
+// newTestCluster makes a cluster without machines and jobs. tb may be nil within a property test.
 func newTestCluster(tb testing.TB) *testCluster {
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	fixture := &testCluster{cluster: clusterstate.New(testShards, log)}
+	fixture := &testCluster{cluster: clusterstate.New(testShards, slog.New(slog.DiscardHandler))}
 	operator, err := config.LoadOperator("")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	var nodes []string
-	for i := range testShards {
-		nodes = append(nodes, fmt.Sprintf("node-%d", i))
-	}
 	fixture.put("s/catalog", wire.Catalog{Types: []wire.MachineType{testType}})
-	for i, node := range nodes {
+	var nodes []string
+	for shard := range testShards {
+		node := fmt.Sprintf("node-%d", shard)
+		nodes = append(nodes, node)
 		fixture.cluster.Nodes[node] = clusterstate.Node{Node: record.Node{Incarnation: 1}}
-		fixture.cluster.Shards[i] = clusterstate.Shard{Shard: record.Shard{Owner: node, OwnerIncarnation: 1, FencingToken: 7}}
+		fixture.own(shard, node)
 	}
-	fixture.cluster.Shards[record.LeaderShard] = clusterstate.Shard{Shard: record.Shard{Owner: nodes[0], OwnerIncarnation: 1, FencingToken: 7}}
+	fixture.own(record.LeaderShard, nodes[0])
 	for _, node := range nodes {
-		settings := &config.Settings{Node: node}
-		deployment := &settings.Deployment
-		deployment.Size = testShards
-		deployment.Teams = []config.Team{{Name: "t"}}
-		deployment.Workers.ReportS, deployment.Workers.LeaseS, deployment.Workers.CancelS = 8, 45, 65
-		deployment.State.TxnOps = 32
-		client := kvstore.NewClient("127.0.0.1:1", kvstore.Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxValueKiB: 16, MaxTransactionOps: 32}, nil)
-		committer := kvstore.NewCommitter(client, func([]wire.Op, uint64) {})
-		cache := kvstore.NewWatchCache(client, record.LivePrefix, fixture.cluster, log)
-		members := membership.New(membership.Config{
-			NodeName: node, Incarnation: 1, NodeNames: nodes, SchemaVersion: tuning.Level,
-			Client: client, Committer: committer, Cache: cache, ClusterState: fixture.cluster, Logger: log,
-		})
-		agents := agent.New(agent.Config{
-			Settings: settings, ClusterState: fixture.cluster, Membership: members,
-			CompleteAsOf: func() time.Time { return testNow }, Logger: log,
-		})
-		fixture.agents = append(fixture.agents, agents)
-		engine := New(Config{
-			Settings: settings, Operator: operator, ClusterState: fixture.cluster, Membership: members, Agents: agents,
-			Committer: committer, Reader: client, Logger: log,
-		})
-		fixture.engines = append(fixture.engines, engine)
+		fixture.addNode(node, nodes, operator)
 	}
 	return fixture
 }
 
-func (fixture *testCluster) put(key string, value any) {
-	fixture.revision++
-	fixture.cluster.BeginUpdate()
-	fixture.cluster.Put(key, wire.MustEncode(value), fixture.revision)
-	fixture.cluster.EndUpdate()
+// own gives a shard to a node.
+func (f *testCluster) own(shard int, node string) {
+	f.cluster.Shards[shard] = clusterstate.Shard{
+		Shard: record.Shard{Owner: node, OwnerIncarnation: 1, FencingToken: testToken},
+	}
 }
 
-// addMachine adds a machine that is up and has reported to its part's owner.
-func (fixture *testCluster) addMachine(index int, spot bool) string {
+// addNode adds a node's engine and registry of agents.
+func (f *testCluster) addNode(node string, nodes []string, operator *config.Operator) {
+	log := slog.New(slog.DiscardHandler)
+	settings := &config.Settings{Node: node}
+	deployment := &settings.Deployment
+	deployment.Size = testShards
+	deployment.Teams = []config.Team{{Name: "t"}}
+	deployment.Workers.ReportS, deployment.Workers.LeaseS, deployment.Workers.CancelS = 8, 45, 65
+	deployment.State.TxnOps = 32
+	limits := kvstore.Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxValueKiB: 16, MaxTransactionOps: 32}
+	client := kvstore.NewClient("127.0.0.1:1", limits, nil)
+	committer := kvstore.NewCommitter(client, func([]wire.Op, uint64) {})
+	members := membership.New(membership.Config{
+		NodeName: node, Incarnation: 1, NodeNames: nodes, SchemaVersion: tuning.Level,
+		Client: client, Committer: committer, ClusterState: f.cluster, Logger: log,
+		Cache: kvstore.NewWatchCache(client, record.LivePrefix, f.cluster, log),
+	})
+	agents := agent.New(agent.Config{
+		Settings: settings, ClusterState: f.cluster, Membership: members,
+		CompleteAsOf: func() time.Time { return testNow }, Logger: log,
+	})
+	f.agents = append(f.agents, agents)
+	f.engines = append(f.engines, New(Config{
+		Settings: settings, Operator: operator, ClusterState: f.cluster, Membership: members, Agents: agents,
+		Committer: committer, Reader: client, Logger: log,
+	}))
+}
+
+// put writes a record into the cluster state.
+func (f *testCluster) put(key string, value any) {
+	f.revision++
+	f.cluster.BeginUpdate()
+	f.cluster.Put(key, wire.MustEncode(value), f.revision)
+	f.cluster.EndUpdate()
+}
+
+// addMachine adds a machine that is up and whose heartbeat has reached the owner of its shard.
+func (f *testCluster) addMachine(index int, spot bool) string {
 	name := fmt.Sprintf("vm-%06d", index)
-	machineRecord := record.Machine{Type: "m", Zone: testZones[index%len(testZones)], Spot: spot, Address: "10.1.0.1:9000", CreatedAtMs: 1, Up: true}
-	fixture.put(record.MachineKey(name), machineRecord)
-	fixture.agents[record.ShardOf(name, testShards)].HandleHeartbeat(&wire.Heartbeat{Machine: name, Address: machineRecord.Address, MachineType: "m", Zone: machineRecord.Zone, Spot: spot, Session: 1, Sequence: 1, FencingToken: 7})
+	zone := testZones[index%len(testZones)]
+	f.put(record.MachineKey(name), record.Machine{
+		Type: testType.Name, Zone: zone, Spot: spot, Address: testAddress, CreatedAtMs: 1, Up: true,
+	})
+	f.heartbeat(wire.Heartbeat{Machine: name, Zone: zone, Spot: spot, Session: 1, Sequence: 1})
 	return name
 }
 
-func (fixture *testCluster) addJob(spec wire.JobSpec, tasks ...record.Task) {
+// heartbeat delivers a heartbeat to the owner of its machine's shard.
+func (f *testCluster) heartbeat(heartbeat wire.Heartbeat) {
+	heartbeat.Address, heartbeat.MachineType, heartbeat.FencingToken = testAddress, testType.Name, testToken
+	f.agents[record.ShardOf(heartbeat.Machine, testShards)].HandleHeartbeat(&heartbeat)
+}
+
+// boundTask is a task in its first attempt on a machine.
+func boundTask(index int, machine string) record.Task {
+	return record.Task{Index: index, State: record.TaskBound, Attempt: 1, Machine: machine, Session: 1}
+}
+
+// addJob adds a job of the one team.
+func (f *testCluster) addJob(spec wire.JobSpec, tasks ...record.Task) {
 	spec.Team, spec.Class = "t", "c"
-	fixture.put(record.JobKey(spec.ID), record.Job{Spec: spec, SubmittedAtMs: testNow.UnixMilli(), Tasks: tasks})
+	f.put(record.JobKey(spec.ID), record.Job{Spec: spec, SubmittedAtMs: testNow.UnixMilli(), Tasks: tasks})
+}
+
+// inCycle takes some steps in a cycle of one node.
+func (f *testCluster) inCycle(index int, steps func(c *cycle)) *cycle {
+	f.cluster.RLock()
+	defer f.cluster.RUnlock()
+	c := f.engines[index].newCycle(testNow)
+	steps(c)
+	return c
 }
 
-// runCycle plays one node's placement and gives what it bound.
-func (fixture *testCluster) runCycle(index int) (*cycle, []pendingBinding) {
-	fixture.cluster.RLock()
-	defer fixture.cluster.RUnlock()
-	c := fixture.engines[index].newCycle(testNow)
-	c.schedule()
-	c.buildChanges()
+// runCycle schedules in a cycle of one node, and returns the cycle and what it has bound.
+func (f *testCluster) runCycle(index int) (*cycle, []pendingBinding) {
+	c := f.inCycle(index, func(c *cycle) {
+		c.schedule()
+		c.buildChanges()
+	})
 	var bindings []pendingBinding
 	for _, change := range c.outgoing {
 		bindings = append(bindings, change.bindings...)
@@ -113,10 +153,26 @@
 	return c, bindings
 }
 
+// arraySpec is an array of small tasks.
 func arraySpec(id, tasks int) wire.JobSpec {
-	return wire.JobSpec{ID: fmt.Sprintf("run-%d", id), Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: tasks, CPUs: 6, GPUs: 1, MemoryGB: 48, AllowSpot: true, Image: "i"}
+	return wire.JobSpec{
+		ID: fmt.Sprintf("run-%d", id), Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: tasks,
+		CPUs: 6, GPUs: 1, MemoryGB: 48, AllowSpot: true, Image: "i",
+	}
 }
 
+// gangSpec is a gang whose tasks take a machine each, all in one zone.
 func gangSpec(id, tasks int) wire.JobSpec {
-	return wire.JobSpec{ID: fmt.Sprintf("run-%d", id), Kind: wire.KindGang, Priority: wire.PriorityHigh, TaskCount: tasks, CPUs: 28, GPUs: 4, MemoryGB: 200, SameZone: true, Image: "g"}
+	return wire.JobSpec{
+		ID: fmt.Sprintf("run-%d", id), Kind: wire.KindGang, Priority: wire.PriorityHigh, TaskCount: tasks,
+		CPUs: 28, GPUs: 4, MemoryGB: 200, SameZone: true, Image: "g",
+	}
+}
+
+// serviceSpec is a service of small replicas.
+func serviceSpec(id string, tasks int) wire.JobSpec {
+	return wire.JobSpec{
+		ID: id, Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: tasks,
+		CPUs: 5, GPUs: 1, MemoryGB: 38,
+	}
 }
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -8,57 +8,68 @@
 	"sableusher/internal/record"
 )
 
-// TestGangIsPlacedWhole: one node binds all tasks of a gang in one change, in
-// one zone, on machines with room for them, guarded by every part concerned; or
-// none binds any.
+// drawPartlyUsedMachines adds machines, some of them in use, and returns how many are free by zone.
+func drawPartlyUsedMachines(t *rapid.T, fixture *testCluster) map[string]int {
+	free := map[string]int{}
+	for i := range rapid.IntRange(1, 90).Draw(t, "machines") {
+		name := fixture.addMachine(i, false)
+		if rapid.IntRange(0, 2).Draw(t, "used") == 0 {
+			fixture.addJob(arraySpec(5000+i, 1), boundTask(0, name))
+		} else {
+			free[testZones[i%len(testZones)]]++
+		}
+	}
+	return free
+}
+
+// checkGangBindings checks that bindings of one gang by one node are on different machines of one zone, charged to the
+// node's own shard and guarded by every shard concerned.
+func checkGangBindings(t *rapid.T, fixture *testCluster, shard int, change *recordChange, bindings []pendingBinding) {
+	guarded := map[string]bool{}
+	for _, condition := range change.transaction.Conditions {
+		guarded[condition.Key] = true
+	}
+	used := map[string]bool{}
+	zoneOf := func(binding pendingBinding) string { return fixture.cluster.Machines[binding.machine].Zone }
+	for _, binding := range bindings {
+		if used[binding.machine] || zoneOf(binding) != zoneOf(bindings[0]) {
+			t.Errorf("%s twice or in another zone", binding.machine)
+		}
+		used[binding.machine] = true
+		machineShard := record.ShardOf(binding.machine, testShards)
+		if !guarded[record.ShardKey(machineShard)] || !guarded[record.ShardKey(binding.chargedShard)] {
+			t.Errorf("no condition on the shards of %v: %v", binding, guarded)
+		}
+		if binding.chargedShard != shard {
+			t.Errorf("node %d charges shard %d", shard, binding.chargedShard)
+		}
+	}
+}
+
+// TestGangIsPlacedWhole: one node binds all tasks of a gang in one change, in one zone, on machines with room for them,
+// guarded by every shard concerned; or none binds any.
 func TestGangIsPlacedWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fixture := newTestCluster(nil)
-		free := map[string]int{}
-		zone := map[string]string{}
-		for i := range rapid.IntRange(1, 90).Draw(t, "machines") {
-			name := fixture.addMachine(i, false)
-			zone[name] = testZones[i%len(testZones)]
-			if rapid.IntRange(0, 2).Draw(t, "used") == 0 {
-				spec := arraySpec(5000+i, 1)
-				fixture.addJob(spec, record.Task{State: record.TaskBound, Attempt: 1, Machine: name, Session: 1})
-			} else {
-				free[zone[name]]++
+		free := drawPartlyUsedMachines(t, fixture)
+		tasks := rapid.SampledFrom([]int{1, 2, 4, 8, 16, 32}).Draw(t, "tasks")
+		fixture.addJob(gangSpec(1, tasks))
+		want := 0
+		for _, machines := range free {
+			if machines >= tasks {
+				want = tasks
 			}
 		}
-		n := rapid.SampledFrom([]int{1, 2, 4, 8, 16, 32}).Draw(t, "tasks")
-		fixture.addJob(gangSpec(1, n))
-		fits := false
-		for _, count := range free {
-			fits = fits || count >= n
-		}
-		total := 0
-		for i := range testShards {
-			c, bound := fixture.runCycle(i)
-			if len(bound) == 0 {
-				continue
-			}
-			total += len(bound)
-			seen := map[string]bool{}
-			guards := map[string]bool{}
-			for _, g := range c.outgoing[0].transaction.Conditions {
-				guards[g.Key] = true
-			}
-			for _, b := range bound {
-				if seen[b.machine] || zone[b.machine] != zone[bound[0].machine] {
-					t.Errorf("%s twice or in another zone", b.machine)
-				}
-				seen[b.machine] = true
-				if !guards[record.ShardKey(record.ShardOf(b.machine, testShards))] || !guards[record.ShardKey(b.chargedShard)] {
-					t.Errorf("no guard for the parts of %v: %v", b, guards)
-				}
-				if b.chargedShard != i {
-					t.Errorf("node %d charges part %d", i, b.chargedShard)
-				}
+		bound := 0
+		for shard := range testShards {
+			c, bindings := fixture.runCycle(shard)
+			if len(bindings) > 0 {
+				checkGangBindings(t, fixture, shard, c.outgoing[0], bindings)
 			}
+			bound += len(bindings)
 		}
-		if want := map[bool]int{true: n}[fits]; total != want {
-			t.Errorf("%d tasks bound, want %d", total, want)
+		if bound != want {
+			t.Errorf("%d tasks bound, want %d", bound, want)
 		}
 	})
 }
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -1,11 +1,8 @@
 package scheduler
 
-import (
-	"testing"
-)
+import "testing"
 
-// TestSettledMachinesAreLeftAlone: a round looks only at machines of which
-// something new is known.
+// TestReconciledMachinesAreSkipped: a cycle reconciles only machines of which something new is known.
 func TestReconciledMachinesAreSkipped(t *testing.T) {
 	fixture := newTestCluster(t)
 	for i := range 50 {
@@ -13,11 +10,8 @@
 	}
 	engine := fixture.engines[0]
 	engine.machinesToReconcile = engine.changeFeed.TakeMachines()
-	fixture.cluster.RLock()
-	c := engine.newCycle(testNow)
-	c.reconcileMachines()
-	fixture.cluster.RUnlock()
+	c := fixture.inCycle(0, (*cycle).reconcileMachines)
 	if len(engine.machinesToReconcile) != 0 || len(c.outgoing) != 0 {
-		t.Errorf("%d machines are still looked at, %d changes", len(engine.machinesToReconcile), len(c.outgoing))
+		t.Errorf("%d machines are still to be reconciled, %d changes", len(engine.machinesToReconcile), len(c.outgoing))
 	}
 }
