--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -4,8 +4,6 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"slices"
-	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -14,141 +12,174 @@
 	"sableusher/internal/wire"
 )
 
-// simulateRefusalAndOutage plays the meeting that comes before all others. The state service refuses the leader alone, whose
-// open watches hang; the others go on for a moment and confirm cancellations; then it is away for
-// everybody, for longer than cancel_s, while workers go on reporting to the old leader, which
+// refusalDay is a day on which the key-value store refuses the leader alone, whose open watches hang; the
+// others go on for a moment and confirm cancellations; then it is away for everybody, for longer than a
+// cancellation may take, while agents go on sending heartbeats to the old leader, which
 // knows nothing of all that. Drawn are the spans, whether the leader is refused ahead of, within or
-// after the outage, whether its process ends in the gap and comes back without a view, and from
-// which level of records on the day begins: below tuning.LevelCertain cancellations are told at once,
-// and the level may rise just before the gap. A rash day plants a defect: the users of a dozen jobs ask
-// within a second of the refusal and take what is only marked for confirmed, and nobody can take the
-// leader's parts over before the outage.
-func simulateRefusalAndOutage(seed uint64, rash bool) *Region {
-	rnd := rand.New(rand.NewPCG(seed, 71))
-	secs := func(from, to float64) time.Duration {
-		return time.Duration((from + (to-from)*rnd.Float64()) * float64(time.Second))
-	}
+// after the outage, whether its process ends in the gap and comes back without a cluster state, and from
+// which schema version on the day begins: below tuning.LevelCertain cancellations are confirmed at once,
+// and the version may rise just before the gap.
+type refusalDay struct {
+	random *rand.Rand
+	region *Region
+	// plantsDefect lets the users of a dozen jobs ask within a second of the refusal and take what is only
+	// recorded for confirmed, while nobody can take the leader's shards over before the outage.
+	plantsDefect bool
+	oldVersion   bool // all begin below the version, and one after the other is replaced
+	leader       int
+	outage       time.Duration
+}
+
+// refusalAt is when the refusal comes, counted from the start of the day.
+const refusalAt = 40 * time.Second
+
+// secondsIn draws a duration from a range of seconds.
+func (d *refusalDay) secondsIn(from, to float64) time.Duration {
+	return time.Duration((from + (to-from)*d.random.Float64()) * float64(time.Second))
+}
+
+func simulateRefusalDay(seed uint64, plantsDefect bool) *Region {
 	ctx, cancel := context.WithCancel(context.Background())
-	r := NewRegion(ctx, combinationSettings(0), testTypes, 12, rand.New(rand.NewPCG(seed, 72)), testLogger())
-	r.ConfirmsCancellationsEarly = rash
-	early := rnd.IntN(3) == 0 && !rash // all begin below the level, and one after the other is replaced
-	for i := range 3 {
-		r.AddController(combinationSettings(i))
-		if early {
+	r := testRegion{
+		settings:        faultDaySettings,
+		capacityPerKind: 12,
+		random:          newRandom(seed, streamRefusalRegion),
+	}.start(ctx)
+	r.ConfirmsCancellationsEarly = plantsDefect
+	d := refusalDay{random: newRandom(seed, streamRefusalDay), region: r, plantsDefect: plantsDefect}
+	d.oldVersion = oneInThree(d.random) && !plantsDefect
+	for i := range threeControllers {
+		r.AddController(ctx, faultDaySettings(i))
+		if d.oldVersion {
 			r.KillController(i)
 			r.controllers[i].SchemaVersion = tuning.LevelCertain - 1
-			r.StartController(i)
+			r.StartController(ctx, i)
 		}
 	}
-	lead := 40 * time.Second
 	for i := range 36 {
-		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-			TaskCount: 1 + rnd.IntN(6), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 200}
-		if rnd.IntN(4) == 0 {
-			s.Kind, s.Priority, s.TaskCount = wire.KindGang, wire.PriorityHigh, 1+rnd.IntN(3)
-		}
-		at, stop := secs(0, 10), time.Duration(0)
-		if rnd.IntN(5) > 0 {
-			stop = lead - at + secs(-5, 4) // users ask within 5 s of it
-		}
-		r.wg.Go(func() {
-			time.Sleep(at)
-			r.SimulateUser(ctx, s, 250, stop)
-		})
+		d.submit(ctx, i+1)
 	}
-	rise := secs(-12, 3)
-	if early {
-		time.Sleep(lead + rise)
-		for i := range 3 {
-			r.controllers[i].SchemaVersion = tuning.Level
-			r.restartController(i, 300*time.Millisecond)
-			time.Sleep(800 * time.Millisecond)
-		}
-	} else {
-		time.Sleep(lead)
+	d.sleepUntilRefusal(ctx)
+	d.outage = r.Settings.Cancel() + d.secondsIn(2, 30)
+	d.leader = r.LeaderIndex()
+	d.refuseAroundOutage(ctx)
+	if oneInThree(d.random) && !plantsDefect {
+		time.Sleep(d.secondsIn(0, 20))
+		r.RestartController(ctx, d.leader, d.secondsIn(0.2, 6))
 	}
-	out := r.Settings.Cancel() + secs(2, 30)
-	i := r.LeaderIndex()
-	refuse := func(d time.Duration) { r.KV.RefuseNode(r.controllers[i].Settings.Node, time.Now().Add(d)) }
-	how := rnd.IntN(4)
-	if rash {
-		how = 4
+	time.Sleep(d.outage + 4*time.Minute)
+	r.end(cancel)
+	return r
+}
+
+// submit draws a job; most are cancelled within 5 s of the refusal.
+func (d *refusalDay) submit(ctx context.Context, number int) {
+	spec := newSpec(number, wire.KindArray)
+	spec.TaskCount = 1 + d.random.IntN(6)
+	if d.random.IntN(4) == 0 {
+		spec.Kind, spec.Priority, spec.TaskCount = wire.KindGang, wire.PriorityHigh, 1+d.random.IntN(3)
 	}
-	switch how {
-	case 4:
-		refuse(20 * time.Second)
-		time.Sleep(300 * time.Millisecond)
-		for i := range 12 {
-			r.wg.Go(func() { r.CancelJob(ctx, fmt.Sprintf("run-%06d", i+1)) })
-		}
-		time.Sleep(secs(1.6, 2.2))
-		r.KV.StartOutage(time.Now().Add(out))
-	case 0: // within: only the end of the outage shows that it was refused
-		r.KV.StartOutage(time.Now().Add(out))
-		time.Sleep(secs(1, 10))
-		refuse(out)
-	case 1: // after
-		r.KV.StartOutage(time.Now().Add(out))
-		time.Sleep(out)
-		refuse(secs(2, 20))
+	spec.RuntimeEstimateSeconds = 200
+	delay, cancelAfter := d.secondsIn(0, 10), time.Duration(0)
+	if d.random.IntN(5) > 0 {
+		cancelAfter = refusalAt - delay + d.secondsIn(-5, 4)
+	}
+	d.region.SimulateUserAfter(ctx, delay, userJob{spec, 250, cancelAfter})
+}
+
+// sleepUntilRefusal replaces old controllers meanwhile, about the time of the refusal.
+func (d *refusalDay) sleepUntilRefusal(ctx context.Context) {
+	replacement := d.secondsIn(-12, 3)
+	if !d.oldVersion {
+		time.Sleep(refusalAt)
+		return
+	}
+	time.Sleep(refusalAt + replacement)
+	for i := range threeControllers {
+		d.region.controllers[i].SchemaVersion = tuning.Level
+		d.region.RestartController(ctx, i, 300*time.Millisecond)
+		time.Sleep(800 * time.Millisecond)
+	}
+}
+
+func (d *refusalDay) refuseLeader(duration time.Duration) {
+	d.region.KV.RefuseNode(d.region.ControllerName(d.leader), time.Now().Add(duration))
+}
+
+func (d *refusalDay) startOutage() { d.region.KV.StartOutage(time.Now().Add(d.outage)) }
+
+// refuseAroundOutage draws whether the leader is refused within the outage, after it or ahead of it.
+func (d *refusalDay) refuseAroundOutage(ctx context.Context) {
+	order := d.random.IntN(4)
+	switch {
+	case d.plantsDefect:
+		d.cancelDuringRefusal(ctx)
+		d.startOutage()
+	case order == 0: // within: only the end of the outage shows that it was refused
+		d.startOutage()
+		time.Sleep(d.secondsIn(1, 10))
+		d.refuseLeader(d.outage)
+	case order == 1: // after
+		d.startOutage()
+		time.Sleep(d.outage)
+		d.refuseLeader(d.secondsIn(2, 20))
 	default: // ahead
-		refuse(secs(2, 25))
-		// Within a session's time nobody takes the leader's parts over; later somebody may.
-		if rnd.IntN(2) == 0 {
-			time.Sleep(secs(0.8, 2.8))
+		d.refuseLeader(d.secondsIn(2, 25))
+		// Within a session's time nobody takes the leader's shards over; later somebody may.
+		if oneInTwo(d.random) {
+			time.Sleep(d.secondsIn(0.8, 2.8))
 		} else {
-			time.Sleep(secs(3, 9))
+			time.Sleep(d.secondsIn(3, 9))
 		}
-		r.KV.StartOutage(time.Now().Add(out))
+		d.startOutage()
 	}
-	if rnd.IntN(3) == 0 && !rash {
-		time.Sleep(secs(0, 20))
-		r.restartController(i, secs(0.2, 6))
+}
+
+func (d *refusalDay) cancelDuringRefusal(ctx context.Context) {
+	d.refuseLeader(20 * time.Second)
+	time.Sleep(300 * time.Millisecond)
+	for i := range 12 {
+		d.region.wg.Go(func() { d.region.CancelJob(ctx, jobID(i+1)) })
 	}
-	time.Sleep(out + 4*time.Minute)
-	cancel()
-	r.Wait()
-	time.Sleep(3 * time.Minute)
-	return r
+	time.Sleep(d.secondsIn(1.6, 2.2))
 }
 
-// TestGap: what is confirmed ends in time all the same, and what can't be confirmed is told later and
-// not never.
+// TestCancellationsDuringOutage: what is confirmed ends in time all the same, and what can't be confirmed is
+// confirmed later and not never. GAP_DAYS plays more of these days.
 func TestCancellationsDuringOutage(t *testing.T) {
-	var waited []time.Duration
+	var allWaited []time.Duration
 	for seed := range uint64(environmentInt("GAP_DAYS", 5)) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := simulateRefusalAndOutage(seed+1, false)
-				if len(r.Checker.Violations)+len(r.KV.Violations) > 0 {
-					t.Errorf("broken: %v %v", r.Checker.Violations[:min(len(r.Checker.Violations), 5)], r.KV.Violations)
-				}
-				told, open := r.Checker.CancellationDurations()
-				waited = append(waited, told...)
-				t.Logf("%d told after %v to %v, %d not told", len(told), told[:min(1, len(told))], told[max(0, len(told)-1):], open)
-				if len(told) < 5 || open > 0 {
-					t.Errorf("%d cancellations told, %d never", len(told), open)
+				r := simulateRefusalDay(seed+1, false)
+				checkViolations(t, r)
+				waited, open := r.Checker.CancellationDurations()
+				allWaited = append(allWaited, waited...)
+				t.Logf("%d confirmed after %v to %v, %d not confirmed",
+					len(waited), waited[:min(1, len(waited))], waited[max(0, len(waited)-1):], open)
+				if len(waited) < 5 || open > 0 {
+					t.Errorf("%d cancellations confirmed, %d never", len(waited), open)
 				}
 			})
 		})
 	}
 	soon := 0
-	for _, w := range waited {
-		if w < 10*time.Second {
+	for _, waited := range allWaited {
+		if waited < 10*time.Second {
 			soon++
 		}
 	}
-	t.Logf("%d cancellations told, %d of them within 10 s", len(waited), soon)
+	t.Logf("%d cancellations confirmed, %d of them within 10 s", len(allWaited), soon)
 }
 
-// TestGapToldTooEarly: on such a day the oracle sees the rule break where a cancellation is told as
-// soon as it is marked in the records.
+// TestCheckerDetectsEarlyConfirmation: on such a day the checker sees the rule break where a cancellation is
+// confirmed as soon as it is recorded.
 func TestCheckerDetectsEarlyConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := simulateRefusalAndOutage(1, true)
-		if !slices.ContainsFunc(r.Checker.Violations, func(b string) bool { return strings.HasPrefix(b, "ran_cancelled") }) {
-			told, open := r.Checker.CancellationDurations()
-			t.Errorf("no rule breaks though cancellations are told before they are certain: %v, %d open", told, open)
+		r := simulateRefusalDay(1, true)
+		if !r.Checker.Violations.Has(RuleRanCancelled) {
+			waited, open := r.Checker.CancellationDurations()
+			t.Errorf("no rule breaks though cancellations are confirmed early: %v, %d open", waited, open)
 		}
 	})
 }
--- /dev/null
+++ b/internal/simulation/checker_test.go
@@ -0,0 +1,300 @@
+package simulation
+
+import (
+	"net/http"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/wire"
+)
+
+// checkedJob is the job that the checker's tests are about.
+const checkedJob = "run-1"
+
+// onMachine is a place on an on-demand machine of a large type.
+func onMachine(name, zone string) Placement {
+	return Placement{Machine: name, MachineType: typeLarge, Zone: zone}
+}
+
+// onSpotMachine is a place on a spot machine of a large type.
+func onSpotMachine(name, zone string) Placement {
+	return Placement{Machine: name, MachineType: typeLarge, Zone: zone, Spot: true}
+}
+
+func freeGPUs(placement Placement, gpus float64) FreeCapacity {
+	return FreeCapacity{placement, clusterstate.Resources{GPUs: gpus}}
+}
+
+// taskOf is a task of the job that is checked.
+func taskOf(index int) clusterstate.TaskRef {
+	return clusterstate.TaskRef{Job: checkedJob, Index: index}
+}
+
+// newChecker makes a checker that knows of a submission.
+func newChecker(spec wire.JobSpec) *InvariantChecker {
+	checker := NewInvariantChecker(testSettings(0))
+	checker.JobSubmitted(spec)
+	return checker
+}
+
+// waitBesideCapacity lets the job wait for two minutes, all faults over, beside what is free on some machines.
+func waitBesideCapacity(checker *InvariantChecker, capacities ...FreeCapacity) {
+	checker.AnswerReceived(checkedJob, http.StatusCreated, wire.JobPending)
+	checker.FaultsEnded()
+	for range 120 {
+		time.Sleep(time.Second)
+		checker.CheckStartableJobs(capacities)
+	}
+}
+
+// TestCheckerAllowsJustifiedWaiting: a job that waits for capacity that is not there for it is not left waiting.
+func TestCheckerAllowsJustifiedWaiting(t *testing.T) {
+	asGang := func(spec *wire.JobSpec, tasks int) { spec.Kind, spec.TaskCount = wire.KindGang, tasks }
+	east, west := onMachine("a", zoneEast), onMachine("a", zoneWest)
+	for _, c := range []struct {
+		name       string
+		change     func(*wire.JobSpec)
+		capacities []FreeCapacity
+	}{
+		{"no capacity", func(*wire.JobSpec) {}, []FreeCapacity{freeGPUs(east, 0)}},
+		{"spot", func(*wire.JobSpec) {}, []FreeCapacity{freeGPUs(onSpotMachine("a", zoneEast), 1)}},
+		{"another zone", func(s *wire.JobSpec) { s.Zone = zoneWest }, []FreeCapacity{freeGPUs(east, 1)}},
+		{"another type", func(s *wire.JobSpec) { s.MachineTypes = []string{"small"} },
+			[]FreeCapacity{freeGPUs(east, 1)}},
+		{"spread", func(s *wire.JobSpec) { asGang(s, 4); s.Spread = true }, []FreeCapacity{freeGPUs(east, 4)}},
+		{"zones apart", func(s *wire.JobSpec) { asGang(s, 2); s.SameZone = true },
+			[]FreeCapacity{freeGPUs(east, 1), freeGPUs(west, 1)}},
+		{"over its limit", func(s *wire.JobSpec) { s.GPUs = 7 }, []FreeCapacity{freeGPUs(east, 8)}},
+		{"half of the gang", func(s *wire.JobSpec) { asGang(s, 4) }, []FreeCapacity{freeGPUs(east, 3)}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				spec := wire.JobSpec{ID: checkedJob, Team: "bound", Kind: wire.KindArray, TaskCount: 2, GPUs: 1}
+				c.change(&spec)
+				checker := newChecker(spec)
+				if waitBesideCapacity(checker, c.capacities...); len(checker.Violations) > 0 {
+					t.Errorf("%v", checker.Violations)
+				}
+			})
+		})
+	}
+}
+
+// defect is something small that breaks a rule.
+type defect struct {
+	rule    Rule
+	name    string
+	change  func(*wire.JobSpec) // of the job; nil: none
+	perform func(*InvariantChecker)
+}
+
+// TestCheckerDetectsEachViolation plays one small defect for each rule: a checker that
+// can't fail would prove nothing.
+func TestCheckerDetectsEachViolation(t *testing.T) {
+	for _, defects := range [][]defect{
+		placementDefects(), cancellationDefects(), answerDefects(),
+		unansweredDefects(), waitingDefects(), shareDefects(),
+	} {
+		for _, d := range defects {
+			t.Run(d.rule.String()+" "+d.name, func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) {
+					spec := wire.JobSpec{ID: checkedJob, Team: "bound", Kind: wire.KindArray, TaskCount: 8, GPUs: 1}
+					if d.change != nil {
+						d.change(&spec)
+					}
+					checker := newChecker(spec)
+					d.perform(checker)
+					if len(checker.Violations) == 0 || checker.Violations[0].Rule != d.rule {
+						t.Errorf("want %s, got %v", d.rule, checker.Violations)
+					}
+				})
+			})
+		}
+	}
+}
+
+// startsOn lets the job's tasks start on machines, one on each, in order.
+func startsOn(placements ...Placement) func(*InvariantChecker) {
+	return func(checker *InvariantChecker) {
+		for i, placement := range placements {
+			checker.TaskStarted(taskOf(i), placement)
+		}
+	}
+}
+
+func placementDefects() []defect {
+	east := onMachine("a", zoneEast)
+	awaitsOther := func(s *wire.JobSpec) { s.Dependencies = []string{"run-0"} }
+	return []defect{
+		{RuleRanTwice, "two machines", nil, func(checker *InvariantChecker) {
+			checker.TaskStarted(taskOf(0), east)
+			checker.TaskStarted(taskOf(0), onMachine("b", zoneEast))
+		}},
+		{RuleQuota, "seven of six", nil, startsOn(east, east, east, east, east, east, east)},
+		{RuleWrongPlace, "spot", nil, startsOn(onSpotMachine("a", zoneEast))},
+		{RuleWrongPlace, "zone", func(s *wire.JobSpec) { s.Zone = zoneWest }, startsOn(east)},
+		{RuleWrongPlace, "type", func(s *wire.JobSpec) { s.MachineTypes = []string{"small"} }, startsOn(east)},
+		{RuleWrongPlace, "two zones", func(s *wire.JobSpec) { s.SameZone = true },
+			startsOn(east, onMachine("b", zoneWest))},
+		{RuleWrongPlace, "not spread", func(s *wire.JobSpec) { s.Spread, s.TaskCount = true, 2 },
+			startsOn(east, onMachine("b", zoneEast))},
+		{RuleTooEarly, "before its dependency", awaitsOther, func(checker *InvariantChecker) {
+			checker.JobSubmitted(wire.JobSpec{ID: "run-0", Team: "open", Kind: wire.KindArray, TaskCount: 1})
+			checker.TaskStarted(taskOf(0), east)
+		}},
+	}
+}
+
+// confirmCancellation lets a user cancel a job and be told that it is cancelled.
+func confirmCancellation(checker *InvariantChecker, jobID string) {
+	checker.CancelRequested(jobID)
+	checker.AnswerReceived(jobID, http.StatusOK, wire.JobCancelled)
+}
+
+func cancellationDefects() []defect {
+	east := onMachine("a", zoneEast)
+	awaitsOther := func(s *wire.JobSpec) { s.Dependencies = []string{"run-0"} }
+	return []defect{
+		{RuleRanCancelled, "late", nil, func(checker *InvariantChecker) {
+			checker.TaskStarted(taskOf(0), east)
+			confirmCancellation(checker, checkedJob)
+			time.Sleep(45 * time.Second)
+			checker.CheckDeadlines()
+		}},
+		{RuleRanCancelled, "started after it was confirmed", nil, func(checker *InvariantChecker) {
+			confirmCancellation(checker, checkedJob)
+			checker.TaskStarted(taskOf(0), east)
+		}},
+		{RuleOrphaned, "through another", awaitsOther, func(checker *InvariantChecker) {
+			other := wire.JobSpec{ID: "run-00", Team: "open", Kind: wire.KindArray, TaskCount: 1}
+			checker.JobSubmitted(other)
+			other.ID, other.Dependencies = "run-0", []string{"run-00"}
+			checker.JobSubmitted(other)
+			confirmCancellation(checker, "run-00")
+			time.Sleep(45 * time.Second)
+			checker.AnswerReceived(checkedJob, http.StatusOK, wire.JobPending)
+		}},
+	}
+}
+
+func answerDefects() []defect {
+	oneTask := func(s *wire.JobSpec) { s.TaskCount = 1 }
+	return []defect{
+		{RuleAccepted, "what can't run", nil, func(checker *InvariantChecker) {
+			spec := wire.JobSpec{ID: "run-2", Team: "bound", Kind: wire.KindArray, TaskCount: 8, GPUs: 1}
+			checker.InvalidJobSubmitted(spec, "it fits no machine")
+			checker.AnswerReceived("run-2", http.StatusCreated, wire.JobPending)
+		}},
+		{RuleForgotten, "404", nil, func(checker *InvariantChecker) {
+			checker.AnswerReceived(checkedJob, http.StatusCreated, wire.JobPending)
+			checker.AnswerReceived(checkedJob, http.StatusNotFound, "")
+		}},
+		{RuleInvented, "200", nil, func(checker *InvariantChecker) {
+			checker.AnswerReceived("run-2", http.StatusOK, wire.JobPending)
+		}},
+		{RuleNotDone, "early", nil, func(checker *InvariantChecker) {
+			checker.TaskCompleted(taskOf(0))
+			checker.AnswerReceived(checkedJob, http.StatusOK, wire.JobDone)
+		}},
+		{RuleWentBack, "pending again", oneTask, func(checker *InvariantChecker) {
+			checker.TaskCompleted(taskOf(0))
+			checker.AnswerReceived(checkedJob, http.StatusOK, wire.JobDone)
+			checker.AnswerReceived(checkedJob, http.StatusOK, wire.JobPending)
+		}},
+		{RuleWentBack, "an older answer from another controller", oneTask, olderAnswerFromAnother},
+		{RuleWentBack, "cancelled by nobody", nil, func(checker *InvariantChecker) {
+			checker.AnswerReceived(checkedJob, http.StatusOK, wire.JobCancelled)
+		}},
+	}
+}
+
+// olderAnswerFromAnother lets a question that was on its way by then be answered by an older state, which is
+// in order, and then a later question, which is not.
+func olderAnswerFromAnother(checker *InvariantChecker) {
+	checker.TaskCompleted(taskOf(0))
+	sentAt := time.Now()
+	time.Sleep(time.Millisecond)
+	checker.AnswerReceivedTo(checkedJob, sentAt, http.StatusOK, wire.JobDone)
+	checker.AnswerReceivedTo(checkedJob, sentAt, http.StatusOK, wire.JobRunning)
+	if len(checker.Violations) > 0 {
+		checker.Violations = nil // too early: the test must fail
+		return
+	}
+	checker.AnswerReceivedTo(checkedJob, time.Now(), http.StatusOK, wire.JobRunning)
+}
+
+func unansweredDefects() []defect {
+	return []defect{
+		{RuleForgotten, "after all faults", nil, func(checker *InvariantChecker) {
+			unanswered := func() { checker.AnswerReceived(checkedJob, http.StatusServiceUnavailable, "") }
+			checker.AnswerReceived(checkedJob, http.StatusCreated, wire.JobPending)
+			unanswered()
+			time.Sleep(3 * time.Minute) // others fare no better, and there are still faults
+			unanswered()
+			checker.FaultsEnded()
+			time.Sleep(74 * time.Second)
+			unanswered()
+			if len(checker.Violations) > 0 {
+				checker.Violations = nil // too early: the test must fail
+				return
+			}
+			time.Sleep(2 * time.Second)
+			unanswered()
+		}},
+		{RuleForgotten, "alone", nil, func(checker *InvariantChecker) {
+			checker.JobSubmitted(wire.JobSpec{ID: "run-2", Team: "open", Kind: wire.KindArray, TaskCount: 1})
+			checker.AnswerReceived(checkedJob, http.StatusCreated, wire.JobPending)
+			for range 21 {
+				checker.AnswerReceived(checkedJob, 0, "")
+				checker.AnswerReceived("run-2", http.StatusOK, wire.JobPending)
+				checker.AnswerReceived("run-2", http.StatusOK, wire.JobPending)
+				time.Sleep(5 * time.Second)
+			}
+		}},
+	}
+}
+
+func waitingDefects() []defect {
+	gangInOneZone := func(s *wire.JobSpec) { s.Kind, s.TaskCount, s.SameZone = wire.KindGang, 2, true }
+	return []defect{
+		{RuleLeftWaiting, "beside capacity", nil, func(checker *InvariantChecker) {
+			free := clusterstate.Resources{CPUs: 8, GPUs: 1}
+			waitBesideCapacity(checker, FreeCapacity{onMachine("a", zoneEast), free})
+		}},
+		{RuleLeftWaiting, "a gang beside capacity in its zone", gangInOneZone, func(checker *InvariantChecker) {
+			waitBesideCapacity(checker, freeGPUs(onMachine("a", zoneWest), 1),
+				freeGPUs(onMachine("b", zoneEast), 1), freeGPUs(onMachine("c", zoneEast), 1))
+		}},
+	}
+}
+
+func shareDefects() []defect {
+	return []defect{
+		{RuleMinimumShare, "largest", nil, func(checker *InvariantChecker) {
+			// Everybody is served in the end, but the largest began after five minutes.
+			for _, id := range []string{"run-2", "run-3", "run-4", "run-5"} {
+				runJob(checker, id, 1, 0)
+			}
+			runJob(checker, "run-6", 10, 5*time.Minute)
+			checker.CheckServedShares()
+		}},
+		{RuleMinimumShare, "class", nil, func(checker *InvariantChecker) {
+			checker.AnswerReceived(checkedJob, http.StatusCreated, wire.JobPending)
+			checker.CheckServedShares()
+		}},
+	}
+}
+
+// runJob lets a job be accepted, wait, and run to its end.
+func runJob(checker *InvariantChecker, jobID string, tasks int, wait time.Duration) {
+	checker.JobSubmitted(wire.JobSpec{ID: jobID, Class: "c", Team: "open", Kind: wire.KindArray, TaskCount: tasks})
+	checker.AnswerReceived(jobID, http.StatusCreated, wire.JobPending)
+	time.Sleep(wait)
+	for i := range tasks {
+		task := clusterstate.TaskRef{Job: jobID, Index: i}
+		checker.TaskStarted(task, onMachine("a", zoneEast))
+		checker.TaskCompleted(task)
+	}
+}
--- /dev/null
+++ b/internal/simulation/controllers.go
@@ -0,0 +1,200 @@
+package simulation
+
+import (
+	"context"
+	"sync/atomic"
+	"time"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/config"
+	"sableusher/internal/controller"
+	"sableusher/internal/peerrpc"
+	"sableusher/internal/tuning"
+	"sableusher/internal/wire"
+)
+
+// Controller is a controller under test, with the process that runs it. Each start is a new process under
+// the same name and address.
+type Controller struct {
+	Settings      *config.Settings
+	Address       string
+	SchemaVersion int // of the version that it runs; set before it starts
+
+	// The region's lock guards what follows.
+	stop        context.CancelFunc
+	alive       *atomic.Bool  // nil before the first start
+	exited      chan struct{} // closed when the process has ended
+	registry    peerrpc.AgentRegistry
+	cellHandler peerrpc.CellHandler // answers other cells, if there are some
+}
+
+func (c *Controller) isAlive() bool { return c.alive != nil && c.alive.Load() }
+
+// AddController adds a controller of the newest version and starts it.
+func (r *Region) AddController(ctx context.Context, settings *config.Settings) {
+	r.AddStoppedController(settings, tuning.Level)
+	r.StartController(ctx, len(r.controllers)-1)
+}
+
+// AddStoppedController adds a controller that has not been started.
+func (r *Region) AddStoppedController(settings *config.Settings, schemaVersion int) {
+	r.controllers = append(r.controllers, &Controller{
+		Settings:      settings,
+		Address:       settings.Listen,
+		SchemaVersion: schemaVersion,
+	})
+}
+
+// StartController runs a controller as a new process, which ends with the context at the latest. It panics
+// if the controller can't be made.
+func (r *Region) StartController(ctx context.Context, index int) {
+	process := r.controllers[index]
+	ctx, cancel := context.WithCancel(ctx)
+	alive := &atomic.Bool{}
+	alive.Store(true)
+	var registry peerrpc.AgentRegistry
+	connectPeers := func(own peerrpc.AgentRegistry) (controller.PeerTransport, error) {
+		registry = own
+		return fakePeers{r, process}, nil
+	}
+	operator := r.operatorSettings()
+	r.mu.Lock()
+	incarnation := r.random.Uint64N(1<<40) + 1
+	r.mu.Unlock()
+	node, err := controller.New(process.Settings, operator, incarnation, process.SchemaVersion,
+		r.Network.Transport(process.Settings.Node, alive.Load), connectPeers, r.Log.With("node", process.Settings.Node))
+	if err != nil {
+		panic(err)
+	}
+	exited := make(chan struct{})
+	r.mu.Lock()
+	process.stop, process.alive, process.exited, process.registry = cancel, alive, exited, registry
+	r.mu.Unlock()
+	r.Network.Listen(process.Address, &Host{process.Settings.Node, node.Handler(), alwaysAlive})
+	r.wg.Go(func() {
+		_ = node.Run(ctx) // ends with its context, as a process that is killed
+		close(exited)
+	})
+}
+
+// operatorSettings gives the operators' settings as a controller that starts reads them.
+func (r *Region) operatorSettings() *config.Operator {
+	operator, err := config.LoadOperator("")
+	if err != nil {
+		panic(err)
+	}
+	if r.configureOperator != nil {
+		r.configureOperator(operator)
+	}
+	return operator
+}
+
+// KillController ends a controller's process without warning.
+func (r *Region) KillController(index int) {
+	process := r.controllers[index]
+	process.alive.Store(false)
+	r.Network.Listen(process.Address, nil)
+	process.stop()
+	<-process.exited
+}
+
+// KillAllControllers ends the processes of all controllers, one after the other.
+func (r *Region) KillAllControllers() {
+	for i := range r.controllers {
+		r.KillController(i)
+	}
+}
+
+// StartAllControllers starts all controllers, one after the other.
+func (r *Region) StartAllControllers(ctx context.Context) {
+	for i := range r.controllers {
+		r.StartController(ctx, i)
+	}
+}
+
+// StartControllerAfter starts a controller once a time has passed.
+func (r *Region) StartControllerAfter(ctx context.Context, index int, delay time.Duration) {
+	r.wg.Go(func() {
+		time.Sleep(delay)
+		r.StartController(ctx, index)
+	})
+}
+
+// RestartController kills a controller and starts it again later, unless it is stopped already.
+func (r *Region) RestartController(ctx context.Context, index int, delay time.Duration) {
+	if !r.controllers[index].alive.Load() {
+		return
+	}
+	r.KillController(index)
+	r.StartControllerAfter(ctx, index, delay)
+}
+
+// ControllerCount is the number of controllers.
+func (r *Region) ControllerCount() int { return len(r.controllers) }
+
+// ControllerName is the name of a controller.
+func (r *Region) ControllerName(index int) string { return r.controllers[index].Settings.Node }
+
+// randomController draws a controller.
+func (r *Region) randomController() *Controller {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.controllers[r.random.IntN(len(r.controllers))]
+}
+
+// LeaderIndex gives the leader as the records say; if there is none, the controller that owns most shards.
+func (r *Region) LeaderIndex() int {
+	owned := map[string]int{}
+	owned[r.shardOwner(clusterstate.LeaderShard).Owner] = len(r.controllers) + 1
+	for shard := range r.Settings.Deployment.Size {
+		owned[r.shardOwner(shard).Owner]++
+	}
+	most, index := -1, 0
+	for i := range r.controllers {
+		if count := owned[r.ControllerName(i)]; count > most {
+			most, index = count, i
+		}
+	}
+	return index
+}
+
+// LeaderName is the name of the controller that LeaderIndex gives.
+func (r *Region) LeaderName() string { return r.ControllerName(r.LeaderIndex()) }
+
+// leaderToken gives the leader's fencing token.
+func (r *Region) leaderToken() uint64 { return r.shardOwner(clusterstate.LeaderShard).FencingToken }
+
+// shardTokenSum adds the shards' fencing tokens up: it rises with each of them.
+func (r *Region) shardTokenSum() (sum uint64) {
+	for shard := range r.Settings.Deployment.Size {
+		sum += r.shardOwner(shard).FencingToken
+	}
+	return sum
+}
+
+// shardOwner gives the record of a shard's owner; the zero value if nobody owns it.
+func (r *Region) shardOwner(shard int) clusterstate.ShardRecord {
+	var record clusterstate.ShardRecord
+	_ = wire.Decode(r.KV.Row(clusterstate.ShardKey(shard)).Value, &record)
+	return record
+}
+
+// tokenWatch waits for a fencing token to rise.
+type tokenWatch struct {
+	interval time.Duration
+	until    time.Time
+	token    func() uint64 // 0 before there is one
+}
+
+// run calls a function whenever the token has risen, from its first value on.
+func (watch tokenWatch) run(ctx context.Context, onIncrease func()) {
+	before := watch.token()
+	for ctx.Err() == nil && time.Now().Before(watch.until) {
+		time.Sleep(watch.interval)
+		token := watch.token()
+		if before != 0 && token != before {
+			onIncrease()
+		}
+		before = token
+	}
+}
--- a/internal/simulation/cpuregion_test.go
+++ b/internal/simulation/cpuregion_test.go
@@ -12,130 +12,206 @@
 	"sableusher/internal/wire"
 )
 
+// Classes of the region of CPU machines.
+const (
+	classBatch    = "cuts"
+	classReplicas = "live"
+)
+
 var cpuZones = []string{"hill", "plain", "coast", "river"}
 
 // cpuMachineTypes have no GPUs and three sizes; the largest fetches slowly.
 var cpuMachineTypes = []wire.MachineType{
-	{Name: "small", CPUs: 4, MemoryGB: 8, ImageCacheGB: 40, ImageFetchGBps: 0.8, Price: 0.15, SpotPrice: 0.06, BootSeconds: 40, Zones: []string{"hill", "plain", "river"}},
-	{Name: "medium", CPUs: 8, MemoryGB: 64, ImageCacheGB: 40, ImageFetchGBps: 0.8, Price: 0.37, SpotPrice: 0.15, BootSeconds: 25, Zones: []string{"hill", "plain", "river"}},
-	{Name: "large", CPUs: 32, MemoryGB: 64, ImageCacheGB: 60, ImageFetchGBps: 0.2, Price: 1.14, SpotPrice: 0.5, BootSeconds: 25, Zones: []string{"hill", "coast", "river"}},
+	{
+		Name: "small", CPUs: 4, MemoryGB: 8, ImageCacheGB: 40, ImageFetchGBps: 0.8,
+		Price: 0.15, SpotPrice: 0.06, BootSeconds: 40, Zones: []string{"hill", "plain", "river"},
+	},
+	{
+		Name: "medium", CPUs: 8, MemoryGB: 64, ImageCacheGB: 40, ImageFetchGBps: 0.8,
+		Price: 0.37, SpotPrice: 0.15, BootSeconds: 25, Zones: []string{"hill", "plain", "river"},
+	},
+	{
+		Name: "large", CPUs: 32, MemoryGB: 64, ImageCacheGB: 60, ImageFetchGBps: 0.2,
+		Price: 1.14, SpotPrice: 0.5, BootSeconds: 25, Zones: []string{"hill", "coast", "river"},
+	},
+}
+
+// runningMachines are machines of a kind that are up before the first controller.
+type runningMachines struct {
+	machineType, zone string
+	count             int
+}
+
+var cpuRunningMachines = []runningMachines{
+	{"small", "hill", 9}, {"small", "plain", 14}, {"small", "river", 8},
+	{"medium", "plain", 6}, {"medium", "hill", 4},
+	{"large", "coast", 2}, {"large", "hill", 1},
 }
 
 // cpuRegionSettings are those of a region with small budgets, four zones for three controllers, and teams
 // whose guarantees and limits are counted in cores.
-func cpuRegionSettings(i int) *config.Settings {
-	s := testSettings(i)
-	s.Zone = cpuZones[i]
-	for k := range s.Siblings {
-		s.Siblings[k].Zone = ""
+func cpuRegionSettings(index int) *config.Settings {
+	settings := testSettings(index)
+	settings.Zone = cpuZones[index]
+	for i := range settings.Siblings {
+		settings.Siblings[i].Zone = ""
+	}
+	deployment := &settings.Deployment
+	deployment.Zones = cpuZones
+	deployment.Teams = nil
+	for i := range 4 {
+		team := config.Team{Name: fmt.Sprintf("team-%d", i), CPUs: 60, CPUsMax: 160}
+		deployment.Teams = append(deployment.Teams, team)
 	}
-	d := &s.Deployment
-	d.Zones = cpuZones
-	d.Teams = nil
-	for t := range 4 {
-		d.Teams = append(d.Teams, config.Team{Name: fmt.Sprintf("team-%d", t), CPUs: 60, CPUsMax: 160})
+	workers, state := &deployment.Workers, &deployment.State
+	workers.ReportS, workers.LeaseS, workers.CancelS = 5, 32, 52
+	state.RPS, state.WriteRPS, state.ValueKB, state.TxnOps = 150, 25, 16, 16
+	deployment.Cloud.RPS, deployment.Cloud.ListLagS = 6, 5
+	deployment.Objectives = []config.Objective{
+		{Kind: "finished", Class: classBatch, WithinS: 120, Share: 0.9},
+		{Kind: "wait", Class: classReplicas, WithinS: 3, Share: 0.9},
 	}
-	d.Workers.ReportS, d.Workers.LeaseS, d.Workers.CancelS = 5, 32, 52
-	d.State.RPS, d.State.WriteRPS, d.State.ValueKB, d.State.TxnOps = 150, 25, 16, 16
-	d.Cloud.RPS, d.Cloud.ListLagS = 6, 5
-	d.Objectives = []config.Objective{{Kind: "finished", Class: "cuts", WithinS: 120, Share: 0.9}, {Kind: "wait", Class: "live", WithinS: 3, Share: 0.9}}
-	return s
+	return settings
 }
 
 // AddRunningMachines puts machines up that are there before the first controller.
-func (r *Region) AddRunningMachines(ctx context.Context, typ, zone string, count int) {
+func (r *Region) AddRunningMachines(ctx context.Context, machines runningMachines) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for range count {
-		n := len(r.machines) + 1
-		m := &cloudMachine{CloudMachine: wire.CloudMachine{ID: fmt.Sprintf("vm-%06d", n), Address: fmt.Sprintf("worker-%06d:9000", n), MachineType: typ, Zone: zone, State: wire.MachineRunning},
-			capacityKey: capacityKey(typ, zone, false), rentedAt: time.Now(), bootedAt: time.Now()}
-		r.machines = append(r.machines, m)
-		r.rentals[fmt.Sprint("before ", n)] = []string{m.ID}
-		r.bootAgent(ctx, m)
+	for range machines.count {
+		number := len(r.cloud.machines) + 1
+		machine := &cloudMachine{
+			CloudMachine: wire.CloudMachine{
+				ID:          fmt.Sprintf("vm-%06d", number),
+				Address:     fmt.Sprintf("worker-%06d:9000", number),
+				MachineType: machines.machineType,
+				Zone:        machines.zone,
+				State:       wire.MachineRunning,
+			},
+			kind:     machineKind{machines.machineType, machines.zone, false},
+			rentedAt: time.Now(),
+			bootedAt: time.Now(),
+		}
+		r.cloud.machines = append(r.cloud.machines, machine)
+		r.cloud.rentals[fmt.Sprint("before ", number)] = []string{machine.ID}
+		r.bootAgent(ctx, machine)
 	}
 }
 
-// tasksByMachineType counts the tasks of a class by the type of their machines.
-func (r *Region) tasksByMachineType(class string) map[string]int {
+// replicaCounts counts replicas by the type of their machines.
+type replicaCounts map[string]int
+
+func (c replicaCounts) total() int { return c["small"] + c["medium"] + c["large"] }
+
+// tasksByMachineType counts the tasks of a class that are on machines.
+func (r *Region) tasksByMachineType(class string) replicaCounts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := map[string]int{}
-	for _, w := range r.agents {
-		for _, t := range w.tasks {
-			if t.spec.Class == class && t.onMachine {
-				out[w.machineType.Name]++
+	counts := replicaCounts{}
+	for _, agent := range r.agents {
+		for _, task := range agent.tasks {
+			if task.spec.Class == class && task.onMachine {
+				counts[agent.machineType.Name]++
 			}
 		}
 	}
-	return out
+	return counts
+}
+
+// cpuRegionJob draws a job and when it comes; the first are services.
+func cpuRegionJob(random *rand.Rand, index int) (delay time.Duration, job userJob) {
+	spec := wire.JobSpec{
+		ID:                     jobID(index + 1),
+		Team:                   fmt.Sprintf("team-%d", random.IntN(4)),
+		Class:                  classBatch,
+		Kind:                   wire.KindArray,
+		Priority:               wire.PriorityNormal,
+		TaskCount:              4 + random.IntN(30),
+		CPUs:                   8,
+		MemoryGB:               13,
+		AllowSpot:              true,
+		Image:                  fmt.Sprintf("img-%d", random.IntN(6)),
+		ImageSizeGB:            1.2,
+		RuntimeEstimateSeconds: 15,
+	}
+	delay = time.Duration(max(0, index-24)*random.IntN(24)) * time.Second / 2
+	job = userJob{spec: spec, runSeconds: float64(6 + random.IntN(25))}
+	if index >= 14 {
+		return delay, job
+	}
+	service := &job.spec
+	service.Class, service.Kind, service.Priority = classReplicas, wire.KindService, wire.PriorityProduction
+	service.TaskCount = []int{5, 6, 16}[random.IntN(3)]
+	service.CPUs, service.MemoryGB = 1, 1.5
+	service.AllowSpot, service.Spread, service.RuntimeEstimateSeconds = false, true, 0
+	job.cancelAfter = neverWithinDay
+	// By now all machines are recorded, and none has been idle for long enough to be returned.
+	return 10*time.Second + milliseconds(random, 3000), job
 }
 
-// TestRegionOfCores: machines of three sizes and no GPUs are up before the first controller, the cloud
-// has few more, the state service takes 25 changes a second, services are spread over zones. Machines
-// die, one controller ends, then all. No rule breaks, every job ends, nobody gets less than half of his due, and
-// replicas stand mostly on small machines; how they are chosen is held to by package fit's own test.
+// submitCPURegionJobs gives how many replicas the services have.
+func (r *Region) submitCPURegionJobs(ctx context.Context, random *rand.Rand) (replicas int) {
+	for i := range 44 {
+		delay, job := cpuRegionJob(random, i)
+		if job.spec.Kind == wire.KindService {
+			replicas += job.spec.TaskCount
+		}
+		r.SimulateUserAfter(ctx, delay, job)
+	}
+	return replicas
+}
+
+// failEveryNinthMachine lets machines fail.
+func (r *Region) failEveryNinthMachine() {
+	for i, machine := range r.Machines() {
+		if i%9 == 0 {
+			r.FailMachine(machine)
+		}
+	}
+}
+
+// TestRegionOfCPUMachines: machines of three sizes and no GPUs are up before the first controller, the cloud
+// has few more, the key-value store takes 25 changes a second, services are spread over zones. Machines
+// fail, one controller ends, then all. No rule breaks, every job ends, nobody gets less than half of his due, and
+// replicas run mostly on small machines; how they are chosen is held to by package binpack's own test.
 func TestRegionOfCPUMachines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		rnd := rand.New(rand.NewPCG(5, 81))
-		r := NewRegion(ctx, cpuRegionSettings(0), cpuMachineTypes, 8, rand.New(rand.NewPCG(5, 82)), testLogger())
-		for i := range 3 {
-			set := cpuRegionSettings(i)
-			r.controllers = append(r.controllers, &Controller{Settings: set, Address: set.Listen, SchemaVersion: 4})
+		r := testRegion{
+			settings:        cpuRegionSettings,
+			machineTypes:    cpuMachineTypes,
+			capacityPerKind: 8,
+			random:          newRandom(5, streamCPURegion),
+		}.start(ctx)
+		for i := range threeControllers {
+			r.AddStoppedController(cpuRegionSettings(i), 4)
 		}
-		for _, m := range []struct {
-			typ, zone string
-			count     int
-		}{{"small", "hill", 9}, {"small", "plain", 14}, {"small", "river", 8}, {"medium", "plain", 6}, {"medium", "hill", 4}, {"large", "coast", 2}, {"large", "hill", 1}} {
-			r.AddRunningMachines(ctx, m.typ, m.zone, m.count)
+		for _, machines := range cpuRunningMachines {
+			r.AddRunningMachines(ctx, machines)
 		}
 		time.Sleep(20 * time.Second)
-		for i := range 3 {
-			r.StartController(i)
-		}
-		replicas := 0
-		for i := range 44 {
-			s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Team: fmt.Sprintf("team-%d", rnd.IntN(4)), Class: "cuts", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-				TaskCount: 4 + rnd.IntN(30), CPUs: 8, MemoryGB: 13, AllowSpot: true, Image: fmt.Sprintf("img-%d", rnd.IntN(6)), ImageSizeGB: 1.2, RuntimeEstimateSeconds: 15}
-			at, run, stop := time.Duration(max(0, i-24)*rnd.IntN(24))*time.Second/2, float64(6+rnd.IntN(25)), time.Duration(0)
-			if i < 14 {
-				s.Class, s.Kind, s.Priority, s.TaskCount, s.CPUs, s.MemoryGB, s.AllowSpot, s.Spread, s.RuntimeEstimateSeconds = "live", wire.KindService, wire.PriorityProduction, []int{5, 6, 16}[rnd.IntN(3)], 1, 1.5, false, true, 0
-				// By now all machines are recorded, and none has stood idle for long enough to be returned.
-				at, stop = 10*time.Second+time.Duration(rnd.IntN(3000))*time.Millisecond, 20*time.Minute
-				replicas += s.TaskCount
-			}
-			r.wg.Go(func() {
-				time.Sleep(at)
-				r.SimulateUser(ctx, s, run, stop)
-			})
-		}
+		r.StartAllControllers(ctx)
+		replicas := r.submitCPURegionJobs(ctx, newRandom(5, streamCPUDay))
 		time.Sleep(110 * time.Second)
-		on := r.tasksByMachineType("live")
-		if sum := on["small"] + on["medium"] + on["large"]; sum < replicas || 3*on["small"] < sum || on["small"] < 3*on["large"] {
-			t.Errorf("%d replicas stand on %v", replicas, on)
-		}
-		r.restartController(r.LeaderIndex(), 8*time.Second)
-		for i, m := range r.Machines(false) {
-			if i%9 == 0 {
-				r.FailMachine(m)
-			}
+		counts := r.tasksByMachineType(classReplicas)
+		if counts.total() < replicas || 3*counts["small"] < counts.total() || counts["small"] < 3*counts["large"] {
+			t.Errorf("%d replicas run on %v", replicas, counts)
 		}
+		r.RestartController(ctx, r.LeaderIndex(), 8*time.Second)
+		r.failEveryNinthMachine()
 		time.Sleep(50 * time.Second)
-		for i := range 3 {
-			r.restartController(i, 8*time.Second)
+		for i := range threeControllers {
+			r.RestartController(ctx, i, 8*time.Second)
 		}
 		time.Sleep(80 * time.Second)
 		r.Checker.FaultsEnded()
 		r.waitUntilFinished(100)
 		time.Sleep(30 * time.Second)
-		if on := r.tasksByMachineType("live"); on["small"]+on["medium"]+on["large"] < replicas {
-			t.Errorf("of %d replicas %v run in the end", replicas, on)
+		if counts := r.tasksByMachineType(classReplicas); counts.total() < replicas {
+			t.Errorf("of %d replicas %v run in the end", replicas, counts)
 		}
 		r.Checker.CheckServedShares()
-		cancel()
-		r.Wait()
-		time.Sleep(3 * time.Minute)
+		r.end(cancel)
 		checkDay(t, r)
 	})
 }
--- /dev/null
+++ b/internal/simulation/fakeagent_commands.go
@@ -0,0 +1,128 @@
+package simulation
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/config"
+	"sableusher/internal/wire"
+)
+
+// ServeHTTP serves direct commands.
+func (a *fakeAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, _ := io.ReadAll(r.Body)
+	a.region.mu.Lock()
+	defer a.region.mu.Unlock()
+	if a.inboundLost() {
+		loseResponse(w)
+		return
+	}
+	if a.removed {
+		wire.WriteResponse(w, http.StatusServiceUnavailable, nil)
+		return
+	}
+	if r.URL.Path == "/show" {
+		wire.WriteResponse(w, http.StatusOK, a.status())
+		return
+	}
+	var request wire.CommandRequest
+	if err := wire.Decode(body, &request); err != nil || request.FencingToken == 0 || request.Session == 0 {
+		wire.WriteResponse(w, http.StatusBadRequest, wire.ErrorResponse{Message: fmt.Sprint(err)})
+		return
+	}
+	if request.FencingToken < a.fencingToken || request.Session != a.session {
+		wire.WriteResponse(w, http.StatusConflict, a.status())
+		return
+	}
+	a.fencingToken = request.FencingToken
+	a.executeCommands(request.Commands)
+	wire.WriteResponse(w, http.StatusOK, a.status())
+}
+
+// executeCommands executes commands in their order. Callers hold the region's lock.
+func (a *fakeAgent) executeCommands(commands []wire.Command) {
+	for _, command := range commands {
+		ref, ok := clusterstate.ParseTaskRef(command.Task)
+		if !ok {
+			a.region.Checker.AddViolation(RuleProtocol, "format: task "+command.Task)
+			continue
+		}
+		a.execute(command, attempt{ref, command.Attempt})
+	}
+}
+
+// execute executes one command, which has no effect if it is not about the task's present state.
+func (a *fakeAgent) execute(command wire.Command, attempt attempt) {
+	task := a.tasks[attempt]
+	switch {
+	case command.Kind == wire.CommandForget && task != nil && task.State == wire.TaskExited:
+		if task.ExitCause == wire.ExitCauseError {
+			a.region.Checker.FailureAcknowledged(attempt.task)
+		}
+		delete(a.tasks, attempt)
+	case command.Kind == wire.CommandStop && task != nil && task.State != wire.TaskExited:
+		graceSeconds := 0.0
+		if command.GraceSeconds != nil {
+			graceSeconds = *command.GraceSeconds
+		}
+		task.stop(graceSeconds)
+	case command.Kind == wire.CommandStart && task == nil:
+		a.startTask(attempt)
+	}
+}
+
+// stop ends a task, which saves a checkpoint before if it is given the time.
+func (t *agentTask) stop(graceSeconds float64) {
+	saves := t.spec.CheckpointIntervalSeconds > 0 && graceSeconds >= t.spec.CheckpointSaveSeconds
+	switch {
+	case t.State == wire.TaskRunning && saves:
+		t.State = wire.TaskCheckpointing
+		t.readyAt = time.Now().Add(config.Seconds(t.spec.CheckpointSaveSeconds))
+		t.agent.statusChanged = true
+	case t.State != wire.TaskCheckpointing || graceSeconds == 0:
+		t.exit(wire.ExitCauseStopped)
+	}
+}
+
+// startTask begins to fetch a task's image; a task that can't run here exits at once.
+func (a *fakeAgent) startTask(attempt attempt) {
+	spec, ok := a.region.Checker.JobSpec(attempt.task.Job)
+	task := &agentTask{
+		TaskStatus: wire.TaskStatus{
+			Task:    attempt.task.String(),
+			Attempt: attempt.number,
+			State:   wire.TaskFetchingImage,
+		},
+		agent:   a,
+		attempt: attempt,
+		spec:    spec,
+	}
+	a.tasks[attempt] = task
+	a.statusChanged = true
+	switch {
+	case !ok || attempt.task.Index >= spec.TaskCount:
+		task.exit(wire.ExitCauseUnknownTask)
+	case a.runsOtherAttempt(attempt):
+		task.exit(wire.ExitCauseAlreadyRunning)
+	case a.overcommitted():
+		task.exit(wire.ExitCauseNoCapacity)
+	default:
+		task.readyAt = time.Now()
+		if !a.images[spec.Image] {
+			task.readyAt = task.readyAt.Add(config.Seconds(spec.ImageSizeGB / a.machineType.ImageFetchGBps))
+		}
+	}
+}
+
+// runsOtherAttempt tells whether another attempt of the same task has not exited.
+func (a *fakeAgent) runsOtherAttempt(attempt attempt) bool {
+	for other, task := range a.tasks {
+		if other != attempt && other.task == attempt.task && task.State != wire.TaskExited {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/simulation/fakecloud.go
@@ -0,0 +1,241 @@
+package simulation
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"strings"
+	"time"
+
+	"sableusher/internal/config"
+	"sableusher/internal/wire"
+)
+
+const (
+	maxMachinesPerRental = 50
+	maxMachinesPerReturn = 100
+	// namesPerRental keeps the machines' names of two rentals apart.
+	namesPerRental = 100
+	// oneInNeverBoots: of so many rented machines one never comes up, on average.
+	oneInNeverBoots = 20
+	// maxListings is how many listings the cloud keeps to answer with.
+	maxListings = 60
+)
+
+// fakeCloud is a fake of the cloud that rents machines: it lists them late, runs out of capacity, and takes
+// machines back. The region's lock guards it.
+type fakeCloud struct {
+	region          *Region
+	machineTypes    []wire.MachineType
+	machinePrefix   string
+	capacity        map[machineKind]int // machines left to be had
+	machines        []*cloudMachine
+	rentals         map[string][]string // machines by the name of their rental
+	listings        []cloudListing      // oldest first
+	outageUntil     time.Time
+	zoneClosedUntil map[string]time.Time // nothing is rented in a zone until then
+	fastBootUntil   time.Time            // machines rented until then are up within two seconds
+}
+
+// machineKind is what capacity is counted by.
+type machineKind struct {
+	machineType, zone string
+	spot              bool
+}
+
+// cloudMachine is a rented machine as the cloud knows it.
+type cloudMachine struct {
+	wire.CloudMachine
+	rental   string
+	kind     machineKind
+	rentedAt time.Time
+	bootedAt time.Time // zero: it never comes up
+}
+
+// cloudListing is all machines at one time.
+type cloudListing struct {
+	takenAt  time.Time
+	machines []wire.CloudMachine
+}
+
+func newFakeCloud(region *Region, options RegionOptions) *fakeCloud {
+	cloud := &fakeCloud{
+		region:          region,
+		machineTypes:    options.MachineTypes,
+		machinePrefix:   options.MachinePrefix,
+		capacity:        map[machineKind]int{},
+		rentals:         map[string][]string{},
+		zoneClosedUntil: map[string]time.Time{},
+	}
+	for _, machineType := range options.MachineTypes {
+		for _, zone := range machineType.Zones {
+			cloud.capacity[machineKind{machineType.Name, zone, true}] = options.CapacityPerKind
+			cloud.capacity[machineKind{machineType.Name, zone, false}] = options.CapacityPerKind
+		}
+	}
+	return cloud
+}
+
+// ServeHTTP serves the cloud's protocol.
+func (c *fakeCloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, _ := io.ReadAll(r.Body)
+	c.region.mu.Lock()
+	defer c.region.mu.Unlock()
+	if time.Now().Before(c.outageUntil) {
+		wire.WriteResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Message: "trouble"})
+		return
+	}
+	switch {
+	case r.URL.Path == "/catalog":
+		wire.WriteResponse(w, http.StatusOK, wire.Catalog{Types: c.machineTypes})
+	case r.URL.Path == "/machines/return":
+		c.serveReturn(w, body)
+	case r.URL.Path == "/machines" && r.Method == http.MethodPost:
+		c.serveRental(w, body)
+	case r.URL.Path == "/machines":
+		c.serveListing(w, r.URL.Query().Get("after"))
+	default:
+		wire.WriteResponse(w, http.StatusBadRequest, nil)
+	}
+}
+
+func (c *fakeCloud) serveReturn(w http.ResponseWriter, body []byte) {
+	var request wire.MachineNames
+	if wire.Decode(body, &request) != nil || len(request.Names) > maxMachinesPerReturn {
+		wire.WriteResponse(w, http.StatusBadRequest, nil)
+		return
+	}
+	for _, name := range request.Names {
+		c.region.removeMachine(name)
+	}
+	w.WriteHeader(http.StatusOK)
+}
+
+// serveListing answers with the newest listing that is older than a drawn lag.
+func (c *fakeCloud) serveListing(w http.ResponseWriter, after string) {
+	now := time.Now()
+	lag := config.Seconds(c.region.Settings.Deployment.Cloud.ListLagS * (0.5 + c.region.random.Float64()*1.5))
+	page := wire.MachinePage{Machines: []wire.CloudMachine{}}
+	for _, listing := range slices.Backward(c.listings) {
+		if now.Sub(listing.takenAt) < lag {
+			continue
+		}
+		for _, machine := range listing.machines {
+			if machine.ID > after {
+				page.Machines = append(page.Machines, machine)
+			}
+		}
+		break
+	}
+	wire.WriteResponse(w, http.StatusOK, page)
+}
+
+func (c *fakeCloud) serveRental(w http.ResponseWriter, body []byte) {
+	var request wire.RentalRequest
+	if wire.Decode(body, &request) != nil || request.Name == "" ||
+		request.Count < 1 || request.Count > maxMachinesPerRental {
+		wire.WriteResponse(w, http.StatusBadRequest, nil)
+		return
+	}
+	if names, ok := c.rentals[request.Name]; ok {
+		c.checkRepeatedRental(&request)
+		wire.WriteResponse(w, http.StatusOK, wire.MachineNames{Names: names})
+		return
+	}
+	kind := machineKind{request.MachineType, request.Zone, request.Spot}
+	count := min(request.Count, c.capacity[kind])
+	if count <= 0 || time.Now().Before(c.zoneClosedUntil[request.Zone]) {
+		wire.WriteResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Message: "no capacity"})
+		return
+	}
+	c.capacity[kind] -= count
+	names := []string{}
+	for range count {
+		name := fmt.Sprintf("%svm-%06d", c.machinePrefix, len(c.rentals)*namesPerRental+len(names)+1)
+		c.machines = append(c.machines, c.newMachine(name, request.Name, kind))
+		names = append(names, name)
+	}
+	c.rentals[request.Name] = names
+	wire.WriteResponse(w, http.StatusOK, wire.MachineNames{Names: names})
+}
+
+// checkRepeatedRental looks whether a rental's name is used for another rental.
+func (c *fakeCloud) checkRepeatedRental(request *wire.RentalRequest) {
+	for _, machine := range c.machines {
+		if machine.rental == request.Name &&
+			(machine.MachineType != request.MachineType || machine.Zone != request.Zone) {
+			c.region.Checker.AddViolation(RuleProtocol, "rental name used twice: "+request.Name)
+		}
+	}
+}
+
+// newMachine draws when a rented machine comes up.
+func (c *fakeCloud) newMachine(name, rental string, kind machineKind) *cloudMachine {
+	now := time.Now()
+	machine := &cloudMachine{
+		CloudMachine: wire.CloudMachine{
+			ID:          name,
+			Address:     strings.Replace(name, "vm-", "worker-", 1) + ":9000",
+			MachineType: kind.machineType,
+			Zone:        kind.zone,
+			Spot:        kind.spot,
+			State:       wire.MachineBooting,
+		},
+		rental:   rental,
+		kind:     kind,
+		rentedAt: now,
+	}
+	random := c.region.random
+	if random.IntN(oneInNeverBoots) == 0 {
+		return machine
+	}
+	machine.bootedAt = now.Add(config.Seconds(5 * (0.6 + random.Float64())))
+	if now.Before(c.fastBootUntil) {
+		machine.bootedAt = now.Add(config.Seconds(0.2 + 1.7*random.Float64()))
+	}
+	return machine
+}
+
+// takeListing keeps all machines as they are now.
+func (c *fakeCloud) takeListing(now time.Time) {
+	listing := cloudListing{takenAt: now}
+	for _, machine := range c.machines {
+		row := machine.CloudMachine
+		row.AgeSeconds = now.Sub(machine.rentedAt).Seconds()
+		listing.machines = append(listing.machines, row)
+	}
+	c.listings = append(c.listings, listing)
+	if len(c.listings) > maxListings {
+		c.listings = c.listings[1:]
+	}
+}
+
+// remove takes a machine off the list.
+func (c *fakeCloud) remove(name string) {
+	c.machines = slices.DeleteFunc(c.machines, func(machine *cloudMachine) bool {
+		if machine.ID != name {
+			return false
+		}
+		c.capacity[machine.kind]++
+		return true
+	})
+}
+
+// markFailed keeps a machine on the list as one that has failed.
+func (c *fakeCloud) markFailed(name string) {
+	for _, machine := range c.machines {
+		if machine.ID == name {
+			machine.State = wire.MachineFailed
+		}
+	}
+}
+
+func (c *fakeCloud) machineType(name string) wire.MachineType {
+	for _, machineType := range c.machineTypes {
+		if machineType.Name == name {
+			return machineType
+		}
+	}
+	return wire.MachineType{}
+}
--- /dev/null
+++ b/internal/simulation/fakekv_transaction.go
@@ -0,0 +1,108 @@
+package simulation
+
+import (
+	"net/http"
+	"slices"
+
+	"sableusher/internal/wire"
+)
+
+// serveTransaction carries a transaction out, and loses its answer if a fault concerns it.
+func (kv *FakeKV) serveTransaction(w http.ResponseWriter, r *http.Request, body []byte) {
+	before := kv.revision
+	kv.commit(w, body)
+	if !kv.faults.lostAnswers.occurs() {
+		return
+	}
+	loseResponse(w)
+	if kv.revision > before {
+		kv.faults.lostAnswerWriters[kv.revision] = r.Header.Get(sourceHeader)
+	}
+}
+
+// commit applies all changes of a transaction under one revision if all its conditions hold.
+func (kv *FakeKV) commit(w http.ResponseWriter, body []byte) {
+	var txn wire.TxnRequest
+	if err := wire.Decode(body, &txn); err != nil || len(txn.Ops) > kv.limits.maxTxnOps ||
+		len(txn.Conditions) > 4*kv.limits.maxTxnOps || len(body) > maxRequestBytes {
+		kv.rejectOversize(w, "transaction over its limits or unreadable")
+		return
+	}
+	if !kv.limits.writes.take(float64(len(txn.Ops))) {
+		kv.RateLimited++
+		wire.WriteResponse(w, http.StatusTooManyRequests, nil)
+		return
+	}
+	if !kv.acceptOps(w, txn.Ops) {
+		return
+	}
+	if failed := kv.failedKeys(txn.Conditions); len(failed) > 0 {
+		wire.WriteResponse(w, http.StatusConflict, wire.TxnResponse{FailedKeys: failed, Revision: kv.revision})
+		return
+	}
+	if len(txn.Ops) > 0 {
+		kv.revision++
+	}
+	for _, op := range txn.Ops {
+		kv.apply(op)
+	}
+	wire.WriteResponse(w, http.StatusOK, wire.TxnResponse{Revision: kv.revision})
+}
+
+// acceptOps tells whether all changes are well formed and within their limits; else it has answered.
+func (kv *FakeKV) acceptOps(w http.ResponseWriter, ops []wire.Op) bool {
+	for _, op := range ops {
+		oversize := op.PutKey != "" && float64(wire.JSONSize(op.Value)) > kv.limits.maxValueKB*1024
+		if oversize || op.Key() == "" || op.PutKey != "" && op.DeleteKey != "" {
+			kv.rejectOversize(w, "value over its limit: "+op.Key())
+			return false
+		}
+		if op.LeaseID != 0 && kv.leases[op.LeaseID] == nil {
+			wire.WriteResponse(w, http.StatusBadRequest, wire.ErrorResponse{Message: "no such lease"})
+			return false
+		}
+	}
+	return true
+}
+
+// rejectOversize refuses a request over the limits. Once those were lowered, some are in order: the
+// controllers can't know.
+func (kv *FakeKV) rejectOversize(w http.ResponseWriter, what string) {
+	if kv.limits.lowered {
+		kv.OversizeRequests++
+	} else {
+		kv.Violations = append(kv.Violations, what)
+	}
+	wire.WriteResponse(w, http.StatusBadRequest, nil)
+}
+
+func (kv *FakeKV) failedKeys(conditions []wire.Condition) []string {
+	var failed []string
+	for _, condition := range conditions {
+		if kv.rows[condition.Key].ModRevision != condition.ModRevision {
+			failed = append(failed, condition.Key)
+		}
+	}
+	return failed
+}
+
+// apply makes one change under the present revision.
+func (kv *FakeKV) apply(op wire.Op) {
+	if op.PutKey == "" {
+		if _, ok := kv.rows[op.DeleteKey]; ok {
+			delete(kv.rows, op.DeleteKey)
+			kv.appendEvent(wire.Event{DeleteKey: op.DeleteKey, ModRevision: kv.revision})
+		}
+		return
+	}
+	if kv.OnWrite != nil {
+		kv.OnWrite(op.PutKey, op.Value)
+	}
+	kv.rows[op.PutKey] = wire.KeyValue{
+		Key:         op.PutKey,
+		Value:       slices.Clone(op.Value),
+		ModRevision: kv.revision,
+		LeaseID:     op.LeaseID,
+	}
+	kv.appendEvent(wire.Event{PutKey: op.PutKey, Value: slices.Clone(op.Value), ModRevision: kv.revision})
+}
--- a/internal/simulation/fakeuser.go
+++ b/internal/simulation/fakeuser.go
@@ -12,101 +12,167 @@
 	"sableusher/internal/wire"
 )
 
-// randomController draws a node.
-func (r *Region) randomController() *Controller {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.controllers[r.random.IntN(len(r.controllers))]
+const (
+	pathJobs = "/v1/jobs"
+
+	submitTimeout = 5 * time.Second
+	pollTimeout   = 2 * time.Second
+	cancelTimeout = 5 * time.Second
+
+	// submitPatience is how long a user tries to submit a job.
+	submitPatience = 60 * time.Second
+	pollInterval   = 5 * time.Second
+	// firstResubmission is when a user first repeats a submission that was accepted, resubmissionInterval
+	// how long after that again.
+	firstResubmission    = 20 * time.Second
+	resubmissionInterval = 40 * time.Second
+	// unknownJobInterval passes between two questions about jobs that nobody submitted.
+	unknownJobInterval = 7 * time.Second
+)
+
+// userRequest is one request of a user about a job.
+type userRequest struct {
+	jobID   string
+	method  string
+	path    string
+	body    []byte
+	timeout time.Duration
+}
+
+func submitRequest(jobID string, body []byte) userRequest {
+	return userRequest{jobID, http.MethodPost, pathJobs, body, submitTimeout}
+}
+
+func pollRequest(jobID string) userRequest {
+	return userRequest{jobID, http.MethodGet, pathJobs + "/" + jobID, nil, pollTimeout}
 }
 
-// query sends a user's question about a job to a node, and lets the oracle know the answer.
-func (r *Region) query(ctx context.Context, controller *Controller, id, method, path string, body []byte, timeout time.Duration) (int, string) {
-	asked := time.Now()
-	status, state := r.request(ctx, controller, method, path, body, timeout)
-	r.Checker.AnswerReceivedTo(id, asked, status, state)
-	return status, state
+func cancelRequest(jobID string) userRequest {
+	return userRequest{jobID, http.MethodPost, pathJobs + "/" + jobID + "/abort", nil, cancelTimeout}
 }
 
-// request sends one user's request to one node and gives status and state.
-func (r *Region) request(ctx context.Context, controller *Controller, method, path string, body []byte, timeout time.Duration) (int, string) {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+// userAnswer is the answer to it. The status is 0 if none came.
+type userAnswer struct {
+	status int
+	state  string
+}
+
+// userJob is a job with what its program and its user do.
+type userJob struct {
+	spec       wire.JobSpec
+	runSeconds float64
+	// cancelAfter is when its user asks to cancel it, counted from the submission; 0: never.
+	cancelAfter time.Duration
+}
+
+// send sends a user's request to a controller.
+func (r *Region) send(ctx context.Context, to *Controller, request userRequest) userAnswer {
+	ctx, cancel := context.WithTimeout(ctx, request.timeout)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, method, "http://"+controller.Address+path, bytes.NewReader(body))
-	resp, err := r.Network.Transport("users", func() bool { return true }).RoundTrip(req)
+	url := "http://" + to.Address + request.path
+	httpRequest, err := http.NewRequestWithContext(ctx, request.method, url, bytes.NewReader(request.body))
 	if err != nil {
-		return 0, ""
+		panic(err)
 	}
-	b, _ := io.ReadAll(resp.Body)
-	var st wire.JobStatus
-	_ = wire.Decode(b, &st)
-	return resp.StatusCode, st.State
+	response, err := r.Network.Transport(hostUsers, alwaysAlive).RoundTrip(httpRequest)
+	if err != nil {
+		return userAnswer{}
+	}
+	body, _ := io.ReadAll(response.Body)
+	_ = response.Body.Close()
+	var status wire.JobStatus
+	_ = wire.Decode(body, &status)
+	return userAnswer{response.StatusCode, status.State}
 }
 
-// SimulateUser plays one job's user: submits, polls until it is over, cancels at a time
-// if that is not zero, and asks again now and then.
-func (r *Region) SimulateUser(ctx context.Context, spec wire.JobSpec, runSeconds float64, cancelAfter time.Duration) {
-	r.SetRunTime(spec.ID, runSeconds)
-	r.Checker.JobSubmitted(spec)
-	body := wire.MustEncode(spec)
-	start := time.Now()
-	submit := func() bool {
-		status, _ := r.query(ctx, r.randomController(), spec.ID, http.MethodPost, "/v1/jobs", body, 5*time.Second)
-		return status == 200 || status == 201
-	}
-	for !submit() {
-		time.Sleep(time.Second)
-		if ctx.Err() != nil || time.Since(start) > 60*time.Second {
-			return
-		}
+// ask sends a user's request to a controller, and lets the checker know the answer.
+func (r *Region) ask(ctx context.Context, to *Controller, request userRequest) userAnswer {
+	sentAt := time.Now()
+	answer := r.send(ctx, to, request)
+	r.Checker.AnswerReceivedTo(request.jobID, sentAt, answer.status, answer.state)
+	return answer
+}
+
+// askAny sends a user's request to a controller that is drawn.
+func (r *Region) askAny(ctx context.Context, request userRequest) userAnswer {
+	return r.ask(ctx, r.randomController(), request)
+}
+
+// SimulateUser plays one job's user until the context ends: submits the job, polls it, cancels it if that is
+// to be, and repeats the submission now and then.
+func (r *Region) SimulateUser(ctx context.Context, job userJob) {
+	r.SetRunTime(job.spec.ID, job.runSeconds)
+	r.Checker.JobSubmitted(job.spec)
+	id, body, start := job.spec.ID, wire.MustEncode(job.spec), time.Now()
+	if !r.submitUntilAccepted(ctx, id, body) {
+		return
 	}
-	r.probeAllControllers(ctx, spec.ID, body)
-	nextRetry := time.Now().Add(20 * time.Second)
+	r.probeAllControllers(ctx, id, body)
+	nextResubmission := time.Now().Add(firstResubmission)
 	cancelled, final := false, false
 	for ctx.Err() == nil {
-		time.Sleep(5 * time.Second)
-		if cancelAfter > 0 && time.Since(start) > cancelAfter && !cancelled {
-			if cancelled = r.CancelJob(ctx, spec.ID); cancelled {
-				r.probeAllControllers(ctx, spec.ID, body)
+		time.Sleep(pollInterval)
+		if job.cancelAfter > 0 && time.Since(start) > job.cancelAfter && !cancelled {
+			if cancelled = r.CancelJob(ctx, id); cancelled {
+				r.probeAllControllers(ctx, id, body)
 			}
 			continue
 		}
-		if time.Now().After(nextRetry) {
-			nextRetry = time.Now().Add(40 * time.Second)
-			submit() // a late retry of an accepted submission
+		if time.Now().After(nextResubmission) {
+			nextResubmission = time.Now().Add(resubmissionInterval)
+			r.askAny(ctx, submitRequest(id, body))
 		}
-		_, state := r.query(ctx, r.randomController(), spec.ID, http.MethodGet, "/v1/jobs/"+spec.ID, nil, 2*time.Second)
-		if ends := state == wire.JobDone || state == wire.JobCancelled; ends && !final {
+		state := r.askAny(ctx, pollRequest(id)).state
+		if !final && (state == wire.JobDone || state == wire.JobCancelled) {
 			final = true
-			r.probeAllControllers(ctx, spec.ID, body)
+			r.probeAllControllers(ctx, id, body)
+		}
+	}
+}
+
+// SimulateUserAfter plays one job's user once a time has passed.
+func (r *Region) SimulateUserAfter(ctx context.Context, delay time.Duration, job userJob) {
+	r.wg.Go(func() {
+		time.Sleep(delay)
+		r.SimulateUser(ctx, job)
+	})
+}
+
+func (r *Region) submitUntilAccepted(ctx context.Context, jobID string, body []byte) bool {
+	start := time.Now()
+	for !accepts(r.askAny(ctx, submitRequest(jobID, body)).status) {
+		time.Sleep(time.Second)
+		if ctx.Err() != nil || time.Since(start) > submitPatience {
+			return false
 		}
 	}
+	return true
 }
 
-// CancelJob asks once for a job to be cancelled, and tells whether its user was told an end.
-func (r *Region) CancelJob(ctx context.Context, id string) bool {
-	r.Checker.CancelRequested(id)
+// CancelJob asks once for a job to be cancelled, and tells whether its user was told a final state.
+func (r *Region) CancelJob(ctx context.Context, jobID string) bool {
+	r.Checker.CancelRequested(jobID)
 	sentAt := time.Now()
-	status, state := r.request(ctx, r.randomController(), http.MethodPost, "/v1/jobs/"+id+"/abort", nil, 5*time.Second)
-	if r.ConfirmsCancellationsEarly && status == http.StatusServiceUnavailable && r.cancelMarked(id) {
-		// A planted defect: what is marked but not certain is told all the same.
-		status, state = http.StatusOK, wire.JobCancelled
+	answer := r.send(ctx, r.randomController(), cancelRequest(jobID))
+	if r.ConfirmsCancellationsEarly && answer.status == http.StatusServiceUnavailable && r.cancelRecorded(jobID) {
+		answer = userAnswer{http.StatusOK, wire.JobCancelled}
 	}
-	r.Checker.AnswerReceivedTo(id, sentAt, status, state)
-	r.Log.Debug("user cancels", "job", id, "answer", status, "state", state)
-	return status == http.StatusOK
+	r.Checker.AnswerReceivedTo(jobID, sentAt, answer.status, answer.state)
+	r.Log.Debug("user cancels job", "job_id", jobID, "status", answer.status, "state", answer.state)
+	return answer.status == http.StatusOK
 }
 
-// cancelMarked tells whether a job's record says that it is cancelled.
-func (r *Region) cancelMarked(id string) bool {
-	var rec clusterstate.JobRecord
-	return wire.Decode(r.KV.Row(clusterstate.JobKey(id)).Value, &rec) == nil && rec.CancelledAtMs != 0
+// cancelRecorded tells whether a job's record says that it is cancelled.
+func (r *Region) cancelRecorded(jobID string) bool {
+	var record clusterstate.JobRecord
+	err := wire.Decode(r.KV.Row(clusterstate.JobKey(jobID)).Value, &record)
+	return err == nil && record.CancelledAtMs != 0
 }
 
-// QueryUnknownJobs asks about jobs that nobody submitted.
+// QueryUnknownJobs asks about jobs that nobody submitted until the context ends.
 func (r *Region) QueryUnknownJobs(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
-		time.Sleep(7 * time.Second)
-		id := fmt.Sprintf("run-9%05d", i)
-		r.query(ctx, r.randomController(), id, http.MethodGet, "/v1/jobs/"+id, nil, 2*time.Second)
+		time.Sleep(unknownJobInterval)
+		r.askAny(ctx, pollRequest(fmt.Sprintf("run-9%05d", i)))
 	}
 }
--- /dev/null
+++ b/internal/simulation/faultcatalogue_test.go
@@ -0,0 +1,270 @@
+package simulation
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"time"
+)
+
+// oneInThree draws with one chance in three.
+func oneInThree(random *rand.Rand) bool { return random.IntN(3) == 0 }
+
+// oneInTwo draws with one chance in two.
+func oneInTwo(random *rand.Rand) bool { return random.IntN(2) == 0 }
+
+// secondsBetween draws whole seconds from a range of so many from a first one on.
+func secondsBetween(random *rand.Rand, first, count int) time.Duration {
+	return time.Duration(first+random.IntN(count)) * time.Second
+}
+
+// millisecondsBetween draws whole milliseconds from a range of so many from a first one on.
+func millisecondsBetween(random *rand.Rand, first, count int) time.Duration {
+	return time.Duration(first+random.IntN(count)) * time.Millisecond
+}
+
+// injection is one fault that is to come, for the faults that can be combined.
+type injection struct {
+	region *Region
+	random *rand.Rand
+	until  time.Time
+}
+
+// injectors hold how each combinable fault is injected. They come within a few seconds of each other, each
+// for its own span. docs/meetings.md names them.
+var injectors = [combinableFaults]func(ctx context.Context, in injection){
+	FaultHeartbeatsDuplicated:    duplicateHeartbeats,
+	FaultLateWrites:              delayWrites,
+	FaultSlowStore:               slowStore,
+	FaultInboundLost:             loseInbound,
+	FaultLeaderIsolated:          isolateLeader,
+	FaultCommandsHeldUp:          holdCommandsUp,
+	FaultMachinesHang:            hangMachines,
+	FaultLeaderRefusedThenOutage: refuseLeaderThenOutage,
+	FaultLeaderRestarts:          restartLeader,
+	FaultLeaderRestartsAtOnce:    restartLeaderAtOnce,
+	FaultAllRestartOneFirst:      restartAllOneFirst,
+	FaultControllerRefused:       refuseController,
+	FaultStoreOutage:             startStoreOutage,
+	FaultLostAnswers:             loseAnswers,
+	FaultHeartbeatsReplayed:      replayHeartbeats,
+	FaultOutboundLost:            loseOutbound,
+	FaultMachinesPartitioned:     partitionMachines,
+	FaultMachinesFail:            failMachines,
+	FaultTenLeaders:              restartTenLeaders,
+	FaultSlowLinks:               slowLinks,
+	FaultZonePartitioned:         partitionZone,
+	FaultAllControllersAway:      stopAllControllers,
+	FaultFastBoot:                bootFast,
+	FaultCancelRunning: func(ctx context.Context, in injection) {
+		in.cancelRunning(ctx, unreachability{})
+	},
+	FaultCancelRunningMachinesHang:        cancelRunningMachinesHang,
+	FaultCancelRunningMachinesPartitioned: cancelRunningMachinesPartitioned,
+	FaultCancelAtCompletion:               cancelAtCompletion,
+	FaultCancelOnOwnerChange:              cancelOnOwnerChange,
+	FaultLeaderRefusedCancelOutage:        refuseLeaderCancelOutage,
+	FaultProbes:                           probeAfterAnswers,
+	FaultInvalidRequests:                  sendInvalidRequests,
+	FaultShortJobs:                        submitShortJobs,
+}
+
+// inject lets a fault begin, and returns before it is over unless it has several steps.
+func (in injection) inject(ctx context.Context, fault Fault) {
+	if int(fault) >= combinableFaults {
+		panic(fmt.Sprintf("fault can't be combined: %s", fault))
+	}
+	injectors[fault](ctx, in)
+}
+
+func duplicateHeartbeats(_ context.Context, in injection) {
+	in.region.DuplicateHeartbeats(0.1+0.5*in.random.Float64(), in.until, in.random.Uint64())
+}
+
+func delayWrites(_ context.Context, in injection) {
+	in.region.KV.DelayWrites(0.05+0.4*in.random.Float64(), in.until, in.random.Uint64())
+}
+
+func slowStore(_ context.Context, in injection) {
+	in.region.KV.SlowRequests(0.1+0.5*in.random.Float64(), in.until, in.random.Uint64())
+}
+
+func loseAnswers(_ context.Context, in injection) {
+	in.region.KV.LoseAnswers(0.1+0.4*in.random.Float64(), in.until, in.random.Uint64())
+}
+
+func startStoreOutage(_ context.Context, in injection) { in.region.KV.StartOutage(in.until) }
+
+func replayHeartbeats(ctx context.Context, in injection) {
+	share := 0.3 + 0.6*in.random.Float64()
+	in.region.ReplayToNextLeader(ctx, share, in.until.Add(in.region.Settings.Lease()), in.random.Uint64())
+}
+
+// aThirdOfMachines calls a function with each machine that is drawn.
+func (in injection) aThirdOfMachines(call func(machine string)) {
+	for _, machine := range in.region.Machines() {
+		if oneInThree(in.random) {
+			call(machine)
+		}
+	}
+}
+
+func loseInbound(_ context.Context, in injection) {
+	in.aThirdOfMachines(func(machine string) { in.region.LoseInbound(machine, in.until) })
+}
+
+func loseOutbound(_ context.Context, in injection) {
+	in.aThirdOfMachines(func(machine string) { in.region.LoseOutbound(machine, in.until) })
+}
+
+func hangMachines(_ context.Context, in injection) {
+	in.aThirdOfMachines(func(machine string) {
+		in.region.HangMachine(machine, time.Until(in.until)*time.Duration(1+in.random.IntN(3))/3)
+	})
+}
+
+func partitionMachines(_ context.Context, in injection) {
+	in.aThirdOfMachines(func(machine string) {
+		in.region.Network.AddPartition(Partition{
+			From: machine, To: anyHost, DeliverLate: oneInTwo(in.random), Until: in.until,
+		})
+	})
+}
+
+func failMachines(_ context.Context, in injection) { in.aThirdOfMachines(in.region.FailMachine) }
+
+// bootFast lets machines fail, too, so that others are rented.
+func bootFast(_ context.Context, in injection) {
+	in.region.BootFast(in.until)
+	in.aThirdOfMachines(in.region.FailMachine)
+}
+
+func isolateLeader(_ context.Context, in injection) {
+	in.region.IsolateController(in.region.LeaderIndex(), oneInTwo(in.random), in.until)
+}
+
+// holdCommandsUp holds commands up to half of the machines. What is held arrives in order once it ends; the
+// machine has gone on meanwhile.
+func holdCommandsUp(_ context.Context, in injection) {
+	name := in.region.ControllerName(in.random.IntN(in.region.ControllerCount()))
+	for _, machine := range in.region.Machines() {
+		if oneInTwo(in.random) {
+			in.region.Network.AddPartition(Partition{From: name, To: machine, DeliverLate: true, Until: in.until})
+		}
+	}
+}
+
+func refuseController(_ context.Context, in injection) {
+	index := in.random.IntN(in.region.ControllerCount())
+	in.region.KV.RefuseNode(in.region.ControllerName(index), in.until)
+}
+
+func (in injection) refuseLeader() {
+	name := in.region.LeaderName()
+	in.region.KV.RefuseNode(name, time.Now().Add(secondsBetween(in.random, 4, 12)))
+}
+
+// outlastCancellation lets the store be away for longer than a confirmed cancellation may take.
+func (in injection) outlastCancellation() {
+	in.region.KV.StartOutage(time.Now().Add(in.region.Settings.Cancel() + seconds(in.random, 20)))
+}
+
+func refuseLeaderThenOutage(_ context.Context, in injection) {
+	in.refuseLeader()
+	time.Sleep(millisecondsBetween(in.random, 500, 5000))
+	in.outlastCancellation()
+}
+
+func refuseLeaderCancelOutage(ctx context.Context, in injection) {
+	in.refuseLeader()
+	in.cancelRunning(ctx, unreachability{})
+	time.Sleep(time.Second)
+	in.outlastCancellation()
+}
+
+func restartLeader(ctx context.Context, in injection) {
+	in.region.RestartController(ctx, in.region.LeaderIndex(), secondsBetween(in.random, 1, 20))
+}
+
+func restartLeaderAtOnce(ctx context.Context, in injection) {
+	index := in.region.LeaderIndex()
+	for range 1 + in.random.IntN(3) {
+		in.region.RestartController(ctx, index, millisecondsBetween(in.random, 100, 900))
+		time.Sleep(millisecondsBetween(in.random, 1200, 2500))
+	}
+}
+
+func restartAllOneFirst(ctx context.Context, in injection) {
+	first := in.random.IntN(in.region.ControllerCount())
+	for i := range in.region.ControllerCount() {
+		delay := millisecondsBetween(in.random, 200, 800)
+		if i != first {
+			delay = secondsBetween(in.random, 5, 25)
+		}
+		in.region.RestartController(ctx, i, delay)
+	}
+}
+
+func restartTenLeaders(ctx context.Context, in injection) {
+	random := newRandom(in.random.Uint64(), streamTenLeaders)
+	in.region.wg.Go(func() {
+		for range 10 {
+			in.region.RestartController(ctx, in.region.LeaderIndex(), millisecondsBetween(random, 1000, 6000))
+			time.Sleep(secondsBetween(random, 8, 8))
+		}
+	})
+}
+
+func stopAllControllers(ctx context.Context, in injection) {
+	for i := range in.region.ControllerCount() {
+		in.region.RestartController(ctx, i, in.region.Settings.Lease()+secondsBetween(in.random, 1, 20))
+	}
+}
+
+func slowLinks(_ context.Context, in injection) {
+	in.region.Network.AddLatency(millisecondsBetween(in.random, 50, 500), in.until)
+}
+
+func partitionZone(_ context.Context, in injection) {
+	zone, deliverLate := randomControllerZone(in.random), oneInTwo(in.random)
+	duration := in.region.Settings.Lease() + secondsBetween(in.random, 5, 40)
+	in.region.PartitionZone(zone, deliverLate, time.Now().Add(duration))
+}
+
+// cancelRunning cancels two to seven running jobs.
+func (in injection) cancelRunning(ctx context.Context, machines unreachability) {
+	in.region.CancelRunningJobs(ctx, in.cancelCount(), machines, in.random)
+}
+
+func (in injection) cancelCount() int { return 2 + in.random.IntN(6) }
+
+func cancelRunningMachinesHang(ctx context.Context, in injection) {
+	count := in.cancelCount()
+	machines := unreachability{hang: secondsBetween(in.random, 10, 60)}
+	in.region.CancelRunningJobs(ctx, count, machines, in.random)
+}
+
+func cancelRunningMachinesPartitioned(ctx context.Context, in injection) {
+	count := in.cancelCount()
+	machines := unreachability{cut: secondsBetween(in.random, 10, 60)}
+	in.region.CancelRunningJobs(ctx, count, machines, in.random)
+}
+
+func cancelAtCompletion(_ context.Context, in injection) {
+	in.region.CancelAtCompletion(0.3+0.6*in.random.Float64(), in.until, in.random.Uint64())
+}
+
+func cancelOnOwnerChange(ctx context.Context, in injection) {
+	in.region.CancelOnOwnerChange(ctx, 1+in.random.IntN(3), in.until, in.random.Uint64())
+}
+
+func probeAfterAnswers(_ context.Context, in injection) { in.region.ProbeAfterAnswers(in.until) }
+
+func sendInvalidRequests(ctx context.Context, in injection) {
+	in.region.SendInvalidRequests(ctx, in.until, in.random.Uint64())
+}
+
+func submitShortJobs(ctx context.Context, in injection) {
+	first := 200_000 + in.random.IntN(1000)*100
+	in.region.SubmitShortJobs(ctx, first, in.until, in.random.Uint64())
+}
--- /dev/null
+++ b/internal/simulation/faultkinds_test.go
@@ -0,0 +1,104 @@
+package simulation
+
+// Fault is one kind of fault that a day can have.
+type Fault int
+
+// The faults that can be combined, in the order that the shuffled pairs of TestFaultPairs rest on.
+const (
+	FaultHeartbeatsDuplicated Fault = iota
+	FaultLateWrites
+	FaultSlowStore
+	FaultInboundLost
+	FaultLeaderIsolated
+	FaultCommandsHeldUp
+	FaultMachinesHang
+	FaultLeaderRefusedThenOutage
+	FaultLeaderRestarts
+	FaultLeaderRestartsAtOnce
+	FaultAllRestartOneFirst
+	FaultControllerRefused
+	FaultStoreOutage
+	FaultLostAnswers
+	FaultHeartbeatsReplayed
+	FaultOutboundLost
+	FaultMachinesPartitioned
+	FaultMachinesFail
+	FaultTenLeaders
+	FaultSlowLinks
+	FaultZonePartitioned
+	FaultAllControllersAway
+	FaultFastBoot
+	FaultCancelRunning
+	FaultCancelRunningMachinesHang
+	FaultCancelRunningMachinesPartitioned
+	FaultCancelAtCompletion
+	FaultCancelOnOwnerChange
+	FaultLeaderRefusedCancelOutage
+	FaultProbes
+	FaultInvalidRequests
+	FaultShortJobs
+
+	combinableFaults = int(iota)
+)
+
+// The faults that come alone.
+const (
+	FaultControllerRestarts Fault = iota + Fault(combinableFaults)
+	FaultAllControllersRestart
+	FaultControllerCutFromStore
+	FaultControllerPartitioned
+	FaultControllerCutFromMachines
+	FaultMachineFails
+	FaultMachineHangs
+	FaultMachinePartitioned
+	FaultSpotMachinesReclaimed
+	FaultCloudOutage
+)
+
+var faultNames = [...]string{
+	FaultHeartbeatsDuplicated:             "heartbeats duplicated",
+	FaultLateWrites:                       "late writes",
+	FaultSlowStore:                        "slow store",
+	FaultInboundLost:                      "inbound messages lost",
+	FaultLeaderIsolated:                   "leader isolated",
+	FaultCommandsHeldUp:                   "commands held up",
+	FaultMachinesHang:                     "machines hang",
+	FaultLeaderRefusedThenOutage:          "leader refused, then outage",
+	FaultLeaderRestarts:                   "leader restarts",
+	FaultLeaderRestartsAtOnce:             "leader restarts within a second",
+	FaultAllRestartOneFirst:               "all restart, one returns first",
+	FaultControllerRefused:                "controller refused",
+	FaultStoreOutage:                      "store outage",
+	FaultLostAnswers:                      "lost answers",
+	FaultHeartbeatsReplayed:               "heartbeats replayed to the next leader",
+	FaultOutboundLost:                     "outbound messages lost",
+	FaultMachinesPartitioned:              "machines partitioned",
+	FaultMachinesFail:                     "machines fail",
+	FaultTenLeaders:                       "ten leaders",
+	FaultSlowLinks:                        "slow links",
+	FaultZonePartitioned:                  "zone partitioned",
+	FaultAllControllersAway:               "all controllers away",
+	FaultFastBoot:                         "fast boot",
+	FaultCancelRunning:                    "running jobs cancelled",
+	FaultCancelRunningMachinesHang:        "running jobs cancelled, machines hang",
+	FaultCancelRunningMachinesPartitioned: "running jobs cancelled, machines partitioned",
+	FaultCancelAtCompletion:               "cancelled at completion",
+	FaultCancelOnOwnerChange:              "cancelled on a change of owner",
+	FaultLeaderRefusedCancelOutage:        "leader refused, jobs cancelled, then outage",
+	FaultProbes:                           "probes after answers",
+	FaultInvalidRequests:                  "invalid requests",
+	FaultShortJobs:                        "short jobs",
+	FaultControllerRestarts:               "controller restarts",
+	FaultAllControllersRestart:            "all controllers restart",
+	FaultControllerCutFromStore:           "controller cut from the store",
+	FaultControllerPartitioned:            "controller partitioned",
+	FaultControllerCutFromMachines:        "controller cut from the machines",
+	FaultMachineFails:                     "machine fails",
+	FaultMachineHangs:                     "machine hangs",
+	FaultMachinePartitioned:               "machine partitioned",
+	FaultSpotMachinesReclaimed:            "spot machines reclaimed",
+	FaultCloudOutage:                      "cloud outage",
+}
+
+// String names the fault.
+func (f Fault) String() string { return faultNames[f] }
--- a/internal/simulation/federation.go
+++ b/internal/simulation/federation.go
@@ -2,241 +2,188 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"sync"
 	"time"
 
 	"sableusher/internal/config"
-	"sableusher/internal/offload"
 	"sableusher/internal/wire"
 )
 
-// LinkFault is an interruption between two cells; an empty name is any.
-type LinkFault struct {
-	From, To    string
-	AnswersOnly bool // only answers are lost: what was asked is carried out
-	DeliverLate bool // questions arrive late, when their senders have given up
-	Until       time.Time
-}
+// controllersPerCell is how many controllers each cell of a federation has.
+const controllersPerCell = 3
+
+// controllerRestartGap passes between a controller's end and its start where all of a cell restart in turn.
+const controllerRestartGap = time.Second
 
-// Federation are several regions under one clock and one oracle, with links between their leaders.
+// Federation is several regions, as cells, under one clock and one checker, with links between their leaders.
 type Federation struct {
-	Checker   *InvariantChecker
-	Regions   map[string]*Region
-	cellNames []string
+	Checker *InvariantChecker
+	Regions map[string]*Region // by cell
 
-	mu         sync.Mutex
-	linkFaults []LinkFault
+	guestLimit int
+	mu         sync.Mutex // guards all that follows
 	random     *rand.Rand
-	epochs     map[string]uint64
-	draining   map[string]bool
-	// Gone are cells that the operators of all others have forgotten, under their epochs.
-	forgotten []config.Forgotten
-	// GuestLimit is how many tasks of others each cell takes, as controllers that start read it.
-	GuestLimit int
-	// MessagesSent counts the messages between cells, Bytes what they and their answers take.
-	MessagesSent, BytesSent int
+	linkFaults []LinkFault
+	cells      map[string]*cellState
+	removed    []config.Forgotten // cells that the operators of all others have removed
+	messages   messageCount
 }
 
-// NewFederation starts cells of three controllers each, with so many machines of each kind to be had;
-// settings are those of a cell's controllers, of one name in all cells for the teams.
-func NewFederation(ctx context.Context, names []string, settings func(cell string, i int) *config.Settings, machineTypes []wire.MachineType, capacityPerKind, guestLimit int, random *rand.Rand, log *slog.Logger) *Federation {
-	c := &Federation{GuestLimit: guestLimit, Checker: NewInvariantChecker(settings(names[0], 0)), Regions: map[string]*Region{}, cellNames: names, random: rand.New(rand.NewPCG(random.Uint64(), 3)), epochs: map[string]uint64{}, draining: map[string]bool{}}
-	for _, name := range names {
-		c.epochs[name] = 1
-		r := newRegionWithChecker(ctx, settings(name, 0), machineTypes, capacityPerKind, rand.New(rand.NewPCG(random.Uint64(), 2)), log.With("cell", name), c.Checker)
-		r.Federation, r.MachinePrefix = c, name+"-"
-		r.ConfigureOperator = func(op *config.Operator) {
-			c.mu.Lock()
-			defer c.mu.Unlock()
-			op.CellName, op.CellEpoch, op.CellGuests, op.CellDrain = name, c.epochs[name], c.GuestLimit, c.draining[name]
-			for _, o := range names {
-				if o != name {
-					for _, f := range c.forgotten {
-						if f.Name == o {
-							op.Forgotten = append(op.Forgotten, f)
-						}
-					}
-					op.Cells = append(op.Cells, config.Cell{Name: o, Nodes: "-", TransferS: 1})
-				}
-			}
-		}
-		c.Regions[name] = r
-	}
-	for _, name := range names {
-		for i := range 3 {
-			c.Regions[name].AddController(settings(name, i))
-		}
-	}
-	return c
+// cellState is what the operators of a cell have set.
+type cellState struct {
+	epoch    uint64
+	draining bool
 }
 
-// AddLinkFault interrupts the links between cells.
-func (f *Federation) AddLinkFault(l LinkFault) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.linkFaults = append(f.linkFaults, l)
+// messageCount counts the messages between cells that were answered.
+type messageCount struct {
+	messages int
+	bytes    int // with their answers
 }
 
-func (f *Federation) activeLinkFault(from, to string) (LinkFault, bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, l := range f.linkFaults {
-		if time.Now().Before(l.Until) && (l.From == "" || l.From == from) && (l.To == "" || l.To == to) {
-			return l, true
+// FederationOptions are what a federation is made of.
+type FederationOptions struct {
+	Cells           []string
+	Settings        func(cell string, index int) *config.Settings // of a cell's controllers
+	MachineTypes    []wire.MachineType
+	CapacityPerKind int // machines to be had in each cell
+	GuestLimit      int // tasks of others that each cell takes
+	Random          *rand.Rand
+	Log             *slog.Logger
+}
+
+// NewFederation starts cells of three controllers each.
+func NewFederation(ctx context.Context, options FederationOptions) *Federation {
+	f := &Federation{
+		Checker:    NewInvariantChecker(options.Settings(options.Cells[0], 0)),
+		Regions:    map[string]*Region{},
+		guestLimit: options.GuestLimit,
+		random:     newRandom(options.Random.Uint64(), streamCellLinks),
+		cells:      map[string]*cellState{},
+	}
+	for _, cell := range options.Cells {
+		f.cells[cell] = &cellState{epoch: 1}
+		region := NewRegion(ctx, RegionOptions{
+			Settings:          options.Settings(cell, 0),
+			MachineTypes:      options.MachineTypes,
+			CapacityPerKind:   options.CapacityPerKind,
+			Random:            newRandom(options.Random.Uint64(), streamCell),
+			Log:               options.Log.With("cell", cell),
+			MachinePrefix:     cell + "-",
+			ConfigureOperator: func(operator *config.Operator) { f.configureOperator(operator, cell, options.Cells) },
+			Checker:           f.Checker,
+		})
+		region.federation = f
+		f.Regions[cell] = region
+	}
+	for _, cell := range options.Cells {
+		for i := range controllersPerCell {
+			f.Regions[cell].AddController(ctx, options.Settings(cell, i))
 		}
 	}
-	return LinkFault{}, false
+	return f
 }
 
-// exchange carries a message to another cell's controllers, one after the other, and the answer
-// back. One in ten arrives a second time, later.
-func (f *Federation) exchange(ctx context.Context, to string, m offload.Message) (offload.Message, error) {
-	body := wire.MustEncode(m)
-	deliver := func(ctx context.Context) (offload.Message, error) {
-		var q offload.Message
-		if err := wire.Decode(body, &q); err != nil {
-			return offload.Message{}, err
+// configureOperator sets what the operators of a cell say of it and of the others.
+func (f *Federation) configureOperator(operator *config.Operator, cell string, cells []string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	operator.CellName = cell
+	operator.CellEpoch = f.cells[cell].epoch
+	operator.CellGuests = f.guestLimit
+	operator.CellDrain = f.cells[cell].draining
+	for _, other := range cells {
+		if other == cell {
+			continue
 		}
-		r := f.Regions[to]
-		var errs []error
-		for _, n := range r.controllers {
-			r.mu.Lock()
-			answer, up := n.answer, n.alive != nil && n.alive.Load()
-			r.mu.Unlock()
-			if answer == nil || !up {
-				continue
-			}
-			reply, err := answer(ctx, q)
-			if !n.alive.Load() {
-				err = errConnectionReset
-			}
-			if err == nil {
-				var out offload.Message
-				b := wire.MustEncode(reply)
-				f.mu.Lock()
-				f.MessagesSent++
-				f.BytesSent += len(body) + len(b)
-				f.mu.Unlock()
-				return out, wire.Decode(b, &out)
+		for _, removed := range f.removed {
+			if removed.Name == other {
+				operator.Forgotten = append(operator.Forgotten, removed)
 			}
-			errs = append(errs, err)
 		}
-		return offload.Message{}, fmt.Errorf("cell %s: %w", to, errors.Join(append(errs, errConnectionReset)...))
+		operator.Cells = append(operator.Cells, config.Cell{Name: other, Nodes: "-", TransferS: 1})
 	}
-	f.mu.Lock()
-	delay, duplicate := time.Duration(5+f.random.IntN(40))*time.Millisecond, f.random.IntN(10) == 0
-	late := time.Duration(f.random.IntN(20_000)) * time.Millisecond
-	f.mu.Unlock()
-	time.Sleep(delay)
-	l, cut := f.activeLinkFault(m.Cell, to)
-	if duplicate || cut && l.DeliverLate {
-		r := f.Regions[to]
-		r.wg.Go(func() {
-			if cut {
-				late += time.Until(l.Until)
-			}
-			time.Sleep(late)
-			_, _ = deliver(context.Background())
-		})
-	}
-	if cut && !l.AnswersOnly {
-		<-ctx.Done()
-		return offload.Message{}, ctx.Err()
-	}
-	reply, err := deliver(ctx)
-	if _, back := f.activeLinkFault(to, m.Cell); back || cut {
-		<-ctx.Done()
-		return offload.Message{}, ctx.Err()
-	}
-	return reply, err
 }
 
 // SimulateUser plays one job's user in a cell.
-func (f *Federation) SimulateUser(ctx context.Context, cell string, spec wire.JobSpec, runSeconds float64, cancelAfter time.Duration) {
-	for _, r := range f.Regions {
-		r.SetRunTime(spec.ID, runSeconds)
+func (f *Federation) SimulateUser(ctx context.Context, cell string, job userJob) {
+	for _, region := range f.Regions {
+		region.SetRunTime(job.spec.ID, job.runSeconds)
 	}
-	f.Regions[cell].SimulateUser(ctx, spec, runSeconds, cancelAfter)
+	f.Regions[cell].SimulateUser(ctx, job)
+}
+
+// SimulateUserAfter plays one job's user in a cell once a time has passed.
+func (f *Federation) SimulateUserAfter(ctx context.Context, cell string, delay time.Duration, job userJob) {
+	f.Regions[cell].wg.Go(func() {
+		time.Sleep(delay)
+		f.SimulateUser(ctx, cell, job)
+	})
 }
 
 // SetDraining changes whether a cell takes work of others, and restarts its controllers one by one.
-func (f *Federation) SetDraining(cell string, drains bool) {
+func (f *Federation) SetDraining(ctx context.Context, cell string, draining bool) {
 	f.mu.Lock()
-	f.draining[cell] = drains
+	f.cells[cell].draining = draining
 	f.mu.Unlock()
-	r := f.Regions[cell]
-	for i := range r.ControllerCount() {
-		r.KillController(i)
-		time.Sleep(time.Second)
-		r.StartController(i)
-	}
+	f.restartControllers(ctx, cell)
 }
 
 // RemoveCell takes a cell away for good, with its machines, and after a while the operators of another
 // one say so.
-func (f *Federation) RemoveCell(cell string, after time.Duration, notified string) {
-	r := f.Regions[cell]
-	for i := range r.ControllerCount() {
-		r.KillController(i)
-	}
-	r.RemoveAllMachines()
-	time.Sleep(after)
+func (f *Federation) RemoveCell(ctx context.Context, cell string, delay time.Duration, notified string) {
+	region := f.Regions[cell]
+	region.KillAllControllers()
+	region.RemoveAllMachines()
+	time.Sleep(delay)
 	f.mu.Lock()
-	f.forgotten = append(f.forgotten, config.Forgotten{Name: cell, Epoch: f.epochs[cell]})
+	f.removed = append(f.removed, config.Forgotten{Name: cell, Epoch: f.cells[cell].epoch})
 	f.mu.Unlock()
-	o := f.Regions[notified]
-	for i := range o.ControllerCount() {
-		o.KillController(i)
-		time.Sleep(time.Second)
-		o.StartController(i)
+	f.restartControllers(ctx, notified)
+}
+
+func (f *Federation) restartControllers(ctx context.Context, cell string) {
+	region := f.Regions[cell]
+	for i := range region.ControllerCount() {
+		region.KillController(i)
+		time.Sleep(controllerRestartGap)
+		region.StartController(ctx, i)
 	}
 }
 
 // StopCell ends all of a cell's controllers for a while.
-func (f *Federation) StopCell(cell string, duration time.Duration) {
-	r := f.Regions[cell]
-	for i := range r.ControllerCount() {
-		r.KillController(i)
-	}
-	r.wg.Go(func() {
+func (f *Federation) StopCell(ctx context.Context, cell string, duration time.Duration) {
+	region := f.Regions[cell]
+	region.KillAllControllers()
+	region.wg.Go(func() {
 		time.Sleep(duration)
-		for i := range r.ControllerCount() {
-			r.StartController(i)
-		}
+		region.StartAllControllers(ctx)
 	})
 }
 
-// RestoreSnapshot lets a cell's state service lose what was written since a snapshot: its controllers end,
+// RestoreSnapshot lets a cell's key-value store lose what was written since a snapshot: its controllers end,
 // all its machines are returned, the snapshot is put back, and they start under the next epoch.
-func (f *Federation) RestoreSnapshot(cell string, rows map[string]wire.KeyValue, duration time.Duration) {
-	r := f.Regions[cell]
-	for i := range r.ControllerCount() {
-		r.KillController(i)
-	}
-	r.wg.Go(func() {
+func (f *Federation) RestoreSnapshot(
+	ctx context.Context, cell string, rows map[string]wire.KeyValue, duration time.Duration,
+) {
+	region := f.Regions[cell]
+	region.KillAllControllers()
+	region.wg.Go(func() {
 		time.Sleep(duration)
-		for _, m := range r.Machines(false) {
-			r.mu.Lock()
-			r.removeMachine(m, false)
-			r.mu.Unlock()
-		}
-		r.KV.Restore(rows)
+		region.ReturnMachines(region.Machines())
+		region.KV.Restore(rows)
 		f.mu.Lock()
-		f.epochs[cell]++
+		f.cells[cell].epoch++
 		f.mu.Unlock()
-		for i := range r.ControllerCount() {
-			r.StartController(i)
-		}
+		region.StartAllControllers(ctx)
 	})
 }
 
-// Wait returns once all routines of all regions have ended.
+// Wait returns once all goroutines of all regions have ended.
 func (f *Federation) Wait() {
-	for _, r := range f.Regions {
-		r.Wait()
+	for _, region := range f.Regions {
+		region.Wait()
 	}
 }
--- a/internal/simulation/federation_test.go
+++ b/internal/simulation/federation_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -14,185 +13,235 @@
 	"sableusher/internal/wire"
 )
 
-// cellSettings are the settings of a cell's controller.
-func cellSettings(cell string, i int) *config.Settings {
-	s := testSettings(i)
-	s.Node = cell + "-" + s.Node
-	for j := range s.Siblings {
-		s.Siblings[j].Node = cell + "-" + s.Siblings[j].Node
+// Cells of the tests' federations.
+const (
+	cellA = "a"
+	cellB = "b"
+	cellC = "c"
+)
+
+var cellNames = []string{cellA, cellB, cellC}
+
+// Log messages that the federation's tests count.
+const (
+	messageJobTaken    = "job taken from another cell"
+	messageJobEnded    = "job ended in another cell"
+	messageJobReturned = "job comes back"
+)
+
+// cellSettings are those of a cell's controller.
+func cellSettings(cell string, index int) *config.Settings {
+	settings := testSettings(index)
+	settings.Node = cell + "-" + settings.Node
+	for i := range settings.Siblings {
+		settings.Siblings[i].Node = cell + "-" + settings.Siblings[i].Node
 	}
-	return s
+	return settings
 }
 
-// countMessages counts the log's lines with a message.
-func (l *logBuffer) countMessages(msg string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return strings.Count(l.buf.String(), fmt.Sprintf("msg=%q", msg))
+func newTestFederation(ctx context.Context, guestLimit int, random *rand.Rand, logged *logBuffer) *Federation {
+	return NewFederation(ctx, FederationOptions{
+		Cells:           cellNames,
+		Settings:        cellSettings,
+		MachineTypes:    largeMachinesOnly,
+		CapacityPerKind: 2,
+		GuestLimit:      guestLimit,
+		Random:          random,
+		Log:             slog.New(slog.NewTextHandler(logged, nil)),
+	})
 }
 
-// TestCells: a burst in one of three cells spills over while links are cut one way and the other,
+// end ends a federation's day.
+func (f *Federation) end(cancel context.CancelFunc) {
+	cancel()
+	f.Wait()
+	time.Sleep(requestDrainTime)
+}
+
+// TestFederationUnderFaults: a burst in one of three cells is offloaded while links are cut one way and the other,
 // leaders end, a whole cell goes and comes back, one is cut off inside, and one loses writes and
-// comes back under a new epoch. Of every job each user is told one end, no task runs in
-// two cells, and nothing that was cancelled goes on. CELL_DAYS plays more of them.
+// comes back under a new epoch. Of every job each user is told one final state, no task runs in
+// two cells, and nothing that was cancelled goes on. CELL_DAYS plays more of these days.
 func TestFederationUnderFaults(t *testing.T) {
 	for day := range environmentInt("CELL_DAYS", 2) {
 		t.Run(fmt.Sprint("day ", day), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { simulateFederationDay(t, uint64(day)) })
+			synctest.Test(t, func(t *testing.T) { simulateFederationDay(t, day) })
 		})
 	}
 }
 
-func simulateFederationDay(t *testing.T, seed uint64) {
+func simulateFederationDay(t *testing.T, day int) {
+	t.Helper()
+	const jobs, faults = 90, 7
 	ctx, cancel := context.WithCancel(context.Background())
-	rnd := rand.New(rand.NewPCG(seed, 51))
-	names := []string{"a", "b", "c"}
-	var logged logBuffer
-	c := NewFederation(ctx, names, cellSettings, testTypes[:1], 2, 120, rnd, slog.New(slog.NewTextHandler(&logged, nil)))
-	const jobs = 90
+	random, logged := newRandom(uint64(day), streamFederationDay), &logBuffer{}
+	f := newTestFederation(ctx, 120, random, logged)
 	for i := range jobs {
-		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", CPUs: 4, GPUs: 1, MemoryGB: 20, Image: fmt.Sprint("img-", i%3), ImageSizeGB: 2, RuntimeEstimateSeconds: 20}
-		cell, at := "a", time.Duration(30+rnd.IntN(60))*time.Second
-		var stop time.Duration
-		switch i % 6 {
-		case 0: // own work of those that lose no writes: what its users were told would be lost with them
-			cell, at = []string{"a", "c"}[rnd.IntN(2)], time.Duration(rnd.IntN(240))*time.Second
-			s.Kind, s.Priority, s.TaskCount, s.RuntimeEstimateSeconds = wire.KindService, wire.PriorityProduction, 2, 0
-			stop = time.Duration(60+rnd.IntN(120)) * time.Second
-		case 1, 2:
-			s.Kind, s.Priority, s.TaskCount, s.CPUs, s.GPUs, s.SameZone = wire.KindGang, wire.PriorityHigh, 1+rnd.IntN(3), 16, 2, rnd.IntN(2) == 0
-		default:
-			s.Kind, s.Priority, s.TaskCount, s.AllowSpot = wire.KindArray, wire.PriorityNormal, 2+rnd.IntN(12), true
-		}
-		if rnd.IntN(6) == 0 && stop == 0 {
-			stop = time.Duration(1+rnd.IntN(60)) * time.Second
-		}
-		run := 10 + 20*rnd.Float64()
-		if stop > 0 {
-			run += 120 // so that what goes on after its cancellation is seen
-		}
-		c.Regions[cell].wg.Go(func() {
-			time.Sleep(at)
-			c.SimulateUser(ctx, cell, s, run, stop)
-		})
+		cell, delay, job := randomCellJob(random, i)
+		f.SimulateUserAfter(ctx, cell, delay, job)
 	}
-	var kept map[string]wire.KeyValue
-	for at := range 7 {
-		time.Sleep(time.Duration(15+rnd.IntN(20)) * time.Second)
-		name, d := names[rnd.IntN(3)], time.Duration(5+rnd.IntN(25))*time.Second
-		until := time.Now().Add(d)
-		switch (at + int(seed)) % 7 {
-		case 0:
-			c.AddLinkFault(LinkFault{From: name, DeliverLate: rnd.IntN(2) == 0, AnswersOnly: rnd.IntN(2) == 0, Until: until})
-		case 1:
-			r := c.Regions[name]
-			for i := range r.ControllerCount() { // whoever leads
-				r.KillController(i)
-				time.Sleep(time.Duration(rnd.IntN(2000)) * time.Millisecond)
-				r.StartController(i)
-			}
-		case 2:
-			c.Regions[name].KV.StartOutage(until)
-		case 3:
-			kept = c.Regions["b"].KV.Snapshot()
-			c.StopCell(name, d)
-			time.Sleep(d)
-		case 4:
-			c.AddLinkFault(LinkFault{To: name, AnswersOnly: true, Until: until})
-		case 6:
-			c.SetDraining(name, true)
-			time.Sleep(d)
-			c.SetDraining(name, false)
-		case 5:
-			if kept == nil {
-				kept = c.Regions["b"].KV.Snapshot()
-				time.Sleep(10 * time.Second)
-			}
-			c.RestoreSnapshot("b", kept, d)
-			time.Sleep(d)
-		}
+	injector := cellFaults{federation: f, random: random}
+	for i := range faults {
+		time.Sleep(secondsBetween(random, 15, 20))
+		injector.inject(ctx, (i+day)%faults)
 	}
 	time.Sleep(10 * time.Minute)
-	left := c.Checker.UnfinishedJobs()
-	cancel()
-	c.Wait()
-	time.Sleep(3 * time.Minute)
-	for name, r := range c.Regions {
-		if len(r.KV.Violations) > 0 {
-			t.Errorf("%s: %v", name, r.KV.Violations)
-		}
+	unfinished := f.Checker.UnfinishedJobs()
+	f.end(cancel)
+	for _, region := range f.Regions {
+		checkViolations(t, region)
+	}
+	checkFinished(t, unfinished)
+	taken, ended := logged.countMessages(messageJobTaken), logged.countMessages(messageJobEnded)
+	t.Logf("%d jobs taken, %d ended elsewhere, %d returned; %d messages, %d bytes each",
+		taken, ended, logged.countMessages(messageJobReturned),
+		f.messages.messages, f.messages.bytes/max(f.messages.messages, 1))
+	if taken == 0 || ended == 0 {
+		t.Errorf("nothing was offloaded: %d taken, %d ended elsewhere", taken, ended)
 	}
-	if len(c.Checker.Violations) > 0 {
-		t.Errorf("broken:\n%s", strings.Join(c.Checker.Violations, "\n"))
+}
+
+// randomCellJob draws a job, its cell and when it comes.
+func randomCellJob(random *rand.Rand, index int) (cell string, delay time.Duration, job userJob) {
+	spec := newSpec(index+1, wire.KindArray)
+	spec.Image, spec.ImageSizeGB, spec.RuntimeEstimateSeconds = fmt.Sprint("img-", index%3), 2, 20
+	cell, delay = cellA, secondsBetween(random, 30, 60)
+	var cancelAfter time.Duration
+	switch index % 6 {
+	case 0: // work of cells that lose no writes: what its users were told would be lost with them
+		cell, delay = []string{cellA, cellC}[random.IntN(2)], seconds(random, 240)
+		spec.Kind, spec.Priority, spec.TaskCount = wire.KindService, wire.PriorityProduction, 2
+		spec.RuntimeEstimateSeconds = 0
+		cancelAfter = secondsBetween(random, 60, 120)
+	case 1, 2:
+		spec.Kind, spec.Priority = wire.KindGang, wire.PriorityHigh
+		spec.TaskCount, spec.CPUs, spec.GPUs = 1+random.IntN(3), 16, 2
+		spec.SameZone = oneInTwo(random)
+	default:
+		spec.TaskCount, spec.AllowSpot = 2+random.IntN(12), true
 	}
-	if len(left) > 0 {
-		t.Errorf("never finished: %v", left)
+	if random.IntN(6) == 0 && cancelAfter == 0 {
+		cancelAfter = secondsBetween(random, 1, 60)
 	}
-	taken, ended, back := logged.countMessages("job taken from another cell"), logged.countMessages("job ended in another cell"), logged.countMessages("job comes back")
-	t.Logf("%d jobs taken, %d ended elsewhere, %d came back; %d messages, %d bytes each", taken, ended, back, c.MessagesSent, c.BytesSent/max(c.MessagesSent, 1))
-	if taken == 0 || ended == 0 {
-		t.Errorf("nothing spilled: %d taken, %d ended elsewhere", taken, ended)
+	runSeconds := 10 + 20*random.Float64()
+	if cancelAfter > 0 {
+		runSeconds += 120 // so that what goes on after its cancellation is seen
+	}
+	return cell, delay, userJob{spec, runSeconds, cancelAfter}
+}
+
+// cellFaults injects the faults of a federation's day.
+type cellFaults struct {
+	federation *Federation
+	random     *rand.Rand
+	snapshot   map[string]wire.KeyValue // of cell b; nil: none was taken yet
+}
+
+// inject injects one of seven faults in a cell that is drawn.
+func (c *cellFaults) inject(ctx context.Context, kind int) {
+	f := c.federation
+	cell, duration := cellNames[c.random.IntN(len(cellNames))], secondsBetween(c.random, 5, 25)
+	until := time.Now().Add(duration)
+	switch kind {
+	case 0:
+		deliverLate, answersOnly := oneInTwo(c.random), oneInTwo(c.random)
+		f.AddLinkFault(LinkFault{From: cell, DeliverLate: deliverLate, AnswersOnly: answersOnly, Until: until})
+	case 1:
+		c.restartControllers(ctx, f.Regions[cell])
+	case 2:
+		f.Regions[cell].KV.StartOutage(until)
+	case 3:
+		c.snapshot = f.Regions[cellB].KV.Snapshot()
+		f.StopCell(ctx, cell, duration)
+		time.Sleep(duration)
+	case 4:
+		f.AddLinkFault(LinkFault{To: cell, AnswersOnly: true, Until: until})
+	case 5:
+		if c.snapshot == nil {
+			c.snapshot = f.Regions[cellB].KV.Snapshot()
+			time.Sleep(10 * time.Second)
+		}
+		f.RestoreSnapshot(ctx, cellB, c.snapshot, duration)
+		time.Sleep(duration)
+	case 6:
+		f.SetDraining(ctx, cell, true)
+		time.Sleep(duration)
+		f.SetDraining(ctx, cell, false)
+	}
+}
+
+// restartControllers restarts all controllers in turn, and so whoever leads.
+func (c *cellFaults) restartControllers(ctx context.Context, region *Region) {
+	for i := range region.ControllerCount() {
+		region.KillController(i)
+		time.Sleep(milliseconds(c.random, 2000))
+		region.StartController(ctx, i)
 	}
 }
 
-// simulateBurst lets sixty arrays come to one of three cells that are all up, and gives how long it takes
-// until all have ended, and how many others took. trouble begins 40 s later.
-func simulateBurst(t *testing.T, guests int, trouble func(*Federation)) (took time.Duration, taken int) {
+// burstOutcome is how a burst in one of three cells went.
+type burstOutcome struct {
+	duration time.Duration // until all jobs had ended
+	taken    int           // jobs that other cells took
+}
+
+func (o burstOutcome) String() string {
+	return fmt.Sprintf("all ended after %v, %d taken by others", o.duration.Round(time.Second), o.taken)
+}
+
+// simulateBurst lets sixty arrays come to one of three cells that are all up; other cells take so many tasks of
+// others. The fault begins 40 s later.
+func simulateBurst(t *testing.T, guestLimit int, fault func(context.Context, *Federation)) burstOutcome {
+	t.Helper()
+	const jobs, maxDuration = 60, 20 * time.Minute
 	ctx, cancel := context.WithCancel(context.Background())
-	rnd := rand.New(rand.NewPCG(6, 52))
-	var logged logBuffer
-	c := NewFederation(ctx, []string{"a", "b", "c"}, cellSettings, testTypes[:1], 2, guests, rnd, slog.New(slog.NewTextHandler(&logged, nil)))
+	logged := &logBuffer{}
+	f := newTestFederation(ctx, guestLimit, newRandom(6, streamBurst), logged)
 	time.Sleep(60 * time.Second) // the cells have joined
 	start := time.Now()
-	for i := range 60 {
-		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: 8,
-			CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 2, RuntimeEstimateSeconds: 20, AllowSpot: true}
-		c.Regions["a"].wg.Go(func() { c.SimulateUser(ctx, "a", s, 20, 0) })
+	for i := range jobs {
+		spec := newSpec(i+1, wire.KindArray)
+		spec.TaskCount, spec.ImageSizeGB, spec.RuntimeEstimateSeconds, spec.AllowSpot = 8, 2, 20, true
+		f.SimulateUserAfter(ctx, cellA, 0, userJob{spec: spec, runSeconds: 20})
 	}
 	time.Sleep(40 * time.Second)
-	if trouble != nil {
-		trouble(c)
-	}
-	for len(c.Checker.UnfinishedJobs()) > 0 && time.Since(start) < 20*time.Minute {
+	fault(ctx, f)
+	for len(f.Checker.UnfinishedJobs()) > 0 && time.Since(start) < maxDuration {
 		time.Sleep(time.Second)
 	}
-	took, taken = time.Since(start), logged.countMessages("job taken from another cell")
-	if left := c.Checker.UnfinishedJobs(); len(left) > 0 {
-		t.Errorf("never finished: %v", left)
-	}
-	cancel()
-	c.Wait()
-	time.Sleep(3 * time.Minute)
-	if len(c.Checker.Violations) > 0 {
-		t.Errorf("broken:\n%s", strings.Join(c.Checker.Violations, "\n"))
+	outcome := burstOutcome{time.Since(start), logged.countMessages(messageJobTaken)}
+	checkFinished(t, f.Checker.UnfinishedJobs())
+	f.end(cancel)
+	for _, region := range f.Regions {
+		checkViolations(t, region)
 	}
-	return took, taken
+	return outcome
 }
 
-// TestCellGoneForGood: a cell goes with its machines while it holds work of another. What is there
+// TestCellRemovedForGood: a cell goes with its machines while it holds work of another. What is there
 // waits until the other's operators say that it is gone for good, and not longer: every job ends,
 // none runs twice.
 func TestCellRemovedForGood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		took, taken := simulateBurst(t, 400, func(c *Federation) {
-			c.RemoveCell("b", 3*time.Minute, "a")
-			if left := c.Checker.UnfinishedJobs(); len(left) == 0 {
+		outcome := simulateBurst(t, 400, func(ctx context.Context, f *Federation) {
+			f.RemoveCell(ctx, cellB, 3*time.Minute, cellA)
+			if len(f.Checker.UnfinishedJobs()) == 0 {
 				t.Error("nothing waited for the cell that is gone")
 			}
 		})
-		t.Logf("all ended after %v, %d taken by others", took.Round(time.Second), taken)
+		t.Log(outcome)
 	})
 }
 
-// TestSpillOnAgainstOff: a burst in one of three cells that are all up ends sooner if the others
+// TestOffloadShortensBurst: a burst in one of three cells that are all up ends sooner if the others
 // take part of it, by what their machines allow.
 func TestOffloadShortensBurst(t *testing.T) {
-	var off, on time.Duration
-	var none, taken int
-	synctest.Test(t, func(t *testing.T) { off, none = simulateBurst(t, 0, nil) })
-	synctest.Test(t, func(t *testing.T) { on, taken = simulateBurst(t, 400, nil) })
-	t.Logf("60 arrays of 8 tasks in one of three cells: all ended after %v without, %v with the others, which took %d", off.Round(time.Second), on.Round(time.Second), taken)
-	if none > 0 || taken == 0 || float64(on) > 0.8*float64(off) {
-		t.Errorf("%v without, %v with %d taken", off, on, taken)
+	noFault := func(context.Context, *Federation) {}
+	var without, with burstOutcome
+	synctest.Test(t, func(t *testing.T) { without = simulateBurst(t, 0, noFault) })
+	synctest.Test(t, func(t *testing.T) { with = simulateBurst(t, 400, noFault) })
+	t.Logf("60 arrays of 8 tasks in one of three cells: alone %v; with the others %v", without, with)
+	if without.taken > 0 || with.taken == 0 || float64(with.duration) > 0.8*float64(without.duration) {
+		t.Errorf("alone %v; with the others %v", without, with)
 	}
 }
--- a/internal/simulation/onewaylinks_test.go
+++ b/internal/simulation/onewaylinks_test.go
@@ -1,9 +1,7 @@
 package simulation
 
 import (
-	"bufio"
 	"context"
-	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"regexp"
@@ -15,108 +13,148 @@
 	"sableusher/internal/wire"
 )
 
-var oneWayLogPattern = regexp.MustCompile(`msg="change made" .*what="machine (hears nothing|reaches no node|is up) (\S+)"|msg="task placed" .* machine=(\S+)`)
+var oneWayLogPattern = regexp.MustCompile(`msg="change made" .*` +
+	`what="machine (hears nothing|reaches no node|is up) (\S+)"|msg="task placed" .* machine=(\S+)`)
 
-// simulateOneWayDay plays a day of gangs and services on which one in some machines can be reached in one direction only
-// for longer than a lease, and the leader may end meanwhile. It gives how often each was recorded for it, and
-// fails if a task is bound to one between then and its coming up again.
-func simulateOneWayDay(t *testing.T, why string, spoil func(r *Region, machine string, until time.Time), away time.Duration, each int, leaderEnds bool) (*Region, map[string]int) {
+// oneWayDay is a day of gangs and services on which one in some machines can be reached in one direction only
+// for longer than a lease.
+type oneWayDay struct {
+	logged         string // what a controller logs of such a machine
+	lose           func(r *Region, machine string, until time.Time)
+	duration       time.Duration
+	oneIn          int
+	leaderRestarts bool
+}
+
+// inboundLostDay has half of the machines hear nothing.
+func inboundLostDay(duration time.Duration) oneWayDay {
+	return oneWayDay{
+		logged: "hears nothing", lose: (*Region).LoseInbound, duration: duration, oneIn: 2, leaderRestarts: true,
+	}
+}
+
+// outboundLostDay has a quarter of the machines reach no controller. Were most of a controller's so, it would
+// be the controller.
+func outboundLostDay(duration time.Duration) oneWayDay {
+	return oneWayDay{logged: "reaches no node", lose: (*Region).LoseOutbound, duration: duration, oneIn: 4}
+}
+
+// randomOneWayJob draws when a job comes: every fourth is a service that comes early.
+func randomOneWayJob(random *rand.Rand, index int) (delay time.Duration, job userJob) {
+	delay = secondsBetween(random, 30, 90)
+	spec := newSpec(index+1, wire.KindGang)
+	spec.Class, spec.TaskCount, spec.CPUs, spec.GPUs = "g", 2, 16, 2
+	spec.RuntimeEstimateSeconds = 20
+	if index%4 != 0 {
+		return delay, userJob{spec: spec, runSeconds: 40}
+	}
+	spec.Kind, spec.Priority, spec.TaskCount = wire.KindService, wire.PriorityProduction, 3
+	spec.CPUs, spec.GPUs, spec.RuntimeEstimateSeconds = 4, 1, 0
+	return time.Duration(index/4) * time.Second, userJob{spec, 40, 10 * time.Minute}
+}
+
+// simulate plays the day. It gives the machines that were recorded for it, and fails if one was so twice, or if a
+// task was bound to one between then and its coming up again.
+func (d oneWayDay) simulate(t *testing.T) (r *Region, recorded []string) {
+	t.Helper()
+	const jobs = 60
 	ctx, cancel := context.WithCancel(context.Background())
-	log, rnd := &logBuffer{}, rand.New(rand.NewPCG(7, 91))
-	r := newThreeControllerRegion(ctx, combinationSettings, 10, 7, slog.New(slog.NewTextHandler(log, &slog.HandlerOptions{Level: slog.LevelDebug})))
-	for i := range 60 {
-		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "g", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityHigh, TaskCount: 2, CPUs: 16, GPUs: 2,
-			MemoryGB: 20, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 20}
-		if i%4 == 0 {
-			s.Kind, s.Priority, s.TaskCount, s.CPUs, s.GPUs, s.RuntimeEstimateSeconds = wire.KindService, wire.PriorityProduction, 3, 4, 1, 0
-		}
-		at, stop := time.Duration(30+rnd.IntN(90))*time.Second, time.Duration(0)
-		if s.Kind == wire.KindService {
-			at, stop = time.Duration(i/4)*time.Second, 10*time.Minute
-		}
-		r.wg.Go(func() {
-			time.Sleep(at)
-			r.SimulateUser(ctx, s, 40, stop)
-		})
+	logged, random := &logBuffer{}, newRandom(7, streamOneWayDay)
+	r = testRegion{
+		settings:        faultDaySettings,
+		capacityPerKind: 10,
+		random:          newRandom(7, streamRegion),
+		log:             logged.logger(slog.LevelDebug),
+	}.startControllers(ctx, threeControllers)
+	for i := range jobs {
+		delay, job := randomOneWayJob(random, i)
+		r.SimulateUserAfter(ctx, delay, job)
 	}
 	time.Sleep(60 * time.Second)
-	for i, m := range r.Machines(false) {
-		if i%each == 0 {
-			spoil(r, m, time.Now().Add(away))
+	for i, machine := range r.Machines() {
+		if i%d.oneIn == 0 {
+			d.lose(r, machine, time.Now().Add(d.duration))
 		}
 	}
 	time.Sleep(2 * time.Second)
-	if leaderEnds {
-		r.restartController(r.LeaderIndex(), 4*time.Second)
+	if d.leaderRestarts {
+		r.RestartController(ctx, r.LeaderIndex(), 4*time.Second)
 	}
-	time.Sleep(5*time.Minute + away - 80*time.Second)
+	time.Sleep(5*time.Minute + d.duration - 80*time.Second)
 	r.Checker.CheckServedShares()
-	cancel()
-	r.Wait()
-	time.Sleep(3 * time.Minute)
+	r.end(cancel)
 	checkDay(t, r)
-	out, marks := map[string]bool{}, map[string]int{}
-	for lines := bufio.NewScanner(&log.buf); lines.Scan(); {
-		m := oneWayLogPattern.FindStringSubmatch(lines.Text())
+	recorded = d.checkLog(t, logged.lines())
+	t.Log(len(recorded), "machines were recorded for it;", r.Checker.Observed)
+	return r, recorded
+}
+
+// checkLog checks that no task was bound to a machine while it was recorded, and that none was recorded twice.
+func (d oneWayDay) checkLog(t *testing.T, lines []string) (recorded []string) {
+	t.Helper()
+	out, records, placements := map[string]bool{}, map[string]int{}, 0
+	for _, line := range lines {
+		match := oneWayLogPattern.FindStringSubmatch(line)
+		if match == nil {
+			continue
+		}
+		state, machine, placedOn := match[1], match[2], match[3]
 		switch {
-		case m == nil:
-		case m[3] != "" && out[m[3]]:
-			t.Errorf("bound to a machine that %s: %s", why, lines.Text())
-		case m[1] == why:
-			out[m[2]] = true
-			marks[m[2]]++
-		case m[2] != "":
-			out[m[2]] = false
+		case placedOn != "":
+			placements++
+			if out[placedOn] {
+				t.Errorf("bound to a machine that %s: %s", d.logged, line)
+			}
+		case state == d.logged:
+			out[machine] = true
+			records[machine]++
+		default:
+			out[machine] = false
 		}
 	}
-	t.Log(len(marks), "machines were recorded for it;", r.Checker.Observed)
-	if len(marks) == 0 {
-		t.Error("no machine was found that " + why)
+	if len(records) == 0 || placements == 0 {
+		t.Errorf("%d machines were logged that %s, %d placements", len(records), d.logged, placements)
 	}
-	for name, n := range marks {
-		if n > 1 {
-			t.Errorf("%s was recorded %d times", name, n)
+	for machine, count := range records {
+		recorded = append(recorded, machine)
+		if count > 1 {
+			t.Errorf("%s was recorded %d times", machine, count)
 		}
 	}
-	return r, marks
+	return recorded
 }
 
-// TestDeafMachinesAreLeftOut: half of the machines hear nothing for longer than a lease, and the
-// leader ends meanwhile. From when a machine's record says so, no node binds a task to it before it hears
+// TestInboundLostMachinesReceiveNoTasks: half of the machines hear nothing for longer than a lease, and the
+// leader ends meanwhile. From when a machine's record says so, no controller binds a task to it before it hears
 // again, so gangs and services that come meanwhile start on others; and it is recorded once.
 func TestInboundLostMachinesReceiveNoTasks(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		simulateOneWayDay(t, "hears nothing", (*Region).LoseInbound, 80*time.Second, 2, true)
-	})
+	synctest.Test(t, func(t *testing.T) { inboundLostDay(80 * time.Second).simulate(t) })
 }
 
-// TestMuteMachinesAreLeft: a quarter of the machines reach no node for longer than a lease, while commands
-// reach them. Once such a machine looked ready whenever it answered one: task after task was started there and ended
-// with its lease. Nothing is bound to it, and replicas have left it before the lease ends. (Were most of a node's mute, it
-// would be the node.)
+// TestOutboundLostMachinesAreEvacuated: a quarter of the machines reach no controller for longer than a lease, while
+// commands reach them. Once such a machine looked ready whenever it answered one: task after task was started there
+// and ended with its lease. Nothing is bound to it, and replicas have left it before the lease ends.
 func TestOutboundLostMachinesAreEvacuated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r, _ := simulateOneWayDay(t, "reaches no node", (*Region).LoseOutbound, 80*time.Second, 4, false)
-		if n := r.Checker.Observed[wire.KindService+" ended with a lease"]; n > 0 {
-			t.Errorf("%d replicas ended with a lease", n)
+		r, _ := outboundLostDay(80 * time.Second).simulate(t)
+		if count := r.Checker.Observed[ObservedServiceLeaseExpiry]; count > 0 {
+			t.Errorf("%d replicas ended by lease expiry", count)
 		}
 	})
 }
 
-// TestOneWayMachinesAreGivenUp: what can be reached in one direction only, and stays so, is returned once
+// TestOneWayMachinesAreReturned: what can be reached in one direction only, and stays so, is returned once
 // nothing is left on it: nobody would ever use it again, and nothing else would end that.
 func TestOneWayMachinesAreReturned(t *testing.T) {
-	for why, c := range map[string]struct {
-		spoil func(*Region, string, time.Time)
-		each  int
-	}{"hears nothing": {(*Region).LoseInbound, 2}, "reaches no node": {(*Region).LoseOutbound, 4}} {
-		t.Run(why, func(t *testing.T) {
+	for _, day := range []oneWayDay{inboundLostDay(7 * time.Minute), outboundLostDay(7 * time.Minute)} {
+		day.leaderRestarts = true
+		t.Run(day.logged, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r, marks := simulateOneWayDay(t, why, c.spoil, 7*time.Minute, c.each, true)
-				there := r.Machines(false)
-				for name := range marks {
-					if slices.Contains(there, name) {
-						t.Errorf("%s is still there", name)
+				r, recorded := day.simulate(t)
+				remaining := r.Machines()
+				for _, machine := range recorded {
+					if slices.Contains(remaining, machine) {
+						t.Errorf("%s is still there", machine)
 					}
 				}
 			})
--- /dev/null
+++ b/internal/simulation/random.go
@@ -0,0 +1,62 @@
+package simulation
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+// randomStream tells the generators that share a seed apart. Its value is part of what a seed gives: a
+// stream keeps its number for ever.
+type randomStream uint64
+
+// Streams of the fakes and of the faults that draw on their own.
+const (
+	streamNetwork            randomStream = 1
+	streamCell               randomStream = 2
+	streamCellLinks          randomStream = 3
+	streamDelayedWrites      randomStream = 51
+	streamSlowRequests       randomStream = 52
+	streamDuplicates         randomStream = 53
+	streamLostAnswers        randomStream = 54
+	streamHeartbeatCapture   randomStream = 55
+	streamCancelAtCompletion randomStream = 56
+	streamCancelOnFailover   randomStream = 57
+	streamInvalidRequests    randomStream = 58
+	streamShortJobs          randomStream = 59
+)
+
+func newRandom(seed uint64, stream randomStream) *rand.Rand {
+	return rand.New(rand.NewPCG(seed, uint64(stream)))
+}
+
+// faultRate is the share of messages that a fault concerns until a time. It draws from a generator of its
+// own. The zero value concerns none.
+type faultRate struct {
+	share  float64 // from 0 to 1
+	until  time.Time
+	random *rand.Rand
+}
+
+func newFaultRate(share float64, until time.Time, seed uint64, stream randomStream) faultRate {
+	return faultRate{share: share, until: until, random: newRandom(seed, stream)}
+}
+
+// occurs draws whether the next message is concerned.
+func (f *faultRate) occurs() bool {
+	return time.Now().Before(f.until) && f.random.Float64() < f.share
+}
+
+// duration draws a duration from a range.
+func (f *faultRate) duration(from, to time.Duration) time.Duration {
+	return from + time.Duration(f.random.Float64()*float64(to-from))
+}
+
+// milliseconds draws a duration of whole milliseconds below a bound.
+func milliseconds(random *rand.Rand, below int) time.Duration {
+	return time.Duration(random.IntN(below)) * time.Millisecond
+}
+
+// seconds draws a duration of whole seconds below a bound.
+func seconds(random *rand.Rand, below int) time.Duration {
+	return time.Duration(random.IntN(below)) * time.Second
+}
--- /dev/null
+++ b/internal/simulation/requestfaults.go
@@ -0,0 +1,157 @@
+package simulation
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"time"
+
+	"sableusher/internal/wire"
+)
+
+// firstInvalidJob is the number from which on invalid jobs are named.
+const firstInvalidJob = 700_000
+
+// requiredFields are the fields that a submission must have, as they are named on the wire.
+var requiredFields = []string{
+	"lot", "crew", "rig", "precedence", "hauls", "vcpus", "cards", "memory_gb", "tackle", "size_gb",
+	"same_place", "spread", "standby", "reckon_s", "landfall_s", "stow_s",
+}
+
+// invalidRequests draws what a user sends that is of no use.
+type invalidRequests struct {
+	region *Region
+	random *rand.Rand
+}
+
+// SendInvalidRequests lets users repeat submissions of unfinished jobs, cancel jobs that are done, and send jobs
+// that fit no machine, name nobody's team, need more than their team may have or lack a field, until a time.
+func (r *Region) SendInvalidRequests(ctx context.Context, until time.Time, seed uint64) {
+	requests := invalidRequests{r, newRandom(seed, streamInvalidRequests)}
+	r.wg.Go(func() {
+		for n := 0; ctx.Err() == nil && time.Now().Before(until); n++ {
+			time.Sleep(200*time.Millisecond + milliseconds(requests.random, 800))
+			requests.sendOne(ctx, n)
+		}
+	})
+}
+
+func (q *invalidRequests) sendOne(ctx context.Context, number int) {
+	checker := q.region.Checker
+	if id := q.pick(checker.OpenJobs()); id != "" && q.random.IntN(3) == 0 {
+		spec, _ := checker.JobSpec(id)
+		q.region.askAny(ctx, submitRequest(id, wire.MustEncode(spec)))
+		return
+	}
+	if id := q.pick(checker.DoneJobs()); id != "" && q.random.IntN(2) == 0 {
+		q.region.askAny(ctx, cancelRequest(id))
+		checker.Observe(ObservedCancelAfterEnd, 1)
+		return
+	}
+	q.submitInvalidJob(ctx, number)
+}
+
+// pick draws one of some jobs; empty if there are none.
+func (q *invalidRequests) pick(ids []string) string {
+	if len(ids) == 0 {
+		return ""
+	}
+	return ids[q.random.IntN(len(ids))]
+}
+
+// submitInvalidJob submits a job that must be refused, and asks for it afterwards.
+func (q *invalidRequests) submitInvalidJob(ctx context.Context, number int) {
+	checker := q.region.Checker
+	spec := wire.JobSpec{
+		ID:                     jobID(firstInvalidJob + number),
+		Class:                  "c",
+		Team:                   "open",
+		Kind:                   wire.KindArray,
+		Priority:               wire.PriorityNormal,
+		TaskCount:              1 + q.random.IntN(4),
+		CPUs:                   4,
+		GPUs:                   1,
+		MemoryGB:               20,
+		Image:                  "img-0",
+		ImageSizeGB:            2,
+		RuntimeEstimateSeconds: 15,
+	}
+	// The fields are changed as they are named on the wire, as some can't be missing from the type.
+	var fields map[string]any
+	if err := wire.Decode(wire.MustEncode(spec), &fields); err != nil {
+		panic(err)
+	}
+	reason, want := q.invalidate(fields)
+	checker.InvalidJobSubmitted(spec, reason)
+	status := q.region.askAny(ctx, submitRequest(spec.ID, wire.MustEncode(fields))).status
+	switch status {
+	case want:
+		checker.Observe(ObservedInvalidRequestRefused, 1)
+	case http.StatusBadRequest, http.StatusUnprocessableEntity:
+		checker.AddViolation(RuleProtocol, fmt.Sprintf("answer: %d where %s", status, reason))
+	}
+	poll := pollRequest(spec.ID)
+	poll.timeout = submitTimeout
+	q.region.askAny(ctx, poll)
+}
+
+// invalidate makes a submission invalid, and gives why and the status that it must be answered with.
+func (q *invalidRequests) invalidate(fields map[string]any) (reason string, status int) {
+	switch q.random.IntN(5) {
+	case 0:
+		fields["vcpus"] = 1000.0
+		return "it fits no machine", http.StatusUnprocessableEntity
+	case 1:
+		fields["crew"] = "nobody"
+		return "its team is unknown", http.StatusUnprocessableEntity
+	case 2:
+		fields["harbor"] = "nowhere"
+		return "it fits no machine in its zone", http.StatusUnprocessableEntity
+	case 3:
+		fields["crew"], fields["rig"], fields["hauls"], fields["cards"] = "bound", wire.KindGang, 1000, 1.0
+		return "it needs more than its team may have", http.StatusUnprocessableEntity
+	default:
+		field := requiredFields[q.random.IntN(len(requiredFields))]
+		delete(fields, field)
+		return "it lacks " + field, http.StatusBadRequest
+	}
+}
+
+// SubmitShortJobs lets jobs of one task come four a second until a time, a quarter of which are cancelled.
+func (r *Region) SubmitShortJobs(ctx context.Context, first int, until time.Time, seed uint64) {
+	random := newRandom(seed, streamShortJobs)
+	r.wg.Go(func() {
+		for n := first; ctx.Err() == nil && time.Now().Before(until); n++ {
+			time.Sleep(150*time.Millisecond + milliseconds(random, 200))
+			job := randomShortJob(n, random)
+			r.Checker.Observe(ObservedShortJob, 1)
+			r.wg.Go(func() { r.SimulateUser(ctx, job) })
+		}
+	})
+}
+
+func randomShortJob(number int, random *rand.Rand) userJob {
+	spec := wire.JobSpec{
+		ID:                     jobID(number),
+		Class:                  "short",
+		Team:                   "open",
+		Kind:                   wire.KindArray,
+		Priority:               wire.PriorityNormal,
+		TaskCount:              1,
+		CPUs:                   2,
+		MemoryGB:               8,
+		Image:                  "img-0",
+		ImageSizeGB:            2,
+		RuntimeEstimateSeconds: 6,
+		AllowSpot:              true,
+	}
+	var cancelAfter time.Duration
+	if random.IntN(4) == 0 {
+		cancelAfter = time.Second + seconds(random, 12)
+	}
+	return userJob{spec: spec, runSeconds: float64(2 + random.IntN(8)), cancelAfter: cancelAfter}
+}
+
+// jobID is the name of a generated job.
+func jobID(number int) string { return fmt.Sprintf("run-%06d", number) }
--- a/internal/simulation/retry_test.go
+++ b/internal/simulation/retry_test.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"math/rand/v2"
-	"strings"
 	"testing"
 	"testing/synctest"
 	"time"
@@ -14,80 +13,85 @@
 	"sableusher/internal/wire"
 )
 
+const (
+	failureDays     = 3
+	failureJobs     = 24
+	classRetryLimit = 2
+)
+
 // TestRetriesUnderFaults plays generated days on which tasks fail by themselves while
-// nodes end, machines die and links are cut: no failure that was acknowledged goes
-// uncounted, no job is called failed whose tasks had repeats left, whatever awaits a failed one
-// falls, and all others are done.
+// controllers end, machines fail and links are cut: no failure that was acknowledged goes
+// uncounted, no job is called failed whose tasks had retries left, whatever awaits a failed one
+// is cancelled, and all others are done.
 func TestRetriesUnderFaults(t *testing.T) {
-	failed, repeated := 0, 0
-	for seed := range uint64(3) {
-		synctest.Test(t, func(t *testing.T) {
-			r := simulateFailureDay(seed)
-			if len(r.Checker.Violations)+len(r.KV.Violations) > 0 {
-				t.Errorf("seed %d, broken rules:\n%s", seed, strings.Join(append(r.Checker.Violations, r.KV.Violations...), "\n"))
-			}
-			if left := r.Checker.UnfinishedJobs(); len(left) > 0 {
-				t.Errorf("seed %d, never finished: %v", seed, left)
-			}
-			ended, again := r.Checker.EndedJobs()
-			failed += ended[wire.JobFailed]
-			repeated += again
+	failed, retried := 0, 0
+	for seed := range uint64(failureDays) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				r := simulateFailureDay(seed)
+				checkDay(t, r)
+				byState, done := r.Checker.EndedJobs()
+				failed += byState[wire.JobFailed]
+				retried += done
+			})
 		})
 	}
-	if failed < 5 || repeated < 5 {
-		t.Errorf("%d jobs failed, %d were done after failures", failed, repeated)
+	if failed < 5 || retried < 5 {
+		t.Errorf("%d jobs failed, %d were done after failures", failed, retried)
 	}
 }
 
 // simulateFailureDay plays one such day.
 func simulateFailureDay(seed uint64) *Region {
-	rnd := rand.New(rand.NewPCG(seed, 17))
+	random := newRandom(seed, streamFailureDay)
 	ctx, cancel := context.WithCancel(context.Background())
-	r := NewRegion(ctx, testSettings(0), testTypes, 6, rand.New(rand.NewPCG(seed, 18)), testLogger())
-	r.ConfigureOperator = func(op *config.Operator) {
-		op.Classes = []config.Class{{Name: "c", Repeats: 2, PauseS: 3, PauseMaxS: 10}}
+	r := testRegion{
+		capacityPerKind: 6,
+		random:          newRandom(seed, streamFailureRegion),
+		configureOperator: func(operator *config.Operator) {
+			class := config.Class{Name: "c", Repeats: classRetryLimit, PauseS: 3, PauseMaxS: 10}
+			operator.Classes = []config.Class{class}
+		},
+	}.start(ctx)
+	r.Checker.RetryLimits = map[string]int{"c": classRetryLimit}
+	for i := range threeControllers {
+		r.AddController(ctx, testSettings(i))
 	}
-	r.Checker.RetryLimits = map[string]int{"c": 2}
-	for i := range 3 {
-		r.AddController(testSettings(i))
-	}
-	for i := range 24 {
-		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "c", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-			TaskCount: 1 + rnd.IntN(6), CPUs: 4, GPUs: 1, MemoryGB: 20, Image: "img", ImageSizeGB: 1, RuntimeEstimateSeconds: 10}
-		if rnd.IntN(3) == 0 {
-			s.Kind, s.Priority, s.TaskCount, s.SameZone = wire.KindGang, wire.PriorityHigh, 1+rnd.IntN(3), true
-		}
-		limit := 2
-		if rnd.IntN(3) == 0 {
-			limit = rnd.IntN(2)
-			s.MaxRetries = &limit
+	for i := range failureJobs {
+		job := randomFailingJob(random, i)
+		for range random.IntN(3) {
+			task := clusterstate.TaskRef{Job: job.spec.ID, Index: random.IntN(job.spec.TaskCount)}
+			r.InjectTaskFailures(task, 1+random.IntN(3))
 		}
-		if i > 0 && rnd.IntN(3) == 0 {
-			s.Dependencies = []string{fmt.Sprintf("run-%06d", 1+rnd.IntN(i))}
-		}
-		for range rnd.IntN(3) {
-			r.InjectTaskFailures(clusterstate.TaskRef{Job: s.ID, Index: rnd.IntN(s.TaskCount)}, 1+rnd.IntN(3))
-		}
-		at := time.Duration(i*5) * time.Second
-		r.wg.Go(func() {
-			time.Sleep(at)
-			r.SimulateUser(ctx, s, float64(3+len(s.ID)%5), 0)
-		})
+		r.SimulateUserAfter(ctx, time.Duration(i*5)*time.Second, job)
 	}
 	time.Sleep(20 * time.Second)
 	for range 8 {
-		time.Sleep(time.Duration(1+rnd.IntN(20)) * time.Second)
-		r.Log.Info("TROUBLE", "what", injectRandomFault(r, rnd))
-	}
-	for range 120 {
-		time.Sleep(5 * time.Second)
-		if r.Checker.AllAccepted([]string{"run-000024"}) && len(r.Checker.UnfinishedJobs()) == 0 {
-			break
-		}
+		time.Sleep(secondsBetween(random, 1, 20))
+		r.injectRandomFault(ctx, random)
 	}
+	r.waitUntil(120, func() bool {
+		return r.Checker.AllAccepted([]string{jobID(failureJobs)}) && len(r.Checker.UnfinishedJobs()) == 0
+	})
 	time.Sleep(30 * time.Second)
-	cancel()
-	r.Wait()
-	time.Sleep(3 * time.Minute)
+	r.end(cancel)
 	return r
 }
+
+// randomFailingJob draws an array or a gang, some of them with a limit of their own, some that await another.
+func randomFailingJob(random *rand.Rand, index int) userJob {
+	spec := newSpec(index+1, wire.KindArray)
+	spec.TaskCount, spec.RuntimeEstimateSeconds = 1+random.IntN(6), 10
+	if oneInThree(random) {
+		spec.Kind, spec.Priority = wire.KindGang, wire.PriorityHigh
+		spec.TaskCount, spec.SameZone = 1+random.IntN(3), true
+	}
+	if oneInThree(random) {
+		limit := random.IntN(2)
+		spec.MaxRetries = &limit
+	}
+	if index > 0 && oneInThree(random) {
+		spec.Dependencies = []string{jobID(1 + random.IntN(index))}
+	}
+	return userJob{spec: spec, runSeconds: float64(3 + len(spec.ID)%5)}
+}
--- a/internal/simulation/sessionrecord_test.go
+++ b/internal/simulation/sessionrecord_test.go
@@ -10,48 +10,60 @@
 	"sableusher/internal/wire"
 )
 
-// TestSessionOutlivesALateOne: a process registers its session, ends before the answer, and is
+// countLateRegistrations counts the registrations of a controller that are written after the fault that delays
+// them is over.
+func (r *Region) countLateRegistrations(node string, count *int) {
+	r.KV.mu.Lock()
+	defer r.KV.mu.Unlock()
+	r.KV.OnWrite = func(key string, _ wire.RawValue) {
+		late := &r.KV.faults.lateWrites
+		if key == clusterstate.NodeKey(node) && late.random != nil && !time.Now().Before(late.until) {
+			*count++
+		}
+	}
+}
+
+// checkRegistered fails if the first controller is not registered, or its shard belongs to another process.
+func (r *Region) checkRegistered(t *testing.T, seed uint64) {
+	t.Helper()
+	var session clusterstate.NodeRecord
+	var shard clusterstate.ShardRecord
+	rows := r.KV.Snapshot()
+	row, registered := rows[clusterstate.NodeKey(firstController)]
+	if registered {
+		_ = wire.Decode(row.Value, &session)
+	}
+	_ = wire.Decode(rows[clusterstate.ShardKey(0)].Value, &shard)
+	if !registered || shard.Owner != firstController || shard.Incarnation != session.Incarnation {
+		t.Errorf("seed %d: registered %v (%+v), its shard is %+v", seed, registered, session, shard)
+	}
+}
+
+// TestSessionSurvivesLateRegistration: a process registers its session, ends before the answer, and is
 // back within a second. The first registration is carried out after the second one and takes its place
-// in the records; with the first process's hold it is dropped again. Once the second process
+// in the records; with the first process's lease it is deleted again. Once the second process
 // went on believing itself registered and never owned anything again.
 func TestSessionSurvivesLateRegistration(t *testing.T) {
+	const registrations = 25
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		r := newThreeControllerRegion(ctx, testSettings, 2, 9, testLogger())
+		r := threeControllerRegion(ctx, 2, 9)
 		time.Sleep(20 * time.Second)
-		replaced := 0
-		r.KV.mu.Lock()
-		r.KV.OnWrite = func(key string, _ wire.RawValue) {
-			if key == clusterstate.NodeKey("node-0") && r.KV.lateWrites.random != nil && !time.Now().Before(r.KV.lateWrites.until) {
-				replaced++
-			}
-		}
-		r.KV.mu.Unlock()
-		for seed := range uint64(25) {
+		late := 0
+		r.countLateRegistrations(firstController, &late)
+		for seed := range uint64(registrations) {
 			r.KillController(0)
 			r.KV.DelayWrites(1, time.Now().Add(300*time.Millisecond), seed)
-			r.StartController(0)
+			r.StartController(ctx, 0)
 			time.Sleep(350 * time.Millisecond)
 			r.KillController(0)
-			r.StartController(0)
+			r.StartController(ctx, 0)
 			time.Sleep(25 * time.Second)
-			rows := r.KV.Snapshot()
-			var node clusterstate.NodeRecord
-			var home clusterstate.ShardRecord
-			row, there := rows[clusterstate.NodeKey("node-0")]
-			if there {
-				_ = wire.Decode(row.Value, &node)
-			}
-			_ = wire.Decode(rows[clusterstate.ShardKey(0)].Value, &home)
-			if !there || home.Owner != "node-0" || home.Incarnation != node.Incarnation {
-				t.Errorf("seed %d: session there %v (%+v), its part is %+v", seed, there, node, home)
-			}
+			r.checkRegistered(t, seed)
 		}
-		if replaced < 25 {
-			t.Errorf("only %d registrations", replaced)
+		if late < registrations {
+			t.Errorf("only %d registrations", late)
 		}
-		cancel()
-		r.Wait()
-		time.Sleep(3 * time.Minute)
+		r.end(cancel)
 	})
 }
--- /dev/null
+++ b/internal/simulation/testjobs_test.go
@@ -0,0 +1,105 @@
+package simulation
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"sableusher/internal/wire"
+)
+
+// Machine types that jobs may ask for.
+const typeLarge = "large"
+
+// newSpec is the plain job of a kind: of one GPU and the priority that such jobs have.
+func newSpec(number int, kind string) wire.JobSpec {
+	priorities := map[string]string{
+		wire.KindArray:   wire.PriorityNormal,
+		wire.KindGang:    wire.PriorityHigh,
+		wire.KindService: wire.PriorityProduction,
+	}
+	return wire.JobSpec{
+		ID:          jobID(number),
+		Class:       "c",
+		Team:        "open",
+		Kind:        kind,
+		Priority:    priorities[kind],
+		CPUs:        4,
+		GPUs:        1,
+		MemoryGB:    20,
+		Image:       "img",
+		ImageSizeGB: 1,
+	}
+}
+
+// wholeMachineGang is a gang each of whose tasks takes a large machine.
+func wholeMachineGang(number, tasks int) wire.JobSpec {
+	spec := newSpec(number, wire.KindGang)
+	spec.TaskCount, spec.CPUs, spec.GPUs, spec.MemoryGB = tasks, 32, 4, 200
+	return spec
+}
+
+// randomJob draws a job.
+func randomJob(random *rand.Rand, number int) userJob {
+	spec := wire.JobSpec{
+		ID:                     jobID(number),
+		Class:                  "c",
+		Team:                   randomTeam(random),
+		CPUs:                   4,
+		GPUs:                   1,
+		MemoryGB:               20,
+		Image:                  fmt.Sprintf("img-%d", random.IntN(3)),
+		ImageSizeGB:            2,
+		RuntimeEstimateSeconds: 15,
+	}
+	var cancelAfter time.Duration
+	if random.IntN(5) == 0 {
+		cancelAfter = seconds(random, 60)
+	}
+	switch random.IntN(3) {
+	case 0:
+		randomArray(random, &spec)
+	case 1:
+		randomGang(random, &spec)
+	case 2:
+		randomService(random, &spec)
+		cancelAfter = time.Minute + seconds(random, 200)
+	}
+	if random.IntN(8) == 0 && !spec.Spread {
+		spec.Zone = randomControllerZone(random)
+	}
+	if random.IntN(8) == 0 {
+		spec.MachineTypes = []string{typeLarge}
+	}
+	return userJob{spec: spec, runSeconds: float64(5 + random.IntN(30)), cancelAfter: cancelAfter}
+}
+
+func randomTeam(random *rand.Rand) string { return []string{"open", "bound"}[random.IntN(2)] }
+
+// randomControllerZone draws a zone with a controller.
+func randomControllerZone(random *rand.Rand) string { return testZones[random.IntN(2)] }
+
+func randomArray(random *rand.Rand, spec *wire.JobSpec) {
+	spec.Kind, spec.Priority = wire.KindArray, wire.PriorityNormal
+	spec.TaskCount = 1 + random.IntN(6)
+	spec.AllowSpot = random.IntN(2) == 0
+	spec.SameZone = random.IntN(3) == 0
+	if random.IntN(2) == 0 {
+		spec.CheckpointIntervalSeconds, spec.CheckpointSaveSeconds = 5, 2
+	}
+}
+
+func randomGang(random *rand.Rand, spec *wire.JobSpec) {
+	spec.Kind, spec.Priority = wire.KindGang, wire.PriorityHigh
+	spec.TaskCount = 1 + random.IntN(2)
+	spec.CPUs, spec.GPUs = 16, 2
+	spec.SameZone = random.IntN(2) == 0
+	spec.CheckpointIntervalSeconds, spec.CheckpointSaveSeconds = 5, 2
+}
+
+func randomService(random *rand.Rand, spec *wire.JobSpec) {
+	spec.Kind, spec.Priority = wire.KindService, wire.PriorityProduction
+	spec.TaskCount = 1 + random.IntN(3)
+	spec.Spread = random.IntN(2) == 0
+	spec.RuntimeEstimateSeconds = 0
+}
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -3,11 +3,7 @@
 import (
 	"context"
 	"fmt"
-	"io"
-	"log/slog"
 	"math/rand/v2"
-	"os"
-	"strconv"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -19,179 +15,234 @@
 	"sableusher/internal/wire"
 )
 
-// randomJobGraph draws a pipeline: each job awaits some of those before it.
-func randomJobGraph(rnd *rand.Rand, first, jobs int) []wire.JobSpec {
-	var out []wire.JobSpec
-	for i := range jobs {
-		s := wire.JobSpec{ID: fmt.Sprintf("run-%06d", first+i), Class: fmt.Sprintf("p%d", i%4), Team: []string{"open", "bound"}[rnd.IntN(2)],
-			Kind: wire.KindArray, Priority: wire.PriorityLow, TaskCount: 1 + rnd.IntN(8), CPUs: 1, MemoryGB: 4, Image: fmt.Sprintf("img-%d", rnd.IntN(3)),
-			ImageSizeGB: 1, RuntimeEstimateSeconds: 8, AllowSpot: rnd.IntN(2) == 0}
-		if rnd.IntN(4) == 0 {
-			s.Kind, s.TaskCount, s.SameZone = wire.KindGang, 1+rnd.IntN(3), true
-		}
-		for k := range i {
-			if rnd.IntN(3) == 0 || k == i-1 && rnd.IntN(2) == 0 {
-				s.Dependencies = append(s.Dependencies, out[k].ID)
-			}
-		}
-		if i == jobs-1 {
-			s.Priority, s.DeadlineSeconds = wire.PriorityHigh, 120
-		}
-		out = append(out, s)
-	}
-	return out
+const (
+	// maxRecordBytes is the largest value under the lowered limits.
+	maxRecordBytes = 2048
+	// maxOversizeRequests may be on their way when the limits fall, or if activation is late.
+	maxOversizeRequests = 40
+	firstGraphJob       = 101
+)
+
+// loweredLimits are those that the key-value store's limits fall to.
+var loweredLimits = config.StateLimits{WriteRPS: 56, ValueKB: 2, TxnOps: 10}
+
+// upgradeSettings announce the lowered limits.
+func upgradeSettings(index int) *config.Settings {
+	settings := testSettings(index)
+	limits := loweredLimits
+	settings.Deployment.State.Next = &limits
+	return settings
 }
 
-// submitGraph plays a pipeline's user: each job is submitted once those that it
-// awaits are accepted.
-func (r *Region) submitGraph(ctx context.Context, specs []wire.JobSpec, cancel map[string]time.Duration) {
-	for _, s := range specs {
-		r.wg.Go(func() {
-			for !r.Checker.AllAccepted(s.Dependencies) {
-				time.Sleep(200 * time.Millisecond)
-				if ctx.Err() != nil {
-					return
-				}
-			}
-			r.SimulateUser(ctx, s, 6, cancel[s.ID])
+// upgradeDay is a day on which controllers of the version before are replaced
+// one by one, with crashes and cuts, then job graphs come and the key-value store's
+// limits fall.
+type upgradeDay struct {
+	seed      uint64
+	random    *rand.Rand
+	region    *Region
+	activated bool   // the newest schema version; the store's lock guards it
+	lastOfAll string // the last job of the graphs
+}
+
+// TestUpgradeDays drives job graphs, a rolling upgrade and falling limits through
+// generated days. UPGRADE_DAYS plays more of them.
+func TestUpgradeDays(t *testing.T) {
+	for seed := range uint64(environmentInt("UPGRADE_DAYS", 5)) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				day := upgradeDay{seed: seed + 1, random: newRandom(seed+1, streamUpgradeDay)}
+				day.simulate(t)
+			})
 		})
 	}
 }
 
-// simulateUpgradeDay plays a day on which controllers of the version before are replaced
-// one by one, with crashes and cuts, then pipelines come and the state service's
-// limits fall.
-func simulateUpgradeDay(t *testing.T, seed uint64) {
-	rnd := rand.New(rand.NewPCG(seed, 17))
+func (d *upgradeDay) simulate(t *testing.T) {
+	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	var out io.Writer = io.Discard
-	if os.Getenv("STANDIN_LOG") != "" {
-		out = os.Stderr
+	d.region = testRegion{
+		settings:        upgradeSettings,
+		capacityPerKind: 12,
+		random:          newRandom(d.seed, streamUpgradeRegion),
+	}.start(ctx)
+	d.region.KV.OnWrite = d.checkWrite
+	for i := range threeControllers {
+		d.region.AddStoppedController(upgradeSettings(i), 0)
+		d.region.StartController(ctx, i)
+	}
+	d.submitLastingJobs(ctx)
+	time.Sleep(30 * time.Second)
+	d.replaceControllers(ctx)
+	d.submitGraphs(ctx)
+	time.Sleep(seconds(d.random, 20))
+	d.region.KV.LowerLimits(loweredLimits)
+	d.submitWideGangs(ctx)
+	for range 4 {
+		time.Sleep(secondsBetween(d.random, 1, 15))
+		d.region.injectRandomFault(ctx, d.random)
 	}
-	log := slog.New(slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	settings := func(i int) *config.Settings {
-		s := testSettings(i)
-		s.Deployment.State.Next = &config.StateLimits{WriteRPS: 56, ValueKB: 2, TxnOps: 10}
-		return s
+	d.region.waitUntil(90, func() bool {
+		return len(d.region.Checker.UnfinishedJobs()) == 0 && d.region.Checker.AllAccepted([]string{d.lastOfAll})
+	})
+	time.Sleep(60 * time.Second)
+	unfinished, activated := d.region.Checker.UnfinishedJobs(), d.activated
+	size, key := d.region.KV.LargestValue("s/")
+	d.region.end(cancel)
+	checkViolations(t, d.region)
+	checkFinished(t, unfinished)
+	if !activated {
+		t.Error("the newest schema version was never activated")
+	}
+	if size > maxRecordBytes {
+		t.Errorf("%s still takes %d bytes", key, size)
 	}
-	r := NewRegion(ctx, settings(0), testTypes, 12, rand.New(rand.NewPCG(seed, 18)), log)
-	active := false
-	r.KV.OnWrite = func(key string, v wire.RawValue) {
-		var job clusterstate.JobRecord
-		switch {
-		case key == clusterstate.SchemaVersionKey:
-			active = true
-			for _, c := range r.controllers {
-				if c.SchemaVersion < tuning.LevelPipelines {
-					r.KV.Violations = append(r.KV.Violations, "activated while "+c.Settings.Node+" was old")
-				}
-			}
-		case strings.HasPrefix(key, "s/u/") && !active, strings.HasPrefix(key, "s/catalog/") && !active:
-			r.KV.Violations = append(r.KV.Violations, "new form before activation: "+key)
-		case strings.HasPrefix(key, "s/j/"):
-			if wire.Decode(v, &job) == nil && !active && (job.ChunkWidth > 0 || len(job.Groups) > 0 || len(job.Spec.Dependencies) > 0) {
-				r.KV.Violations = append(r.KV.Violations, "new form before activation: "+key)
+	if d.region.KV.OversizeRequests > maxOversizeRequests {
+		t.Errorf("%d requests refused for their size", d.region.KV.OversizeRequests)
+	}
+}
+
+// checkWrite checks that nothing of the newest form is written before it is activated, and that it is not
+// activated while a controller can't read it.
+func (d *upgradeDay) checkWrite(key string, value wire.RawValue) {
+	kv := d.region.KV
+	switch {
+	case key == clusterstate.SchemaVersionKey:
+		d.activated = true
+		for _, controller := range d.region.controllers {
+			if controller.SchemaVersion < tuning.LevelPipelines {
+				kv.Violations = append(kv.Violations, "activated while "+controller.Settings.Node+" was old")
 			}
 		}
+	case d.activated:
+	case strings.HasPrefix(key, "s/u/"), strings.HasPrefix(key, "s/catalog/"),
+		strings.HasPrefix(key, "s/j/") && isNewForm(value):
+		kv.Violations = append(kv.Violations, "new form before activation: "+key)
 	}
-	for i := range 3 {
-		r.controllers = append(r.controllers, &Controller{Settings: settings(i), Address: settings(i).Listen})
-		r.StartController(i)
-	}
-	// Work that lasts through the upgrade, with records that outgrow what is to come.
+}
+
+// isNewForm tells whether a job's record has what only the newest form has.
+func isNewForm(value wire.RawValue) bool {
+	var job clusterstate.JobRecord
+	return wire.Decode(value, &job) == nil &&
+		(job.ChunkWidth > 0 || len(job.Groups) > 0 || len(job.Spec.Dependencies) > 0)
+}
+
+// submitLastingJobs submits work that lasts through the upgrade, with records that outgrow what is to come.
+func (d *upgradeDay) submitLastingJobs(ctx context.Context) {
 	for i := range 16 {
-		spec, run, stop := testSpec(rnd, i+1)
-		at := time.Duration(rnd.IntN(90)) * time.Second
+		job := randomJob(d.random, i+1)
+		delay := seconds(d.random, 90)
 		if i < 3 {
-			spec, run, stop, at = wire.JobSpec{ID: spec.ID, Class: "wide", Team: "open", Kind: wire.KindArray, Priority: wire.PriorityNormal,
-				TaskCount: 90 + 90*i, CPUs: 0.5, MemoryGB: 2, Image: "img-0", ImageSizeGB: 1, RuntimeEstimateSeconds: 100}, 130, time.Duration(i/2)*100*time.Second, 5*time.Second
+			spec := newSpec(i+1, wire.KindArray)
+			spec.Class, spec.Image, spec.TaskCount = "wide", "img-0", 90+90*i
+			spec.CPUs, spec.GPUs, spec.MemoryGB, spec.RuntimeEstimateSeconds = 0.5, 0, 2, 100
+			job = userJob{spec, 130, time.Duration(i/2) * 100 * time.Second}
+			delay = 5 * time.Second
 		}
-		r.wg.Go(func() {
-			time.Sleep(at)
-			r.SimulateUser(ctx, spec, run, stop)
-		})
+		d.region.SimulateUserAfter(ctx, delay, job)
 	}
-	time.Sleep(30 * time.Second)
-	for _, i := range rnd.Perm(3) {
+}
+
+// replaceControllers replaces the controllers in a drawn order by those of the newest version.
+func (d *upgradeDay) replaceControllers(ctx context.Context) {
+	r := d.region
+	for _, i := range d.random.Perm(threeControllers) {
 		r.KillController(i)
-		if rnd.IntN(3) == 0 { // another ends as well, and comes back as what it was
-			j := (i + 1) % 3
-			r.KillController(j)
-			r.wg.Go(func() {
-				time.Sleep(4 * time.Second)
-				r.StartController(j)
-			})
+		if oneInThree(d.random) { // another ends as well, and comes back as what it was
+			other := (i + 1) % threeControllers
+			r.KillController(other)
+			r.StartControllerAfter(ctx, other, 4*time.Second)
 		}
 		time.Sleep(5 * time.Second)
 		r.controllers[i].SchemaVersion = tuning.Level
-		r.StartController(i)
-		if rnd.IntN(3) == 0 {
-			r.Network.AddPartition(Partition{From: r.controllers[rnd.IntN(3)].Settings.Node, To: "state", DeliverLate: rnd.IntN(2) == 0, Until: time.Now().Add(time.Duration(4+rnd.IntN(10)) * time.Second)})
+		r.StartController(ctx, i)
+		if oneInThree(d.random) {
+			partition := Partition{From: r.ControllerName(d.random.IntN(threeControllers)), To: hostKV}
+			partition.DeliverLate = oneInTwo(d.random)
+			partition.Until = time.Now().Add(secondsBetween(d.random, 4, 10))
+			r.Network.AddPartition(partition)
 		}
-		time.Sleep(time.Duration(4+rnd.IntN(8)) * time.Second)
+		time.Sleep(secondsBetween(d.random, 4, 8))
 	}
-	first := 101
+}
+
+// submitGraphs submits four job graphs, in half of which one job is cancelled.
+func (d *upgradeDay) submitGraphs(ctx context.Context) {
+	first := firstGraphJob
 	for range 4 {
-		specs := randomJobGraph(rnd, first, 4+rnd.IntN(6))
+		specs := randomJobGraph(d.random, first, 4+d.random.IntN(6))
 		first += len(specs)
-		stops := map[string]time.Duration{}
-		if rnd.IntN(2) == 0 {
-			stops[specs[rnd.IntN(len(specs))].ID] = time.Duration(1+rnd.IntN(30)) * time.Second
+		cancelAfter := map[string]time.Duration{}
+		if oneInTwo(d.random) {
+			cancelled := specs[d.random.IntN(len(specs))].ID
+			cancelAfter[cancelled] = secondsBetween(d.random, 1, 30)
 		}
-		r.submitGraph(ctx, specs, stops)
+		d.region.submitGraph(ctx, specs, cancelAfter)
 	}
-	time.Sleep(time.Duration(rnd.IntN(20)) * time.Second)
-	r.KV.LowerLimits(56, 10, 2)
-	// Gangs of tiny tasks: one that takes most of a transaction, one that takes
-	// several. They take long to play, so one day has them.
-	for i, tasks := range []int{200, 500} {
-		wide := wire.JobSpec{ID: fmt.Sprintf("run-%06d", 90+i), Class: "wide", Team: "open", Kind: wire.KindGang, Priority: wire.PriorityNormal,
-			TaskCount: tasks, CPUs: 0.05, MemoryGB: 0.1, Image: "img-0", ImageSizeGB: 1, RuntimeEstimateSeconds: 10}
-		if seed == 1 {
-			r.wg.Go(func() { r.SimulateUser(ctx, wide, 10, 0) })
-		}
+	d.lastOfAll = jobID(first - 1)
+}
+
+// submitWideGangs submits gangs of tiny tasks: one that takes most of a transaction, one that takes
+// several. They take long to play, so one day has them.
+func (d *upgradeDay) submitWideGangs(ctx context.Context) {
+	if d.seed != 1 {
+		return
 	}
-	for range 4 {
-		time.Sleep(time.Duration(1+rnd.IntN(15)) * time.Second)
-		log.Info("TROUBLE", "what", injectRandomFault(r, rnd))
+	for i, tasks := range []int{200, 500} {
+		spec := newSpec(90+i, wire.KindGang)
+		spec.Class, spec.Image, spec.Priority, spec.TaskCount = "wide", "img-0", wire.PriorityNormal, tasks
+		spec.CPUs, spec.GPUs, spec.MemoryGB, spec.RuntimeEstimateSeconds = 0.05, 0, 0.1, 10
+		d.region.wg.Go(func() { d.region.SimulateUser(ctx, userJob{spec: spec, runSeconds: 10}) })
 	}
-	for range 90 {
-		time.Sleep(5 * time.Second)
-		if len(r.Checker.UnfinishedJobs()) == 0 && r.Checker.AllAccepted([]string{fmt.Sprintf("run-%06d", first-1)}) {
-			break
+}
+
+// randomJobGraph draws a job graph: each job awaits some of those before it.
+func randomJobGraph(random *rand.Rand, first, jobs int) []wire.JobSpec {
+	var specs []wire.JobSpec
+	for i := range jobs {
+		spec := wire.JobSpec{
+			ID:                     jobID(first + i),
+			Class:                  fmt.Sprintf("p%d", i%4),
+			Team:                   randomTeam(random),
+			Kind:                   wire.KindArray,
+			Priority:               wire.PriorityLow,
+			TaskCount:              1 + random.IntN(8),
+			CPUs:                   1,
+			MemoryGB:               4,
+			Image:                  fmt.Sprintf("img-%d", random.IntN(3)),
+			ImageSizeGB:            1,
+			RuntimeEstimateSeconds: 8,
+			AllowSpot:              oneInTwo(random),
 		}
+		if random.IntN(4) == 0 {
+			spec.Kind, spec.TaskCount, spec.SameZone = wire.KindGang, 1+random.IntN(3), true
+		}
+		for k := range i {
+			if oneInThree(random) || k == i-1 && oneInTwo(random) {
+				spec.Dependencies = append(spec.Dependencies, specs[k].ID)
+			}
+		}
+		if i == jobs-1 {
+			spec.Priority, spec.DeadlineSeconds = wire.PriorityHigh, 120
+		}
+		specs = append(specs, spec)
 	}
-	time.Sleep(60 * time.Second)
-	left, level := r.Checker.UnfinishedJobs(), active
-	size, key := r.KV.LargestValue("s/")
-	cancel()
-	r.Wait()
-	time.Sleep(3 * time.Minute)
-	if len(r.Checker.Violations)+len(r.KV.Violations) > 0 {
-		t.Errorf("broken:\n%s\n%s", strings.Join(r.Checker.Violations, "\n"), strings.Join(r.KV.Violations, "\n"))
-	}
-	if len(left) > 0 || !level {
-		t.Errorf("never finished: %v; activated: %v", left, level)
-	}
-	if size > 2048 {
-		t.Errorf("%s still takes %d bytes", key, size)
-	}
-	// Some requests were on their way when the limits fell, or activation was late.
-	if r.KV.OversizeRequests > 40 {
-		t.Errorf("%d requests refused for their size", r.KV.OversizeRequests)
-	}
+	return specs
 }
 
-// TestUpgradeDays drives pipelines, a rolling upgrade and falling limits through
-// generated days. UPGRADE_DAYS plays more of them.
-func TestUpgradeDays(t *testing.T) {
-	days := 5
-	if n, err := strconv.Atoi(os.Getenv("UPGRADE_DAYS")); err == nil {
-		days = n
-	}
-	for seed := range uint64(days) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { simulateUpgradeDay(t, seed+1) })
+// submitGraph plays a job graph's user: each job is submitted once those that it
+// awaits are accepted.
+func (r *Region) submitGraph(ctx context.Context, specs []wire.JobSpec, cancelAfter map[string]time.Duration) {
+	for _, spec := range specs {
+		r.wg.Go(func() {
+			for !r.Checker.AllAccepted(spec.Dependencies) {
+				time.Sleep(200 * time.Millisecond)
+				if ctx.Err() != nil {
+					return
+				}
+			}
+			r.SimulateUser(ctx, userJob{spec, 6, cancelAfter[spec.ID]})
 		})
 	}
 }
--- a/internal/simulation/zonepower_test.go
+++ b/internal/simulation/zonepower_test.go
@@ -1,14 +1,10 @@
 package simulation
 
 import (
-	"bufio"
 	"context"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"os"
-	"regexp"
-	"strconv"
 	"strings"
 	"testing"
 	"testing/synctest"
@@ -17,36 +13,23 @@
 	"sableusher/internal/wire"
 )
 
-// environmentInt reads a size from the environment, for longer runs by hand.
-func environmentInt(name string, otherwise int) int {
-	if n, err := strconv.Atoi(os.Getenv(name)); err == nil {
-		return n
-	}
-	return otherwise
+// powerLoss is a day on which the power of a zone goes, for a while.
+type powerLoss struct {
+	random   *rand.Rand
+	region   *Region
+	zone     string
+	delay    time.Duration // after the replicas have started
+	duration time.Duration
+	machines int
 }
 
-var deletionLogPattern = regexp.MustCompile(`msg="deleting a machine" node=(\S+) machine=\S+ why="silent for [^,]*, (service|gang|array|holds)`)
+// replicaStartTime is when all replicas must have started.
+const replicaStartTime = 100 * time.Second
 
-// outOfOrderDeletions finds deletions that one node decided in one look, but not in the order of the plan:
-// services, gangs, arrays, nothing.
-func (l *logBuffer) outOfOrderDeletions() (out []string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	place := map[string]int{"service": 0, "gang": 1, "array": 2, "holds": 3}
-	before := map[string]string{} // the last line's kind, by node and time
-	for lines := bufio.NewScanner(&l.buf); lines.Scan(); {
-		m := deletionLogPattern.FindStringSubmatch(lines.Text())
-		if m == nil {
-			continue
-		}
-		look := m[1] + " " + strings.Fields(lines.Text())[0]
-		if old, ok := before[look]; ok && place[m[2]] < place[old] {
-			out = append(out, lines.Text())
-		}
-		before[look] = m[2]
-	}
-	return out
-}
+// services is how many there are, of six replicas that take half a machine each.
+func (d *powerLoss) services() int { return d.machines / 9 }
+
+func (d *powerLoss) replicas() int { return 6 * d.services() }
 
 // TestZoneLosesPower: the power of a zone goes at a drawn moment, for minutes, and comes back;
 // one machine in five does not. Its machines return with new sessions and without images, its
@@ -55,86 +38,115 @@
 // the zone is still away, and again after its return; users are answered meanwhile; no rule
 // breaks and every job ends once. ZONE_MACHINES and ZONE_MOMENTS play it larger and more often.
 func TestZoneLosesPower(t *testing.T) {
-	moments := environmentInt("ZONE_MOMENTS", 2)
-	for i := range moments {
-		rnd := rand.New(rand.NewPCG(uint64(i), 41))
-		zone := []string{"north", "east", "west"}[i%3]
-		at, away := time.Duration(rnd.IntN(30_000))*time.Millisecond, time.Duration(10+rnd.IntN(590))*time.Second
+	for i := range environmentInt("ZONE_MOMENTS", 2) {
+		random := newRandom(uint64(i), streamPowerLoss)
+		day := powerLoss{
+			random:   random,
+			zone:     []string{zoneNorth, zoneEast, zoneWest}[i%3],
+			delay:    milliseconds(random, 30_000),
+			duration: secondsBetween(random, 10, 590),
+			machines: environmentInt("ZONE_MACHINES", 60),
+		}
 		if i < 2 {
-			away = []time.Duration{10 * time.Minute, 12 * time.Second}[i] // past all leases, and within them
+			day.duration = []time.Duration{10 * time.Minute, 12 * time.Second}[i] // past all leases, and within them
 		}
-		t.Run(fmt.Sprintf("%s after %v for %v", zone, at, away), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { simulatePowerLoss(t, rnd, zone, at, away) })
+		t.Run(fmt.Sprintf("%s after %v for %v", day.zone, day.delay, day.duration), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { day.simulate(t) })
 		})
 	}
 }
 
-func simulatePowerLoss(t *testing.T, rnd *rand.Rand, zone string, at, away time.Duration) {
+func (d *powerLoss) simulate(t *testing.T) {
+	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	machines := environmentInt("ZONE_MACHINES", 60)
-	var logged logBuffer
+	logged := &logBuffer{}
 	// Of ordinary machines each zone has half as many again as the services take of it, so that
-	// two zones have room for all of them.
-	r := NewRegion(ctx, testSettings(0), testTypes[:1], machines/2, rand.New(rand.NewPCG(rnd.Uint64(), 8)), slog.New(slog.NewTextHandler(&logged, nil)))
-	for i := range 3 {
-		r.AddController(testSettings(i))
+	// two zones have capacity for all of them.
+	d.region = testRegion{
+		machineTypes:    largeMachinesOnly,
+		capacityPerKind: d.machines / 2,
+		random:          newRandom(d.random.Uint64(), streamRegion),
+		log:             logged.logger(slog.LevelInfo),
+	}.startControllers(ctx, threeControllers)
+	d.submitJobs(ctx)
+	time.Sleep(replicaStartTime + d.delay)
+	if up := d.region.runningReplicas(); up < d.replicas() {
+		t.Fatalf("%d of %d replicas before anything happened", up, d.replicas())
 	}
-	services := machines / 9 // of six replicas that take half a machine each
-	full := 6 * services
-	for i := range services {
-		spec := wire.JobSpec{ID: fmt.Sprintf("run-%06d", i+1), Class: "s", Team: "open", Kind: wire.KindService, Priority: wire.PriorityProduction,
-			TaskCount: 6, CPUs: 16, GPUs: 2, MemoryGB: 80, Image: fmt.Sprint("img-", i%5), ImageSizeGB: 2, Spread: true}
-		r.wg.Go(func() { r.SimulateUser(ctx, spec, 5, 100*time.Second+at+away+3*time.Minute) })
+	lost := time.Now()
+	d.region.FailZonePower(ctx, d.zone, lost.Add(d.duration), 5)
+	// A lease must have passed since the last heartbeat; then come the deletions, one after the
+	// other as their pace allows, a start and a fetch.
+	recovery := d.waitForReplicas(t, lost, d.region.Settings.Lease()+45*time.Second)
+	time.Sleep(time.Until(lost.Add(d.duration)))
+	fewest := d.fewestReplicas(30 * time.Second)
+	t.Logf("all %d replicas after %v; at least %d while the zone returned",
+		d.replicas(), recovery.Round(time.Second), fewest)
+	if fewest < d.replicas() {
+		t.Errorf("the zone's return takes replicas: %d of %d", fewest, d.replicas())
 	}
-	for i := range machines / 3 {
-		spec := wire.JobSpec{ID: fmt.Sprintf("run-%06d", services+i+1), Team: "open", AllowSpot: true, Image: "img-0", ImageSizeGB: 2, CheckpointIntervalSeconds: 5, CheckpointSaveSeconds: 1}
-		if i%2 == 0 {
-			spec.Class, spec.Kind, spec.Priority, spec.TaskCount, spec.CPUs, spec.GPUs, spec.MemoryGB = "a", wire.KindArray, wire.PriorityNormal, 4+rnd.IntN(20), 4, 1, 20
-			spec.RuntimeEstimateSeconds = 15
-		} else {
-			spec.Class, spec.Kind, spec.Priority, spec.TaskCount, spec.CPUs, spec.GPUs, spec.MemoryGB = "g", wire.KindGang, wire.PriorityHigh, 1+rnd.IntN(3), 28, 4, 200
-			spec.AllowSpot, spec.SameZone, spec.RuntimeEstimateSeconds = false, true, 30
-		}
-		run, start := 5+20*rnd.Float64(), time.Duration(60+rnd.IntN(80))*time.Second
-		r.wg.Go(func() {
-			time.Sleep(start)
-			r.SimulateUser(ctx, spec, run, 0)
-		})
+	time.Sleep(7 * time.Minute)
+	d.region.end(cancel)
+	lines := logged.lines()
+	checkZoneDay(t, d.region, lines)
+	if deletions := outOfOrderDeletions(lines); len(deletions) > 0 {
+		t.Errorf("not in the order of the plan:\n%s", strings.Join(deletions, "\n"))
+	}
+}
+
+// submitJobs submits services that last past the zone's return, and arrays and gangs that come meanwhile.
+func (d *powerLoss) submitJobs(ctx context.Context) {
+	for i := range d.services() {
+		spec := newSpec(i+1, wire.KindService)
+		spec.Class, spec.TaskCount, spec.Spread = classServices, 6, true
+		spec.CPUs, spec.GPUs, spec.MemoryGB = 16, 2, 80
+		spec.Image, spec.ImageSizeGB = fmt.Sprint("img-", i%5), 2
+		job := userJob{spec, 5, replicaStartTime + d.delay + d.duration + 3*time.Minute}
+		d.region.wg.Go(func() { d.region.SimulateUser(ctx, job) })
 	}
-	time.Sleep(100*time.Second + at)
-	if up := r.runningTasks("s"); up < full {
-		t.Fatalf("%d of %d replicas before anything happened", up, full)
+	for i := range d.machines / 3 {
+		job := d.randomBatchJob(i)
+		d.region.SimulateUserAfter(ctx, secondsBetween(d.random, 60, 80), job)
 	}
-	lost := time.Now()
-	r.FailZonePower(zone, lost.Add(away), 5)
-	// A lease must have passed since the last report; then come the deletions, one after the
-	// other as their pace allows, a start and a fetch.
-	whole := func(since time.Time, limit time.Duration) (took time.Duration) {
-		for time.Since(since) < limit {
-			if r.runningTasks("s") == full {
-				return time.Since(since)
-			}
-			time.Sleep(time.Second)
-		}
-		t.Errorf("%d of %d replicas %v after %v", r.runningTasks("s"), full, limit, since.Sub(lost))
-		return limit
+}
+
+// randomBatchJob draws an array or a gang.
+func (d *powerLoss) randomBatchJob(index int) userJob {
+	number := d.services() + index + 1
+	spec := newSpec(number, wire.KindArray)
+	if index%2 == 0 {
+		spec.Class, spec.TaskCount = "a", 4+d.random.IntN(20)
+		spec.RuntimeEstimateSeconds, spec.AllowSpot = 15, true
+	} else {
+		spec = newSpec(number, wire.KindGang)
+		spec.Class, spec.TaskCount, spec.SameZone = "g", 1+d.random.IntN(3), true
+		spec.CPUs, spec.GPUs, spec.MemoryGB = 28, 4, 200
+		spec.RuntimeEstimateSeconds = 30
 	}
-	out := whole(lost, r.Settings.Lease()+45*time.Second)
-	time.Sleep(time.Until(lost.Add(away)))
-	back := time.Now()
-	least := full
-	for time.Since(back) < 30*time.Second {
-		least = min(least, r.runningTasks("s"))
+	spec.Image, spec.ImageSizeGB = "img-0", 2
+	spec.CheckpointIntervalSeconds, spec.CheckpointSaveSeconds = 5, 1
+	return userJob{spec: spec, runSeconds: 5 + 20*d.random.Float64()}
+}
+
+// waitForReplicas waits until all replicas run, and gives how long that took since a time.
+func (d *powerLoss) waitForReplicas(t *testing.T, since time.Time, limit time.Duration) time.Duration {
+	t.Helper()
+	for time.Since(since) < limit {
+		if d.region.runningReplicas() == d.replicas() {
+			return time.Since(since)
+		}
 		time.Sleep(time.Second)
 	}
-	t.Logf("all %d replicas after %v; at least %d while the zone returned", full, out.Round(time.Second), least)
-	if least < full {
-		t.Errorf("the zone's return takes replicas: %d of %d", least, full)
-	}
-	time.Sleep(7 * time.Minute)
-	cancel()
-	r.checkZoneDay(t, &logged)
-	if d := logged.outOfOrderDeletions(); len(d) > 0 {
-		t.Errorf("not in the order of the plan:\n%s", strings.Join(d, "\n"))
+	t.Errorf("%d of %d replicas after %v", d.region.runningReplicas(), d.replicas(), limit)
+	return limit
+}
+
+// fewestReplicas gives how many replicas ran at the least within a time.
+func (d *powerLoss) fewestReplicas(duration time.Duration) int {
+	start, fewest := time.Now(), d.replicas()
+	for time.Since(start) < duration {
+		fewest = min(fewest, d.region.runningReplicas())
+		time.Sleep(time.Second)
 	}
+	return fewest
 }
