--- a/internal/simulation/logrecorder_test.go
+++ b/internal/simulation/logrecorder_test.go
@@ -12,7 +12,7 @@
 // What the controllers log that the tests look at: messages, and keys of their attributes.
 const (
 	messageSessionOpen     = "session open"
-	messageZoneChanged     = "zone changes"
+	messageZoneChanged     = "zone state changed"
 	messageMachineDeleted  = "deleting a machine"
 	messageChangeApplied   = "change applied"
 	messageTaskBound       = "task bound"
@@ -25,7 +25,7 @@
 	keyState               = "state"
 	keyMachine             = "machine"
 	keyChange              = "change"
-	keyDeletionReason      = "why"
+	keyDeletionReason      = "reason"
 	machineUpChange        = "is up"
 	machineInboundChange   = "hears nothing"
 	machineOutboundChange  = "reaches no node"
