--- a/internal/federation/errors.go
+++ b/internal/federation/errors.go
@@ -10,7 +10,8 @@
 }
 
 func (e *EpochMismatchError) Error() string {
-	return fmt.Sprintf("cell %s: its epoch is %d, not %d: name the epoch that `cell list` shows", e.Cell, e.Known, e.Received)
+	return fmt.Sprintf("cell %s: its epoch is %d, not %d: name the epoch that `cell list` shows",
+		e.Cell, e.Known, e.Received)
 }
 
 // NotLostError reports that an operator asked to forget a cell that may still be heard.
--- a/internal/federation/member.go
+++ b/internal/federation/member.go
@@ -73,6 +73,12 @@
 	if recent && observed.Epoch == m.Epoch && observed.InventoryExchanged {
 		m.InventoryExchanged = true
 	}
+	return m.stepWithinEpoch(now, observed, valid)
+}
+
+// stepWithinEpoch is Step for a member that is named, not forgotten and of which no new epoch is heard. valid
+// tells whether it has been heard recently, under an epoch that counts.
+func (m Member) stepWithinEpoch(now time.Time, observed Observation, valid bool) Member {
 	switch m.Standing {
 	case StandingUnknown, StandingRemoved:
 		return m.stepUnheard(now, valid)
--- a/internal/federation/standing.go
+++ b/internal/federation/standing.go
@@ -18,7 +18,8 @@
 
 // AllStandings lists all standings.
 var AllStandings = []Standing{
-	StandingUnknown, StandingJoined, StandingSuspected, StandingLost, StandingDraining, StandingReturning, StandingRemoved,
+	StandingUnknown, StandingJoined, StandingSuspected, StandingLost,
+	StandingDraining, StandingReturning, StandingRemoved,
 }
 
 // standingNames are also values of a label of the metric sableusher_cell_standing, and therefore fixed.
