--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -113,12 +113,12 @@
 	}
 }
 
-// Run holds rounds after changes, and now and then without, until ctx ends.
+// Run runs a scheduling cycle after each change, and every tuning.PlaceIdle without one, until ctx ends. It returns
+// once all that the cycles have started has ended.
 func (e *Engine) Run(ctx context.Context) error {
-	var wg sync.WaitGroup
-	defer wg.Wait()
+	var running sync.WaitGroup
+	defer running.Wait()
 	clusterChanged := e.cluster.Subscribe()
-	cycleDuration := time.Duration(0)
 	idle := time.NewTimer(tuning.PlaceIdle)
 	defer idle.Stop()
 	for {
@@ -131,21 +131,21 @@
 		case <-idle.C:
 		}
 		start := time.Now()
-		e.runCycle(ctx, start, &wg)
-		cycleDuration = time.Since(start)
+		e.runCycle(ctx, start, &running)
+		cycleDuration := time.Since(start)
 		idle.Reset(tuning.PlaceIdle)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		// Rounds that cost much come less often, so that reports, polls and
-		// sessions keep their share of the processor.
+		// Cycles that cost much come less often, so that heartbeats, polls and sessions keep their share of the
+		// processor.
 		case <-time.After(max(e.cycleInterval(), tuning.PlaceRest*cycleDuration)):
 		}
 	}
 }
 
-// cycleInterval is the shortest time between two rounds. A round costs what the fleet is large, so
-// that beyond some size they come less often instead of costing more a second.
+// cycleInterval is the shortest time between two cycles. A cycle costs the more the larger the cluster is, so beyond
+// some size cycles come less often instead of costing more a second.
 func (e *Engine) cycleInterval() time.Duration {
 	e.cluster.RLock()
 	machineCount := len(e.cluster.Machines)
@@ -154,6 +154,7 @@
 	return min(max(tuning.PlaceGap, interval), tuning.PlaceGapMax)
 }
 
+// wake asks for a cycle soon.
 func (e *Engine) wake() {
 	select {
 	case e.wakeup <- struct{}{}:
@@ -166,7 +167,7 @@
 func (e *Engine) runCycle(ctx context.Context, now time.Time, running *sync.WaitGroup) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	c := e.planCycle(now, e.log.Enabled(ctx, slog.LevelDebug))
+	c := e.planCycle(ctx, now)
 	for _, call := range c.backgroundCalls {
 		running.Go(func() { call(ctx) })
 	}
@@ -178,7 +179,7 @@
 
 // planCycle takes in what has changed and decides on everything that a cycle does. It writes nothing: the changes and
 // calls that it has decided on are in the cycle.
-func (e *Engine) planCycle(now time.Time, logsWaiting bool) *cycle {
+func (e *Engine) planCycle(ctx context.Context, now time.Time) *cycle {
 	heardMachines := e.agents.TakeUpdatedMachines()
 	e.cluster.RLock()
 	defer e.cluster.RUnlock()
@@ -188,7 +189,7 @@
 		e.inventoryCache.toRefresh.addAll(names)
 	}
 	c := e.newCycle(now)
-	c.logsWaiting = logsWaiting
+	c.logsWaiting = e.log.Enabled(ctx, slog.LevelDebug)
 	c.adoptMachines()
 	if now.Sub(e.lastSweep) >= tuning.SweepEvery {
 		e.lastSweep = now
@@ -228,7 +229,7 @@
 	}
 }
 
-// Demand is what could not be placed, for the pool.
+// Demand returns what the last cycle that accounted it could not place.
 func (e *Engine) Demand() UnmetDemand {
 	e.mu.Lock()
 	defer e.mu.Unlock()
