--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -206,7 +206,7 @@
 	// it would take the machine's time.
 	for i := range queue {
 		queued := &queue[i]
-		if queued.rank > wire.PriorityHigh.Rank() && !queued.nearDeadline && !queued.key.MissesObjectives {
+		if !isHighPriority(queued.rank) && !queued.nearDeadline && !queued.key.MissesObjectives {
 			c.placeInHomeShard(queued, imageHolders)
 		}
 	}
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -106,3 +106,6 @@
 func (c *cycle) effectiveRank(job *clusterstate.Job) int {
 	return min(job.Spec.Priority.Rank(), max(c.needsOfDependents(job.Spec.ID).rank, wire.PriorityHigh.Rank()))
 }
+
+// isHighPriority reports whether a rank is that of high or production priority: work that doesn't wait for others.
+func isHighPriority(rank int) bool { return rank <= wire.PriorityHigh.Rank() }
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -20,7 +20,7 @@
 	if c.failingJobs[spec.ID] || retrying > 0 && spec.Kind == wire.KindGang {
 		queued.Remaining = 0 // all or none
 	}
-	queued.deferred = c.storeSaturated && queued.rank > wire.PriorityHigh.Rank()
+	queued.deferred = c.storeSaturated && !isHighPriority(queued.rank)
 	if limit, ok := c.quota.Limit(spec.Team); ok {
 		c.applyTeamLimit(queued, limit, usage)
 	}
--- a/internal/scheduler/learner_action.go
+++ b/internal/scheduler/learner_action.go
@@ -3,7 +3,6 @@
 import (
 	"sableusher/internal/clusterstate"
 	"sableusher/internal/learner"
-	"sableusher/internal/wire"
 )
 
 // jobAction is the action of starting a task of a waiting job, by the variables of the paper's job model
@@ -14,6 +13,6 @@
 		Class:       job.Spec.Class,
 		Team:        job.Spec.Team,
 		RunSeconds:  c.learning.runTimes.ExpectedRunSeconds(job.Spec.Class, job.Spec.RuntimeEstimateSeconds),
-		Interactive: c.effectiveRank(job) <= wire.PriorityHigh.Rank(),
+		Interactive: isHighPriority(c.effectiveRank(job)),
 	}
 }
--- a/internal/scheduler/machinerecord.go
+++ b/internal/scheduler/machinerecord.go
@@ -66,7 +66,7 @@
 	for _, binding := range machine.Bindings {
 		if binding.Job.Spec.Kind == wire.KindService {
 			transaction.Priority = kvstore.PriorityUrgent
-		} else if c.effectiveRank(binding.Job) <= wire.PriorityHigh.Rank() {
+		} else if isHighPriority(c.effectiveRank(binding.Job)) {
 			transaction.Priority = max(transaction.Priority, kvstore.PriorityHigh)
 		}
 	}
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -68,7 +68,7 @@
 // of stops, and room would be made twice.
 func (c *cycle) shardRotation(queued *queuedJob) int {
 	since, ok := c.demand.unplacedSince[queued.job.Spec.ID]
-	if !ok || queued.rank > wire.PriorityHigh.Rank() {
+	if !ok || !isHighPriority(queued.rank) {
 		return 0
 	}
 	return int(c.now.Sub(since) / tuning.PreemptTurn)
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -1,8 +1,6 @@
 package scheduler
 
-import (
-	"testing"
-)
+import "testing"
 
 // TestSettledMachinesAreLeftAlone: a round looks only at machines of which
 // something new is known.
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -173,7 +173,7 @@
 	picks := c.inventory.Allocate(&queued.Request, candidates, zones, func(candidate *binpack.MachineInfo) bool {
 		return candidate.Machine.Shard != queued.homeShard
 	})
-	if len(picks) > 0 && (queued.rank <= wire.PriorityHigh.Rank() || c.homeOwnerTimedOut(queued)) {
+	if len(picks) > 0 && (isHighPriority(queued.rank) || c.homeOwnerTimedOut(queued)) {
 		c.bindToOwnMachines(queued, chunk, picks)
 	}
 }
@@ -196,7 +196,7 @@
 	if spec.Kind == wire.KindGang && spec.TaskCount > 1 {
 		return false
 	}
-	return queued.withinGuarantee || queued.rank <= wire.PriorityHigh.Rank()
+	return queued.withinGuarantee || isHighPriority(queued.rank)
 }
 
 // preemptForTasks stops other work for the first of a job's missing tasks, until there is no shard left in
--- a/internal/scheduler/taskchange.go
+++ b/internal/scheduler/taskchange.go
@@ -155,7 +155,7 @@
 	switch {
 	case job.Spec.Priority == wire.PriorityProduction:
 		return kvstore.PriorityUrgent
-	case c.effectiveRank(job) <= wire.PriorityHigh.Rank():
+	case isHighPriority(c.effectiveRank(job)):
 		return kvstore.PriorityHigh
 	default:
 		return kvstore.PriorityNormal
