--- a/internal/membership/store_test.go
+++ b/internal/membership/store_test.go
@@ -14,6 +14,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"sableusher/internal/clusterstate"
+	"sableusher/internal/config"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/membership"
 	"sableusher/internal/record"
@@ -61,11 +62,13 @@
 
 func startNode(t *testing.T) *testNode {
 	t.Helper()
-	const writesPerSecond, maxOps, maxValueKiB, maxEvents = 1000, 32, 16, 1000
+	const writesPerSecond, maxOps, maxValueKiB = 1000, 32, 16
 	logger := slog.New(slog.DiscardHandler)
 	node := &testNode{
-		name:  "node-0",
-		store: simulation.NewFakeKV(writesPerSecond, writesPerSecond, maxOps, maxValueKiB, maxEvents),
+		name: "node-0",
+		store: simulation.NewFakeKV(config.StateLimits{
+			RPS: writesPerSecond, WriteRPS: writesPerSecond, TxnOps: maxOps, ValueKB: maxValueKiB,
+		}),
 		state: clusterstate.New(1, logger),
 	}
 	node.transport = &storeTransport{store: node.store}
