--- a/internal/scheduler/chunkedit.go
+++ b/internal/scheduler/chunkedit.go
@@ -77,8 +77,3 @@
 
 // maxBindingBytes is the most that binding a task to a machine adds to its chunk, as JSON.
 func maxBindingBytes(machine string) int { return len(machine) + tuning.TaskBytes/2 }
-
-// usage is what a team's tasks of a shard take, those in flight included.
-func (c *cycle) usage(shard int, team string) record.Resources {
-	return c.cluster.UsageByShard[shard][team].Plus(c.inFlight.byTeam[shard][team])
-}
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -65,6 +65,11 @@
 	u.tasksByJob[binding.task.JobID]++
 }
 
+// usage is what a team's tasks of a shard take, those in flight included.
+func (c *cycle) usage(shard int, team string) record.Resources {
+	return c.cluster.UsageByShard[shard][team].Plus(c.inFlight.byTeam[shard][team])
+}
+
 // preemptionProgress is what a cycle has done to make capacity by stopping tasks.
 type preemptionProgress struct {
 	machines int                                        // on which tasks are stopped in this cycle
--- a/internal/scheduler/taskchange.go
+++ b/internal/scheduler/taskchange.go
@@ -45,12 +45,12 @@
 // taskChange is the change of some chunks of a job while it is put together.
 type taskChange struct {
 	*recordChange
-	job          *clusterstate.Job
-	modRevisions map[string]uint64 // that the change rests on, by key
-	shardsOf     map[int]bool      // whose ownership the change rests on
-	doneCount    int               // tasks of the job that are done once the change is applied
-	boundCount   int               // tasks of the job that are bound then
-	writesOwn    bool              // the change writes the job's own record
+	job            *clusterstate.Job
+	modRevisions   map[string]uint64 // that the change rests on, by key
+	involvedShards map[int]bool      // whose ownership the change rests on
+	doneCount      int               // tasks of the job that are done once the change is applied
+	boundCount     int               // tasks of the job that are bound then
+	writesOwn      bool              // the change writes the job's own record
 }
 
 // changeTasks adds the change that makes some edits of a job's chunks. It ends the job where that is its last change.
@@ -60,12 +60,12 @@
 		job = c.markedFailed(job)
 	}
 	change := &taskChange{
-		recordChange: &recordChange{kind: changeOfTasks, subject: job.Spec.ID},
-		job:          job,
-		modRevisions: map[string]uint64{},
-		shardsOf:     map[int]bool{},
-		doneCount:    job.DoneCount,
-		boundCount:   job.BoundCount,
+		recordChange:   &recordChange{kind: changeOfTasks, subject: job.Spec.ID},
+		job:            job,
+		modRevisions:   map[string]uint64{},
+		involvedShards: map[int]bool{},
+		doneCount:      job.DoneCount,
+		boundCount:     job.BoundCount,
 	}
 	for _, edit := range edits {
 		change.include(edit)
@@ -90,7 +90,7 @@
 		t.count(t.job.Task(taskIndex), -1)
 		t.count(task, 1)
 	}
-	maps.Copy(t.shardsOf, edit.shards)
+	maps.Copy(t.involvedShards, edit.shards)
 	for _, condition := range t.job.ChunkConditions(edit.chunk) {
 		t.modRevisions[condition.Key] = condition.ModRevision
 	}
@@ -135,7 +135,7 @@
 // addConditions guards a change by the records that it rests on and by the ownership of its shards. A gang's machine
 // may be in another node's shard: there the change holds while that node owns it.
 func (c *cycle) addConditions(change *taskChange) {
-	for _, shard := range slices.Sorted(maps.Keys(change.shardsOf)) {
+	for _, shard := range slices.Sorted(maps.Keys(change.involvedShards)) {
 		modRevision, owned := c.shards.revisions[shard]
 		if owned {
 			change.shards = append(change.shards, shard)
