--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -84,7 +84,15 @@
 	scaler := store.newAutoscaler(&c, members, engine)
 	dependencies := dependency.NewResolver(state, client, logger)
 	versions := store.newActivator(&c, members)
-	offloads := offload.New(operator, settings.Deployment.Teams, state, members, committer, peers, logger)
+	offloads := offload.New(offload.Config{
+		Operator:     operator,
+		Teams:        settings.Deployment.Teams,
+		ClusterState: state,
+		Ownership:    members,
+		Committer:    committer,
+		Transport:    peers,
+		Logger:       logger,
+	})
 	if len(operator.Cells) > 0 {
 		peers.SetCellHandler(offloads.Answer)
 	}
--- /dev/null
+++ b/internal/offload/answer.go
@@ -0,0 +1,200 @@
+package offload
+
+import (
+	"cmp"
+	"context"
+	"slices"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/config"
+	"sableusher/internal/federation"
+	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
+	"sableusher/internal/tuning"
+)
+
+// hostView is what this cell holds of the jobs of another one.
+type hostView struct {
+	transfers federation.HostTransfers
+	jobs      map[uint64]*clusterstate.Job // those that have not ended, by the number of the transfer
+	outcomes  map[uint64]clusterstate.GuestOutcome
+}
+
+// hostViewOf returns what is held of a cell's jobs. Callers hold the lock of the cluster state.
+func (o *Offloader) hostViewOf(cell string) hostView {
+	view := hostView{
+		transfers: federation.HostTransfers{HighestNumber: o.cellRecord(cell).LastReceivedTransfer},
+		jobs:      map[uint64]*clusterstate.Job{},
+	}
+	for _, job := range o.clusterState.Jobs {
+		if job.HasRecord && job.OffloadedFrom != nil && job.OffloadedFrom.Cell == cell {
+			view.jobs[job.OffloadedFrom.Number] = job
+			view.transfers.Transfers = append(view.transfers.Transfers, hostTransfer(job))
+		}
+	}
+	if known := o.clusterState.Cells[cell]; known != nil {
+		view.outcomes = known.GuestOutcomes
+		for number := range known.GuestOutcomes {
+			ended := federation.HostTransfer{Number: number, Status: federation.HostEnded}
+			view.transfers.Transfers = append(view.transfers.Transfers, ended)
+		}
+	}
+	slices.SortFunc(view.transfers.Transfers, func(a, b federation.HostTransfer) int {
+		return cmp.Compare(a.Number, b.Number)
+	})
+	return view
+}
+
+// hostTransfer returns a job of another cell as the host's state machine sees it.
+func hostTransfer(job *clusterstate.Job) federation.HostTransfer {
+	return federation.HostTransfer{
+		Number:    job.OffloadedFrom.Number,
+		Epoch:     job.OffloadedFrom.Epoch,
+		Status:    federation.HostHolds,
+		Cancelled: job.Cancelled(),
+		Recalled:  job.OffloadedFrom.Recalled,
+	}
+}
+
+// status returns what the records say of a transfer.
+func (v *hostView) status(number uint64) Status {
+	status := Status{Number: number, Status: int(v.transfers.Status(number).Status)}
+	if job := v.jobs[number]; job != nil {
+		status.DoneCount = job.DoneCount
+	}
+	if outcome, ended := v.outcomes[number]; ended {
+		status.FinalState, status.DoneCount = outcome.Status, outcome.DoneCount
+	}
+	return status
+}
+
+// inventory returns all that is held of the other cell's jobs.
+func (v *hostView) inventory() *Inventory {
+	inventory := &Inventory{HighestNumber: v.transfers.HighestNumber}
+	for _, transfer := range v.transfers.Transfers {
+		job := v.jobs[transfer.Number]
+		if job == nil {
+			inventory.Ended = append(inventory.Ended, v.status(transfer.Number))
+			continue
+		}
+		inventory.Held = append(inventory.Held, Request{
+			Number:        transfer.Number,
+			SubmittedAtMs: job.SubmittedAtMs,
+			Spec:          job.Spec,
+		})
+	}
+	return inventory
+}
+
+// Answer applies a message of another cell's leader and returns the answer, all of which is durable. After an
+// error nothing may be answered: it is an *UnknownCellError, ErrNotLeader, an *EarlierEpochError, or that of a
+// commit or of ctx.
+func (o *Offloader) Answer(ctx context.Context, message Message) (Message, error) {
+	named := func(cell config.Cell) bool { return cell.Name == message.Cell }
+	if !slices.ContainsFunc(o.operator.Cells, named) {
+		return Message{}, &UnknownCellError{Cell: message.Cell}
+	}
+	select {
+	case o.answerSlot <- struct{}{}:
+		defer func() { <-o.answerSlot }()
+	case <-ctx.Done():
+		return Message{}, ctx.Err()
+	}
+	answer, counts, err := o.acceptEpoch(ctx, &message)
+	if err != nil || !counts {
+		return answer, err
+	}
+	if err := o.dropEarlierEpochs(ctx, message.Cell); err != nil {
+		return Message{}, err
+	}
+	if err := o.applyRequests(ctx, &message); err != nil {
+		return Message{}, err
+	}
+	o.clusterState.RLock()
+	defer o.clusterState.RUnlock()
+	if !o.isLeader() {
+		return Message{}, ErrNotLeader
+	}
+	o.fillAnswer(&answer, &message)
+	return answer, nil
+}
+
+// acceptEpoch records the epoch that a message names of its sender. It returns an answer that names the epochs
+// of both cells, and tells whether the message counts.
+func (o *Offloader) acceptEpoch(ctx context.Context, message *Message) (answer Message, counts bool, err error) {
+	o.clusterState.RLock()
+	stored := o.cellRecord(message.Cell)
+	change, isLeader := o.newChange(message.Cell)
+	enabled := o.recordsEnabled()
+	o.clusterState.RUnlock()
+	if !isLeader || !enabled {
+		return Message{}, false, ErrNotLeader
+	}
+	epochs := federation.EpochPair{Own: o.operator.CellEpoch, Peer: stored.PeerEpoch}
+	epochs, counts = epochs.Accept(message.envelope())
+	if epochs.Peer != stored.PeerEpoch {
+		// Durable before the answer: a late message of an earlier epoch must not count any more.
+		next := o.underOwnEpoch(stored)
+		next.PeerEpoch = epochs.Peer
+		change.ops = append(change.ops, kvstore.PutOp(record.CellKey(message.Cell), next))
+		if err := o.commit(ctx, change); err != nil {
+			return Message{}, false, err
+		}
+	}
+	answer = Message{
+		Cell:      o.operator.CellName,
+		FromEpoch: epochs.Own,
+		ToEpoch:   epochs.Peer,
+		Draining:  o.operator.CellDrain,
+	}
+	return answer, counts && message.FromEpoch > stored.FencedEpoch, nil
+}
+
+// dropEarlierEpochs deletes the jobs of a cell that were accepted under an earlier epoch of this one: none of
+// their tasks runs, as the new epoch says. It returns an *EarlierEpochError while some are left.
+func (o *Offloader) dropEarlierEpochs(ctx context.Context, cell string) error {
+	o.clusterState.RLock()
+	view := o.hostViewOf(cell)
+	change, _ := o.newChange(cell)
+	kept := view.transfers.DropEarlierEpochs(o.operator.CellEpoch)
+	for number, job := range view.jobs {
+		dropped := kept.Status(number).Status == federation.HostAbsent
+		if dropped && job.BoundCount == 0 && len(change.ops) < o.committer.MaxTransactionOps() {
+			change.add(jobCondition(job), kvstore.DeleteOp(record.JobKey(job.Spec.ID)))
+		}
+	}
+	remaining := len(view.transfers.Transfers) - len(kept.Transfers) - len(change.ops)
+	o.clusterState.RUnlock()
+	if len(change.ops) > 0 {
+		if err := o.commit(ctx, change); err != nil {
+			return err
+		}
+	}
+	if remaining > 0 {
+		return &EarlierEpochError{Remaining: remaining}
+	}
+	return nil
+}
+
+// fillAnswer puts into an answer what the records say. Callers hold the lock of the cluster state.
+func (o *Offloader) fillAnswer(answer, message *Message) {
+	view := o.hostViewOf(message.Cell)
+	reported := map[uint64]bool{}
+	for _, request := range message.Requests {
+		// Nothing is known yet of an offer that was not reached.
+		if request.Number <= view.transfers.HighestNumber {
+			answer.Statuses = append(answer.Statuses, view.status(request.Number))
+			reported[request.Number] = true
+		}
+	}
+	for _, transfer := range view.transfers.Transfers {
+		ended := transfer.Status == federation.HostEnded
+		if ended && !reported[transfer.Number] && len(answer.Statuses) < 2*tuning.CellAsks {
+			answer.Statuses = append(answer.Statuses, view.status(transfer.Number))
+		}
+	}
+	if message.WantsInventory {
+		answer.Inventory = view.inventory()
+	}
+	answer.Digest = o.digest()
+}
--- a/internal/offload/offloader.go
+++ b/internal/offload/offloader.go
@@ -1,23 +1,12 @@
-// Package offload exchanges work with other cells: it offers what waits to them, takes what they
-// offer, and tells each what became of its own.
-//
-// It acts on what package cell decides. All of it is the leader's duty; every change is guarded
-// by the leader's record, by the record of the other cell and by the job's own, so that a
-// deposed leader changes nothing (safety invariants 11, 12 and 17). Nothing is sent before what it
-// says is durable. Where the operators name no cells nothing of this runs.
 package offload
 
 import (
-	"cmp"
 	"context"
 	"errors"
 	"log/slog"
-	"slices"
 	"sync"
 	"time"
 
-	"github.com/prometheus/client_golang/prometheus"
-	"github.com/prometheus/client_golang/prometheus/promauto"
 	"golang.org/x/sync/errgroup"
 
 	"sableusher/internal/clusterstate"
@@ -27,34 +16,38 @@
 	"sableusher/internal/membership"
 	"sableusher/internal/record"
 	"sableusher/internal/tuning"
-	"sableusher/internal/wire"
 )
 
-var standingGauge = promauto.NewGaugeVec(prometheus.GaugeOpts{Name: "sableusher_cell_standing",
-	Help: "1 for the standing of each other cell, once it has changed while this node led."}, []string{"cell", "standing"})
-
-// Transport speaks with other cells.
+// Transport carries messages to other cells.
 type Transport interface {
-	// Exchange asks a cell's leader, whichever of its nodes that is.
-	Exchange(ctx context.Context, to config.Cell, m Message) (Message, error)
+	// Exchange sends a message to a cell's leader, whichever of its nodes that is, and returns the answer.
+	Exchange(ctx context.Context, to config.Cell, message Message) (Message, error)
 }
 
-// Committer commits items.
+// Committer commits transactions to the key-value store.
 type Committer interface {
-	Commit(ctx context.Context, it kvstore.Transaction) (uint64, error)
+	Commit(ctx context.Context, transaction kvstore.Transaction) (uint64, error)
 	MaxTransactionOps() int
 	UpcomingMaxRecordBytes() int
 }
 
-// Owner tells what this node owns. Callers hold the world's lock.
+// Owner tells which shards this node owns. Callers hold the lock of the cluster state.
 type Owner interface {
 	Ownership(shard int) (membership.Ownership, bool)
 }
 
-// ErrNotLeader: another node of this cell speaks for it.
-var ErrNotLeader = errors.New("not the leader")
+// Config is what an Offloader works with.
+type Config struct {
+	Operator     *config.Operator
+	Teams        []config.Team
+	ClusterState *clusterstate.State
+	Ownership    Owner
+	Committer    Committer
+	Transport    Transport
+	Logger       *slog.Logger
+}
 
-// Offloader is one node's part in the exchange.
+// Offloader is one node's part in the exchange of jobs. Its methods are safe for concurrent use.
 type Offloader struct {
 	operator     *config.Operator
 	clusterState *clusterstate.State
@@ -64,138 +57,109 @@
 	teamsByName  map[string]config.Team
 	logger       *slog.Logger
 
-	mu         sync.Mutex // guards what follows
-	peers      map[string]*peerState
-	answerSlot chan struct{} // held by the one answer at a time: their changes would fail each other's guards
-}
+	peers map[string]*peerState // by the name of the cell; the map never changes
+	mu    sync.Mutex            // guards the values of peers; it may be taken under the cluster state's lock
 
-// peerState is what this process knows of another cell beside its record.
-type peerState struct {
-	lastHeard      time.Time
-	epoch          uint64
-	draining       bool
-	digest         federation.Digest
-	endedTransfers []uint64        // its transfers whose end is known here
-	heldTransfers  map[uint64]bool // transfers that it is known to hold
-	nextRequest    int             // where the asks about those of the next message begin
+	answerSlot chan struct{} // of capacity 1, filled by the one answer at a time: their changes would conflict
 }
 
-// New makes a node's part; without cells in the operators' settings it does nothing.
-func New(operator *config.Operator, teams []config.Team, clusterState *clusterstate.State, ownership Owner, committer Committer, transport Transport, logger *slog.Logger) *Offloader {
-	offloader := &Offloader{operator: operator, clusterState: clusterState, ownership: ownership, committer: committer, transport: transport, teamsByName: map[string]config.Team{}, logger: logger, peers: map[string]*peerState{}, answerSlot: make(chan struct{}, 1)}
-	for _, t := range teams {
-		offloader.teamsByName[t.Name] = t
+// New returns an Offloader. Without cells in the operators' settings it does nothing.
+func New(c Config) *Offloader {
+	o := &Offloader{
+		operator:     c.Operator,
+		clusterState: c.ClusterState,
+		ownership:    c.Ownership,
+		committer:    c.Committer,
+		transport:    c.Transport,
+		teamsByName:  map[string]config.Team{},
+		logger:       c.Logger,
+		peers:        map[string]*peerState{},
+		answerSlot:   make(chan struct{}, 1),
 	}
-	for _, committer := range operator.Cells {
-		offloader.peers[committer.Name] = &peerState{heldTransfers: map[uint64]bool{}}
+	for _, team := range c.Teams {
+		o.teamsByName[team.Name] = team
 	}
-	return offloader
+	for _, cell := range c.Operator.Cells {
+		o.peers[cell.Name] = &peerState{heldTransfers: map[uint64]bool{}}
+	}
+	return o
 }
 
-// Run speaks with the other cells until ctx ends.
-func (s *Offloader) Run(ctx context.Context) error {
-	if len(s.operator.Cells) == 0 {
+// Run exchanges jobs with the other cells while this node is the leader, until ctx ends; it returns its error.
+func (o *Offloader) Run(ctx context.Context) error {
+	if len(o.operator.Cells) == 0 {
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	tick := time.NewTicker(tuning.CellExchange)
-	defer tick.Stop()
+	ticker := time.NewTicker(tuning.CellExchange)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-tick.C:
-		}
-		s.clusterState.RLock()
-		_, leads := s.ownership.Ownership(record.LeaderShard)
-		on := leads && s.clusterState.SchemaVersion >= tuning.LevelCells
-		s.clusterState.RUnlock()
-		if !on {
-			continue
-		}
-		var g errgroup.Group
-		for _, c := range s.operator.Cells {
-			g.Go(func() error {
-				err := s.exchange(ctx, c)
-				if err != nil {
-					// What is silent is doubted, and then lost, by time alone.
-					err = errors.Join(err, s.updateStanding(ctx, c.Name, federation.EpochPair{}, false, nil))
-					s.logger.Debug("cell not spoken with", "cell", c.Name, "err", err)
-				}
-				return nil
-			})
+		case <-ticker.C:
 		}
-		_ = g.Wait()
-		for _, f := range s.operator.Forgotten {
-			if err := s.forgetCell(ctx, f); err != nil {
-				s.logger.Info("cell not forgotten", "cell", f.Name, "err", err)
-			}
+		if o.isActive() {
+			o.runOnce(ctx)
 		}
-		if err := s.offerJobs(ctx); err != nil {
-			s.logger.Debug("nothing offered", "err", err)
-		}
-	}
-}
-
-// leaderConditions are the conditions of what a leader writes about another cell. Callers hold the
-// world's lock.
-func (s *Offloader) leaderConditions(name string) ([]wire.Condition, bool) {
-	ownership, leads := s.ownership.Ownership(record.LeaderShard)
-	out := []wire.Condition{{Key: record.ShardKey(record.LeaderShard), ModRevision: ownership.ModRevision}, {Key: record.CellKey(name)}}
-	if c := s.clusterState.Cells[name]; c != nil {
-		out[1].ModRevision = c.ModRevision
 	}
-	return out, leads
 }
 
-// cellRecord gives what is kept of another cell. Callers hold the world's lock.
-func (s *Offloader) cellRecord(name string) record.Cell {
-	if c := s.clusterState.Cells[name]; c != nil {
-		return c.Cell
-	}
-	return record.Cell{}
+// isActive tells whether this node is the leader and records about cells may be written.
+func (o *Offloader) isActive() bool {
+	o.clusterState.RLock()
+	defer o.clusterState.RUnlock()
+	return o.isLeader() && o.recordsEnabled()
 }
 
-func (s *Offloader) commit(ctx context.Context, guards []wire.Condition, ops []wire.Op) error {
-	ctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
-	defer cancel()
-	_, err := s.committer.Commit(ctx, kvstore.Transaction{Conditions: guards, Ops: ops, Priority: kvstore.PriorityHigh})
-	return err
+// isLeader tells whether this node is the leader. Callers hold the lock of the cluster state.
+func (o *Offloader) isLeader() bool {
+	_, leads := o.ownership.Ownership(record.LeaderShard)
+	return leads
 }
 
-// offloadedJobs lists the jobs that are with a cell, by number. Callers hold the world's lock.
-func (s *Offloader) offloadedJobs(name string) map[uint64]*clusterstate.Job {
-	out := map[uint64]*clusterstate.Job{}
-	for _, j := range s.clusterState.Jobs {
-		if j.HasRecord && j.OffloadedTo != nil && j.OffloadedTo.Cell == name {
-			out[j.OffloadedTo.Number] = j
+// recordsEnabled tells whether all nodes can read records about cells. Callers hold the lock of the cluster
+// state.
+func (o *Offloader) recordsEnabled() bool { return o.clusterState.SchemaVersion >= tuning.LevelCells }
+
+// runOnce exchanges messages with all cells, then forgets those that the operators name, then offers jobs.
+func (o *Offloader) runOnce(ctx context.Context) {
+	var group errgroup.Group
+	for _, cell := range o.operator.Cells {
+		group.Go(func() error {
+			o.exchangeOrSuspect(ctx, cell)
+			return nil
+		})
+	}
+	_ = group.Wait() // no exchange returns an error
+	for _, forgotten := range o.operator.Forgotten {
+		if err := o.forgetCell(ctx, forgotten); err != nil {
+			o.logger.Info("forgetting cell failed", "cell", forgotten.Name, "err", err)
 		}
 	}
-	return out
+	if err := o.offerJobs(ctx); err != nil {
+		o.logger.Debug("offload offer failed", "err", err)
+	}
 }
 
-// hostTransfers gives what is held of a cell's, for the machine to decide by. Callers hold the world's
-// lock.
-func (s *Offloader) hostTransfers(name string) (federation.HostTransfers, map[uint64]*clusterstate.Job) {
-	g, jobs := federation.HostTransfers{HighestNumber: s.cellRecord(name).LastReceivedTransfer}, map[uint64]*clusterstate.Job{}
-	for _, j := range s.clusterState.Jobs {
-		if j.HasRecord && j.OffloadedFrom != nil && j.OffloadedFrom.Cell == name {
-			jobs[j.OffloadedFrom.Number] = j
-			g.Transfers = append(g.Transfers, federation.HostTransfer{Number: j.OffloadedFrom.Number, Epoch: j.OffloadedFrom.Epoch, Status: federation.HostHolds, Cancelled: j.Cancelled(), Recalled: j.OffloadedFrom.Recalled})
-		}
-	}
-	if c := s.clusterState.Cells[name]; c != nil {
-		for n := range c.GuestOutcomes {
-			g.Transfers = append(g.Transfers, federation.HostTransfer{Number: n, Status: federation.HostEnded})
-		}
+// exchangeOrSuspect exchanges messages with a cell. If that fails its standing is brought up to date all the
+// same: a silent cell becomes suspected and then lost by time alone.
+func (o *Offloader) exchangeOrSuspect(ctx context.Context, cell config.Cell) {
+	err := o.exchange(ctx, cell)
+	if err == nil {
+		return
 	}
-	slices.SortFunc(g.Transfers, func(a, b federation.HostTransfer) int { return cmp.Compare(a.Number, b.Number) })
-	return g, jobs
+	err = errors.Join(err, o.updateStanding(ctx, cell.Name, standingEvidence{}))
+	o.logger.Debug("cell exchange failed", "cell", cell.Name, "err", err)
 }
 
-// rewriteJob is a job's own record with a change.
-func rewriteJob(j *clusterstate.Job, change func(*record.Job)) (wire.Condition, wire.Op) {
-	marked := *j
-	change(&marked.Job)
-	return wire.Condition{Key: record.JobKey(j.Spec.ID), ModRevision: j.ModRevision}, marked.EncodeChunk(0, nil)
+// peerState is what this process knows of another cell beside its record.
+type peerState struct {
+	lastHeard       time.Time
+	epoch           uint64
+	draining        bool
+	digest          federation.Digest
+	endedTransfers  []uint64        // its transfers whose result is known here, to be acknowledged
+	heldTransfers   map[uint64]bool // transfers that it is known to hold
+	nextHeldRequest int             // where the requests about those of the next message begin
 }
--- /dev/null
+++ b/internal/offload/standing.go
@@ -0,0 +1,139 @@
+package offload
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"sableusher/internal/config"
+	"sableusher/internal/federation"
+	"sableusher/internal/kvstore"
+	"sableusher/internal/record"
+)
+
+// memberOf returns a cell's record as the state machine of members sees it.
+func memberOf(cell string, stored record.Cell) federation.Member {
+	return federation.Member{
+		Name:               cell,
+		Epoch:              stored.PeerEpoch,
+		Standing:           federation.Standing(stored.Standing),
+		Since:              time.UnixMilli(stored.StandingSinceMs),
+		Returns:            stored.ReturnCount,
+		InventoryExchanged: stored.InventoryReceived,
+		FencedEpoch:        stored.FencedEpoch,
+	}
+}
+
+// standingEvidence is what an exchange with a cell has shown; the zero value is that of a failed one.
+type standingEvidence struct {
+	peerEpoch uint64     // the highest epoch received of the cell
+	inventory *Inventory // its inventory if it was received and all of it is durable
+}
+
+// updateStanding brings the record of another cell up to date. It returns ErrNotLeader if this node is not the
+// leader.
+func (o *Offloader) updateStanding(ctx context.Context, cell string, evidence standingEvidence) error {
+	observed := o.observe(cell)
+	observed.InventoryExchanged = evidence.inventory != nil
+	o.clusterState.RLock()
+	stored := o.cellRecord(cell)
+	change, isLeader := o.newChange(cell)
+	o.clusterState.RUnlock()
+	if !isLeader {
+		return ErrNotLeader
+	}
+	next := o.underOwnEpoch(stored)
+	member := memberOf(cell, next).Step(time.Now(), observed)
+	previous := federation.Standing(stored.Standing)
+	if member.Standing != previous {
+		o.logger.Info("cell standing changed", "cell", cell, "standing", member.Standing,
+			"previous_standing", previous, "epoch", member.Epoch, "reason", member.WaitReason(time.Now()))
+		next.StandingSinceMs = member.Since.UnixMilli()
+		setStandingGauge(cell, member.Standing)
+	}
+	next.Standing, next.ReturnCount = int(member.Standing), member.Returns
+	next.InventoryReceived = member.InventoryExchanged
+	next.PeerEpoch = max(next.PeerEpoch, member.Epoch, evidence.peerEpoch)
+	if evidence.inventory != nil {
+		next.LastSentTransfer = max(next.LastSentTransfer, evidence.inventory.HighestNumber)
+	}
+	if next == stored {
+		return nil
+	}
+	change.ops = append(change.ops, kvstore.PutOp(record.CellKey(cell), next))
+	return o.commit(ctx, change)
+}
+
+// observe returns what this process knows of a cell that the operators' list names.
+func (o *Offloader) observe(cell string) federation.Observation {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	peer := o.peers[cell]
+	return federation.Observation{
+		Configured: true,
+		LastHeard:  peer.lastHeard,
+		Epoch:      peer.epoch,
+		Draining:   peer.draining,
+	}
+}
+
+// returnedJob is a job of this cell that is owned here again.
+type returnedJob struct {
+	id     string
+	number uint64 // of the transfer that ended
+}
+
+// forgetCell carries out the operators' statement that a cell is gone for good. The cell's record says so first;
+// the jobs that were offloaded there return in later calls, a transaction at a time.
+func (o *Offloader) forgetCell(ctx context.Context, forgotten config.Forgotten) error {
+	o.clusterState.RLock()
+	stored := o.cellRecord(forgotten.Name)
+	change, isLeader := o.newChange(forgotten.Name)
+	var returned []returnedJob
+	if stored.FencedEpoch < forgotten.Epoch {
+		fenced, err := fenceCell(stored, forgotten)
+		if err != nil {
+			o.clusterState.RUnlock()
+			return err
+		}
+		change.ops = append(change.ops, kvstore.PutOp(record.CellKey(forgotten.Name), fenced))
+	} else if stored.PeerEpoch <= stored.FencedEpoch {
+		returned = o.addReturns(&change, forgotten.Name)
+	}
+	o.clusterState.RUnlock()
+	if len(change.ops) == 0 || !isLeader {
+		return nil
+	}
+	if err := o.commit(ctx, change); err != nil {
+		return err
+	}
+	o.logger.Info("cell forgotten", "cell", forgotten.Name, "epoch", forgotten.Epoch, "count", len(returned))
+	for _, job := range returned {
+		o.logger.Info("offloaded job returned", "job_id", job.id, "cell", forgotten.Name, "transfer", job.number)
+	}
+	return nil
+}
+
+// fenceCell returns the record of a cell that is forgotten.
+func fenceCell(stored record.Cell, forgotten config.Forgotten) (record.Cell, error) {
+	member, err := memberOf(forgotten.Name, stored).Forget(forgotten.Epoch, time.Now())
+	if err != nil {
+		return stored, fmt.Errorf("not forgotten: %w", err)
+	}
+	stored.FencedEpoch, stored.Standing = member.FencedEpoch, int(member.Standing)
+	stored.StandingSinceMs, stored.InventoryReceived = member.Since.UnixMilli(), member.InventoryExchanged
+	return stored, nil
+}
+
+// addReturns adds that jobs offloaded to a cell are owned here again, as many as fit in a transaction. Callers
+// hold the lock of the cluster state.
+func (o *Offloader) addReturns(change *recordChange, cell string) []returnedJob {
+	var returned []returnedJob
+	for number, job := range o.offloadedJobs(cell) {
+		if len(change.ops) < o.committer.MaxTransactionOps() {
+			change.addReturn(job)
+			returned = append(returned, returnedJob{id: job.Spec.ID, number: number})
+		}
+	}
+	return returned
+}
--- /dev/null
+++ b/internal/offload/status.go
@@ -0,0 +1,73 @@
+package offload
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"sableusher/internal/clusterstate"
+	"sableusher/internal/federation"
+	"sableusher/internal/record"
+	"sableusher/internal/tuning"
+)
+
+// applyStatus applies what another cell reports of one transfer.
+func (o *Offloader) applyStatus(ctx context.Context, cell string, status Status) error {
+	o.clusterState.RLock()
+	change, isLeader := o.newChange(cell)
+	stored := o.cellRecord(cell)
+	job := o.offloadedJobs(cell)[status.Number]
+	if job == nil {
+		o.clusterState.RUnlock()
+		o.acknowledgeEnd(cell, stored, status)
+		return nil
+	}
+	jobID := job.Spec.ID
+	after := homeTransfer(job).ApplyStatus(status.transferStatus())
+	switch after.State {
+	case federation.HomeOwned:
+		change.addReturn(job)
+	case federation.HomeEnded:
+		o.addFinal(&change, job, status)
+	}
+	o.clusterState.RUnlock()
+	if len(change.ops) == 0 || !isLeader {
+		return nil
+	}
+	if err := o.commit(ctx, change); err != nil {
+		return err
+	}
+	if after.State == federation.HomeOwned {
+		o.logger.Info("offloaded job returned", "job_id", jobID, "cell", cell, "transfer", status.Number)
+	} else {
+		o.logger.Info("offloaded job ended", "job_id", jobID, "cell", cell, "transfer", status.Number,
+			"state", status.FinalState)
+	}
+	return nil
+}
+
+// acknowledgeEnd lets the next messages say that the result of a transfer is known here: the job has ended or is
+// owned again. A cell that still lacks the inventory does not know that, and acknowledges nothing.
+func (o *Offloader) acknowledgeEnd(cell string, stored record.Cell, status Status) {
+	if status.hostStatus() != federation.HostEnded || !o.inventoryReceived(stored) {
+		return
+	}
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	peer := o.peers[cell]
+	if !slices.Contains(peer.endedTransfers, status.Number) && len(peer.endedTransfers) < tuning.CellAsks {
+		peer.endedTransfers = append(peer.endedTransfers, status.Number)
+	}
+}
+
+// addFinal adds that a job ends as its host reports. Callers hold the lock of the cluster state.
+func (o *Offloader) addFinal(change *recordChange, job *clusterstate.Job, status Status) {
+	finalState := status.FinalState
+	if finalState == "" {
+		finalState = job.CancelledStatus() // refused or returned after its user had cancelled it
+	}
+	change.conditions = append(change.conditions, jobCondition(job))
+	change.ops = job.FinalizeOps(finalState, status.DoneCount, time.Now().UnixMilli())
+	limit := o.committer.MaxTransactionOps() - len(change.ops)
+	change.ops = append(change.ops, job.DeleteFurtherChunks(limit)...)
+}
--- a/internal/simulation/federation_test.go
+++ b/internal/simulation/federation_test.go
@@ -128,7 +128,7 @@
 	if len(left) > 0 {
 		t.Errorf("never finished: %v", left)
 	}
-	taken, ended, back := logged.countMessages("job taken from another cell"), logged.countMessages("job ended in another cell"), logged.countMessages("job comes back")
+	taken, ended, back := logged.countMessages("offloaded job accepted"), logged.countMessages("offloaded job ended"), logged.countMessages("offloaded job returned")
 	t.Logf("%d jobs taken, %d ended elsewhere, %d came back; %d messages, %d bytes each", taken, ended, back, c.MessagesSent, c.BytesSent/max(c.MessagesSent, 1))
 	if taken == 0 || ended == 0 {
 		t.Errorf("nothing spilled: %d taken, %d ended elsewhere", taken, ended)
@@ -156,7 +156,7 @@
 	for len(c.Checker.UnfinishedJobs()) > 0 && time.Since(start) < 20*time.Minute {
 		time.Sleep(time.Second)
 	}
-	took, taken = time.Since(start), logged.countMessages("job taken from another cell")
+	took, taken = time.Since(start), logged.countMessages("offloaded job accepted")
 	if left := c.Checker.UnfinishedJobs(); len(left) > 0 {
 		t.Errorf("never finished: %v", left)
 	}
