--- a/internal/scheduler/cycle_bench_test.go
+++ b/internal/scheduler/cycle_bench_test.go
@@ -109,3 +109,21 @@
 	}
 	return cluster
 }
+
+// BenchmarkCycle is one cycle of a large region with some room and a queue.
+func BenchmarkCycle(b *testing.B) {
+	cluster := newTestCluster(b)
+	for i := range 1500 {
+		name := cluster.addMachine(i, i%2 == 0)
+		if i%5 != 0 {
+			cluster.addJob(gangSpec(100000+i, 1), boundTask(0, name))
+		}
+	}
+	for i := range 200 {
+		cluster.addJob(arraySpec(i, 40))
+	}
+	b.ReportAllocs()
+	for b.Loop() {
+		cluster.runCycle(0)
+	}
+}
