--- a/cmd/sableusher/graph_report.go
+++ b/cmd/sableusher/graph_report.go
@@ -66,7 +66,7 @@
 			Image:       job.Spec.Image,
 			TaskCount:   job.Spec.TaskCount,
 			MaxRetries:  job.Spec.MaxRetries,
-			TriggerRule: job.TriggerRule,
+			TriggerRule: string(job.TriggerRule),
 			Upstream:    []string{},
 			ReleasedBy:  releasedByRecords,
 		}
--- /dev/null
+++ b/internal/graph/fault_test.go
@@ -0,0 +1,187 @@
+package graph
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"sableusher/internal/tuning"
+)
+
+// fileHead precedes the tasks of faulty files; the first task is in line 4.
+const fileHead = "dag_id: g\ndefault_args: {class: c, team: t, image: i, cpus: 1}\ntasks:\n"
+
+// expectedFault is a fault whose message contains a text.
+type expectedFault struct {
+	line    int
+	path    string
+	message string
+}
+
+func (e expectedFault) matches(fault Fault) bool {
+	return fault.Line == e.line && fault.Path == e.path && strings.Contains(fault.Message, e.message)
+}
+
+// faultyFiles are files with all the faults of each.
+var faultyFiles = []struct {
+	name string
+	text string
+	want []expectedFault
+}{
+	{
+		name: "several",
+		text: "dag_id: a b\n" +
+			"schedule: '61 * * * *'\n" +
+			"timezone: Nowhere/At\n" +
+			"colour: red\n" +
+			"tasks:\n" +
+			"- {task_id: a, cpus: many, colour: red}\n" +
+			"- {task_id: a, upstream_task_ids: [x]}\n",
+		want: []expectedFault{
+			{line: 1, path: "/", message: "colour"},
+			{line: 1, path: "/dag_id", message: "pattern"},
+			{line: 2, path: "/schedule", message: "61"},
+			{line: 3, path: "/timezone", message: "Nowhere"},
+			{line: 6, path: "/tasks/0/cpus", message: "number"},
+			{line: 6, path: "/tasks/0/colour", message: "unknown field"},
+			{line: 7, path: "/tasks/1/task_id", message: "a stands twice"},
+			{line: 7, path: "/tasks/1/upstream_task_ids/0", message: "no task or group x"},
+		},
+	},
+	{
+		name: "itself",
+		text: fileHead + "- {task_id: a, upstream_task_ids: [a]}\n",
+		want: []expectedFault{
+			{line: 4, path: "/tasks/0/upstream_task_ids", message: "a cycle: a <- a"},
+			{line: 4, path: "/tasks/0/upstream_task_ids/0", message: "its own upstream"},
+		},
+	},
+	{
+		name: "no yaml",
+		text: "tasks: [",
+		want: []expectedFault{
+			{line: 0, path: "/", message: "line 1"},
+		},
+	},
+	{
+		name: "two documents",
+		text: "dag_id: a\n---\ndag_id: b\n",
+		want: []expectedFault{
+			{line: 0, path: "/", message: "more than one document"},
+		},
+	},
+	{
+		name: "key twice",
+		text: fileHead + "- task_id: a\n  task_id: b\n",
+		want: []expectedFault{
+			{line: 4, path: "/tasks/0/task_id", message: "stands twice"},
+		},
+	},
+	{
+		name: "no start",
+		text: "schedule: '@daily'\n" + fileHead + "- task_id: a\n",
+		want: []expectedFault{
+			{line: 1, path: "/schedule", message: "start_date"},
+		},
+	},
+	{
+		name: "no such date",
+		text: "start_date: 2026-02-30\n" + fileHead + "- task_id: a\n",
+		want: []expectedFault{
+			{line: 1, path: "/start_date", message: "neither"},
+		},
+	},
+	{
+		name: "no group",
+		text: fileHead + "- {task_id: a, task_group: x}\n",
+		want: []expectedFault{
+			{line: 4, path: "/tasks/0/task_group", message: "no group x"},
+		},
+	},
+	{
+		name: "no such parameter",
+		text: fileHead + "- {task_id: a, expand: {param: x}}\n",
+		want: []expectedFault{
+			{line: 4, path: "/tasks/0/expand", message: "no parameter x"},
+		},
+	},
+	{
+		name: "missing",
+		text: "dag_id: g\ntasks:\n- {task_id: a, team: t, image: i, cpus: 1}\n",
+		want: []expectedFault{
+			{line: 3, path: "/tasks/0/class", message: "class is missing"},
+		},
+	},
+	{
+		name: "a name not there",
+		text: fileHead + "- {task_id: a, image: '{{ params.x }}'}\n",
+		want: []expectedFault{
+			{line: 4, path: "/tasks/0/image", message: "x"},
+		},
+	},
+	{
+		name: "half",
+		text: fileHead + "- {task_id: a, count: '{{ 1 / 2 }}'}\n",
+		want: []expectedFault{
+			{line: 4, path: "/tasks/0/count", message: "whole number"},
+		},
+	},
+	{
+		name: "beyond the class",
+		text: fileHead + "- {task_id: a, retries: 4}\n",
+		want: []expectedFault{
+			{line: 4, path: "/tasks/0/retries", message: "repeats: 4, its class allows 3"},
+		},
+	},
+	{
+		name: "unknown team",
+		text: fileHead + "- {task_id: a, team: x}\n",
+		want: []expectedFault{
+			{line: 4, path: "/tasks/0", message: "unknown team"},
+		},
+	},
+	{
+		name: "over the limit",
+		text: fileHead + "- {task_id: a, kind: gang, gpus: 3, count: 3}\n",
+		want: []expectedFault{
+			{line: 4, path: "/tasks/0", message: "more than the team's limit"},
+		},
+	},
+	{
+		name: "takes nothing",
+		text: fileHead + "- {task_id: a, cpus: 0}\n",
+		want: []expectedFault{
+			{line: 4, path: "/tasks/0", message: "a task must take something"},
+		},
+	},
+	{
+		name: "too many awaits",
+		text: fileHead + "- {task_id: a, expand: [" + strings.Repeat("1, ", tuning.GraphAwaits) + "1]}\n" +
+			"- {task_id: b, upstream_task_ids: [a]}\n",
+		want: []expectedFault{
+			{line: 5, path: "/tasks/1/upstream_task_ids", message: "waits for 49 jobs"},
+		},
+	},
+}
+
+// TestFaultsAreReported: every fault of a file comes at once, at the line of the value that
+// is wrong; one that needs a run comes with the run. What a native job would be refused for
+// has the same text.
+func TestFaultsAreReported(t *testing.T) {
+	for _, test := range faultyFiles {
+		t.Run(test.name, func(t *testing.T) {
+			graph, faults := Parse("f", []byte(test.text))
+			if len(faults) == 0 {
+				_, faults = graph.Compile(testRun, testRules)
+			}
+			for _, want := range test.want {
+				if !slices.ContainsFunc(faults, want.matches) {
+					t.Errorf("not reported: %+v", want)
+				}
+			}
+			if len(faults) != len(test.want) {
+				t.Errorf("%d faults, want %d: %q", len(faults), len(test.want), faults)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/graph/graph.go
@@ -0,0 +1,113 @@
+package graph
+
+import "time"
+
+// Graph is a graph as its file describes it.
+type Graph struct {
+	ID            string         `json:"dag_id"`
+	Description   string         `json:"description"`
+	Tags          []string       `json:"tags"`
+	Schedule      *string        `json:"schedule"` // cron expression or preset; nil or empty for none
+	Timezone      string         `json:"timezone"` // IANA name; empty for UTC
+	StartDate     string         `json:"start_date"`
+	EndDate       string         `json:"end_date"`
+	Catchup       bool           `json:"catchup"`
+	MaxActiveRuns int            `json:"max_active_runs"`
+	DefaultArgs   TaskArgs       `json:"default_args"`
+	Params        map[string]any `json:"params"` // parameters of a run and their defaults
+	Groups        []Group        `json:"task_groups"`
+	Tasks         []Task         `json:"tasks"`
+
+	source source
+}
+
+// Group is a name for several tasks, which other tasks can depend on.
+type Group struct {
+	ID       string   `json:"group_id"`
+	Upstream []string `json:"upstream_task_ids"`
+}
+
+// Task is one task of a graph.
+type Task struct {
+	ID       string   `json:"task_id"`
+	Upstream []string `json:"upstream_task_ids"` // tasks and groups
+	GroupID  string   `json:"task_group"`
+	Expand   any      `json:"expand"` // what the task is mapped over: a list, or a map with the name of a parameter
+	TaskArgs
+}
+
+// TaskArgs is the description of a task's job. Numbers and flags of type any may be
+// templates, as may texts but for names of enumerations.
+type TaskArgs struct {
+	Owner             string      `json:"owner"` // has no effect
+	Retries           any         `json:"retries"`
+	RetryDelaySeconds *float64    `json:"retry_delay"` // has no effect: the class's pause counts
+	TriggerRule       TriggerRule `json:"trigger_rule"`
+	Class             string      `json:"class"`
+	Team              string      `json:"team"`
+	Kind              string      `json:"kind"`
+	Priority          string      `json:"priority"`
+	TaskCount         any         `json:"count"`
+	ResourceArgs
+	PlacementArgs
+	TimingArgs
+}
+
+// ResourceArgs is what each native task of a job takes.
+type ResourceArgs struct {
+	CPUs        any    `json:"cpus"`
+	GPUs        any    `json:"gpus"`
+	MemoryGB    any    `json:"memory_gb"`
+	Image       string `json:"image"`
+	ImageSizeGB any    `json:"image_gb"`
+}
+
+// PlacementArgs is where a job's tasks may run.
+type PlacementArgs struct {
+	MachineTypes []string `json:"types"`
+	Zone         string   `json:"zone"`
+	SameZone     any      `json:"one_zone"`
+	Spread       any      `json:"spread"`
+	AllowSpot    any      `json:"spot"`
+}
+
+// TimingArgs is how long a job's tasks are expected to run, and by when.
+type TimingArgs struct {
+	RuntimeEstimateSeconds    any `json:"estimate_s"`
+	CheckpointIntervalSeconds any `json:"checkpoint_s"`
+	CheckpointSaveSeconds     any `json:"save_s"`
+	DeadlineSeconds           any `json:"deadline_s"`
+}
+
+// TriggerRule says when a task may start, given how its upstream tasks ended.
+type TriggerRule string
+
+// The trigger rules.
+const (
+	// TriggerAllSuccess is the default, and the meaning of dependencies of native jobs.
+	TriggerAllSuccess TriggerRule = "all_success"
+	TriggerAllDone    TriggerRule = "all_done"
+	TriggerOneSuccess TriggerRule = "one_success"
+	TriggerOneFailed  TriggerRule = "one_failed"
+	TriggerNoneFailed TriggerRule = "none_failed"
+	TriggerAlways     TriggerRule = "always"
+)
+
+// ParseDate reads a date, or a time as in RFC 3339. A text without an offset is in the time
+// zone given. Other texts give a DateError.
+func ParseDate(text string, zone *time.Location) (time.Time, error) {
+	for _, layout := range []string{time.RFC3339, "2006-01-02T15:04:05", "2006-01-02 15:04:05", time.DateOnly} {
+		if parsed, err := time.ParseInLocation(layout, text, zone); err == nil {
+			return parsed, nil
+		}
+	}
+	return time.Time{}, &DateError{Text: text}
+}
+
+// Location is the graph's time zone.
+func (g *Graph) Location() (*time.Location, error) {
+	if g.Timezone == "" {
+		return time.UTC, nil
+	}
+	return time.LoadLocation(g.Timezone)
+}
--- a/internal/graph/template.go
+++ b/internal/graph/template.go
@@ -15,93 +15,126 @@
 	"sableusher/internal/tuning"
 )
 
-// filters are those that templates may use: what depends on nothing but its input, and
-// whose output is not longer than a constant times that.
-var filters = func() *exec.FilterSet {
-	out := map[string]exec.FilterFunction{}
-	for _, name := range []string{"abs", "capitalize", "first", "float", "int", "join", "last", "length", "lower", "max", "min",
-		"replace", "round", "sort", "string", "sum", "title", "trim", "unique", "upper"} {
-		if f, ok := builtins.Filters.Get(name); ok {
-			out[name] = f
-		}
-	}
-	return exec.NewFilterSet(out)
-}()
+// allowedFilters depend on nothing but their input, and their output is at most a constant
+// times as long as it.
+var allowedFilters = []string{
+	"abs", "capitalize", "first", "float", "int", "join", "last", "length", "lower", "max",
+	"min", "replace", "round", "sort", "string", "sum", "title", "trim", "unique", "upper",
+}
 
-// environment has expressions, some filters and tests; no statements, so that nothing
+// environment has expressions, tests and some filters. It has no statements, so that nothing
 // loops or reads files, and no functions.
 var environment = &exec.Environment{
-	Context: exec.EmptyContext(), Filters: filters, Tests: builtins.Tests,
+	Context:           exec.EmptyContext(),
+	Filters:           allowedFilterSet(),
+	Tests:             builtins.Tests,
 	ControlStructures: exec.NewControlStructureSet(map[string]parser.ControlStructureParser{}),
 }
 
-// isTemplate tells whether a text has to be rendered.
+func allowedFilterSet() *exec.FilterSet {
+	filters := map[string]exec.FilterFunction{}
+	for _, name := range allowedFilters {
+		if filter, ok := builtins.Filters.Get(name); ok {
+			filters[name] = filter
+		}
+	}
+	return exec.NewFilterSet(filters)
+}
+
+// templateName is what the template library knows a text by.
+const templateName = "/t"
+
+// isTemplate reports whether a text has to be rendered.
 func isTemplate(text string) bool {
 	return strings.Contains(text, "{{") || strings.Contains(text, "{%")
 }
 
-// render gives a template's text for some names; one that is not there is an error.
-func render(text string, names map[string]any) (out string, err error) {
+// render returns the text that a template gives for variables. It fails with a
+// TemplateError, also for a variable that does not exist.
+func render(text string, variables map[string]any) (rendered string, err error) {
 	// The library panics on some inputs that no template should have.
 	defer func() {
-		if p := recover(); p != nil {
-			out, err = "", fmt.Errorf("template: %v", p)
+		if cause := recover(); cause != nil {
+			rendered, err = "", &TemplateError{Err: fmt.Errorf("%v", cause)}
 		}
 	}()
-	c := gonja.New()
-	c.StrictUndefined = true
-	for stream := tokens.LexAll(text, c); !stream.End(); stream.Next() {
-		// "x" times a billion is one short expression.
-		if t := stream.Current(); t.Type == tokens.Multiply || t.Type == tokens.Power {
-			return "", fmt.Errorf("template: %s is not allowed", t.Val)
-		}
+	rendered, err = execute(text, variables)
+	if err != nil {
+		return "", &TemplateError{Err: err}
 	}
-	loader, err := loaders.NewMemoryLoader(map[string]string{"/t": text})
+	return rendered, nil
+}
+
+// execute compiles and runs a template; its errors are the causes of a TemplateError.
+func execute(text string, variables map[string]any) (string, error) {
+	settings := gonja.New()
+	settings.StrictUndefined = true
+	if err := checkOperators(text, settings); err != nil {
+		return "", err
+	}
+	loader, err := loaders.NewMemoryLoader(map[string]string{templateName: text})
 	if err != nil {
-		return "", fmt.Errorf("template: %w", err)
+		return "", err
 	}
-	t, err := exec.NewTemplate("/t", c, loader, environment)
+	template, err := exec.NewTemplate(templateName, settings, loader, environment)
 	if err != nil {
-		return "", fmt.Errorf("template: %w", err)
+		return "", err
 	}
-	if out, err = t.ExecuteToString(exec.NewContext(names)); err != nil {
-		return "", fmt.Errorf("template: %w", err)
+	rendered, err := template.ExecuteToString(exec.NewContext(variables))
+	if err != nil {
+		return "", err
 	}
-	if len(out) > tuning.GraphText {
-		return "", fmt.Errorf("template: gives more than %d bytes", tuning.GraphText)
+	if len(rendered) > tuning.GraphText {
+		return "", errTemplateTooLong
+	}
+	return rendered, nil
+}
+
+// checkOperators refuses operators by which a short template takes unbounded memory, such as
+// a text times a billion.
+func checkOperators(text string, settings *gonja.Config) error {
+	for stream := tokens.LexAll(text, settings); !stream.End(); stream.Next() {
+		token := stream.Current()
+		if token.Type == tokens.Multiply || token.Type == tokens.Power {
+			return &OperatorError{Operator: token.Val}
+		}
 	}
-	return out, nil
+	return nil
 }
 
-// renderNumber reads an amount, which may be a template.
-func renderNumber(v any, names map[string]any) (float64, error) {
-	return renderValue(v, names, "no number", func(text string) (float64, error) { return strconv.ParseFloat(text, 64) })
+// renderNumber reads a number, which may be a template; 0 if it is left out.
+func renderNumber(value any, variables map[string]any) (float64, error) {
+	parse := func(text string) (float64, error) { return strconv.ParseFloat(text, 64) }
+	return renderValue(value, variables, parse, "no number")
 }
 
-// renderBool reads a yes or no, which may be a template.
-func renderBool(v any, names map[string]any) (bool, error) {
-	return renderValue(v, names, "neither true nor false", func(text string) (bool, error) { return strconv.ParseBool(strings.ToLower(text)) })
+// renderBool reads a truth value, which may be a template; false if it is left out.
+func renderBool(value any, variables map[string]any) (bool, error) {
+	parse := func(text string) (bool, error) { return strconv.ParseBool(strings.ToLower(text)) }
+	return renderValue(value, variables, parse, "neither true nor false")
 }
 
-// renderValue gives a value that a file has as it is, or as a template for its text; its zero if
-// it is left out. not says what a text is that can't be parsed.
-func renderValue[T float64 | bool](v any, names map[string]any, not string, parse func(string) (T, error)) (T, error) {
+// renderValue returns a value of type T as it is, and parses what a template gives for it;
+// the zero value if it is left out. Others give a ValueError with the problem.
+func renderValue[T float64 | bool](
+	value any, variables map[string]any, parse func(string) (T, error), problem string,
+) (T, error) {
 	var zero T
-	switch v := v.(type) {
+	switch value := value.(type) {
 	case nil:
 		return zero, nil
 	case T:
-		return v, nil
+		return value, nil
 	case string:
-		text, err := render(v, names)
+		text, err := render(value, variables)
 		if err != nil {
 			return zero, err
 		}
-		out, err := parse(strings.TrimSpace(text))
+		parsed, err := parse(strings.TrimSpace(text))
 		if err != nil {
-			return zero, fmt.Errorf("%q is %s", text, not)
+			return zero, &ValueError{Value: text, Problem: problem}
 		}
-		return out, nil
+		return parsed, nil
 	}
-	return zero, fmt.Errorf("%v is %s", v, not)
+	return zero, &ValueError{Value: value, Problem: problem}
 }
