--- a/internal/preemption/plan.go
+++ b/internal/preemption/plan.go
@@ -23,17 +23,17 @@
 	LostMachineSeconds float64 // of all victims
 }
 
-// CheapestPlan returns the plan that makes room for a need at the least loss of work on one of some machines; of equal
-// ones the first. victimsOn returns the tasks that may be stopped on a machine; the plan takes them in the order of
-// sortVictims, which it sorts them into in place. ok is false if no machine makes room.
+// CheapestPlan returns the plan that frees the capacity for a need at the least loss of work on one of some machines;
+// of equal ones the first. victimsOn returns the tasks that may be stopped on a machine; the plan takes them in the
+// order of sortVictims, which it sorts them into in place. ok is false if no machine can free it.
 func CheapestPlan(
 	need record.Resources, machines []*binpack.MachineInfo, victimsOn func(*binpack.MachineInfo) []Victim,
 ) (cheapest Plan, ok bool) {
 	for _, machine := range machines {
 		victims := victimsOn(machine)
 		sortVictims(victims)
-		plan, makesRoom := shortestPlan(need, machine, victims)
-		if makesRoom && (!ok || plan.LostMachineSeconds < cheapest.LostMachineSeconds) {
+		plan, freesEnough := shortestPlan(need, machine, victims)
+		if freesEnough && (!ok || plan.LostMachineSeconds < cheapest.LostMachineSeconds) {
 			cheapest, ok = plan, true
 		}
 	}
--- a/internal/preemption/preemptor.go
+++ b/internal/preemption/preemptor.go
@@ -2,7 +2,7 @@
 
 import "sableusher/internal/wire"
 
-// Preemptor is a waiting job that wants room.
+// Preemptor is a waiting job that wants capacity.
 type Preemptor struct {
 	Rank            int    // of its priority; 0 is the highest
 	Team            string // whose quota it uses
@@ -18,7 +18,7 @@
 	Team             string
 	TeamHasGuarantee bool
 	WithinGuarantee  bool // what runs of it lies within its team's guarantee
-	EndsSoon         bool // its tasks end by themselves before long: their room comes back anyway
+	EndsSoon         bool // its tasks end by themselves before long: their capacity comes back anyway
 }
 
 // MayPreempt reports whether tasks of a running job may be stopped for the preemptor: they have a lower priority, or
--- a/internal/preemption/search.go
+++ b/internal/preemption/search.go
@@ -2,7 +2,7 @@
 
 import "sableusher/internal/binpack"
 
-// Search is a search for machines on which preemption makes room for a task.
+// Search is a search for machines on which preemption frees enough capacity for a task.
 type Search struct {
 	Request *binpack.Request
 	Rank    int // of the waiting job's priority
@@ -10,12 +10,12 @@
 	Limit   int // on the number of machines found
 }
 
-// Candidates returns those of some machines, in their order, on which a task has no room now and would have room once
+// Candidates returns those of some machines, in their order, on which a task does not fit now and would fit once
 // all preemptible tasks of the search's rank or a lower priority have left.
 func (s *Search) Candidates(machines []*binpack.MachineInfo) []*binpack.MachineInfo {
 	var candidates []*binpack.MachineInfo
 	for _, machine := range machines {
-		if !s.makesRoom(machine) {
+		if !s.freesEnough(machine) {
 			continue
 		}
 		if candidates = append(candidates, machine); len(candidates) >= s.Limit {
@@ -25,9 +25,9 @@
 	return candidates
 }
 
-// makesRoom reports whether preemption on a machine makes the room that is missing. What costs least to see is checked
-// first: most machines are ruled out by it.
-func (s *Search) makesRoom(machine *binpack.MachineInfo) bool {
+// freesEnough reports whether preemption on a machine frees the capacity that is missing. What costs least to see is
+// checked first: most machines are ruled out by it.
+func (s *Search) freesEnough(machine *binpack.MachineInfo) bool {
 	if machine.ReservedFor != "" || s.Request.Need.FitsIn(machine.Free) {
 		return false
 	}
--- a/internal/reconcile/decision.go
+++ b/internal/reconcile/decision.go
@@ -35,7 +35,7 @@
 	ResendCommands   bool // its machine's agent is to be commanded again
 	ImagePresent     bool // its image is on the machine
 	TaskFailed       bool // it failed by itself on the machine
-	PlacementRefused bool // the machine had less room than was thought
+	PlacementRefused bool // the machine had less capacity than was thought
 
 	BackOffJob   bool // its job's tasks are not placed for a while, which grows
 	CountFailure bool // a retry is used up
--- a/internal/scheduler/chunkedit.go
+++ b/internal/scheduler/chunkedit.go
@@ -58,7 +58,7 @@
 	return job.Task(taskIndex)
 }
 
-// chunkFull reports whether a chunk has no room for so many more bound tasks. Without the check a key-value store with
+// chunkFull reports whether a chunk can't take so many more bound tasks. Without the check a key-value store with
 // a small value limit would reject the chunk over and over.
 func (c *cycle) chunkFull(job *clusterstate.Job, chunk, added int, machine string) bool {
 	limit := c.committer.MaxRecordBytes()
--- a/internal/scheduler/jobend.go
+++ b/internal/scheduler/jobend.go
@@ -63,7 +63,7 @@
 }
 
 // deleteFurtherOps returns the ops that delete as many of a job's further chunks as a transaction with so many other
-// ops has room for; what stays is deleted later.
+// ops can take; what stays is deleted later.
 func (c *cycle) deleteFurtherOps(job *clusterstate.Job, otherOps int) []wire.Op {
 	return job.DeleteFurtherChunks(c.committer.MaxTransactionOps() - otherOps)
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -9,8 +9,8 @@
 	"sableusher/internal/wire"
 )
 
-// preemptForTask makes room for a task of a waiting job by stopping tasks on the machine where the least work is lost,
-// and reports whether there is a shard where room could be made. All nodes do so in their cycles, but only a shard's
+// preemptForTask frees capacity for a task of a waiting job by stopping tasks on the machine where the least work is
+// lost, and reports whether there is a shard where it can be freed. All nodes do so in their cycles, but only a shard's
 // owner knows what its tasks would lose: the shard is chosen by what all nodes know, the machine by the owner.
 //
 // Once there is no such shard, like requests of the same rank are not looked at again in this cycle: hundreds of arrays
@@ -18,7 +18,7 @@
 func (c *cycle) preemptForTask(queued *queuedJob, taskIndex int, zones *binpack.ZoneConstraint) bool {
 	task := record.TaskRef{JobID: queued.job.Spec.ID, Index: taskIndex}
 	if c.preempting.awaiting[task] {
-		return true // room is being made for it already
+		return true // capacity is being freed for it already
 	}
 	if c.preempting.machines >= tuning.RoundStops || c.preempting.failed[queued.rank].Covers(&queued.Request) {
 		return false
@@ -37,7 +37,7 @@
 	return false
 }
 
-// preemptInShard makes room for a task in a shard if it is this node's, and reports whether room could be made there.
+// preemptInShard frees capacity for a task in a shard if it is this node's, and reports whether it can be freed there.
 func (c *cycle) preemptInShard(
 	shard int, queued *queuedJob, task record.TaskRef, zones *binpack.ZoneConstraint,
 ) bool {
@@ -62,10 +62,10 @@
 	return true
 }
 
-// shardRotation moves the shard in which room is made first for urgent work, every tuning.PreemptTurn that it finds
-// none: the owner of a shard may know that machines are not to be had which other nodes take for ready, and all would
-// wait for it. It counts from when the work first found no room: by the clock alone the turns would pass in the midst
-// of stops, and room would be made twice.
+// shardRotation moves the shard in which capacity is freed first for urgent work, every tuning.PreemptTurn that it
+// finds none: the owner of a shard may know that machines are not to be had which other nodes take for ready, and all
+// would wait for it. It counts from when the work first found none: by the clock alone the turns would pass in the
+// midst of stops, and capacity would be freed twice.
 func (c *cycle) shardRotation(queued *queuedJob) int {
 	since, ok := c.demand.unplacedSince[queued.job.Spec.ID]
 	if !ok || !isHighPriority(queued.rank) {
@@ -74,7 +74,7 @@
 	return int(c.now.Sub(since) / tuning.PreemptTurn)
 }
 
-// countReservedZones counts, with a job's tasks, the machines on which room is being made for it.
+// countReservedZones counts, with a job's tasks, the machines on which capacity is being freed for it.
 func (c *cycle) countReservedZones(jobID string, zones *binpack.ZoneConstraint) {
 	for name, task := range c.reservations.active(c.now) {
 		if machine := c.cluster.Machines[name]; machine != nil && task.JobID == jobID {
