--- a/internal/federation/doc.go
+++ b/internal/federation/doc.go
@@ -7,6 +7,11 @@
 // messages come out. The package never does I/O, reads no clock and starts no goroutine; package offload
 // drives it.
 //
+// Transitions that are a part of other changes of records are written where those are made, and stand here for
+// the model that the tests explore: HostTransfers.CanStart and Complete in the scheduling cycle, Forget and
+// HomeTransfer.ReleasesHost and Reconcile in package offload, as deletions of outcomes, acknowledgements and the
+// reading of inventories.
+//
 // A record is changed by the leader of its cell, by compare-and-swap, before anything that follows from it is
 // reported or done. A message only reports a record, and may be lost, doubled, late or out of order. The
 // package carries safety invariants 17 and 18: at any moment at most one cell holds the right to start the
