--- a/internal/simulation/logrecorder_test.go
+++ b/internal/simulation/logrecorder_test.go
@@ -17,9 +17,9 @@
 	messageMachineMarkedDown = "machine marked as down"
 	messageChangeApplied     = "change applied"
 	messageTaskBound         = "task bound"
-	messageJobTaken          = "job taken from another cell"
-	messageJobEnded          = "job ended in another cell"
-	messageJobReturned       = "job comes back"
+	messageJobTaken          = "offloaded job accepted"
+	messageJobEnded          = "offloaded job ended"
+	messageJobReturned       = "offloaded job returned"
 
 	keyNode        = "node"
 	keyIncarnation = "incarnation"
