--- a/internal/scheduler/gangattempt.go
+++ b/internal/scheduler/gangattempt.go
@@ -66,7 +66,7 @@
 		transaction: kvstore.Transaction{
 			Conditions: []wire.Condition{
 				{Key: key, ModRevision: job.ModRevision},
-				{Key: record.ShardKey(machine.Shard), ModRevision: c.shards.revisions[machine.Shard]},
+				c.ownershipCondition(machine.Shard),
 			},
 			Ops:      []wire.Op{marked.EncodeChunk(0, nil)},
 			Priority: kvstore.PriorityUrgent,
--- a/internal/scheduler/machinerecord.go
+++ b/internal/scheduler/machinerecord.go
@@ -33,7 +33,7 @@
 		harmlessWhenLate: true,
 		transaction: kvstore.Transaction{
 			Conditions: []wire.Condition{
-				{Key: record.ShardKey(update.shard), ModRevision: c.shards.revisions[update.shard]},
+				c.ownershipCondition(update.shard),
 				{Key: key, ModRevision: update.modRevision},
 			},
 			Ops: []wire.Op{kvstore.PutOp(key, update.machine)},
@@ -80,7 +80,7 @@
 		kind: changeOfDeletedRecord, subject: machine.Name, keys: []string{key}, shards: []int{machine.Shard},
 		transaction: kvstore.Transaction{
 			Conditions: []wire.Condition{
-				{Key: record.ShardKey(machine.Shard), ModRevision: c.shards.revisions[machine.Shard]},
+				c.ownershipCondition(machine.Shard),
 				{Key: key, ModRevision: machine.ModRevision},
 			},
 			Ops:      []wire.Op{kvstore.DeleteOp(key)},
--- a/internal/scheduler/taskchange.go
+++ b/internal/scheduler/taskchange.go
@@ -150,6 +150,11 @@
 	}
 }
 
+// ownershipCondition holds while a shard of this node has the owner and the fencing token that it has in this cycle.
+func (c *cycle) ownershipCondition(shard int) wire.Condition {
+	return wire.Condition{Key: record.ShardKey(shard), ModRevision: c.shards.revisions[shard]}
+}
+
 // transactionPriority is the place of a job's changes in the committer's queue.
 func (c *cycle) transactionPriority(job *clusterstate.Job) kvstore.Priority {
 	switch {
