--- a/internal/scheduler/adoption_test.go
+++ b/internal/scheduler/adoption_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"sableusher/internal/agent"
 	"sableusher/internal/kvstore"
 	"sableusher/internal/record"
 	"sableusher/internal/wire"
@@ -50,3 +51,28 @@
 		t.Errorf("a new session: %+v", transaction)
 	}
 }
+
+// TestOneWayMachineIsNotRecordedAsUp: a machine is up if it is known to be reached, or nothing speaks against it and it
+// was up or is new; never while its heartbeats reach no node.
+func TestOneWayMachineIsNotRecordedAsUp(t *testing.T) {
+	wasUp, wasDown, isNew := record.Machine{Up: true, Address: testAddress}, record.Machine{Address: testAddress},
+		record.Machine{}
+	tests := []struct {
+		name     string
+		status   agent.MachineStatus
+		recorded record.Machine
+		up       bool
+	}{
+		{"nothing known, was up", agent.MachineStatus{}, wasUp, true},
+		{"nothing known, new", agent.MachineStatus{}, isNew, true},
+		{"nothing known, was down", agent.MachineStatus{}, wasDown, false},
+		{"reached, was down", agent.MachineStatus{InboundConfirmed: true}, wasDown, true},
+		{"inbound lost, was up", agent.MachineStatus{InboundLost: true}, wasUp, false},
+		{"outbound lost, reached", agent.MachineStatus{OutboundLost: true, InboundConfirmed: true}, wasUp, false},
+	}
+	for _, test := range tests {
+		if up := isUp(test.status, &test.recorded); up != test.up {
+			t.Errorf("%s: up %v, want %v", test.name, up, test.up)
+		}
+	}
+}
