--- a/internal/scheduler/jobend.go
+++ b/internal/scheduler/jobend.go
@@ -22,28 +22,32 @@
 			c.completeGang(job)
 			continue
 		}
-		if transaction := c.finishTransaction(key, job); len(transaction.Ops) > 0 {
-			change := &recordChange{kind: changeOfJobEnd, subject: id, keys: []string{key}, transaction: transaction}
-			c.outgoing = append(c.outgoing, change)
+		if ops := c.finishOps(job); len(ops) > 0 {
+			condition := wire.Condition{Key: key}
+			if job.HasRecord {
+				condition.ModRevision = job.ModRevision
+			}
+			c.outgoing = append(c.outgoing, &recordChange{
+				kind: changeOfJobEnd, subject: id, keys: []string{key},
+				transaction: kvstore.Transaction{Conditions: []wire.Condition{condition}, Ops: ops},
+			})
 		}
 	}
 }
 
-// finishTransaction is what ends a job or deletes what it has left; it has no ops if there is nothing to do.
-func (c *cycle) finishTransaction(key string, job *clusterstate.Job) kvstore.Transaction {
-	condition := wire.Condition{Key: key, ModRevision: job.ModRevision}
-	var ops []wire.Op
+// finishOps returns the ops that end a job, or that delete chunks that it has left; none if there is nothing to do.
+func (c *cycle) finishOps(job *clusterstate.Job) []wire.Op {
 	switch {
 	case !job.HasRecord:
-		condition.ModRevision = 0
-		ops = c.deleteFurtherOps(job, 0)
+		return c.deleteFurtherOps(job, 0)
 	case job.Complete():
-		ops = c.finalOps(job, wire.JobDone, job.DoneCount)
+		return c.finalOps(job, wire.JobDone, job.DoneCount)
 	// No task can be bound after the cancellation, and the cluster state holds all before it.
 	case job.Cancelled() && job.FullyReleased() && c.membership.HasReached(job.ModRevision):
-		ops = c.finalOps(job, job.CancelledStatus(), job.DoneCount)
+		return c.finalOps(job, job.CancelledStatus(), job.DoneCount)
+	default:
+		return nil
 	}
-	return kvstore.Transaction{Conditions: []wire.Condition{condition}, Ops: ops}
 }
 
 // finalOps returns the ops that turn a job's records into its final one. Of a job taken over from another cell they
