--- /dev/null
+++ b/internal/simulation/controllerfaults.go
@@ -0,0 +1,29 @@
+package simulation
+
+import (
+	"context"
+	"time"
+)
+
+// RestartController kills a controller and starts it again later, unless it is stopped already.
+func (r *Region) RestartController(ctx context.Context, index int, delay time.Duration) {
+	if !r.controllers[index].alive.Load() {
+		return
+	}
+	r.KillController(index)
+	r.StartControllerAfter(ctx, index, delay)
+}
+
+// IsolateController cuts a controller off from the key-value store and from the other controllers; agents
+// and users still reach it.
+func (r *Region) IsolateController(index int, deliverLate bool, until time.Time) {
+	name := r.ControllerName(index)
+	r.Network.AddPartition(Partition{From: name, To: hostKV, DeliverLate: deliverLate, Until: until})
+	for i := range r.controllers {
+		if i != index {
+			r.Network.AddPartition(Partition{
+				From: name, To: r.ControllerName(i), DeliverLate: deliverLate, Until: until,
+			})
+		}
+	}
+}
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -8,9 +8,7 @@
 	"sableusher/internal/config"
 	"sableusher/internal/controller"
 	"sableusher/internal/peerrpc"
-	"sableusher/internal/record"
 	"sableusher/internal/tuning"
-	"sableusher/internal/wire"
 )
 
 // Controller is a controller under test, with the process that runs it. Each start is a new process under
@@ -128,15 +126,6 @@
 	})
 }
 
-// RestartController kills a controller and starts it again later, unless it is stopped already.
-func (r *Region) RestartController(ctx context.Context, index int, delay time.Duration) {
-	if !r.controllers[index].alive.Load() {
-		return
-	}
-	r.KillController(index)
-	r.StartControllerAfter(ctx, index, delay)
-}
-
 // ControllerCount is the number of controllers.
 func (r *Region) ControllerCount() int { return len(r.controllers) }
 
@@ -149,60 +138,3 @@
 	defer r.mu.Unlock()
 	return r.controllers[r.random.IntN(len(r.controllers))]
 }
-
-// LeaderIndex gives the leader as the records say; if there is none, the controller that owns most shards.
-func (r *Region) LeaderIndex() int {
-	owned := map[string]int{}
-	owned[r.shardOwner(record.LeaderShard).Owner] = len(r.controllers) + 1
-	for shard := range r.Settings.Deployment.Size {
-		owned[r.shardOwner(shard).Owner]++
-	}
-	most, index := -1, 0
-	for i := range r.controllers {
-		if count := owned[r.ControllerName(i)]; count > most {
-			most, index = count, i
-		}
-	}
-	return index
-}
-
-// LeaderName is the name of the controller that LeaderIndex gives.
-func (r *Region) LeaderName() string { return r.ControllerName(r.LeaderIndex()) }
-
-// leaderToken gives the leader's fencing token.
-func (r *Region) leaderToken() uint64 { return r.shardOwner(record.LeaderShard).FencingToken }
-
-// shardTokenSum adds the shards' fencing tokens up: it rises with each of them.
-func (r *Region) shardTokenSum() (sum uint64) {
-	for shard := range r.Settings.Deployment.Size {
-		sum += r.shardOwner(shard).FencingToken
-	}
-	return sum
-}
-
-// shardOwner gives the record of a shard's owner; the zero value if nobody owns it.
-func (r *Region) shardOwner(shard int) record.Shard {
-	var owner record.Shard
-	_ = wire.Decode(r.KV.Row(record.ShardKey(shard)).Value, &owner)
-	return owner
-}
-
-// tokenWatch waits for a fencing token to rise.
-type tokenWatch struct {
-	interval time.Duration
-	until    time.Time
-	token    func() uint64 // 0 before there is one
-}
-
-// run calls a function whenever the token has risen, from its first value on.
-func (watch tokenWatch) run(ctx context.Context, onIncrease func()) {
-	before := watch.token()
-	for ctx.Err() == nil && time.Now().Before(watch.until) {
-		time.Sleep(watch.interval)
-		token := watch.token()
-		if before != 0 && token != before {
-			onIncrease()
-		}
-		before = token
-	}
-}
--- a/internal/simulation/jobshapes_test.go
+++ b/internal/simulation/jobshapes_test.go
@@ -78,17 +78,3 @@
 	}
 	return name
 }
-
-// runningReplicas counts the tasks of the class of services that run.
-func (r *Region) runningReplicas() (count int) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for _, agent := range r.agents {
-		for _, task := range agent.tasks {
-			if task.spec.Class == classServices && task.State == wire.TaskRunning {
-				count++
-			}
-		}
-	}
-	return count
-}
--- a/internal/simulation/zonefaults.go
+++ b/internal/simulation/zonefaults.go
@@ -25,34 +25,6 @@
 	r.Network.AddPartition(Partition{IsolatedHosts: inside, DeliverLate: deliverLate, Until: until})
 }
 
-// IsolateController cuts a controller off from the key-value store and from the other controllers; agents
-// and users still reach it.
-func (r *Region) IsolateController(index int, deliverLate bool, until time.Time) {
-	name := r.ControllerName(index)
-	r.Network.AddPartition(Partition{From: name, To: hostKV, DeliverLate: deliverLate, Until: until})
-	for i := range r.controllers {
-		if i != index {
-			r.Network.AddPartition(Partition{
-				From: name, To: r.ControllerName(i), DeliverLate: deliverLate, Until: until,
-			})
-		}
-	}
-}
-
-// StartCloudOutage makes the cloud refuse everything until a time.
-func (r *Region) StartCloudOutage(until time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.cloud.outageUntil = until
-}
-
-// BootFast lets machines that are rented until a time be up within two seconds.
-func (r *Region) BootFast(until time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.cloud.fastBootUntil = until
-}
-
 // FailZonePower takes the power from a zone until a time: what is on its machines is lost, its
 // controllers end, nothing is rented there. Then its controllers start again, and of its
 // machines all but every loseEvery-th come back, with new sessions and without images; those that
--- a/internal/simulation/zoneoutage_test.go
+++ b/internal/simulation/zoneoutage_test.go
@@ -164,6 +164,20 @@
 	}
 }
 
+// runningReplicas counts the tasks of the class of services that run.
+func (r *Region) runningReplicas() (count int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, agent := range r.agents {
+		for _, task := range agent.tasks {
+			if task.spec.Class == classServices && task.State == wire.TaskRunning {
+				count++
+			}
+		}
+	}
+	return count
+}
+
 func simulateZoneDay(t *testing.T, inject func(context.Context, *Region)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
