--- a/internal/testrand/testrand.go
+++ b/internal/testrand/testrand.go
@@ -1,5 +1,5 @@
-// Package testrand runs a package's tests with seeded generators, so that every run
-// gives the same verdict; a seed on the command line replaces it. It serves tests only.
+// Package testrand runs a package's generated tests with a fixed seed, so that every run gives the same
+// verdict. It serves tests only, and draws nothing itself.
 package testrand
 
 import (
@@ -10,8 +10,15 @@
 	_ "pgregory.net/rapid" // defines the flag
 )
 
-// Main is the TestMain of packages with generated inputs.
+const (
+	seedFlag    = "rapid.seed"
+	defaultSeed = "1"
+)
+
+// Main is the TestMain of packages with generated inputs. A seed on the command line replaces the default one.
 func Main(m *testing.M) {
-	_ = flag.Set("rapid.seed", "1")
+	if err := flag.Set(seedFlag, defaultSeed); err != nil { // before the command line is parsed
+		panic(err)
+	}
 	os.Exit(m.Run())
 }
