--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -106,14 +106,14 @@
 	if err := xml.Unmarshal(content, &operator); err != nil {
 		return nil, fmt.Errorf("operators' settings: %w", err)
 	}
-	if err := operator.check(); err != nil {
+	if err := operator.validate(); err != nil {
 		return nil, fmt.Errorf("operators' settings: %w", err)
 	}
 	return &operator, nil
 }
 
-// check validates all values; it returns nil or a ValidationError.
-func (op *Operator) check() error {
+// validate checks all values; it returns nil or a ValidationError.
+func (op *Operator) validate() error {
 	var faults faultCollector
 	op.checkLearner(&faults)
 	op.checkMachines(&faults)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -154,12 +154,12 @@
 	faults.checkRange(section+"value_kb", state.ValueKB, tuning.LeastValueKB, maxStoreValueKB)
 	faults.checkRange(section+"txn_ops", float64(state.TxnOps), minStoreTxnOps, maxStoreTxnOps)
 	if state.Next != nil {
-		state.Next.check(faults)
+		state.Next.validate(faults)
 	}
 }
 
-// check checks limits to come; those that stay as they are have none to keep to.
-func (l *StateLimits) check(faults *faultCollector) {
+// validate checks limits to come; those that stay as they are have none to keep to.
+func (l *StateLimits) validate(faults *faultCollector) {
 	checkIfSet := func(name string, value, low, high float64) {
 		if value != 0 {
 			faults.checkRange("deployment.state.next."+name, value, low, high)
