--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -18,7 +18,7 @@
 // file's form; see operator.xml for the defaults.
 type Operator struct {
 	XMLName     xml.Name `xml:"sableusher"`
-	Lambda      float64  `xml:"lambda"`       // weight of responsiveness against utilization in rewards, 0 to 1
+	Lambda      float64  `xml:"lambda"`       // weight of responsiveness in rewards, from 0 to 1
 	Exploration float64  `xml:"exploration"`  // probability of a random action, 0 to 1
 	LearnRate   float64  `xml:"learn-rate"`   // step towards newly fitted weights, 0 to 1
 	Discount    float64  `xml:"discount"`     // of the next decision's value, below 1
@@ -69,7 +69,7 @@
 type Class struct {
 	Name      string  `xml:"name,attr"`
 	Repeats   int     `xml:"repeats,attr"`     // most retries after failures of a task's own
-	PauseS    float64 `xml:"pause-s,attr"`     // seconds before the first retry, doubled for each further one
+	PauseS    float64 `xml:"pause-s,attr"`     // seconds before the first retry, doubled for each next
 	PauseMaxS float64 `xml:"pause-max-s,attr"` // longest such pause, in seconds
 }
 
@@ -153,7 +153,8 @@
 		names[class.Name] = true
 		faults.checkElementRange(element+" repeats", float64(class.Repeats), 0, tuning.MaxRepeats)
 		faults.checkElementRange(element+" pause-s", class.PauseS, 0, tuning.MaxPauseS)
-		faults.checkElementRange(element+" pause-max-s", class.PauseMaxS, class.PauseS, tuning.MaxPauseS)
+		faults.checkElementRange(element+" pause-max-s", class.PauseMaxS,
+			class.PauseS, tuning.MaxPauseS)
 	}
 }
 
