--- a/internal/simulation/faultkinds_test.go
+++ b/internal/simulation/faultkinds_test.go
@@ -1,5 +1,7 @@
 package simulation
 
+import "testing"
+
 // Fault is one kind of fault that a day can have.
 type Fault int
 
@@ -102,3 +104,20 @@
 
 // String names the fault.
 func (f Fault) String() string { return faultNames[f] }
+
+// TestFaultNames: each fault has a name of its own, and each that can be combined an injector.
+func TestFaultNames(t *testing.T) {
+	seen := map[string]Fault{}
+	for i := range faultNames {
+		fault := Fault(i)
+		if other, ok := seen[fault.String()]; ok || fault.String() == "" {
+			t.Errorf("fault %d is named %q, as is %d", fault, fault, other)
+		}
+		seen[fault.String()] = fault
+	}
+	for fault, inject := range injectors {
+		if inject == nil {
+			t.Errorf("%s has no injector", Fault(fault))
+		}
+	}
+}
