--- a/cmd/sableusher/graph_check.go
+++ b/cmd/sableusher/graph_check.go
@@ -72,7 +72,7 @@
 		return nil, err
 	}
 	defer func() { err = errors.Join(err, file.Close()) }()
-	content, err = io.ReadAll(io.LimitReader(file, tuning.GraphBytes+1))
+	content, err = io.ReadAll(io.LimitReader(file, tuning.GraphFileMaxBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
--- a/cmd/sableusher/serve.go
+++ b/cmd/sableusher/serve.go
@@ -104,7 +104,7 @@
 	limits := &deployment.Limits
 	runtime.GOMAXPROCS(max(1, int(limits.CPUShare+0.5)))
 	debug.SetGCPercent(tuning.GCPercent)
-	debug.SetMemoryLimit(int64(limits.MemMB * tuning.MemoryShare * bytesPerMiB))
+	debug.SetMemoryLimit(int64(limits.MemMB * tuning.GoHeapMemoryShare * bytesPerMiB))
 }
 
 // newNode builds the controller node, with an incarnation of its own, and its transport to
@@ -116,7 +116,7 @@
 		Settings:      settings,
 		Operator:      operator,
 		Incarnation:   rand.Uint64N(maxIncarnation) + 1,
-		SchemaVersion: tuning.Level,
+		SchemaVersion: tuning.SchemaVersion,
 		Logger:        logger,
 		ConnectPeers: func(agents peerrpc.AgentRegistry) (controller.PeerTransport, error) {
 			return peerrpc.New(settings, agents, logger)
@@ -131,14 +131,14 @@
 		return nil, fmt.Errorf("listen: %w", err)
 	}
 	maxSockets := float64(settings.Deployment.Limits.MaxSockets)
-	return netutil.LimitListener(listener, max(minConnections, int(maxSockets*tuning.SocketShare))), nil
+	return netutil.LimitListener(listener, max(minConnections, int(maxSockets*tuning.ListenerSocketShare))), nil
 }
 
 func newServer(handler http.Handler, logger *slog.Logger) *http.Server {
 	return &http.Server{
 		Handler:     handler,
-		ReadTimeout: tuning.ReadTimeout,
-		IdleTimeout: tuning.IdleTimeout,
+		ReadTimeout: tuning.HTTPReadTimeout,
+		IdleTimeout: tuning.HTTPIdleTimeout,
 		ErrorLog:    slog.NewLogLogger(logger.Handler(), slog.LevelDebug),
 	}
 }
@@ -146,7 +146,7 @@
 // shutdown waits for the requests in progress. It is called with a context that has ended,
 // so it takes only the values of ctx and bounds the wait itself.
 func shutdown(ctx context.Context, server *http.Server) error {
-	graceCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), tuning.StopGrace)
+	graceCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), tuning.ShutdownGrace)
 	defer cancel()
 	return server.Shutdown(graceCtx)
 }
--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -18,8 +18,8 @@
 // deployment's share of maxSockets kept open.
 func newCommandClient(transport http.RoundTripper, maxSockets int) *commandClient {
 	if transport == nil {
-		keptConnections := max(1, int(tuning.OrderSockets*float64(maxSockets)))
-		transport = wire.NewTransport(tuning.OrderTimeout, 1, keptConnections)
+		keptConnections := max(1, int(tuning.AgentSocketShare*float64(maxSockets)))
+		transport = wire.NewTransport(tuning.CommandTimeout, 1, keptConnections)
 	}
 	return &commandClient{http: &http.Client{Transport: transport}}
 }
@@ -57,7 +57,7 @@
 
 // readCommandResponse decodes the answer; any status but OK and Conflict is a *CommandStatusError.
 func readCommandResponse(response *http.Response) (commandResponse, error) {
-	body, err := wire.ReadBody(response.Body, tuning.StateBody)
+	body, err := wire.ReadBody(response.Body, tuning.KVResponseMaxBytes)
 	if err != nil {
 		return commandResponse{}, fmt.Errorf("direct command: %w", err)
 	}
--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -36,7 +36,7 @@
 func (p *commandPlan) commands() []wire.Command {
 	var out []wire.Command
 	for key, task := range p.machine.tasks {
-		if len(out) >= tuning.OrdersMax {
+		if len(out) >= tuning.MaxCommandsPerAnswer {
 			return out
 		}
 		if command, ok := p.commandForReported(key, task); ok {
@@ -44,7 +44,7 @@
 		}
 	}
 	for ref, binding := range p.bindings {
-		if len(out) >= tuning.OrdersMax {
+		if len(out) >= tuning.MaxCommandsPerAnswer {
 			break
 		}
 		if key := (attemptKey{ref, binding.Attempt}); p.missing(key, binding) {
@@ -98,7 +98,7 @@
 		p.machine.unboundSince[key] = p.now
 		return wire.Command{}, false
 	}
-	if p.now.Sub(since) <= tuning.StrayAfter {
+	if p.now.Sub(since) <= tuning.UnknownTaskGrace {
 		return wire.Command{}, false
 	}
 	return stopCommand(task.TaskStatus, 0), true
@@ -140,7 +140,7 @@
 		return answer
 	}
 	for _, task := range heartbeat.Tasks {
-		if len(answer.Commands) >= tuning.OrdersMax {
+		if len(answer.Commands) >= tuning.MaxCommandsPerAnswer {
 			break
 		}
 		ref, ok := record.ParseTaskRef(task.Task)
--- a/internal/agent/dispatch.go
+++ b/internal/agent/dispatch.go
@@ -36,7 +36,7 @@
 	defer dispatches.Wait()
 	removal := time.NewTicker(r.settings.Report())
 	defer removal.Stop()
-	running := time.NewTicker(tuning.PulseEvery)
+	running := time.NewTicker(tuning.PauseCheckInterval)
 	defer running.Stop()
 	for {
 		select {
@@ -112,7 +112,7 @@
 func (r *Registry) composeDispatch(m *machine, params commandParams) (*directDispatch, bool) {
 	overdue := r.overdue(m, params.now)
 	d := &directDispatch{
-		machineName: params.recorded.Name, machine: m, address: m.address, timeout: tuning.OrderTimeout,
+		machineName: params.recorded.Name, machine: m, address: m.address, timeout: tuning.CommandTimeout,
 		command: wire.CommandRequest{
 			FencingToken: params.fencingToken, Session: max(m.session.id, firstSession), Commands: []wire.Command{},
 		},
@@ -135,7 +135,7 @@
 
 // overdue tells whether a machine's next report should have come by now.
 func (r *Registry) overdue(m *machine, now time.Time) bool {
-	return now.Sub(m.link.lastHeard) > r.heartbeatIntervals(tuning.ProbeAfter)
+	return now.Sub(m.link.lastHeard) > r.heartbeatIntervals(tuning.ProbeAfterIntervals)
 }
 
 // awaitsHeartbeat tells whether a command failed so lately that none is sent yet. As a rule the next heartbeat
@@ -143,8 +143,8 @@
 // that was out of reach for a moment is heard before.
 func (r *Registry) awaitsHeartbeat(m *machine, now time.Time) bool {
 	pause := r.settings.Report()
-	if r.overdue(m, now) && now.Sub(m.link.lastHeard) < r.heartbeatIntervals(tuning.DeadAfter) {
-		pause = tuning.ProbePause
+	if r.overdue(m, now) && now.Sub(m.link.lastHeard) < r.heartbeatIntervals(tuning.DeadAfterIntervals) {
+		pause = tuning.ProbeInterval
 	}
 	return m.link.commandUnanswered() && now.Sub(m.link.commandFailedAt) < pause
 }
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -54,7 +54,7 @@
 	client := kvstore.NewClient("127.0.0.1:1", limits, nil)
 	cache := kvstore.NewWatchCache(client, record.LivePrefix, state, logger)
 	member := membership.New(membership.Config{
-		NodeName: "a", Incarnation: 1, NodeNames: []string{"a", "b"}, SchemaVersion: tuning.Level,
+		NodeName: "a", Incarnation: 1, NodeNames: []string{"a", "b"}, SchemaVersion: tuning.SchemaVersion,
 		Client: client, Cache: cache, ClusterState: state, Logger: logger,
 	})
 	f := &registryFixture{state: state, confirmedAt: time.Now(), peerAnsweredAt: time.Now()}
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -241,7 +241,7 @@
 // removeOld forgets the heartbeats that came longer ago than any copy of them could still arrive.
 func (history heartbeatHistory) removeOld(lease time.Duration, now time.Time) {
 	for name, position := range history {
-		if now.Sub(position.receivedAt) > tuning.MarkLeases*lease {
+		if now.Sub(position.receivedAt) > tuning.HeartbeatMemoryLeases*lease {
 			delete(history, name)
 		}
 	}
@@ -253,7 +253,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	// An agent that lost its way to one node tries the next after seconds.
-	limit := r.heartbeatIntervals(tuning.HeardLately)
+	limit := r.heartbeatIntervals(tuning.RecentlyHeardIntervals)
 	var out []string
 	for _, name := range machineNames {
 		lastHeard := r.redirectedAt[name]
--- a/internal/agent/heartbeat_test.go
+++ b/internal/agent/heartbeat_test.go
@@ -37,7 +37,7 @@
 func TestDelayedHeartbeatCopies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &delayedCopies{
-			registryFixture: newRegistryFixture(tuning.LevelCertain),
+			registryFixture: newRegistryFixture(tuning.SchemaVersionConfirmedCancel),
 			revision:        10, ownerToken: testToken, shownToken: 1,
 		}
 		d.machineName = d.addMachine(ownShard)
@@ -127,7 +127,7 @@
 // TestHeartbeatOfSessionBeforeRecord: a process that has heard of nobody yet knows from the records which
 // sessions are over.
 func TestHeartbeatOfSessionBeforeRecord(t *testing.T) {
-	f := newRegistryFixture(tuning.LevelCertain)
+	f := newRegistryFixture(tuning.SchemaVersionConfirmedCancel)
 	name := f.addMachine(ownShard)
 	f.putMachine(name, record.Machine{Type: "m", Zone: "z", Address: testAddress, Up: true, Session: 4}, 2)
 	status, _ := f.handle(&wire.Heartbeat{Machine: name, Session: 3, Sequence: 90, FencingToken: testToken})
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -32,7 +32,7 @@
 // at once: one that the state has not seen must still end with the lease in time.
 func (k *leaseKeeper) maxStateAge() time.Duration {
 	slack := k.settings.Cancel() - k.settings.Lease()
-	return time.Duration(float64(slack)*(1-2*tuning.ClockDrift)) - tuning.LeaseMargin
+	return time.Duration(float64(slack)*(1-2*tuning.ClockDriftFraction)) - tuning.LeaseMargin
 }
 
 // mayRenew tells whether leases may be renewed on a cluster state that is complete as of some time. Where a
@@ -44,7 +44,7 @@
 	if completeAsOf.IsZero() || k.pauses.resumedAt.After(completeAsOf) {
 		return false
 	}
-	return k.clusterState.SchemaVersion >= tuning.LevelCertain || now.Sub(completeAsOf) <= k.maxStateAge()
+	return k.clusterState.SchemaVersion >= tuning.SchemaVersionConfirmedCancel || now.Sub(completeAsOf) <= k.maxStateAge()
 }
 
 // mayRenewForOwner tells whether this node may renew the lease of an agent whose shard another node owns: the
@@ -73,8 +73,8 @@
 		clear(k.initialTokens)
 		return false
 	}
-	if !k.pauses.resumedAt.IsZero() || h.report.FencingToken < tuning.CertainToken ||
-		k.peerLastAnswered == nil || h.now.Sub(k.startedAt) < tuning.OwnerLost {
+	if !k.pauses.resumedAt.IsZero() || h.report.FencingToken < tuning.ConfirmedCancelTokenBase ||
+		k.peerLastAnswered == nil || h.now.Sub(k.startedAt) < tuning.OwnerUnreachableAfter {
 		return false
 	}
 	for _, sibling := range k.settings.Siblings {
@@ -92,7 +92,7 @@
 
 // reachable tells whether a node has answered this one lately.
 func (k *leaseKeeper) reachable(node string, now time.Time) bool {
-	return now.Sub(k.peerLastAnswered(node)) < tuning.OwnerLost
+	return now.Sub(k.peerLastAnswered(node)) < tuning.OwnerUnreachableAfter
 }
 
 // pauseDetector notices that the process stood still, for instance while its virtual machine was suspended:
@@ -104,7 +104,7 @@
 
 // noteRunning notes that the process runs, and whether it stood still before.
 func (d *pauseDetector) noteRunning(now time.Time) {
-	if !d.lastRunning.IsZero() && now.Sub(d.lastRunning) > tuning.FreezeGap {
+	if !d.lastRunning.IsZero() && now.Sub(d.lastRunning) > tuning.PauseThreshold {
 		d.resumedAt = now
 	}
 	d.lastRunning = now
--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -17,7 +17,7 @@
 // renewed only where every node confirms those late, and then without commands; another owner's agents are
 // kept only if that owner is out of reach too, and under the token that they know.
 func TestLeaseRenewalDuringPartition(t *testing.T) {
-	const certain = tuning.LevelCertain
+	const certain = tuning.SchemaVersionConfirmedCancel
 	for name, c := range map[string]struct {
 		schemaVersion int
 		shard         int
@@ -65,7 +65,7 @@
 // cancelled before it: that may have been confirmed at once by an earlier version.
 func TestCancelledTasksStopDuringPartition(t *testing.T) {
 	for _, shard := range []int{ownShard, peerShard} {
-		f := newRegistryFixture(tuning.LevelCertain)
+		f := newRegistryFixture(tuning.SchemaVersionConfirmedCancel)
 		machineName := f.addMachine(shard)
 		for i, cancelledAtMs := range []int64{5, 0} {
 			f.putServiceOn(machineName, fmt.Sprintf("run-%d", i), cancelledAtMs)
@@ -103,7 +103,7 @@
 // stood still, and no more of an agent that another owner has reached meanwhile. Without it a zone's 700 tasks
 // ended with their leases when the only controller in it ended during the partition.
 func TestRenewalWithoutClusterState(t *testing.T) {
-	const certain = tuning.CertainToken + 3
+	const certain = tuning.ConfirmedCancelTokenBase + 3
 	for name, c := range map[string]struct {
 		sinceStart time.Duration
 		token      uint64
@@ -118,7 +118,7 @@
 			f.peerAnsweredAt = time.Now().Add(-time.Second)
 		}, false},
 		"another was long so": {10 * time.Second, certain, func(f *registryFixture) {
-			f.peerAnsweredAt = time.Now().Add(-tuning.OwnerLost)
+			f.peerAnsweredAt = time.Now().Add(-tuning.OwnerUnreachableAfter)
 		}, true},
 		"it has a cluster state": {10 * time.Second, certain, func(f *registryFixture) {
 			f.confirmedAt = time.Now().Add(-time.Second)
@@ -131,7 +131,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newRegistryFixture(tuning.LevelCertain)
+				f := newRegistryFixture(tuning.SchemaVersionConfirmedCancel)
 				f.settings.Siblings = []config.Sibling{{Node: "b"}}
 				machineName := f.addMachine(peerShard)
 				f.loseClusterState()
@@ -144,7 +144,7 @@
 					t.Fatalf("%d, want renewed: %v", status, c.want)
 				}
 				expectNoCommands(t, body, c.token)
-				time.Sleep(2 * tuning.FreezeGap) // it stands still
+				time.Sleep(2 * tuning.PauseThreshold) // it stands still
 				status, _ = f.heartbeat(machineName, 3, c.token)
 				if status == http.StatusOK && f.confirmedAt.IsZero() {
 					t.Error("renewed after it had stood still")
@@ -174,7 +174,7 @@
 func TestPausedProcessRenewsNothing(t *testing.T) {
 	for _, first := range []string{"heartbeat", "tick"} {
 		synctest.Test(t, func(t *testing.T) {
-			f := newRegistryFixture(tuning.LevelCertain)
+			f := newRegistryFixture(tuning.SchemaVersionConfirmedCancel)
 			own, others := f.addMachine(ownShard), f.addMachine(peerShard)
 			if status, _ := f.heartbeat(own, 1, testToken); status != http.StatusOK {
 				t.Fatalf("before: %d", status)
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -75,7 +75,7 @@
 	from = l.lastHeartbeat
 	for _, at := range []time.Time{l.firstHeard, l.inboundRestoredAt} {
 		if at.After(from) {
-			from, reconnectTime = at, tuning.FindNode
+			from, reconnectTime = at, tuning.AgentFailoverTime
 		}
 	}
 	return from, reconnectTime
@@ -92,5 +92,5 @@
 // inboundLostForLong tells whether reports arrive while commands have failed for longer than a lost one takes
 // to be followed by another.
 func (l *linkState) inboundLostForLong(now time.Time) bool {
-	return l.inboundLost() && l.lastHeard.After(l.inboundLostSince) && now.Sub(l.inboundLostSince) > tuning.DeafAfter
+	return l.inboundLost() && l.lastHeard.After(l.inboundLostSince) && now.Sub(l.inboundLostSince) > tuning.InboundLostAfter
 }
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -15,7 +15,7 @@
 // them, and one task after the other was bound to it and waited for its lease to end.
 func TestInboundLostMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newRegistryFixture(tuning.LevelCertain)
+		f := newRegistryFixture(tuning.SchemaVersionConfirmedCancel)
 		name := f.addMachine(ownShard)
 		expectSchedulable := func(when string, want bool) {
 			t.Helper()
@@ -62,7 +62,7 @@
 }
 
 func newOutboundLossTest(t *testing.T) *outboundLossTest {
-	o := &outboundLossTest{T: t, registryFixture: newRegistryFixture(tuning.LevelCertain), session: 1, sequence: 3}
+	o := &outboundLossTest{T: t, registryFixture: newRegistryFixture(tuning.SchemaVersionConfirmedCancel), session: 1, sequence: 3}
 	o.machineName = o.addMachine(ownShard)
 	o.client = newCommandClient(respondingTransport(func() wire.Heartbeat {
 		o.sequence++
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -69,8 +69,8 @@
 		completeAsOf: c.CompleteAsOf, logger: c.Logger,
 
 		client:        newCommandClient(c.Transport, c.Settings.Deployment.Limits.MaxSockets),
-		dispatchQueue: make(dispatchQueue, tuning.KickQueue),
-		dispatchSlots: semaphore.NewWeighted(tuning.OrderLanes),
+		dispatchQueue: make(dispatchQueue, tuning.DispatchQueueLength),
+		dispatchSlots: semaphore.NewWeighted(tuning.MaxCommandsInFlight),
 
 		machines:         map[string]*machine{},
 		leases:           newLeaseKeeper(c.Settings, c.ClusterState),
@@ -90,7 +90,7 @@
 // HasFreshState tells whether the cluster state is fresh enough for this node to take shards.
 func (r *Registry) HasFreshState() bool {
 	completeAsOf := r.completeAsOf()
-	return !completeAsOf.IsZero() && time.Since(completeAsOf) < tuning.ReadyStale
+	return !completeAsOf.IsZero() && time.Since(completeAsOf) < tuning.ReadyMaxStateAge
 }
 
 // ensureMachine gives what is known of a machine, and makes an empty entry if there was none. Callers hold mu.
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -65,8 +65,8 @@
 
 // acceptsTasks tells whether nothing that the machine did speaks against another task on it.
 func (m *machine) acceptsTasks(now time.Time) bool {
-	return m.reclaimAt.IsZero() && now.Sub(m.startRefusedAt) > tuning.RefuseHold &&
-		len(m.failedJobs) < tuning.MachineErrors
+	return m.reclaimAt.IsZero() && now.Sub(m.startRefusedAt) > tuning.StartRefusalBackoff &&
+		len(m.failedJobs) < tuning.MachineMaxFailedJobs
 }
 
 // outboundLost tells whether a machine answers commands while its heartbeats have been due for some time.
@@ -76,7 +76,9 @@
 }
 
 // maxSilence is how long a machine that is in reach may be silent.
-func (r *Registry) maxSilence() time.Duration { return r.heartbeatIntervals(tuning.SilentAfter) }
+func (r *Registry) maxSilence() time.Duration {
+	return r.heartbeatIntervals(tuning.SuspectAfterIntervals)
+}
 
 // RecordStartRefusal keeps a machine that refused a start out of scheduling for tuning.RefuseHold.
 func (r *Registry) RecordStartRefusal(machineName string) {
--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -97,7 +97,7 @@
 	}
 	marked := *job
 	marked.CancelledAtMs = max(time.Now().UnixMilli(), 1)
-	marked.CancelAfterRelease = s.clusterState.SchemaVersion >= tuning.LevelCertain
+	marked.CancelAfterRelease = s.clusterState.SchemaVersion >= tuning.SchemaVersionConfirmedCancel
 	var versionConditions []wire.Condition
 	if marked.CancelAfterRelease {
 		change.confirmed = job.FullyReleased() && job.ChunkCount() == 1 // no task is bound in another record
@@ -116,7 +116,7 @@
 // transaction. Callers hold the lock of the cluster state.
 func (s *Server) encodeMarked(job, marked *clusterstate.Job, further []wire.Condition) kvstore.Transaction {
 	limits := s.clusterState.SizeLimits(s.committer.MaxRecordBytes())
-	if s.clusterState.SchemaVersion >= tuning.LevelPipelines && job.NeedsMigration(limits) {
+	if s.clusterState.SchemaVersion >= tuning.SchemaVersionDependencies && job.NeedsMigration(limits) {
 		if migration, ok := marked.MigrateChunk(limits, 0); ok {
 			return kvstore.Transaction{
 				Conditions: append(migration.Conditions, further...),
@@ -144,9 +144,9 @@
 	default:
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, tuning.AbortTimeout)
+	ctx, cancel := context.WithTimeout(ctx, tuning.CancelWaitTimeout)
 	defer cancel()
-	ticker := time.NewTicker(tuning.AbortLook)
+	ticker := time.NewTicker(tuning.CancelPollInterval)
 	defer ticker.Stop()
 	for !s.isReleased(id) {
 		select {
--- a/internal/api/cancel_test.go
+++ b/internal/api/cancel_test.go
@@ -52,7 +52,7 @@
 	cancelledWithTask.Tasks = boundTasks()
 	runningServer := func() *testServer {
 		server := newTestServer()
-		server.putSchemaVersion(tuning.LevelCertain)
+		server.putSchemaVersion(tuning.SchemaVersionConfirmedCancel)
 		server.putJob(record.Job{Spec: testSpec(), Tasks: boundTasks()})
 		return server
 	}
@@ -102,8 +102,8 @@
 }
 
 func newCompletingJob() *completingJob {
-	job := &completingJob{spec: testSpec(), first: make([]record.Task, tuning.ChunkTasks)}
-	job.spec.TaskCount = tuning.ChunkTasks + 2
+	job := &completingJob{spec: testSpec(), first: make([]record.Task, tuning.FixedChunkTasks)}
+	job.spec.TaskCount = tuning.FixedChunkTasks + 2
 	for i := range job.first {
 		job.first[i] = record.Task{Index: i, State: record.TaskDone, Attempt: 1}
 	}
@@ -149,7 +149,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newTestServer()
-			server.putSchemaVersion(tuning.LevelCertain)
+			server.putSchemaVersion(tuning.SchemaVersionConfirmedCancel)
 			job.putLive(server)
 			prepare(server)
 			for i, ask := range []func(string) (int, wire.JobState){server.cancel, server.poll, server.cancel} {
@@ -184,7 +184,7 @@
 	if status, state := server.poll(testJobID); status != http.StatusOK || state != wire.JobCancelled {
 		t.Errorf("confirmed by another node: %d %q", status, state)
 	}
-	server.putSchemaVersion(tuning.LevelCertain) // at the same revision: not before it
+	server.putSchemaVersion(tuning.SchemaVersionConfirmedCancel) // at the same revision: not before it
 	if status, state := server.poll(testJobID); status != http.StatusOK || state != wire.JobCancelled {
 		t.Errorf("confirmed before the version: %d %q", status, state)
 	}
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -17,7 +17,7 @@
 // checkDependencies checks the jobs that a submission depends on: each must have been accepted, by any
 // node of any version, and must be of a kind that is ever done.
 func (s *Server) checkDependencies(ctx context.Context, spec *wire.JobSpec, schemaVersion int) error {
-	if schemaVersion < tuning.LevelPipelines {
+	if schemaVersion < tuning.SchemaVersionDependencies {
 		// A node of an older version would lose the field and start the job.
 		return errDependenciesInactive
 	}
--- a/internal/api/dependencies_test.go
+++ b/internal/api/dependencies_test.go
@@ -44,7 +44,7 @@
 }
 
 func acceptedDependencyCases() []dependencyCase {
-	const version = tuning.LevelPipelines
+	const version = tuning.SchemaVersionDependencies
 	dependent := submissionWithDependencies(otherJobID)
 	liveArray := func(s *testServer) { s.putLiveJob(otherJobID, wire.KindArray) }
 	return []dependencyCase{
@@ -70,7 +70,7 @@
 }
 
 func refusedDependencyCases() []dependencyCase {
-	const version = tuning.LevelPipelines
+	const version = tuning.SchemaVersionDependencies
 	dependent := submissionWithDependencies(otherJobID)
 	liveArray := func(s *testServer) { s.putLiveJob(otherJobID, wire.KindArray) }
 	return []dependencyCase{
--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -80,7 +80,7 @@
 }
 
 func writeUnavailable(w http.ResponseWriter, err *unavailableError) {
-	w.Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterS))
+	w.Header().Set("Retry-After", strconv.Itoa(tuning.RetryAfterSeconds))
 	writeMessage(w, http.StatusServiceUnavailable, err.Reason)
 }
 
--- a/internal/api/finalrecords.go
+++ b/internal/api/finalrecords.go
@@ -56,7 +56,7 @@
 	}
 	c.records[id] = final
 	c.order = append(c.order, id)
-	if len(c.order) > tuning.FinalsCached {
+	if len(c.order) > tuning.FinalRecordCacheSize {
 		delete(c.records, c.order[0])
 		c.order = c.order[1:]
 	}
--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -14,7 +14,7 @@
 // handleReady answers health checks: a node is ready while its cluster state is recent.
 func (s *Server) handleReady(w http.ResponseWriter, _ *http.Request) {
 	completeAsOf := s.barrier.CompleteAsOf()
-	if completeAsOf.IsZero() || time.Since(completeAsOf) > tuning.ReadyStale {
+	if completeAsOf.IsZero() || time.Since(completeAsOf) > tuning.ReadyMaxStateAge {
 		writeError(w, errStateStale)
 		return
 	}
@@ -34,7 +34,7 @@
 }
 
 func decodeHeartbeat(r *http.Request) (*wire.Heartbeat, error) {
-	body, err := wire.ReadBody(r.Body, tuning.StateBody)
+	body, err := wire.ReadBody(r.Body, tuning.KVResponseMaxBytes)
 	if err != nil {
 		return nil, err
 	}
@@ -68,7 +68,7 @@
 
 // decodeSubmission reads a submission; where no class limits retries the field for them is not looked at.
 func (s *Server) decodeSubmission(r *http.Request) (submission, error) {
-	body, err := wire.ReadBody(r.Body, tuning.BodyLimit)
+	body, err := wire.ReadBody(r.Body, tuning.RequestBodyMaxBytes)
 	if err != nil {
 		return submission{}, &invalidRequestError{Err: err}
 	}
@@ -85,7 +85,7 @@
 }
 
 func (s *Server) handleStatus(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), tuning.PollTimeout)
+	ctx, cancel := context.WithTimeout(r.Context(), tuning.StatusTimeout)
 	defer cancel()
 	status, err := s.jobStatus(ctx, chi.URLParam(r, "id"))
 	if err != nil {
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -87,8 +87,8 @@
 		teamsByName:       teamsByName,
 		retryPolicies:     retry.NewPolicies(c.Operator.Classes),
 		logger:            c.Logger,
-		requestSlots:      make(chan struct{}, tuning.BusyRequests),
-		cancellationSlots: make(chan struct{}, tuning.AbortsWaiting),
+		requestSlots:      make(chan struct{}, tuning.MaxConcurrentRequests),
+		cancellationSlots: make(chan struct{}, tuning.MaxWaitingCancels),
 	}
 }
 
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -77,7 +77,7 @@
 		sizeLimits:              s.clusterState.SizeLimits(s.committer.UpcomingMaxRecordBytes()),
 		maxRetries:              maxRetries,
 		rejection:               rejection,
-		retryLimitsNotSupported: version < tuning.LevelRepeats && request.requestedRetries != nil,
+		retryLimitsNotSupported: version < tuning.SchemaVersionRetries && request.requestedRetries != nil,
 	}
 }
 
@@ -85,7 +85,7 @@
 // job exists all the same.
 func (s *Server) acceptNewJob(ctx context.Context, request submission, assessed assessment) (acceptance, error) {
 	spec := request.spec
-	if assessed.schemaVersion >= tuning.LevelRepeats {
+	if assessed.schemaVersion >= tuning.SchemaVersionRetries {
 		spec.MaxRetries = assessed.maxRetries
 	}
 	if assessed.retryLimitsNotSupported && assessed.rejection == nil {
--- a/internal/api/submit_test.go
+++ b/internal/api/submit_test.go
@@ -35,7 +35,7 @@
 	}{
 		"accepted":  {body: unchanged, want: http.StatusCreated, state: wire.JobPending},
 		"not cbor":  {body: []byte("{}"), want: http.StatusBadRequest},
-		"too large": {body: append(unchanged, make([]byte, tuning.BodyLimit)...), want: http.StatusBadRequest},
+		"too large": {body: append(unchanged, make([]byte, tuning.RequestBodyMaxBytes)...), want: http.StatusBadRequest},
 		"unknown team": {
 			body: encodeSpec(func(s *wire.JobSpec) { s.Team = "x" }),
 			want: http.StatusUnprocessableEntity,
@@ -139,7 +139,7 @@
 // class limits retries the field means nothing.
 func TestRetryLimits(t *testing.T) {
 	limiting := &config.Operator{Classes: []config.Class{{Name: "c", Repeats: 3}}}
-	const counted, notCounted = tuning.LevelRepeats, tuning.LevelRepeats - 1
+	const counted, notCounted = tuning.SchemaVersionRetries, tuning.SchemaVersionRetries - 1
 	for name, c := range map[string]struct {
 		operator *config.Operator
 		version  int
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -75,9 +75,9 @@
 func (a *Autoscaler) Run(ctx context.Context) error {
 	catalog := catalogRefresher{autoscaler: a}
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return runEvery(ctx, tuning.PoolTick, a.returnMachines) })
-	group.Go(func() error { return runEvery(ctx, tuning.PoolTick, a.resize) })
-	group.Go(func() error { return runEvery(ctx, tuning.PoolTick, catalog.refresh) })
+	group.Go(func() error { return runEvery(ctx, tuning.AutoscalerInterval, a.returnMachines) })
+	group.Go(func() error { return runEvery(ctx, tuning.AutoscalerInterval, a.resize) })
+	group.Go(func() error { return runEvery(ctx, tuning.AutoscalerInterval, catalog.refresh) })
 	return group.Wait()
 }
 
@@ -115,7 +115,7 @@
 	}
 	demand := a.scheduler.Demand()
 	a.unavailableZones = a.scheduler.UnavailableZones()
-	isStale := time.Since(demand.ComputedAt) > tuning.DemandStale
+	isStale := time.Since(demand.ComputedAt) > tuning.DemandMaxAge
 	precedesScaleOut := demand.ComputedAt.Before(a.lastScaleOut)
 	if isStale || precedesScaleOut {
 		return
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -54,7 +54,7 @@
 	sinceLastRead := time.Since(r.lastRead)
 	switch {
 	case isKnown:
-		return isLeader && sinceLastRead >= tuning.CatalogEvery
+		return isLeader && sinceLastRead >= tuning.CatalogInterval
 	case isLeader:
 		return true
 	default:
@@ -71,7 +71,7 @@
 	version, isByType := a.state.SchemaVersion, a.state.Catalog.KeptByType()
 	a.state.RUnlock()
 	fitsOneRecord := !isByType && wire.JSONSize(whole.Value) <= a.committer.MaxRecordBytes()
-	if version < tuning.LevelPipelines || fitsOneRecord {
+	if version < tuning.SchemaVersionDependencies || fitsOneRecord {
 		return [][]wire.Op{{whole}}
 	}
 	var ops []wire.Op
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -46,7 +46,7 @@
 	}
 	bootSeconds := a.longestBootSeconds()
 	deviation := func(squares float64) float64 {
-		return tuning.StepDeviations * math.Sqrt(squares*bootSeconds/tuning.ArrivalWindow.Seconds())
+		return tuning.HeadroomDeviations * math.Sqrt(squares*bootSeconds/tuning.ArrivalWindow.Seconds())
 	}
 	return headroom{
 		onDemand:       max(float64(a.operator.PoolStep), deviation(onDemand)),
@@ -70,7 +70,7 @@
 			arrivedAt:     arrivedAt,
 			machines:      machines,
 			spot:          job.Spec.AllowSpot,
-			fillsMachines: machines > tuning.WholeShare*float64(job.Spec.TaskCount),
+			fillsMachines: machines > tuning.WholeMachineShare*float64(job.Spec.TaskCount),
 		}
 	}
 }
--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -27,7 +27,7 @@
 // reconcileListing compares the cloud's list with the records: machines that failed, or that are
 // not listed any more, are deleted; machines without a record are adopted, to be used or returned.
 func (a *Autoscaler) reconcileListing(ctx context.Context, leader wire.Condition) {
-	if time.Since(a.listing.listedAt) < tuning.ListEvery {
+	if time.Since(a.listing.listedAt) < tuning.CloudListInterval {
 		return
 	}
 	a.listing.listedAt = time.Now()
@@ -78,7 +78,7 @@
 		since = now
 		a.listing.unknownSince[machine] = now
 	}
-	return now.Sub(since) > a.maxListLag()+tuning.ListEvery
+	return now.Sub(since) > a.maxListLag()+tuning.CloudListInterval
 }
 
 // maxListLag is how far the cloud's list may lag behind, with a margin.
@@ -117,7 +117,7 @@
 	for i := range listed {
 		isListed[listed[i].ID] = true
 	}
-	listedFromAge := a.maxListLag() + tuning.ListMissing*tuning.ListEvery
+	listedFromAge := a.maxListLag() + tuning.CloudListMissesForDeleted*tuning.CloudListInterval
 	missed := a.listing.missedListings
 	var transactions []kvstore.Transaction
 	for name, machine := range a.state.Machines {
@@ -127,7 +127,7 @@
 			continue
 		}
 		missed[name]++
-		if missed[name] < tuning.ListMissing {
+		if missed[name] < tuning.CloudListMissesForDeleted {
 			continue
 		}
 		a.log.Info("machine is not listed any more", "machine", name, "tasks", len(machine.Bindings))
--- a/internal/autoscaler/rental.go
+++ b/internal/autoscaler/rental.go
@@ -29,7 +29,7 @@
 		countByKind[machine.machineKind]++
 	}
 	var group errgroup.Group
-	group.SetLimit(tuning.RentLanes)
+	group.SetLimit(tuning.RentalConcurrency)
 	for _, kind := range kinds {
 		limit := a.maxMachinesPerRental()
 		for left := countByKind[kind]; left > 0; left -= limit {
@@ -47,8 +47,8 @@
 func (a *Autoscaler) maxMachinesPerRental() int {
 	a.state.RLock()
 	defer a.state.RUnlock()
-	nameBytes := max(tuning.NameBytes, a.state.LongestMachineName()) + len(`"",`)
-	return max(1, min(tuning.RentMax, (a.committer.MaxRecordBytes()-tuning.RentalBytes)/nameBytes))
+	nameBytes := max(tuning.MachineNameMinBytes, a.state.LongestMachineName()) + len(`"",`)
+	return max(1, min(tuning.RentalMaxMachines, (a.committer.MaxRecordBytes()-tuning.RentalRecordBaseBytes)/nameBytes))
 }
 
 // rent makes a rental's name durable, asks the cloud, and records the machines.
--- a/internal/autoscaler/rentaltracker.go
+++ b/internal/autoscaler/rentaltracker.go
@@ -61,12 +61,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now, last := time.Now(), t.refusals[kind]
-	backoff := tuning.RefusedHold
-	if isInRow := now.Sub(last.until) < tuning.RefusedHold; isInRow {
-		backoff = min(2*last.backoff, tuning.RefusedHoldMax)
+	backoff := tuning.RentalRefusalBackoff
+	if isInRow := now.Sub(last.until) < tuning.RentalRefusalBackoff; isInRow {
+		backoff = min(2*last.backoff, tuning.RentalRefusalBackoffMax)
 	}
 	t.refusals[kind] = refusal{until: now.Add(backoff), backoff: backoff, machinesHeld: t.machineCounts[kind]}
-	t.insufficientUntil[kind] = now.Add(tuning.ShortHold)
+	t.insufficientUntil[kind] = now.Add(tuning.InsufficientCapacityHold)
 }
 
 // isRefused reports whether a kind was refused lately.
--- a/internal/autoscaler/scaleoutplan_test.go
+++ b/internal/autoscaler/scaleoutplan_test.go
@@ -77,7 +77,7 @@
 // rented in another, not only for the rest of it.
 func TestGangMovesFromRefusedZone(t *testing.T) {
 	a := newTestAutoscaler(t)
-	a.rentals.refusals[machineKind{"m", "west", false}] = refusal{until: time.Now().Add(tuning.RefusedHold)}
+	a.rentals.refusals[machineKind{"m", "west", false}] = refusal{until: time.Now().Add(tuning.RentalRefusalBackoff)}
 	demand := demandOfGang(scheduler.UnplacedGroup{
 		Spec: newTestGang(8), Count: 2, Zone: "west", SubmittedAt: time.Now(),
 	})
@@ -168,7 +168,7 @@
 		}
 		synctest.Test(t, func(t *testing.T) {
 			renter := newGangRenter(t, zone)
-			for second := range int(tuning.ShortHold / time.Second) {
+			for second := range int(tuning.InsufficientCapacityHold / time.Second) {
 				renter.available += becomeAvailable[second]
 				renter.rent(t, second)
 				time.Sleep(time.Second)
--- a/internal/autoscaler/sizing.go
+++ b/internal/autoscaler/sizing.go
@@ -58,7 +58,7 @@
 	state := a.scheduler.ProvisioningState()
 	var choices []learner.ScoredAction
 	best := 0
-	for i, fraction := range tuning.SizeFractions {
+	for i, fraction := range tuning.ScaleOutFractions {
 		machines := float64(present+required) + fraction*float64(planned-required)
 		action := &learner.Action{IsScaling: true, ScaleFraction: fraction, Machines: machines}
 		choices = append(choices, sizes.Score(&state, action))
@@ -72,7 +72,7 @@
 	a.sizing = sizingDecision{
 		pendingReward: sizes.TakeAction(choices[best]),
 		decidedAt:     now,
-		fraction:      tuning.SizeFractions[best],
+		fraction:      tuning.ScaleOutFractions[best],
 	}
 	a.log.Debug("size decided", "machines", present, "required", required, "planned", planned,
 		"fraction", a.sizing.fraction, "value", choices[best].Value)
--- a/internal/binpack/failedrequests.go
+++ b/internal/binpack/failedrequests.go
@@ -19,7 +19,7 @@
 
 // Add remembers that a request did not fit.
 func (f *FailedRequests) Add(request *Request) {
-	if len(*f) < tuning.FailedShapes && !f.Covers(request) {
+	if len(*f) < tuning.FailedRequestsKept && !f.Covers(request) {
 		*f = append(*f, failedRequest{need: request.Need, spec: request.Spec})
 	}
 }
--- a/internal/binpack/refresh.go
+++ b/internal/binpack/refresh.go
@@ -43,7 +43,7 @@
 }
 
 func (inv *Inventory) mustRebuild(snapshot *Snapshot) bool {
-	return snapshot.Now.Sub(inv.builtAt) >= tuning.SweepEvery ||
+	return snapshot.Now.Sub(inv.builtAt) >= tuning.SweepInterval ||
 		!slices.Equal(inv.snapshot.LiveShards, snapshot.LiveShards) ||
 		!maps.Equal(inv.snapshot.FencingTokens, snapshot.FencingTokens)
 }
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -41,17 +41,17 @@
 func New(options Options) *Client {
 	transport := options.Transport
 	if transport == nil {
-		transport = wire.NewTransport(tuning.CloudTimeout, tuning.IdleConns, tuning.IdleConns)
+		transport = wire.NewTransport(tuning.CloudTimeout, tuning.MaxIdleConnsPerHost, tuning.MaxIdleConnsPerHost)
 	}
-	leaderRate, followerRate := options.RequestsPerSecond*tuning.CloudShare, 0.0
+	leaderRate, followerRate := options.RequestsPerSecond*tuning.CloudBudgetShare, 0.0
 	if options.Controllers > 1 {
-		followerRate = leaderRate * (1 - tuning.CloudLead) / float64(options.Controllers-1)
-		leaderRate *= tuning.CloudLead
+		followerRate = leaderRate * (1 - tuning.CloudLeaderShare) / float64(options.Controllers-1)
+		leaderRate *= tuning.CloudLeaderShare
 	}
 	c := &Client{
 		baseURL:      "http://" + options.Address,
 		httpClient:   &http.Client{Transport: transport},
-		limiter:      rate.NewLimiter(rate.Limit(followerRate), tuning.CloudBurst),
+		limiter:      rate.NewLimiter(rate.Limit(followerRate), tuning.CloudCallBurst),
 		leaderRate:   rate.Limit(leaderRate),
 		followerRate: rate.Limit(followerRate),
 	}
@@ -67,12 +67,12 @@
 	}
 	if c.limiter.Limit() != limit {
 		c.limiter.SetLimit(limit)
-		c.limiter.SetBurst(max(tuning.CloudBurst, int(limit)))
+		c.limiter.SetBurst(max(tuning.CloudCallBurst, int(limit)))
 	}
 }
 
 // HasSpareCall reports whether a call now would leave one for what can't wait.
-func (c *Client) HasSpareCall() bool { return c.limiter.Tokens() >= tuning.CloudBurst }
+func (c *Client) HasSpareCall() bool { return c.limiter.Tokens() >= tuning.CloudCallBurst }
 
 // call sends a request once the rate allows it, with the encoded input as its body, and decodes the
 // answer into output. Either may be nil.
@@ -129,7 +129,7 @@
 	}
 	// An error of closing says nothing of an answer that has been read.
 	defer func() { _ = resp.Body.Close() }()
-	body, err = wire.ReadBody(resp.Body, tuning.StateBody)
+	body, err = wire.ReadBody(resp.Body, tuning.KVResponseMaxBytes)
 	return resp.StatusCode, body, err
 }
 
--- a/internal/clusterstate/machines.go
+++ b/internal/clusterstate/machines.go
@@ -104,6 +104,6 @@
 // SizeLimits returns the limits of records of at most maxBytes, given the machine names so far. Callers hold
 // the lock.
 func (s *State) SizeLimits(maxBytes int) record.SizeLimits {
-	extraNameBytes := max(0, s.longestMachineName-tuning.TaskName)
-	return record.SizeLimits{MaxBytes: maxBytes, BoundTaskBytes: tuning.TaskBytes + extraNameBytes}
+	extraNameBytes := max(0, s.longestMachineName-tuning.BoundTaskNameBytes)
+	return record.SizeLimits{MaxBytes: maxBytes, BoundTaskBytes: tuning.BoundTaskMaxBytes + extraNameBytes}
 }
--- a/internal/clusterstate/migration.go
+++ b/internal/clusterstate/migration.go
@@ -56,14 +56,14 @@
 	width := limits.ChunkWidth(&j.Spec, j.EncodedBaseSize)
 	if width > 0 && j.Spec.Spread {
 		// Each chunk of a spread job keeps to its half of a zone: its run of tasks must stay.
-		return tuning.ChunkTasks
+		return tuning.FixedChunkTasks
 	}
 	return width
 }
 
 // deleteFixedChunk adds the deletion of the fixed chunk that is migrated.
 func (m *Migration) deleteFixedChunk(job *Job, fixedChunk int) {
-	chunk := job.ChunkOf(fixedChunk * tuning.ChunkTasks)
+	chunk := job.ChunkOf(fixedChunk * tuning.FixedChunkTasks)
 	m.Conditions = append(m.Conditions, job.chunkCondition(chunk))
 	if job.chunkModRevision(chunk) != 0 {
 		m.Ops = append(m.Ops, wire.Op{DeleteKey: job.ChunkKey(chunk)})
@@ -75,7 +75,7 @@
 func (m *Migration) skipAbsentChunks(job *Job, first, limit int) int {
 	skipped := 0
 	for skipped < limit && first+skipped < record.FixedChunkCount(job.Spec.TaskCount) {
-		chunk := job.ChunkOf((first + skipped) * tuning.ChunkTasks)
+		chunk := job.ChunkOf((first + skipped) * tuning.FixedChunkTasks)
 		if job.chunkModRevision(chunk) != 0 {
 			break
 		}
@@ -90,8 +90,8 @@
 func (m *Migration) putGroupedChunks(job, next *Job, fixedChunk int) {
 	firstTasks := job.startedTasks(0, min(next.ChunkWidth, job.Spec.TaskCount), nil)
 	m.Ops = append(m.Ops, next.EncodeTasks(0, firstTasks))
-	end := min((fixedChunk+1)*tuning.ChunkTasks, job.Spec.TaskCount)
-	for first := max(next.ChunkWidth, fixedChunk*tuning.ChunkTasks); first < end; first += next.ChunkWidth {
+	end := min((fixedChunk+1)*tuning.FixedChunkTasks, job.Spec.TaskCount)
+	for first := max(next.ChunkWidth, fixedChunk*tuning.FixedChunkTasks); first < end; first += next.ChunkWidth {
 		if tasks := job.startedTasks(first, min(first+next.ChunkWidth, end), nil); len(tasks) > 0 {
 			m.Ops = append(m.Ops, next.EncodeTasks(first/next.ChunkWidth, tasks))
 		}
--- a/internal/clusterstate/migration_test.go
+++ b/internal/clusterstate/migration_test.go
@@ -94,7 +94,7 @@
 	m := &migrationModel{
 		store: newRecordStore(),
 		limits: record.SizeLimits{
-			MaxBytes: rapid.IntRange(900, 16000).Draw(t, "room"), BoundTaskBytes: tuning.TaskBytes,
+			MaxBytes: rapid.IntRange(900, 16000).Draw(t, "room"), BoundTaskBytes: tuning.BoundTaskMaxBytes,
 		},
 		spec: wire.JobSpec{
 			ID: "run-7", Class: "c", Team: "t", Priority: wire.PriorityNormal, GPUs: 1,
@@ -176,7 +176,7 @@
 	if !ok {
 		return
 	}
-	if len(step.Ops) > tuning.LeastTxnOps {
+	if len(step.Ops) > tuning.MinUpcomingTxnOps {
 		t.Fatalf("%d changes in one step", len(step.Ops))
 	}
 	if mayDelay && rapid.Bool().Draw(t, "late") {
--- a/internal/clusterstate/state_test.go
+++ b/internal/clusterstate/state_test.go
@@ -45,11 +45,11 @@
 	defer state.EndUpdate()
 	switch rapid.IntRange(0, 5).Draw(t, "what") {
 	case 0:
-		spec := wire.JobSpec{ID: id, Team: "t", TaskCount: tuning.ChunkTasks + 3, GPUs: 1}
+		spec := wire.JobSpec{ID: id, Team: "t", TaskCount: tuning.FixedChunkTasks + 3, GPUs: 1}
 		job := record.Job{Spec: spec, Tasks: drawTasks(t, 0, 4)}
 		state.Put(record.JobKey(id), wire.MustEncode(job), modRevision)
 	case 1:
-		chunk := record.FixedChunk{Tasks: drawTasks(t, tuning.ChunkTasks, 3)}
+		chunk := record.FixedChunk{Tasks: drawTasks(t, tuning.FixedChunkTasks, 3)}
 		state.Put(record.FixedChunkKey(id, 1), wire.MustEncode(chunk), modRevision)
 	case 2:
 		state.Delete(record.JobKey(id))
--- a/internal/config/bounds.go
+++ b/internal/config/bounds.go
@@ -50,5 +50,5 @@
 	minRefitSeconds    = 0.5
 	maxRefitSeconds    = 3600
 	maxTransferSeconds = 3600
-	maxOffloadedTasks  = tuning.MaxTasks // as many as one job may have
+	maxOffloadedTasks  = tuning.MaxTasksPerJob // as many as one job may have
 )
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -141,8 +141,8 @@
 }
 
 func (op *Operator) checkClasses(faults *faultCollector) {
-	if len(op.Classes) > tuning.MaxClasses {
-		faults.addElement("classes", "more than %d", tuning.MaxClasses)
+	if len(op.Classes) > tuning.MaxOperatorClasses {
+		faults.addElement("classes", "more than %d", tuning.MaxOperatorClasses)
 	}
 	names := map[string]bool{}
 	for _, class := range op.Classes {
@@ -151,10 +151,10 @@
 			faults.addElement(element, "empty, too long or named twice")
 		}
 		names[class.Name] = true
-		faults.checkElementRange(element+" repeats", float64(class.Repeats), 0, tuning.MaxRepeats)
-		faults.checkElementRange(element+" pause-s", class.PauseS, 0, tuning.MaxPauseS)
+		faults.checkElementRange(element+" repeats", float64(class.Repeats), 0, tuning.MaxClassRetries)
+		faults.checkElementRange(element+" pause-s", class.PauseS, 0, tuning.MaxRetryPauseSeconds)
 		faults.checkElementRange(element+" pause-max-s", class.PauseMaxS,
-			class.PauseS, tuning.MaxPauseS)
+			class.PauseS, tuning.MaxRetryPauseSeconds)
 	}
 }
 
@@ -204,7 +204,7 @@
 			return false
 		}
 	}
-	return name != "" && len(name) <= tuning.MaxCellName
+	return name != "" && len(name) <= tuning.MaxCellNameBytes
 }
 
 func isCellNameChar(char rune) bool {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -151,7 +151,7 @@
 	state := &d.State
 	faults.checkRange(section+"rps", state.RPS, minStoreRPS, maxStoreRPS)
 	faults.checkRange(section+"write_rps", state.WriteRPS, minStoreRPS, maxStoreRPS)
-	faults.checkRange(section+"value_kb", state.ValueKB, tuning.LeastValueKB, maxStoreValueKB)
+	faults.checkRange(section+"value_kb", state.ValueKB, tuning.MinValueLimitKB, maxStoreValueKB)
 	faults.checkRange(section+"txn_ops", float64(state.TxnOps), minStoreTxnOps, maxStoreTxnOps)
 	if state.Next != nil {
 		state.Next.validate(faults)
@@ -167,8 +167,8 @@
 	}
 	checkIfSet("rps", l.RPS, minStoreRPS, maxStoreRPS)
 	checkIfSet("write_rps", l.WriteRPS, minStoreRPS, maxStoreRPS)
-	checkIfSet("value_kb", l.ValueKB, tuning.LeastNextKB, maxStoreValueKB)
-	checkIfSet("txn_ops", float64(l.TxnOps), tuning.LeastTxnOps, maxStoreTxnOps)
+	checkIfSet("value_kb", l.ValueKB, tuning.MinUpcomingValueLimitKB, maxStoreValueKB)
+	checkIfSet("txn_ops", float64(l.TxnOps), tuning.MinUpcomingTxnOps, maxStoreTxnOps)
 }
 
 func (d *Deployment) checkCloud(faults *faultCollector) {
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -37,7 +37,7 @@
 func newStoreClient(c *Config) *kvstore.Client {
 	limits := &c.Settings.Deployment.State
 	client := kvstore.NewClient(c.Settings.Outside.State, kvstore.Limits{
-		BudgetShare:       tuning.StateShare / float64(c.Settings.Deployment.Size),
+		BudgetShare:       tuning.KVBudgetShare / float64(c.Settings.Deployment.Size),
 		RequestsPerSecond: limits.RPS,
 		WritesPerSecond:   limits.WriteRPS,
 		MaxValueKiB:       limits.ValueKB,
--- a/internal/dependency/resolver.go
+++ b/internal/dependency/resolver.go
@@ -38,7 +38,7 @@
 // error of ctx.
 func (r *Resolver) Run(ctx context.Context) error {
 	changed := r.clusterState.Subscribe()
-	retryTicker := time.NewTicker(tuning.OutcomeRetry)
+	retryTicker := time.NewTicker(tuning.OutcomeReadRetryPause)
 	defer retryTicker.Stop()
 	for {
 		r.resolveMissing(ctx)
@@ -73,7 +73,7 @@
 // dueJobIDs gives the jobs whose final records are to be read now.
 func (r *Resolver) dueJobIDs(now time.Time) []string {
 	for id, at := range r.failedAt {
-		if now.Sub(at) >= tuning.OutcomeRetry {
+		if now.Sub(at) >= tuning.OutcomeReadRetryPause {
 			delete(r.failedAt, id)
 		}
 	}
@@ -90,7 +90,7 @@
 func (r *Resolver) readOutcomes(ctx context.Context, ids []string) []outcome {
 	outcomes := make([]outcome, len(ids))
 	var group errgroup.Group
-	group.SetLimit(tuning.OutcomeLanes)
+	group.SetLimit(tuning.OutcomeReadConcurrency)
 	for i, id := range ids {
 		group.Go(func() error {
 			finalRecord, err := kvstore.ReadRecord[record.Final](ctx, r.reader, record.FinalKey(id))
--- a/internal/dependency/resolver_test.go
+++ b/internal/dependency/resolver_test.go
@@ -61,7 +61,7 @@
 
 // waitsStill gives the resolver time, and reports whether the dependent job still waits.
 func waitsStill(state *clusterstate.State) bool {
-	time.Sleep(3 * tuning.OutcomeRetry)
+	time.Sleep(3 * tuning.OutcomeReadRetryPause)
 	state.RLock()
 	defer state.RUnlock()
 	return state.Jobs[dependentJobID].HasUnmetDependencies()
--- a/internal/failuredetector/deletion.go
+++ b/internal/failuredetector/deletion.go
@@ -59,9 +59,9 @@
 func (d *Detector) waitInUnavailableZone(machine *Machine) time.Duration {
 	switch {
 	case machine.ControllerInZone || machine.BoundTasks == 0:
-		return tuning.CutInside
+		return tuning.PartitionedZoneControllerGrace
 	case machine.ServiceMovable:
-		return scaleDuration(d.Timing.LeaseDuration, tuning.CutServices)
+		return scaleDuration(d.Timing.LeaseDuration, tuning.PartitionServiceLeaseShare)
 	default:
 		return d.Timing.LeaseDuration
 	}
@@ -75,9 +75,9 @@
 	if machine.ServiceMovable && d.ZoneUnavailable(machine.Zone) {
 		return d.pace.zones[machine.Zone].take(d.silence(machine, now), d.Timing.LeaseDuration)
 	}
-	share := tuning.DeadCap
+	share := tuning.DeletionCapShare
 	if d.zones.State(machine.Zone) == zonehealth.Serving {
-		share = tuning.DeadCapServing
+		share = tuning.DeletionCapShareServingZone
 	}
 	return d.pace.take(max(minDeletions, int(share*float64(up))), now)
 }
@@ -100,7 +100,7 @@
 
 // forgetOld forgets the deletions that the cap does not count any more.
 func (p *deletionPace) forgetOld(now time.Time) {
-	p.recent = slices.DeleteFunc(p.recent, func(at time.Time) bool { return now.Sub(at) > tuning.DeadWindow })
+	p.recent = slices.DeleteFunc(p.recent, func(at time.Time) bool { return now.Sub(at) > tuning.DeletionCapWindow })
 }
 
 // take tells whether one more machine may be deleted under the cap, and counts it if so.
@@ -143,7 +143,7 @@
 // allowance is how many machines may have been given up once their zone has been silent for so long: all of them
 // by the end of the lease, the first once tuning.CutServices of it have passed.
 func (e *zoneEvacuation) allowance(silence, lease time.Duration) int {
-	start := scaleDuration(lease, tuning.CutServices)
+	start := scaleDuration(lease, tuning.PartitionServiceLeaseShare)
 	share := min(1, float64(silence-start)/float64(lease-start))
 	return int(math.Ceil(float64(e.total) * share))
 }
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -124,7 +124,7 @@
 // longer to find back; so it has with a new owner that never heard it.
 func (d *Detector) deadAfterProbe(machine *Machine) time.Duration {
 	if machine.LastHeard.IsZero() || !d.zones.ServedSince(machine.Zone, machine.LastHeard) {
-		return d.Timing.deadAfterProbe(tuning.OrderTimeout)
+		return d.Timing.deadAfterProbe(tuning.CommandTimeout)
 	}
 	return d.Timing.deadAfterProbe(tuning.ProbeTimeout)
 }
@@ -137,8 +137,8 @@
 
 // otherZonesHeard tells whether, beside the zones that are unavailable, others are heard well.
 func (d *Detector) otherZonesHeard(heartbeats zonehealth.HeartbeatCount) bool {
-	return len(d.UnavailableZones()) > 0 && heartbeats.Expected >= tuning.CutMachines &&
-		float64(heartbeats.Received) >= tuning.CutElsewhere*float64(heartbeats.Expected)
+	return len(d.UnavailableZones()) > 0 && heartbeats.Expected >= tuning.PartitionMinMachines &&
+		float64(heartbeats.Received) >= tuning.PartitionElsewhereHeardShare*float64(heartbeats.Expected)
 }
 
 // countUp counts the machines that are up by their records.
--- a/internal/failuredetector/peers.go
+++ b/internal/failuredetector/peers.go
@@ -47,13 +47,13 @@
 // prove anything.
 func (p *peerKnowledge) forgetOld(now time.Time, uncertain map[string]bool) {
 	maps.DeleteFunc(p.answers, func(name string, answer peerAnswer) bool {
-		return !uncertain[name] || now.Sub(answer.receivedAt) > 2*tuning.AskEvery
+		return !uncertain[name] || now.Sub(answer.receivedAt) > 2*tuning.PeerQueryInterval
 	})
 }
 
 // machinesToAskAbout gives the uncertain machines in the order of their names if the peers are to be asked now.
 func (p *peerKnowledge) machinesToAskAbout(now time.Time, uncertain map[string]bool) []string {
-	if len(uncertain) == 0 || now.Sub(p.askedAt) < tuning.AskEvery {
+	if len(uncertain) == 0 || now.Sub(p.askedAt) < tuning.PeerQueryInterval {
 		return nil
 	}
 	p.askedAt = now
--- a/internal/failuredetector/timing.go
+++ b/internal/failuredetector/timing.go
@@ -14,17 +14,17 @@
 
 // probeAfter is the silence after which a machine is probed by a direct command.
 func (t Timing) probeAfter() time.Duration {
-	return scaleDuration(t.HeartbeatInterval, tuning.ProbeAfter)
+	return scaleDuration(t.HeartbeatInterval, tuning.ProbeAfterIntervals)
 }
 
 // deadAfter is the silence after which a machine is dead if it could not be probed.
 func (t Timing) deadAfter() time.Duration {
-	return scaleDuration(t.HeartbeatInterval, tuning.DeadAfter)
+	return scaleDuration(t.HeartbeatInterval, tuning.DeadAfterIntervals)
 }
 
 // deadAfterProbe is the silence after which a machine is dead if a probe of some timeout got no answer.
 func (t Timing) deadAfterProbe(probeTimeout time.Duration) time.Duration {
-	return min(t.deadAfter(), t.probeAfter()+probeTimeout+tuning.SweepEvery)
+	return min(t.deadAfter(), t.probeAfter()+probeTimeout+tuning.SweepInterval)
 }
 
 // scaleDuration is a duration times a factor.
--- a/internal/failuredetector/zones.go
+++ b/internal/failuredetector/zones.go
@@ -28,7 +28,7 @@
 	now time.Time, machines []Machine,
 ) (all zonehealth.HeartbeatCount, transitions []zonehealth.Transition) {
 	byZone := map[string]zonehealth.HeartbeatCount{}
-	ownedLately := scaleDuration(d.Timing.HeartbeatInterval, tuning.CutOwned)
+	ownedLately := scaleDuration(d.Timing.HeartbeatInterval, tuning.PartitionMinOwnedIntervals)
 	for i := range machines {
 		machine := &machines[i]
 		if !machine.Up || machine.LastHeard.IsZero() && now.Sub(machine.OwnedSince) < ownedLately {
@@ -45,7 +45,7 @@
 		byZone[machine.Zone] = count
 	}
 	d.zones.Timing = zonehealth.Timing{
-		LeaseDuration: d.Timing.LeaseDuration, ReconnectTime: d.Timing.deadAfter() + tuning.FindNode,
+		LeaseDuration: d.Timing.LeaseDuration, ReconnectTime: d.Timing.deadAfter() + tuning.AgentFailoverTime,
 	}
 	return all, d.zones.Observe(now, byZone)
 }
--- a/internal/fairshare/tracker.go
+++ b/internal/fairshare/tracker.go
@@ -32,7 +32,7 @@
 	if t.trackedJobs == nil {
 		t.trackedJobs = map[string]bool{}
 	}
-	if len(t.arrivals) >= tuning.FloorJobs {
+	if len(t.arrivals) >= tuning.FairShareMaxJobs {
 		delete(t.trackedJobs, t.arrivals[0].JobID)
 		t.arrivals = t.arrivals[1:]
 	}
@@ -52,7 +52,7 @@
 	underserved := map[Group]bool{}
 	for group, count := range byGroup {
 		served := count.servedShare()
-		if served < tuning.FloorServed && served < tuning.FloorBehind*total.servedShare() {
+		if served < tuning.FairShareMinServed && served < tuning.FairShareMinRelativeServed*total.servedShare() {
 			underserved[group] = true
 		}
 	}
@@ -87,7 +87,7 @@
 }
 
 func isExpired(now time.Time, arrival *Arrival) bool {
-	return now.Sub(arrival.At) > tuning.FloorWindow
+	return now.Sub(arrival.At) > tuning.FairShareWindow
 }
 
 // taskCount counts the tasks of some arrivals.
--- a/internal/fairshare/tracker_test.go
+++ b/internal/fairshare/tracker_test.go
@@ -32,7 +32,7 @@
 func newRecount(now time.Time, arrivals []Arrival, waitingTasks map[string]int) recount {
 	model := recount{byGroup: map[Group]taskCount{}}
 	for _, arrival := range arrivals {
-		if now.Sub(arrival.At) > tuning.FloorWindow {
+		if now.Sub(arrival.At) > tuning.FairShareWindow {
 			continue
 		}
 		model.kept++
@@ -52,7 +52,7 @@
 func (r recount) check(t *rapid.T, got map[Group]bool) {
 	share := func(c taskCount) float64 { return 1 - float64(c.waiting)/float64(c.arrived) }
 	for group, count := range r.byGroup {
-		want := share(count) < tuning.FloorServed && share(count) < tuning.FloorBehind*share(r.total)
+		want := share(count) < tuning.FairShareMinServed && share(count) < tuning.FairShareMinRelativeServed*share(r.total)
 		if got[group] != want {
 			t.Fatalf("%+v was served %v of %v: underserved is %v", group, share(count), share(r.total), got[group])
 		}
@@ -91,11 +91,11 @@
 // TestTrackerIsBounded: whatever comes, no more jobs are kept than the bound.
 func TestTrackerIsBounded(t *testing.T) {
 	var tracker Tracker
-	for i := range tuning.FloorJobs + 100 {
+	for i := range tuning.FairShareMaxJobs + 100 {
 		arrival := Arrival{JobID: strconv.Itoa(i), Class: "a", Team: "x", Tasks: 1, At: testStart}
 		tracker.RecordArrival(testStart, arrival)
 	}
-	if tracker.Len() != tuning.FloorJobs {
+	if tracker.Len() != tuning.FairShareMaxJobs {
 		t.Fatalf("%d jobs kept", tracker.Len())
 	}
 }
--- a/internal/federation/digest.go
+++ b/internal/federation/digest.go
@@ -45,7 +45,7 @@
 func LargestCapacities(capacities []FreeCapacity) []FreeCapacity {
 	largest := slices.Clone(capacities)
 	slices.SortStableFunc(largest, func(a, b FreeCapacity) int { return -cmp.Compare(a.weight(), b.weight()) })
-	return largest[:min(len(largest), tuning.DigestShapes)]
+	return largest[:min(len(largest), tuning.DigestMaxShapes)]
 }
 
 // fittingTasks counts the tasks of a job that fit into the free capacities: into all of them together, or into
--- a/internal/federation/member.go
+++ b/internal/federation/member.go
@@ -30,12 +30,12 @@
 
 // isRecent tells whether the member has been heard recently enough not to be suspected.
 func (o Observation) isRecent(now time.Time) bool {
-	return !o.LastHeard.IsZero() && now.Sub(o.LastHeard) < tuning.CellDoubt
+	return !o.LastHeard.IsZero() && now.Sub(o.LastHeard) < tuning.CellSuspectedAfter
 }
 
 // isLost tells whether the member has been silent for so long that it counts as lost.
 func (o Observation) isLost(now time.Time) bool {
-	return o.LastHeard.IsZero() || now.Sub(o.LastHeard) >= tuning.CellLost
+	return o.LastHeard.IsZero() || now.Sub(o.LastHeard) >= tuning.CellLostAfter
 }
 
 // exchangingStanding returns the standing of a member that has completed its probation.
@@ -96,7 +96,7 @@
 
 // forgiveReturn takes one return off a member that has been joined for long enough.
 func (m Member) forgiveReturn(now time.Time) Member {
-	if m.Returns > 0 && m.Standing == StandingJoined && now.Sub(m.Since) >= tuning.ProbationForgive {
+	if m.Returns > 0 && m.Standing == StandingJoined && now.Sub(m.Since) >= tuning.ZoneProbationForgiveAfter {
 		m.Returns--
 		m.Since = now
 	}
@@ -169,7 +169,7 @@
 }
 
 func (m Member) countReturn() Member {
-	m.Returns = min(m.Returns+1, tuning.ProbationReturns)
+	m.Returns = min(m.Returns+1, tuning.ZoneProbationMaxDoublings)
 	return m
 }
 
@@ -199,7 +199,7 @@
 	case StandingUnknown:
 		return "its first message"
 	case StandingSuspected:
-		return fmt.Sprintf("a message of it, lost in %v", remaining(tuning.CellLost, now.Sub(m.Since)))
+		return fmt.Sprintf("a message of it, lost in %v", remaining(tuning.CellLostAfter, now.Sub(m.Since)))
 	case StandingLost:
 		return "a message of it, or `cell forget`"
 	case StandingReturning:
--- a/internal/federation/member_test.go
+++ b/internal/federation/member_test.go
@@ -83,7 +83,7 @@
 
 // mayAcceptOffers tells whether jobs may be offered to the member by what is observed of it.
 func (r *memberRun) mayAcceptOffers() bool {
-	return r.now.Sub(r.observed.LastHeard) < tuning.CellDoubt && r.observed.Configured &&
+	return r.now.Sub(r.observed.LastHeard) < tuning.CellSuspectedAfter && r.observed.Configured &&
 		r.member.Epoch > r.fencedEpoch && r.member.InventoryExchanged && r.member.Epoch == r.observed.Epoch
 }
 
@@ -94,10 +94,10 @@
 		t.Fatalf("jobs are offered to %+v, of which is known %+v", r.member, r.observed)
 	}
 	unheard := standing == StandingLost || standing == StandingUnknown || standing == StandingRemoved
-	if r.silentFor > tuning.CellLost+tolerance && !unheard {
+	if r.silentFor > tuning.CellLostAfter+tolerance && !unheard {
 		t.Fatalf("silent for %v and %v", r.silentFor, standing)
 	}
-	longestProbation := tuning.CellProbation << tuning.ProbationReturns
+	longestProbation := tuning.CellProbation << tuning.ZoneProbationMaxDoublings
 	if r.wellFor > longestProbation+tolerance && !r.member.AcceptsOffers() {
 		t.Fatalf("well for %v and %v, waits for %s", r.wellFor, standing, r.member.WaitReason(r.now))
 	}
--- a/internal/federation/placement.go
+++ b/internal/federation/placement.go
@@ -48,7 +48,7 @@
 // A job that does not fit now as a whole waits for its turn and for a machine to boot.
 func (c *TargetCell) expectedStart(candidate *OffloadCandidate, now time.Time) (seconds float64, ok bool) {
 	digest := &c.Digest
-	expired := digest.ReceivedAt.IsZero() || now.Sub(digest.ReceivedAt) > tuning.DigestLife
+	expired := digest.ReceivedAt.IsZero() || now.Sub(digest.ReceivedAt) > tuning.DigestMaxAge
 	if expired || c.TasksInFlight+candidate.TaskCount > digest.RemainingTasks {
 		return 0, false
 	}
@@ -71,7 +71,7 @@
 func (c *TargetCell) fitsNow(candidate *OffloadCandidate) bool {
 	fitting := c.Digest.fittingTasks(candidate)
 	inFlight := c.TasksInFlight + candidate.TaskCount
-	return inFlight <= fitting && float64(inFlight) <= tuning.SpillFlight*float64(fitting)
+	return inFlight <= fitting && float64(inFlight) <= tuning.OffloadInFlightShare*float64(fitting)
 }
 
 // ChooseCell returns the cell that a job is best offered to; ok is false if it should stay. It takes the better
@@ -83,7 +83,7 @@
 	if candidate.OffloadedHere {
 		return "", false
 	}
-	margin := max(tuning.SpillLeast.Seconds(), tuning.SpillMargin*candidate.LocalWaitSeconds)
+	margin := max(tuning.MinOffloadGain.Seconds(), tuning.OffloadGainShare*candidate.LocalWaitSeconds)
 	drawn := slices.Clone(cells)
 	random.Shuffle(len(drawn), func(i, j int) { drawn[i], drawn[j] = drawn[j], drawn[i] })
 	soonest, compared := 0.0, 0
--- a/internal/federation/placement_test.go
+++ b/internal/federation/placement_test.go
@@ -92,11 +92,11 @@
 	switch {
 	case candidate.OffloadedHere:
 		t.Fatal("an offloaded job is offloaded again")
-	case start.Sub(digest.ReceivedAt) > tuning.DigestLife:
+	case start.Sub(digest.ReceivedAt) > tuning.DigestMaxAge:
 		t.Fatalf("chosen by a digest received %v ago", start.Sub(digest.ReceivedAt))
 	case chosen.TasksInFlight+candidate.TaskCount > digest.RemainingTasks:
 		t.Fatalf("%d tasks where %d are accepted", chosen.TasksInFlight+candidate.TaskCount, digest.RemainingTasks)
-	case startSeconds+tuning.SpillLeast.Seconds() > candidate.LocalWaitSeconds:
+	case startSeconds+tuning.MinOffloadGain.Seconds() > candidate.LocalWaitSeconds:
 		t.Fatalf("offered to start in %.1f s, it waits %.1f s here", startSeconds, candidate.LocalWaitSeconds)
 	}
 }
--- a/internal/golden/job_changes_test.go
+++ b/internal/golden/job_changes_test.go
@@ -20,13 +20,13 @@
 
 var layouts = []layout{
 	{name: "chunks"},
-	{name: "groups", chunkWidth: tuning.ChunkTasks / 4},
-	{name: "half-moved", chunkWidth: tuning.ChunkTasks / 4, firstFixedChunk: 1},
+	{name: "groups", chunkWidth: tuning.FixedChunkTasks / 4},
+	{name: "half-moved", chunkWidth: tuning.FixedChunkTasks / 4, firstFixedChunk: 1},
 }
 
 // liveJob gives a job of some records as the cluster state has it.
 func liveJob(l layout) (*clusterstate.State, *clusterstate.Job) {
-	spec := arraySpec(2 * tuning.ChunkTasks)
+	spec := arraySpec(2 * tuning.FixedChunkTasks)
 	spec.MaxRetries = new(3)
 	job := record.Job{
 		Spec: spec, SubmittedAtMs: submittedMs, ChunkWidth: l.chunkWidth, FirstFixedChunk: l.firstFixedChunk,
@@ -41,7 +41,7 @@
 // changedTasks are tasks at the edges of records, some of which have failed before.
 func changedTasks() map[int]record.Task {
 	tasks := map[int]record.Task{}
-	for _, index := range []int{0, 1, 2, 49, 50, 51, tuning.ChunkTasks - 1, tuning.ChunkTasks, tuning.ChunkTasks + 1} {
+	for _, index := range []int{0, 1, 2, 49, 50, 51, tuning.FixedChunkTasks - 1, tuning.FixedChunkTasks, tuning.FixedChunkTasks + 1} {
 		task := boundTask(index, 1, "vm-1")
 		task.Failures = index % 3
 		tasks[index] = task
--- a/internal/graph/compile.go
+++ b/internal/graph/compile.go
@@ -59,8 +59,8 @@
 func (g *Graph) Compile(run Run, rules Rules) ([]Job, []Fault) {
 	faults := &faultCollector{source: g.source}
 	params := g.runParams(run, faults)
-	if count := g.instanceCount(params); count > tuning.GraphTasks {
-		faults.add("/tasks", "%d tasks with those that are mapped, at most %d", count, tuning.GraphTasks)
+	if count := g.instanceCount(params); count > tuning.GraphMaxTasks {
+		faults.add("/tasks", "%d tasks with those that are mapped, at most %d", count, tuning.GraphMaxTasks)
 		return nil, faults.faults
 	}
 	c := compiler{
@@ -134,9 +134,9 @@
 	c.deferred[task.ID] = rule != TriggerAllSuccess || c.hasDeferredUpstream(task.ID)
 	upstreamJobs := c.upstreamJobs(task.ID)
 	path := taskPath(index)
-	if len(upstreamJobs) > tuning.GraphAwaits && !c.deferred[task.ID] {
+	if len(upstreamJobs) > tuning.GraphMaxDependencies && !c.deferred[task.ID] {
 		c.faults.add(path+"/upstream_task_ids",
-			"waits for %d jobs, at most %d", len(upstreamJobs), tuning.GraphAwaits)
+			"waits for %d jobs, at most %d", len(upstreamJobs), tuning.GraphMaxDependencies)
 	}
 	items := task.mappedItems(c.params)
 	for i := range max(1, len(items)) {
--- a/internal/graph/document.go
+++ b/internal/graph/document.go
@@ -27,7 +27,7 @@
 
 // readDocument converts the document below root. It fails with errTooManyValues.
 func readDocument(root *yaml.Node, faults *faultCollector) (any, error) {
-	reader := documentReader{remainingValues: tuning.GraphValues, faults: faults}
+	reader := documentReader{remainingValues: tuning.GraphMaxValues, faults: faults}
 	value := reader.value(root, "")
 	if reader.exhausted() {
 		return nil, errTooManyValues
@@ -42,7 +42,7 @@
 	if r.remainingValues--; r.exhausted() {
 		return nil
 	}
-	if r.depth++; r.depth > tuning.GraphDepth {
+	if r.depth++; r.depth > tuning.GraphMaxDepth {
 		r.remainingValues = -1 // an alias within what it stands for never ends
 	}
 	defer func() { r.depth-- }()
@@ -116,7 +116,7 @@
 // merge reads the entries of mappings, of aliases of them and of lists of both into out.
 func (r *documentReader) merge(merges []*yaml.Node, path string, out map[string]any) {
 	for len(merges) > 0 && !r.exhausted() {
-		if r.remainingValues--; r.depth > tuning.GraphDepth {
+		if r.remainingValues--; r.depth > tuning.GraphMaxDepth {
 			r.remainingValues = -1
 		}
 		node := merges[0]
--- a/internal/graph/errors.go
+++ b/internal/graph/errors.go
@@ -9,14 +9,14 @@
 
 // Reasons to refuse a whole file; Parse reports them as a Fault without line.
 var (
-	errFileTooLarge  = fmt.Errorf("more than %d bytes", tuning.GraphBytes)
+	errFileTooLarge  = fmt.Errorf("more than %d bytes", tuning.GraphFileMaxBytes)
 	errManyDocuments = errors.New("more than one document")
 	errTooManyValues = fmt.Errorf("more than %d values, or more than %d within each other",
-		tuning.GraphValues, tuning.GraphDepth)
+		tuning.GraphMaxValues, tuning.GraphMaxDepth)
 )
 
 // errTemplateTooLong is the cause of a TemplateError whose template gives too long a text.
-var errTemplateTooLong = fmt.Errorf("gives more than %d bytes", tuning.GraphText)
+var errTemplateTooLong = fmt.Errorf("gives more than %d bytes", tuning.GraphTextMaxBytes)
 
 // DateError reports a text that ParseDate can't read.
 type DateError struct {
--- a/internal/graph/fault_test.go
+++ b/internal/graph/fault_test.go
@@ -156,7 +156,7 @@
 	},
 	{
 		name: "too many awaits",
-		text: fileHead + "- {task_id: a, expand: [" + strings.Repeat("1, ", tuning.GraphAwaits) + "1]}\n" +
+		text: fileHead + "- {task_id: a, expand: [" + strings.Repeat("1, ", tuning.GraphMaxDependencies) + "1]}\n" +
 			"- {task_id: b, upstream_task_ids: [a]}\n",
 		want: []expectedFault{
 			{line: 5, path: "/tasks/1/upstream_task_ids", message: "waits for 49 jobs"},
--- a/internal/graph/jobspec.go
+++ b/internal/graph/jobspec.go
@@ -64,10 +64,10 @@
 		spec.MachineTypes = append(spec.MachineTypes, b.requiredText(field, machineType))
 	}
 	if args.TaskCount != nil {
-		spec.TaskCount = b.wholeNumber("count", args.TaskCount, 1, tuning.MaxTasks)
+		spec.TaskCount = b.wholeNumber("count", args.TaskCount, 1, tuning.MaxTasksPerJob)
 	}
 	if args.Retries != nil {
-		requested := b.wholeNumber("retries", args.Retries, 0, tuning.MaxRepeats)
+		requested := b.wholeNumber("retries", args.Retries, 0, tuning.MaxClassRetries)
 		b.requestedRetries = &requested
 	}
 	return spec
--- a/internal/graph/parse.go
+++ b/internal/graph/parse.go
@@ -41,7 +41,7 @@
 
 // decodeDocument returns the root value of the only document of a YAML or JSON file.
 func decodeDocument(content []byte) (*yaml.Node, error) {
-	if len(content) > tuning.GraphBytes {
+	if len(content) > tuning.GraphFileMaxBytes {
 		return nil, errFileTooLarge
 	}
 	var document yaml.Node
--- a/internal/graph/template.go
+++ b/internal/graph/template.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return "", err
 	}
-	if len(rendered) > tuning.GraphText {
+	if len(rendered) > tuning.GraphTextMaxBytes {
 		return "", errTemplateTooLong
 	}
 	return rendered, nil
--- a/internal/knownfailures/knownfailures.go
+++ b/internal/knownfailures/knownfailures.go
@@ -55,7 +55,7 @@
 	if slices.ContainsFunc(before, func(other Test) bool { return other.Name == test.Name }) {
 		return Test{}, ErrDuplicateTest
 	}
-	if len(before) == tuning.KnownRedMost {
+	if len(before) == tuning.KnownFailuresMax {
 		return Test{}, ErrTooManyTests
 	}
 	return test, nil
--- a/internal/knownfailures/knownfailures_test.go
+++ b/internal/knownfailures/knownfailures_test.go
@@ -46,7 +46,7 @@
 		},
 	}
 	tooMany := listFault{name: "too many", want: ErrTooManyTests}
-	for i := range tuning.KnownRedMost + 1 {
+	for i := range tuning.KnownFailuresMax + 1 {
 		tooMany.lines = append(tooMany.lines, fmt.Sprintf("./internal/a TestB%d, cause, #3", i))
 	}
 	return append(faults, tooMany)
@@ -55,7 +55,7 @@
 // check fails unless reading a list, and holding it against what there is, gives the fault's error. A line
 // that would be one too many may be found first.
 func (f *listFault) check(t *rapid.T, listed int, err error) {
-	if errors.Is(err, ErrTooManyTests) && listed+len(f.lines) > tuning.KnownRedMost {
+	if errors.Is(err, ErrTooManyTests) && listed+len(f.lines) > tuning.KnownFailuresMax {
 		return
 	}
 	if location := new(LocationError); f.want == nil && !errors.As(err, &location) {
@@ -70,7 +70,7 @@
 // one skips its tests and no others.
 func TestLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		count := rapid.IntRange(0, tuning.KnownRedMost).Draw(t, "tests")
+		count := rapid.IntRange(0, tuning.KnownFailuresMax).Draw(t, "tests")
 		var lines []string
 		names := map[string][]string{packageA: {"TestOther", "TestA0b"}, packageB: {"TestElse"}}
 		for i := range count {
--- a/internal/kvstore/batch.go
+++ b/internal/kvstore/batch.go
@@ -23,7 +23,7 @@
 func newBatch(writes, maxTransactionOps int) *batch {
 	return &batch{
 		maxOps:        min(writes, maxTransactionOps),
-		maxConditions: maxTransactionOps * tuning.GuardsPerOp,
+		maxConditions: maxTransactionOps * tuning.TxnConditionsPerOp,
 		modRevisions:  map[string]uint64{},
 		keys:          map[string]bool{},
 	}
@@ -38,7 +38,7 @@
 	withinLimits := len(b.transactions) == 0 ||
 		b.ops+len(p.Ops) <= b.maxOps &&
 			len(b.modRevisions)+len(p.Conditions) <= b.maxConditions &&
-			b.bytes+p.encodedSize() <= tuning.TxnBytes
+			b.bytes+p.encodedSize() <= tuning.TxnMaxBytes
 	if !withinLimits {
 		return false
 	}
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -125,7 +125,7 @@
 }
 
 func (l *Limits) maxRecordBytes() int {
-	return int(l.MaxValueKiB * bytesPerKiB * tuning.JSONShare)
+	return int(l.MaxValueKiB * bytesPerKiB * tuning.JSONShareOfValueLimit)
 }
 
 // initialRequestRate is this node's share of the request rate at first, a second.
@@ -143,16 +143,16 @@
 	b.recoverWriteRate()
 	requests := b.limits.RequestsPerSecond * share
 	writes := b.limits.WritesPerSecond * share * b.backoffFactor
-	setLimiter(b.requestLimiter, requests*(1-tuning.UrgentShare), max(int(requests/2), 4))
-	setLimiter(b.urgentLimiter, requests*tuning.UrgentShare, max(int(requests*tuning.UrgentShare), 4))
+	setLimiter(b.requestLimiter, requests*(1-tuning.KVUrgentExtraShare), max(int(requests/2), 4))
+	setLimiter(b.urgentLimiter, requests*tuning.KVUrgentExtraShare, max(int(requests*tuning.KVUrgentExtraShare), 4))
 	setLimiter(b.writeLimiter, writes, max(int(writes), b.limits.MaxTransactionOps))
 }
 
 // recoverWriteRate gives back a step of the write rate once there was no
 // rejection for a while. The caller holds mu.
 func (b *budget) recoverWriteRate() {
-	if b.backoffFactor < 1 && time.Since(b.backoffChangedAt) > tuning.PaceHold {
-		b.backoffFactor, b.backoffChangedAt = min(1, b.backoffFactor+tuning.PaceBack), time.Now()
+	if b.backoffFactor < 1 && time.Since(b.backoffChangedAt) > tuning.WriteRateAdjustInterval {
+		b.backoffFactor, b.backoffChangedAt = min(1, b.backoffFactor+tuning.WriteRateRecoveryStep), time.Now()
 	}
 }
 
@@ -162,11 +162,11 @@
 func (b *budget) reduceWriteRate() {
 	b.mu.Lock()
 	now := time.Now()
-	if now.Sub(b.backoffChangedAt) < tuning.PaceHold {
+	if now.Sub(b.backoffChangedAt) < tuning.WriteRateAdjustInterval {
 		b.mu.Unlock()
 		return
 	}
-	b.backoffFactor, b.backoffChangedAt = max(b.backoffFactor*tuning.PaceCut, tuning.PaceLeast), now
+	b.backoffFactor, b.backoffChangedAt = max(b.backoffFactor*tuning.WriteRateCutFactor, tuning.WriteRateMinFactor), now
 	share := b.share
 	b.mu.Unlock()
 	b.SetBudgetShare(share)
--- a/internal/kvstore/budget_test.go
+++ b/internal/kvstore/budget_test.go
@@ -42,18 +42,18 @@
 		for range 100 {
 			_, _ = client.ExecuteTransaction(t.Context(), wire.TxnRequest{}, OrdinaryRequest)
 		}
-		if got := client.writeLimiter.Limit(); got != 60*tuning.PaceCut {
+		if got := client.writeLimiter.Limit(); got != 60*tuning.WriteRateCutFactor {
 			t.Errorf("one bad moment lowered the rate to %v", got)
 		}
 		for range 30 {
-			time.Sleep(tuning.PaceHold)
+			time.Sleep(tuning.WriteRateAdjustInterval)
 			_, _ = client.ExecuteTransaction(t.Context(), wire.TxnRequest{}, OrdinaryRequest)
 		}
-		if got := float64(client.writeLimiter.Limit()); math.Abs(got-60*tuning.PaceLeast) > 1e-9 {
+		if got := float64(client.writeLimiter.Limit()); math.Abs(got-60*tuning.WriteRateMinFactor) > 1e-9 {
 			t.Errorf("lasting rejections left %v", got)
 		}
 		for range 60 {
-			time.Sleep(2 * tuning.PaceHold)
+			time.Sleep(2 * tuning.WriteRateAdjustInterval)
 			client.SetBudgetShare(1)
 		}
 		if got := client.writeLimiter.Limit(); got != 60 {
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -29,7 +29,7 @@
 // for the network.
 func NewClient(address string, limits Limits, transport http.RoundTripper) *Client {
 	if transport == nil {
-		transport = wire.NewTransport(tuning.StateTimeout, tuning.IdleConns, tuning.IdleConns)
+		transport = wire.NewTransport(tuning.KVRequestTimeout, tuning.MaxIdleConnsPerHost, tuning.MaxIdleConnsPerHost)
 	}
 	return &Client{
 		budget:     newBudget(limits),
@@ -61,7 +61,7 @@
 	}
 	var entry wire.KeyValue
 	reply, err := c.roundTrip(ctx, request{
-		method: http.MethodGet, path: "/store/" + key, timeout: tuning.StateTimeout,
+		method: http.MethodGet, path: "/store/" + key, timeout: tuning.KVRequestTimeout,
 	}, &entry)
 	if err == nil && reply.status == http.StatusNotFound {
 		err = ErrNotFound
@@ -77,13 +77,13 @@
 	if err := c.waitForRequestBudget(ctx, OrdinaryRequest); err != nil {
 		return wire.RangeResponse{}, err
 	}
-	query := url.Values{"under": {prefix}, "page": {strconv.Itoa(tuning.PageRows)}}
+	query := url.Values{"under": {prefix}, "page": {strconv.Itoa(tuning.ListPageSize)}}
 	if afterKey != "" {
 		query.Set("after", afterKey)
 	}
 	var page wire.RangeResponse
 	reply, err := c.roundTrip(ctx, request{
-		method: http.MethodGet, path: "/store?" + query.Encode(), timeout: 2 * tuning.StateTimeout,
+		method: http.MethodGet, path: "/store?" + query.Encode(), timeout: 2 * tuning.KVRequestTimeout,
 	}, &page)
 	if err == nil {
 		err = reply.rejection("list")
@@ -112,7 +112,7 @@
 	}
 	var changes wire.WatchResponse
 	reply, err := c.roundTrip(ctx, request{
-		method: http.MethodGet, path: "/watch?" + query.Encode(), timeout: watch.MaxWait + tuning.StateTimeout,
+		method: http.MethodGet, path: "/watch?" + query.Encode(), timeout: watch.MaxWait + tuning.KVRequestTimeout,
 	}, &changes)
 	if err == nil && reply.status == http.StatusGone {
 		err = ErrCompacted
@@ -134,7 +134,7 @@
 	}
 	var result wire.TxnResponse
 	reply, err := c.roundTrip(ctx, request{
-		method: http.MethodPost, path: "/multi", body: transaction, timeout: tuning.StateTimeout,
+		method: http.MethodPost, path: "/multi", body: transaction, timeout: tuning.KVRequestTimeout,
 	}, &result)
 	switch {
 	case err != nil:
@@ -187,7 +187,7 @@
 		return response{}, transportError(err)
 	}
 	defer func() { _ = httpResponse.Body.Close() }() // the body was read, or the answer is given up
-	body, err := wire.ReadBody(httpResponse.Body, tuning.StateBody)
+	body, err := wire.ReadBody(httpResponse.Body, tuning.KVResponseMaxBytes)
 	if err != nil {
 		return response{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
--- a/internal/kvstore/committer.go
+++ b/internal/kvstore/committer.go
@@ -75,7 +75,7 @@
 // way.
 func (c *Committer) Run(ctx context.Context) error {
 	var workers sync.WaitGroup
-	for range tuning.CommitLanes {
+	for range tuning.CommitWorkers {
 		workers.Go(func() { c.runWorker(ctx) })
 	}
 	workers.Wait()
@@ -112,7 +112,7 @@
 	select {
 	case result := <-p.result:
 		return result.revision, result.err
-	case <-time.After(tuning.StateTimeout):
+	case <-time.After(tuning.KVRequestTimeout):
 		return 0, ErrOutcomeUnknown
 	}
 }
@@ -123,7 +123,7 @@
 	now := p.enqueuedAt
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.queue) >= tuning.CommitQueue {
+	if len(c.queue) >= tuning.CommitQueueLength {
 		return false
 	}
 	position := slices.IndexFunc(c.queue, func(other *pendingTransaction) bool {
@@ -243,7 +243,7 @@
 			}
 			transactions = remaining
 		case errors.Is(err, ErrUnavailable):
-			if pause(ctx, tuning.StateRetry) != nil {
+			if pause(ctx, tuning.KVRetryPause) != nil {
 				finishBatch(transactions, 0, ErrUnavailable)
 				return
 			}
@@ -275,7 +275,7 @@
 	before := c.observer.TrackInFlight(transaction.Ops)
 	defer c.observer.UntrackInFlight(transaction.Ops)
 	answers := c.sendTransaction(ctx, transaction, priority)
-	checkTimer := time.NewTimer(tuning.AnswerLate)
+	checkTimer := time.NewTimer(tuning.TxnAnswerLateAfter)
 	defer checkTimer.Stop()
 	for {
 		var answer transactionAnswer
@@ -285,7 +285,7 @@
 				return answer.result, answer.err
 			}
 		case <-checkTimer.C:
-			checkTimer.Reset(tuning.AnswerLook)
+			checkTimer.Reset(tuning.TxnOutcomePollInterval)
 		}
 		if revision, ok := c.observer.FindApplied(transaction.Ops, before); ok {
 			outcomesLearnedFromWatch.Inc()
--- a/internal/kvstore/committer_test.go
+++ b/internal/kvstore/committer_test.go
@@ -63,7 +63,7 @@
 			synctest.Wait()
 		}
 		enqueue("old", PriorityNormal)
-		time.Sleep(tuning.SoonPatience + time.Second)
+		time.Sleep(tuning.NormalTxnMaxWait + time.Second)
 		enqueue("background", PriorityBackground)
 		enqueue("normal", PriorityNormal)
 		enqueue("high", PriorityHigh)
@@ -216,10 +216,10 @@
 		watchDelay, least, most time.Duration
 		want                    error
 	}{
-		"shown at once": {10 * time.Millisecond, tuning.AnswerLate, tuning.AnswerLate + tuning.AnswerLook, nil},
+		"shown at once": {10 * time.Millisecond, tuning.TxnAnswerLateAfter, tuning.TxnAnswerLateAfter + tuning.TxnOutcomePollInterval, nil},
 		"shown later": {600 * time.Millisecond, 600 * time.Millisecond,
-			600*time.Millisecond + 2*tuning.AnswerLook, nil},
-		"not applied": {0, tuning.StateTimeout, tuning.StateTimeout + time.Second, ErrOutcomeUnknown},
+			600*time.Millisecond + 2*tuning.TxnOutcomePollInterval, nil},
+		"not applied": {0, tuning.KVRequestTimeout, tuning.KVRequestTimeout + time.Second, ErrOutcomeUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/kvstore/inflight.go
+++ b/internal/kvstore/inflight.go
@@ -18,7 +18,7 @@
 // recordChange keeps a change that the cache has taken in; a nil value stands
 // for a delete. A nil receiver keeps nothing.
 func (k *inFlightKey) recordChange(revision uint64, value wire.RawValue) {
-	if k != nil && len(k.changes) < tuning.SendingNotes {
+	if k != nil && len(k.changes) < tuning.InFlightKeyMaxChanges {
 		k.changes[revision] = value
 	}
 }
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -18,7 +18,7 @@
 	}
 	var granted wire.LeaseResponse
 	reply, err := c.roundTrip(ctx, request{
-		method: http.MethodPost, path: "/holds", timeout: tuning.StateTimeout,
+		method: http.MethodPost, path: "/holds", timeout: tuning.KVRequestTimeout,
 		body: wire.LeaseRequest{TTLMs: timeToLive.Milliseconds()},
 	}, &granted)
 	if err == nil {
@@ -34,7 +34,7 @@
 		return err
 	}
 	reply, err := c.roundTrip(ctx, request{
-		method: http.MethodPost, path: fmt.Sprintf("/holds/%d/touch", leaseID), timeout: tuning.StateTimeout,
+		method: http.MethodPost, path: fmt.Sprintf("/holds/%d/touch", leaseID), timeout: tuning.KVRequestTimeout,
 	}, nil)
 	switch {
 	case err != nil:
@@ -49,7 +49,7 @@
 // waits for the budget nor minds a lease that has expired before.
 func (c *Client) RevokeLease(ctx context.Context, leaseID uint64) error {
 	_, err := c.roundTrip(ctx, request{
-		method: http.MethodDelete, path: fmt.Sprintf("/holds/%d", leaseID), timeout: tuning.StateTimeout,
+		method: http.MethodDelete, path: fmt.Sprintf("/holds/%d", leaseID), timeout: tuning.KVRequestTimeout,
 	}, nil)
 	return err
 }
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -92,9 +92,9 @@
 func (p *pendingTransaction) effectivePriority(now time.Time) Priority {
 	waited := now.Sub(p.enqueuedAt)
 	switch {
-	case p.Priority == PriorityNormal && waited > tuning.SoonPatience:
+	case p.Priority == PriorityNormal && waited > tuning.NormalTxnMaxWait:
 		return PriorityHigh
-	case p.Priority == PriorityBackground && waited >= tuning.LazyPatience:
+	case p.Priority == PriorityBackground && waited >= tuning.BackgroundTxnMaxWait:
 		return PriorityNormal
 	}
 	return p.Priority
--- a/internal/kvstore/watchcache.go
+++ b/internal/kvstore/watchcache.go
@@ -62,8 +62,8 @@
 		prefix:       prefix,
 		sink:         sink,
 		logger:       logger,
-		watchLimiter: rate.NewLimiter(rate.Limit(requestRate*tuning.WatchRateShare), watchBurst),
-		barriers:     newBarrierQueue(rate.Limit(requestRate * tuning.SyncRateShare)),
+		watchLimiter: rate.NewLimiter(rate.Limit(requestRate*tuning.WatchBudgetShare), watchBurst),
+		barriers:     newBarrierQueue(rate.Limit(requestRate * tuning.ReadBarrierBudgetShare)),
 		modRevisions: map[string]uint64{},
 		inFlight:     map[string]*inFlightKey{},
 		ownDeletes:   map[string]uint64{},
@@ -100,7 +100,7 @@
 	for ctx.Err() == nil {
 		if err := c.listAll(ctx); err != nil {
 			c.logger.Info("key listing failed", "err", err)
-			_ = pause(ctx, tuning.StateRetry) // the loop sees whether ctx has ended
+			_ = pause(ctx, tuning.KVRetryPause) // the loop sees whether ctx has ended
 			continue
 		}
 		c.followWatch(ctx)
@@ -117,7 +117,7 @@
 		}
 		afterRevision, _ := c.progress()
 		err := c.watchOnce(ctx, WatchRequest{
-			Prefix: c.prefix, AfterRevision: afterRevision, MaxWait: tuning.WatchHold, Priority: OrdinaryRequest,
+			Prefix: c.prefix, AfterRevision: afterRevision, MaxWait: tuning.WatchMaxWait, Priority: OrdinaryRequest,
 		})
 		if errors.Is(err, ErrCompacted) {
 			c.logger.Info("watch fell behind, listing again")
@@ -125,7 +125,7 @@
 		}
 		if err != nil && ctx.Err() == nil {
 			c.logger.Debug("watch failed", "err", err)
-			_ = pause(ctx, tuning.StateRetry) // the loop sees whether ctx has ended
+			_ = pause(ctx, tuning.KVRetryPause) // the loop sees whether ctx has ended
 		}
 	}
 }
--- a/internal/learner/checkpoint.go
+++ b/internal/learner/checkpoint.go
@@ -29,7 +29,7 @@
 		Version:     c.Version,
 		RewardCount: c.RewardCount,
 		WrittenAtMs: writtenAtMs,
-		PieceCount:  tuning.LearnClasses, // the widest it can be; the real count is set at the end
+		PieceCount:  tuning.EstimateMaxClasses, // the widest it can be; the real count is set at the end
 	}, maxBytes)
 	for _, weight := range c.Weights {
 		weight = roundToSixDigits(weight)
@@ -118,7 +118,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return Checkpoint{
-		Version:     tuning.LearnForm,
+		Version:     tuning.LearnerCheckpointVersion,
 		Weights:     slices.Clone(l.weights),
 		RewardCount: l.rewardCount,
 	}
@@ -128,11 +128,11 @@
 // *CheckpointFormError, one with a weight that is no finite number with ErrWeightNotFinite; the
 // learner stays as it was then.
 func (l *Learner) Restore(checkpoint Checkpoint) error {
-	if checkpoint.Version != tuning.LearnForm || len(checkpoint.Weights) != featureWidth ||
+	if checkpoint.Version != tuning.LearnerCheckpointVersion || len(checkpoint.Weights) != featureWidth ||
 		checkpoint.RewardCount < 0 {
 		return &CheckpointFormError{
 			Version: checkpoint.Version, Weights: len(checkpoint.Weights),
-			WantVersion: tuning.LearnForm, WantWeights: featureWidth,
+			WantVersion: tuning.LearnerCheckpointVersion, WantWeights: featureWidth,
 		}
 	}
 	for _, weight := range checkpoint.Weights {
--- a/internal/learner/input.go
+++ b/internal/learner/input.go
@@ -28,7 +28,7 @@
 
 // Widths of the encoding, which don't depend on the number of teams and classes.
 const (
-	bucketCount  = tuning.LearnBuckets
+	bucketCount  = tuning.LearnerHashBuckets
 	stateScalars = 4
 	jobScalars   = 2
 	scaleScalars = 3
@@ -56,10 +56,10 @@
 // known of a job, and what is known of a number of machines.
 func encodeInput(state *State, action *Action) []float64 {
 	input := make([]float64, inputWidth)
-	input[0] = saturate(state.RunningWorkSeconds, tuning.LearnWorkScale)
-	input[1] = saturate(state.NextFreeSeconds, tuning.LearnTimeScale)
-	input[2] = saturate(state.BacklogSeconds, tuning.LearnWorkScale)
-	input[3] = saturate(state.IdleMachines, tuning.LearnCountScale)
+	input[0] = saturate(state.RunningWorkSeconds, tuning.LearnerWorkScaleSeconds)
+	input[1] = saturate(state.NextFreeSeconds, tuning.LearnerTimeScaleSeconds)
+	input[2] = saturate(state.BacklogSeconds, tuning.LearnerWorkScaleSeconds)
+	input[3] = saturate(state.IdleMachines, tuning.LearnerMachineScale)
 	shares := input[stateScalars:][:bucketCount]
 	for team, share := range state.TeamShares {
 		bucket := hashBucket(team)
@@ -78,7 +78,7 @@
 	class, team, scalars := input[:bucketCount], input[bucketCount:2*bucketCount], input[2*bucketCount:]
 	class[hashBucket(action.Class)] = 1
 	team[hashBucket(action.Team)] = 1
-	scalars[0] = saturate(action.RunSeconds, tuning.LearnTimeScale)
+	scalars[0] = saturate(action.RunSeconds, tuning.LearnerTimeScaleSeconds)
 	if action.Interactive {
 		scalars[1] = 1
 	}
@@ -87,5 +87,5 @@
 func encodeScaling(input []float64, action *Action) {
 	input[0] = 1
 	input[1] = clamp01(action.ScaleFraction)
-	input[2] = saturate(action.Machines, tuning.LearnCountScale)
+	input[2] = saturate(action.Machines, tuning.LearnerMachineScale)
 }
--- a/internal/learner/learner.go
+++ b/internal/learner/learner.go
@@ -108,7 +108,7 @@
 	}
 	l.lastDecision++
 	l.pending[l.lastDecision] = &pendingDecision{features: action.features}
-	if old := l.lastDecision - tuning.OpenDecisions; l.pending[old] != nil {
+	if old := l.lastDecision - tuning.LearnerPendingDecisions; l.pending[old] != nil {
 		delete(l.pending, old) // its reward never came
 	}
 	return l.lastDecision
@@ -139,12 +139,12 @@
 	nextValue := dot(l.weights, decision.nextFeatures)
 	target := value + l.config.LearningRate*(decision.reward+l.config.Discount*nextValue-value)
 	sample := trainingSample{features: decision.features, target: target}
-	if len(l.samples) < tuning.LearnSamples {
+	if len(l.samples) < tuning.LearnerMaxSamples {
 		l.samples = append(l.samples, sample)
 	} else {
 		l.samples[l.nextSample] = sample
 	}
-	l.nextSample = (l.nextSample + 1) % tuning.LearnSamples
+	l.nextSample = (l.nextSample + 1) % tuning.LearnerMaxSamples
 }
 
 // Refit fits the readout to the samples. An error leaves the last good weights; too few samples are
@@ -153,7 +153,7 @@
 	l.mu.Lock()
 	samples := slices.Clone(l.samples)
 	l.mu.Unlock()
-	if len(samples) < tuning.LearnMinSamples {
+	if len(samples) < tuning.LearnerMinSamples {
 		return nil
 	}
 	weights, err := ridgeRegression(samples)
--- a/internal/learner/learner_test.go
+++ b/internal/learner/learner_test.go
@@ -173,7 +173,7 @@
 	for _, r := range []float64{math.NaN(), -1, 0, math.Inf(1)} {
 		e.RecordRun("a", r, 100)
 	}
-	for range tuning.LearnEnough {
+	for range tuning.EstimateMinRuns {
 		e.RecordRun("a", 300, 100)
 	}
 	if got := e.ExpectedRunSeconds("a", 1); got != 300 {
@@ -186,7 +186,7 @@
 func TestCheckpointInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		figures := rapid.SliceOfN(rapid.Float64Range(-1e6, 1e6), 0, 8)
-		in := Checkpoint{Version: tuning.LearnForm, RewardCount: rapid.IntRange(0, 1e6).Draw(t, "paid"),
+		in := Checkpoint{Version: tuning.LearnerCheckpointVersion, RewardCount: rapid.IntRange(0, 1e6).Draw(t, "paid"),
 			Weights:        rapid.SliceOfN(rapid.Float64Range(-1e6, 1e6), 1, 200).Draw(t, "weights"),
 			Runs:           rapid.MapOfN(rapid.StringMatching("[a-z]{1,40}"), figures, 0, 20).Draw(t, "runs"),
 			EstimateRatios: rapid.MapOfN(rapid.StringMatching("[a-z]{1,40}"), figures, 0, 20).Draw(t, "ratios")}
--- a/internal/learner/readout.go
+++ b/internal/learner/readout.go
@@ -28,7 +28,7 @@
 	var gram mat.SymDense
 	gram.SymOuterK(1, features.T())
 	for i := range featureWidth {
-		gram.SetSym(i, i, gram.At(i, i)+tuning.Ridge)
+		gram.SetSym(i, i, gram.At(i, i)+tuning.RidgeWeight)
 	}
 	var rightSide mat.VecDense
 	rightSide.MulVec(features.T(), targets)
--- a/internal/learner/runtime.go
+++ b/internal/learner/runtime.go
@@ -38,7 +38,7 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if _, ok := e.runs[class]; !ok && len(e.runs) >= tuning.LearnClasses {
+	if _, ok := e.runs[class]; !ok && len(e.runs) >= tuning.EstimateMaxClasses {
 		return
 	}
 	e.runs[class] = appendBounded(e.runs[class], runSeconds)
@@ -51,7 +51,7 @@
 
 func appendBounded(list []float64, value float64) []float64 {
 	list = append(list, value)
-	if len(list) > tuning.LearnRuns {
+	if len(list) > tuning.EstimateRunsPerClass {
 		list = slices.Delete(list, 0, 1)
 	}
 	return list
@@ -72,7 +72,7 @@
 func (e *RunTimeEstimates) ExpectedRunSeconds(class string, estimateSeconds float64) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if runs := e.runs[class]; len(runs) >= tuning.LearnEnough {
+	if runs := e.runs[class]; len(runs) >= tuning.EstimateMinRuns {
 		return cachedMedian(e.medianRun, class, runs)
 	}
 	if ratios := e.estimateRatios[class]; len(ratios) > 0 {
@@ -93,7 +93,7 @@
 func newestOfEach(lists map[string][]float64) map[string][]float64 {
 	newest := make(map[string][]float64, len(lists))
 	for class, list := range lists {
-		newest[class] = slices.Clone(list[max(0, len(list)-tuning.LearnEnough):])
+		newest[class] = slices.Clone(list[max(0, len(list)-tuning.EstimateMinRuns):])
 	}
 	return newest
 }
@@ -109,7 +109,7 @@
 	defer e.mu.Unlock()
 	for class, ratios := range checkpoint.EstimateRatios {
 		for _, ratio := range ratios {
-			if ratio > 0 && ratio < tuning.MaxAmount && len(e.estimateRatios) < tuning.LearnClasses {
+			if ratio > 0 && ratio < tuning.MaxAmount && len(e.estimateRatios) < tuning.EstimateMaxClasses {
 				e.estimateRatios[class] = appendBounded(e.estimateRatios[class], ratio)
 				delete(e.medianRatio, class)
 			}
--- a/internal/membership/failover.go
+++ b/internal/membership/failover.go
@@ -47,7 +47,7 @@
 // It does nothing on a cluster state that may be old.
 func (m *Member) reviewOwnership(ctx context.Context) {
 	completeAsOf := m.cache.CompleteAsOf()
-	if completeAsOf.IsZero() || time.Since(completeAsOf) > tuning.ReadyStale {
+	if completeAsOf.IsZero() || time.Since(completeAsOf) > tuning.ReadyMaxStateAge {
 		return
 	}
 	plan := m.planOwnership()
@@ -61,7 +61,7 @@
 }
 
 func (m *Member) commitChange(ctx context.Context, change ownershipChange) {
-	ctx, cancel := context.WithTimeout(ctx, 2*tuning.StateTimeout)
+	ctx, cancel := context.WithTimeout(ctx, 2*tuning.KVRequestTimeout)
 	defer cancel()
 	if _, err := m.committer.Commit(ctx, change.transaction); err != nil {
 		m.logger.Info("shard not taken over", "shard", change.shard, "err", err)
@@ -186,9 +186,9 @@
 	if home == m.NodeName || current.Owner == m.NodeName {
 		return 0
 	}
-	delay := time.Duration(owned) * tuning.TakeoverStep
+	delay := time.Duration(owned) * tuning.FailoverStagger
 	if _, homeIsLive := m.clusterState.Nodes[home]; homeIsLive || !known {
-		delay += tuning.HomeGrace
+		delay += tuning.HomeNodeGrace
 	}
 	return delay
 }
--- a/internal/membership/failover_test.go
+++ b/internal/membership/failover_test.go
@@ -79,7 +79,7 @@
 		if got := change.transaction.Conditions[len(change.transaction.Conditions)-1]; got != absent {
 			t.Errorf("takeover on condition %v, want %v", got, absent)
 		}
-		time.Sleep(3*tuning.TakeoverStep - time.Millisecond)
+		time.Sleep(3*tuning.FailoverStagger - time.Millisecond)
 		if _, ok := changeOf(busy, orphaned); ok {
 			t.Error("a node that owns three shards takes over another one early")
 		}
@@ -116,7 +116,7 @@
 		if _, ok := changeOf(home, shard); !ok {
 			t.Error("the home node doesn't take the shard at once")
 		}
-		time.Sleep(3*tuning.TakeoverStep + tuning.HomeGrace - time.Millisecond)
+		time.Sleep(3*tuning.FailoverStagger + tuning.HomeNodeGrace - time.Millisecond)
 		if _, ok := changeOf(other, shard); ok {
 			t.Error("another node takes the shard within the grace period")
 		}
--- a/internal/membership/fencing.go
+++ b/internal/membership/fencing.go
@@ -78,7 +78,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(tuning.UnknownPause):
+		case <-time.After(tuning.UnknownOutcomePause):
 		}
 	}
 }
@@ -97,7 +97,7 @@
 	if mode == raiseToken {
 		next.FencingToken = nextFencingToken(next.FencingToken, schemaVersion)
 	}
-	ctx, cancel := context.WithTimeout(ctx, 2*tuning.StateTimeout)
+	ctx, cancel := context.WithTimeout(ctx, 2*tuning.KVRequestTimeout)
 	defer cancel()
 	_, err := m.committer.Commit(ctx, ownershipTransaction(shard, current, next))
 	// Also after an error: the transaction may have been applied, and the next
@@ -116,8 +116,8 @@
 // cancellations are confirmed, even to a process without any cluster state.
 func nextFencingToken(fencingToken uint64, schemaVersion int) uint64 {
 	next := fencingToken + 1
-	if schemaVersion >= tuning.LevelCertain && next < tuning.CertainToken {
-		next += tuning.CertainToken
+	if schemaVersion >= tuning.SchemaVersionConfirmedCancel && next < tuning.ConfirmedCancelTokenBase {
+		next += tuning.ConfirmedCancelTokenBase
 	}
 	return next
 }
--- a/internal/membership/fencing_test.go
+++ b/internal/membership/fencing_test.go
@@ -17,9 +17,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		token, version := rapid.Uint64Range(0, 1000).Draw(t, "token"), 0
 		for range 20 {
-			version = max(version, rapid.IntRange(0, tuning.Level).Draw(t, "version"))
+			version = max(version, rapid.IntRange(0, tuning.SchemaVersion).Draw(t, "version"))
 			next := nextFencingToken(token, version)
-			if next <= token || (next >= tuning.CertainToken) != (version >= tuning.LevelCertain) {
+			if next <= token || (next >= tuning.ConfirmedCancelTokenBase) != (version >= tuning.SchemaVersionConfirmedCancel) {
 				t.Fatalf("%d after %d at version %d", next, token, version)
 			}
 			token = next
@@ -30,11 +30,11 @@
 	member := cluster.members[1]
 	cluster.openSession(member, 5)
 	for shard := record.LeaderShard; shard < 3; shard++ {
-		cluster.own(shard, member, testIncarnation, tuning.CertainToken+4, 3)
+		cluster.own(shard, member, testIncarnation, tuning.ConfirmedCancelTokenBase+4, 3)
 	}
 	cluster.own(unmarkedShard, member, testIncarnation, 4, 3)
 	cluster.own(record.LeaderShard, member, testIncarnation, 4, 3)
-	for version, want := range map[int]int{0: record.LeaderShard, tuning.LevelCertain: unmarkedShard} {
+	for version, want := range map[int]int{0: record.LeaderShard, tuning.SchemaVersionConfirmedCancel: unmarkedShard} {
 		cluster.state.SchemaVersion = version
 		if got := member.planOwnership().shardToMark; got != want {
 			t.Errorf("version %d: the token of shard %d is raised, want %d", version, got, want)
--- a/internal/membership/handover.go
+++ b/internal/membership/handover.go
@@ -17,9 +17,9 @@
 	if shard == record.LeaderShard || !m.ownedBySelf(current) || home == m.NodeName || m.fences.isRunning(shard) {
 		return ownershipChange{}, false
 	}
-	wait := tuning.HandBackAfter
+	wait := tuning.ShardReturnDelay
 	if current.HandedOff {
-		wait = tuning.GivenHold
+		wait = tuning.HandOffHold
 	}
 	homeNode, homeIsLive := m.clusterState.Nodes[home]
 	homeSince, ownedSince := m.history.sessionSince[home], m.history.ownedSince[shard]
@@ -57,7 +57,7 @@
 		FencingToken:     nextFencingToken(current.FencingToken, schemaVersion),
 		HandedOff:        true,
 	}
-	ctx, cancel := context.WithTimeout(ctx, 2*tuning.StateTimeout)
+	ctx, cancel := context.WithTimeout(ctx, 2*tuning.KVRequestTimeout)
 	defer cancel()
 	_, err := m.committer.Commit(ctx, ownershipTransaction(shard, current, next, sessionCondition(to, target)))
 	m.logger.Info("shard transferred: its agents send heartbeats elsewhere", "shard", shard, "node", to, "err", err)
--- a/internal/membership/handover_test.go
+++ b/internal/membership/handover_test.go
@@ -18,10 +18,10 @@
 		ownedFirst bool // the shard is owned before its home node is back
 		wait       time.Duration
 	}{
-		"after a failover":                 {false, true, tuning.HandBackAfter},
-		"after a failover from a late one": {false, false, tuning.HandBackAfter},
-		"after a transfer":                 {true, false, tuning.GivenHold},
-		"after a transfer and a restart":   {true, true, tuning.GivenHold},
+		"after a failover":                 {false, true, tuning.ShardReturnDelay},
+		"after a failover from a late one": {false, false, tuning.ShardReturnDelay},
+		"after a transfer":                 {true, false, tuning.HandOffHold},
+		"after a transfer and a restart":   {true, true, tuning.HandOffHold},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -73,7 +73,7 @@
 // cluster state, and at least every tuning.MemberTick.
 func (m *Member) reviewPeriodically(ctx context.Context) error {
 	changed := m.clusterState.Subscribe()
-	ticker := time.NewTicker(tuning.MemberTick)
+	ticker := time.NewTicker(tuning.MembershipInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -35,7 +35,7 @@
 			NodeName:      name,
 			Incarnation:   testIncarnation,
 			NodeNames:     names,
-			SchemaVersion: tuning.Level,
+			SchemaVersion: tuning.SchemaVersion,
 			Client:        client,
 			Committer:     kvstore.NewCommitter(client, func([]wire.Op, uint64) {}),
 			Cache:         kvstore.NewWatchCache(client, record.LivePrefix, cluster.state, logger),
--- a/internal/membership/ownership.go
+++ b/internal/membership/ownership.go
@@ -85,11 +85,11 @@
 	m.clusterState.RLock()
 	defer m.clusterState.RUnlock()
 	if _, live := m.clusterState.Nodes[m.NodeName]; !live {
-		return tuning.StateShare / float64(len(m.nodeNames))
+		return tuning.KVBudgetShare / float64(len(m.nodeNames))
 	}
-	evenShare := tuning.EvenShare / float64(len(m.clusterState.Nodes))
+	evenShare := tuning.KVEvenBudgetShare / float64(len(m.clusterState.Nodes))
 	shardCount := m.clusterState.ShardCount + 1 // the leader's included
-	return tuning.StateShare * (evenShare + (1-tuning.EvenShare)*float64(m.ownedCount())/float64(shardCount))
+	return tuning.KVBudgetShare * (evenShare + (1-tuning.KVEvenBudgetShare)*float64(m.ownedCount())/float64(shardCount))
 }
 
 // ownershipTransaction writes a shard's record, on condition that nobody has
--- a/internal/membership/ownership_test.go
+++ b/internal/membership/ownership_test.go
@@ -32,8 +32,8 @@
 		for _, member := range live {
 			sum += member.budgetShare()
 		}
-		if sum > tuning.StateShare+tolerance || liveCount == 1 && sum < tuning.StateShare-tolerance {
-			t.Errorf("shares add up to %v of %v with %d of %d nodes", sum, tuning.StateShare, liveCount, nodeCount)
+		if sum > tuning.KVBudgetShare+tolerance || liveCount == 1 && sum < tuning.KVBudgetShare-tolerance {
+			t.Errorf("shares add up to %v of %v with %d of %d nodes", sum, tuning.KVBudgetShare, liveCount, nodeCount)
 		}
 	})
 }
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -42,7 +42,7 @@
 
 // run keeps the session until ctx ends, and then closes it.
 func (s *session) run(ctx context.Context) error {
-	ticker := time.NewTicker(tuning.SessionRenew)
+	ticker := time.NewTicker(tuning.SessionRenewInterval)
 	defer ticker.Stop()
 	for {
 		if retryNow := s.maintain(ctx); retryNow {
@@ -134,7 +134,7 @@
 	if s.leaseID == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, tuning.StopGrace/2)
+	ctx, cancel := context.WithTimeout(ctx, tuning.ShutdownGrace/2)
 	defer cancel()
 	if err := s.client.RevokeLease(ctx, s.leaseID); err != nil {
 		s.logger.Info("session left to expire", "err", err)
--- a/internal/membership/store_test.go
+++ b/internal/membership/store_test.go
@@ -80,7 +80,7 @@
 	node.committer = kvstore.NewCommitter(client, cache.ApplyOwn)
 	node.committer.SetObserver(cache)
 	node.member = membership.New(membership.Config{
-		NodeName: node.name, Incarnation: 1, NodeNames: []string{node.name}, SchemaVersion: tuning.Level,
+		NodeName: node.name, Incarnation: 1, NodeNames: []string{node.name}, SchemaVersion: tuning.SchemaVersion,
 		Client: client, Committer: node.committer, Cache: cache, ClusterState: node.state, Logger: logger,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -126,16 +126,16 @@
 		node := startNode(t)
 		isRegistered := func() bool {
 			session, ok := node.registration(t)
-			return ok && session.Incarnation == 1 && session.SchemaVersion == tuning.Level
+			return ok && session.Incarnation == 1 && session.SchemaVersion == tuning.SchemaVersion
 		}
-		time.Sleep(2 * tuning.SessionRenew)
+		time.Sleep(2 * tuning.SessionRenewInterval)
 		if !isRegistered() {
 			t.Error("not registered at first")
 		}
 		node.transport.isCut.Store(true)
-		time.Sleep(tuning.SessionTTL + tuning.SessionRenew)
+		time.Sleep(tuning.SessionTTL + tuning.SessionRenewInterval)
 		node.transport.isCut.Store(false)
-		time.Sleep(3 * tuning.SessionRenew)
+		time.Sleep(3 * tuning.SessionRenewInterval)
 		if !isRegistered() {
 			t.Error("not registered after the lease has expired")
 		}
@@ -149,7 +149,7 @@
 		if err != nil || isRegistered() {
 			t.Fatalf("not replaced: %v", err)
 		}
-		time.Sleep(3 * tuning.SessionRenew)
+		time.Sleep(3 * tuning.SessionRenewInterval)
 		if !isRegistered() {
 			t.Error("not registered after another registration")
 		}
@@ -170,7 +170,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				node := startNode(t)
-				time.Sleep(3 * tuning.SessionRenew)
+				time.Sleep(3 * tuning.SessionRenewInterval)
 				before, owns := node.ownership()
 				if !owns {
 					t.Fatal("the shard isn't taken over")
--- a/internal/offload/answer.go
+++ b/internal/offload/answer.go
@@ -189,7 +189,7 @@
 	}
 	for _, transfer := range view.transfers.Transfers {
 		ended := transfer.Status == federation.HostEnded
-		if ended && !reported[transfer.Number] && len(answer.Statuses) < 2*tuning.CellAsks {
+		if ended && !reported[transfer.Number] && len(answer.Statuses) < 2*tuning.CellTransfersPerMessage {
 			answer.Statuses = append(answer.Statuses, view.status(transfer.Number))
 		}
 	}
--- a/internal/offload/digest.go
+++ b/internal/offload/digest.go
@@ -115,7 +115,7 @@
 func (s *machineSummary) commonImages() []string {
 	var common []string
 	for _, image := range slices.Sorted(maps.Keys(s.countByImage)) {
-		if s.countByImage[image]*tuning.DigestHeld >= s.count && len(common) < tuning.DigestShapes {
+		if s.countByImage[image]*tuning.DigestImageHolderDivisor >= s.count && len(common) < tuning.DigestMaxShapes {
 			common = append(common, image)
 		}
 	}
@@ -140,5 +140,5 @@
 	if waitingSeconds == 0 {
 		return 0
 	}
-	return min(waitingSeconds/max(runningTasks, 1), tuning.NoDeadline.Seconds())
+	return min(waitingSeconds/max(runningTasks, 1), tuning.DefaultDeadline.Seconds())
 }
--- a/internal/offload/exchange.go
+++ b/internal/offload/exchange.go
@@ -36,7 +36,7 @@
 
 // exchange sends requests about the jobs that are offloaded to a cell, and applies the answer.
 func (o *Offloader) exchange(ctx context.Context, cell config.Cell) error {
-	ctx, cancel := context.WithTimeout(ctx, tuning.CellTimeout)
+	ctx, cancel := context.WithTimeout(ctx, tuning.CellExchangeTimeout)
 	defer cancel()
 	message := o.newRequestMessage(cell.Name)
 	answer, err := o.transport.Exchange(ctx, cell, message)
@@ -93,14 +93,14 @@
 	for _, number := range slices.Sorted(maps.Keys(jobs)) {
 		if peer.heldTransfers[number] {
 			held = append(held, number)
-		} else if len(next) < tuning.CellAsks {
+		} else if len(next) < tuning.CellTransfersPerMessage {
 			next = append(next, number)
 		}
 	}
-	for i := 0; i < len(held) && len(next) < tuning.CellAsks; i++ {
+	for i := 0; i < len(held) && len(next) < tuning.CellTransfersPerMessage; i++ {
 		next = append(next, held[(peer.nextHeldRequest+i)%len(held)])
 	}
-	peer.nextHeldRequest += tuning.CellAsks
+	peer.nextHeldRequest += tuning.CellTransfersPerMessage
 	slices.Sort(next)
 	return next
 }
--- a/internal/offload/offer.go
+++ b/internal/offload/offer.go
@@ -120,7 +120,7 @@
 func (o *Offloader) countInFlight(targets []federation.TargetCell) map[string]int {
 	digestTakenAt := map[string]time.Time{}
 	for _, target := range targets {
-		digestTakenAt[target.Name] = target.Digest.ReceivedAt.Add(-tuning.CellExchange)
+		digestTakenAt[target.Name] = target.Digest.ReceivedAt.Add(-tuning.CellExchangeInterval)
 	}
 	inFlight := map[string]int{}
 	for _, job := range o.clusterState.Jobs {
@@ -143,7 +143,7 @@
 	var offers []offer
 	for _, id := range slices.Sorted(maps.Keys(o.clusterState.Jobs)) {
 		job := o.clusterState.Jobs[id]
-		if len(offers) >= tuning.CellGifts || !job.CanStart() || !o.canBeOffloaded(job) {
+		if len(offers) >= tuning.OffloadsPerReview || !job.CanStart() || !o.canBeOffloaded(job) {
 			continue
 		}
 		rank := job.Spec.Priority.Rank()
@@ -188,7 +188,7 @@
 	hasLimit := team.GPUsMax != 0 || team.CPUsMax != 0
 	hasGuarantee := team.GPUs != 0 || team.CPUs != 0
 	return known && !hasLimit && !hasGuarantee && isUntouched(job) && specMayLeave(&job.Spec) &&
-		time.Since(job.ReadySince()) > tuning.SpillAfter
+		time.Since(job.ReadySince()) > tuning.OffloadMinWait
 }
 
 // isUntouched tells whether no task of a job has started, here or elsewhere, and its own record says all of it.
--- a/internal/offload/offloader.go
+++ b/internal/offload/offloader.go
@@ -91,7 +91,7 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	ticker := time.NewTicker(tuning.CellExchange)
+	ticker := time.NewTicker(tuning.CellExchangeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -120,7 +120,9 @@
 
 // recordsEnabled tells whether all nodes can read records about cells. Callers hold the lock of the cluster
 // state.
-func (o *Offloader) recordsEnabled() bool { return o.clusterState.SchemaVersion >= tuning.LevelCells }
+func (o *Offloader) recordsEnabled() bool {
+	return o.clusterState.SchemaVersion >= tuning.SchemaVersionOffload
+}
 
 // runOnce exchanges messages with all cells, then forgets those that the operators name, then offers jobs.
 func (o *Offloader) runOnce(ctx context.Context) {
--- a/internal/offload/testcell_test.go
+++ b/internal/offload/testcell_test.go
@@ -58,7 +58,7 @@
 		Name: testMachineType, CPUs: 64, GPUs: 8, MemoryGB: 512,
 		ImageCacheGB: 100, ImageFetchGBps: 1, Zones: []string{"z"},
 	}
-	cell.put(record.SchemaVersionKey, record.SchemaVersion{Version: tuning.LevelCells})
+	cell.put(record.SchemaVersionKey, record.SchemaVersion{Version: tuning.SchemaVersionOffload})
 	cell.put(record.CatalogKey, wire.Catalog{Types: []wire.MachineType{machineType}})
 	cell.put(record.MachineKey(testMachine), record.Machine{Type: testMachineType, Zone: "z", Up: true})
 	cell.elect()
--- a/internal/peerrpc/service.go
+++ b/internal/peerrpc/service.go
@@ -58,8 +58,8 @@
 // Heard answers which agents this node has heard from; of too many machines the first ones count.
 func (s *service) Heard(_ context.Context, request *peerpb.HeardRequest) (*peerpb.HeardReply, error) {
 	machines := request.GetMachines()
-	if len(machines) > tuning.PeerMachines {
-		machines = machines[:tuning.PeerMachines]
+	if len(machines) > tuning.PeerQueryMaxMachines {
+		machines = machines[:tuning.PeerQueryMaxMachines]
 	}
 	return &peerpb.HeardReply{Heard: s.registry.RecentlyHeard(machines), Fresh: s.registry.HasFreshState()}, nil
 }
--- a/internal/peerrpc/transport.go
+++ b/internal/peerrpc/transport.go
@@ -60,7 +60,7 @@
 func dial(endpoint string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+endpoint,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(tuning.PeerMessage)))
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(tuning.PeerMessageMaxBytes)))
 }
 
 // SetCellHandler sets what answers other cells. It is called before Run, if at all.
@@ -83,7 +83,7 @@
 	if err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
-	grpcServer := grpc.NewServer(grpc.MaxRecvMsgSize(tuning.PeerMessage), grpc.MaxConcurrentStreams(tuning.PeerStreams))
+	grpcServer := grpc.NewServer(grpc.MaxRecvMsgSize(tuning.PeerMessageMaxBytes), grpc.MaxConcurrentStreams(tuning.PeerMaxStreams))
 	calls := &service{registry: t.registry, cellHandler: t.currentCellHandler}
 	peerpb.RegisterPeerServer(grpcServer, calls)
 	peerpb.RegisterCellsServer(grpcServer, calls)
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -152,7 +152,7 @@
 // raisedAmount raises one dimension of a grant to what was requested and some headroom, within what is
 // left of the limit. The headroom leaves a rest of the limit that others may request.
 func raisedAmount(grant, requested, headroom, left, limit float64) float64 {
-	withHeadroom := min(requested+headroom, left-tuning.GrantRest*limit)
+	withHeadroom := min(requested+headroom, left-tuning.GrantReserveShare*limit)
 	return max(grant, min(max(requested, withHeadroom), left))
 }
 
@@ -212,16 +212,16 @@
 // reductionDue reports whether a grant has been larger than needed for long enough to be lowered: a small
 // surplus is kept for longer.
 func (r surplusRule) reductionDue(surplusFor time.Duration, grant, needed record.Resources) bool {
-	if surplusFor > tuning.GrantSlow {
+	if surplusFor > tuning.GrantSmallRestHold {
 		return true
 	}
 	isSmall := r.limited && grant.FitsIn(needed.PlusTimes(r.headroom, 0.5))
-	return surplusFor > tuning.GrantIdle && !isSmall
+	return surplusFor > tuning.GrantIdleHold && !isSmall
 }
 
 // headroom is what a shard is granted above what it needs.
 func (m *GrantManager) headroom(limit record.Resources) record.Resources {
-	fraction := tuning.GrantLot / float64(m.state.ShardCount)
+	fraction := tuning.GrantLotShare / float64(m.state.ShardCount)
 	return record.Resources{CPUs: math.Floor(limit.CPUs * fraction), GPUs: math.Floor(limit.GPUs * fraction)}
 }
 
@@ -231,7 +231,7 @@
 	for _, grant := range quota.Grants {
 		granted = granted.Plus(grant)
 	}
-	return granted.CPUs <= (1-tuning.GrantRest)*limit.CPUs && granted.GPUs <= (1-tuning.GrantRest)*limit.GPUs
+	return granted.CPUs <= (1-tuning.GrantReserveShare)*limit.CPUs && granted.GPUs <= (1-tuning.GrantReserveShare)*limit.GPUs
 }
 
 // newChange returns the change of a grant, conditional on the revision of the ownership record of its shard. Until
--- a/internal/record/chunk_test.go
+++ b/internal/record/chunk_test.go
@@ -10,7 +10,7 @@
 // TestInvalidTaskGroupsAreRefused: a record with indexes out of range is unreadable, not a way to fill the memory.
 func TestInvalidTaskGroupsAreRefused(t *testing.T) {
 	for _, runs := range [][]int{
-		{1}, {-1, 0}, {0, -1}, {0, tuning.ChunkTasks}, {tuning.MaxTasks, 0}, {0, 1 << 40}, {0, 100, 0, 100},
+		{1}, {-1, 0}, {0, -1}, {0, tuning.FixedChunkTasks}, {tuning.MaxTasksPerJob, 0}, {0, 1 << 40}, {0, 100, 0, 100},
 	} {
 		tasks, err := expandGroups([]TaskGroup{{State: TaskBound, IndexRuns: runs}})
 		if err == nil {
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -94,7 +94,7 @@
 func ParseChunkKey(key string) (jobID string, index int, ok bool) {
 	// Both prefixes have the same length, and what follows reads like a task's name.
 	ref, ok := ParseTaskRef(key[len(FixedChunkPrefix):])
-	return ref.JobID, ref.Index, ok && ref.Index > 0 && ref.Index < tuning.MaxTasks
+	return ref.JobID, ref.Index, ok && ref.Index > 0 && ref.Index < tuning.MaxTasksPerJob
 }
 
 // ParseGuestOutcomeKey reads the key of a GuestOutcome.
--- a/internal/record/layout.go
+++ b/internal/record/layout.go
@@ -13,14 +13,16 @@
 // then, and the fixed ones from FirstFixedChunk on follow them.
 
 // FixedChunkCount is the number of fixed chunks that so many tasks take.
-func FixedChunkCount(tasks int) int { return (tasks + tuning.ChunkTasks - 1) / tuning.ChunkTasks }
+func FixedChunkCount(tasks int) int {
+	return (tasks + tuning.FixedChunkTasks - 1) / tuning.FixedChunkTasks
+}
 
 // validLayout reports whether the job's chunks can be laid out as its record says.
 func (j *Job) validLayout() bool {
 	if j.ChunkWidth == 0 {
 		return j.FirstFixedChunk == 0
 	}
-	return j.ChunkWidth >= 1 && j.ChunkWidth <= tuning.ChunkTasks && tuning.ChunkTasks%j.ChunkWidth == 0 &&
+	return j.ChunkWidth >= 1 && j.ChunkWidth <= tuning.FixedChunkTasks && tuning.FixedChunkTasks%j.ChunkWidth == 0 &&
 		j.FirstFixedChunk >= 0 && j.FirstFixedChunk < FixedChunkCount(j.Spec.TaskCount)
 }
 
@@ -30,7 +32,7 @@
 	case j.ChunkWidth == 0:
 		return 0
 	case j.FirstFixedChunk > 0:
-		return j.FirstFixedChunk * (tuning.ChunkTasks / j.ChunkWidth)
+		return j.FirstFixedChunk * (tuning.FixedChunkTasks / j.ChunkWidth)
 	}
 	return (j.Spec.TaskCount + j.ChunkWidth - 1) / j.ChunkWidth
 }
@@ -50,18 +52,18 @@
 func (j *Job) ChunkOf(task int) int {
 	switch {
 	case j.ChunkWidth == 0:
-		return task / tuning.ChunkTasks
-	case j.FirstFixedChunk == 0 || task < j.FirstFixedChunk*tuning.ChunkTasks:
+		return task / tuning.FixedChunkTasks
+	case j.FirstFixedChunk == 0 || task < j.FirstFixedChunk*tuning.FixedChunkTasks:
 		return task / j.ChunkWidth
 	}
-	return j.groupedChunkCount() + task/tuning.ChunkTasks - j.FirstFixedChunk
+	return j.groupedChunkCount() + task/tuning.FixedChunkTasks - j.FirstFixedChunk
 }
 
 // TaskRange returns the indexes of a chunk's tasks, from first up to but not including end.
 func (j *Job) TaskRange(chunk int) (first, end int) {
 	first, width := chunk*j.ChunkWidth, j.ChunkWidth
 	if grouped := j.groupedChunkCount(); chunk >= grouped {
-		first, width = (chunk-grouped+j.FirstFixedChunk)*tuning.ChunkTasks, tuning.ChunkTasks
+		first, width = (chunk-grouped+j.FirstFixedChunk)*tuning.FixedChunkTasks, tuning.FixedChunkTasks
 	}
 	return first, min(first+width, j.Spec.TaskCount)
 }
@@ -97,7 +99,7 @@
 	if width == 0 {
 		return ErrDescriptionTooLarge
 	}
-	if schemaVersion >= tuning.LevelPipelines && !limits.FixedChunksFit(&j.Spec, baseSize) {
+	if schemaVersion >= tuning.SchemaVersionDependencies && !limits.FixedChunksFit(&j.Spec, baseSize) {
 		j.ChunkWidth = width
 	}
 	return nil
--- a/internal/record/layout_test.go
+++ b/internal/record/layout_test.go
@@ -89,7 +89,7 @@
 // TestInvalidLayoutsAreRefused: a job whose chunks cannot be laid out as its record says is unreadable.
 func TestInvalidLayoutsAreRefused(t *testing.T) {
 	for _, layout := range []struct{ width, firstFixed int }{
-		{-1, 0}, {3, 0}, {tuning.ChunkTasks * 2, 0}, {0, 1}, {16, -1}, {16, 2},
+		{-1, 0}, {3, 0}, {tuning.FixedChunkTasks * 2, 0}, {0, 1}, {16, -1}, {16, 2},
 	} {
 		job := Job{Spec: wire.JobSpec{ID: "run-7", TaskCount: 200}}
 		job.ChunkWidth, job.FirstFixedChunk = layout.width, layout.firstFixed
--- a/internal/record/size.go
+++ b/internal/record/size.go
@@ -26,12 +26,12 @@
 // baseSize bytes; 0 if no width fits. A gang's tasks are bound together and may each have a machine to
 // themselves; an array whose tasks are on so many machines finds some of them waiting.
 func (l SizeLimits) ChunkWidth(spec *wire.JobSpec, baseSize int) int {
-	bytesPerTask := tuning.LikelyTaskBytes
+	bytesPerTask := tuning.BoundTaskTypicalBytes
 	if spec.Kind == wire.KindGang {
 		bytesPerTask = l.BoundTaskBytes
 	}
 	bytesPerTask += failureBytesPerTask(spec)
-	for width := tuning.ChunkTasks; width >= tuning.LeastWidth; width /= 2 {
+	for width := tuning.FixedChunkTasks; width >= tuning.MinChunkWidth; width /= 2 {
 		if baseSize+min(width, spec.TaskCount)*bytesPerTask <= l.MaxBytes {
 			return width
 		}
@@ -42,7 +42,7 @@
 // FixedChunksFit reports whether fixed chunks of a job stay within the limits whatever becomes of its tasks.
 func (l SizeLimits) FixedChunksFit(spec *wire.JobSpec, baseSize int) bool {
 	bytesPerTask := l.BoundTaskBytes + failureBytesPerTask(spec)
-	return baseSize+min(spec.TaskCount, tuning.ChunkTasks)*bytesPerTask <= l.MaxBytes
+	return baseSize+min(spec.TaskCount, tuning.FixedChunkTasks)*bytesPerTask <= l.MaxBytes
 }
 
 // failureBytesPerTask is what a task of a job may take in its record beside its own state.
@@ -50,15 +50,15 @@
 	if spec.MaxRetries == nil {
 		return 0
 	}
-	return tuning.FailureBytes
+	return tuning.RetryCountMaxBytes
 }
 
 // EncodedBaseSize is the most that a job's own record takes without tasks.
 func EncodedBaseSize(job Job) int {
 	// Fields that are still empty may be set later.
 	job.CancelledAtMs = max(job.SubmittedAtMs, 1)
-	job.PreemptedAttempt = tuning.MaxTasks
-	job.ChunkWidth, job.FirstFixedChunk = tuning.ChunkTasks, tuning.MaxTasks
+	job.PreemptedAttempt = tuning.MaxTasksPerJob
+	job.ChunkWidth, job.FirstFixedChunk = tuning.FixedChunkTasks, tuning.MaxTasksPerJob
 	job.Tasks, job.Groups, job.Failures = nil, nil, nil
 	job.CancelAfterRelease = true
 	if job.Spec.MaxRetries != nil {
--- a/internal/record/size_test.go
+++ b/internal/record/size_test.go
@@ -15,13 +15,13 @@
 // TestLargestFixedChunkFits: a full record stays within the smallest value limit seen (16 KiB as JSON), whatever
 // its tasks have gone through.
 func TestLargestFixedChunkFits(t *testing.T) {
-	job := Job{Spec: wire.JobSpec{ID: "run-00000000000000000001", TaskCount: tuning.MaxTasks}}
+	job := Job{Spec: wire.JobSpec{ID: "run-00000000000000000001", TaskCount: tuning.MaxTasksPerJob}}
 	var tasks []Task
-	for range tuning.ChunkTasks {
-		tasks = append(tasks, Task{Index: tuning.MaxTasks, State: TaskBound, Attempt: 1 << 20,
+	for range tuning.FixedChunkTasks {
+		tasks = append(tasks, Task{Index: tuning.MaxTasksPerJob, State: TaskBound, Attempt: 1 << 20,
 			Machine: "vm-000000231", Session: 1 << 20})
 	}
-	if op := job.EncodeTasks(1, tasks); float64(len(op.Value)) > tuning.ValueFraction*16*1024 {
+	if op := job.EncodeTasks(1, tasks); float64(len(op.Value)) > tuning.RecordShareOfValueLimit*16*1024 {
 		t.Fatalf("%d bytes", len(op.Value))
 	}
 }
@@ -44,7 +44,7 @@
 // array, are written within a limit of 2 KiB.
 func TestGangRecordsFitSmallLimit(t *testing.T) {
 	limit := 2048
-	limits := SizeLimits{MaxBytes: int(float64(limit) * tuning.JSONShare), BoundTaskBytes: tuning.TaskBytes}
+	limits := SizeLimits{MaxBytes: int(float64(limit) * tuning.JSONShareOfValueLimit), BoundTaskBytes: tuning.BoundTaskMaxBytes}
 	for _, taskCount := range []int{1, 32, 100, 5000} {
 		job := Job{Spec: wideGang(taskCount), SubmittedAtMs: submittedAtMs}
 		job.ChunkWidth = limits.ChunkWidth(&job.Spec, EncodedBaseSize(job))
@@ -70,8 +70,8 @@
 func TestRecordsWithFailuresFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.SampledFrom([]float64{2048, 8192, 16384}).Draw(t, "limit")
-		limits := SizeLimits{MaxBytes: int(limit * tuning.JSONShare), BoundTaskBytes: tuning.TaskBytes}
-		retries := tuning.MaxRepeats
+		limits := SizeLimits{MaxBytes: int(limit * tuning.JSONShareOfValueLimit), BoundTaskBytes: tuning.BoundTaskMaxBytes}
+		retries := tuning.MaxClassRetries
 		job := Job{SubmittedAtMs: submittedAtMs, Spec: wire.JobSpec{
 			ID: "run-00000000000000000001", Class: "c", Team: "t", Priority: wire.PriorityNormal, GPUs: 1,
 			Kind:       rapid.SampledFrom([]wire.JobKind{wire.KindArray, wire.KindGang}).Draw(t, "kind"),
--- a/internal/regress/baseline_test.go
+++ b/internal/regress/baseline_test.go
@@ -39,7 +39,7 @@
 	}
 	history = append(history, Entry{Command: commandScore, Error: "cut off"})
 	baseline, latest := SplitLatest(history)
-	comparisons := Compare(baseline, latest, tuning.RegressFall)
+	comparisons := Compare(baseline, latest, tuning.RegressNoise)
 	regressed := 0
 	for _, c := range comparisons {
 		if c.Verdict == VerdictRegressed && math.Abs(c.BaselineScore-c.Score-loss) < 1e-9 {
@@ -76,7 +76,7 @@
 	})
 	t.Run("an entry without scores", func(t *testing.T) {
 		cutOff := []Entry{{Site: "s", Command: commandScore, Error: "cut off"}}
-		comparisons := Compare(baseline, cutOff, tuning.RegressFall)
+		comparisons := Compare(baseline, cutOff, tuning.RegressNoise)
 		if len(comparisons) != 1 || !comparisons[0].Blocking() || !math.IsNaN(comparisons[0].Score) {
 			t.Errorf("%+v", comparisons)
 		}
--- a/internal/regress/compare_test.go
+++ b/internal/regress/compare_test.go
@@ -34,7 +34,7 @@
 func TestRecordedScoresAgainstThemselves(t *testing.T) {
 	entries := recordedEntries(t)
 	counts := map[Verdict]int{}
-	for _, c := range Compare(LatestScores(entries), scores(entries), tuning.RegressFall) {
+	for _, c := range Compare(LatestScores(entries), scores(entries), tuning.RegressNoise) {
 		counts[c.Verdict]++
 		generated := strings.HasPrefix(c.Day, "fresh-")
 		if generated != (c.Verdict == VerdictFirst) || !generated && (c.BaselineScore != c.Score || c.Blocking()) {
@@ -44,7 +44,7 @@
 	if counts[VerdictUnchanged] != 4 || counts[VerdictFirst] != 2 {
 		t.Errorf("verdicts %v", counts)
 	}
-	for _, c := range Compare(Baseline{}, entries, tuning.RegressFall) {
+	for _, c := range Compare(Baseline{}, entries, tuning.RegressNoise) {
 		if c.Blocking() {
 			t.Errorf("%s %s is %s though no rule was broken", c.Site, c.Day, c.Verdict)
 		}
@@ -107,7 +107,7 @@
 		day := &entry.Days[0]
 		change := dayChanges[rapid.IntRange(0, len(dayChanges)-1).Draw(t, "change")]
 		reason := change.change(t, day)
-		comparisons := Compare(baseline, measured, tuning.RegressFall)
+		comparisons := Compare(baseline, measured, tuning.RegressNoise)
 		found := findComparison(comparisons, *day)
 		blocking := change.verdict == VerdictRegressed || change.verdict == VerdictFailed
 		if found.Verdict != change.verdict || found.Blocking() != blocking || !strings.HasPrefix(found.Reason, reason) {
@@ -140,7 +140,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			comparison := Comparison{Verdict: VerdictRegressed, BaselineScore: 0.8, Score: 0.74}
-			if comparison.ConfirmWithSeeds(c.runs, tuning.RegressFall); comparison.Verdict != c.want {
+			if comparison.ConfirmWithSeeds(c.runs, tuning.RegressNoise); comparison.Verdict != c.want {
 				t.Errorf("%v: %s, not %s", c.runs, comparison.Verdict, c.want)
 			}
 		})
--- a/internal/regress/day.go
+++ b/internal/regress/day.go
@@ -80,11 +80,11 @@
 	if d.PlayError != "" {
 		reasons = append(reasons, d.PlayError)
 	}
-	if seconds := d.CPUTime.Seconds(); seconds > tuning.RegressSpent {
+	if seconds := d.CPUTime.Seconds(); seconds > tuning.RegressMaxCPUSeconds {
 		reasons = append(reasons, fmt.Sprintf("took %.0f s of processor time to play, %d are allowed here",
-			seconds, tuning.RegressSpent))
+			seconds, tuning.RegressMaxCPUSeconds))
 	}
-	if least, ok := d.LeastServed(); ok && least.Share < tuning.RegressServed {
+	if least, ok := d.LeastServed(); ok && least.Share < tuning.RegressMinServedShare {
 		reasons = append(reasons, fmt.Sprintf("only %.2f of %s served", least.Share, least.Group))
 	}
 	return strings.Join(reasons, "; ")
--- a/internal/regress/run.go
+++ b/internal/regress/run.go
@@ -15,7 +15,7 @@
 		return nil, err
 	}
 	baseline, latest := SplitLatest(entries)
-	return Compare(baseline, latest, tuning.RegressFall), nil
+	return Compare(baseline, latest, tuning.RegressNoise), nil
 }
 
 // Run scores the sites one at a time, repeats what regressed on further seeds, and
@@ -51,7 +51,7 @@
 	if err != nil || !p.AllSites {
 		return comparisons, err
 	}
-	hunted, err := p.huntSite(ctx, site, tuning.RegressHunt)
+	hunted, err := p.huntSite(ctx, site, tuning.RegressHuntDays)
 	for _, comparison := range hunted {
 		if comparison.Blocking() {
 			comparisons = append(comparisons, comparison)
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	comparisons := Compare(baseline, measured, tuning.RegressFall)
+	comparisons := Compare(baseline, measured, tuning.RegressNoise)
 	for i := range comparisons {
 		if comparisons[i].Verdict != VerdictRegressed {
 			continue
@@ -79,7 +79,7 @@
 		if err != nil {
 			return comparisons, err
 		}
-		comparisons[i].ConfirmWithSeeds(runs, tuning.RegressFall)
+		comparisons[i].ConfirmWithSeeds(runs, tuning.RegressNoise)
 	}
 	return comparisons, nil
 }
@@ -92,5 +92,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return Compare(Baseline{}, measured, tuning.RegressFall), nil
+	return Compare(Baseline{}, measured, tuning.RegressNoise), nil
 }
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -49,7 +49,7 @@
 // class, doubled with each further failure up to the longest one. Without a class it is that of tasks
 // whose failures are not counted.
 func (p Policies) Backoff(class string, failures int) time.Duration {
-	initial, longest := tuning.JobBackoff, tuning.JobBackoffMax
+	initial, longest := tuning.MinJobBackoff, tuning.MaxJobBackoff
 	if policy, ok := p[class]; ok {
 		initial, longest = config.Seconds(policy.PauseS), config.Seconds(policy.PauseMaxS)
 	}
--- a/internal/scheduler/backoff.go
+++ b/internal/scheduler/backoff.go
@@ -20,7 +20,7 @@
 // extend starts a job's backoff anew, twice as long as the one before, within bounds.
 func (t backoffTable) extend(jobID string, now time.Time) {
 	backoff := t[jobID]
-	backoff.delay = min(max(2*backoff.delay, tuning.JobBackoff), tuning.JobBackoffMax)
+	backoff.delay = min(max(2*backoff.delay, tuning.MinJobBackoff), tuning.MaxJobBackoff)
 	backoff.until = now.Add(backoff.delay)
 	t[jobID] = backoff
 }
--- a/internal/scheduler/backoff_test.go
+++ b/internal/scheduler/backoff_test.go
@@ -11,15 +11,15 @@
 // and jobs that are over have none.
 func TestBackoffDoublesUpToItsBound(t *testing.T) {
 	table := backoffTable{}
-	now, want := testNow, tuning.JobBackoff
+	now, want := testNow, tuning.MinJobBackoff
 	for range 20 {
 		table.extend("a", now)
 		if !table.active("a", now.Add(want-1)) || table.active("a", now.Add(want)) {
 			t.Errorf("backoff %+v, want %v from %v", table["a"], want, now)
 		}
-		now, want = now.Add(time.Hour), min(2*want, tuning.JobBackoffMax)
+		now, want = now.Add(time.Hour), min(2*want, tuning.MaxJobBackoff)
 	}
-	if want != tuning.JobBackoffMax {
+	if want != tuning.MaxJobBackoff {
 		t.Errorf("backoff still grows at %v", want)
 	}
 	if table.active("b", now) {
--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -31,7 +31,7 @@
 		end = job.Spec.TaskCount
 	}
 	examined := 0
-	for taskIndex := start; taskIndex < end && len(picks) > 0 && examined < tuning.JobSlice; taskIndex++ {
+	for taskIndex := start; taskIndex < end && len(picks) > 0 && examined < tuning.TasksPerJobPerCycle; taskIndex++ {
 		chunk := job.ChunkOf(taskIndex)
 		firstOfChunk, endOfChunk := job.TaskRange(chunk)
 		if taskIndex == firstOfChunk && !c.chunkBindable(job, chunk) {
@@ -122,7 +122,7 @@
 		c.log.Error("job without the right to start was about to start", "job_id", job.Spec.ID)
 		return false
 	}
-	if job.Spec.Kind != wire.KindGang && c.tasksBound >= tuning.RoundTasks || !c.grantCovers(queued, start.charged, 1) {
+	if job.Spec.Kind != wire.KindGang && c.tasksBound >= tuning.BindingsPerCycle || !c.grantCovers(queued, start.charged, 1) {
 		c.logWaiting(job, waitGrantOrCycle, start.candidate)
 		return false
 	}
--- a/internal/scheduler/chunkedit.go
+++ b/internal/scheduler/chunkedit.go
@@ -76,4 +76,4 @@
 }
 
 // maxBindingBytes is the most that binding a task to a machine adds to its chunk, as JSON.
-func maxBindingBytes(machine string) int { return len(machine) + tuning.TaskBytes/2 }
+func maxBindingBytes(machine string) int { return len(machine) + tuning.BoundTaskMaxBytes/2 }
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -66,7 +66,7 @@
 	e.mu.Lock()
 	e.changes.finish(id)
 	if rejected {
-		e.changes.reject(change, time.Now().Add(tuning.RefusedPause))
+		e.changes.reject(change, time.Now().Add(tuning.RejectedRecordPause))
 	}
 	e.mu.Unlock()
 	if err != nil {
--- a/internal/scheduler/commit_test.go
+++ b/internal/scheduler/commit_test.go
@@ -72,7 +72,7 @@
 	log := slog.New(slog.DiscardHandler)
 	engine.committer = kvstore.NewCommitter(client, func([]wire.Op, uint64) {})
 	engine.membership = membership.New(membership.Config{
-		NodeName: node, Incarnation: 1, NodeNames: []string{node}, SchemaVersion: tuning.Level,
+		NodeName: node, Incarnation: 1, NodeNames: []string{node}, SchemaVersion: tuning.SchemaVersion,
 		Client: client, Committer: engine.committer, ClusterState: fixture.cluster, Logger: log,
 		Cache: kvstore.NewWatchCache(client, record.LivePrefix, fixture.cluster, log),
 	})
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -139,7 +139,7 @@
 	c.inventory = c.refreshInventory()
 	c.limitStarts()
 	_, isLeader := c.membership.Ownership(record.LeaderShard)
-	c.collectsDemand = isLeader && c.now.Sub(c.demand.unmet.ComputedAt) >= tuning.DemandEvery
+	c.collectsDemand = isLeader && c.now.Sub(c.demand.unmet.ComputedAt) >= tuning.DemandInterval
 	queue := c.buildQueue(c.inventory.HasFreeCapacity())
 	c.inventory.FilterFeasible(func(yield func(record.Resources) bool) {
 		for i := range queue {
@@ -168,7 +168,7 @@
 // limitStarts lets arrays start only every tuning.PressedGap while the key-value store's budget is the
 // bottleneck.
 func (c *cycle) limitStarts() {
-	if c.committer.QueueLength() < tuning.PressedItems || c.now.Sub(c.pace.lastArrayStart) > tuning.PressedGap {
+	if c.committer.QueueLength() < tuning.StoreSaturatedQueueLength || c.now.Sub(c.pace.lastArrayStart) > tuning.StoreSaturatedPlacementInterval {
 		c.pace.lastArrayStart = c.now
 		return
 	}
--- a/internal/scheduler/deadlines.go
+++ b/internal/scheduler/deadlines.go
@@ -78,9 +78,9 @@
 // effectiveDeadline is the next of a job's objectives that can still be met, with the capacity there is if
 // that was assessed, else the last.
 func (c *cycle) effectiveDeadline(job *clusterstate.Job) jobDeadline {
-	runTime, objectives, never := c.predictedRunTime(job), c.objectiveTimes(job), c.now.Add(tuning.NoDeadline)
+	runTime, objectives, never := c.predictedRunTime(job), c.objectiveTimes(job), c.now.Add(tuning.DefaultDeadline)
 	if len(objectives) == 0 {
-		return jobDeadline{at: job.ReadySince().Add(tuning.NoDeadline), validUntil: never}
+		return jobDeadline{at: job.ReadySince().Add(tuning.DefaultDeadline), validUntil: never}
 	}
 	if first, ok := c.order.objectives.attainable[job.Spec.ID]; ok {
 		if i := slices.IndexFunc(objectives, func(at time.Time) bool { return !at.Before(first) }); i > 0 {
@@ -88,7 +88,7 @@
 		}
 	}
 	deadline, slack := firstReachable(c.now, objectives, runTime)
-	guardTime := max(tuning.DeadlineGuardMin, time.Duration(tuning.DeadlineGuard*float64(runTime)))
+	guardTime := max(tuning.MinDeadlineSlack, time.Duration(tuning.DeadlineSlackShare*float64(runTime)))
 	switch {
 	case slack < 0 || c.order.objectives.unattainable[job.Spec.ID]:
 		return jobDeadline{at: deadline, validUntil: never}
--- a/internal/scheduler/deletedmachines.go
+++ b/internal/scheduler/deletedmachines.go
@@ -41,5 +41,5 @@
 
 // pruneTombstones drops the tombstones that have stood for long enough.
 func (d *deletedMachines) pruneTombstones(now time.Time) {
-	maps.DeleteFunc(d.tombstones, func(_ string, at time.Time) bool { return now.Sub(at) > tuning.BuriedFor })
+	maps.DeleteFunc(d.tombstones, func(_ string, at time.Time) bool { return now.Sub(at) > tuning.TombstoneRetention })
 }
--- a/internal/scheduler/deletedmachines_test.go
+++ b/internal/scheduler/deletedmachines_test.go
@@ -20,10 +20,10 @@
 	if !deleted.hasTombstone("m1") || !deleted.hasTombstone("m2") || deleted.hasTombstone("m3") {
 		t.Errorf("tombstones: %v", deleted.tombstones)
 	}
-	if deleted.pruneTombstones(testNow.Add(tuning.BuriedFor)); !deleted.hasTombstone("m1") {
+	if deleted.pruneTombstones(testNow.Add(tuning.TombstoneRetention)); !deleted.hasTombstone("m1") {
 		t.Error("tombstone dropped too early")
 	}
-	deleted.pruneTombstones(testNow.Add(tuning.BuriedFor + 1))
+	deleted.pruneTombstones(testNow.Add(tuning.TombstoneRetention + 1))
 	if deleted.hasTombstone("m1") || !deleted.hasTombstone("m2") {
 		t.Errorf("tombstones after the first one's time: %v", deleted.tombstones)
 	}
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -125,7 +125,7 @@
 		if sum += job.cores; 2*sum < total || total <= 0 {
 			continue
 		}
-		if job.need.CPUs >= d.commonTask.CPUs || now.Sub(d.commonTaskAt) > tuning.CommonHold {
+		if job.need.CPUs >= d.commonTask.CPUs || now.Sub(d.commonTaskAt) > tuning.CommonTaskHold {
 			d.commonTask, d.commonTaskAt = job.need, now
 		}
 		return
--- a/internal/scheduler/demand_test.go
+++ b/internal/scheduler/demand_test.go
@@ -34,7 +34,7 @@
 	demand.updateCommonTask(jobs, now)
 	check("large and huge have 224 of 324 cores", 8)
 	delete(jobs, "large")
-	now = now.Add(tuning.CommonHold)
+	now = now.Add(tuning.CommonTaskHold)
 	demand.updateCommonTask(jobs, now)
 	check("large is over", 8)
 	demand.updateCommonTask(jobs, now.Add(1))
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -25,10 +25,10 @@
 	cancelled := 0
 	for id := range c.cluster.DependencyCancelled() {
 		job := c.cluster.Jobs[id]
-		if job == nil || c.changes.inFlight(record.JobKey(id)) || cancelled >= tuning.DoomRound {
+		if job == nil || c.changes.inFlight(record.JobKey(id)) || cancelled >= tuning.DependentCancelsPerCycle {
 			continue
 		}
-		if !c.shards.owns(c.firstLiveShard(job)) && c.now.Sub(job.DependencyCancelledAt) < tuning.DoomPatience {
+		if !c.shards.owns(c.firstLiveShard(job)) && c.now.Sub(job.DependencyCancelledAt) < tuning.DependentCancelOwnerGrace {
 			continue
 		}
 		cancelled++
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -119,7 +119,7 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	clusterChanged := e.cluster.Subscribe()
-	idle := time.NewTimer(tuning.PlaceIdle)
+	idle := time.NewTimer(tuning.CycleIdleInterval)
 	defer idle.Stop()
 	for {
 		select {
@@ -133,13 +133,13 @@
 		start := time.Now()
 		e.runCycle(ctx, start, &running)
 		cycleDuration := time.Since(start)
-		idle.Reset(tuning.PlaceIdle)
+		idle.Reset(tuning.CycleIdleInterval)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		// Cycles that cost much come less often, so that heartbeats, polls and sessions keep their share of the
 		// processor.
-		case <-time.After(max(e.cycleInterval(), tuning.PlaceRest*cycleDuration)):
+		case <-time.After(max(e.cycleInterval(), tuning.CycleRestFactor*cycleDuration)):
 		}
 	}
 }
@@ -150,8 +150,8 @@
 	e.cluster.RLock()
 	machineCount := len(e.cluster.Machines)
 	e.cluster.RUnlock()
-	interval := tuning.PlaceGap * time.Duration(machineCount) / tuning.PlaceGapMachines
-	return min(max(tuning.PlaceGap, interval), tuning.PlaceGapMax)
+	interval := tuning.CycleMinInterval * time.Duration(machineCount) / tuning.CycleMinIntervalMachines
+	return min(max(tuning.CycleMinInterval, interval), tuning.CycleMinIntervalMax)
 }
 
 // wake asks for a cycle soon.
@@ -191,7 +191,7 @@
 	c := e.newCycle(now)
 	c.logsWaiting = e.log.Enabled(ctx, slog.LevelDebug)
 	c.adoptMachines()
-	if now.Sub(e.lastSweep) >= tuning.SweepEvery {
+	if now.Sub(e.lastSweep) >= tuning.SweepInterval {
 		e.lastSweep = now
 		c.sweep()
 	}
--- a/internal/scheduler/evacuation.go
+++ b/internal/scheduler/evacuation.go
@@ -61,12 +61,12 @@
 	if 2*len(machines) > machineCount {
 		return
 	}
-	leadTime := time.Duration(tuning.MuteLeaves * float64(c.settings.Lease()))
+	leadTime := time.Duration(tuning.OutboundLostEvacuationLeaseShare * float64(c.settings.Lease()))
 	for _, machine := range machines {
 		if machine.Up {
 			c.markMachineDown(machine.Machine, "outbound lost")
 		}
-		step := float64(record.ShardOf(machine.Name, tuning.MuteSteps)) / tuning.MuteSteps
+		step := float64(record.ShardOf(machine.Name, tuning.OutboundLostEvacuationSteps)) / tuning.OutboundLostEvacuationSteps
 		delay := time.Duration(step * float64(leadTime-tuning.LeaseMargin))
 		if c.now.After(machine.leaseExpiry.Add(delay - leadTime)) {
 			c.evacuateMachine(machine.Machine)
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -75,7 +75,7 @@
 // deletionReason says why a machine is to be deleted by its own state; empty if it is not.
 func (c *cycle) deletionReason(machine *clusterstate.Machine, status *agent.MachineStatus) string {
 	empty := len(machine.Bindings) == 0 && c.inFlight.byMachine[machine.Name] == (record.Resources{})
-	oneWayTooLong := !status.OneWaySince.IsZero() && c.now.Sub(status.OneWaySince) > tuning.OneWayLife
+	oneWayTooLong := !status.OneWaySince.IsZero() && c.now.Sub(status.OneWaySince) > tuning.OneWayMachineMaxAge
 	switch {
 	case !machine.Up && status.LastHeard.IsZero():
 		if c.bootTimedOut(machine) && !c.failureDetector.ZoneUnstable(machine.Zone) {
@@ -83,7 +83,7 @@
 		}
 	case !machine.Up && empty && oneWayTooLong && !c.failureDetector.ZoneUnstable(machine.Zone):
 		return "reachable in one direction only"
-	case empty && status.FailedJobs >= tuning.MachineErrors:
+	case empty && status.FailedJobs >= tuning.MachineMaxFailedJobs:
 		return "tasks keep failing"
 	}
 	return ""
@@ -95,8 +95,8 @@
 	if c.cluster.Catalog.Types[machine.Type].Name == "" {
 		return false
 	}
-	bootLimit := max(c.bootTimes(machine, tuning.BootStuck), tuning.BootStuckMin)
-	heartbeatLimit := tuning.FindNode + time.Duration(tuning.DeadAfter*float64(c.settings.Report()))
+	bootLimit := max(c.bootTimes(machine, tuning.BootStuckFactor), tuning.MinBootStuck)
+	heartbeatLimit := tuning.AgentFailoverTime + time.Duration(tuning.DeadAfterIntervals*float64(c.settings.Report()))
 	return c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > bootLimit &&
 		c.now.Sub(c.shardTenure.since(machine.Shard)) > heartbeatLimit
 }
@@ -108,7 +108,7 @@
 	for _, binding := range machine.Bindings {
 		limit := c.settings.Cancel()
 		if !binding.Job.CancelAfterRelease {
-			limit = time.Duration(tuning.CancelShare * float64(limit))
+			limit = time.Duration(tuning.CancelDeletionShare * float64(limit))
 		}
 		if binding.Job.Cancelled() && c.now.Sub(time.UnixMilli(binding.Job.CancelledAtMs)) > limit {
 			return true
--- a/internal/scheduler/fencelimiter.go
+++ b/internal/scheduler/fencelimiter.go
@@ -12,7 +12,7 @@
 
 // allow reports whether a shard's token may be raised now, and notes it as raised if so.
 func (l fenceLimiter) allow(shard int, now time.Time) bool {
-	if now.Sub(l[shard]) <= tuning.FenceEvery {
+	if now.Sub(l[shard]) <= tuning.FenceMinInterval {
 		return false
 	}
 	l[shard] = now
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -33,7 +33,7 @@
 ) {
 	job, spec := queued.job, &queued.job.Spec
 	open := limit.Minus(usage[spec.Team])
-	open.MemoryGB = tuning.MaxAmount * tuning.MaxTasks // limits are of cores and GPUs
+	open.MemoryGB = tuning.MaxAmount * tuning.MaxTasksPerJob // limits are of cores and GPUs
 	allowed := binpack.TasksThatFit(queued.Need, open)
 	if allowed >= queued.Remaining {
 		return
@@ -44,7 +44,7 @@
 		return
 	}
 	queued.Remaining = 0
-	if c.now.Sub(job.ReadySince()) > tuning.StarveAfter {
+	if c.now.Sub(job.ReadySince()) > tuning.ScaleOutOverrideAfter {
 		usage[spec.Team] = limit // narrower ones would keep a wide one out for ever
 	}
 }
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -80,7 +80,7 @@
 	client := kvstore.NewClient("127.0.0.1:1", limits, nil)
 	committer := kvstore.NewCommitter(client, func([]wire.Op, uint64) {})
 	members := membership.New(membership.Config{
-		NodeName: node, Incarnation: 1, NodeNames: nodes, SchemaVersion: tuning.Level,
+		NodeName: node, Incarnation: 1, NodeNames: nodes, SchemaVersion: tuning.SchemaVersion,
 		Client: client, Committer: committer, ClusterState: f.cluster, Logger: log,
 		Cache: kvstore.NewWatchCache(client, record.LivePrefix, f.cluster, log),
 	})
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -99,7 +99,7 @@
 // should, the gang's records hold the bindings and the grant of its home shard covers them.
 func (c *cycle) gangBindable(queued *queuedJob, start gangStart, picks []*binpack.MachineInfo) bool {
 	job := queued.job
-	if c.tasksBound > 0 && c.tasksBound+len(picks) > tuning.RoundTasks {
+	if c.tasksBound > 0 && c.tasksBound+len(picks) > tuning.BindingsPerCycle {
 		return false
 	}
 	bindingsByChunk := map[int]int{}
--- a/internal/scheduler/gangformation.go
+++ b/internal/scheduler/gangformation.go
@@ -20,7 +20,7 @@
 		g[jobID] = now
 		return false
 	}
-	return now.Sub(since) > tuning.GangForm+time.Duration(taskCount)*tuning.GangFormTask
+	return now.Sub(since) > tuning.GangFormTimeout+time.Duration(taskCount)*tuning.GangFormTimeoutPerTask
 }
 
 // prune drops the gangs that are over.
--- a/internal/scheduler/gangformation_test.go
+++ b/internal/scheduler/gangformation_test.go
@@ -11,7 +11,7 @@
 func TestGangTimesOutByItsSize(t *testing.T) {
 	formation := gangFormation{}
 	const tasks = 10
-	limit := testNow.Add(tuning.GangForm + tasks*tuning.GangFormTask)
+	limit := testNow.Add(tuning.GangFormTimeout + tasks*tuning.GangFormTimeoutPerTask)
 	if formation.timedOut("a", tasks, testNow) || formation.timedOut("a", tasks, limit) {
 		t.Error("timed out too early")
 	}
--- a/internal/scheduler/homeshard.go
+++ b/internal/scheduler/homeshard.go
@@ -31,7 +31,7 @@
 func (w ownerWaits) note(now time.Time, job *clusterstate.Job) time.Time {
 	id, pending := job.Spec.ID, job.PendingCount()
 	waiting, ok := w[id]
-	if !ok || waiting.pending != pending || now.Sub(waiting.lastSeen) > tuning.DealHold {
+	if !ok || waiting.pending != pending || now.Sub(waiting.lastSeen) > tuning.HomeShardHold {
 		waiting = ownerWait{since: now, pending: pending}
 	}
 	waiting.lastSeen = now
@@ -110,10 +110,10 @@
 // condition on the record.
 func (c *cycle) homeOwnerTimedOut(queued *queuedJob) bool {
 	since := c.pace.ownerWaits.note(c.now, queued.job)
-	turn := int(c.now.UnixMilli()/tuning.DealHold.Milliseconds()) + c.firstLiveShard(queued.job)
-	hold := tuning.DealHold
+	turn := int(c.now.UnixMilli()/tuning.HomeShardHold.Milliseconds()) + c.firstLiveShard(queued.job)
+	hold := tuning.HomeShardHold
 	if c.isArrayUnderShortage(queued) {
-		hold = tuning.DealHoldShort
+		hold = tuning.HomeShardHoldUnderShortage
 	}
 	return c.shards.owns(turn%c.cluster.ShardCount) && c.now.Sub(since) > hold
 }
--- a/internal/scheduler/homeshard_test.go
+++ b/internal/scheduler/homeshard_test.go
@@ -22,11 +22,11 @@
 		since time.Duration
 	}{
 		{"first", 0, 0, 0},
-		{"noted again", tuning.DealHold, 0, 0},
-		{"at the end of its time", 2 * tuning.DealHold, 0, 0},
-		{"not noted for longer", 3*tuning.DealHold + 1, 0, 3*tuning.DealHold + 1},
-		{"a task placed", 4 * tuning.DealHold, 1, 4 * tuning.DealHold},
-		{"noted again after it", 5 * tuning.DealHold, 1, 4 * tuning.DealHold},
+		{"noted again", tuning.HomeShardHold, 0, 0},
+		{"at the end of its time", 2 * tuning.HomeShardHold, 0, 0},
+		{"not noted for longer", 3*tuning.HomeShardHold + 1, 0, 3*tuning.HomeShardHold + 1},
+		{"a task placed", 4 * tuning.HomeShardHold, 1, 4 * tuning.HomeShardHold},
+		{"noted again after it", 5 * tuning.HomeShardHold, 1, 4 * tuning.HomeShardHold},
 	} {
 		job.BoundCount = step.bound
 		if since := waits.note(testNow.Add(step.after), job).Sub(testNow); since != step.since {
--- a/internal/scheduler/imagehints.go
+++ b/internal/scheduler/imagehints.go
@@ -17,7 +17,7 @@
 // TrackRemoteImages asks the other nodes every tuning.ImagesEvery which machines hold which images, until ctx ends.
 // Where none answers, what they last said stands.
 func (e *Engine) TrackRemoteImages(ctx context.Context) error {
-	ticker := time.NewTicker(tuning.ImagesEvery)
+	ticker := time.NewTicker(tuning.RemoteImagesInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -41,7 +41,7 @@
 // refreshImageHints tells an inventory which machines are believed to hold which images: this node's from
 // time to time, the other nodes' when there is news of them.
 func (c *cycle) refreshImageHints(inventory *binpack.Inventory) {
-	if c.now.Sub(inventory.HintsUpdatedAt(binpack.OwnMachines)) >= tuning.HoldersLife {
+	if c.now.Sub(inventory.HintsUpdatedAt(binpack.OwnMachines)) >= tuning.ImageHoldersMaxAge {
 		inventory.SetImageHints(binpack.OwnMachines, c.now, c.ownImageHints())
 	}
 	if inventory.HintsUpdatedAt(binpack.OtherMachines) != c.inventoryCache.remoteImages.updatedAt {
@@ -101,13 +101,13 @@
 
 // bootOverdue reports whether a machine should have come up long ago.
 func (c *cycle) bootOverdue(machine *clusterstate.Machine) bool {
-	late := c.bootTimes(machine, tuning.BootLate)
-	return c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > max(late, tuning.BootLateMin)
+	late := c.bootTimes(machine, tuning.BootOverdueFactor)
+	return c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > max(late, tuning.MinBootOverdue)
 }
 
 // likelyBooted reports whether a machine should be up by now.
 func (c *cycle) likelyBooted(machine *clusterstate.Machine) bool {
-	boot := c.bootTimes(machine, tuning.BootLikely)
+	boot := c.bootTimes(machine, tuning.BootLikelyFactor)
 	return machine.CreatedAtMs > 0 && c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > boot && !c.bootOverdue(machine)
 }
 
--- a/internal/scheduler/learner_checkpoint.go
+++ b/internal/scheduler/learner_checkpoint.go
@@ -33,7 +33,7 @@
 	e.restoreLearner(ctx, checkpoints)
 	refit := time.NewTicker(config.Seconds(e.operator.RefitS))
 	defer refit.Stop()
-	save := time.NewTicker(tuning.LearnSave)
+	save := time.NewTicker(tuning.LearnerCheckpointInterval)
 	defer save.Stop()
 	for {
 		select {
@@ -93,7 +93,7 @@
 	s.cluster.RLock()
 	version := s.cluster.SchemaVersion
 	s.cluster.RUnlock()
-	if version < tuning.LevelPipelines {
+	if version < tuning.SchemaVersionDependencies {
 		return []wire.Op{kvstore.PutOp(record.LearnerCheckpointKey(s.node), checkpoint)}
 	}
 	var ops []wire.Op
@@ -131,7 +131,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(tuning.StateRetry):
+		case <-time.After(tuning.KVRetryPause):
 		}
 	}
 }
--- a/internal/scheduler/learner_checkpoint_test.go
+++ b/internal/scheduler/learner_checkpoint_test.go
@@ -69,7 +69,7 @@
 				if err == nil && checkpoint.RewardCount != test.rewards {
 					t.Errorf("%d rewards, want %d", checkpoint.RewardCount, test.rewards)
 				}
-				if waited := time.Since(start); waited != time.Duration(test.failures)*tuning.StateRetry {
+				if waited := time.Since(start); waited != time.Duration(test.failures)*tuning.KVRetryPause {
 					t.Errorf("waited %v for %d answers", waited, test.failures)
 				}
 			})
@@ -80,7 +80,7 @@
 // TestCheckpointReadEndsWithItsContext: while the store does not answer, the end of the context ends the reading.
 func TestCheckpointReadEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithTimeout(t.Context(), 10*tuning.StateRetry)
+		ctx, cancel := context.WithTimeout(t.Context(), 10*tuning.KVRetryPause)
 		defer cancel()
 		reader := &recordReader{failures: 1 << 20}
 		_, err := learnerCheckpoints{node: "node-0", reader: reader}.load(ctx)
--- a/internal/scheduler/learner_policy.go
+++ b/internal/scheduler/learner_policy.go
@@ -16,7 +16,7 @@
 	if !hasCapacity || !c.operator.Learn || len(queue) == 0 || !c.learning.learner.Warm() {
 		return
 	}
-	c.exploit(queue[:min(len(queue), tuning.LearnCandidates)])
+	c.exploit(queue[:min(len(queue), tuning.LearnerCandidatesPerCycle)])
 	c.explore(queue)
 }
 
--- a/internal/scheduler/learner_reward.go
+++ b/internal/scheduler/learner_reward.go
@@ -23,7 +23,7 @@
 func (u *utilization) accrue(now time.Time, machines int) {
 	if !u.accruedAt.IsZero() {
 		elapsed := now.Sub(u.accruedAt).Seconds()
-		fade := math.Pow(0.5, elapsed/tuning.UtilizationFade.Seconds())
+		fade := math.Pow(0.5, elapsed/tuning.UtilizationHalfLife.Seconds())
 		u.finishedMachineS *= fade
 		u.heldMachineS = u.heldMachineS*fade + float64(machines)*elapsed
 	}
--- a/internal/scheduler/learner_reward_test.go
+++ b/internal/scheduler/learner_reward_test.go
@@ -25,7 +25,7 @@
 	if math.Abs(used.value()-0.4) > 1e-3 {
 		t.Errorf("utilization is %v, want 0.4", used.value())
 	}
-	used.accrue(now.Add(tuning.UtilizationFade), 0)
+	used.accrue(now.Add(tuning.UtilizationHalfLife), 0)
 	if math.Abs(used.finishedMachineS-2) > 1e-3 || math.Abs(used.heldMachineS-5) > 1e-2 {
 		t.Errorf("%v of %v s after half has faded", used.finishedMachineS, used.heldMachineS)
 	}
--- a/internal/scheduler/learner_value.go
+++ b/internal/scheduler/learner_value.go
@@ -25,7 +25,7 @@
 // scoreJob returns the value Q(s, a) of starting a task of a job now (paper, section 3.1).
 func (c *cycle) scoreJob(job *clusterstate.Job) learner.ScoredAction {
 	l := &c.learning
-	if l.values.state == nil || c.now.Sub(l.values.stateAt) > tuning.ValueLife {
+	if l.values.state == nil || c.now.Sub(l.values.stateAt) > tuning.LearnerValueMaxAge {
 		state := l.state(c.cluster)
 		l.values.state, l.values.stateAt = &state, c.now
 	}
@@ -35,7 +35,7 @@
 // jobValue is the value of starting a task of a job, at most tuning.ValueLife old.
 func (c *cycle) jobValue(job *clusterstate.Job) float64 {
 	cached, ok := c.learning.values.byJob[job.Spec.ID]
-	if !ok || c.now.Sub(cached.computedAt) > tuning.ValueLife {
+	if !ok || c.now.Sub(cached.computedAt) > tuning.LearnerValueMaxAge {
 		cached = cachedValue{c.scoreJob(job).Value, c.now}
 		c.learning.values.byJob[job.Spec.ID] = cached
 	}
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -86,11 +86,11 @@
 		l.startedAt[start] = task.Since
 	}
 	id, ok := l.pendingRewards[start]
-	if !ok || binding.Job.Spec.Kind != wire.KindService || now.Sub(task.Since) <= tuning.ServicePayoff {
+	if !ok || binding.Job.Spec.Kind != wire.KindService || now.Sub(task.Since) <= tuning.ServiceRewardAfter {
 		return
 	}
 	waited := max(0, task.Since.Sub(binding.Job.ReadySince()).Seconds())
-	ran := tuning.ServicePayoff.Seconds()
+	ran := tuning.ServiceRewardAfter.Seconds()
 	l.giveReward(id, start, ran/(ran+waited))
 }
 
--- a/internal/scheduler/migrationschedule.go
+++ b/internal/scheduler/migrationschedule.go
@@ -25,5 +25,5 @@
 
 // paceIsDue reports whether records that nothing waits for may be migrated again.
 func (s *migrationSchedule) paceIsDue(now time.Time) bool {
-	return now.Sub(s.lastPaced) >= tuning.MoveGap
+	return now.Sub(s.lastPaced) >= tuning.MigrationInterval
 }
--- a/internal/scheduler/migrationschedule_test.go
+++ b/internal/scheduler/migrationschedule_test.go
@@ -13,8 +13,8 @@
 		t.Error("not due though none was ever made")
 	}
 	schedule.lastPaced = testNow
-	if schedule.paceIsDue(testNow.Add(tuning.MoveGap-1)) || !schedule.paceIsDue(testNow.Add(tuning.MoveGap)) {
-		t.Errorf("not due once per %v", tuning.MoveGap)
+	if schedule.paceIsDue(testNow.Add(tuning.MigrationInterval-1)) || !schedule.paceIsDue(testNow.Add(tuning.MigrationInterval)) {
+		t.Errorf("not due once per %v", tuning.MigrationInterval)
 	}
 	schedule.request("a")
 	schedule.request("a")
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -149,10 +149,10 @@
 		for i := range 30 {
 			fixture.addMachine(i, false)
 		}
-		spec := arraySpec(1, tuning.ChunkTasks+4)
+		spec := arraySpec(1, tuning.FixedChunkTasks+4)
 		spec.SameZone, spec.CPUs, spec.GPUs, spec.MemoryGB = true, 1, 0, 1
 		var first []record.Task
-		for i := range tuning.ChunkTasks {
+		for i := range tuning.FixedChunkTasks {
 			first = append(first, record.Task{Index: i, State: record.TaskDone, Attempt: 1})
 		}
 		if lost {
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -20,7 +20,7 @@
 	if c.preempting.awaiting[task] {
 		return true // capacity is being freed for it already
 	}
-	if c.preempting.machines >= tuning.RoundStops || c.preempting.failed[queued.rank].Covers(&queued.Request) {
+	if c.preempting.machines >= tuning.PreemptMachinesPerCycle || c.preempting.failed[queued.rank].Covers(&queued.Request) {
 		return false
 	}
 	first := (c.firstLiveShard(queued.job) + taskIndex + c.shardRotation(queued)) % c.cluster.ShardCount
@@ -45,7 +45,7 @@
 	owned := c.shards.owns(shard)
 	if owned {
 		// Elsewhere its owner decides: that there is one machine is all that matters.
-		search.Limit = tuning.PreemptLook
+		search.Limit = tuning.PreemptMachinesCompared
 	}
 	candidates := search.Candidates(c.inventory.ReadyMachines(shard))
 	if len(candidates) == 0 {
@@ -71,7 +71,7 @@
 	if !ok || !isHighPriority(queued.rank) {
 		return 0
 	}
-	return int(c.now.Sub(since) / tuning.PreemptTurn)
+	return int(c.now.Sub(since) / tuning.PreemptShardTurn)
 }
 
 // countReservedZones counts, with a job's tasks, the machines on which capacity is being freed for it.
@@ -115,7 +115,7 @@
 		Team:             job.Spec.Team,
 		TeamHasGuarantee: guaranteed,
 		WithinGuarantee:  c.order.guarantees.running[job.Spec.ID],
-		EndsSoon:         job.Spec.Kind == wire.KindArray && c.predictedRunTime(job) < tuning.Passing,
+		EndsSoon:         job.Spec.Kind == wire.KindArray && c.predictedRunTime(job) < tuning.PreemptMinRemainingRun,
 	}
 }
 
@@ -138,7 +138,7 @@
 	machine := plan.Machine.Machine.Name
 	c.preempting.machines++
 	c.inventory.ReserveAll(plan.Machine, task.JobID)
-	c.reservations.reserve(machine, task, c.now.Add(tuning.PreemptHold))
+	c.reservations.reserve(machine, task, c.now.Add(tuning.ReservationHold))
 	c.preempting.awaiting[task] = true
 	for _, victim := range plan.Victims {
 		spec := &victim.Binding.Job.Spec
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -66,7 +66,7 @@
 // moves when it does, and all of them now and then, as estimates move too.
 func (c *cycle) buildQueue(hasCapacity bool) []queuedJob {
 	changed := c.changeFeed.TakeJobs()
-	outdated := c.now.Sub(c.order.guarantees.updatedAt) >= tuning.AssuredEvery
+	outdated := c.now.Sub(c.order.guarantees.updatedAt) >= tuning.GuaranteeInterval
 	if outdated && (c.order.waiting.queue.Len() > 0 || len(changed) > 0) {
 		c.findReorderedJobs(changed)
 	}
@@ -88,11 +88,11 @@
 // findReorderedJobs brings guarantees and objectives up to date and adds the waiting jobs that they or
 // time have moved to those that changed.
 func (c *cycle) findReorderedJobs(changed map[string]struct{}) {
-	if c.now.Sub(c.order.objectives.assessedAt) >= tuning.InTimeEvery {
+	if c.now.Sub(c.order.objectives.assessedAt) >= tuning.ObjectiveInterval {
 		c.assessObjectives()
 	}
 	c.updateGuarantees()
-	all := c.now.Sub(c.order.waiting.lastFullReorder) >= tuning.TurnEvery
+	all := c.now.Sub(c.order.waiting.lastFullReorder) >= tuning.QueueReorderInterval
 	if all {
 		c.order.waiting.lastFullReorder = c.now
 	}
--- a/internal/scheduler/recordmigration.go
+++ b/internal/scheduler/recordmigration.go
@@ -19,7 +19,7 @@
 
 // needsMigration reports whether a job's records have to be migrated before they are written again, and asks for it.
 func (c *cycle) needsMigration(job *clusterstate.Job) bool {
-	if c.cluster.SchemaVersion < tuning.LevelPipelines ||
+	if c.cluster.SchemaVersion < tuning.SchemaVersionDependencies ||
 		!job.NeedsMigration(c.cluster.SizeLimits(c.committer.MaxRecordBytes())) {
 		return false
 	}
@@ -37,14 +37,14 @@
 // migrateRecords splits old records that could outgrow the value limit of the key-value store: at once where a change
 // waits for it, the others at a pace of their own while the request budget is free.
 func (c *cycle) migrateRecords() {
-	if c.cluster.SchemaVersion < tuning.LevelPipelines {
+	if c.cluster.SchemaVersion < tuning.SchemaVersionDependencies {
 		return
 	}
 	migrator := &recordMigrator{cycle: c, limits: c.cluster.SizeLimits(c.committer.MaxRecordBytes())}
 	for id := range c.migration.requested {
 		migrator.migrate(id)
 	}
-	if c.migration.paceIsDue(c.now) && c.committer.QueueLength() < tuning.PressedItems {
+	if c.migration.paceIsDue(c.now) && c.committer.QueueLength() < tuning.StoreSaturatedQueueLength {
 		c.migration.lastPaced = c.now
 		migrator.migrateUnrequested()
 	}
@@ -53,11 +53,11 @@
 // migrateUnrequested migrates records that no change waits for, of jobs whose home shard is this node's.
 func (m *recordMigrator) migrateUnrequested() {
 	for id, job := range m.cluster.Jobs {
-		if m.migrated >= tuning.MoveRound {
+		if m.migrated >= tuning.MigrationsPerCycle {
 			return
 		}
 		age := m.now.Sub(time.UnixMilli(job.SubmittedAtMs))
-		if job.HasRecord && job.NeedsMigration(m.limits) && age > tuning.MoveGap &&
+		if job.HasRecord && job.NeedsMigration(m.limits) && age > tuning.MigrationInterval &&
 			m.shards.owns(m.firstLiveShard(job)) {
 			m.migrate(id)
 		}
@@ -69,10 +69,10 @@
 	m.migration.takeRequest(id)
 	job := m.cluster.Jobs[id]
 	if job == nil || !job.HasRecord || !job.NeedsMigration(m.limits) || m.changes.inFlight(record.JobKey(id)) ||
-		m.migrated >= tuning.MoveRound || m.anyChunkChanging(job) {
+		m.migrated >= tuning.MigrationsPerCycle || m.anyChunkChanging(job) {
 		return
 	}
-	step, ok := job.MigrateChunk(m.limits, tuning.MoveRound)
+	step, ok := job.MigrateChunk(m.limits, tuning.MigrationsPerCycle)
 	if !ok || len(step.Ops) > m.committer.MaxTransactionOps() {
 		m.logWaiting(job, waitRecordMigration, nil)
 		return
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -203,7 +203,7 @@
 // which any could be stopped.
 func (c *cycle) preemptForTasks(queued *queuedJob, missing int, zones *binpack.ZoneConstraint) {
 	c.countReservedZones(queued.job.Spec.ID, zones)
-	for taskIndex := range min(missing, tuning.PreemptTasks) {
+	for taskIndex := range min(missing, tuning.PreemptTasksPerJob) {
 		if !c.preemptForTask(queued, taskIndex, zones) {
 			return
 		}
--- a/internal/scheduler/taskchange.go
+++ b/internal/scheduler/taskchange.go
@@ -37,9 +37,9 @@
 // maxChunksPerTransaction is how many chunks of a job one transaction may write beside the job's own record.
 func (c *cycle) maxChunksPerTransaction(job *clusterstate.Job) int {
 	if job.ChunkWidth == 0 {
-		return min(tuning.GangRecords, c.committer.MaxTransactionOps()-1)
+		return min(tuning.GangRecordsPerTxn, c.committer.MaxTransactionOps()-1)
 	}
-	return min(tuning.TxnBytes/max(c.committer.MaxRecordBytes(), 1), c.committer.MaxTransactionOps()-1)
+	return min(tuning.TxnMaxBytes/max(c.committer.MaxRecordBytes(), 1), c.committer.MaxTransactionOps()-1)
 }
 
 // taskChange is the change of some chunks of a job while it is put together.
--- a/internal/scheduler/waitlog.go
+++ b/internal/scheduler/waitlog.go
@@ -12,7 +12,7 @@
 
 // allow reports whether the log may say again why a job waits, and notes that it does.
 func (l waitLog) allow(jobID string, now time.Time) bool {
-	if now.Sub(l[jobID]) < tuning.WhyEvery {
+	if now.Sub(l[jobID]) < tuning.WaitReasonLogInterval {
 		return false
 	}
 	l[jobID] = now
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -49,7 +49,7 @@
 // controllerInZone reports whether a controller stands in a zone and would renew leases there while the zone is cut
 // off.
 func (c *cycle) controllerInZone(zone string) bool {
-	if c.cluster.SchemaVersion < tuning.LevelCertain {
+	if c.cluster.SchemaVersion < tuning.SchemaVersionConfirmedCancel {
 		return false
 	}
 	inZone := func(sibling config.Sibling) bool { return sibling.Zone == zone }
--- a/internal/schemaversion/activator.go
+++ b/internal/schemaversion/activator.go
@@ -77,7 +77,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(tuning.MemberTick):
+		case <-time.After(tuning.MembershipInterval):
 		}
 	}
 }
@@ -111,7 +111,7 @@
 	activeVersionGauge.Set(float64(version))
 	a.config.Logger.Info("schema version active",
 		"schema_version", version, "supported_version", a.config.SupportedVersion)
-	if version >= tuning.LevelPipelines {
+	if version >= tuning.SchemaVersionDependencies {
 		a.config.Limits.ApplyUpcomingLimits()
 	}
 }
@@ -199,7 +199,7 @@
 	if version <= state.SchemaVersion {
 		return activation{blocker: blocked}
 	}
-	if len(conditions) > tuning.GuardsPerOp*a.config.Limits.MaxTransactionOps() {
+	if len(conditions) > tuning.TxnConditionsPerOp*a.config.Limits.MaxTransactionOps() {
 		return activation{blocker: blocker{reason: blockedByTransactionSize}}
 	}
 	next := record.SchemaVersion{Version: version}
--- a/internal/schemaversion/activator_test.go
+++ b/internal/schemaversion/activator_test.go
@@ -138,7 +138,7 @@
 	case 0:
 		f.start(name, f.activeVersion) // going back further is for before activation
 	case 1:
-		f.start(name, rapid.IntRange(f.activeVersion, tuning.Level).Draw(f.t, "version"))
+		f.start(name, rapid.IntRange(f.activeVersion, tuning.SchemaVersion).Draw(f.t, "version"))
 	case 2:
 		f.stop(name)
 	case 3:
@@ -160,7 +160,7 @@
 		cluster := newFakeCluster(t, rapid.IntRange(1, 5).Draw(t, "nodes"))
 		activator := NewActivator(Config{
 			NodeNames:        cluster.nodeNames,
-			SupportedVersion: tuning.Level,
+			SupportedVersion: tuning.SchemaVersion,
 			ClusterState:     cluster.state,
 			Owner:            cluster,
 			Committer:        cluster,
@@ -174,13 +174,13 @@
 			cluster.step(activator)
 		}
 		for _, name := range cluster.nodeNames {
-			cluster.start(name, tuning.Level)
+			cluster.start(name, tuning.SchemaVersion)
 		}
 		for range 2 {
 			cluster.show(cluster.keys()...)
 			activator.check(t.Context())
 		}
-		if cluster.activeVersion != tuning.Level || cluster.limitsApplied == 0 {
+		if cluster.activeVersion != tuning.SchemaVersion || cluster.limitsApplied == 0 {
 			t.Errorf("version %d, limits lowered %d times", cluster.activeVersion, cluster.limitsApplied)
 		}
 	})
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -52,7 +52,7 @@
 		r.AddController(ctx, faultDaySettings(i))
 		if d.oldVersion {
 			r.KillController(i)
-			r.controllers[i].SchemaVersion = tuning.LevelCertain - 1
+			r.controllers[i].SchemaVersion = tuning.SchemaVersionConfirmedCancel - 1
 			r.StartController(ctx, i)
 		}
 	}
@@ -96,7 +96,7 @@
 	}
 	time.Sleep(refusalAt + replacement)
 	for i := range threeControllers {
-		d.region.controllers[i].SchemaVersion = tuning.Level
+		d.region.controllers[i].SchemaVersion = tuning.SchemaVersion
 		d.region.RestartController(ctx, i, 300*time.Millisecond)
 		time.Sleep(800 * time.Millisecond)
 	}
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -30,7 +30,7 @@
 
 // AddController adds a controller of the newest version and starts it.
 func (r *Region) AddController(ctx context.Context, settings *config.Settings) {
-	r.AddStoppedController(settings, tuning.Level)
+	r.AddStoppedController(settings, tuning.SchemaVersion)
 	r.StartController(ctx, len(r.controllers)-1)
 }
 
--- a/internal/simulation/faultday_test.go
+++ b/internal/simulation/faultday_test.go
@@ -106,7 +106,7 @@
 func jobOfSeveralRecords(number int) userJob {
 	spec := newSpec(number, wire.KindArray)
 	spec.Class, spec.Image = "many", "img-1"
-	spec.TaskCount = tuning.ChunkTasks + 5
+	spec.TaskCount = tuning.FixedChunkTasks + 5
 	spec.CPUs, spec.GPUs, spec.MemoryGB = 0.1, 0, 0.2
 	spec.RuntimeEstimateSeconds = 30
 	return userJob{spec: spec, runSeconds: 30}
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -110,7 +110,7 @@
 	case key == record.SchemaVersionKey:
 		d.activated = true
 		for _, controller := range d.region.controllers {
-			if controller.SchemaVersion < tuning.LevelPipelines {
+			if controller.SchemaVersion < tuning.SchemaVersionDependencies {
 				kv.Violations = append(kv.Violations, "activated while "+controller.Settings.Node+" was old")
 			}
 		}
@@ -155,7 +155,7 @@
 			r.StartControllerAfter(ctx, other, 4*time.Second)
 		}
 		time.Sleep(5 * time.Second)
-		r.controllers[i].SchemaVersion = tuning.Level
+		r.controllers[i].SchemaVersion = tuning.SchemaVersion
 		r.StartController(ctx, i)
 		if oneInThree(d.random) {
 			partition := Partition{From: r.ControllerName(d.random.IntN(threeControllers)), To: hostKV}
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -49,7 +49,7 @@
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
 		MaxIdleConnsPerHost: maxIdlePerHost,
 		MaxIdleConns:        maxIdle,
-		IdleConnTimeout:     tuning.IdleTimeout,
+		IdleConnTimeout:     tuning.HTTPIdleTimeout,
 		DisableCompression:  true,
 	}
 }
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -169,7 +169,7 @@
 		c.reject(field, "missing")
 		return 0
 	}
-	if *value < 1 || *value > tuning.MaxTasks {
+	if *value < 1 || *value > tuning.MaxTasksPerJob {
 		c.reject(field, "out of range")
 		return 0
 	}
@@ -220,7 +220,7 @@
 	if in.Repeats == nil {
 		return nil, nil
 	}
-	if *in.Repeats < 0 || *in.Repeats > tuning.MaxRepeats {
+	if *in.Repeats < 0 || *in.Repeats > tuning.MaxClassRetries {
 		return nil, &FieldError{Field: "repeats", Problem: "out of range"}
 	}
 	retries := int(*in.Repeats)
--- a/internal/zonehealth/heartbeat.go
+++ b/internal/zonehealth/heartbeat.go
@@ -16,11 +16,11 @@
 
 // hasRecovered reports whether heartbeats arrive again from a zone that was cut off or lost.
 func (c HeartbeatCount) hasRecovered() bool {
-	return c.Received > 0 && float64(c.Received) >= tuning.CutHeard*float64(c.Expected)
+	return c.Received > 0 && float64(c.Received) >= tuning.PartitionHeardShare*float64(c.Expected)
 }
 
 // isBelow reports whether heartbeats arrived from less than a share of the machines. It is false
 // for fewer than tuning.CutMachines, of which a few late heartbeats would look like a loss.
 func (c HeartbeatCount) isBelow(share float64) bool {
-	return c.Expected >= tuning.CutMachines && float64(c.Received) < share*float64(c.Expected)
+	return c.Expected >= tuning.PartitionMinMachines && float64(c.Received) < share*float64(c.Expected)
 }
--- a/internal/zonehealth/history.go
+++ b/internal/zonehealth/history.go
@@ -37,9 +37,9 @@
 
 // advanceConnected makes the transitions of a zone from which heartbeats arrive.
 func (h *history) advanceConnected(now time.Time, count HeartbeatCount, timing *Timing) {
-	isDoubtful := count.isBelow(tuning.DoubtHeard)
+	isDoubtful := count.isBelow(tuning.ZoneSuspectedHeardShare)
 	switch {
-	case count.isBelow(tuning.CutHeard):
+	case count.isBelow(tuning.PartitionHeardShare):
 		h.enter(Cut, now)
 	case h.state == Returning:
 		if !isDoubtful && now.Sub(h.stateSince) >= h.probation(timing) {
@@ -59,7 +59,7 @@
 	isEmptied := h.state == Lost && count.Expected == 0
 	switch {
 	case count.hasRecovered() || isEmptied:
-		h.unforgivenReturns = min(h.unforgivenReturns+1, tuning.ProbationReturns)
+		h.unforgivenReturns = min(h.unforgivenReturns+1, tuning.ZoneProbationMaxDoublings)
 		h.enter(Returning, now)
 	case h.state == Cut && now.Sub(h.stateSince) >= gracePeriod(count, timing):
 		h.enter(Lost, now)
@@ -68,9 +68,9 @@
 
 // forgive takes one return back once the zone has served for long enough.
 func (h *history) forgive(now time.Time) {
-	if h.unforgivenReturns > 0 && now.Sub(h.servingSince) >= tuning.ProbationForgive {
+	if h.unforgivenReturns > 0 && now.Sub(h.servingSince) >= tuning.ZoneProbationForgiveAfter {
 		h.unforgivenReturns--
-		h.servingSince = h.servingSince.Add(tuning.ProbationForgive)
+		h.servingSince = h.servingSince.Add(tuning.ZoneProbationForgiveAfter)
 	}
 }
 
@@ -88,7 +88,7 @@
 // a controller in the zone that is one lease.
 func gracePeriod(count HeartbeatCount, timing *Timing) time.Duration {
 	if count.ControllerInZone {
-		return tuning.CutInside
+		return tuning.PartitionedZoneControllerGrace
 	}
 	return timing.LeaseDuration
 }
--- a/internal/zonehealth/tracker_test.go
+++ b/internal/zonehealth/tracker_test.go
@@ -60,7 +60,7 @@
 	if tracker.Unavailable(zone) && count.hasRecovered() {
 		t.Fatalf("%s is unavailable with %+v", zone, count)
 	}
-	if !tracker.Unavailable(zone) && count.isBelow(tuning.CutHeard) {
+	if !tracker.Unavailable(zone) && count.isBelow(tuning.PartitionHeardShare) {
 		t.Fatalf("%s is used with %+v", zone, count)
 	}
 }
@@ -113,7 +113,7 @@
 // its longest probation, a silent one is lost within its grace period, and one whose machines are
 // all deleted serves again after both.
 func TestEveryStateEnds(t *testing.T) {
-	longestProbation := testTiming.ReconnectTime << (tuning.ProbationReturns - 1)
+	longestProbation := testTiming.ReconnectTime << (tuning.ZoneProbationMaxDoublings - 1)
 	for name, c := range map[string]struct {
 		count  HeartbeatCount
 		within time.Duration
@@ -123,7 +123,7 @@
 		"silent": {HeartbeatCount{Expected: 10}, testTiming.LeaseDuration, Lost},
 		"controller in zone": {
 			HeartbeatCount{Expected: 10, ControllerInZone: true},
-			max(testTiming.LeaseDuration, tuning.CutInside), Lost,
+			max(testTiming.LeaseDuration, tuning.PartitionedZoneControllerGrace), Lost,
 		},
 		"deleted": {HeartbeatCount{}, testTiming.LeaseDuration + longestProbation, Serving},
 	} {
@@ -178,10 +178,10 @@
 // serves; and each ProbationForgive of service takes one return back.
 func TestFlappingIsDamped(t *testing.T) {
 	zone := &flappingZone{tracker: Tracker{Timing: testTiming}, now: testStart}
-	longestProbation := testTiming.ReconnectTime << (tuning.ProbationReturns - 1)
+	longestProbation := testTiming.ReconnectTime << (tuning.ZoneProbationMaxDoublings - 1)
 	zone.observe(10, time.Second)
 	former := time.Duration(0)
-	for i := range 2 * tuning.ProbationReturns {
+	for i := range 2 * tuning.ZoneProbationMaxDoublings {
 		zone.observe(0, 10*time.Second)
 		zone.observe(10, time.Second)
 		trusted := zone.tracker.Trusted("east")
@@ -194,7 +194,7 @@
 		}
 		former = probation
 	}
-	zone.observe(10, tuning.ProbationReturns*tuning.ProbationForgive)
+	zone.observe(10, tuning.ZoneProbationMaxDoublings*tuning.ZoneProbationForgiveAfter)
 	if probation := zone.loseAndReturn(t); probation > testTiming.ReconnectTime+2*time.Second {
 		t.Fatalf("forgiven, and on probation for %v", probation)
 	}
@@ -205,15 +205,15 @@
 func TestReturnsAreForgivenOneByOne(t *testing.T) {
 	zone := &flappingZone{tracker: Tracker{Timing: testTiming}, now: testStart}
 	zone.observe(10, time.Second)
-	for range tuning.ProbationReturns {
+	for range tuning.ZoneProbationMaxDoublings {
 		zone.loseAndReturn(t)
 	}
 	history := zone.tracker.history("east")
-	for want := tuning.ProbationReturns; want > 0; want-- {
+	for want := tuning.ZoneProbationMaxDoublings; want > 0; want-- {
 		if history.state != Serving || history.unforgivenReturns != want {
 			t.Fatalf("%v with %d returns, want %d", history.state, history.unforgivenReturns, want)
 		}
-		zone.observe(10, tuning.ProbationForgive)
+		zone.observe(10, tuning.ZoneProbationForgiveAfter)
 	}
 	if history.unforgivenReturns != 0 {
 		t.Fatalf("%d returns are not forgiven", history.unforgivenReturns)
