--- a/cmd/sableusher/serve.go
+++ b/cmd/sableusher/serve.go
@@ -77,7 +77,7 @@
 		<-groupCtx.Done()
 		return shutdown(groupCtx, server)
 	})
-	logger.Info("serving", "listen", settings.Listen, "shards", settings.Deployment.Size)
+	logger.Info("serving", "listen", settings.Listen, "shards", settings.Deployment.NodeCount)
 	if err := group.Wait(); err != nil && !endsOrderly(err) {
 		return err
 	}
--- a/cmd/sableusher/settings.go
+++ b/cmd/sableusher/settings.go
@@ -48,7 +48,7 @@
 			}
 			deployment := &settings.Deployment
 			_, err = fmt.Fprintf(cmd.OutOrStdout(), "settings are good: node %s of %d, %d teams\n",
-				settings.Node, deployment.Size, len(deployment.Teams))
+				settings.Node, deployment.NodeCount, len(deployment.Teams))
 			return err
 		},
 	}
--- a/internal/agent/dispatch.go
+++ b/internal/agent/dispatch.go
@@ -34,7 +34,7 @@
 func (r *Registry) Run(ctx context.Context) error {
 	var dispatches sync.WaitGroup
 	defer dispatches.Wait()
-	removal := time.NewTicker(r.settings.Report())
+	removal := time.NewTicker(r.settings.HeartbeatInterval())
 	defer removal.Stop()
 	running := time.NewTicker(tuning.PauseCheckInterval)
 	defer running.Stop()
@@ -142,7 +142,7 @@
 // is awaited. A machine whose heartbeat is overdue is probed again and again until it is given up, so that one
 // that was out of reach for a moment is heard before.
 func (r *Registry) awaitsHeartbeat(m *machine, now time.Time) bool {
-	pause := r.settings.Report()
+	pause := r.settings.HeartbeatInterval()
 	if r.overdue(m, now) && now.Sub(m.link.lastHeard) < r.heartbeatIntervals(tuning.DeadAfterIntervals) {
 		pause = tuning.ProbeInterval
 	}
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -38,9 +38,9 @@
 // newRegistryFixture makes the registry under a schema version; node "a" owns ownShard, "b" peerShard.
 func newRegistryFixture(schemaVersion int) *registryFixture {
 	logger := slog.New(slog.DiscardHandler)
-	settings := &config.Settings{Node: "a", Siblings: []config.Sibling{{Node: "b"}}}
+	settings := &config.Settings{Node: "a", Peers: []config.Peer{{Node: "b"}}}
 	deployment := &settings.Deployment
-	deployment.Size = 2
+	deployment.NodeCount = 2
 	deployment.Workers.ReportS, deployment.Workers.LeaseS, deployment.Workers.CancelS = 6, 31, 51
 	state := clusterstate.New(2, logger)
 	state.SchemaVersion = schemaVersion
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -163,7 +163,7 @@
 // confirmsInbound tells whether a heartbeat shows that its agent receives what this node sends. That it has
 // seen this owner's token shows as well that it received an answer once.
 func (r *Registry) confirmsInbound(m *machine, h *heartbeatRequest) bool {
-	if len(r.settings.Siblings) > 0 && m.session.confirmsResponse(h.report) {
+	if len(r.settings.Peers) > 0 && m.session.confirmsResponse(h.report) {
 		return true
 	}
 	return m.link.neverProbed() && h.report.FencingToken == h.fencingToken
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -31,7 +31,7 @@
 // maxStateAge is the age of the cluster state up to which leases are renewed where cancellations are confirmed
 // at once: one that the state has not seen must still end with the lease in time.
 func (k *leaseKeeper) maxStateAge() time.Duration {
-	slack := k.settings.Cancel() - k.settings.Lease()
+	slack := k.settings.CancelDeadline() - k.settings.LeaseDuration()
 	return time.Duration(float64(slack)*(1-2*tuning.ClockDriftFraction)) - tuning.LeaseMargin
 }
 
@@ -77,7 +77,7 @@
 		k.peerLastAnswered == nil || h.now.Sub(k.startedAt) < tuning.OwnerUnreachableAfter {
 		return false
 	}
-	for _, sibling := range k.settings.Siblings {
+	for _, sibling := range k.settings.Peers {
 		if k.reachable(sibling.Node, h.now) {
 			return false
 		}
--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -132,7 +132,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newRegistryFixture(tuning.SchemaVersionConfirmedCancel)
-				f.settings.Siblings = []config.Sibling{{Node: "b"}}
+				f.settings.Peers = []config.Peer{{Node: "b"}}
 				machineName := f.addMachine(peerShard)
 				f.loseClusterState()
 				f.runFor(c.sinceStart)
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -107,7 +107,7 @@
 		o.commandAfter(8 * time.Second)
 		o.expect("more are", false, true)
 		status := o.status()
-		if !status.LeaseExpiry.Equal(start.Add(o.settings.Lease())) || !status.OneWaySince.Equal(start) {
+		if !status.LeaseExpiry.Equal(start.Add(o.settings.LeaseDuration())) || !status.OneWaySince.Equal(start) {
 			t.Errorf("its lease ends at %v, outbound lost since %v",
 				status.LeaseExpiry.Sub(start), status.OneWaySince.Sub(start))
 		}
@@ -140,7 +140,7 @@
 	o.commandAfter(0)
 	o.commandAfter(8 * time.Second)
 	o.expect("it is back from a partition", true, false)
-	if status := o.status(); !status.LeaseExpiry.Equal(restoredAt.Add(o.settings.Lease())) {
+	if status := o.status(); !status.LeaseExpiry.Equal(restoredAt.Add(o.settings.LeaseDuration())) {
 		o.Errorf("its lease ends %v after it is back", status.LeaseExpiry.Sub(restoredAt))
 	}
 	o.commandAfter(10 * time.Second)
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -105,7 +105,7 @@
 
 // heartbeatIntervals is the time of so many intervals between heartbeats.
 func (r *Registry) heartbeatIntervals(count float64) time.Duration {
-	return time.Duration(count * float64(r.settings.Report()))
+	return time.Duration(count * float64(r.settings.HeartbeatInterval()))
 }
 
 // noteRunning notes that this process runs.
@@ -128,7 +128,7 @@
 			delete(r.redirectedAt, name)
 		}
 	}
-	r.newestHeartbeats.removeOld(r.settings.Lease(), now)
+	r.newestHeartbeats.removeOld(r.settings.LeaseDuration(), now)
 	r.removeMachines(now)
 }
 
@@ -155,7 +155,7 @@
 	for name, m := range r.machines {
 		_, owned := r.membership.MayServeAgents(record.ShardOf(name, r.clusterState.ShardCount))
 		unknown := r.clusterState.Machines[name] == nil
-		if !owned || unknown && now.Sub(m.link.lastHeard) > r.settings.Lease() {
+		if !owned || unknown && now.Sub(m.link.lastHeard) > r.settings.LeaseDuration() {
 			delete(r.machines, name)
 			delete(r.updates.adoptions, name)
 		}
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -44,7 +44,7 @@
 		LastHeard: m.link.lastHeard, Session: m.session.id, ReclaimAt: m.reclaimAt, FailedJobs: len(m.failedJobs),
 		UnresolvedStart: m.starts.hasUnresolved(fencingToken), CommandUnanswered: m.link.commandUnanswered(),
 		InboundLost: m.link.inboundLostForLong(now), InboundConfirmed: m.link.inboundConfirmed(),
-		OutboundLost: r.outboundLost(m, now), LeaseExpiry: heartbeatExpectedFrom.Add(r.settings.Lease()),
+		OutboundLost: r.outboundLost(m, now), LeaseExpiry: heartbeatExpectedFrom.Add(r.settings.LeaseDuration()),
 	}
 	switch {
 	case status.OutboundLost:
--- a/internal/api/submit_test.go
+++ b/internal/api/submit_test.go
@@ -138,7 +138,7 @@
 // job that can never run. Nothing is accepted with a limit before all nodes count failures, and where no
 // class limits retries the field means nothing.
 func TestRetryLimits(t *testing.T) {
-	limiting := &config.Operator{Classes: []config.Class{{Name: "c", Repeats: 3}}}
+	limiting := &config.Operator{Classes: []config.Class{{Name: "c", MaxRetries: 3}}}
 	const counted, notCounted = tuning.SchemaVersionRetries, tuning.SchemaVersionRetries - 1
 	for name, c := range map[string]struct {
 		operator *config.Operator
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -97,7 +97,7 @@
 
 // resize brings the number of machines closer to demand, on the leader.
 func (a *Autoscaler) resize(ctx context.Context) {
-	if a.operator.OwnedFleet {
+	if a.operator.FixedFleet {
 		return
 	}
 	a.state.RLock()
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -49,7 +49,7 @@
 		return tuning.HeadroomDeviations * math.Sqrt(squares*bootSeconds/tuning.ArrivalWindow.Seconds())
 	}
 	return headroom{
-		onDemand:       max(float64(a.operator.PoolStep), deviation(onDemand)),
+		onDemand:       max(float64(a.operator.MinHeadroom), deviation(onDemand)),
 		unusedMachines: deviation(fillsMachines),
 		spot:           deviation(spot),
 	}
--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -83,7 +83,7 @@
 
 // maxListLag is how far the cloud's list may lag behind, with a margin.
 func (a *Autoscaler) maxListLag() time.Duration {
-	return config.Seconds(2 * a.settings.Deployment.Cloud.ListLagS)
+	return config.ToDuration(2 * a.settings.Deployment.Cloud.ListLagS)
 }
 
 // adopt records a machine that has no record.
@@ -93,7 +93,7 @@
 		Zone:        listed.Zone,
 		Spot:        listed.Spot,
 		Address:     listed.Address,
-		CreatedAtMs: now.Add(-config.Seconds(listed.AgeSeconds)).UnixMilli(),
+		CreatedAtMs: now.Add(-config.ToDuration(listed.AgeSeconds)).UnixMilli(),
 		Deleting:    listed.State == wire.MachineFailed,
 	})
 }
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -29,7 +29,7 @@
 	plan := a.newScaleInPlan(now, demand, planned)
 	var transactions []kvstore.Transaction
 	for _, name := range candidates {
-		if plan.machinesLeft <= a.operator.PoolMin {
+		if plan.machinesLeft <= a.operator.MinMachines {
 			break
 		}
 		machine := a.state.Machines[name]
@@ -120,7 +120,7 @@
 		return false
 	case p.isBeingRented[kind] || *p.surplus(machine) < 1 || p.isReserved(machine):
 		return false
-	case p.now.Sub(a.idleSince[machine.Name]) < config.Seconds(a.operator.PoolHoldS):
+	case p.now.Sub(a.idleSince[machine.Name]) < config.ToDuration(a.operator.IdleHoldSeconds):
 		return false
 	default:
 		return p.commonTask.CPUs <= a.state.Catalog.Types[machine.Type].CPUs
--- a/internal/autoscaler/scaleoutplan.go
+++ b/internal/autoscaler/scaleoutplan.go
@@ -163,7 +163,7 @@
 func (p *scaleOutPlan) addHeadroom(demand scheduler.UnmetDemand, present int) {
 	a := p.autoscaler
 	target := a.headroomTarget(p.now)
-	belowMinimum := a.operator.PoolMin - present - len(p.machines)
+	belowMinimum := a.operator.MinMachines - present - len(p.machines)
 	spare := demand.SpareOnDemand
 	count := max(
 		belowMinimum,
--- a/internal/autoscaler/scaleoutplan_test.go
+++ b/internal/autoscaler/scaleoutplan_test.go
@@ -116,7 +116,7 @@
 
 func newGangRenter(t *testing.T, zone string) *gangRenter {
 	a := newTestAutoscaler(t)
-	a.operator.PoolMin = 0
+	a.operator.MinMachines = 0
 	for _, refusedZone := range testZones {
 		a.rentals.recordRefusal(machineKind{"m", refusedZone, false})
 	}
--- a/internal/autoscaler/sizing.go
+++ b/internal/autoscaler/sizing.go
@@ -20,7 +20,7 @@
 // those that are required, at most all. A choice holds for the configured time.
 func (a *Autoscaler) limitByLearner(planned []plannedMachine) []plannedMachine {
 	sizes := a.scheduler.Learner()
-	if !a.operator.Learn || !sizes.Warm() {
+	if !a.operator.LearningEnabled || !sizes.Warm() {
 		return planned
 	}
 	required := countRequired(planned)
@@ -28,7 +28,7 @@
 		return planned
 	}
 	now := time.Now()
-	if now.Sub(a.sizing.decidedAt) >= config.Seconds(a.operator.PoolHoldS) {
+	if now.Sub(a.sizing.decidedAt) >= config.ToDuration(a.operator.IdleHoldSeconds) {
 		a.decideSize(sizes, now, required, len(planned))
 	}
 	optional := int(math.Ceil(a.sizing.fraction * float64(len(planned)-required)))
--- a/internal/autoscaler/zonereserve_test.go
+++ b/internal/autoscaler/zonereserve_test.go
@@ -43,7 +43,7 @@
 func TestReserveCoversALostZone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := newTestAutoscaler(nil)
-		a.operator.PoolMin, a.operator.PoolStep = 0, 0
+		a.operator.MinMachines, a.operator.MinHeadroom = 0, 0
 		share := rapid.Float64Range(0, 1).Draw(t, "share")
 		a.operator.ZoneReserve = share
 		usedByZone := drawServiceMachines(t, a.state)
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -17,18 +17,18 @@
 // Operator holds the operators' own settings. Element names and attributes are part of the
 // file's form; see operator.xml for the defaults.
 type Operator struct {
-	XMLName     xml.Name `xml:"sableusher"`
-	Lambda      float64  `xml:"lambda"`       // weight of responsiveness in rewards, from 0 to 1
-	Exploration float64  `xml:"exploration"`  // probability of a random action, 0 to 1
-	LearnRate   float64  `xml:"learn-rate"`   // step towards newly fitted weights, 0 to 1
-	Discount    float64  `xml:"discount"`     // of the next decision's value, below 1
-	ColdPayoffs int      `xml:"cold-payoffs"` // rewards before the learner's choices are used
-	PoolMin     int      `xml:"pool-minimum"` // machines that are always rented
-	PoolStep    int      `xml:"pool-step"`    // least headroom, in machines
-	PoolHoldS   float64  `xml:"pool-hold-s"`  // seconds that an idle machine is kept
-	RefitS      float64  `xml:"refit-s"`      // seconds between fits of the learner
-	Learn       bool     `xml:"learn"`
-	OwnedFleet  bool     `xml:"owned-fleet"` // machines are neither rented nor returned
+	XMLName              xml.Name `xml:"sableusher"`
+	ResponsivenessWeight float64  `xml:"lambda"`       // weight of responsiveness in rewards, from 0 to 1
+	Exploration          float64  `xml:"exploration"`  // probability of a random action, 0 to 1
+	LearningRate         float64  `xml:"learn-rate"`   // step towards newly fitted weights, 0 to 1
+	Discount             float64  `xml:"discount"`     // of the next decision's value, below 1
+	WarmUpRewards        int      `xml:"cold-payoffs"` // rewards before the learner's choices are used
+	MinMachines          int      `xml:"pool-minimum"` // machines that are always rented
+	MinHeadroom          int      `xml:"pool-step"`    // least headroom, in machines
+	IdleHoldSeconds      float64  `xml:"pool-hold-s"`  // seconds that an idle machine is kept
+	RefitIntervalSeconds float64  `xml:"refit-s"`      // seconds between fits of the learner
+	LearningEnabled      bool     `xml:"learn"`
+	FixedFleet           bool     `xml:"owned-fleet"` // machines are neither rented nor returned
 	// ZoneReserve is the share of the services of the zone with most of them for which
 	// capacity is kept free in the other zones, from 0 to 1.
 	ZoneReserve float64 `xml:"zone-reserve"`
@@ -41,36 +41,36 @@
 	// how often its key-value store has lost writes. Both are empty without other cells.
 	CellName  string `xml:"cell-name"`
 	CellEpoch uint64 `xml:"cell-epoch"`
-	// CellGuests is how many tasks of jobs offloaded by other cells may be here at once.
-	CellGuests int `xml:"cell-guests"`
-	// CellDrain makes this cell accept no offloaded jobs and return those not yet started.
-	CellDrain bool `xml:"cell-drain"`
+	// MaxOffloadedTasks is how many tasks of jobs offloaded by other cells may be here at once.
+	MaxOffloadedTasks int `xml:"cell-guests"`
+	// CellDraining makes this cell accept no offloaded jobs and return those not yet started.
+	CellDraining bool `xml:"cell-drain"`
 	// Cells are the other cells.
 	Cells []Cell `xml:"cells>cell"`
-	// Forgotten are those of Cells that are lost for good: jobs that were offloaded to them
+	// ForgottenCells are those of Cells that are lost for good: jobs that were offloaded to them
 	// may start here again.
-	Forgotten []Forgotten `xml:"cells-forgotten>cell"`
+	ForgottenCells []ForgottenCell `xml:"cells-forgotten>cell"`
 }
 
-// Forgotten is an operator's statement that a cell, under an epoch, is lost for good.
-type Forgotten struct {
+// ForgottenCell is an operator's statement that a cell, under an epoch, is lost for good.
+type ForgottenCell struct {
 	Name  string `xml:"name,attr"`
 	Epoch uint64 `xml:"epoch,attr"` // as logged when the cell was found lost
 }
 
 // Cell is another deployment that jobs are exchanged with.
 type Cell struct {
-	Name      string  `xml:"name,attr"`
-	Nodes     string  `xml:"nodes,attr"`      // back addresses of its controller nodes, separated by spaces
-	TransferS float64 `xml:"transfer-s,attr"` // cost of offloading a job to it, in seconds
+	Name            string  `xml:"name,attr"`
+	Nodes           string  `xml:"nodes,attr"`      // back addresses of its controller nodes, separated by spaces
+	TransferSeconds float64 `xml:"transfer-s,attr"` // cost of offloading a job to it, in seconds
 }
 
 // Class limits the retries of the tasks of a class.
 type Class struct {
-	Name      string  `xml:"name,attr"`
-	Repeats   int     `xml:"repeats,attr"`     // most retries after failures of a task's own
-	PauseS    float64 `xml:"pause-s,attr"`     // seconds before the first retry, doubled for each next
-	PauseMaxS float64 `xml:"pause-max-s,attr"` // longest such pause, in seconds
+	Name                 string  `xml:"name,attr"`
+	MaxRetries           int     `xml:"repeats,attr"`     // most retries after failures of a task's own
+	RetryPauseSeconds    float64 `xml:"pause-s,attr"`     // seconds before the first retry, doubled for each next
+	MaxRetryPauseSeconds float64 `xml:"pause-max-s,attr"` // longest such pause, in seconds
 }
 
 // LoadOperator reads the operators' file over the embedded defaults, as ParseOperator does;
@@ -98,7 +98,7 @@
 	if base != nil {
 		operator = *base
 		// Lists in content replace those of base; they are not added to them.
-		operator.Classes, operator.Cells, operator.Forgotten = nil, nil, nil
+		operator.Classes, operator.Cells, operator.ForgottenCells = nil, nil, nil
 	}
 	if err := checkElements(content); err != nil {
 		return nil, fmt.Errorf("operators' settings: %w", err)
@@ -124,19 +124,19 @@
 }
 
 func (op *Operator) checkLearner(faults *faultCollector) {
-	faults.checkElementRange("lambda", op.Lambda, 0, maxWeight)
+	faults.checkElementRange("lambda", op.ResponsivenessWeight, 0, maxWeight)
 	faults.checkElementRange("exploration", op.Exploration, 0, maxWeight)
-	faults.checkElementRange("learn-rate", op.LearnRate, 0, maxWeight)
+	faults.checkElementRange("learn-rate", op.LearningRate, 0, maxWeight)
 	faults.checkElementRange("discount", op.Discount, 0, maxDiscount)
-	faults.checkElementRange("cold-payoffs", float64(op.ColdPayoffs), 0, maxWarmUpRewards)
+	faults.checkElementRange("cold-payoffs", float64(op.WarmUpRewards), 0, maxWarmUpRewards)
 }
 
 // checkMachines checks what the number of machines and their free capacity follow from.
 func (op *Operator) checkMachines(faults *faultCollector) {
-	faults.checkElementRange("pool-minimum", float64(op.PoolMin), 0, maxMinMachines)
-	faults.checkElementRange("pool-step", float64(op.PoolStep), 0, maxHeadroom)
-	faults.checkElementRange("pool-hold-s", op.PoolHoldS, 0, maxIdleHoldSeconds)
-	faults.checkElementRange("refit-s", op.RefitS, minRefitSeconds, maxRefitSeconds)
+	faults.checkElementRange("pool-minimum", float64(op.MinMachines), 0, maxMinMachines)
+	faults.checkElementRange("pool-step", float64(op.MinHeadroom), 0, maxHeadroom)
+	faults.checkElementRange("pool-hold-s", op.IdleHoldSeconds, 0, maxIdleHoldSeconds)
+	faults.checkElementRange("refit-s", op.RefitIntervalSeconds, minRefitSeconds, maxRefitSeconds)
 	faults.checkElementRange("zone-reserve", op.ZoneReserve, 0, maxWeight)
 }
 
@@ -151,10 +151,10 @@
 			faults.addElement(element, "empty, too long or named twice")
 		}
 		names[class.Name] = true
-		faults.checkElementRange(element+" repeats", float64(class.Repeats), 0, tuning.MaxClassRetries)
-		faults.checkElementRange(element+" pause-s", class.PauseS, 0, tuning.MaxRetryPauseSeconds)
-		faults.checkElementRange(element+" pause-max-s", class.PauseMaxS,
-			class.PauseS, tuning.MaxRetryPauseSeconds)
+		faults.checkElementRange(element+" repeats", float64(class.MaxRetries), 0, tuning.MaxClassRetries)
+		faults.checkElementRange(element+" pause-s", class.RetryPauseSeconds, 0, tuning.MaxRetryPauseSeconds)
+		faults.checkElementRange(element+" pause-max-s", class.MaxRetryPauseSeconds,
+			class.RetryPauseSeconds, tuning.MaxRetryPauseSeconds)
 	}
 }
 
@@ -168,8 +168,8 @@
 	if federated && (!isCellName(op.CellName) || op.CellEpoch == 0) {
 		faults.add(ErrCellIdentity)
 	}
-	if op.CellGuests < 0 || op.CellGuests > maxOffloadedTasks {
-		faults.addElement("cell-guests", "%d is not within 0 to %d", op.CellGuests, maxOffloadedTasks)
+	if op.MaxOffloadedTasks < 0 || op.MaxOffloadedTasks > maxOffloadedTasks {
+		faults.addElement("cell-guests", "%d is not within 0 to %d", op.MaxOffloadedTasks, maxOffloadedTasks)
 	}
 }
 
@@ -185,11 +185,11 @@
 		if len(strings.Fields(cell.Nodes)) == 0 {
 			faults.addElement(element, "nodes names no controller")
 		}
-		if outside(cell.TransferS, 0, maxTransferSeconds) {
-			faults.addElement(element, "transfer-s %v is not within 0 to %d", cell.TransferS, maxTransferSeconds)
+		if outside(cell.TransferSeconds, 0, maxTransferSeconds) {
+			faults.addElement(element, "transfer-s %v is not within 0 to %d", cell.TransferSeconds, maxTransferSeconds)
 		}
 	}
-	for _, forgotten := range op.Forgotten {
+	for _, forgotten := range op.ForgottenCells {
 		isNamed := func(cell Cell) bool { return cell.Name == forgotten.Name }
 		if !slices.ContainsFunc(op.Cells, isNamed) || forgotten.Epoch == 0 {
 			faults.addElement("cells-forgotten", "%q is not one of <cells>, or its epoch is none", forgotten.Name)
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -8,11 +8,11 @@
 
 func TestOperator(t *testing.T) {
 	defaults, err := LoadOperator("")
-	if err != nil || defaults.Lambda != 0.7 || defaults.PoolMin != 2 {
+	if err != nil || defaults.ResponsivenessWeight != 0.7 || defaults.MinMachines != 2 {
 		t.Fatalf("%+v, %v", defaults, err)
 	}
 	got, err := ParseOperator([]byte("<sableusher><lambda>0.25</lambda></sableusher>"), defaults)
-	if err != nil || got.Lambda != 0.25 || got.Exploration != defaults.Exploration {
+	if err != nil || got.ResponsivenessWeight != 0.25 || got.Exploration != defaults.Exploration {
 		t.Fatalf("%+v, %v", got, err)
 	}
 }
@@ -178,7 +178,7 @@
 	if err != nil || cells.CellName != "a" || cells.CellEpoch != 1 {
 		t.Errorf("%+v, %v", cells, err)
 	}
-	if len(cells.Cells) != 2 || cells.Cells[1].TransferS != 10 {
+	if len(cells.Cells) != 2 || cells.Cells[1].TransferSeconds != 10 {
 		t.Errorf("%+v", cells.Cells)
 	}
 	defaults, err := LoadOperator("")
@@ -194,11 +194,11 @@
 // has a limit.
 func TestClassesFile(t *testing.T) {
 	operator, err := LoadOperator("../../deploy/classes.xml")
-	if err != nil || len(operator.Classes) == 0 || operator.PoolMin != 2 {
+	if err != nil || len(operator.Classes) == 0 || operator.MinMachines != 2 {
 		t.Fatalf("%+v, %v", operator, err)
 	}
 	for _, class := range operator.Classes {
-		if class.Name == "" || class.PauseMaxS < class.PauseS {
+		if class.Name == "" || class.MaxRetryPauseSeconds < class.RetryPauseSeconds {
 			t.Errorf("%+v", class)
 		}
 	}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -12,20 +12,20 @@
 
 // Settings is what the platform hands to a controller node.
 type Settings struct {
-	Node     string    `toml:"node_name"`
-	Zone     string    `toml:"area"`
-	Listen   string    `toml:"listen"`   // address for users and agents
-	Back     string    `toml:"back"`     // address for the other controller nodes
-	Siblings []Sibling `toml:"siblings"` // all controller nodes but this one
-	Outside  struct {
+	Node       string `toml:"node_name"`
+	Zone       string `toml:"area"`
+	Listen     string `toml:"listen"`   // address for users and agents
+	BackListen string `toml:"back"`     // address for the other controller nodes
+	Peers      []Peer `toml:"siblings"` // all controller nodes but this one
+	Outside    struct {
 		Cloud string `toml:"cloud"`
 		State string `toml:"state"`
 	} `toml:"outside"`
 	Deployment Deployment `toml:"deployment"`
 }
 
-// Sibling is another controller node.
-type Sibling struct {
+// Peer is another controller node.
+type Peer struct {
 	Node     string `toml:"node_name"`
 	Zone     string `toml:"area"`
 	Endpoint string `toml:"endpoint"` // the other node's Back address
@@ -34,7 +34,7 @@
 // Deployment describes the region: its nodes, zones, teams, and the limits of the services
 // that nodes use. Every node has the same.
 type Deployment struct {
-	Size        int         `toml:"size"`
+	NodeCount   int         `toml:"size"`
 	Zones       []string    `toml:"zones"`
 	TimeBoundMs float64     `toml:"time_bound_ms"`
 	Teams       []Team      `toml:"teams"`
@@ -53,7 +53,7 @@
 		TxnOps   int     `toml:"txn_ops"`
 		// Next holds limits that the key-value store will have from some moment on,
 		// without notice; nil if none are known.
-		Next *StateLimits `toml:"next"`
+		Next *KVLimits `toml:"next"`
 	} `toml:"state"`
 	Cloud struct {
 		RPS      float64 `toml:"rps"`
@@ -66,9 +66,9 @@
 	} `toml:"machine_limits"`
 }
 
-// StateLimits are limits of the key-value store. In settings of limits to come, 0 means
+// KVLimits are limits of the key-value store. In settings of limits to come, 0 means
 // that one stays as it is.
-type StateLimits struct {
+type KVLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
@@ -110,58 +110,58 @@
 	if err := toml.Unmarshal(content, &settings); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if err := settings.check(); err != nil {
+	if err := settings.validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	return &settings, nil
 }
 
-// NextState returns the limits of the key-value store that writes have to keep to: the
+// UpcomingKVLimits returns the limits of the key-value store that writes have to keep to: the
 // smaller of each limit of today and the one that is known to come.
-func (s *Settings) NextState() StateLimits {
+func (s *Settings) UpcomingKVLimits() KVLimits {
 	state := &s.Deployment.State
-	limits := StateLimits{
+	limits := KVLimits{
 		RPS:      state.RPS,
 		WriteRPS: state.WriteRPS,
 		ValueKB:  state.ValueKB,
 		TxnOps:   state.TxnOps,
 	}
 	if next := state.Next; next != nil {
-		least(&limits.RPS, next.RPS)
-		least(&limits.WriteRPS, next.WriteRPS)
-		least(&limits.ValueKB, next.ValueKB)
-		least(&limits.TxnOps, next.TxnOps)
+		lowerTo(&limits.RPS, next.RPS)
+		lowerTo(&limits.WriteRPS, next.WriteRPS)
+		lowerTo(&limits.ValueKB, next.ValueKB)
+		lowerTo(&limits.TxnOps, next.TxnOps)
 	}
 	return limits
 }
 
-// least lowers limit to bound; a bound of 0 is not set.
-func least[T int | float64](limit *T, bound T) {
+// lowerTo lowers limit to bound; a bound of 0 is not set.
+func lowerTo[T int | float64](limit *T, bound T) {
 	if bound != 0 {
 		*limit = min(*limit, bound)
 	}
 }
 
-// Nodes returns the names of all nodes in an order that is the same on every node.
-func (s *Settings) Nodes() []string {
+// NodeNames returns the names of all nodes in an order that is the same on every node.
+func (s *Settings) NodeNames() []string {
 	names := []string{s.Node}
-	for _, sibling := range s.Siblings {
+	for _, sibling := range s.Peers {
 		names = append(names, sibling.Node)
 	}
 	slices.SortFunc(names, cmp.Compare)
 	return names
 }
 
-// Seconds converts a number of seconds to a duration.
-func Seconds(seconds float64) time.Duration {
+// ToDuration converts a number of seconds to a duration.
+func ToDuration(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// Lease is how long an agent keeps its tasks without an answer to its heartbeats.
-func (s *Settings) Lease() time.Duration { return Seconds(s.Deployment.Workers.LeaseS) }
+// LeaseDuration is how long an agent keeps its tasks without an answer to its heartbeats.
+func (s *Settings) LeaseDuration() time.Duration { return ToDuration(s.Deployment.Workers.LeaseS) }
 
-// Cancel is the time within which a cancelled job's tasks have to be stopped.
-func (s *Settings) Cancel() time.Duration { return Seconds(s.Deployment.Workers.CancelS) }
+// CancelDeadline is the time within which a cancelled job's tasks have to be stopped.
+func (s *Settings) CancelDeadline() time.Duration { return ToDuration(s.Deployment.Workers.CancelS) }
 
-// Report is the interval of agents' heartbeats.
-func (s *Settings) Report() time.Duration { return Seconds(s.Deployment.Workers.ReportS) }
+// HeartbeatInterval is the interval of agents' heartbeats.
+func (s *Settings) HeartbeatInterval() time.Duration { return ToDuration(s.Deployment.Workers.ReportS) }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -50,7 +50,7 @@
 
 func TestSettings(t *testing.T) {
 	settings, err := Parse([]byte(validSettings))
-	if err != nil || settings.Deployment.Teams[0].GPUsMax != 4 || settings.Nodes()[1] != "n1" {
+	if err != nil || settings.Deployment.Teams[0].GPUsMax != 4 || settings.NodeNames()[1] != "n1" {
 		t.Fatalf("%+v, %v", settings, err)
 	}
 }
@@ -126,27 +126,27 @@
 	for _, test := range []struct {
 		name string
 		next string
-		want StateLimits
+		want KVLimits
 	}{
 		{
 			name: "without",
-			want: StateLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 32},
+			want: KVLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 32},
 		},
 		{
 			name: "with lower ones",
 			next: "[deployment.state.next]\nwrite_rps = 56.0\nvalue_kb = 2.0\ntxn_ops = 10",
-			want: StateLimits{RPS: 200, WriteRPS: 56, ValueKB: 2, TxnOps: 10},
+			want: KVLimits{RPS: 200, WriteRPS: 56, ValueKB: 2, TxnOps: 10},
 		},
 		{
 			name: "with a higher one",
 			next: "[deployment.state.next]\nvalue_kb = 64.0",
-			want: StateLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 32},
+			want: KVLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 32},
 		},
 	} {
 		settings, err := with(test.next)
 		if err != nil {
 			t.Errorf("%s: %v", test.name, err)
-		} else if got := settings.NextState(); got != test.want {
+		} else if got := settings.UpcomingKVLimits(); got != test.want {
 			t.Errorf("%s: %+v, want %+v", test.name, got, test.want)
 		}
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -64,11 +64,11 @@
 	return math.IsNaN(value) || value < low || value > high
 }
 
-// check validates all sections; it returns nil or a ValidationError.
-func (s *Settings) check() error {
+// validate validates all sections; it returns nil or a ValidationError.
+func (s *Settings) validate() error {
 	var faults faultCollector
 	s.checkNodes(&faults)
-	s.Deployment.checkSize(len(s.Siblings), &faults)
+	s.Deployment.checkSize(len(s.Peers), &faults)
 	s.checkZones(&faults)
 	s.Deployment.checkTeams(&faults)
 	s.Deployment.checkWorkers(&faults)
@@ -84,11 +84,11 @@
 		faults.addSetting("node_name", "missing")
 	}
 	faults.checkAddress("listen", s.Listen)
-	faults.checkAddress("back", s.Back)
+	faults.checkAddress("back", s.BackListen)
 	faults.checkAddress("outside.cloud", s.Outside.Cloud)
 	faults.checkAddress("outside.state", s.Outside.State)
 	names := map[string]bool{s.Node: true}
-	for i, sibling := range s.Siblings {
+	for i, sibling := range s.Peers {
 		setting := fmt.Sprintf("siblings[%d]", i)
 		faults.checkUnique(setting+".node_name", sibling.Node, names)
 		faults.checkAddress(setting+".endpoint", sibling.Endpoint)
@@ -97,9 +97,9 @@
 
 // checkSize checks the number of nodes against the siblings of this one.
 func (d *Deployment) checkSize(siblings int, faults *faultCollector) {
-	faults.checkRange("deployment.size", float64(d.Size), 1, maxNodes)
-	if d.Size != siblings+1 {
-		faults.addSetting("deployment.size", "%d, but there are %d siblings", d.Size, siblings)
+	faults.checkRange("deployment.size", float64(d.NodeCount), 1, maxNodes)
+	if d.NodeCount != siblings+1 {
+		faults.addSetting("deployment.size", "%d, but there are %d siblings", d.NodeCount, siblings)
 	}
 }
 
@@ -115,7 +115,7 @@
 		}
 	}
 	checkNodeZone("area", s.Zone)
-	for i, sibling := range s.Siblings {
+	for i, sibling := range s.Peers {
 		checkNodeZone(fmt.Sprintf("siblings[%d].area", i), sibling.Zone)
 	}
 }
@@ -159,7 +159,7 @@
 }
 
 // validate checks limits to come; those that stay as they are have none to keep to.
-func (l *StateLimits) validate(faults *faultCollector) {
+func (l *KVLimits) validate(faults *faultCollector) {
 	checkIfSet := func(name string, value, low, high float64) {
 		if value != 0 {
 			faults.checkRange("deployment.state.next."+name, value, low, high)
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -26,7 +26,7 @@
 
 func newStore(c *Config) *store {
 	client := newStoreClient(c)
-	state := clusterstate.New(c.Settings.Deployment.Size, c.Logger)
+	state := clusterstate.New(c.Settings.Deployment.NodeCount, c.Logger)
 	cache := kvstore.NewWatchCache(client, record.LivePrefix, state, c.Logger)
 	committer := kvstore.NewCommitter(client, func(ops []wire.Op, revision uint64) { cache.ApplyOwn(ops, revision) })
 	committer.SetObserver(cache)
@@ -37,13 +37,13 @@
 func newStoreClient(c *Config) *kvstore.Client {
 	limits := &c.Settings.Deployment.State
 	client := kvstore.NewClient(c.Settings.Outside.State, kvstore.Limits{
-		BudgetShare:       tuning.KVBudgetShare / float64(c.Settings.Deployment.Size),
+		BudgetShare:       tuning.KVBudgetShare / float64(c.Settings.Deployment.NodeCount),
 		RequestsPerSecond: limits.RPS,
 		WritesPerSecond:   limits.WriteRPS,
 		MaxValueKiB:       limits.ValueKB,
 		MaxTransactionOps: limits.TxnOps,
 	}, c.Transport)
-	upcoming := c.Settings.NextState()
+	upcoming := c.Settings.UpcomingKVLimits()
 	client.SetUpcomingLimits(kvstore.Limits{
 		RequestsPerSecond: upcoming.RPS,
 		WritesPerSecond:   upcoming.WriteRPS,
@@ -57,7 +57,7 @@
 	return membership.New(membership.Config{
 		NodeName:      c.Settings.Node,
 		Incarnation:   c.Incarnation,
-		NodeNames:     c.Settings.Nodes(),
+		NodeNames:     c.Settings.NodeNames(),
 		SchemaVersion: c.SchemaVersion,
 		Client:        s.client,
 		Committer:     s.committer,
@@ -84,7 +84,7 @@
 	cloudClient := cloud.New(cloud.Options{
 		Address:           c.Settings.Outside.Cloud,
 		RequestsPerSecond: c.Settings.Deployment.Cloud.RPS,
-		Controllers:       c.Settings.Deployment.Size,
+		Controllers:       c.Settings.Deployment.NodeCount,
 		Transport:         c.Transport,
 	})
 	return autoscaler.New(autoscaler.Options{
@@ -101,7 +101,7 @@
 
 func (s *store) newActivator(c *Config, members *membership.Member) *schemaversion.Activator {
 	return schemaversion.NewActivator(schemaversion.Config{
-		NodeNames:        c.Settings.Nodes(),
+		NodeNames:        c.Settings.NodeNames(),
 		SupportedVersion: c.SchemaVersion,
 		ClusterState:     s.state,
 		Owner:            members,
--- a/internal/graph/fixture_test.go
+++ b/internal/graph/fixture_test.go
@@ -14,7 +14,7 @@
 var (
 	testRun   = Run{ID: "r", LogicalDate: time.Date(2026, 3, 8, 2, 30, 0, 0, time.UTC)}
 	testRules = Rules{
-		RetryPolicies: retry.NewPolicies([]config.Class{{Name: "c", Repeats: 3}}),
+		RetryPolicies: retry.NewPolicies([]config.Class{{Name: "c", MaxRetries: 3}}),
 		Teams:         map[string]config.Team{"t": {Name: "t", GPUsMax: 8}},
 	}
 )
--- a/internal/membership/store_test.go
+++ b/internal/membership/store_test.go
@@ -66,7 +66,7 @@
 	logger := slog.New(slog.DiscardHandler)
 	node := &testNode{
 		name: "node-0",
-		store: simulation.NewFakeKV(config.StateLimits{
+		store: simulation.NewFakeKV(config.KVLimits{
 			RPS: writesPerSecond, WriteRPS: writesPerSecond, TxnOps: maxOps, ValueKB: maxValueKiB,
 		}),
 		state: clusterstate.New(1, logger),
--- a/internal/offload/answer.go
+++ b/internal/offload/answer.go
@@ -145,7 +145,7 @@
 		Cell:      o.operator.CellName,
 		FromEpoch: epochs.Own,
 		ToEpoch:   epochs.Peer,
-		Draining:  o.operator.CellDrain,
+		Draining:  o.operator.CellDraining,
 	}
 	return answer, counts && message.FromEpoch > stored.FencedEpoch, nil
 }
--- a/internal/offload/exchange.go
+++ b/internal/offload/exchange.go
@@ -62,7 +62,7 @@
 		Cell:           o.operator.CellName,
 		FromEpoch:      o.operator.CellEpoch,
 		ToEpoch:        stored.PeerEpoch,
-		Draining:       o.operator.CellDrain,
+		Draining:       o.operator.CellDraining,
 		EndedTransfers: ended,
 		WantsInventory: !o.inventoryReceived(stored),
 	}
--- a/internal/offload/offer.go
+++ b/internal/offload/offer.go
@@ -101,7 +101,7 @@
 			targets = append(targets, federation.TargetCell{
 				Name:            cell.Name,
 				Digest:          o.lastDigest(cell.Name),
-				TransferSeconds: cell.TransferS,
+				TransferSeconds: cell.TransferSeconds,
 			})
 		}
 	}
--- a/internal/offload/offloader.go
+++ b/internal/offload/offloader.go
@@ -134,7 +134,7 @@
 		})
 	}
 	_ = group.Wait() // no exchange returns an error
-	for _, forgotten := range o.operator.Forgotten {
+	for _, forgotten := range o.operator.ForgottenCells {
 		if err := o.forgetCell(ctx, forgotten); err != nil {
 			o.logger.Info("forgetting cell failed", "cell", forgotten.Name, "err", err)
 		}
--- a/internal/offload/requests.go
+++ b/internal/offload/requests.go
@@ -120,7 +120,7 @@
 // mayRelease tells whether a job is to return to its home now: it is recalled or this cell drains, and no task
 // of it has started.
 func (b *requestBatch) mayRelease(request *Request, job *clusterstate.Job) bool {
-	return (request.Recalled || b.operator.CellDrain) && !job.Cancelled() && job.BoundCount == 0 && job.DoneCount == 0
+	return (request.Recalled || b.operator.CellDraining) && !job.Cancelled() && job.BoundCount == 0 && job.DoneCount == 0
 }
 
 // release adds that the records of a job are deleted, which returns it to its home.
@@ -172,7 +172,7 @@
 // remainingTasks is how many more tasks of other cells may be accepted. Callers hold the lock of the cluster
 // state.
 func (o *Offloader) remainingTasks() int {
-	if o.operator.CellDrain {
+	if o.operator.CellDraining {
 		return 0
 	}
 	held := 0
@@ -181,5 +181,5 @@
 			held += job.Spec.TaskCount - job.DoneCount
 		}
 	}
-	return max(o.operator.CellGuests-held, 0)
+	return max(o.operator.MaxOffloadedTasks-held, 0)
 }
--- a/internal/offload/standing.go
+++ b/internal/offload/standing.go
@@ -85,7 +85,7 @@
 
 // forgetCell carries out the operators' statement that a cell is gone for good. The cell's record says so first;
 // the jobs that were offloaded there return in later calls, a transaction at a time.
-func (o *Offloader) forgetCell(ctx context.Context, forgotten config.Forgotten) error {
+func (o *Offloader) forgetCell(ctx context.Context, forgotten config.ForgottenCell) error {
 	o.clusterState.RLock()
 	stored := o.cellRecord(forgotten.Name)
 	change, isLeader := o.newChange(forgotten.Name)
@@ -115,7 +115,7 @@
 }
 
 // fenceCell returns the record of a cell that is forgotten.
-func fenceCell(stored record.Cell, forgotten config.Forgotten) (record.Cell, error) {
+func fenceCell(stored record.Cell, forgotten config.ForgottenCell) (record.Cell, error) {
 	member, err := memberOf(forgotten.Name, stored).Forget(forgotten.Epoch, time.Now())
 	if err != nil {
 		return stored, fmt.Errorf("not forgotten: %w", err)
--- a/internal/peerrpc/peers_test.go
+++ b/internal/peerrpc/peers_test.go
@@ -18,7 +18,7 @@
 		recentlyHeard:   []string{"vm-2"},
 		machinesByImage: map[string][]string{"i": {"vm-2"}, "j": {"vm-3"}},
 	}
-	transport := newTestTransport(t, &config.Settings{Node: "a", Siblings: []config.Sibling{
+	transport := newTestTransport(t, &config.Settings{Node: "a", Peers: []config.Peer{
 		{Node: "b", Endpoint: serve(t, &service{registry: recent})},
 		{Node: "c", Endpoint: serve(t, &service{registry: outdated})},
 		{Node: "d", Endpoint: unreachableEndpoint},
--- a/internal/peerrpc/transport.go
+++ b/internal/peerrpc/transport.go
@@ -37,7 +37,7 @@
 func New(settings *config.Settings, registry AgentRegistry, logger *slog.Logger) (*Transport, error) {
 	transport := &Transport{
 		nodeName:          settings.Node,
-		listenAddress:     settings.Back,
+		listenAddress:     settings.BackListen,
 		registry:          registry,
 		peerClients:       map[string]peerpb.PeerClient{},
 		callTimeout:       tuning.PeerTimeout,
@@ -46,7 +46,7 @@
 		cellConnections:   map[string]*grpc.ClientConn{},
 		lastAnsweringNode: map[string]string{},
 	}
-	for _, sibling := range settings.Siblings {
+	for _, sibling := range settings.Peers {
 		connection, err := dial(sibling.Endpoint)
 		if err != nil {
 			return nil, fmt.Errorf("connect to %s: %w", sibling.Node, err)
--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -35,12 +35,12 @@
 func (p Policies) MaxRetries(class string, requested *int) (*int, error) {
 	policy, limited := p[class]
 	switch {
-	case limited && requested != nil && *requested > policy.Repeats:
-		return nil, &LimitError{Requested: *requested, Allowed: policy.Repeats}
+	case limited && requested != nil && *requested > policy.MaxRetries:
+		return nil, &LimitError{Requested: *requested, Allowed: policy.MaxRetries}
 	case requested != nil:
 		return requested, nil
 	case limited:
-		return &policy.Repeats, nil
+		return &policy.MaxRetries, nil
 	}
 	return nil, nil
 }
@@ -51,7 +51,7 @@
 func (p Policies) Backoff(class string, failures int) time.Duration {
 	initial, longest := tuning.MinJobBackoff, tuning.MaxJobBackoff
 	if policy, ok := p[class]; ok {
-		initial, longest = config.Seconds(policy.PauseS), config.Seconds(policy.PauseMaxS)
+		initial, longest = config.ToDuration(policy.RetryPauseSeconds), config.ToDuration(policy.MaxRetryPauseSeconds)
 	}
 	if failures < 1 {
 		return 0
--- a/internal/retry/policy_test.go
+++ b/internal/retry/policy_test.go
@@ -13,11 +13,11 @@
 // limitedClass draws a class that limits retries.
 func limitedClass(t *rapid.T) config.Class {
 	class := config.Class{
-		Name:    "c",
-		Repeats: rapid.IntRange(0, 1000).Draw(t, "retries"),
-		PauseS:  rapid.Float64Range(0, 1000).Draw(t, "pause"),
+		Name:              "c",
+		MaxRetries:        rapid.IntRange(0, 1000).Draw(t, "retries"),
+		RetryPauseSeconds: rapid.Float64Range(0, 1000).Draw(t, "pause"),
 	}
-	class.PauseMaxS = class.PauseS + rapid.Float64Range(0, 85400).Draw(t, "longer pause")
+	class.MaxRetryPauseSeconds = class.RetryPauseSeconds + rapid.Float64Range(0, 85400).Draw(t, "longer pause")
 	return class
 }
 
@@ -32,17 +32,17 @@
 			requested = &n
 		}
 		limit, err := NewPolicies([]config.Class{class}).MaxRetries("c", requested)
-		if requested != nil && *requested > class.Repeats {
+		if requested != nil && *requested > class.MaxRetries {
 			var over *LimitError
-			if !errors.As(err, &over) || over.Requested != *requested || over.Allowed != class.Repeats {
-				t.Fatalf("%d requested, %d allowed: %v", *requested, class.Repeats, err)
+			if !errors.As(err, &over) || over.Requested != *requested || over.Allowed != class.MaxRetries {
+				t.Fatalf("%d requested, %d allowed: %v", *requested, class.MaxRetries, err)
 			}
 			return
 		}
 		if err != nil {
-			t.Fatalf("%v requested, %d allowed: %v", requested, class.Repeats, err)
+			t.Fatalf("%v requested, %d allowed: %v", requested, class.MaxRetries, err)
 		}
-		if *limit > class.Repeats || requested != nil && *limit != *requested {
+		if *limit > class.MaxRetries || requested != nil && *limit != *requested {
 			t.Errorf("limit %d", *limit)
 		}
 		starts := 1
@@ -60,7 +60,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		class := limitedClass(t)
 		policies := NewPolicies([]config.Class{class})
-		initial, longest := config.Seconds(class.PauseS), config.Seconds(class.PauseMaxS)
+		initial, longest := config.ToDuration(class.RetryPauseSeconds), config.ToDuration(class.MaxRetryPauseSeconds)
 		last := time.Duration(0)
 		for failures := range 1200 {
 			pause := policies.Backoff("c", failures)
--- a/internal/scheduler/deadlines.go
+++ b/internal/scheduler/deadlines.go
@@ -26,9 +26,9 @@
 		case objective.Kind == objectiveDeadline && job.Spec.DeadlineSeconds > 0 && objective.Times > 0:
 			// It is among the deadline objectives.
 		case objective.Kind == objectiveWait:
-			objectives = append(objectives, startable.Add(config.Seconds(objective.WithinS)+runTime))
+			objectives = append(objectives, startable.Add(config.ToDuration(objective.WithinS)+runTime))
 		default:
-			objectives = append(objectives, startable.Add(config.Seconds(objective.WithinS)))
+			objectives = append(objectives, startable.Add(config.ToDuration(objective.WithinS)))
 		}
 	}
 	if needed := c.needsOfDependents(job.Spec.ID).deadline; !needed.IsZero() {
@@ -45,7 +45,7 @@
 		return nil
 	}
 	after := func(times float64) time.Time {
-		return time.UnixMilli(job.SubmittedAtMs).Add(config.Seconds(job.Spec.DeadlineSeconds * times))
+		return time.UnixMilli(job.SubmittedAtMs).Add(config.ToDuration(job.Spec.DeadlineSeconds * times))
 	}
 	deadlines := []time.Time{after(1)}
 	for _, objective := range c.settings.Deployment.Objectives {
@@ -102,13 +102,13 @@
 // predictedRunTime is how long a task of a job is expected to run, by the runs seen of its class and its
 // owner's estimate.
 func (c *cycle) predictedRunTime(job *clusterstate.Job) time.Duration {
-	return config.Seconds(c.learning.runTimes.ExpectedRunSeconds(job.Spec.Class, job.Spec.RuntimeEstimateSeconds))
+	return config.ToDuration(c.learning.runTimes.ExpectedRunSeconds(job.Spec.Class, job.Spec.RuntimeEstimateSeconds))
 }
 
 // estimatedRunTime is how long a task of a job runs by its owner's estimate, or as predicted without one.
 func (c *cycle) estimatedRunTime(job *clusterstate.Job) time.Duration {
 	if job.Spec.RuntimeEstimateSeconds > 0 {
-		return config.Seconds(job.Spec.RuntimeEstimateSeconds)
+		return config.ToDuration(job.Spec.RuntimeEstimateSeconds)
 	}
 	return c.predictedRunTime(job)
 }
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -82,7 +82,7 @@
 
 // New makes an engine; nothing runs before Run.
 func New(c Config) *Engine {
-	timing := failuredetector.Timing{HeartbeatInterval: c.Settings.Report(), LeaseDuration: c.Settings.Lease()}
+	timing := failuredetector.Timing{HeartbeatInterval: c.Settings.HeartbeatInterval(), LeaseDuration: c.Settings.LeaseDuration()}
 	return &Engine{
 		dependencies: dependencies{
 			settings: c.Settings, operator: c.Operator, cluster: c.ClusterState, membership: c.Membership,
--- a/internal/scheduler/evacuation.go
+++ b/internal/scheduler/evacuation.go
@@ -61,7 +61,7 @@
 	if 2*len(machines) > machineCount {
 		return
 	}
-	leadTime := time.Duration(tuning.OutboundLostEvacuationLeaseShare * float64(c.settings.Lease()))
+	leadTime := time.Duration(tuning.OutboundLostEvacuationLeaseShare * float64(c.settings.LeaseDuration()))
 	for _, machine := range machines {
 		if machine.Up {
 			c.markMachineDown(machine.Machine, "outbound lost")
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -96,7 +96,7 @@
 		return false
 	}
 	bootLimit := max(c.bootTimes(machine, tuning.BootStuckFactor), tuning.MinBootStuck)
-	heartbeatLimit := tuning.AgentFailoverTime + time.Duration(tuning.DeadAfterIntervals*float64(c.settings.Report()))
+	heartbeatLimit := tuning.AgentFailoverTime + time.Duration(tuning.DeadAfterIntervals*float64(c.settings.HeartbeatInterval()))
 	return c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > bootLimit &&
 		c.now.Sub(c.shardTenure.since(machine.Shard)) > heartbeatLimit
 }
@@ -106,7 +106,7 @@
 // confirmed at once it must go in time, where they are confirmed with their proof, before the user gives up asking.
 func (c *cycle) cancellationOverdue(machine *clusterstate.Machine) bool {
 	for _, binding := range machine.Bindings {
-		limit := c.settings.Cancel()
+		limit := c.settings.CancelDeadline()
 		if !binding.Job.CancelAfterRelease {
 			limit = time.Duration(tuning.CancelDeletionShare * float64(limit))
 		}
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -72,7 +72,7 @@
 	log := slog.New(slog.DiscardHandler)
 	settings := &config.Settings{Node: node}
 	deployment := &settings.Deployment
-	deployment.Size = testShards
+	deployment.NodeCount = testShards
 	deployment.Teams = []config.Team{{Name: "t"}}
 	deployment.Workers.ReportS, deployment.Workers.LeaseS, deployment.Workers.CancelS = 8, 45, 65
 	deployment.State.TxnOps = 32
--- a/internal/scheduler/learner_checkpoint.go
+++ b/internal/scheduler/learner_checkpoint.go
@@ -31,7 +31,7 @@
 		node: e.settings.Node, cluster: e.cluster, committer: e.committer, reader: e.reader,
 	}
 	e.restoreLearner(ctx, checkpoints)
-	refit := time.NewTicker(config.Seconds(e.operator.RefitS))
+	refit := time.NewTicker(config.ToDuration(e.operator.RefitIntervalSeconds))
 	defer refit.Stop()
 	save := time.NewTicker(tuning.LearnerCheckpointInterval)
 	defer save.Stop()
--- a/internal/scheduler/learner_policy.go
+++ b/internal/scheduler/learner_policy.go
@@ -13,7 +13,7 @@
 // asked for only if there is capacity to start anything, and not before the learner has seen enough
 // rewards: until then the earliest deadline decides.
 func (c *cycle) orderByValue(queue []queuedJob, hasCapacity bool) {
-	if !hasCapacity || !c.operator.Learn || len(queue) == 0 || !c.learning.learner.Warm() {
+	if !hasCapacity || !c.operator.LearningEnabled || len(queue) == 0 || !c.learning.learner.Warm() {
 		return
 	}
 	c.exploit(queue[:min(len(queue), tuning.LearnerCandidatesPerCycle)])
--- a/internal/scheduler/learner_policy_test.go
+++ b/internal/scheduler/learner_policy_test.go
@@ -37,7 +37,7 @@
 // newPolicyCycle is a cycle with a learner that explores with some probability, and nothing else.
 func newPolicyCycle(exploration float64) *cycle {
 	log := slog.New(slog.DiscardHandler)
-	engine := &Engine{learning: newLearning(&config.Operator{Exploration: exploration, Learn: true}, 1, log)}
+	engine := &Engine{learning: newLearning(&config.Operator{Exploration: exploration, LearningEnabled: true}, 1, log)}
 	engine.log = log
 	return &cycle{Engine: engine, now: testNow}
 }
--- a/internal/scheduler/learner_reward.go
+++ b/internal/scheduler/learner_reward.go
@@ -75,7 +75,7 @@
 // reward is the reward R of the paper's elastic provisioning problem (section 3.2): a combination of
 // responsiveness and utilization, weighted by the operator's lambda.
 func (l *learning) reward(responsiveness float64) float64 {
-	return l.operator.Lambda*responsiveness + (1-l.operator.Lambda)*l.utilization.value()
+	return l.operator.ResponsivenessWeight*responsiveness + (1-l.operator.ResponsivenessWeight)*l.utilization.value()
 }
 
 // recentResponsivenessWindow is over how many tasks the recent responsiveness fades.
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -47,10 +47,10 @@
 		operator: operator,
 		log:      log,
 		learner: learner.New(learner.Config{
-			LearningRate:    operator.LearnRate,
+			LearningRate:    operator.LearningRate,
 			Discount:        operator.Discount,
 			ExplorationRate: operator.Exploration,
-			WarmUpRewards:   operator.ColdPayoffs,
+			WarmUpRewards:   operator.WarmUpRewards,
 			Seed:            seed,
 			Logger:          log,
 		}),
@@ -67,7 +67,7 @@
 // the action is scored anew.
 func (c *cycle) recordDecision(queued *queuedJob, binding pendingBinding, attempt uint64) {
 	l := &c.learning
-	if !l.operator.Learn {
+	if !l.operator.LearningEnabled {
 		return
 	}
 	choice := c.scoreJob(queued.job)
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -52,8 +52,8 @@
 	if c.cluster.SchemaVersion < tuning.SchemaVersionConfirmedCancel {
 		return false
 	}
-	inZone := func(sibling config.Sibling) bool { return sibling.Zone == zone }
-	return c.settings.Zone == zone || slices.ContainsFunc(c.settings.Siblings, inZone)
+	inZone := func(sibling config.Peer) bool { return sibling.Zone == zone }
+	return c.settings.Zone == zone || slices.ContainsFunc(c.settings.Peers, inZone)
 }
 
 // countReachableZones counts the zones that are not cut off.
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -60,7 +60,7 @@
 		d.submit(ctx, i+1)
 	}
 	d.sleepUntilRefusal(ctx)
-	d.outage = r.Settings.Cancel() + d.secondsIn(2, 30)
+	d.outage = r.Settings.CancelDeadline() + d.secondsIn(2, 30)
 	d.leader = r.LeaderIndex()
 	d.refuseAroundOutage(ctx)
 	if oneInThree(d.random) && !plantsDefect {
--- a/internal/simulation/cpuregion_test.go
+++ b/internal/simulation/cpuregion_test.go
@@ -53,8 +53,8 @@
 func cpuRegionSettings(index int) *config.Settings {
 	settings := testSettings(index)
 	settings.Zone = cpuZones[index]
-	for i := range settings.Siblings {
-		settings.Siblings[i].Zone = ""
+	for i := range settings.Peers {
+		settings.Peers[i].Zone = ""
 	}
 	deployment := &settings.Deployment
 	deployment.Zones = cpuZones
--- a/internal/simulation/fakeagent_commands.go
+++ b/internal/simulation/fakeagent_commands.go
@@ -80,7 +80,7 @@
 	switch {
 	case t.State == wire.TaskRunning && saves:
 		t.State = wire.TaskCheckpointing
-		t.readyAt = time.Now().Add(config.Seconds(t.spec.CheckpointSaveSeconds))
+		t.readyAt = time.Now().Add(config.ToDuration(t.spec.CheckpointSaveSeconds))
 		t.agent.statusChanged = true
 	case t.State != wire.TaskCheckpointing || graceSeconds == 0:
 		t.exit(wire.ExitCauseStopped)
@@ -112,7 +112,7 @@
 	default:
 		task.readyAt = time.Now()
 		if !a.images[spec.Image] {
-			task.readyAt = task.readyAt.Add(config.Seconds(spec.ImageSizeGB / a.machineType.ImageFetchGBps))
+			task.readyAt = task.readyAt.Add(config.ToDuration(spec.ImageSizeGB / a.machineType.ImageFetchGBps))
 		}
 	}
 }
--- a/internal/simulation/fakeagent_heartbeat.go
+++ b/internal/simulation/fakeagent_heartbeat.go
@@ -67,7 +67,7 @@
 func (a *fakeAgent) heartbeatDue() (removed, due bool) {
 	a.region.mu.Lock()
 	defer a.region.mu.Unlock()
-	interval := config.Seconds(a.region.Settings.Deployment.Workers.ReportS * (0.75 + a.region.random.Float64()/2))
+	interval := config.ToDuration(a.region.Settings.Deployment.Workers.ReportS * (0.75 + a.region.random.Float64()/2))
 	elapsed := time.Since(a.lastHeartbeat)
 	due = !a.hung() && (elapsed >= interval || a.statusChanged && elapsed >= statusChangeDelay)
 	return a.removed, due
--- a/internal/simulation/fakeagent_tasks.go
+++ b/internal/simulation/fakeagent_tasks.go
@@ -33,7 +33,7 @@
 	if a.removed || a.hung() {
 		return
 	}
-	if now.Sub(a.leaseRenewedAt) > a.region.Settings.Lease() {
+	if now.Sub(a.leaseRenewedAt) > a.region.Settings.LeaseDuration() {
 		a.expireLease(now)
 	}
 	for _, task := range a.tasks {
@@ -79,7 +79,7 @@
 	t.readyAt = now.Add(region.workload.remaining(t.attempt.task))
 	if t.spec.Kind == wire.KindGang {
 		t.State = wire.TaskAwaitingGang
-		t.readyAt = now.Add(config.Seconds(region.Settings.Deployment.Workers.GangWaitS))
+		t.readyAt = now.Add(config.ToDuration(region.Settings.Deployment.Workers.GangWaitS))
 	}
 }
 
@@ -106,7 +106,7 @@
 		t.peerMissingSince = now
 		return
 	}
-	if now.Sub(t.peerMissingSince) > config.Seconds(t.agent.region.Settings.Deployment.Workers.GangPeerS) {
+	if now.Sub(t.peerMissingSince) > config.ToDuration(t.agent.region.Settings.Deployment.Workers.GangPeerS) {
 		t.exit(wire.ExitCauseGangMemberLost)
 	}
 }
--- a/internal/simulation/fakecloud.go
+++ b/internal/simulation/fakecloud.go
@@ -115,7 +115,7 @@
 // serveListing answers with the newest listing that is older than a drawn lag.
 func (c *fakeCloud) serveListing(w http.ResponseWriter, after string) {
 	now := time.Now()
-	lag := config.Seconds(c.region.Settings.Deployment.Cloud.ListLagS * (0.5 + c.region.random.Float64()*1.5))
+	lag := config.ToDuration(c.region.Settings.Deployment.Cloud.ListLagS * (0.5 + c.region.random.Float64()*1.5))
 	page := wire.MachinePage{Machines: []wire.CloudMachine{}}
 	for _, listing := range slices.Backward(c.listings) {
 		if now.Sub(listing.takenAt) < lag {
@@ -190,9 +190,9 @@
 	if random.IntN(oneInNeverBoots) == 0 {
 		return machine
 	}
-	machine.bootedAt = now.Add(config.Seconds(5 * (0.6 + random.Float64())))
+	machine.bootedAt = now.Add(config.ToDuration(5 * (0.6 + random.Float64())))
 	if now.Before(c.fastBootUntil) {
-		machine.bootedAt = now.Add(config.Seconds(0.2 + 1.7*random.Float64()))
+		machine.bootedAt = now.Add(config.ToDuration(0.2 + 1.7*random.Float64()))
 	}
 	return machine
 }
--- a/internal/simulation/fakekv.go
+++ b/internal/simulation/fakekv.go
@@ -54,7 +54,7 @@
 }
 
 // NewFakeKV makes an empty store with limits.
-func NewFakeKV(limits config.StateLimits) *FakeKV {
+func NewFakeKV(limits config.KVLimits) *FakeKV {
 	return &FakeKV{
 		limits:     newKVLimits(limits),
 		faults:     newKVFaults(),
--- a/internal/simulation/fakekv_limits.go
+++ b/internal/simulation/fakekv_limits.go
@@ -18,7 +18,7 @@
 	lowered    bool // since the day began, without a notice to the controllers
 }
 
-func newKVLimits(limits config.StateLimits) kvLimits {
+func newKVLimits(limits config.KVLimits) kvLimits {
 	now := time.Now()
 	return kvLimits{
 		requests:   tokenBucket{limits.RPS, limits.RPS, now},
@@ -29,7 +29,7 @@
 }
 
 // LowerLimits lowers the limits on writes, values and transactions without a notice.
-func (kv *FakeKV) LowerLimits(limits config.StateLimits) {
+func (kv *FakeKV) LowerLimits(limits config.KVLimits) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	kv.limits.writes.rate = limits.WriteRPS
--- a/internal/simulation/faultcatalogue_test.go
+++ b/internal/simulation/faultcatalogue_test.go
@@ -97,7 +97,7 @@
 
 func replayHeartbeats(ctx context.Context, in injection) {
 	share := 0.3 + 0.6*in.random.Float64()
-	in.region.ReplayToNextLeader(ctx, share, in.until.Add(in.region.Settings.Lease()), in.random.Uint64())
+	in.region.ReplayToNextLeader(ctx, share, in.until.Add(in.region.Settings.LeaseDuration()), in.random.Uint64())
 }
 
 // aThirdOfMachines calls a function with each machine that is drawn.
@@ -166,7 +166,7 @@
 
 // outlastCancellation lets the store be away for longer than a confirmed cancellation may take.
 func (in injection) outlastCancellation() {
-	in.region.KV.StartOutage(time.Now().Add(in.region.Settings.Cancel() + seconds(in.random, 20)))
+	in.region.KV.StartOutage(time.Now().Add(in.region.Settings.CancelDeadline() + seconds(in.random, 20)))
 }
 
 func refuseLeaderThenOutage(_ context.Context, in injection) {
@@ -217,7 +217,7 @@
 
 func stopAllControllers(ctx context.Context, in injection) {
 	for i := range in.region.ControllerCount() {
-		in.region.RestartController(ctx, i, in.region.Settings.Lease()+secondsBetween(in.random, 1, 20))
+		in.region.RestartController(ctx, i, in.region.Settings.LeaseDuration()+secondsBetween(in.random, 1, 20))
 	}
 }
 
@@ -227,7 +227,7 @@
 
 func partitionZone(_ context.Context, in injection) {
 	zone, deliverLate := randomControllerZone(in.random), oneInTwo(in.random)
-	duration := in.region.Settings.Lease() + secondsBetween(in.random, 5, 40)
+	duration := in.region.Settings.LeaseDuration() + secondsBetween(in.random, 5, 40)
 	in.region.PartitionZone(zone, deliverLate, time.Now().Add(duration))
 }
 
--- a/internal/simulation/faultday_test.go
+++ b/internal/simulation/faultday_test.go
@@ -133,7 +133,7 @@
 	time.Sleep(secondsBetween(random, 25, 20))
 	last := d.injectFaults(ctx, r, random)
 	settled := max(time.Until(last), 5*time.Minute-time.Since(start))
-	time.Sleep(settled + r.Settings.Lease() + r.Settings.Cancel() + 40*time.Second)
+	time.Sleep(settled + r.Settings.LeaseDuration() + r.Settings.CancelDeadline() + 40*time.Second)
 	r.Checker.FaultsEnded()
 	r.waitUntilFinished(90)
 	time.Sleep(80 * time.Second)
--- a/internal/simulation/federation.go
+++ b/internal/simulation/federation.go
@@ -27,7 +27,7 @@
 	random     *rand.Rand
 	linkFaults []LinkFault
 	cells      map[string]*cellState
-	removed    []config.Forgotten // cells that the operators of all others have removed
+	removed    []config.ForgottenCell // cells that the operators of all others have removed
 	messages   messageCount
 }
 
@@ -92,18 +92,18 @@
 	defer f.mu.Unlock()
 	operator.CellName = cell
 	operator.CellEpoch = f.cells[cell].epoch
-	operator.CellGuests = f.guestLimit
-	operator.CellDrain = f.cells[cell].draining
+	operator.MaxOffloadedTasks = f.guestLimit
+	operator.CellDraining = f.cells[cell].draining
 	for _, other := range cells {
 		if other == cell {
 			continue
 		}
 		for _, removed := range f.removed {
 			if removed.Name == other {
-				operator.Forgotten = append(operator.Forgotten, removed)
+				operator.ForgottenCells = append(operator.ForgottenCells, removed)
 			}
 		}
-		operator.Cells = append(operator.Cells, config.Cell{Name: other, Nodes: "-", TransferS: 1})
+		operator.Cells = append(operator.Cells, config.Cell{Name: other, Nodes: "-", TransferSeconds: 1})
 	}
 }
 
@@ -139,7 +139,7 @@
 	region.RemoveAllMachines()
 	time.Sleep(delay)
 	f.mu.Lock()
-	f.removed = append(f.removed, config.Forgotten{Name: cell, Epoch: f.cells[cell].epoch})
+	f.removed = append(f.removed, config.ForgottenCell{Name: cell, Epoch: f.cells[cell].epoch})
 	f.mu.Unlock()
 	f.restartControllers(ctx, notified)
 }
--- a/internal/simulation/federation_test.go
+++ b/internal/simulation/federation_test.go
@@ -26,8 +26,8 @@
 func cellSettings(cell string, index int) *config.Settings {
 	settings := testSettings(index)
 	settings.Node = cell + "-" + settings.Node
-	for i := range settings.Siblings {
-		settings.Siblings[i].Node = cell + "-" + settings.Siblings[i].Node
+	for i := range settings.Peers {
+		settings.Peers[i].Node = cell + "-" + settings.Peers[i].Node
 	}
 	return settings
 }
--- a/internal/simulation/heartbeatfaults.go
+++ b/internal/simulation/heartbeatfaults.go
@@ -32,7 +32,7 @@
 
 // redeliverLater sends a heartbeat again later. Callers hold the lock.
 func (r *Region) redeliverLater(ctx context.Context, machine, address string, body []byte) {
-	delay := r.heartbeats.duplicates.duration(2*time.Second, 5*r.Settings.Lease()/2)
+	delay := r.heartbeats.duplicates.duration(2*time.Second, 5*r.Settings.LeaseDuration()/2)
 	r.heartbeats.copies++
 	r.wg.Go(func() {
 		select {
--- a/internal/simulation/invariants_answers.go
+++ b/internal/simulation/invariants_answers.go
@@ -93,7 +93,7 @@
 			c.violation(RuleWentBack, "%s: cancelled without its user", id)
 		}
 	case wire.JobPending, wire.JobRunning:
-		if at := c.dependencyCancelledAt(id); !at.IsZero() && time.Since(at) > c.settings.Cancel() {
+		if at := c.dependencyCancelledAt(id); !at.IsZero() && time.Since(at) > c.settings.CancelDeadline() {
 			c.violation(RuleOrphaned, "%s: called %s %v after one that it needs was cancelled",
 				id, state, time.Since(at))
 		}
--- a/internal/simulation/invariants_tasks.go
+++ b/internal/simulation/invariants_tasks.go
@@ -92,7 +92,7 @@
 func (c *InvariantChecker) checkCancelledTasks() {
 	for task, machines := range c.placements {
 		cancelledAt := c.jobs[task.JobID].cancelledAt
-		if len(machines) > 0 && !cancelledAt.IsZero() && time.Since(cancelledAt) > c.settings.Cancel() {
+		if len(machines) > 0 && !cancelledAt.IsZero() && time.Since(cancelledAt) > c.settings.CancelDeadline() {
 			c.violation(RuleRanCancelled, "%s: %v after", task, time.Since(cancelledAt))
 		}
 	}
--- a/internal/simulation/largeregion_test.go
+++ b/internal/simulation/largeregion_test.go
@@ -20,17 +20,17 @@
 // largeRegionSettings are those of a region of five controllers and long intervals between heartbeats.
 func largeRegionSettings(index int) *config.Settings {
 	settings := testSettings(index)
-	settings.Siblings = nil
+	settings.Peers = nil
 	for other := range largeRegionControllers {
 		if other != index {
-			settings.Siblings = append(settings.Siblings, config.Sibling{
+			settings.Peers = append(settings.Peers, config.Peer{
 				Node:     fmt.Sprintf("node-%d", other),
 				Endpoint: fmt.Sprintf("10.0.0.%d:8081", other+1),
 			})
 		}
 	}
 	deployment := &settings.Deployment
-	deployment.Size, deployment.Zones = largeRegionControllers, largeRegionZones
+	deployment.NodeCount, deployment.Zones = largeRegionControllers, largeRegionZones
 	deployment.Teams = nil
 	for i := range 8 {
 		team := config.Team{Name: fmt.Sprintf("team-%d", i), GPUs: 60, GPUsMax: 160}
--- a/internal/simulation/owners.go
+++ b/internal/simulation/owners.go
@@ -9,7 +9,7 @@
 func (r *Region) LeaderIndex() int {
 	owned := map[string]int{}
 	owned[r.shardOwner(record.LeaderShard).Owner] = len(r.controllers) + 1
-	for shard := range r.Settings.Deployment.Size {
+	for shard := range r.Settings.Deployment.NodeCount {
 		owned[r.shardOwner(shard).Owner]++
 	}
 	most, index := -1, 0
@@ -29,7 +29,7 @@
 
 // shardTokenSum adds the shards' fencing tokens up: it rises with each of them.
 func (r *Region) shardTokenSum() (sum uint64) {
-	for shard := range r.Settings.Deployment.Size {
+	for shard := range r.Settings.Deployment.NodeCount {
 		sum += r.shardOwner(shard).FencingToken
 	}
 	return sum
--- a/internal/simulation/region.go
+++ b/internal/simulation/region.go
@@ -96,9 +96,9 @@
 }
 
 // storeLimits are the limits of a deployment's key-value store as the day begins.
-func storeLimits(settings *config.Settings) config.StateLimits {
+func storeLimits(settings *config.Settings) config.KVLimits {
 	state := &settings.Deployment.State
-	return config.StateLimits{
+	return config.KVLimits{
 		RPS:      state.RPS,
 		WriteRPS: state.WriteRPS,
 		ValueKB:  state.ValueKB,
@@ -129,7 +129,7 @@
 	if l.checkpointed[task] {
 		seconds /= 2
 	}
-	return config.Seconds(seconds)
+	return config.ToDuration(seconds)
 }
 
 // advanceLoop advances machines and tasks, and lets the checker look at what only time can break.
--- a/internal/simulation/testregion_test.go
+++ b/internal/simulation/testregion_test.go
@@ -83,7 +83,7 @@
 	}
 	for other := range threeControllers {
 		if other != index {
-			settings.Siblings = append(settings.Siblings, config.Sibling{
+			settings.Peers = append(settings.Peers, config.Peer{
 				Node:     fmt.Sprintf("node-%d", other),
 				Zone:     testZones[other%2],
 				Endpoint: fmt.Sprintf("10.0.0.%d:8081", other+1),
@@ -92,7 +92,7 @@
 	}
 	settings.Outside.State, settings.Outside.Cloud = "10.2.0.1:2379", "10.2.0.2:8443"
 	deployment := &settings.Deployment
-	deployment.Size, deployment.Zones = 3, testZones
+	deployment.NodeCount, deployment.Zones = 3, testZones
 	deployment.Teams = []config.Team{{Name: "open"}, {Name: "bound", GPUs: 2, GPUsMax: 6}}
 	workers := &deployment.Workers
 	workers.ReportS, workers.LeaseS, workers.CancelS = 3, 24, 44
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -24,7 +24,7 @@
 )
 
 // loweredLimits are those that the key-value store's limits fall to.
-var loweredLimits = config.StateLimits{WriteRPS: 56, ValueKB: 2, TxnOps: 10}
+var loweredLimits = config.KVLimits{WriteRPS: 56, ValueKB: 2, TxnOps: 10}
 
 // upgradeSettings announce the lowered limits.
 func upgradeSettings(index int) *config.Settings {
--- a/internal/simulation/zonepower_test.go
+++ b/internal/simulation/zonepower_test.go
@@ -76,7 +76,7 @@
 	d.region.FailZonePower(ctx, d.zone, lost.Add(d.duration), 5)
 	// A lease must have passed since the last heartbeat; then come the deletions, one after the
 	// other as their pace allows, a start and a fetch.
-	recovery := d.waitForReplicas(t, lost, d.region.Settings.Lease()+45*time.Second)
+	recovery := d.waitForReplicas(t, lost, d.region.Settings.LeaseDuration()+45*time.Second)
 	time.Sleep(time.Until(lost.Add(d.duration)))
 	fewest := d.fewestReplicas(30 * time.Second)
 	t.Logf("all %d replicas after %v; at least %d while the zone returned",
@@ -91,7 +91,7 @@
 	if len(outOfOrder) > 0 {
 		t.Errorf("not in the order of the plan: %+v", outOfOrder)
 	}
-	if outlastsLeases := d.duration > 2*d.region.Settings.Lease(); outlastsLeases && deletions == 0 {
+	if outlastsLeases := d.duration > 2*d.region.Settings.LeaseDuration(); outlastsLeases && deletions == 0 {
 		t.Error("no deletion of a suspected machine was logged")
 	}
 }
