--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -31,7 +31,7 @@
 	now               time.Time
 }
 
-// commands gives at most tuning.OrdersMax commands; the rest follows with the next answer. The starts among
+// commands gives at most tuning.MaxCommandsPerAnswer commands; the rest follows with the next answer. The starts among
 // them are pending from now on.
 func (p *commandPlan) commands() []wire.Command {
 	var out []wire.Command
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -80,7 +80,7 @@
 	return r.heartbeatIntervals(tuning.SuspectAfterIntervals)
 }
 
-// RecordStartRefusal keeps a machine that refused a start out of scheduling for tuning.RefuseHold.
+// RecordStartRefusal keeps a machine that refused a start out of scheduling for tuning.StartRefusalBackoff.
 func (r *Registry) RecordStartRefusal(machineName string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -90,7 +90,7 @@
 }
 
 // RecordTaskFailure notes that a job's task failed by itself on a machine. One on which tasks of
-// tuning.MachineErrors jobs failed is not scheduled any more.
+// tuning.MachineMaxFailedJobs jobs failed is not scheduled any more.
 func (r *Registry) RecordTaskFailure(machineName, jobID string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -81,7 +81,7 @@
 }
 
 // isCancellationUncertain reports whether a cancellation may be neither confirmed nor denied: a node of a
-// version before tuning.LevelCertain may have confirmed it at once, or it may be the late change of one
+// version before tuning.SchemaVersionConfirmedCancel may have confirmed it at once, or it may be the late change of one
 // that has ended. That passes with the last task. Callers hold the lock of the cluster state.
 func (s *Server) isCancellationUncertain(job *clusterstate.Job) bool {
 	if !job.Cancelled() || job.CancelAfterRelease || job.BoundCount == 0 {
--- a/internal/binpack/failedrequests.go
+++ b/internal/binpack/failedrequests.go
@@ -9,7 +9,7 @@
 // FailedRequests remembers requests that fitted on no machine. A request that needs as much or
 // more, and has no other machines to choose from, does not fit either, so that a long queue of
 // similar jobs examines the machines once. The zero value is empty; it keeps at most
-// tuning.FailedShapes requests.
+// tuning.FailedRequestsKept requests.
 type FailedRequests []failedRequest
 
 type failedRequest struct {
--- a/internal/failuredetector/deletion.go
+++ b/internal/failuredetector/deletion.go
@@ -12,7 +12,7 @@
 	"sableusher/internal/zonehealth"
 )
 
-// minDeletions is how many machines may be deleted in tuning.DeadWindow however few there are.
+// minDeletions is how many machines may be deleted in tuning.DeletionCapWindow however few there are.
 const minDeletions = 2
 
 // deletionCandidate is a suspected machine that is due to be given up, with its step in the evacuation plan.
@@ -93,7 +93,7 @@
 
 // deletionPace bounds how fast machines are given up.
 type deletionPace struct {
-	recent []time.Time // of the deletions within tuning.DeadWindow that are capped
+	recent []time.Time // of the deletions within tuning.DeletionCapWindow that are capped
 	// zones has the evacuations of zones that are unavailable, of their machines with movable services.
 	zones map[string]*zoneEvacuation
 }
@@ -141,7 +141,7 @@
 }
 
 // allowance is how many machines may have been given up once their zone has been silent for so long: all of them
-// by the end of the lease, the first once tuning.CutServices of it have passed.
+// by the end of the lease, the first once tuning.PartitionServiceLeaseShare of it have passed.
 func (e *zoneEvacuation) allowance(silence, lease time.Duration) int {
 	start := scaleDuration(lease, tuning.PartitionServiceLeaseShare)
 	share := min(1, float64(silence-start)/float64(lease-start))
--- a/internal/fairshare/tracker.go
+++ b/internal/fairshare/tracker.go
@@ -16,7 +16,7 @@
 	At    time.Time
 }
 
-// Tracker keeps the arrivals of the last tuning.FloorWindow, at most tuning.FloorJobs. The zero
+// Tracker keeps the arrivals of the last tuning.FairShareWindow, at most tuning.FairShareMaxJobs. The zero
 // value is ready for use; it is not safe for concurrent use.
 type Tracker struct {
 	arrivals    []Arrival // in the order in which they were first recorded
@@ -43,8 +43,8 @@
 // Len returns the number of tracked jobs.
 func (t *Tracker) Len() int { return len(t.arrivals) }
 
-// Underserved returns the groups that were served less than tuning.FloorServed of what arrived of
-// them within the window, and less than tuning.FloorBehind of what all groups together were: where
+// Underserved returns the groups that were served less than tuning.FairShareMinServed of what arrived of
+// them within the window, and less than tuning.FairShareMinRelativeServed of what all groups together were: where
 // all were served alike it returns none. waitingTasks counts the tasks that wait by job ID.
 func (t *Tracker) Underserved(now time.Time, waitingTasks map[string]int) map[Group]bool {
 	t.deleteExpired(now)
--- a/internal/federation/digest.go
+++ b/internal/federation/digest.go
@@ -32,7 +32,7 @@
 // the cell. A wrong digest costs an offer that is refused.
 type Digest struct {
 	ReceivedAt        time.Time      `cbor:"-"`           // when it arrived here
-	FreeCapacities    []FreeCapacity `cbor:"r,omitempty"` // the largest, up to tuning.DigestShapes
+	FreeCapacities    []FreeCapacity `cbor:"r,omitempty"` // the largest, up to tuning.DigestMaxShapes
 	WaitSecondsByRank []float64      `cbor:"w,omitempty"` // expected wait of jobs without free capacity, by rank
 	Images            []string       `cbor:"i,omitempty"` // held on many machines
 	FetchSecondsPerGB float64        `cbor:"f"`           // to fetch an image
@@ -40,7 +40,7 @@
 	RemainingTasks    int            `cbor:"g"`           // tasks of other cells that it accepts at most from now on
 }
 
-// LargestCapacities returns the capacities that hold most, at most tuning.DigestShapes of them, so that a
+// LargestCapacities returns the capacities that hold most, at most tuning.DigestMaxShapes of them, so that a
 // digest stays within its size. Equal ones keep their order.
 func LargestCapacities(capacities []FreeCapacity) []FreeCapacity {
 	largest := slices.Clone(capacities)
--- a/internal/learner/learner.go
+++ b/internal/learner/learner.go
@@ -48,7 +48,7 @@
 	pending        map[int64]*pendingDecision // by number
 	lastDecision   int64
 	rewardCount    int
-	samples        []trainingSample // a ring of tuning.LearnSamples
+	samples        []trainingSample // a ring of tuning.LearnerMaxSamples
 	nextSample     int
 }
 
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -70,7 +70,7 @@
 }
 
 // reviewPeriodically reviews the ownership of shards at each change of the
-// cluster state, and at least every tuning.MemberTick.
+// cluster state, and at least every tuning.MembershipInterval.
 func (m *Member) reviewPeriodically(ctx context.Context) error {
 	changed := m.clusterState.Subscribe()
 	ticker := time.NewTicker(tuning.MembershipInterval)
--- a/internal/offload/digest.go
+++ b/internal/offload/digest.go
@@ -111,7 +111,7 @@
 	return capacities
 }
 
-// commonImages returns the images that many of the machines hold, by name, at most tuning.DigestShapes.
+// commonImages returns the images that many of the machines hold, by name, at most tuning.DigestMaxShapes.
 func (s *machineSummary) commonImages() []string {
 	var common []string
 	for _, image := range slices.Sorted(maps.Keys(s.countByImage)) {
--- a/internal/record/chunk.go
+++ b/internal/record/chunk.go
@@ -7,7 +7,7 @@
 	"sableusher/internal/wire"
 )
 
-// FixedChunk holds tuning.ChunkTasks tasks of a job, each in full: the first layout of a job's records.
+// FixedChunk holds tuning.FixedChunkTasks tasks of a job, each in full: the first layout of a job's records.
 type FixedChunk struct {
 	Tasks    []Task `cbor:"k"`
 	Failures []int  `cbor:"f,omitempty"` // as in Job
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -11,7 +11,7 @@
 	PreemptedAttempt uint64 `cbor:"y,omitempty"`
 	Tasks            []Task `cbor:"k,omitempty"` // of a fixed chunk
 
-	// Since schema version 1. ChunkWidth is how many tasks each chunk holds, in Groups; 0: tuning.ChunkTasks,
+	// Since schema version 1. ChunkWidth is how many tasks each chunk holds, in Groups; 0: tuning.FixedChunkTasks,
 	// in Tasks. While a job is migrated from one to the other, its chunks from FirstFixedChunk on are still
 	// fixed ones; 0: none is.
 	ChunkWidth      int         `cbor:"w,omitempty"`
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// limitStarts lets arrays start only every tuning.PressedGap while the key-value store's budget is the
+// limitStarts lets arrays start only every tuning.StoreSaturatedPlacementInterval while the key-value store's budget is the
 // bottleneck.
 func (c *cycle) limitStarts() {
 	if c.committer.QueueLength() < tuning.StoreSaturatedQueueLength || c.now.Sub(c.pace.lastArrayStart) > tuning.StoreSaturatedPlacementInterval {
--- a/internal/scheduler/demand_test.go
+++ b/internal/scheduler/demand_test.go
@@ -17,7 +17,7 @@
 }
 
 // TestCommonTaskIsHalfOfAllCores: half of all cores asked for are for tasks of at least the common size; it stays
-// for tuning.CommonHold when larger work is over, and there is none beside work on GPUs.
+// for tuning.CommonTaskHold when larger work is over, and there is none beside work on GPUs.
 func TestCommonTaskIsHalfOfAllCores(t *testing.T) {
 	demand := newDemandState()
 	small := startableJob("small", wire.KindArray, 100, 1, 0)
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// Run runs a scheduling cycle after each change, and every tuning.PlaceIdle without one, until ctx ends. It returns
+// Run runs a scheduling cycle after each change, and every tuning.CycleIdleInterval without one, until ctx ends. It returns
 // once all that the cycles have started has ended.
 func (e *Engine) Run(ctx context.Context) error {
 	var running sync.WaitGroup
--- a/internal/scheduler/fencelimiter_test.go
+++ b/internal/scheduler/fencelimiter_test.go
@@ -7,7 +7,7 @@
 	"sableusher/internal/tuning"
 )
 
-// TestTokenIsRaisedOncePerInterval: the token of a shard is raised at once and then once per tuning.FenceEvery,
+// TestTokenIsRaisedOncePerInterval: the token of a shard is raised at once and then once per tuning.FenceMinInterval,
 // whatever is done with the other shards.
 func TestTokenIsRaisedOncePerInterval(t *testing.T) {
 	limiter := fenceLimiter{}
--- a/internal/scheduler/homeshard_test.go
+++ b/internal/scheduler/homeshard_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestOwnerWaitBeginsAnewWithProgress: a job waits for the owner of its home shard since it was first noted, until
-// a task of it is placed or it is not noted for longer than tuning.DealHold.
+// a task of it is placed or it is not noted for longer than tuning.HomeShardHold.
 func TestOwnerWaitBeginsAnewWithProgress(t *testing.T) {
 	job := &clusterstate.Job{Job: record.Job{Spec: wire.JobSpec{ID: "a", TaskCount: 4}}}
 	waits := ownerWaits{}
--- a/internal/scheduler/learner_checkpoint.go
+++ b/internal/scheduler/learner_checkpoint.go
@@ -103,7 +103,7 @@
 	return ops
 }
 
-// load reads the checkpoint: in pieces, or as one record, as it was before tuning.LevelPipelines.
+// load reads the checkpoint: in pieces, or as one record, as it was before tuning.SchemaVersionDependencies.
 func (s learnerCheckpoints) load(ctx context.Context) (learner.Checkpoint, error) {
 	checkpoint, err := s.read(ctx, record.LearnerCheckpointPieceKey(s.node, 0))
 	if errors.Is(err, kvstore.ErrNotFound) {
--- a/internal/scheduler/learner_reward_test.go
+++ b/internal/scheduler/learner_reward_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestUtilizationIsFinishedOverHeld: utilization is the machine time of finished tasks over the time held, never
-// above one, and both sides fade by half in tuning.UtilizationFade.
+// above one, and both sides fade by half in tuning.UtilizationHalfLife.
 func TestUtilizationIsFinishedOverHeld(t *testing.T) {
 	var used utilization
 	if used.value() != 0 {
--- a/internal/scheduler/learner_value.go
+++ b/internal/scheduler/learner_value.go
@@ -32,7 +32,7 @@
 	return l.learner.Score(l.values.state, c.jobAction(job))
 }
 
-// jobValue is the value of starting a task of a job, at most tuning.ValueLife old.
+// jobValue is the value of starting a task of a job, at most tuning.LearnerValueMaxAge old.
 func (c *cycle) jobValue(job *clusterstate.Job) float64 {
 	cached, ok := c.learning.values.byJob[job.Spec.ID]
 	if !ok || c.now.Sub(cached.computedAt) > tuning.LearnerValueMaxAge {
--- a/internal/scheduler/migrationschedule_test.go
+++ b/internal/scheduler/migrationschedule_test.go
@@ -6,7 +6,7 @@
 	"sableusher/internal/tuning"
 )
 
-// TestMigrationsThatNothingWaitsForArePaced: they are due once per tuning.MoveGap; requests stand until taken.
+// TestMigrationsThatNothingWaitsForArePaced: they are due once per tuning.MigrationInterval; requests stand until taken.
 func TestMigrationsThatNothingWaitsForArePaced(t *testing.T) {
 	schedule := newMigrationSchedule()
 	if !schedule.paceIsDue(testNow) {
--- a/internal/scheduler/precedence.go
+++ b/internal/scheduler/precedence.go
@@ -52,7 +52,7 @@
 	return slack >= 0 && slack < max(runTime, tuning.MinObjectiveUrgentSlack)
 }
 
-// turn is a second of the cycle of tuning.FloorTurns in which certain arrays come first while capacity is
+// turn is a second of the cycle of tuning.FairShareTurnSeconds in which certain arrays come first while capacity is
 // short. All nodes find the same turn by the clock.
 type turn int64
 
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -62,7 +62,7 @@
 	return true
 }
 
-// shardRotation moves the shard in which capacity is freed first for urgent work, every tuning.PreemptTurn that it
+// shardRotation moves the shard in which capacity is freed first for urgent work, every tuning.PreemptShardTurn that it
 // finds none: the owner of a shard may know that machines are not to be had which other nodes take for ready, and all
 // would wait for it. It counts from when the work first found none: by the clock alone the turns would pass in the
 // midst of stops, and capacity would be freed twice.
--- a/internal/scheduler/waitreason.go
+++ b/internal/scheduler/waitreason.go
@@ -20,7 +20,7 @@
 	waitRecordMigration waitReason = "records can't be split far enough"
 )
 
-// logWaiting logs why a job waits, at most every tuning.WhyEvery for each job. The candidate is the
+// logWaiting logs why a job waits, at most every tuning.WaitReasonLogInterval for each job. The candidate is the
 // machine that it could have used, if any.
 func (c *cycle) logWaiting(job *clusterstate.Job, reason waitReason, candidate *binpack.MachineInfo) {
 	if !c.logsWaiting || !c.waitLog.allow(job.Spec.ID, c.now) {
--- a/internal/wire/user.go
+++ b/internal/wire/user.go
@@ -87,10 +87,10 @@
 	JobTiming
 
 	// Dependencies names the jobs that must be done before any task of this one starts. From
-	// tuning.LevelPipelines on: an older version would lose it.
+	// tuning.SchemaVersionDependencies on: an older version would lose it.
 	Dependencies []string `cbor:"awaits,omitempty"`
 	// MaxRetries is how often a task may start again after a failure of its own; nil: without
-	// limit. It is fixed when the job is accepted, from tuning.LevelRepeats on.
+	// limit. It is fixed when the job is accepted, from tuning.SchemaVersionRetries on.
 	MaxRetries *int `cbor:"repeats,omitempty"`
 }
 
--- a/internal/zonehealth/doc.go
+++ b/internal/zonehealth/doc.go
@@ -22,5 +22,5 @@
 //	           returning   heartbeats came from at least half and the probation is over
 //
 // A zone that returns again and again is on probation for longer each time, up to a bound; it is
-// forgiven one return for each tuning.ProbationForgive that it then serves without a break.
+// forgiven one return for each tuning.ZoneProbationForgiveAfter that it then serves without a break.
 package zonehealth
--- a/internal/zonehealth/heartbeat.go
+++ b/internal/zonehealth/heartbeat.go
@@ -20,7 +20,7 @@
 }
 
 // isBelow reports whether heartbeats arrived from less than a share of the machines. It is false
-// for fewer than tuning.CutMachines, of which a few late heartbeats would look like a loss.
+// for fewer than tuning.PartitionMinMachines, of which a few late heartbeats would look like a loss.
 func (c HeartbeatCount) isBelow(share float64) bool {
 	return c.Expected >= tuning.PartitionMinMachines && float64(c.Received) < share*float64(c.Expected)
 }
