--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -44,7 +44,8 @@
 	if completeAsOf.IsZero() || k.pauses.resumedAt.After(completeAsOf) {
 		return false
 	}
-	return k.clusterState.SchemaVersion >= tuning.SchemaVersionConfirmedCancel || now.Sub(completeAsOf) <= k.maxStateAge()
+	return k.clusterState.SchemaVersion >= tuning.SchemaVersionConfirmedCancel ||
+		now.Sub(completeAsOf) <= k.maxStateAge()
 }
 
 // mayRenewForOwner tells whether this node may renew the lease of an agent whose shard another node owns: the
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -92,5 +92,6 @@
 // inboundLostForLong tells whether reports arrive while commands have failed for longer than a lost one takes
 // to be followed by another.
 func (l *linkState) inboundLostForLong(now time.Time) bool {
-	return l.inboundLost() && l.lastHeard.After(l.inboundLostSince) && now.Sub(l.inboundLostSince) > tuning.InboundLostAfter
+	return l.inboundLost() && l.lastHeard.After(l.inboundLostSince) &&
+		now.Sub(l.inboundLostSince) > tuning.InboundLostAfter
 }
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -62,7 +62,8 @@
 }
 
 func newOutboundLossTest(t *testing.T) *outboundLossTest {
-	o := &outboundLossTest{T: t, registryFixture: newRegistryFixture(tuning.SchemaVersionConfirmedCancel), session: 1, sequence: 3}
+	o := &outboundLossTest{T: t, registryFixture: newRegistryFixture(tuning.SchemaVersionConfirmedCancel),
+		session: 1, sequence: 3}
 	o.machineName = o.addMachine(ownShard)
 	o.client = newCommandClient(respondingTransport(func() wire.Heartbeat {
 		o.sequence++
--- /dev/null
+++ b/internal/agent/main_test.go
@@ -0,0 +1,9 @@
+package agent
+
+import (
+	"testing"
+
+	"sableusher/internal/testrand"
+)
+
+func TestMain(m *testing.M) { testrand.Main(m) }
--- a/internal/api/dependencies_test.go
+++ b/internal/api/dependencies_test.go
@@ -49,6 +49,7 @@
 	liveArray := func(s *testServer) { s.putLiveJob(otherJobID, wire.KindArray) }
 	return []dependencyCase{
 		{"none", submissionWithDependencies(), version, nil, http.StatusCreated},
+		{"none, before all nodes know of dependencies", submissionWithDependencies(), 0, nil, http.StatusCreated},
 		{"live", dependent, version, liveArray, http.StatusCreated},
 		{"live after the barrier", dependent, version, func(s *testServer) {
 			s.onBarrier = func() { s.putLiveJob(otherJobID, wire.KindGang) }
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -88,7 +88,8 @@
 		return false
 	}
 	state := s.clusterState
-	return state.SchemaVersion >= tuning.SchemaVersionConfirmedCancel && job.ModRevision > state.SchemaVersionModRevision
+	return state.SchemaVersion >= tuning.SchemaVersionConfirmedCancel &&
+		job.ModRevision > state.SchemaVersionModRevision
 }
 
 func finalStatus(id string, final record.Final) wire.JobStatus {
--- a/internal/api/submit_test.go
+++ b/internal/api/submit_test.go
@@ -33,9 +33,10 @@
 		want  int
 		state wire.JobState
 	}{
-		"accepted":  {body: unchanged, want: http.StatusCreated, state: wire.JobPending},
-		"not cbor":  {body: []byte("{}"), want: http.StatusBadRequest},
-		"too large": {body: append(unchanged, make([]byte, tuning.RequestBodyMaxBytes)...), want: http.StatusBadRequest},
+		"accepted": {body: unchanged, want: http.StatusCreated, state: wire.JobPending},
+		"not cbor": {body: []byte("{}"), want: http.StatusBadRequest},
+		"too large": {body: append(unchanged, make([]byte, tuning.RequestBodyMaxBytes)...),
+			want: http.StatusBadRequest},
 		"unknown team": {
 			body: encodeSpec(func(s *wire.JobSpec) { s.Team = "x" }),
 			want: http.StatusUnprocessableEntity,
--- a/internal/clusterstate/migration_test.go
+++ b/internal/clusterstate/migration_test.go
@@ -78,6 +78,7 @@
 	conditions []wire.Condition
 	ops        []wire.Op
 	tasks      map[int]record.Task
+	migrates   bool // it is a step of the migration
 }
 
 // migrationModel is a job whose tasks change while its chunks are migrated, next to a plain map of its tasks.
@@ -140,7 +141,9 @@
 		changes[index] = m.drawTask(t, index)
 	}
 	chunk := job.ChunkOf(first)
-	write := taskWrite{job.ChunkConditions(chunk), []wire.Op{job.EncodeChunk(chunk, changes)}, changes}
+	write := taskWrite{
+		conditions: job.ChunkConditions(chunk), ops: []wire.Op{job.EncodeChunk(chunk, changes)}, tasks: changes,
+	}
 	if size := wire.JSONSize(write.ops[0].Value); job.MaxChunkSize(chunk, changes) < size {
 		t.Fatalf("record takes %d bytes, %d were expected", size, job.MaxChunkSize(chunk, changes))
 	}
@@ -154,6 +157,7 @@
 func (m *migrationModel) apply(t *rapid.T, write taskWrite) {
 	if m.store.commit(t, write.conditions, write.ops) {
 		maps.Copy(m.tasks, write.tasks)
+		m.migrating = m.migrating || write.migrates
 	}
 }
 
@@ -180,7 +184,7 @@
 		t.Fatalf("%d changes in one step", len(step.Ops))
 	}
 	if mayDelay && rapid.Bool().Draw(t, "late") {
-		m.delayed = append(m.delayed, taskWrite{conditions: step.Conditions, ops: step.Ops})
+		m.delayed = append(m.delayed, taskWrite{conditions: step.Conditions, ops: step.Ops, migrates: true})
 		return
 	}
 	m.migrating = true
--- a/internal/fairshare/tracker_test.go
+++ b/internal/fairshare/tracker_test.go
@@ -52,7 +52,8 @@
 func (r recount) check(t *rapid.T, got map[Group]bool) {
 	share := func(c taskCount) float64 { return 1 - float64(c.waiting)/float64(c.arrived) }
 	for group, count := range r.byGroup {
-		want := share(count) < tuning.FairShareMinServed && share(count) < tuning.FairShareMinRelativeServed*share(r.total)
+		want := share(count) < tuning.FairShareMinServed &&
+			share(count) < tuning.FairShareMinRelativeServed*share(r.total)
 		if got[group] != want {
 			t.Fatalf("%+v was served %v of %v: underserved is %v", group, share(count), share(r.total), got[group])
 		}
--- a/internal/golden/job_changes_test.go
+++ b/internal/golden/job_changes_test.go
@@ -41,7 +41,8 @@
 // changedTasks are tasks at the edges of records, some of which have failed before.
 func changedTasks() map[int]record.Task {
 	tasks := map[int]record.Task{}
-	for _, index := range []int{0, 1, 2, 49, 50, 51, tuning.FixedChunkTasks - 1, tuning.FixedChunkTasks, tuning.FixedChunkTasks + 1} {
+	for _, index := range []int{0, 1, 2, 49, 50, 51, tuning.FixedChunkTasks - 1, tuning.FixedChunkTasks,
+		tuning.FixedChunkTasks + 1} {
 		task := boundTask(index, 1, "vm-1")
 		task.Failures = index % 3
 		tasks[index] = task
--- a/internal/kvstore/committer_test.go
+++ b/internal/kvstore/committer_test.go
@@ -216,7 +216,8 @@
 		watchDelay, least, most time.Duration
 		want                    error
 	}{
-		"shown at once": {10 * time.Millisecond, tuning.TxnAnswerLateAfter, tuning.TxnAnswerLateAfter + tuning.TxnOutcomePollInterval, nil},
+		"shown at once": {10 * time.Millisecond, tuning.TxnAnswerLateAfter,
+			tuning.TxnAnswerLateAfter + tuning.TxnOutcomePollInterval, nil},
 		"shown later": {600 * time.Millisecond, 600 * time.Millisecond,
 			600*time.Millisecond + 2*tuning.TxnOutcomePollInterval, nil},
 		"not applied": {0, tuning.KVRequestTimeout, tuning.KVRequestTimeout + time.Second, ErrOutcomeUnknown},
--- a/internal/membership/fencing_test.go
+++ b/internal/membership/fencing_test.go
@@ -19,7 +19,8 @@
 		for range 20 {
 			version = max(version, rapid.IntRange(0, tuning.SchemaVersion).Draw(t, "version"))
 			next := nextFencingToken(token, version)
-			if next <= token || (next >= tuning.ConfirmedCancelTokenBase) != (version >= tuning.SchemaVersionConfirmedCancel) {
+			if next <= token || (next >= tuning.ConfirmedCancelTokenBase) != (version >=
+				tuning.SchemaVersionConfirmedCancel) {
 				t.Fatalf("%d after %d at version %d", next, token, version)
 			}
 			token = next
--- a/internal/offload/offer.go
+++ b/internal/offload/offer.go
@@ -135,8 +135,8 @@
 	return inFlight
 }
 
-// chooseOffers chooses the jobs to offload, and where each goes; at most tuning.OffloadsPerReview, in the order of their
-// names. Callers hold the lock of the cluster state.
+// chooseOffers chooses the jobs to offload, and where each goes; at most tuning.OffloadsPerReview, in the order
+// of their names. Callers hold the lock of the cluster state.
 func (o *Offloader) chooseOffers(now time.Time, targets []federation.TargetCell) []offer {
 	inFlight := o.countInFlight(targets)
 	waitByRank := map[int]float64{}
--- a/internal/offload/requests.go
+++ b/internal/offload/requests.go
@@ -120,7 +120,8 @@
 // mayRelease tells whether a job is to return to its home now: it is recalled or this cell drains, and no task
 // of it has started.
 func (b *requestBatch) mayRelease(request *Request, job *clusterstate.Job) bool {
-	return (request.Recalled || b.operator.CellDraining) && !job.Cancelled() && job.BoundCount == 0 && job.DoneCount == 0
+	return (request.Recalled || b.operator.CellDraining) && !job.Cancelled() && job.BoundCount == 0 &&
+		job.DoneCount == 0
 }
 
 // release adds that the records of a job are deleted, which returns it to its home.
--- a/internal/offload/status.go
+++ b/internal/offload/status.go
@@ -55,7 +55,8 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	peer := o.peers[cell]
-	if !slices.Contains(peer.endedTransfers, status.Number) && len(peer.endedTransfers) < tuning.CellTransfersPerMessage {
+	if !slices.Contains(peer.endedTransfers, status.Number) &&
+		len(peer.endedTransfers) < tuning.CellTransfersPerMessage {
 		peer.endedTransfers = append(peer.endedTransfers, status.Number)
 	}
 }
--- a/internal/peerrpc/transport.go
+++ b/internal/peerrpc/transport.go
@@ -83,7 +83,8 @@
 	if err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
-	grpcServer := grpc.NewServer(grpc.MaxRecvMsgSize(tuning.PeerMessageMaxBytes), grpc.MaxConcurrentStreams(tuning.PeerMaxStreams))
+	grpcServer := grpc.NewServer(grpc.MaxRecvMsgSize(tuning.PeerMessageMaxBytes),
+		grpc.MaxConcurrentStreams(tuning.PeerMaxStreams))
 	calls := &service{registry: t.registry, cellHandler: t.currentCellHandler}
 	peerpb.RegisterPeerServer(grpcServer, calls)
 	peerpb.RegisterCellsServer(grpcServer, calls)
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -231,7 +231,8 @@
 	for _, grant := range quota.Grants {
 		granted = granted.Plus(grant)
 	}
-	return granted.CPUs <= (1-tuning.GrantReserveShare)*limit.CPUs && granted.GPUs <= (1-tuning.GrantReserveShare)*limit.GPUs
+	return granted.CPUs <= (1-tuning.GrantReserveShare)*limit.CPUs &&
+		granted.GPUs <= (1-tuning.GrantReserveShare)*limit.GPUs
 }
 
 // newChange returns the change of a grant, conditional on the revision of the ownership record of its shard. Until
--- a/internal/record/chunk.go
+++ b/internal/record/chunk.go
@@ -69,7 +69,8 @@
 		}
 		for run := range slices.Chunk(group.IndexRuns, 2) {
 			first, following := run[0], run[1]
-			if first < 0 || first >= tuning.MaxTasksPerJob || following < 0 || len(tasks)+following >= tuning.FixedChunkTasks {
+			if first < 0 || first >= tuning.MaxTasksPerJob || following < 0 ||
+				len(tasks)+following >= tuning.FixedChunkTasks {
 				return nil, &IndexRunRangeError{First: first, Following: following}
 			}
 			for i := range following + 1 {
--- a/internal/record/size_test.go
+++ b/internal/record/size_test.go
@@ -44,7 +44,8 @@
 // array, are written within a limit of 2 KiB.
 func TestGangRecordsFitSmallLimit(t *testing.T) {
 	limit := 2048
-	limits := SizeLimits{MaxBytes: int(float64(limit) * tuning.JSONShareOfValueLimit), BoundTaskBytes: tuning.BoundTaskMaxBytes}
+	limits := SizeLimits{MaxBytes: int(float64(limit) * tuning.JSONShareOfValueLimit),
+		BoundTaskBytes: tuning.BoundTaskMaxBytes}
 	for _, taskCount := range []int{1, 32, 100, 5000} {
 		job := Job{Spec: wideGang(taskCount), SubmittedAtMs: submittedAtMs}
 		job.ChunkWidth = limits.ChunkWidth(&job.Spec, EncodedBaseSize(job))
@@ -70,7 +71,8 @@
 func TestRecordsWithFailuresFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.SampledFrom([]float64{2048, 8192, 16384}).Draw(t, "limit")
-		limits := SizeLimits{MaxBytes: int(limit * tuning.JSONShareOfValueLimit), BoundTaskBytes: tuning.BoundTaskMaxBytes}
+		limits := SizeLimits{MaxBytes: int(limit * tuning.JSONShareOfValueLimit),
+			BoundTaskBytes: tuning.BoundTaskMaxBytes}
 		retries := tuning.MaxClassRetries
 		job := Job{SubmittedAtMs: submittedAtMs, Spec: wire.JobSpec{
 			ID: "run-00000000000000000001", Class: "c", Team: "t", Priority: wire.PriorityNormal, GPUs: 1,
--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -122,7 +122,8 @@
 		c.log.Error("job without the right to start was about to start", "job_id", job.Spec.ID)
 		return false
 	}
-	if job.Spec.Kind != wire.KindGang && c.tasksBound >= tuning.BindingsPerCycle || !c.grantCovers(queued, start.charged, 1) {
+	if job.Spec.Kind != wire.KindGang && c.tasksBound >= tuning.BindingsPerCycle ||
+		!c.grantCovers(queued, start.charged, 1) {
 		c.logWaiting(job, waitGrantOrCycle, start.candidate)
 		return false
 	}
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -165,10 +165,11 @@
 	}
 }
 
-// limitStarts lets arrays start only every tuning.StoreSaturatedPlacementInterval while the key-value store's budget is the
-// bottleneck.
+// limitStarts lets arrays start only every tuning.StoreSaturatedPlacementInterval while the key-value store's
+// budget is the bottleneck.
 func (c *cycle) limitStarts() {
-	if c.committer.QueueLength() < tuning.StoreSaturatedQueueLength || c.now.Sub(c.pace.lastArrayStart) > tuning.StoreSaturatedPlacementInterval {
+	if c.committer.QueueLength() < tuning.StoreSaturatedQueueLength ||
+		c.now.Sub(c.pace.lastArrayStart) > tuning.StoreSaturatedPlacementInterval {
 		c.pace.lastArrayStart = c.now
 		return
 	}
--- a/internal/scheduler/deletedmachines.go
+++ b/internal/scheduler/deletedmachines.go
@@ -9,7 +9,8 @@
 
 // deletedMachines holds the machines whose deletion the cloud has confirmed. A confirmation proves that no task runs
 // on the machine any more (safety invariant 4); it is kept until the machine's tasks are released and its record is
-// deleted. A tombstone outlives it for tuning.TombstoneRetention, as a delayed heartbeat may come long after the deletion.
+// deleted. A tombstone outlives it for tuning.TombstoneRetention, as a delayed heartbeat may come long after
+// the deletion.
 type deletedMachines struct {
 	confirmed  map[string]bool
 	tombstones map[string]time.Time // when the deletion was confirmed
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -28,7 +28,8 @@
 		if job == nil || c.changes.inFlight(record.JobKey(id)) || cancelled >= tuning.DependentCancelsPerCycle {
 			continue
 		}
-		if !c.shards.owns(c.firstLiveShard(job)) && c.now.Sub(job.DependencyCancelledAt) < tuning.DependentCancelOwnerGrace {
+		if !c.shards.owns(c.firstLiveShard(job)) &&
+			c.now.Sub(job.DependencyCancelledAt) < tuning.DependentCancelOwnerGrace {
 			continue
 		}
 		cancelled++
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -82,7 +82,8 @@
 
 // New makes an engine; nothing runs before Run.
 func New(c Config) *Engine {
-	timing := failuredetector.Timing{HeartbeatInterval: c.Settings.HeartbeatInterval(), LeaseDuration: c.Settings.LeaseDuration()}
+	timing := failuredetector.Timing{HeartbeatInterval: c.Settings.HeartbeatInterval(),
+		LeaseDuration: c.Settings.LeaseDuration()}
 	return &Engine{
 		dependencies: dependencies{
 			settings: c.Settings, operator: c.Operator, cluster: c.ClusterState, membership: c.Membership,
@@ -113,8 +114,8 @@
 	}
 }
 
-// Run runs a scheduling cycle after each change, and every tuning.CycleIdleInterval without one, until ctx ends. It returns
-// once all that the cycles have started has ended.
+// Run runs a scheduling cycle after each change, and every tuning.CycleIdleInterval without one, until ctx
+// ends. It returns once all that the cycles have started has ended.
 func (e *Engine) Run(ctx context.Context) error {
 	var running sync.WaitGroup
 	defer running.Wait()
--- a/internal/scheduler/evacuation.go
+++ b/internal/scheduler/evacuation.go
@@ -66,7 +66,8 @@
 		if machine.Up {
 			c.markMachineDown(machine.Machine, "outbound lost")
 		}
-		step := float64(record.ShardOf(machine.Name, tuning.OutboundLostEvacuationSteps)) / tuning.OutboundLostEvacuationSteps
+		step := float64(record.ShardOf(machine.Name,
+			tuning.OutboundLostEvacuationSteps)) / tuning.OutboundLostEvacuationSteps
 		delay := time.Duration(step * float64(leadTime-tuning.LeaseMargin))
 		if c.now.After(machine.leaseExpiry.Add(delay - leadTime)) {
 			c.evacuateMachine(machine.Machine)
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -96,7 +96,8 @@
 		return false
 	}
 	bootLimit := max(c.bootTimes(machine, tuning.BootStuckFactor), tuning.MinBootStuck)
-	heartbeatLimit := tuning.AgentFailoverTime + time.Duration(tuning.DeadAfterIntervals*float64(c.settings.HeartbeatInterval()))
+	deadAfter := time.Duration(tuning.DeadAfterIntervals * float64(c.settings.HeartbeatInterval()))
+	heartbeatLimit := tuning.AgentFailoverTime + deadAfter
 	return c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > bootLimit &&
 		c.now.Sub(c.shardTenure.since(machine.Shard)) > heartbeatLimit
 }
--- a/internal/scheduler/fencelimiter_test.go
+++ b/internal/scheduler/fencelimiter_test.go
@@ -17,7 +17,8 @@
 		allowed bool
 	}{
 		{1, 0, true}, {1, 1, false}, {2, 1, true},
-		{1, tuning.FenceMinInterval, false}, {1, tuning.FenceMinInterval + 1, true}, {1, tuning.FenceMinInterval + 2, false},
+		{1, tuning.FenceMinInterval, false}, {1, tuning.FenceMinInterval + 1, true}, {1,
+			tuning.FenceMinInterval + 2, false},
 	} {
 		if allowed := limiter.allow(step.shard, testNow.Add(step.at)); allowed != step.allowed {
 			t.Errorf("shard %d after %v: allowed %v, want %v", step.shard, step.at, allowed, step.allowed)
--- a/internal/scheduler/imagehints.go
+++ b/internal/scheduler/imagehints.go
@@ -14,8 +14,8 @@
 	updatedAt       time.Time
 }
 
-// TrackRemoteImages asks the other nodes every tuning.RemoteImagesInterval which machines hold which images, until ctx ends.
-// Where none answers, what they last said stands.
+// TrackRemoteImages asks the other nodes every tuning.RemoteImagesInterval which machines hold which images,
+// until ctx ends. Where none answers, what they last said stands.
 func (e *Engine) TrackRemoteImages(ctx context.Context) error {
 	ticker := time.NewTicker(tuning.RemoteImagesInterval)
 	defer ticker.Stop()
--- a/internal/scheduler/machinedeletion.go
+++ b/internal/scheduler/machinedeletion.go
@@ -20,9 +20,9 @@
 	e.wake()
 }
 
-// MachinesToDelete returns machines of this node's shards to be deleted at the cloud, at most tuning.ReturnMaxMachines. First
-// come those on which tasks are still bound, as these start elsewhere once the deletion is confirmed; tasksWaiting
-// reports whether there are any.
+// MachinesToDelete returns machines of this node's shards to be deleted at the cloud, at most
+// tuning.ReturnMaxMachines. First come those on which tasks are still bound, as these start elsewhere once the
+// deletion is confirmed; tasksWaiting reports whether there are any.
 func (e *Engine) MachinesToDelete() (names []string, tasksWaiting bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/scheduler/migrationschedule_test.go
+++ b/internal/scheduler/migrationschedule_test.go
@@ -6,14 +6,16 @@
 	"sableusher/internal/tuning"
 )
 
-// TestMigrationsThatNothingWaitsForArePaced: they are due once per tuning.MigrationInterval; requests stand until taken.
+// TestMigrationsThatNothingWaitsForArePaced: they are due once per tuning.MigrationInterval; requests stand
+// until taken.
 func TestMigrationsThatNothingWaitsForArePaced(t *testing.T) {
 	schedule := newMigrationSchedule()
 	if !schedule.paceIsDue(testNow) {
 		t.Error("not due though none was ever made")
 	}
 	schedule.lastPaced = testNow
-	if schedule.paceIsDue(testNow.Add(tuning.MigrationInterval-1)) || !schedule.paceIsDue(testNow.Add(tuning.MigrationInterval)) {
+	if schedule.paceIsDue(testNow.Add(tuning.MigrationInterval-1)) ||
+		!schedule.paceIsDue(testNow.Add(tuning.MigrationInterval)) {
 		t.Errorf("not due once per %v", tuning.MigrationInterval)
 	}
 	schedule.request("a")
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -20,7 +20,8 @@
 	if c.preempting.awaiting[task] {
 		return true // capacity is being freed for it already
 	}
-	if c.preempting.machines >= tuning.PreemptMachinesPerCycle || c.preempting.failed[queued.rank].Covers(&queued.Request) {
+	if c.preempting.machines >= tuning.PreemptMachinesPerCycle ||
+		c.preempting.failed[queued.rank].Covers(&queued.Request) {
 		return false
 	}
 	first := (c.firstLiveShard(queued.job) + taskIndex + c.shardRotation(queued)) % c.cluster.ShardCount
--- a/internal/scheduler/waitlog_test.go
+++ b/internal/scheduler/waitlog_test.go
@@ -6,10 +6,12 @@
 	"sableusher/internal/tuning"
 )
 
-// TestWaitingIsLoggedOncePerInterval: the log says once per tuning.WaitReasonLogInterval why a job waits, for each job by itself.
+// TestWaitingIsLoggedOncePerInterval: the log says once per tuning.WaitReasonLogInterval why a job waits, for
+// each job by itself.
 func TestWaitingIsLoggedOncePerInterval(t *testing.T) {
 	log := waitLog{}
-	if !log.allow("a", testNow) || log.allow("a", testNow.Add(tuning.WaitReasonLogInterval-1)) || !log.allow("b", testNow.Add(1)) {
+	if !log.allow("a", testNow) || log.allow("a", testNow.Add(tuning.WaitReasonLogInterval-1)) ||
+		!log.allow("b", testNow.Add(1)) {
 		t.Errorf("logged: %v", log)
 	}
 	if !log.allow("a", testNow.Add(tuning.WaitReasonLogInterval)) {
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -17,8 +17,8 @@
 // cancellation may take, while agents go on sending heartbeats to the old leader, which
 // knows nothing of all that. Drawn are the spans, whether the leader is refused ahead of, within or
 // after the outage, whether its process ends in the gap and comes back without a cluster state, and from
-// which schema version on the day begins: below tuning.SchemaVersionConfirmedCancel cancellations are confirmed at once,
-// and the version may rise just before the gap.
+// which schema version on the day begins: below tuning.SchemaVersionConfirmedCancel cancellations are confirmed
+// at once, and the version may rise just before the gap.
 type refusalDay struct {
 	random *rand.Rand
 	region *Region
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -12,44 +12,42 @@
 
 // Rules, with what breaks them.
 const (
-	RuleRanTwice         Rule = iota // a task on two machines at once
-	RuleRanCancelled                 // a task of a job whose cancellation was confirmed
-	RuleWrongPlace                   // a task where its description doesn't allow it
-	RuleTooEarly                     // a task before a dependency is done
-	RuleQuota                        // a team over its limit
-	RuleRetries                      // more failures acknowledged than there are retries
-	RuleInvented                     // a job that nobody submitted
-	RuleAccepted                     // an accepted job that can never run
-	RuleNotDone                      // a job called done before all its tasks completed
-	RuleFailed                       // a job called failed that has retries left
-	RuleWentBack                     // an answer older than an earlier one
-	RuleForgotten                    // an accepted job that is unknown, or whose questions get no answer
-	RuleOrphaned                     // a job that outlives a dependency that was cancelled
-	RuleLeftWaiting                  // a job that waits beside capacity for it
-	RuleMinimumShare                 // a class or team that is served less than half
-	RuleProtocol                     // a message that the protocol doesn't allow
-	RuleControllerRecord             // a record that a controller must not have written
+	RuleRanTwice     Rule = iota // a task on two machines at once
+	RuleRanCancelled             // a task of a job whose cancellation was confirmed
+	RuleWrongPlace               // a task where its description doesn't allow it
+	RuleTooEarly                 // a task before a dependency is done
+	RuleQuota                    // a team over its limit
+	RuleRetries                  // more failures acknowledged than there are retries
+	RuleInvented                 // a job that nobody submitted
+	RuleAccepted                 // an accepted job that can never run
+	RuleNotDone                  // a job called done before all its tasks completed
+	RuleFailed                   // a job called failed that has retries left
+	RuleWentBack                 // an answer older than an earlier one
+	RuleForgotten                // an accepted job that is unknown, or whose questions get no answer
+	RuleOrphaned                 // a job that outlives a dependency that was cancelled
+	RuleLeftWaiting              // a job that waits beside capacity for it
+	RuleMinimumShare             // a class or team that is served less than half
+	RuleProtocol                 // a message that the protocol doesn't allow
 )
 
 // ruleNames are the names of the operators' rules where they have one.
 var ruleNames = [...]string{
-	RuleRanTwice:         "ran_twice",
-	RuleRanCancelled:     "ran_cancelled",
-	RuleWrongPlace:       "wrong_place",
-	RuleTooEarly:         "too_early",
-	RuleQuota:            "quota",
-	RuleRetries:          "repeats",
-	RuleInvented:         "invented",
-	RuleAccepted:         "accepted",
-	RuleNotDone:          "not_done",
-	RuleFailed:           "failed",
-	RuleWentBack:         "went_back",
-	RuleForgotten:        "forgotten",
-	RuleOrphaned:         "orphaned",
-	RuleLeftWaiting:      "left",
-	RuleMinimumShare:     "floor",
-	RuleProtocol:         "protocol",
-	RuleControllerRecord: "record",
+	RuleRanTwice:     "ran_twice",
+	RuleRanCancelled: "ran_cancelled",
+	RuleWrongPlace:   "wrong_place",
+	RuleTooEarly:     "too_early",
+	RuleQuota:        "quota",
+	RuleRetries:      "repeats",
+	RuleInvented:     "invented",
+	RuleAccepted:     "accepted",
+	RuleNotDone:      "not_done",
+	RuleFailed:       "failed",
+	RuleWentBack:     "went_back",
+	RuleForgotten:    "forgotten",
+	RuleOrphaned:     "orphaned",
+	RuleLeftWaiting:  "left",
+	RuleMinimumShare: "floor",
+	RuleProtocol:     "protocol",
 }
 
 // String is the rule's name.
