--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -38,9 +38,9 @@
 // newRegistryFixture makes the registry under a schema version; node "a" owns ownShard, "b" peerShard.
 func newRegistryFixture(schemaVersion int) *registryFixture {
 	logger := slog.New(slog.DiscardHandler)
-	settings := &config.Settings{Node: "a", Siblings: []config.Sibling{{Node: "b"}}}
+	settings := &config.Settings{Node: "a", Peers: []config.Peer{{Node: "b"}}}
 	deployment := &settings.Deployment
-	deployment.Size = 2
+	deployment.NodeCount = 2
 	deployment.Workers.ReportS, deployment.Workers.LeaseS, deployment.Workers.CancelS = 6, 31, 51
 	state := clusterstate.New(2, logger)
 	state.SchemaVersion = schemaVersion
@@ -54,7 +54,7 @@
 	client := kvstore.NewClient("127.0.0.1:1", limits, nil)
 	cache := kvstore.NewWatchCache(client, record.LivePrefix, state, logger)
 	member := membership.New(membership.Config{
-		NodeName: "a", Incarnation: 1, NodeNames: []string{"a", "b"}, SchemaVersion: tuning.Level,
+		NodeName: "a", Incarnation: 1, NodeNames: []string{"a", "b"}, SchemaVersion: tuning.SchemaVersion,
 		Client: client, Cache: cache, ClusterState: state, Logger: logger,
 	})
 	f := &registryFixture{state: state, confirmedAt: time.Now(), peerAnsweredAt: time.Now()}
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -15,7 +15,7 @@
 // them, and one task after the other was bound to it and waited for its lease to end.
 func TestInboundLostMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newRegistryFixture(tuning.LevelCertain)
+		f := newRegistryFixture(tuning.SchemaVersionConfirmedCancel)
 		name := f.addMachine(ownShard)
 		expectSchedulable := func(when string, want bool) {
 			t.Helper()
@@ -62,7 +62,8 @@
 }
 
 func newOutboundLossTest(t *testing.T) *outboundLossTest {
-	o := &outboundLossTest{T: t, registryFixture: newRegistryFixture(tuning.LevelCertain), session: 1, sequence: 3}
+	o := &outboundLossTest{T: t, registryFixture: newRegistryFixture(tuning.SchemaVersionConfirmedCancel),
+		session: 1, sequence: 3}
 	o.machineName = o.addMachine(ownShard)
 	o.client = newCommandClient(respondingTransport(func() wire.Heartbeat {
 		o.sequence++
@@ -107,7 +108,7 @@
 		o.commandAfter(8 * time.Second)
 		o.expect("more are", false, true)
 		status := o.status()
-		if !status.LeaseExpiry.Equal(start.Add(o.settings.Lease())) || !status.OneWaySince.Equal(start) {
+		if !status.LeaseExpiry.Equal(start.Add(o.settings.LeaseDuration())) || !status.OneWaySince.Equal(start) {
 			t.Errorf("its lease ends at %v, outbound lost since %v",
 				status.LeaseExpiry.Sub(start), status.OneWaySince.Sub(start))
 		}
@@ -140,7 +141,7 @@
 	o.commandAfter(0)
 	o.commandAfter(8 * time.Second)
 	o.expect("it is back from a partition", true, false)
-	if status := o.status(); !status.LeaseExpiry.Equal(restoredAt.Add(o.settings.Lease())) {
+	if status := o.status(); !status.LeaseExpiry.Equal(restoredAt.Add(o.settings.LeaseDuration())) {
 		o.Errorf("its lease ends %v after it is back", status.LeaseExpiry.Sub(restoredAt))
 	}
 	o.commandAfter(10 * time.Second)
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -44,7 +44,7 @@
 		LastHeard: m.link.lastHeard, Session: m.session.id, ReclaimAt: m.reclaimAt, FailedJobs: len(m.failedJobs),
 		UnresolvedStart: m.starts.hasUnresolved(fencingToken), CommandUnanswered: m.link.commandUnanswered(),
 		InboundLost: m.link.inboundLostForLong(now), InboundConfirmed: m.link.inboundConfirmed(),
-		OutboundLost: r.outboundLost(m, now), LeaseExpiry: heartbeatExpectedFrom.Add(r.settings.Lease()),
+		OutboundLost: r.outboundLost(m, now), LeaseExpiry: heartbeatExpectedFrom.Add(r.settings.LeaseDuration()),
 	}
 	switch {
 	case status.OutboundLost:
@@ -65,8 +65,8 @@
 
 // acceptsTasks tells whether nothing that the machine did speaks against another task on it.
 func (m *machine) acceptsTasks(now time.Time) bool {
-	return m.reclaimAt.IsZero() && now.Sub(m.startRefusedAt) > tuning.RefuseHold &&
-		len(m.failedJobs) < tuning.MachineErrors
+	return m.reclaimAt.IsZero() && now.Sub(m.startRefusedAt) > tuning.StartRefusalBackoff &&
+		len(m.failedJobs) < tuning.MachineMaxFailedJobs
 }
 
 // outboundLost tells whether a machine answers commands while its heartbeats have been due for some time.
@@ -76,9 +76,11 @@
 }
 
 // maxSilence is how long a machine that is in reach may be silent.
-func (r *Registry) maxSilence() time.Duration { return r.heartbeatIntervals(tuning.SilentAfter) }
+func (r *Registry) maxSilence() time.Duration {
+	return r.heartbeatIntervals(tuning.SuspectAfterIntervals)
+}
 
-// RecordStartRefusal keeps a machine that refused a start out of scheduling for tuning.RefuseHold.
+// RecordStartRefusal keeps a machine that refused a start out of scheduling for tuning.StartRefusalBackoff.
 func (r *Registry) RecordStartRefusal(machineName string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,7 +90,7 @@
 }
 
 // RecordTaskFailure notes that a job's task failed by itself on a machine. One on which tasks of
-// tuning.MachineErrors jobs failed is not scheduled any more.
+// tuning.MachineMaxFailedJobs jobs failed is not scheduled any more.
 func (r *Registry) RecordTaskFailure(machineName, jobID string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/api/dependencies_test.go
+++ b/internal/api/dependencies_test.go
@@ -44,11 +44,12 @@
 }
 
 func acceptedDependencyCases() []dependencyCase {
-	const version = tuning.LevelPipelines
+	const version = tuning.SchemaVersionDependencies
 	dependent := submissionWithDependencies(otherJobID)
 	liveArray := func(s *testServer) { s.putLiveJob(otherJobID, wire.KindArray) }
 	return []dependencyCase{
 		{"none", submissionWithDependencies(), version, nil, http.StatusCreated},
+		{"none, before all nodes know of dependencies", submissionWithDependencies(), 0, nil, http.StatusCreated},
 		{"live", dependent, version, liveArray, http.StatusCreated},
 		{"live after the barrier", dependent, version, func(s *testServer) {
 			s.onBarrier = func() { s.putLiveJob(otherJobID, wire.KindGang) }
@@ -70,7 +71,7 @@
 }
 
 func refusedDependencyCases() []dependencyCase {
-	const version = tuning.LevelPipelines
+	const version = tuning.SchemaVersionDependencies
 	dependent := submissionWithDependencies(otherJobID)
 	liveArray := func(s *testServer) { s.putLiveJob(otherJobID, wire.KindArray) }
 	return []dependencyCase{
--- a/internal/api/submit_test.go
+++ b/internal/api/submit_test.go
@@ -33,9 +33,10 @@
 		want  int
 		state wire.JobState
 	}{
-		"accepted":  {body: unchanged, want: http.StatusCreated, state: wire.JobPending},
-		"not cbor":  {body: []byte("{}"), want: http.StatusBadRequest},
-		"too large": {body: append(unchanged, make([]byte, tuning.BodyLimit)...), want: http.StatusBadRequest},
+		"accepted": {body: unchanged, want: http.StatusCreated, state: wire.JobPending},
+		"not cbor": {body: []byte("{}"), want: http.StatusBadRequest},
+		"too large": {body: append(unchanged, make([]byte, tuning.RequestBodyMaxBytes)...),
+			want: http.StatusBadRequest},
 		"unknown team": {
 			body: encodeSpec(func(s *wire.JobSpec) { s.Team = "x" }),
 			want: http.StatusUnprocessableEntity,
@@ -138,8 +139,8 @@
 // job that can never run. Nothing is accepted with a limit before all nodes count failures, and where no
 // class limits retries the field means nothing.
 func TestRetryLimits(t *testing.T) {
-	limiting := &config.Operator{Classes: []config.Class{{Name: "c", Repeats: 3}}}
-	const counted, notCounted = tuning.LevelRepeats, tuning.LevelRepeats - 1
+	limiting := &config.Operator{Classes: []config.Class{{Name: "c", MaxRetries: 3}}}
+	const counted, notCounted = tuning.SchemaVersionRetries, tuning.SchemaVersionRetries - 1
 	for name, c := range map[string]struct {
 		operator *config.Operator
 		version  int
--- a/internal/autoscaler/scaleoutplan.go
+++ b/internal/autoscaler/scaleoutplan.go
@@ -95,7 +95,7 @@
 		target = p.autoscaler.chooseGangZone(group, p.machinesInZone, p.now)
 	}
 	isUrgent := group.Rank <= wire.PriorityHigh.Rank()
-	hasWaitedLong := p.now.Sub(group.SubmittedAt) > tuning.StarveAfter
+	hasWaitedLong := p.now.Sub(group.SubmittedAt) > tuning.ScaleOutOverrideAfter
 	tasksByZone := map[string]int{}
 	packing := groupPacking{
 		plan:        p,
@@ -163,7 +163,7 @@
 func (p *scaleOutPlan) addHeadroom(demand scheduler.UnmetDemand, present int) {
 	a := p.autoscaler
 	target := a.headroomTarget(p.now)
-	belowMinimum := a.operator.PoolMin - present - len(p.machines)
+	belowMinimum := a.operator.MinMachines - present - len(p.machines)
 	spare := demand.SpareOnDemand
 	count := max(
 		belowMinimum,
--- a/internal/autoscaler/sizing.go
+++ b/internal/autoscaler/sizing.go
@@ -20,7 +20,7 @@
 // those that are required, at most all. A choice holds for the configured time.
 func (a *Autoscaler) limitByLearner(planned []plannedMachine) []plannedMachine {
 	sizes := a.scheduler.Learner()
-	if !a.operator.Learn || !sizes.Warm() {
+	if !a.operator.LearningEnabled || !sizes.Warm() {
 		return planned
 	}
 	required := countRequired(planned)
@@ -28,7 +28,7 @@
 		return planned
 	}
 	now := time.Now()
-	if now.Sub(a.sizing.decidedAt) >= config.Seconds(a.operator.PoolHoldS) {
+	if now.Sub(a.sizing.decidedAt) >= config.ToDuration(a.operator.IdleHoldSeconds) {
 		a.decideSize(sizes, now, required, len(planned))
 	}
 	optional := int(math.Ceil(a.sizing.fraction * float64(len(planned)-required)))
@@ -58,7 +58,7 @@
 	state := a.scheduler.ProvisioningState()
 	var choices []learner.ScoredAction
 	best := 0
-	for i, fraction := range tuning.SizeFractions {
+	for i, fraction := range tuning.ScaleOutFractions {
 		machines := float64(present+required) + fraction*float64(planned-required)
 		action := &learner.Action{IsScaling: true, ScaleFraction: fraction, Machines: machines}
 		choices = append(choices, sizes.Score(&state, action))
@@ -72,7 +72,7 @@
 	a.sizing = sizingDecision{
 		pendingReward: sizes.TakeAction(choices[best]),
 		decidedAt:     now,
-		fraction:      tuning.SizeFractions[best],
+		fraction:      tuning.ScaleOutFractions[best],
 	}
 	a.log.Debug("size decided", "machines", present, "required", required, "planned", planned,
 		"fraction", a.sizing.fraction, "value", choices[best].Value)
--- a/internal/binpack/failedrequests.go
+++ b/internal/binpack/failedrequests.go
@@ -9,7 +9,7 @@
 // FailedRequests remembers requests that fitted on no machine. A request that needs as much or
 // more, and has no other machines to choose from, does not fit either, so that a long queue of
 // similar jobs examines the machines once. The zero value is empty; it keeps at most
-// tuning.FailedShapes requests.
+// tuning.FailedRequestsKept requests.
 type FailedRequests []failedRequest
 
 type failedRequest struct {
@@ -19,7 +19,7 @@
 
 // Add remembers that a request did not fit.
 func (f *FailedRequests) Add(request *Request) {
-	if len(*f) < tuning.FailedShapes && !f.Covers(request) {
+	if len(*f) < tuning.FailedRequestsKept && !f.Covers(request) {
 		*f = append(*f, failedRequest{need: request.Need, spec: request.Spec})
 	}
 }
--- a/internal/failuredetector/deletion.go
+++ b/internal/failuredetector/deletion.go
@@ -12,7 +12,7 @@
 	"sableusher/internal/zonehealth"
 )
 
-// minDeletions is how many machines may be deleted in tuning.DeadWindow however few there are.
+// minDeletions is how many machines may be deleted in tuning.DeletionCapWindow however few there are.
 const minDeletions = 2
 
 // deletionCandidate is a suspected machine that is due to be given up, with its step in the evacuation plan.
@@ -59,9 +59,9 @@
 func (d *Detector) waitInUnavailableZone(machine *Machine) time.Duration {
 	switch {
 	case machine.ControllerInZone || machine.BoundTasks == 0:
-		return tuning.CutInside
+		return tuning.PartitionedZoneControllerGrace
 	case machine.ServiceMovable:
-		return scaleDuration(d.Timing.LeaseDuration, tuning.CutServices)
+		return scaleDuration(d.Timing.LeaseDuration, tuning.PartitionServiceLeaseShare)
 	default:
 		return d.Timing.LeaseDuration
 	}
@@ -75,9 +75,9 @@
 	if machine.ServiceMovable && d.ZoneUnavailable(machine.Zone) {
 		return d.pace.zones[machine.Zone].take(d.silence(machine, now), d.Timing.LeaseDuration)
 	}
-	share := tuning.DeadCap
+	share := tuning.DeletionCapShare
 	if d.zones.State(machine.Zone) == zonehealth.Serving {
-		share = tuning.DeadCapServing
+		share = tuning.DeletionCapShareServingZone
 	}
 	return d.pace.take(max(minDeletions, int(share*float64(up))), now)
 }
@@ -93,14 +93,14 @@
 
 // deletionPace bounds how fast machines are given up.
 type deletionPace struct {
-	recent []time.Time // of the deletions within tuning.DeadWindow that are capped
+	recent []time.Time // of the deletions within tuning.DeletionCapWindow that are capped
 	// zones has the evacuations of zones that are unavailable, of their machines with movable services.
 	zones map[string]*zoneEvacuation
 }
 
 // forgetOld forgets the deletions that the cap does not count any more.
 func (p *deletionPace) forgetOld(now time.Time) {
-	p.recent = slices.DeleteFunc(p.recent, func(at time.Time) bool { return now.Sub(at) > tuning.DeadWindow })
+	p.recent = slices.DeleteFunc(p.recent, func(at time.Time) bool { return now.Sub(at) > tuning.DeletionCapWindow })
 }
 
 // take tells whether one more machine may be deleted under the cap, and counts it if so.
@@ -141,9 +141,9 @@
 }
 
 // allowance is how many machines may have been given up once their zone has been silent for so long: all of them
-// by the end of the lease, the first once tuning.CutServices of it have passed.
+// by the end of the lease, the first once tuning.PartitionServiceLeaseShare of it have passed.
 func (e *zoneEvacuation) allowance(silence, lease time.Duration) int {
-	start := scaleDuration(lease, tuning.CutServices)
+	start := scaleDuration(lease, tuning.PartitionServiceLeaseShare)
 	share := min(1, float64(silence-start)/float64(lease-start))
 	return int(math.Ceil(float64(e.total) * share))
 }
--- a/internal/fairshare/tracker.go
+++ b/internal/fairshare/tracker.go
@@ -16,7 +16,7 @@
 	At    time.Time
 }
 
-// Tracker keeps the arrivals of the last tuning.FloorWindow, at most tuning.FloorJobs. The zero
+// Tracker keeps the arrivals of the last tuning.FairShareWindow, at most tuning.FairShareMaxJobs. The zero
 // value is ready for use; it is not safe for concurrent use.
 type Tracker struct {
 	arrivals    []Arrival // in the order in which they were first recorded
@@ -32,7 +32,7 @@
 	if t.trackedJobs == nil {
 		t.trackedJobs = map[string]bool{}
 	}
-	if len(t.arrivals) >= tuning.FloorJobs {
+	if len(t.arrivals) >= tuning.FairShareMaxJobs {
 		delete(t.trackedJobs, t.arrivals[0].JobID)
 		t.arrivals = t.arrivals[1:]
 	}
@@ -43,8 +43,8 @@
 // Len returns the number of tracked jobs.
 func (t *Tracker) Len() int { return len(t.arrivals) }
 
-// Underserved returns the groups that were served less than tuning.FloorServed of what arrived of
-// them within the window, and less than tuning.FloorBehind of what all groups together were: where
+// Underserved returns the groups that were served less than tuning.FairShareMinServed of what arrived of
+// them within the window, and less than tuning.FairShareMinRelativeServed of what all groups together were: where
 // all were served alike it returns none. waitingTasks counts the tasks that wait by job ID.
 func (t *Tracker) Underserved(now time.Time, waitingTasks map[string]int) map[Group]bool {
 	t.deleteExpired(now)
@@ -52,7 +52,7 @@
 	underserved := map[Group]bool{}
 	for group, count := range byGroup {
 		served := count.servedShare()
-		if served < tuning.FloorServed && served < tuning.FloorBehind*total.servedShare() {
+		if served < tuning.FairShareMinServed && served < tuning.FairShareMinRelativeServed*total.servedShare() {
 			underserved[group] = true
 		}
 	}
@@ -87,7 +87,7 @@
 }
 
 func isExpired(now time.Time, arrival *Arrival) bool {
-	return now.Sub(arrival.At) > tuning.FloorWindow
+	return now.Sub(arrival.At) > tuning.FairShareWindow
 }
 
 // taskCount counts the tasks of some arrivals.
--- a/internal/offload/answer.go
+++ b/internal/offload/answer.go
@@ -145,7 +145,7 @@
 		Cell:      o.operator.CellName,
 		FromEpoch: epochs.Own,
 		ToEpoch:   epochs.Peer,
-		Draining:  o.operator.CellDrain,
+		Draining:  o.operator.CellDraining,
 	}
 	return answer, counts && message.FromEpoch > stored.FencedEpoch, nil
 }
@@ -189,7 +189,7 @@
 	}
 	for _, transfer := range view.transfers.Transfers {
 		ended := transfer.Status == federation.HostEnded
-		if ended && !reported[transfer.Number] && len(answer.Statuses) < 2*tuning.CellAsks {
+		if ended && !reported[transfer.Number] && len(answer.Statuses) < 2*tuning.CellTransfersPerMessage {
 			answer.Statuses = append(answer.Statuses, view.status(transfer.Number))
 		}
 	}
--- a/internal/offload/testcell_test.go
+++ b/internal/offload/testcell_test.go
@@ -46,10 +46,10 @@
 		name:  name,
 		world: world,
 		operator: &config.Operator{
-			CellName:   name,
-			CellEpoch:  1,
-			CellGuests: 100,
-			Cells:      []config.Cell{{Name: other, Nodes: "-", TransferS: 1}},
+			CellName:          name,
+			CellEpoch:         1,
+			MaxOffloadedTasks: 100,
+			Cells:             []config.Cell{{Name: other, Nodes: "-", TransferSeconds: 1}},
 		},
 		store: testStore{values: map[string]storedValue{}},
 		state: clusterstate.New(1, slog.New(slog.DiscardHandler)),
@@ -58,7 +58,7 @@
 		Name: testMachineType, CPUs: 64, GPUs: 8, MemoryGB: 512,
 		ImageCacheGB: 100, ImageFetchGBps: 1, Zones: []string{"z"},
 	}
-	cell.put(record.SchemaVersionKey, record.SchemaVersion{Version: tuning.LevelCells})
+	cell.put(record.SchemaVersionKey, record.SchemaVersion{Version: tuning.SchemaVersionOffload})
 	cell.put(record.CatalogKey, wire.Catalog{Types: []wire.MachineType{machineType}})
 	cell.put(record.MachineKey(testMachine), record.Machine{Type: testMachineType, Zone: "z", Up: true})
 	cell.elect()
--- a/internal/record/chunk.go
+++ b/internal/record/chunk.go
@@ -7,7 +7,7 @@
 	"sableusher/internal/wire"
 )
 
-// FixedChunk holds tuning.ChunkTasks tasks of a job, each in full: the first layout of a job's records.
+// FixedChunk holds tuning.FixedChunkTasks tasks of a job, each in full: the first layout of a job's records.
 type FixedChunk struct {
 	Tasks    []Task `cbor:"k"`
 	Failures []int  `cbor:"f,omitempty"` // as in Job
@@ -69,7 +69,8 @@
 		}
 		for run := range slices.Chunk(group.IndexRuns, 2) {
 			first, following := run[0], run[1]
-			if first < 0 || first >= tuning.MaxTasks || following < 0 || len(tasks)+following >= tuning.ChunkTasks {
+			if first < 0 || first >= tuning.MaxTasksPerJob || following < 0 ||
+				len(tasks)+following >= tuning.FixedChunkTasks {
 				return nil, &IndexRunRangeError{First: first, Following: following}
 			}
 			for i := range following + 1 {
--- a/internal/scheduler/demand_test.go
+++ b/internal/scheduler/demand_test.go
@@ -17,7 +17,7 @@
 }
 
 // TestCommonTaskIsHalfOfAllCores: half of all cores asked for are for tasks of at least the common size; it stays
-// for tuning.CommonHold when larger work is over, and there is none beside work on GPUs.
+// for tuning.CommonTaskHold when larger work is over, and there is none beside work on GPUs.
 func TestCommonTaskIsHalfOfAllCores(t *testing.T) {
 	demand := newDemandState()
 	small := startableJob("small", wire.KindArray, 100, 1, 0)
@@ -34,7 +34,7 @@
 	demand.updateCommonTask(jobs, now)
 	check("large and huge have 224 of 324 cores", 8)
 	delete(jobs, "large")
-	now = now.Add(tuning.CommonHold)
+	now = now.Add(tuning.CommonTaskHold)
 	demand.updateCommonTask(jobs, now)
 	check("large is over", 8)
 	demand.updateCommonTask(jobs, now.Add(1))
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -82,7 +82,8 @@
 
 // New makes an engine; nothing runs before Run.
 func New(c Config) *Engine {
-	timing := failuredetector.Timing{HeartbeatInterval: c.Settings.Report(), LeaseDuration: c.Settings.Lease()}
+	timing := failuredetector.Timing{HeartbeatInterval: c.Settings.HeartbeatInterval(),
+		LeaseDuration: c.Settings.LeaseDuration()}
 	return &Engine{
 		dependencies: dependencies{
 			settings: c.Settings, operator: c.Operator, cluster: c.ClusterState, membership: c.Membership,
@@ -113,13 +114,13 @@
 	}
 }
 
-// Run runs a scheduling cycle after each change, and every tuning.PlaceIdle without one, until ctx ends. It returns
-// once all that the cycles have started has ended.
+// Run runs a scheduling cycle after each change, and every tuning.CycleIdleInterval without one, until ctx
+// ends. It returns once all that the cycles have started has ended.
 func (e *Engine) Run(ctx context.Context) error {
 	var running sync.WaitGroup
 	defer running.Wait()
 	clusterChanged := e.cluster.Subscribe()
-	idle := time.NewTimer(tuning.PlaceIdle)
+	idle := time.NewTimer(tuning.CycleIdleInterval)
 	defer idle.Stop()
 	for {
 		select {
@@ -133,13 +134,13 @@
 		start := time.Now()
 		e.runCycle(ctx, start, &running)
 		cycleDuration := time.Since(start)
-		idle.Reset(tuning.PlaceIdle)
+		idle.Reset(tuning.CycleIdleInterval)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		// Cycles that cost much come less often, so that heartbeats, polls and sessions keep their share of the
 		// processor.
-		case <-time.After(max(e.cycleInterval(), tuning.PlaceRest*cycleDuration)):
+		case <-time.After(max(e.cycleInterval(), tuning.CycleRestFactor*cycleDuration)):
 		}
 	}
 }
@@ -150,8 +151,8 @@
 	e.cluster.RLock()
 	machineCount := len(e.cluster.Machines)
 	e.cluster.RUnlock()
-	interval := tuning.PlaceGap * time.Duration(machineCount) / tuning.PlaceGapMachines
-	return min(max(tuning.PlaceGap, interval), tuning.PlaceGapMax)
+	interval := tuning.CycleMinInterval * time.Duration(machineCount) / tuning.CycleMinIntervalMachines
+	return min(max(tuning.CycleMinInterval, interval), tuning.CycleMinIntervalMax)
 }
 
 // wake asks for a cycle soon.
@@ -191,7 +192,7 @@
 	c := e.newCycle(now)
 	c.logsWaiting = e.log.Enabled(ctx, slog.LevelDebug)
 	c.adoptMachines()
-	if now.Sub(e.lastSweep) >= tuning.SweepEvery {
+	if now.Sub(e.lastSweep) >= tuning.SweepInterval {
 		e.lastSweep = now
 		c.sweep()
 	}
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -72,7 +72,7 @@
 	log := slog.New(slog.DiscardHandler)
 	settings := &config.Settings{Node: node}
 	deployment := &settings.Deployment
-	deployment.Size = testShards
+	deployment.NodeCount = testShards
 	deployment.Teams = []config.Team{{Name: "t"}}
 	deployment.Workers.ReportS, deployment.Workers.LeaseS, deployment.Workers.CancelS = 8, 45, 65
 	deployment.State.TxnOps = 32
@@ -80,7 +80,7 @@
 	client := kvstore.NewClient("127.0.0.1:1", limits, nil)
 	committer := kvstore.NewCommitter(client, func([]wire.Op, uint64) {})
 	members := membership.New(membership.Config{
-		NodeName: node, Incarnation: 1, NodeNames: nodes, SchemaVersion: tuning.Level,
+		NodeName: node, Incarnation: 1, NodeNames: nodes, SchemaVersion: tuning.SchemaVersion,
 		Client: client, Committer: committer, ClusterState: f.cluster, Logger: log,
 		Cache: kvstore.NewWatchCache(client, record.LivePrefix, f.cluster, log),
 	})
--- a/internal/scheduler/homeshard_test.go
+++ b/internal/scheduler/homeshard_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestOwnerWaitBeginsAnewWithProgress: a job waits for the owner of its home shard since it was first noted, until
-// a task of it is placed or it is not noted for longer than tuning.DealHold.
+// a task of it is placed or it is not noted for longer than tuning.HomeShardHold.
 func TestOwnerWaitBeginsAnewWithProgress(t *testing.T) {
 	job := &clusterstate.Job{Job: record.Job{Spec: wire.JobSpec{ID: "a", TaskCount: 4}}}
 	waits := ownerWaits{}
@@ -22,11 +22,11 @@
 		since time.Duration
 	}{
 		{"first", 0, 0, 0},
-		{"noted again", tuning.DealHold, 0, 0},
-		{"at the end of its time", 2 * tuning.DealHold, 0, 0},
-		{"not noted for longer", 3*tuning.DealHold + 1, 0, 3*tuning.DealHold + 1},
-		{"a task placed", 4 * tuning.DealHold, 1, 4 * tuning.DealHold},
-		{"noted again after it", 5 * tuning.DealHold, 1, 4 * tuning.DealHold},
+		{"noted again", tuning.HomeShardHold, 0, 0},
+		{"at the end of its time", 2 * tuning.HomeShardHold, 0, 0},
+		{"not noted for longer", 3*tuning.HomeShardHold + 1, 0, 3*tuning.HomeShardHold + 1},
+		{"a task placed", 4 * tuning.HomeShardHold, 1, 4 * tuning.HomeShardHold},
+		{"noted again after it", 5 * tuning.HomeShardHold, 1, 4 * tuning.HomeShardHold},
 	} {
 		job.BoundCount = step.bound
 		if since := waits.note(testNow.Add(step.after), job).Sub(testNow); since != step.since {
--- a/internal/scheduler/learner_checkpoint.go
+++ b/internal/scheduler/learner_checkpoint.go
@@ -31,9 +31,9 @@
 		node: e.settings.Node, cluster: e.cluster, committer: e.committer, reader: e.reader,
 	}
 	e.restoreLearner(ctx, checkpoints)
-	refit := time.NewTicker(config.Seconds(e.operator.RefitS))
+	refit := time.NewTicker(config.ToDuration(e.operator.RefitIntervalSeconds))
 	defer refit.Stop()
-	save := time.NewTicker(tuning.LearnSave)
+	save := time.NewTicker(tuning.LearnerCheckpointInterval)
 	defer save.Stop()
 	for {
 		select {
@@ -93,7 +93,7 @@
 	s.cluster.RLock()
 	version := s.cluster.SchemaVersion
 	s.cluster.RUnlock()
-	if version < tuning.LevelPipelines {
+	if version < tuning.SchemaVersionDependencies {
 		return []wire.Op{kvstore.PutOp(record.LearnerCheckpointKey(s.node), checkpoint)}
 	}
 	var ops []wire.Op
@@ -103,7 +103,7 @@
 	return ops
 }
 
-// load reads the checkpoint: in pieces, or as one record, as it was before tuning.LevelPipelines.
+// load reads the checkpoint: in pieces, or as one record, as it was before tuning.SchemaVersionDependencies.
 func (s learnerCheckpoints) load(ctx context.Context) (learner.Checkpoint, error) {
 	checkpoint, err := s.read(ctx, record.LearnerCheckpointPieceKey(s.node, 0))
 	if errors.Is(err, kvstore.ErrNotFound) {
@@ -131,7 +131,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(tuning.StateRetry):
+		case <-time.After(tuning.KVRetryPause):
 		}
 	}
 }
--- a/internal/scheduler/learner_reward.go
+++ b/internal/scheduler/learner_reward.go
@@ -23,7 +23,7 @@
 func (u *utilization) accrue(now time.Time, machines int) {
 	if !u.accruedAt.IsZero() {
 		elapsed := now.Sub(u.accruedAt).Seconds()
-		fade := math.Pow(0.5, elapsed/tuning.UtilizationFade.Seconds())
+		fade := math.Pow(0.5, elapsed/tuning.UtilizationHalfLife.Seconds())
 		u.finishedMachineS *= fade
 		u.heldMachineS = u.heldMachineS*fade + float64(machines)*elapsed
 	}
@@ -75,7 +75,7 @@
 // reward is the reward R of the paper's elastic provisioning problem (section 3.2): a combination of
 // responsiveness and utilization, weighted by the operator's lambda.
 func (l *learning) reward(responsiveness float64) float64 {
-	return l.operator.Lambda*responsiveness + (1-l.operator.Lambda)*l.utilization.value()
+	return l.operator.ResponsivenessWeight*responsiveness + (1-l.operator.ResponsivenessWeight)*l.utilization.value()
 }
 
 // recentResponsivenessWindow is over how many tasks the recent responsiveness fades.
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -47,10 +47,10 @@
 		operator: operator,
 		log:      log,
 		learner: learner.New(learner.Config{
-			LearningRate:    operator.LearnRate,
+			LearningRate:    operator.LearningRate,
 			Discount:        operator.Discount,
 			ExplorationRate: operator.Exploration,
-			WarmUpRewards:   operator.ColdPayoffs,
+			WarmUpRewards:   operator.WarmUpRewards,
 			Seed:            seed,
 			Logger:          log,
 		}),
@@ -67,7 +67,7 @@
 // the action is scored anew.
 func (c *cycle) recordDecision(queued *queuedJob, binding pendingBinding, attempt uint64) {
 	l := &c.learning
-	if !l.operator.Learn {
+	if !l.operator.LearningEnabled {
 		return
 	}
 	choice := c.scoreJob(queued.job)
@@ -86,11 +86,11 @@
 		l.startedAt[start] = task.Since
 	}
 	id, ok := l.pendingRewards[start]
-	if !ok || binding.Job.Spec.Kind != wire.KindService || now.Sub(task.Since) <= tuning.ServicePayoff {
+	if !ok || binding.Job.Spec.Kind != wire.KindService || now.Sub(task.Since) <= tuning.ServiceRewardAfter {
 		return
 	}
 	waited := max(0, task.Since.Sub(binding.Job.ReadySince()).Seconds())
-	ran := tuning.ServicePayoff.Seconds()
+	ran := tuning.ServiceRewardAfter.Seconds()
 	l.giveReward(id, start, ran/(ran+waited))
 }
 
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -49,11 +49,11 @@
 // controllerInZone reports whether a controller stands in a zone and would renew leases there while the zone is cut
 // off.
 func (c *cycle) controllerInZone(zone string) bool {
-	if c.cluster.SchemaVersion < tuning.LevelCertain {
+	if c.cluster.SchemaVersion < tuning.SchemaVersionConfirmedCancel {
 		return false
 	}
-	inZone := func(sibling config.Sibling) bool { return sibling.Zone == zone }
-	return c.settings.Zone == zone || slices.ContainsFunc(c.settings.Siblings, inZone)
+	inZone := func(sibling config.Peer) bool { return sibling.Zone == zone }
+	return c.settings.Zone == zone || slices.ContainsFunc(c.settings.Peers, inZone)
 }
 
 // countReachableZones counts the zones that are not cut off.
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -17,8 +17,8 @@
 // cancellation may take, while agents go on sending heartbeats to the old leader, which
 // knows nothing of all that. Drawn are the spans, whether the leader is refused ahead of, within or
 // after the outage, whether its process ends in the gap and comes back without a cluster state, and from
-// which schema version on the day begins: below tuning.LevelCertain cancellations are confirmed at once,
-// and the version may rise just before the gap.
+// which schema version on the day begins: below tuning.SchemaVersionConfirmedCancel cancellations are confirmed
+// at once, and the version may rise just before the gap.
 type refusalDay struct {
 	random *rand.Rand
 	region *Region
@@ -52,7 +52,7 @@
 		r.AddController(ctx, faultDaySettings(i))
 		if d.oldVersion {
 			r.KillController(i)
-			r.controllers[i].SchemaVersion = tuning.LevelCertain - 1
+			r.controllers[i].SchemaVersion = tuning.SchemaVersionConfirmedCancel - 1
 			r.StartController(ctx, i)
 		}
 	}
@@ -60,7 +60,7 @@
 		d.submit(ctx, i+1)
 	}
 	d.sleepUntilRefusal(ctx)
-	d.outage = r.Settings.Cancel() + d.secondsIn(2, 30)
+	d.outage = r.Settings.CancelDeadline() + d.secondsIn(2, 30)
 	d.leader = r.LeaderIndex()
 	d.refuseAroundOutage(ctx)
 	if oneInThree(d.random) && !plantsDefect {
@@ -96,7 +96,7 @@
 	}
 	time.Sleep(refusalAt + replacement)
 	for i := range threeControllers {
-		d.region.controllers[i].SchemaVersion = tuning.Level
+		d.region.controllers[i].SchemaVersion = tuning.SchemaVersion
 		d.region.RestartController(ctx, i, 300*time.Millisecond)
 		time.Sleep(800 * time.Millisecond)
 	}
--- a/internal/simulation/faultday_test.go
+++ b/internal/simulation/faultday_test.go
@@ -106,7 +106,7 @@
 func jobOfSeveralRecords(number int) userJob {
 	spec := newSpec(number, wire.KindArray)
 	spec.Class, spec.Image = "many", "img-1"
-	spec.TaskCount = tuning.ChunkTasks + 5
+	spec.TaskCount = tuning.FixedChunkTasks + 5
 	spec.CPUs, spec.GPUs, spec.MemoryGB = 0.1, 0, 0.2
 	spec.RuntimeEstimateSeconds = 30
 	return userJob{spec: spec, runSeconds: 30}
@@ -133,7 +133,7 @@
 	time.Sleep(secondsBetween(random, 25, 20))
 	last := d.injectFaults(ctx, r, random)
 	settled := max(time.Until(last), 5*time.Minute-time.Since(start))
-	time.Sleep(settled + r.Settings.Lease() + r.Settings.Cancel() + 40*time.Second)
+	time.Sleep(settled + r.Settings.LeaseDuration() + r.Settings.CancelDeadline() + 40*time.Second)
 	r.Checker.FaultsEnded()
 	r.waitUntilFinished(90)
 	time.Sleep(80 * time.Second)
