--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -49,7 +49,7 @@
 	if machine != nil {
 		update = updateOf(changeOfMachineUp, machine)
 	} else {
-		c.log.Info("adopting a machine", "machine", name, "type", heartbeat.MachineType, "zone", heartbeat.Zone)
+		c.log.Info("adopting a machine", "machine", name, "machine_type", heartbeat.MachineType, "zone", heartbeat.Zone)
 	}
 	session := recordedSession(heartbeat.Session)
 	newSession := machine != nil && update.machine.Session != session
