--- a/cmd/sableusher/graph.go
+++ b/cmd/sableusher/graph.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		return nil, err
 	}
-	checker.rules.Repeats = retry.NewPolicies(operator.Classes)
+	checker.rules.RetryPolicies = retry.NewPolicies(operator.Classes)
 	if checker.params, err = parseParams(options.params); err != nil {
 		return nil, err
 	}
--- a/cmd/sableusher/graph_check.go
+++ b/cmd/sableusher/graph_check.go
@@ -36,7 +36,7 @@
 	if err != nil {
 		return graphReport{}, fmt.Errorf("--run-date: %w", err)
 	}
-	jobs, faults := parsed.Compile(graph.Run{ID: c.runID, At: logicalDate, Params: c.params}, c.rules)
+	jobs, faults := parsed.Compile(graph.Run{ID: c.runID, LogicalDate: logicalDate, Params: c.params}, c.rules)
 	if len(faults) > 0 {
 		report.Faults = faults
 		return report, nil
@@ -53,11 +53,11 @@
 		if text == "" {
 			continue
 		}
-		zone, err := parsed.Zone()
+		zone, err := parsed.Location()
 		if err != nil {
 			return time.Time{}, err
 		}
-		if date, err = graph.Date(text, zone); err != nil {
+		if date, err = graph.ParseDate(text, zone); err != nil {
 			return time.Time{}, err
 		}
 	}
--- a/cmd/sableusher/graph_report.go
+++ b/cmd/sableusher/graph_report.go
@@ -59,21 +59,21 @@
 	var plan []plannedJob
 	for _, job := range jobs {
 		planned := plannedJob{
-			TaskID:      job.Task,
+			TaskID:      job.TaskID,
 			JobID:       job.Spec.ID,
 			Class:       job.Spec.Class,
 			Team:        job.Spec.Team,
 			Image:       job.Spec.Image,
 			TaskCount:   job.Spec.TaskCount,
 			MaxRetries:  job.Spec.MaxRetries,
-			TriggerRule: job.Rule,
+			TriggerRule: job.TriggerRule,
 			Upstream:    []string{},
 			ReleasedBy:  releasedByRecords,
 		}
-		if job.Map >= 0 {
-			planned.MapIndex = &job.Map
+		if job.MapIndex >= 0 {
+			planned.MapIndex = &job.MapIndex
 		}
-		if job.Held {
+		if job.Deferred {
 			planned.ReleasedBy = releasedByRun
 		}
 		for _, position := range job.Upstream {
--- a/internal/graph/compile.go
+++ b/internal/graph/compile.go
@@ -20,28 +20,28 @@
 
 // Run is one run of a graph.
 type Run struct {
-	ID     string
-	At     time.Time      // its logical date
-	Params map[string]any // over the graph's own
+	ID          string
+	LogicalDate time.Time      // its logical date
+	Params      map[string]any // over the graph's own
 }
 
 // Rules is what a deployment allows. Without teams none are checked.
 type Rules struct {
-	Teams   map[string]config.Team
-	Types   map[string]wire.MachineType
-	Repeats retry.Policies
+	Teams         map[string]config.Team
+	MachineTypes  map[string]wire.MachineType
+	RetryPolicies retry.Policies
 }
 
 // Job is one instance of a task, as a native job.
 type Job struct {
-	Task     string // its id in the graph
-	Map      int    // its number among a mapped task's instances; -1 if the task is not mapped
-	Rule     string // its trigger rule
-	Spec     wire.JobSpec
-	Upstream []int // jobs that it waits for, by their place in the list
-	// Held tells that a run's owner has to submit it once its rule, or that of one before
+	TaskID      string // its id in the graph
+	MapIndex    int    // its number among a mapped task's instances; -1 if the task is not mapped
+	TriggerRule string // its trigger rule
+	Spec        wire.JobSpec
+	Upstream    []int // jobs that it waits for, by their place in the list
+	// Deferred tells that a run's owner has to submit it once its rule, or that of one before
 	// it, is met; all others can be submitted at once, as what they await releases them.
-	Held bool
+	Deferred bool
 }
 
 // JobID is the id of a task's job in a run: 20 digits from a 9 on, from a hash of what names
@@ -63,11 +63,11 @@
 		}
 		params[name] = v
 	}
-	if n := g.instances(params); n > tuning.GraphTasks {
+	if n := g.instanceCount(params); n > tuning.GraphTasks {
 		g.fault(&faults, "/tasks", "%d tasks with those that are mapped, at most %d", n, tuning.GraphTasks)
 		return nil, faults
 	}
-	up := g.upstream()
+	up := g.upstreamTasks()
 	place := map[string]int{}
 	for i, t := range g.Tasks {
 		place[t.ID] = i
@@ -75,12 +75,12 @@
 	var jobs []Job
 	of := map[string][]int{} // a task's jobs
 	held := map[string]bool{}
-	base := g.names(run, params)
-	for _, i := range g.order(up, place) {
+	base := g.templateVariables(run, params)
+	for _, i := range g.topologicalOrder(up, place) {
 		t := &g.Tasks[i]
-		args := t.Args.over(g.DefaultArgs)
-		rule := cmp.Or(args.TriggerRule, AllSuccess)
-		held[t.ID] = rule != AllSuccess || slices.ContainsFunc(up[t.ID], func(u string) bool { return held[u] })
+		args := t.TaskArgs.withDefaults(g.DefaultArgs)
+		rule := cmp.Or(args.TriggerRule, TriggerAllSuccess)
+		held[t.ID] = rule != TriggerAllSuccess || slices.ContainsFunc(up[t.ID], func(u string) bool { return held[u] })
 		var before []int
 		for _, u := range up[t.ID] {
 			before = append(before, of[u]...)
@@ -89,18 +89,18 @@
 		if len(before) > tuning.GraphAwaits && !held[t.ID] {
 			g.fault(&faults, path+"/upstream_task_ids", "waits for %d jobs, at most %d", len(before), tuning.GraphAwaits)
 		}
-		items, mapped := t.items(params), t.Expand != nil
+		items, mapped := t.mappedItems(params), t.Expand != nil
 		for k := range max(1, len(items)) {
-			j := Job{Task: t.ID, Map: -1, Rule: rule, Upstream: before, Held: held[t.ID]}
+			j := Job{TaskID: t.ID, MapIndex: -1, TriggerRule: rule, Upstream: before, Deferred: held[t.ID]}
 			names := maps.Clone(base)
 			names["task"] = map[string]any{"task_id": t.ID}
 			if mapped {
-				j.Map = k
+				j.MapIndex = k
 				names["item"], names["map_index"] = items[k], k
 			}
-			j.Spec = g.spec(&faults, path, &args, names, rules)
-			j.Spec.ID = JobID(g.ID, run.ID, t.ID, j.Map)
-			if !j.Held {
+			j.Spec = g.jobSpec(&faults, path, &args, names, rules)
+			j.Spec.ID = JobID(g.ID, run.ID, t.ID, j.MapIndex)
+			if !j.Deferred {
 				for _, b := range before {
 					j.Spec.Dependencies = append(j.Spec.Dependencies, jobs[b].Spec.ID)
 				}
@@ -109,11 +109,11 @@
 			jobs = append(jobs, j)
 		}
 	}
-	return jobs, sorted(faults)
+	return jobs, sortFaults(faults)
 }
 
-// order gives the tasks' places, each after its upstream, else as in the file.
-func (g *Graph) order(up map[string][]string, place map[string]int) []int {
+// topologicalOrder gives the tasks' places, each after its upstream, else as in the file.
+func (g *Graph) topologicalOrder(up map[string][]string, place map[string]int) []int {
 	var out []int
 	done := map[string]bool{}
 	var visit func(id string)
@@ -133,8 +133,8 @@
 	return out
 }
 
-// over gives the arguments with a graph's defaults where they say nothing.
-func (a Args) over(defaults Args) Args {
+// withDefaults gives the arguments with a graph's defaults where they say nothing.
+func (a TaskArgs) withDefaults(defaults TaskArgs) TaskArgs {
 	v, d := reflect.ValueOf(&a).Elem(), reflect.ValueOf(defaults)
 	for i := range v.NumField() {
 		if v.Field(i).IsZero() {
@@ -144,10 +144,10 @@
 	return a
 }
 
-// names are what the templates of all of a run's tasks may use.
-func (g *Graph) names(run Run, params map[string]any) map[string]any {
-	at := run.At
-	if zone, err := g.Zone(); err == nil {
+// templateVariables are what the templates of all of a run's tasks may use.
+func (g *Graph) templateVariables(run Run, params map[string]any) map[string]any {
+	at := run.LogicalDate
+	if zone, err := g.Location(); err == nil {
 		at = at.In(zone)
 	}
 	return map[string]any{
@@ -158,15 +158,15 @@
 	}
 }
 
-// spec gives a task's job without id and awaits, with the faults that its submission would
+// jobSpec gives a task's job without id and awaits, with the faults that its submission would
 // be refused for.
-func (g *Graph) spec(out *[]Fault, path string, a *Args, names map[string]any, rules Rules) wire.JobSpec {
+func (g *Graph) jobSpec(out *[]Fault, path string, a *TaskArgs, names map[string]any, rules Rules) wire.JobSpec {
 	before := len(*out)
 	text := func(field, v string, needed bool) string {
 		if v == "" && needed {
 			g.fault(out, path+"/"+field, "%s is missing, here and in default_args", field)
 		}
-		if !templated(v) {
+		if !isTemplate(v) {
 			return v
 		}
 		text, err := render(v, names)
@@ -178,7 +178,7 @@
 		return text
 	}
 	amount := func(field string, v any) float64 {
-		n, err := number(v, names)
+		n, err := renderNumber(v, names)
 		if err != nil {
 			g.fault(out, path+"/"+field, "%v", err)
 		} else if n < 0 || n > tuning.MaxAmount || math.IsNaN(n) {
@@ -194,7 +194,7 @@
 		return int(n)
 	}
 	yes := func(field string, v any) bool {
-		b, err := flag(v, names)
+		b, err := renderBool(v, names)
 		if err != nil {
 			g.fault(out, path+"/"+field, "%v", err)
 		}
@@ -204,20 +204,20 @@
 		Class: text("class", a.Class, true), Team: text("team", a.Team, true), Image: text("image", a.Image, true), Zone: text("zone", a.Zone, false),
 		Kind:      map[string]wire.JobKind{"": wire.KindArray, "array": wire.KindArray, "gang": wire.KindGang}[a.Kind],
 		Priority:  map[string]wire.Priority{"": wire.PriorityNormal, "high": wire.PriorityHigh, "normal": wire.PriorityNormal, "low": wire.PriorityLow}[a.Priority],
-		TaskCount: 1, CPUs: amount("cpus", a.CPUs), GPUs: amount("gpus", a.GPUs), MemoryGB: amount("memory_gb", a.MemoryGB), ImageSizeGB: amount("image_gb", a.ImageGB),
-		SameZone: yes("one_zone", a.OneZone), Spread: yes("spread", a.Spread), AllowSpot: yes("spot", a.Spot),
+		TaskCount: 1, CPUs: amount("cpus", a.CPUs), GPUs: amount("gpus", a.GPUs), MemoryGB: amount("memory_gb", a.MemoryGB), ImageSizeGB: amount("image_gb", a.ImageSizeGB),
+		SameZone: yes("one_zone", a.SameZone), Spread: yes("spread", a.Spread), AllowSpot: yes("spot", a.AllowSpot),
 		JobTiming: wire.JobTiming{
-			RuntimeEstimateSeconds:    amount("estimate_s", a.EstimateS),
-			CheckpointIntervalSeconds: amount("checkpoint_s", a.CheckpointS),
-			CheckpointSaveSeconds:     amount("save_s", a.SaveS),
-			DeadlineSeconds:           amount("deadline_s", a.DeadlineS),
+			RuntimeEstimateSeconds:    amount("estimate_s", a.RuntimeEstimateSeconds),
+			CheckpointIntervalSeconds: amount("checkpoint_s", a.CheckpointIntervalSeconds),
+			CheckpointSaveSeconds:     amount("save_s", a.CheckpointSaveSeconds),
+			DeadlineSeconds:           amount("deadline_s", a.DeadlineSeconds),
 		},
 	}
-	for i, t := range a.Types {
+	for i, t := range a.MachineTypes {
 		s.MachineTypes = append(s.MachineTypes, text(fmt.Sprintf("types/%d", i), t, true))
 	}
-	if a.Count != nil {
-		s.TaskCount = whole("count", a.Count, 1, tuning.MaxTasks)
+	if a.TaskCount != nil {
+		s.TaskCount = whole("count", a.TaskCount, 1, tuning.MaxTasks)
 	}
 	var asked *int
 	if a.Retries != nil {
@@ -233,13 +233,13 @@
 		g.fault(out, path, "as a job: %v", err)
 		return s
 	}
-	limit, err := rules.Repeats.MaxRetries(s.Class, asked)
+	limit, err := rules.RetryPolicies.MaxRetries(s.Class, asked)
 	if err != nil {
 		g.fault(out, path+"/retries", "%v", err)
 	}
 	s.MaxRetries = limit
 	if rules.Teams != nil {
-		if err := admission.Validate(&s, rules.Teams, rules.Types); err != nil {
+		if err := admission.Validate(&s, rules.Teams, rules.MachineTypes); err != nil {
 			g.fault(out, path, "%v", err)
 		}
 	}
--- a/internal/graph/file.go
+++ b/internal/graph/parse.go
@@ -27,7 +27,7 @@
 // Schema is the JSON Schema (draft 2020-12) that files are checked against.
 func Schema() []byte { return slices.Clone(schemaText) }
 
-var schema = sync.OnceValue(func() *jsonschema.Schema {
+var compiledSchema = sync.OnceValue(func() *jsonschema.Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
 		panic(err)
@@ -41,15 +41,15 @@
 
 // Fault is something wrong with a file.
 type Fault struct {
-	File   string `json:"file"`
-	Line   int    `json:"line"`   // from 1; 0 if it concerns the whole file
-	Column int    `json:"column"` // from 1
-	Path   string `json:"path"`   // of the value, as /tasks/3/image
-	What   string `json:"what"`
+	File    string `json:"file"`
+	Line    int    `json:"line"`   // from 1; 0 if it concerns the whole file
+	Column  int    `json:"column"` // from 1
+	Path    string `json:"path"`   // of the value, as /tasks/3/image
+	Message string `json:"what"`
 }
 
 func (f Fault) String() string {
-	return fmt.Sprintf("%s:%d:%d: %s: %s", f.File, f.Line, f.Column, f.Path, f.What)
+	return fmt.Sprintf("%s:%d:%d: %s: %s", f.File, f.Line, f.Column, f.Path, f.Message)
 }
 
 // Graph is a graph as its file describes it.
@@ -63,7 +63,7 @@
 	EndDate       string         `json:"end_date"`
 	Catchup       bool           `json:"catchup"`
 	MaxActiveRuns int            `json:"max_active_runs"`
-	DefaultArgs   Args           `json:"default_args"`
+	DefaultArgs   TaskArgs       `json:"default_args"`
 	Params        map[string]any `json:"params"`
 	Groups        []Group        `json:"task_groups"`
 	Tasks         []Task         `json:"tasks"`
@@ -78,46 +78,46 @@
 	Upstream []string `json:"upstream_task_ids"`
 }
 
-// Args is what a task says of its job; any value but a name may be a template.
-type Args struct {
-	Owner       string   `json:"owner"` // for people only
-	Retries     any      `json:"retries"`
-	RetryDelay  *float64 `json:"retry_delay"` // seconds
-	TriggerRule string   `json:"trigger_rule"`
-	Class       string   `json:"class"`
-	Team        string   `json:"team"`
-	Kind        string   `json:"kind"`
-	Priority    string   `json:"priority"`
-	Count       any      `json:"count"`
-	CPUs        any      `json:"cpus"`
-	GPUs        any      `json:"gpus"`
-	MemoryGB    any      `json:"memory_gb"`
-	Image       string   `json:"image"`
-	ImageGB     any      `json:"image_gb"`
-	Types       []string `json:"types"`
-	Zone        string   `json:"zone"`
-	OneZone     any      `json:"one_zone"`
-	Spread      any      `json:"spread"`
-	Spot        any      `json:"spot"`
-	EstimateS   any      `json:"estimate_s"`
-	CheckpointS any      `json:"checkpoint_s"`
-	SaveS       any      `json:"save_s"`
-	DeadlineS   any      `json:"deadline_s"`
+// TaskArgs is what a task says of its job; any value but a name may be a template.
+type TaskArgs struct {
+	Owner                     string   `json:"owner"` // for people only
+	Retries                   any      `json:"retries"`
+	RetryDelaySeconds         *float64 `json:"retry_delay"` // seconds
+	TriggerRule               string   `json:"trigger_rule"`
+	Class                     string   `json:"class"`
+	Team                      string   `json:"team"`
+	Kind                      string   `json:"kind"`
+	Priority                  string   `json:"priority"`
+	TaskCount                 any      `json:"count"`
+	CPUs                      any      `json:"cpus"`
+	GPUs                      any      `json:"gpus"`
+	MemoryGB                  any      `json:"memory_gb"`
+	Image                     string   `json:"image"`
+	ImageSizeGB               any      `json:"image_gb"`
+	MachineTypes              []string `json:"types"`
+	Zone                      string   `json:"zone"`
+	SameZone                  any      `json:"one_zone"`
+	Spread                    any      `json:"spread"`
+	AllowSpot                 any      `json:"spot"`
+	RuntimeEstimateSeconds    any      `json:"estimate_s"`
+	CheckpointIntervalSeconds any      `json:"checkpoint_s"`
+	CheckpointSaveSeconds     any      `json:"save_s"`
+	DeadlineSeconds           any      `json:"deadline_s"`
 }
 
 // Task is one task of a graph.
 type Task struct {
 	ID       string   `json:"task_id"`
 	Upstream []string `json:"upstream_task_ids"`
-	Group    string   `json:"task_group"`
+	GroupID  string   `json:"task_group"`
 	Expand   any      `json:"expand"` // a list, or a map with the name of a parameter
-	Args
+	TaskArgs
 }
 
-// fields are the names that tasks and their defaults know.
-var fields = func() map[string]bool {
+// knownFields are the names that tasks and their defaults know.
+var knownFields = func() map[string]bool {
 	out := map[string]bool{}
-	for _, t := range []reflect.Type{reflect.TypeFor[Task](), reflect.TypeFor[Args]()} {
+	for _, t := range []reflect.Type{reflect.TypeFor[Task](), reflect.TypeFor[TaskArgs]()} {
 		for i := range t.NumField() {
 			out[t.Field(i).Tag.Get("json")] = true
 		}
@@ -128,7 +128,7 @@
 // Parse reads a graph from a file's content and gives every fault that the file alone
 // shows. The graph is nil if its shape is not that of one.
 func Parse(file string, content []byte) (*Graph, []Fault) {
-	whole := func(what string) []Fault { return []Fault{{File: file, Path: "/", What: what}} }
+	whole := func(what string) []Fault { return []Fault{{File: file, Path: "/", Message: what}} }
 	if len(content) > tuning.GraphBytes {
 		return nil, whole(fmt.Sprintf("more than %d bytes", tuning.GraphBytes))
 	}
@@ -141,21 +141,21 @@
 		return nil, whole("more than one document")
 	}
 	g := &Graph{file: file, root: doc.Content[0]}
-	r := reader{left: tuning.GraphValues}
+	r := documentReader{remainingValues: tuning.GraphValues}
 	value := r.value(g.root, "")
 	var faults []Fault
 	for _, f := range r.faults {
 		g.fault(&faults, f.path, "%s", f.what)
 	}
-	if r.left < 0 {
+	if r.remainingValues < 0 {
 		return nil, whole(fmt.Sprintf("more than %d values, or more than %d within each other", tuning.GraphValues, tuning.GraphDepth))
 	}
-	if err := schema().Validate(value); err != nil {
+	if err := compiledSchema().Validate(value); err != nil {
 		var v *jsonschema.ValidationError
 		if !errors.As(err, &v) {
 			return nil, whole(err.Error())
 		}
-		g.invalid(&faults, v)
+		g.addSchemaFaults(&faults, v)
 	}
 	b, err := json.Marshal(value)
 	if err == nil {
@@ -165,14 +165,14 @@
 		if len(faults) == 0 {
 			faults = whole(err.Error())
 		}
-		return nil, sorted(faults)
+		return nil, sortFaults(faults)
 	}
-	g.structure(&faults)
-	return g, sorted(faults)
+	g.checkStructure(&faults)
+	return g, sortFaults(faults)
 }
 
-// sorted puts faults in the order of the file, each once.
-func sorted(faults []Fault) []Fault {
+// sortFaults puts faults in the order of the file, each once.
+func sortFaults(faults []Fault) []Fault {
 	slices.SortStableFunc(faults, func(a, b Fault) int {
 		if a.Line != b.Line {
 			return a.Line - b.Line
@@ -182,25 +182,25 @@
 	return slices.Compact(faults)
 }
 
-// invalid gives the innermost causes of a violation of the schema; where one of several
+// addSchemaFaults gives the innermost causes of a violation of the schema; where one of several
 // forms was wanted, all that was in the way of each at once.
-func (g *Graph) invalid(out *[]Fault, v *jsonschema.ValidationError) {
-	path := pointer(v.InstanceLocation)
+func (g *Graph) addSchemaFaults(out *[]Fault, v *jsonschema.ValidationError) {
+	path := jsonPointer(v.InstanceLocation)
 	switch k := v.ErrorKind.(type) {
 	case *kind.FalseSchema:
 		// Beside another fault in the same mapping the schema takes its known fields for
 		// unknown ones as well.
-		if name := v.InstanceLocation[len(v.InstanceLocation)-1]; !fields[name] {
+		if name := v.InstanceLocation[len(v.InstanceLocation)-1]; !knownFields[name] {
 			g.fault(out, path, "unknown field")
 		}
 	case *kind.OneOf:
 		var causes []Fault
 		for _, c := range v.Causes {
-			g.invalid(&causes, c)
+			g.addSchemaFaults(&causes, c)
 		}
 		var what []string
 		for _, c := range causes {
-			what = append(what, c.What)
+			what = append(what, c.Message)
 		}
 		g.fault(out, path, "%s", strings.Join(what, ", or "))
 	default:
@@ -208,24 +208,24 @@
 			g.fault(out, path, "%s", k.LocalizedString(message.NewPrinter(language.English)))
 		}
 		for _, c := range v.Causes {
-			g.invalid(out, c)
+			g.addSchemaFaults(out, c)
 		}
 	}
 }
 
-func pointer(path []string) string { return "/" + strings.Join(path, "/") }
+func jsonPointer(path []string) string { return "/" + strings.Join(path, "/") }
 
 // fault adds a fault at a path, with the place where its value stands.
 func (g *Graph) fault(out *[]Fault, path, format string, a ...any) {
 	n := g.node(path)
-	*out = append(*out, Fault{File: g.file, Line: n.Line, Column: n.Column, Path: path, What: fmt.Sprintf(format, a...)})
+	*out = append(*out, Fault{File: g.file, Line: n.Line, Column: n.Column, Path: path, Message: fmt.Sprintf(format, a...)})
 }
 
 // node finds the value at a path, or the innermost one on the way to it that exists.
 func (g *Graph) node(path string) *yaml.Node {
 	n := g.root
 	for _, step := range strings.Split(strings.Trim(path, "/"), "/") {
-		next := child(n, step)
+		next := childNode(n, step)
 		if next == nil {
 			break
 		}
@@ -234,7 +234,7 @@
 	return n
 }
 
-func child(n *yaml.Node, step string) *yaml.Node {
+func childNode(n *yaml.Node, step string) *yaml.Node {
 	for n.Kind == yaml.AliasNode {
 		n = n.Alias
 	}
@@ -253,24 +253,24 @@
 	return nil
 }
 
-// reader turns a document into the values that JSON has. It counts them, as aliases
+// documentReader turns a document into the values that JSON has. It counts them, as aliases
 // let a short file grow without bound.
-type reader struct {
-	left   int
-	depth  int
-	faults []struct{ path, what string }
+type documentReader struct {
+	remainingValues int
+	depth           int
+	faults          []struct{ path, what string }
 }
 
-func (r *reader) fault(path, what string) {
+func (r *documentReader) fault(path, what string) {
 	r.faults = append(r.faults, struct{ path, what string }{path, what})
 }
 
-func (r *reader) value(n *yaml.Node, path string) any {
-	if r.left--; r.left < 0 {
+func (r *documentReader) value(n *yaml.Node, path string) any {
+	if r.remainingValues--; r.remainingValues < 0 {
 		return nil
 	}
 	if r.depth++; r.depth > tuning.GraphDepth {
-		r.left = -1 // an alias within what it stands for never ends
+		r.remainingValues = -1 // an alias within what it stands for never ends
 	}
 	defer func() { r.depth-- }()
 	switch n.Kind {
@@ -307,7 +307,7 @@
 }
 
 // mapping reads a mapping; what it merges in gives way to what it says itself.
-func (r *reader) mapping(n *yaml.Node, path string, out map[string]any, merged bool) {
+func (r *documentReader) mapping(n *yaml.Node, path string, out map[string]any, merged bool) {
 	own := map[string]bool{}
 	var merges []*yaml.Node
 	for i := 0; i+1 < len(n.Content); i += 2 {
@@ -325,9 +325,9 @@
 		}
 		out[k.Value] = r.value(v, path+"/"+k.Value)
 	}
-	for len(merges) > 0 && r.left >= 0 {
-		if r.left--; r.depth > tuning.GraphDepth {
-			r.left = -1
+	for len(merges) > 0 && r.remainingValues >= 0 {
+		if r.remainingValues--; r.depth > tuning.GraphDepth {
+			r.remainingValues = -1
 		}
 		m := merges[0]
 		merges = merges[1:]
--- a/internal/graph/structure.go
+++ b/internal/graph/structure.go
@@ -11,16 +11,16 @@
 
 // Trigger rules: when a task may start, given how its upstream tasks ended.
 const (
-	AllSuccess = "all_success" // the default, and what awaits of native jobs mean
-	AllDone    = "all_done"
-	OneSuccess = "one_success"
-	OneFailed  = "one_failed"
-	NoneFailed = "none_failed"
-	Always     = "always"
+	TriggerAllSuccess = "all_success" // the default, and what awaits of native jobs mean
+	TriggerAllDone    = "all_done"
+	TriggerOneSuccess = "one_success"
+	TriggerOneFailed  = "one_failed"
+	TriggerNoneFailed = "none_failed"
+	TriggerAlways     = "always"
 )
 
-// Date reads a date, or a time as in RFC 3339, in a graph's time zone.
-func Date(text string, zone *time.Location) (time.Time, error) {
+// ParseDate reads a date, or a time as in RFC 3339, in a graph's time zone.
+func ParseDate(text string, zone *time.Location) (time.Time, error) {
 	for _, layout := range []string{time.RFC3339, "2006-01-02T15:04:05", "2006-01-02 15:04:05", time.DateOnly} {
 		if t, err := time.ParseInLocation(layout, text, zone); err == nil {
 			return t, nil
@@ -29,23 +29,23 @@
 	return time.Time{}, fmt.Errorf("%q is neither a date nor a time", text)
 }
 
-// Zone is the graph's time zone.
-func (g *Graph) Zone() (*time.Location, error) {
+// Location is the graph's time zone.
+func (g *Graph) Location() (*time.Location, error) {
 	if g.Timezone == "" {
 		return time.UTC, nil
 	}
 	return time.LoadLocation(g.Timezone)
 }
 
-// structure checks what no schema can say.
-func (g *Graph) structure(out *[]Fault) {
-	zone, err := g.Zone()
+// checkStructure checks what no schema can say.
+func (g *Graph) checkStructure(out *[]Fault) {
+	zone, err := g.Location()
 	if err != nil {
 		g.fault(out, "/timezone", "%v", err)
 		zone = time.UTC
 	}
 	for path, text := range map[string]string{"/start_date": g.StartDate, "/end_date": g.EndDate} {
-		if _, err := Date(text, zone); text != "" && err != nil {
+		if _, err := ParseDate(text, zone); text != "" && err != nil {
 			g.fault(out, path, "%v", err)
 		}
 	}
@@ -73,8 +73,8 @@
 			g.fault(out, path+"/task_id", "%s is a group's name", t.ID)
 		}
 		known[t.ID] = true
-		if t.Group != "" && !groups[t.Group] {
-			g.fault(out, path+"/task_group", "there is no group %s", t.Group)
+		if t.GroupID != "" && !groups[t.GroupID] {
+			g.fault(out, path+"/task_group", "there is no group %s", t.GroupID)
 		}
 		if m, ok := t.Expand.(map[string]any); ok {
 			name, _ := m["param"].(string)
@@ -99,20 +99,20 @@
 	for i, t := range g.Tasks {
 		names(fmt.Sprintf("/tasks/%d", i), t.Upstream, t.ID)
 	}
-	if cycle := g.cycle(); cycle != nil {
+	if cycle := g.findCycle(); cycle != nil {
 		i := slices.IndexFunc(g.Tasks, func(t Task) bool { return t.ID == cycle[0] })
 		g.fault(out, fmt.Sprintf("/tasks/%d/upstream_task_ids", i), "a cycle: %s", strings.Join(cycle, " <- "))
 	}
 }
 
-// upstream gives the tasks that a task waits for: those that it names, the ends of
+// upstreamTasks gives the tasks that a task waits for: those that it names, the ends of
 // groups that it names, and what its group waits for if it is one of the group's first.
-func (g *Graph) upstream() map[string][]string {
+func (g *Graph) upstreamTasks() map[string][]string {
 	group, members, above := map[string]string{}, map[string][]string{}, map[string][]string{}
 	for _, t := range g.Tasks {
-		group[t.ID] = t.Group
-		if t.Group != "" {
-			members[t.Group] = append(members[t.Group], t.ID)
+		group[t.ID] = t.GroupID
+		if t.GroupID != "" {
+			members[t.GroupID] = append(members[t.GroupID], t.ID)
 		}
 	}
 	for _, gr := range g.Groups {
@@ -121,7 +121,7 @@
 	inner := map[string]bool{} // tasks that another one of their group waits for
 	for _, t := range g.Tasks {
 		for _, u := range t.Upstream {
-			if t.Group != "" && group[u] == t.Group && u != t.ID {
+			if t.GroupID != "" && group[u] == t.GroupID && u != t.ID {
 				inner[u] = true
 			}
 		}
@@ -129,8 +129,8 @@
 	out := map[string][]string{}
 	for _, t := range g.Tasks {
 		list := slices.Clone(t.Upstream)
-		if t.Group != "" && !slices.ContainsFunc(t.Upstream, func(u string) bool { return group[u] == t.Group }) {
-			list = append(list, above[t.Group]...)
+		if t.GroupID != "" && !slices.ContainsFunc(t.Upstream, func(u string) bool { return group[u] == t.GroupID }) {
+			list = append(list, above[t.GroupID]...)
 		}
 		var all []string
 		for _, u := range list {
@@ -150,10 +150,10 @@
 	return out
 }
 
-// cycle gives tasks that wait for each other, the first one again at the end; nil if
+// findCycle gives tasks that wait for each other, the first one again at the end; nil if
 // there are none.
-func (g *Graph) cycle() []string {
-	up := g.upstream()
+func (g *Graph) findCycle() []string {
+	up := g.upstreamTasks()
 	const fresh, open, closed = 0, 1, 2
 	state, path := map[string]int{}, []string{}
 	var visit func(id string) []string
@@ -184,17 +184,17 @@
 	return nil
 }
 
-// instances is how many tasks a run has, mapped ones counted each.
-func (g *Graph) instances(params map[string]any) int {
+// instanceCount is how many tasks a run has, mapped ones counted each.
+func (g *Graph) instanceCount(params map[string]any) int {
 	n := 0
 	for i := range g.Tasks {
-		n += max(1, len(g.Tasks[i].items(params)))
+		n += max(1, len(g.Tasks[i].mappedItems(params)))
 	}
 	return n
 }
 
-// items gives what a mapped task is mapped over; nil if it is not.
-func (t *Task) items(params map[string]any) []any {
+// mappedItems gives what a mapped task is mapped over; nil if it is not.
+func (t *Task) mappedItems(params map[string]any) []any {
 	switch e := t.Expand.(type) {
 	case []any:
 		return e
--- a/internal/graph/template.go
+++ b/internal/graph/template.go
@@ -35,8 +35,10 @@
 	ControlStructures: exec.NewControlStructureSet(map[string]parser.ControlStructureParser{}),
 }
 
-// templated tells whether a text has to be rendered.
-func templated(text string) bool { return strings.Contains(text, "{{") || strings.Contains(text, "{%") }
+// isTemplate tells whether a text has to be rendered.
+func isTemplate(text string) bool {
+	return strings.Contains(text, "{{") || strings.Contains(text, "{%")
+}
 
 // render gives a template's text for some names; one that is not there is an error.
 func render(text string, names map[string]any) (out string, err error) {
@@ -71,19 +73,19 @@
 	return out, nil
 }
 
-// number reads an amount, which may be a template.
-func number(v any, names map[string]any) (float64, error) {
-	return read(v, names, "no number", func(text string) (float64, error) { return strconv.ParseFloat(text, 64) })
+// renderNumber reads an amount, which may be a template.
+func renderNumber(v any, names map[string]any) (float64, error) {
+	return renderValue(v, names, "no number", func(text string) (float64, error) { return strconv.ParseFloat(text, 64) })
 }
 
-// flag reads a yes or no, which may be a template.
-func flag(v any, names map[string]any) (bool, error) {
-	return read(v, names, "neither true nor false", func(text string) (bool, error) { return strconv.ParseBool(strings.ToLower(text)) })
+// renderBool reads a yes or no, which may be a template.
+func renderBool(v any, names map[string]any) (bool, error) {
+	return renderValue(v, names, "neither true nor false", func(text string) (bool, error) { return strconv.ParseBool(strings.ToLower(text)) })
 }
 
-// read gives a value that a file has as it is, or as a template for its text; its zero if
+// renderValue gives a value that a file has as it is, or as a template for its text; its zero if
 // it is left out. not says what a text is that can't be parsed.
-func read[T float64 | bool](v any, names map[string]any, not string, parse func(string) (T, error)) (T, error) {
+func renderValue[T float64 | bool](v any, names map[string]any, not string, parse func(string) (T, error)) (T, error) {
 	var zero T
 	switch v := v.(type) {
 	case nil:
