--- /dev/null
+++ b/internal/regress/baseline_test.go
@@ -0,0 +1,90 @@
+package regress
+
+import (
+	"maps"
+	"math"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"testing/fstest"
+
+	"sableusher/internal/tuning"
+)
+
+// withScores gives entries with changed scores; those that it was given stay as they are.
+func withScores(entries []Entry, change func(score float64) float64) []Entry {
+	changed := slices.Clone(entries)
+	for i := range changed {
+		changed[i].Days = slices.Clone(changed[i].Days)
+		for k := range changed[i].Days {
+			changed[i].Days[k].Score = change(changed[i].Days[k].Score)
+		}
+	}
+	return changed
+}
+
+// TestLatestAgainstEarlierScores: each site's last score is held against the baseline before
+// it, however the sites' scores lie between each other; one that was cut off is skipped.
+func TestLatestAgainstEarlierScores(t *testing.T) {
+	const loss = 0.04
+	entries := scores(recordedEntries(t))
+	var history []Entry
+	for i := range 3 {
+		later := withScores(entries, func(score float64) float64 { return score - loss*float64(i) })
+		for k := range later {
+			later[k].ID += strconv.Itoa(i)
+		}
+		history = append(history, later...)
+	}
+	history = append(history, Entry{Command: commandScore, Error: "cut off"})
+	baseline, latest := SplitLatest(history)
+	comparisons := Compare(baseline, latest, tuning.RegressFall)
+	regressed := 0
+	for _, c := range comparisons {
+		if c.Verdict == VerdictRegressed && math.Abs(c.BaselineScore-c.Score-loss) < 1e-9 {
+			regressed++
+		}
+	}
+	if len(latest) != len(entries) || regressed != 4 {
+		t.Errorf("%d scores, %d regressed: %+v", len(latest), regressed, comparisons)
+	}
+}
+
+// TestBaseline: only whole scores count, the last one wins, and a bench that gave no
+// scores is never taken for one without a regression.
+func TestBaseline(t *testing.T) {
+	entries := recordedEntries(t)
+	baseline := LatestScores(entries)
+	later := withScores(entries, func(score float64) float64 { return score / 2 })
+	t.Run("smaller days don't count", func(t *testing.T) {
+		small := slices.Clone(later)
+		for i := range small {
+			small[i].Arguments = append(slices.Clone(small[i].Arguments), "--small")
+		}
+		sameScore := func(a, b MeasuredDay) bool { return a.Score == b.Score }
+		if got := LatestScores(append(slices.Clone(entries), small...)); !maps.EqualFunc(got, baseline, sameScore) {
+			t.Error("days at a small size count")
+		}
+	})
+	t.Run("the last score wins", func(t *testing.T) {
+		for key, day := range LatestScores(append(slices.Clone(entries), later...)) {
+			if day.Score != baseline[key].Score/2 {
+				t.Errorf("%v: %v is not the last score", key, day.Score)
+			}
+		}
+	})
+	t.Run("an entry without scores", func(t *testing.T) {
+		cutOff := []Entry{{Site: "s", Command: commandScore, Error: "cut off"}}
+		comparisons := Compare(baseline, cutOff, tuning.RegressFall)
+		if len(comparisons) != 1 || !comparisons[0].Blocking() || !math.IsNaN(comparisons[0].Score) {
+			t.Errorf("%+v", comparisons)
+		}
+	})
+	t.Run("an unreadable entry", func(t *testing.T) {
+		journal := fstest.MapFS{"x.json": {Data: []byte("{")}, "y.json": {Data: []byte(`{"id":"y"}`)}}
+		if _, err := ReadJournal(journal); err == nil || !strings.Contains(err.Error(), "x.json") {
+			t.Errorf("%v", err)
+		}
+	})
+}
--- /dev/null
+++ b/internal/regress/objective.go
@@ -0,0 +1,54 @@
+package regress
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+	"strings"
+)
+
+// Objective is one service-level objective of a day as the bench counted it.
+type Objective struct {
+	Text  string  // such as "submit 1000 ms: 0.98 (aim 0.995)"
+	Score float64 // from 0 to 1; NaN if it was not counted on that day
+}
+
+// UnmarshalJSON reads the journal's pair of text and score.
+func (o *Objective) UnmarshalJSON(data []byte) error {
+	var score *float64
+	pair := []any{&o.Text, &score}
+	if err := json.Unmarshal(data, &pair); err != nil {
+		return fmt.Errorf("objective: %w", err)
+	}
+	if len(pair) != 2 {
+		return &FieldCountError{Value: "objective", Count: len(pair), Want: 2}
+	}
+	o.Score = math.NaN()
+	if score != nil {
+		o.Score = *score
+	}
+	return nil
+}
+
+// Name is the objective without its figures.
+func (o Objective) Name() string {
+	name, _, _ := strings.Cut(o.Text, ": ")
+	return name
+}
+
+// largestObjectiveLoss names the objective that lost most.
+func largestObjectiveLoss(baseline, measured []Objective) string {
+	byName := map[string]Objective{}
+	for _, objective := range baseline {
+		byName[objective.Name()] = objective
+	}
+	text, most := "no objective alone", 0.0
+	for _, objective := range measured {
+		before, ok := byName[objective.Name()]
+		if loss := before.Score - objective.Score; ok && loss > most {
+			most = loss
+			text = fmt.Sprintf("%s, before %s", objective.Text, before.Text)
+		}
+	}
+	return text
+}
