--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -14,8 +14,8 @@
 // commandClient sends direct commands to agents over HTTP. It is safe for concurrent use.
 type commandClient struct{ http *http.Client }
 
-// newCommandClient makes a client that sends through the transport; nil: over the network, with at most the
-// deployment's share of maxSockets kept open.
+// newCommandClient returns a client that sends through transport. If transport is nil, the client uses the network
+// and keeps at most tuning.AgentSocketShare of maxSockets connections open.
 func newCommandClient(transport http.RoundTripper, maxSockets int) *commandClient {
 	if transport == nil {
 		keptConnections := max(1, int(tuning.AgentSocketShare*float64(maxSockets)))
@@ -24,14 +24,14 @@
 	return &commandClient{http: &http.Client{Transport: transport}}
 }
 
-// commandResponse is an agent's answer to a direct command.
+// commandResponse is an agent's response to a direct command.
 type commandResponse struct {
 	report wire.Heartbeat
 	status int // http.StatusOK, or http.StatusConflict if the agent refused the command
 }
 
-// send posts a command to the agent at an address and waits at most timeout for the answer. Without one the
-// agent may carry the command out all the same, minutes later.
+// send posts a command to the agent at address and waits at most timeout for the response. An error does not mean
+// that the command was lost: the agent may still carry it out minutes later.
 func (c *commandClient) send(
 	ctx context.Context, address string, command *wire.CommandRequest, timeout time.Duration,
 ) (commandResponse, error) {
@@ -50,12 +50,13 @@
 	if err != nil {
 		return commandResponse{}, fmt.Errorf("direct command: %w", err)
 	}
-	// Whatever closing fails with, the answer has been read whole or is an error already.
+	// An error from Close does not matter: by then the body has been read completely, or an error is returned.
 	defer func() { _ = response.Body.Close() }()
 	return readCommandResponse(response)
 }
 
-// readCommandResponse decodes the answer; any status but OK and Conflict is a *CommandStatusError.
+// readCommandResponse decodes a response. It returns a *CommandStatusError for any status other than 200 OK and 409
+// Conflict.
 func readCommandResponse(response *http.Response) (commandResponse, error) {
 	body, err := wire.ReadBody(response.Body, tuning.KVResponseMaxBytes)
 	if err != nil {
--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -9,30 +9,30 @@
 	"sableusher/internal/wire"
 )
 
-// stopRequest asks for a bound task to be stopped.
+// stopRequest is a request to stop a bound task.
 type stopRequest struct {
-	graceSeconds float64 // for saving a checkpoint; 0: at once
+	graceSeconds float64 // time to save a checkpoint; 0 stops the task at once
 	requestedAt  time.Time
 }
 
-// commandPlan compares what an agent reports with what the records bind to its machine, and gives the commands
-// that make the first follow the second.
+// commandPlan compares the tasks that an agent reports with the tasks that the records bind to its machine, and
+// returns the commands that make the agent match the records.
 type commandPlan struct {
 	machine  *machine
 	bindings map[record.TaskRef]clusterstate.Binding
-	// attemptEnded tells whether the records have moved past an attempt.
+	// attemptEnded reports whether an attempt is over according to the records.
 	attemptEnded func(ref record.TaskRef, attempt uint64) bool
-	// stopRequest gives the stop that is wanted of a bound task, if any.
+	// stopRequest returns the pending request to stop a bound task, if there is one.
 	stopRequest func(binding clusterstate.Binding) (stopRequest, bool)
-	// fencingToken is the owner's, under which the commands are sent.
+	// fencingToken is the token of the owner that sends the commands.
 	fencingToken uint64
-	// heartbeatSequence is the heartbeat that the commands answer, 0 for a direct command.
+	// heartbeatSequence is the sequence number of the heartbeat that the commands answer, or 0 for a direct command.
 	heartbeatSequence uint64
 	now               time.Time
 }
 
-// commands gives at most tuning.MaxCommandsPerAnswer commands; the rest follows with the next answer. The starts among
-// them are pending from now on.
+// commands returns at most tuning.MaxCommandsPerAnswer commands; the rest follow with the next response. It records
+// the start commands among them as pending.
 func (p *commandPlan) commands() []wire.Command {
 	var out []wire.Command
 	for key, task := range p.machine.tasks {
@@ -54,7 +54,7 @@
 	return out
 }
 
-// commandForReported gives the command for a task that the agent reports, if there is one.
+// commandForReported returns the command for a task that the agent reports, if one is needed.
 func (p *commandPlan) commandForReported(key attemptKey, task reportedTask) (wire.Command, bool) {
 	binding, ok := p.bindings[key.ref]
 	switch {
@@ -68,8 +68,8 @@
 	}
 }
 
-// stopBound stops a bound task that is to stop. One that is saving already is stopped only if it is to stop at
-// once.
+// stopBound returns the command that stops a bound task, if a stop is requested. A task that is already saving its
+// checkpoint is commanded again only if it has to stop at once.
 func (p *commandPlan) stopBound(binding clusterstate.Binding, task reportedTask) (wire.Command, bool) {
 	request, wanted := p.stopRequest(binding)
 	if !wanted || task.State == wire.TaskExited || task.State == wire.TaskCheckpointing && request.graceSeconds != 0 {
@@ -78,8 +78,9 @@
 	return stopCommand(task.TaskStatus, request.graceSeconds), true
 }
 
-// forgetExited makes the agent forget a task that has exited. It must not before the records have moved past
-// the attempt and no start of it can arrive any more: it would run again.
+// forgetExited returns the command that makes the agent forget a task that has exited. It returns none while the
+// records do not show the end of the attempt or a start command for it may still arrive: an agent that has forgotten
+// the task would run it again.
 func (p *commandPlan) forgetExited(key attemptKey, task reportedTask) (wire.Command, bool) {
 	if !p.attemptEnded(key.ref, key.attempt) || p.machine.starts.pending(key) {
 		return wire.Command{}, false
@@ -87,8 +88,8 @@
 	return wire.Command{Kind: wire.CommandForget, Task: task.Task, Attempt: key.attempt}, true
 }
 
-// stopUnbound stops a task that is not bound here, once it has been reported for a while: reports may be a
-// moment older than records.
+// stopUnbound returns the command that stops a task that is not bound to this machine and session, once it has been
+// reported for tuning.UnknownTaskGrace. The delay is needed because reports may be slightly older than records.
 func (p *commandPlan) stopUnbound(key attemptKey, task reportedTask) (wire.Command, bool) {
 	if !p.attemptEnded(key.ref, key.attempt) {
 		return wire.Command{}, false
@@ -104,8 +105,8 @@
 	return stopCommand(task.TaskStatus, 0), true
 }
 
-// missing tells whether a bound task is to be started: it is bound to the present session, not reported and
-// not to stop.
+// missing reports whether a bound task has to be started: it is bound to the agent's current session, the agent does
+// not report it, and no stop is requested.
 func (p *commandPlan) missing(key attemptKey, binding clusterstate.Binding) bool {
 	if binding.Session != p.machine.session.id {
 		return false
@@ -117,7 +118,7 @@
 	return !stop
 }
 
-// start gives the command that starts an attempt, and notes it as pending.
+// start returns the command that starts an attempt and records it as pending.
 func (p *commandPlan) start(key attemptKey) wire.Command {
 	p.machine.starts.add(key, pendingStart{
 		fencingToken: p.fencingToken, heartbeatSequence: p.heartbeatSequence, inFlight: p.heartbeatSequence == 0,
@@ -125,13 +126,14 @@
 	return wire.Command{Kind: wire.CommandStart, Task: key.ref.String(), Attempt: key.attempt}
 }
 
-// stopCommand stops a reported task after a grace in seconds.
+// stopCommand returns the command that stops a reported task, with the given time to save a checkpoint.
 func stopCommand(task wire.TaskStatus, graceSeconds float64) wire.Command {
 	return wire.Command{Kind: wire.CommandStop, Task: task.Task, Attempt: task.Attempt, GraceSeconds: &graceSeconds}
 }
 
-// cancelledTaskStops are the commands on a cluster state that may be old: nothing starts, but what it knows to
-// be cancelled stops at once. recorded is the machine in the cluster state; nil: it has no record.
+// cancelledTaskStops answers a heartbeat based on a cluster state that may be outdated: it starts nothing, and it
+// immediately stops those tasks whose cancellation the state shows. recorded is the machine in the cluster state, or
+// nil if it has no record.
 func cancelledTaskStops(
 	heartbeat *wire.Heartbeat, recorded *clusterstate.Machine, fencingToken uint64,
 ) wire.HeartbeatResponse {
@@ -152,13 +154,14 @@
 	return answer
 }
 
-// emptyResponse renews a lease without a command. Its list is empty, not nil, which is encoded differently.
+// emptyResponse returns a response that renews the lease and has no commands. Its command list is empty and not nil,
+// because nil is encoded differently.
 func emptyResponse(fencingToken uint64) wire.HeartbeatResponse {
 	return wire.HeartbeatResponse{FencingToken: fencingToken, Commands: []wire.Command{}}
 }
 
-// RequestStop asks for a bound task to be stopped after a grace in seconds. An earlier request with a shorter
-// grace stays.
+// RequestStop requests that a bound task is stopped after a grace period in seconds. An earlier request with a grace
+// period that is not longer remains in effect.
 func (r *Registry) RequestStop(binding clusterstate.Binding, machineName string, graceSeconds float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -170,7 +173,7 @@
 	r.dispatchQueue.add(machineName)
 }
 
-// StopRequested tells whether a bound task is to stop: on request, or since its job is cancelled.
+// StopRequested reports whether a bound task has to stop, because a stop was requested or its job is cancelled.
 func (r *Registry) StopRequested(binding clusterstate.Binding) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -178,8 +181,8 @@
 	return ok
 }
 
-// stopRequestFor gives the stop that is wanted of a bound task, if any. Callers hold the cluster state's lock
-// and mu.
+// stopRequestFor returns the pending request to stop a bound task, if there is one. Callers hold the cluster state's
+// lock and mu.
 func (r *Registry) stopRequestFor(binding clusterstate.Binding) (stopRequest, bool) {
 	if binding.Job.Stopping() {
 		return stopRequest{}, true
@@ -188,13 +191,13 @@
 	return request, ok
 }
 
-// attemptEnded tells whether the records have moved past an attempt of a task: it is bound elsewhere, was
-// given up, or its job is over. Otherwise the cluster state may be older than the report. Callers hold the
-// cluster state's lock.
+// attemptEnded reports whether an attempt of a task is over according to the records: a later attempt exists, the
+// attempt is not bound any more, or the job has ended. If it returns false, the cluster state may be older than the
+// report. Callers hold the cluster state's lock.
 func (r *Registry) attemptEnded(ref record.TaskRef, attempt uint64) bool {
 	job := r.clusterState.Jobs[ref.JobID]
 	if job == nil {
-		return true // starts follow durable bindings, so the job was there and is over
+		return true // a task only starts after its binding is durable, so the job existed and has ended
 	}
 	if !job.HasRecord || ref.Index >= job.Spec.TaskCount {
 		return false
@@ -203,16 +206,16 @@
 	return task.Attempt > attempt || task.Attempt == attempt && task.State != record.TaskBound
 }
 
-// commandParams says for whom and under which heartbeat commands are wanted.
+// commandParams has the inputs of commandsFor.
 type commandParams struct {
 	recorded          *clusterstate.Machine // the machine in the cluster state
 	fencingToken      uint64
-	heartbeatSequence uint64 // 0: for a direct command
+	heartbeatSequence uint64 // 0 for a direct command
 	now               time.Time
 }
 
-// commandsFor gives the commands for a machine and notes the starts among them as pending. Callers hold the
-// cluster state's lock and mu.
+// commandsFor returns the commands for a machine and records the start commands among them as pending. Callers hold
+// the cluster state's lock and mu.
 func (r *Registry) commandsFor(m *machine, request commandParams) []wire.Command {
 	plan := commandPlan{
 		machine: m, bindings: request.recorded.Bindings, attemptEnded: r.attemptEnded, stopRequest: r.stopRequestFor,
--- a/internal/agent/dispatch.go
+++ b/internal/agent/dispatch.go
@@ -11,8 +11,8 @@
 	"sableusher/internal/wire"
 )
 
-// dispatchQueue holds the machines that wait for a direct command. A full queue drops what comes: the answer
-// to the machine's next heartbeat brings the commands. It is safe for concurrent use.
+// dispatchQueue has the names of machines that wait for a direct command. A full queue drops further names; their
+// commands are sent in the response to the machine's next heartbeat. It is safe for concurrent use.
 type dispatchQueue chan string
 
 func (q dispatchQueue) add(machineName string) {
@@ -22,15 +22,15 @@
 	}
 }
 
-// RequestDispatch asks for a direct command to a machine, ahead of its next heartbeat.
+// RequestDispatch requests a direct command to a machine, so that it does not have to wait for its next heartbeat.
 func (r *Registry) RequestDispatch(machineName string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.dispatchQueue.add(machineName)
 }
 
-// Run sends direct commands and removes what is not needed any more until ctx ends, and returns its error. It
-// waits for the commands on their way.
+// Run sends direct commands and removes expired entries until ctx ends, and returns the error of ctx. Before it
+// returns, it waits for the commands in flight.
 func (r *Registry) Run(ctx context.Context) error {
 	var dispatches sync.WaitGroup
 	defer dispatches.Wait()
@@ -43,7 +43,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-running.C:
-			r.noteRunning(time.Now())
+			r.recordRunning(time.Now())
 		case machineName := <-r.dispatchQueue:
 			if r.dispatchSlots.Acquire(ctx, 1) != nil {
 				return ctx.Err()
@@ -65,12 +65,12 @@
 	address     string
 	command     wire.CommandRequest
 	timeout     time.Duration
-	// inboundLost: the machine's inbound direction counted as lost when the command was made, which asks only
-	// whether it is there.
+	// inboundLost is set if the machine's inbound direction counted as lost when the command was composed. Such a
+	// command is an empty probe.
 	inboundLost bool
 }
 
-// dispatch gives a machine its commands directly. One command to it is on its way at a time.
+// dispatch sends a machine its commands directly. At most one command per machine is in flight.
 func (r *Registry) dispatch(ctx context.Context, machineName string) {
 	d, ok := r.prepareDispatch(machineName)
 	if !ok {
@@ -80,7 +80,7 @@
 	r.finishDispatch(d, answer, err)
 }
 
-// prepareDispatch decides whether a machine is sent a command now, and which.
+// prepareDispatch composes the command for a machine, and reports whether one is to be sent now.
 func (r *Registry) prepareDispatch(machineName string) (*directDispatch, bool) {
 	r.clusterState.RLock()
 	defer r.clusterState.RUnlock()
@@ -96,7 +96,7 @@
 		m.address = recorded.Address
 	}
 	params := commandParams{recorded: recorded, fencingToken: ownership.FencingToken, now: time.Now()}
-	if m.commandInFlight || m.address == "" || r.awaitsHeartbeat(m, params.now) {
+	if m.commandInFlight || m.address == "" || r.inCommandBackoff(m, params.now) {
 		return nil, false
 	}
 	d, ok := r.composeDispatch(m, params)
@@ -106,11 +106,12 @@
 	return d, ok
 }
 
-// composeDispatch makes the command for a machine. Where there is nothing to command, one that is overdue or
-// whose inbound direction is lost is probed, and one that has not shown this owner's fencing token is asked for
-// a report. Callers hold the cluster state's lock and mu.
+// composeDispatch composes the command for a machine and reports whether it is to be sent. If there is nothing to
+// command, it composes a probe for a machine whose report is overdue or whose inbound direction is lost, and a
+// request for a report for a machine whose agent has not yet reported this owner's fencing token. Callers hold the
+// cluster state's lock and mu.
 func (r *Registry) composeDispatch(m *machine, params commandParams) (*directDispatch, bool) {
-	overdue := r.overdue(m, params.now)
+	overdue := r.reportOverdue(m, params.now)
 	d := &directDispatch{
 		machineName: params.recorded.Name, machine: m, address: m.address, timeout: tuning.CommandTimeout,
 		command: wire.CommandRequest{
@@ -118,7 +119,8 @@
 		},
 		inboundLost: m.link.inboundLost(),
 	}
-	// One that did not answer while overdue is only probed: each command would be one more unresolved start.
+	// A machine that is overdue and did not answer its last command is only probed: each start command to it would
+	// become another unresolved start.
 	onlyProbe := d.inboundLost || overdue && m.link.commandUnanswered()
 	if m.session.id != 0 && !onlyProbe {
 		d.command.Commands = append(d.command.Commands, r.commandsFor(m, params)...)
@@ -133,23 +135,24 @@
 	return d, m.session.fencingToken != params.fencingToken
 }
 
-// overdue tells whether a machine's next report should have come by now.
-func (r *Registry) overdue(m *machine, now time.Time) bool {
-	return now.Sub(m.link.lastHeard) > r.heartbeatIntervals(tuning.ProbeAfterIntervals)
+// reportOverdue reports whether a machine's next report should have arrived by now.
+func (r *Registry) reportOverdue(m *machine, now time.Time) bool {
+	return now.Sub(m.link.lastReport) > r.heartbeatIntervals(tuning.ProbeAfterIntervals)
 }
 
-// awaitsHeartbeat tells whether a command failed so lately that none is sent yet. As a rule the next heartbeat
-// is awaited. A machine whose heartbeat is overdue is probed again and again until it is given up, so that one
-// that was out of reach for a moment is heard before.
-func (r *Registry) awaitsHeartbeat(m *machine, now time.Time) bool {
+// inCommandBackoff reports whether the last command to a machine failed so recently that no other command is sent
+// yet. Usually the pause lasts for one heartbeat interval, in which the next heartbeat should arrive. A machine whose
+// report is overdue is probed every tuning.ProbeInterval until it counts as dead, so that a report from a machine
+// that was only briefly unreachable arrives before that.
+func (r *Registry) inCommandBackoff(m *machine, now time.Time) bool {
 	pause := r.settings.HeartbeatInterval()
-	if r.overdue(m, now) && now.Sub(m.link.lastHeard) < r.heartbeatIntervals(tuning.DeadAfterIntervals) {
+	if r.reportOverdue(m, now) && now.Sub(m.link.lastReport) < r.heartbeatIntervals(tuning.DeadAfterIntervals) {
 		pause = tuning.ProbeInterval
 	}
 	return m.link.commandUnanswered() && now.Sub(m.link.commandFailedAt) < pause
 }
 
-// finishDispatch takes in the answer to a direct command, or that there was none.
+// finishDispatch processes the response to a direct command, or the error if there was no response.
 func (r *Registry) finishDispatch(d *directDispatch, answer commandResponse, err error) {
 	r.clusterState.RLock()
 	defer r.clusterState.RUnlock()
@@ -166,7 +169,7 @@
 	}
 	m.link.recordCommandResponse(now)
 	if d.inboundLost {
-		r.dispatchQueue.add(d.machineName) // commands can follow
+		r.dispatchQueue.add(d.machineName) // the probe was answered, so commands can be sent
 		r.updates.machineChanged(d.machineName)
 	}
 	if answer.report.Machine == d.machineName {
@@ -177,7 +180,7 @@
 	}
 }
 
-// applyCommandResponse takes in the report that answers a direct command. Callers hold the cluster state's lock
+// applyCommandResponse applies the report in the response to a direct command. Callers hold the cluster state's lock
 // and mu.
 func (r *Registry) applyCommandResponse(d *directDispatch, report *wire.Heartbeat, now time.Time) {
 	m := d.machine
@@ -189,21 +192,22 @@
 	if effect == reportChanged {
 		r.updates.machineChanged(d.machineName)
 	}
-	// An agent whose outbound direction is lost tells of a new session here alone. Other nodes bind gangs and
-	// services to the one on record, which this node ends at once, and both over and over. Where a heartbeat
-	// follows it tells of the session: recording all sessions of a zone at once as it came back kept its
-	// replicas waiting.
+	// If the outbound direction is lost, this response is the only message that shows a new session of the agent.
+	// Until the session is recorded, other nodes bind gangs and services to the recorded session and this node
+	// releases them at once, again and again. If heartbeats do arrive, they report the session: recording all
+	// sessions of a zone at once after a partition delayed the restart of its replicas.
 	recorded := r.clusterState.Machines[d.machineName]
 	if r.outboundLost(m, now) && recorded != nil && max(recorded.Session, firstSession) != m.session.id {
 		r.updates.adopt(report)
 	}
 	if m.session.id != previousSession || m.session.fencingToken < d.command.FencingToken {
-		r.dispatchQueue.add(d.machineName) // a new session, or its first report: commands can follow now
+		// A new session can be sent commands now; an agent that has not reported the owner's token is asked again.
+		r.dispatchQueue.add(d.machineName)
 	}
 }
 
-// resolveCommand resolves the starts of a direct command that was answered, and leaves them unresolved if it
-// was not. A new session of the agent has resolved those of earlier ones.
+// resolveCommand removes the pending starts of a direct command that was answered, and marks them as unresolved if it
+// was not. It ignores commands to an earlier session, whose starts were removed when the new session began.
 func (m *machine) resolveCommand(command *wire.CommandRequest, answered bool) {
 	switch {
 	case command.Session != m.session.id:
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -1,31 +1,33 @@
-// Package agent keeps a controller node's side of the protocol with the agents, the workers that run tasks on
-// machines: it answers their heartbeats, renews their leases and sends them commands.
+// Package agent implements a controller node's side of the protocol with the agents, which run tasks on the machines:
+// it answers their heartbeats, renews their leases and sends them commands.
 //
-// The package owns what the agents last reported, which start commands may still be carried out, and which
-// stops are requested. It never decides where a task runs and never writes a record: the scheduler reads
-// MachineStatus and TaskObservation and does both.
+// The package owns the last report of each agent, the start commands that may still be carried out, and the requests
+// to stop tasks. It does not decide where a task runs and does not write records. The scheduler does both, based on
+// MachineStatus and TaskObservation.
 //
 // # Safety invariants
 //
-//   - 1: an agent is only told to start what the records bind to it.
-//   - 4, 20: a TaskObservation proves that a task has left its machine only if the report it rests on is newer
-//     than the start: same session, newest sequence, and the present fencing token for an absence.
-//   - 5, 23: a lease is renewed only where a cancellation that this node has not seen yet stays a promise with
-//     a clock; leaseKeeper says when.
-//   - 6, 21: a direct start command without an answer stays pending until the agent shows a higher fencing
-//     token or a new session; pendingStarts keeps it.
-//   - 24: a process that stood still renews nothing until its cluster state is confirmed, and the reports of an
+//   - 1: an agent is only commanded to start tasks that the records bind to its machine.
+//   - 4, 20: a TaskObservation proves that a task has left its machine only if the underlying report is newer than
+//     the start: it has the same session and the newest sequence number, and, to prove absence, the owner's current
+//     fencing token.
+//   - 5, 23: a lease is renewed only if that cannot break the deadline of a cancellation that this node has not
+//     seen yet. leaseKeeper has the rules.
+//   - 6, 21: a direct start command without a response stays pending until the agent reports a higher fencing
+//     token or a new session. pendingStarts keeps track of it.
+//   - 24: after a process was suspended, it renews no lease until its cluster state is confirmed. Reports of an
 //     earlier session change nothing.
-//   - 28: a machine that is reachable in one direction only is told apart from one that is silent; see below.
+//   - 28: a machine that is reachable in only one direction is distinguished from a machine that is not reachable
+//     at all; see below.
 //
 // # One-way failures
 //
-// Directions are named from the machine's side, and by the same words everywhere:
+// Directions are named from the machine's point of view:
 //
-//   - inbound lost: the machine's heartbeats arrive here, but answers and direct commands do not reach it. Its
-//     leases lapse while it looks alive.
-//   - outbound lost: the machine answers direct commands, but its heartbeats reach no node. Nothing renews its
-//     lease.
+//   - inbound lost: the machine's heartbeats arrive here, but responses and direct commands do not reach it. Its
+//     leases expire although it seems to be alive.
+//   - outbound lost: the machine answers direct commands, but its heartbeats reach no node. Its lease is not
+//     renewed.
 //
-// linkState follows both.
+// linkState tracks both directions.
 package agent
--- a/internal/agent/errors.go
+++ b/internal/agent/errors.go
@@ -5,11 +5,11 @@
 	"net/http"
 )
 
-// CommandStatusError is an answer to a direct command whose HTTP status is none of the protocol's. The command
-// counts as unanswered.
+// CommandStatusError reports an HTTP status that the protocol does not define for a response to a direct command. The
+// command counts as unanswered.
 type CommandStatusError struct{ Status int }
 
-// Error names the status and those that are expected.
+// Error returns a message with the received status and the expected ones.
 func (e *CommandStatusError) Error() string {
 	return fmt.Sprintf("direct command: HTTP status %d, want %d or %d", e.Status, http.StatusOK, http.StatusConflict)
 }
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -18,24 +18,26 @@
 )
 
 const (
-	ownShard  = 0 // of the fixture's node
-	peerShard = 1 // of the other node
+	ownShard  = 0 // owned by the fixture's node
+	peerShard = 1 // owned by the other node
 
-	// testToken is the fencing token of both shards at first.
+	// testToken is the initial fencing token of both shards.
 	testToken = 5
-	// testAddress is that of every agent.
+	// testAddress is the address of every agent.
 	testAddress = "10.1.0.1:9000"
 )
 
-// registryFixture is the registry of node "a" of two, on a cluster state of some age.
+// registryFixture is the registry of node "a" in a cluster of the nodes "a" and "b". The age of its cluster state can
+// be set.
 type registryFixture struct {
 	*Registry
 	state          *clusterstate.State
-	confirmedAt    time.Time // as of when the state is complete
+	confirmedAt    time.Time // when the cluster state was last complete
 	peerAnsweredAt time.Time // when node "b" last answered
 }
 
-// newRegistryFixture makes the registry under a schema version; node "a" owns ownShard, "b" peerShard.
+// newRegistryFixture returns a fixture under the given schema version, in which node "a" owns ownShard and node "b"
+// owns peerShard.
 func newRegistryFixture(schemaVersion int) *registryFixture {
 	logger := slog.New(slog.DiscardHandler)
 	settings := &config.Settings{Node: "a", Peers: []config.Peer{{Node: "b"}}}
@@ -66,7 +68,7 @@
 	return f
 }
 
-// addMachine makes a record of a machine of a shard and gives its name.
+// addMachine adds the record of a machine in a shard and returns its name.
 func (f *registryFixture) addMachine(shard int) string {
 	name := "vm-0"
 	for record.ShardOf(name, 2) != shard {
@@ -80,34 +82,34 @@
 	f.put(record.MachineKey(name), wire.MustEncode(machineRecord), revision)
 }
 
-// put writes a record into the cluster state.
+// put adds a record to the cluster state.
 func (f *registryFixture) put(key string, value wire.RawValue, revision uint64) {
 	f.state.BeginUpdate()
 	f.state.Put(key, value, revision)
 	f.state.EndUpdate()
 }
 
-// heartbeat gives the HTTP status and body that answer a heartbeat of an agent's first session.
+// heartbeat handles a heartbeat of an agent's first session and returns the HTTP status and body of the answer.
 func (f *registryFixture) heartbeat(machineName string, sequence, fencingToken uint64) (int, any) {
 	return f.handle(&wire.Heartbeat{
 		Machine: machineName, Address: testAddress, Session: 1, Sequence: sequence, FencingToken: fencingToken,
 	})
 }
 
-// handle gives the HTTP status and body that answer a heartbeat.
+// handle handles a heartbeat and returns the HTTP status and body of the answer.
 func (f *registryFixture) handle(heartbeat *wire.Heartbeat) (int, any) {
 	result := f.HandleHeartbeat(heartbeat)
 	return result.HTTPResponse()
 }
 
-// failCommand notes that a direct command to a machine got no answer.
+// failCommand records that a direct command to a machine got no response.
 func (f *registryFixture) failCommand(machineName string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.machines[machineName].link.recordCommandFailure(time.Now())
 }
 
-// takeDispatches empties the queue of dispatches and gives how many there were.
+// takeDispatches empties the dispatch queue and returns the number of its entries.
 func (f *registryFixture) takeDispatches() int {
 	count := 0
 	for len(f.dispatchQueue) > 0 {
@@ -117,7 +119,7 @@
 	return count
 }
 
-// respondingTransport stands in for agents that answer direct commands.
+// respondingTransport is a fake transport that answers each direct command with the report it returns.
 type respondingTransport func() wire.Heartbeat
 
 func (r respondingTransport) RoundTrip(*http.Request) (*http.Response, error) {
@@ -125,12 +127,13 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: body}, nil
 }
 
-// newReport makes a report of machine "m".
+// newReport returns a report of machine "m".
 func newReport(session, sequence, fencingToken uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{Machine: "m", Session: session, Sequence: sequence, FencingToken: fencingToken, Tasks: tasks}
 }
 
-// newBinding makes the binding of a task to a session of its agent, alone and among those of its machine.
+// newBinding returns the binding of a task to a session of its agent, together with a map that has it as the only
+// binding of its machine.
 func newBinding(session uint64) (map[record.TaskRef]clusterstate.Binding, clusterstate.Binding) {
 	binding := clusterstate.Binding{
 		Ref: record.TaskRef{JobID: "run-1"}, Job: &clusterstate.Job{}, Attempt: 1, Session: session,
@@ -138,8 +141,8 @@
 	return map[record.TaskRef]clusterstate.Binding{binding.Ref: binding}, binding
 }
 
-// planCommands gives the commands for a machine whose reported attempts have all ended in the records, and
-// for which no stop is wanted.
+// planCommands returns the commands for a machine, given that all reported attempts have ended in the records and
+// that no stop is requested.
 func planCommands(
 	m *machine, bindings map[record.TaskRef]clusterstate.Binding, heartbeatSequence uint64, now time.Time,
 ) []wire.Command {
@@ -152,7 +155,7 @@
 	return plan.commands()
 }
 
-// expectPresence fails the test if the reports of a machine prove anything else of a binding.
+// expectPresence fails the test unless the reports of a machine prove the wanted presence for a binding.
 func expectPresence(
 	t *testing.T, m *machine, binding clusterstate.Binding, fencingToken uint64, want TaskPresence, when string,
 ) {
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -13,8 +13,8 @@
 	"sableusher/internal/wire"
 )
 
-// redirectLoopWindow is the time within which an agent that comes back after a redirection did not get through
-// to the owner it was sent to: naming that again would make a loop.
+// redirectLoopWindow is the time after a redirect within which a further heartbeat of the same agent means that it
+// did not reach the owner it was redirected to. Naming the same owner again would create a redirect loop.
 const redirectLoopWindow = 2 * time.Second
 
 var heartbeatsDropped = promauto.NewCounterVec(prometheus.CounterOpts{
@@ -22,29 +22,29 @@
 	Help: "Heartbeats that prove nothing any more, by reason: of an earlier session, out of order, received twice.",
 }, []string{"reason"})
 
-// HeartbeatResult is the answer to a heartbeat.
+// HeartbeatResult is the result of handling a heartbeat.
 type HeartbeatResult struct {
 	Outcome  HeartbeatOutcome
-	Response wire.HeartbeatResponse // of a renewal
-	Redirect wire.HeartbeatRedirect // of a redirection
+	Response wire.HeartbeatResponse // set for HeartbeatRenewed
+	Redirect wire.HeartbeatRedirect // set for HeartbeatRedirected
 }
 
-// HeartbeatOutcome is what becomes of a heartbeat.
+// HeartbeatOutcome is the kind of answer to a heartbeat.
 type HeartbeatOutcome int
 
 // Outcomes of heartbeats.
 const (
-	HeartbeatUnanswerable HeartbeatOutcome = iota // this node knows nothing sure; the agent may try again
-	HeartbeatRenewed                              // the lease is renewed, and there may be commands
-	HeartbeatRedirected                           // another node is to be asked
+	HeartbeatUnanswerable HeartbeatOutcome = iota // no answer can be given; the agent may retry
+	HeartbeatRenewed                              // the lease is renewed, and the response may have commands
+	HeartbeatRedirected                           // the agent has to contact another node
 )
 
-// String is the outcome's name in logs.
+// String returns the outcome's name in logs.
 func (o HeartbeatOutcome) String() string {
 	return [...]string{"unanswerable", "renewed", "redirected"}[o]
 }
 
-// HTTPResponse gives the answer's status and body; a nil body is none.
+// HTTPResponse returns the HTTP status and the body of the answer; a nil body means no body.
 func (r *HeartbeatResult) HTTPResponse() (status int, body any) {
 	switch r.Outcome {
 	case HeartbeatRenewed:
@@ -60,26 +60,26 @@
 	return HeartbeatResult{Outcome: HeartbeatRenewed, Response: response}
 }
 
-// redirected sends an agent to another node; an empty name leaves the choice to the agent.
+// redirected redirects an agent to another node. If node is empty, the agent chooses one.
 func redirected(node string) HeartbeatResult {
 	return HeartbeatResult{Outcome: HeartbeatRedirected, Redirect: wire.HeartbeatRedirect{ControllerAddress: node}}
 }
 
-// heartbeatRequest is a heartbeat with what this node knew when it came.
+// heartbeatRequest is a received heartbeat together with this node's view of its machine at that time.
 type heartbeatRequest struct {
 	report       *wire.Heartbeat
 	now          time.Time
 	shard        int
-	fencingToken uint64                // of this node as the shard's owner
-	completeAsOf time.Time             // of the cluster state; zero: there is none
-	recorded     *clusterstate.Machine // the machine in the cluster state; nil: it has no record
+	fencingToken uint64                // of this node, if it owns the shard
+	completeAsOf time.Time             // when the cluster state was last complete; zero if there is none
+	recorded     *clusterstate.Machine // the machine in the cluster state; nil if it has no record
 }
 
-// stateAge is how old the cluster state is.
+// stateAge returns the age of the cluster state.
 func (h *heartbeatRequest) stateAge() time.Duration { return h.now.Sub(h.completeAsOf) }
 
-// HandleHeartbeat takes in a heartbeat and answers it. An answer that renews the lease carries the commands
-// that follow from it.
+// HandleHeartbeat applies a heartbeat and returns the answer to it. An answer that renews the lease may have commands
+// for the agent.
 func (r *Registry) HandleHeartbeat(heartbeat *wire.Heartbeat) HeartbeatResult {
 	now := time.Now()
 	r.clusterState.RLock()
@@ -102,8 +102,8 @@
 	case !entitled:
 		return r.answerForOtherOwner(h)
 	case heartbeat.FencingToken > fencingToken:
-		// It has a newer owner, of whom this node does not know yet. It would drop our answer and stay here
-		// all the same, until its lease has run out.
+		// The shard has a newer owner, which this node does not know yet. The agent would ignore a response with a
+		// lower token and keep sending its heartbeats here until its lease has expired.
 		return redirected("")
 	case !r.leases.mayRenew(now, h.completeAsOf), h.recorded != nil && h.recorded.Deleting:
 		return HeartbeatResult{}
@@ -111,8 +111,8 @@
 	return r.answerAsOwner(h)
 }
 
-// answerForOtherOwner answers an agent whose shard another node owns: in the owner's stead where both are cut
-// off together, else by naming the owner.
+// answerForOtherOwner answers an agent whose shard another node owns. It renews the lease on the owner's behalf if
+// this node and the owner are in the same partition, and otherwise redirects the agent to the owner.
 func (r *Registry) answerForOtherOwner(h *heartbeatRequest) HeartbeatResult {
 	name := h.report.Machine
 	if shard, ok := r.clusterState.Shards[h.shard]; ok && r.leases.mayRenewForOwner(h, shard) {
@@ -128,7 +128,7 @@
 	return redirected(owner)
 }
 
-// answerAsOwner answers an agent of one of this node's shards.
+// answerAsOwner answers an agent of a shard that this node owns.
 func (r *Registry) answerAsOwner(h *heartbeatRequest) HeartbeatResult {
 	name := h.report.Machine
 	m := r.ensureMachine(name)
@@ -136,18 +136,18 @@
 		m.link.inboundConfirmedAt = h.now
 	}
 	effect := m.applyReport(h.report, fromHeartbeat, h.now)
-	if effect == reportOutdated { // the answer to a command overtook it
+	if effect == reportOutdated { // the response to a command arrived before it
 		heartbeatsDropped.WithLabelValues(droppedOutOfOrder.metricLabel()).Inc()
 		return HeartbeatResult{}
 	}
 	if m.link.inboundLost() {
-		r.dispatchQueue.add(name) // it is probed until it answers
+		r.dispatchQueue.add(name) // probe it until it answers
 	}
 	if effect == reportChanged {
 		r.updates.machineChanged(name)
 	}
 	if h.stateAge() > r.leases.maxStateAge() {
-		return renewed(cancelledTaskStops(h.report, h.recorded, h.fencingToken)) // the tasks it has go on
+		return renewed(cancelledTaskStops(h.report, h.recorded, h.fencingToken)) // its tasks keep running
 	}
 	if r.recordOutdated(m, h) {
 		r.updates.adopt(h.report)
@@ -160,8 +160,9 @@
 	return renewed(answer)
 }
 
-// confirmsInbound tells whether a heartbeat shows that its agent receives what this node sends. That it has
-// seen this owner's token shows as well that it received an answer once.
+// confirmsInbound reports whether a heartbeat proves that its agent receives what this node sends. For a machine that
+// was never probed, it is also proof if the agent reports this owner's fencing token, which it can only have from an
+// earlier response.
 func (r *Registry) confirmsInbound(m *machine, h *heartbeatRequest) bool {
 	if len(r.settings.Peers) > 0 && m.session.confirmsResponse(h.report) {
 		return true
@@ -169,8 +170,8 @@
 	return m.link.neverProbed() && h.report.FencingToken == h.fencingToken
 }
 
-// recordOutdated tells whether a machine's record is missing or behind its heartbeat. One that was up and is
-// recorded as not up has to be known to receive what this owner sends.
+// recordOutdated reports whether a machine's record is missing or does not match its heartbeat. A machine that was up
+// before and is recorded as not up counts as up again only once it is known to receive what this owner sends.
 func (r *Registry) recordOutdated(m *machine, h *heartbeatRequest) bool {
 	recorded := h.recorded
 	if recorded == nil {
@@ -186,40 +187,41 @@
 		"session", h.report.Session, "sequence", h.report.Sequence)
 }
 
-// dropReason is why a heartbeat proves nothing any more.
+// dropReason is the reason for which a heartbeat is dropped.
 type dropReason int
 
-// Reasons to drop a heartbeat.
+// Reasons for dropping a heartbeat.
 const (
-	notDropped            dropReason = iota // it is the newest
+	notDropped            dropReason = iota // the heartbeat is the newest one
 	droppedEarlierSession                   // a newer session of its agent is known
-	droppedDuplicate                        // it came before
-	droppedOutOfOrder                       // a newer one of its session came before
+	droppedDuplicate                        // the same heartbeat was received before
+	droppedOutOfOrder                       // a newer heartbeat of its session was received before
 )
 
-// String is the reason's name in logs.
+// String returns the reason's name in logs.
 func (d dropReason) String() string {
 	return [...]string{"not dropped", "earlier session", "duplicate", "out of order"}[d]
 }
 
-// metricLabel is the reason's label in sableusher_reports_dropped_total.
+// metricLabel returns the reason's label in sableusher_reports_dropped_total.
 func (d dropReason) metricLabel() string {
 	return [...]string{"", "session", "twice", "order"}[d]
 }
 
-// heartbeatPosition is where a heartbeat stands among those of its agent.
+// heartbeatPosition identifies a heartbeat among those of its agent, with the time when it was received.
 type heartbeatPosition struct {
 	session, sequence uint64
 	receivedAt        time.Time
 }
 
-// heartbeatHistory has the newest heartbeat of each machine that came to this node, whoever was its owner. It
-// outlives what is known of the machine, which goes with the machine's shard: a copy that the network delivers
-// later must neither count as a sign of life of a machine that may be dead, nor bring back what is over.
+// heartbeatHistory has the newest heartbeat of each machine that this node received, whichever node owned the
+// machine's shard. Entries are kept when the shard moves to another owner and its machines are removed from the
+// Registry: a copy that the network delivers later must neither count as a sign of life of a machine that may be
+// dead, nor restore a session or a task that has ended.
 type heartbeatHistory map[string]heartbeatPosition
 
-// accept notes a heartbeat that is newer than all before; otherwise it says why it is to be dropped. Callers
-// hold the cluster state's lock.
+// accept records a heartbeat that is newer than all earlier ones of its machine. Otherwise it returns the reason to
+// drop the heartbeat. Callers hold the cluster state's lock.
 func (history heartbeatHistory) accept(h *heartbeatRequest) dropReason {
 	report := h.report
 	newest := history[report.Machine]
@@ -230,7 +232,7 @@
 		return droppedDuplicate
 	case report.Session == newest.session && report.Sequence < newest.sequence:
 		return droppedOutOfOrder
-	// The records tell of sessions that this process has not heard of.
+	// The records may name a newer session than this process has received heartbeats of.
 	case h.recorded != nil && report.Session < h.recorded.Session:
 		return droppedEarlierSession
 	}
@@ -238,7 +240,7 @@
 	return notDropped
 }
 
-// removeOld forgets the heartbeats that came longer ago than any copy of them could still arrive.
+// removeOld removes the heartbeats that are so old that no copy of them can still arrive.
 func (history heartbeatHistory) removeOld(lease time.Duration, now time.Time) {
 	for name, position := range history {
 		if now.Sub(position.receivedAt) > tuning.HeartbeatMemoryLeases*lease {
@@ -247,20 +249,20 @@
 	}
 }
 
-// RecentlyHeard gives those of the machines whose agents have reported to this node lately, though it may not
-// own them: they came because their owner did not answer.
+// RecentlyHeard returns those of the named machines whose agents have recently sent a report to this node, even if
+// another node owns them: agents send their heartbeats here if their owner does not answer.
 func (r *Registry) RecentlyHeard(machineNames []string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// An agent that lost its way to one node tries the next after seconds.
-	limit := r.heartbeatIntervals(tuning.RecentlyHeardIntervals)
+	// An agent that cannot reach one node tries the next one within seconds.
+	limit := r.heartbeatIntervals(tuning.RecentReportIntervals)
 	var out []string
 	for _, name := range machineNames {
-		lastHeard := r.redirectedAt[name]
-		if m := r.machines[name]; m != nil && m.link.lastHeard.After(lastHeard) {
-			lastHeard = m.link.lastHeard
+		lastReport := r.redirectedAt[name]
+		if m := r.machines[name]; m != nil && m.link.lastReport.After(lastReport) {
+			lastReport = m.link.lastReport
 		}
-		if !lastHeard.IsZero() && time.Since(lastHeard) < limit {
+		if !lastReport.IsZero() && time.Since(lastReport) < limit {
 			out = append(out, name)
 		}
 	}
--- a/internal/agent/heartbeat_test.go
+++ b/internal/agent/heartbeat_test.go
@@ -12,28 +12,28 @@
 	"sableusher/internal/wire"
 )
 
-// sequenceID names a heartbeat of an agent.
-type sequenceID struct{ session, sequence uint64 }
+// heartbeatID identifies a heartbeat of an agent.
+type heartbeatID struct{ session, sequence uint64 }
 
-// notAfter tells whether a heartbeat is the other or an earlier one.
-func (s sequenceID) notAfter(other sequenceID) bool {
+// notNewerThan reports whether s is the same heartbeat as other or an earlier one.
+func (s heartbeatID) notNewerThan(other heartbeatID) bool {
 	return s.session < other.session || s.session == other.session && s.sequence <= other.sequence
 }
 
-// delayedCopies delivers heartbeats of one agent in any order.
+// delayedCopies delivers heartbeats of one agent in arbitrary order.
 type delayedCopies struct {
 	*registryFixture
 	machineName string
 	binding     clusterstate.Binding
-	newest      sequenceID // that was delivered
-	shownToken  uint64     // by it
+	newest      heartbeatID // newest heartbeat that was delivered
+	shownToken  uint64      // fencing token in the newest heartbeat
 	ownerToken  uint64
 	revision    uint64
 }
 
-// TestDelayedHeartbeatCopies delivers heartbeats of an agent's sessions late, twice and out of order, while its
-// shard changes hands and what is known of its machine goes with it. Only what is newer than all before counts:
-// as a sign of life of the machine, as a session to be recorded, as a proof about a task.
+// TestDelayedHeartbeatCopies delivers heartbeats of an agent's sessions late, twice and out of order, while the
+// agent's shard moves between owners and the entry of its machine is removed. Only a heartbeat that is newer than all
+// earlier ones may count as a sign of life, as a session to record, or as proof about a task.
 func TestDelayedHeartbeatCopies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &delayedCopies{
@@ -51,7 +51,7 @@
 	})
 }
 
-// moveShardThereAndBack gives the shard to the other node; it comes back under a higher token.
+// moveShardThereAndBack moves the shard to the other node and back. Each move raises the fencing token.
 func (d *delayedCopies) moveShardThereAndBack(t *rapid.T) {
 	for _, owner := range []string{"b", "a"} {
 		d.ownerToken++
@@ -64,10 +64,10 @@
 	}
 }
 
-// deliver delivers any heartbeat and checks that it counts only if it is the newest.
+// deliver delivers an arbitrary heartbeat and checks that it has an effect only if it is the newest one.
 func (d *delayedCopies) deliver(t *rapid.T) {
-	id := sequenceID{rapid.Uint64Range(1, 3).Draw(t, "session"), rapid.Uint64Range(1, 6).Draw(t, "sequence")}
-	old := id.notAfter(d.newest)
+	id := heartbeatID{rapid.Uint64Range(1, 3).Draw(t, "session"), rapid.Uint64Range(1, 6).Draw(t, "sequence")}
+	old := id.notNewerThan(d.newest)
 	heartbeat := d.drawHeartbeat(t, id, old)
 	before := d.MachineStatus(d.machineName, d.ownerToken)
 	status, _ := d.handle(heartbeat)
@@ -83,17 +83,18 @@
 	d.newest, d.shownToken = id, heartbeat.FencingToken
 	for name, report := range d.TakeAdoptions() {
 		if name == d.machineName && report.Session < d.newest.session {
-			t.Fatalf("session %d is recorded, %d was heard", report.Session, d.newest.session)
+			t.Fatalf("session %d is to be recorded, the newest reported is %d", report.Session, d.newest.session)
 		}
 	}
 	d.checkPresence(t, heartbeat)
 }
 
-// drawHeartbeat makes a heartbeat. The task is done in the agent's second session, and not known to the third.
-func (d *delayedCopies) drawHeartbeat(t *rapid.T, id sequenceID, old bool) *wire.Heartbeat {
+// drawHeartbeat draws a heartbeat. The task exits in the agent's second session, and the third session does not have
+// it.
+func (d *delayedCopies) drawHeartbeat(t *rapid.T, id heartbeatID, old bool) *wire.Heartbeat {
 	least := uint64(1)
 	if !old {
-		least = d.shownToken // an agent's highest token only grows
+		least = d.shownToken // an agent's highest token never decreases
 	}
 	heartbeat := &wire.Heartbeat{
 		Machine: d.machineName, Address: testAddress, Session: id.session, Sequence: id.sequence,
@@ -107,7 +108,7 @@
 	return heartbeat
 }
 
-// checkPresence checks that the presence of the task follows from the newest heartbeat.
+// checkPresence checks that the presence of the task agrees with the newest heartbeat.
 func (d *delayedCopies) checkPresence(t *rapid.T, heartbeat *wire.Heartbeat) {
 	presence := d.ObserveTask(d.binding, d.machineName, d.ownerToken).Presence
 	wrong := false
@@ -124,18 +125,18 @@
 	}
 }
 
-// TestHeartbeatOfSessionBeforeRecord: a process that has heard of nobody yet knows from the records which
-// sessions are over.
+// TestHeartbeatOfSessionBeforeRecord checks that a process that has not received any heartbeat yet knows from the
+// records which sessions have ended.
 func TestHeartbeatOfSessionBeforeRecord(t *testing.T) {
 	f := newRegistryFixture(tuning.SchemaVersionConfirmedCancel)
 	name := f.addMachine(ownShard)
 	f.putMachine(name, record.Machine{Type: "m", Zone: "z", Address: testAddress, Up: true, Session: 4}, 2)
 	status, _ := f.handle(&wire.Heartbeat{Machine: name, Session: 3, Sequence: 90, FencingToken: testToken})
 	if status != http.StatusServiceUnavailable || len(f.RecentlyHeard([]string{name})) > 0 {
-		t.Errorf("a copy out of an earlier session counts: %d", status)
+		t.Errorf("a copy from an earlier session was accepted: %d", status)
 	}
 	status, _ = f.handle(&wire.Heartbeat{Machine: name, Session: 4, Sequence: 1, FencingToken: testToken})
 	if status != http.StatusOK {
-		t.Errorf("the session on record: %d", status)
+		t.Errorf("the recorded session: %d", status)
 	}
 }
--- a/internal/agent/images.go
+++ b/internal/agent/images.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// cachedImage is an image that a machine is believed to hold.
+// cachedImage is an image that a machine is expected to have in its cache.
 type cachedImage struct {
 	lastUsed time.Time
 	sizeGB   float64
 }
 
-// imageCache models a machine's cache of images: it evicts those used longest ago.
+// imageCache models a machine's cache of images, which evicts the least recently used image first.
 type imageCache map[string]cachedImage
 
-// use notes that an image is held now. Images beyond the cache's size, in GB, are evicted; 0 is no limit. The
-// image just used is never evicted.
+// use records that an image was used at now. Images that exceed the cache's size, in GB, are evicted; a size of 0
+// means no limit. The image that was just used is never evicted.
 func (c imageCache) use(image string, sizeGB, cacheGB float64, now time.Time) {
 	c[image] = cachedImage{now, sizeGB}
 	if cacheGB <= 0 {
@@ -29,7 +29,7 @@
 	}
 }
 
-// leastRecentlyUsed names the image used longest ago other than the one to keep.
+// leastRecentlyUsed returns the least recently used image other than keep, or keep if there is no other.
 func (c imageCache) leastRecentlyUsed(keep string) string {
 	oldest := keep
 	for image, cached := range c {
@@ -40,8 +40,8 @@
 	return oldest
 }
 
-// MachinesByImage gives the machines of this node by the images that they are believed to hold, for the
-// schedulers here and on the other nodes.
+// MachinesByImage returns the names of this node's machines by the images that they are expected to have cached, for
+// the schedulers of this node and of the other nodes.
 func (r *Registry) MachinesByImage() map[string][]string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,8 +54,8 @@
 	return out
 }
 
-// RecordImageUse records that a machine has just used an image of some size. Its cache of cacheGB keeps the
-// images used last.
+// RecordImageUse records that a machine has just used an image of sizeGB, and evicts the least recently used images
+// from the model of its cache of cacheGB.
 func (r *Registry) RecordImageUse(machineName, image string, sizeGB, cacheGB float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -8,17 +8,19 @@
 	"sableusher/internal/tuning"
 )
 
-// leaseKeeper decides whether an answer may renew an agent's lease. A lease that is renewed without knowing of
-// a cancellation must break no promise about it (safety invariants 5 and 23). Registry.mu guards it.
+// leaseKeeper decides whether the answer to a heartbeat may renew the agent's lease. Renewing a lease without knowing
+// of a cancellation must not break the deadline of that cancellation (safety invariants 5 and 23). Registry.mu guards
+// it.
 type leaseKeeper struct {
 	settings     *config.Settings
 	clusterState *clusterstate.State
 	pauses       pauseDetector
-	startedAt    time.Time // when this process was
-	// peerLastAnswered says when another node last answered this one; nil: not known yet.
+	startedAt    time.Time // when this process started
+	// peerLastAnswered returns when another node last answered this one. It is nil until SetPeerLastAnswered is
+	// called.
 	peerLastAnswered func(node string) time.Time
-	// initialTokens are the fencing tokens that agents had when they first reported to a process without a
-	// cluster state.
+	// initialTokens has, by machine, the fencing token that the agent had when it first reported to this process
+	// while the process had no cluster state.
 	initialTokens map[string]uint64
 }
 
@@ -28,19 +30,21 @@
 	}
 }
 
-// maxStateAge is the age of the cluster state up to which leases are renewed where cancellations are confirmed
-// at once: one that the state has not seen must still end with the lease in time.
+// maxStateAge returns the age of the cluster state up to which leases are renewed if cancellations are confirmed
+// immediately. A task whose cancellation the state does not show yet must still end with its lease, within the
+// cancellation deadline.
 func (k *leaseKeeper) maxStateAge() time.Duration {
 	slack := k.settings.CancelDeadline() - k.settings.LeaseDuration()
 	return time.Duration(float64(slack)*(1-2*tuning.ClockDriftFraction)) - tuning.LeaseMargin
 }
 
-// mayRenew tells whether leases may be renewed on a cluster state that is complete as of some time. Where a
-// cancellation is confirmed once no task is left, a lease that is renewed without knowing of one breaks no
-// promise, and a zone that is cut off works on. Otherwise the lease must end in time. A process that stood
-// still believes nothing until its state is confirmed. Callers hold the cluster state's lock.
+// mayRenew reports whether leases may be renewed based on a cluster state that was last complete at completeAsOf. If
+// cancellations are confirmed only once no task is left, the age of the state does not matter: renewing a lease
+// without knowing of a cancellation breaks no deadline, and tasks in a partitioned zone keep running. Otherwise the
+// state must not be older than maxStateAge, so that the lease expires in time. After a suspension of the process
+// nothing is renewed until the state is confirmed. Callers hold the cluster state's lock.
 func (k *leaseKeeper) mayRenew(now, completeAsOf time.Time) bool {
-	k.pauses.noteRunning(now)
+	k.pauses.recordRunning(now)
 	if completeAsOf.IsZero() || k.pauses.resumedAt.After(completeAsOf) {
 		return false
 	}
@@ -48,10 +52,10 @@
 		now.Sub(completeAsOf) <= k.maxStateAge()
 }
 
-// mayRenewForOwner tells whether this node may renew the lease of an agent whose shard another node owns: the
-// owner is out of reach, as is this node's own way to the key-value store, so that both are cut off together.
-// The answer starts nothing. The agent takes it with the token it has seen; one that has seen a higher one has
-// a newer owner. Callers hold the cluster state's lock.
+// mayRenewForOwner reports whether this node may renew the lease of an agent whose shard another node owns. It may if
+// neither the owner nor the key-value store can be reached from here, because then this node and the owner are cut
+// off together. The response starts no tasks. It carries the owner's token as this node knows it; an agent that has
+// seen a higher token has a newer owner and gets no renewal. Callers hold the cluster state's lock.
 func (k *leaseKeeper) mayRenewForOwner(h *heartbeatRequest, owner clusterstate.Shard) bool {
 	if h.report.FencingToken > owner.FencingToken || h.recorded == nil || h.recorded.Deleting {
 		return false
@@ -62,14 +66,16 @@
 	return k.peerLastAnswered != nil && !k.reachable(owner.Owner, h.now)
 }
 
-// mayRenewWithoutState tells whether this process may renew the lease of an agent though it has no cluster
-// state at all: it was started in a zone that is cut off, where its predecessor kept the leases. No state is
-// the oldest there can be: the answer starts nothing and stops nothing. That cancellations are confirmed late,
-// which makes it safe, the agent's own token says. Another node that can be reached may know more, so there
-// must be none; and an agent whose token rises meanwhile has an owner that reaches it, to whom it must not be
-// lost.
+// mayRenewWithoutState reports whether this process may renew the lease of an agent although it has no cluster state
+// at all. That is the case for a process that was started in a partitioned zone to replace one that had renewed the
+// leases there. Its response neither starts nor stops tasks, as with a cluster state of unlimited age.
+//
+// Such a renewal is safe only if cancellations are confirmed late, which the agent's own token shows. It also
+// requires that no other node can be reached, since that node might have a cluster state, and that the agent's token
+// has not risen since its first report: otherwise an owner reaches the agent, and the agent must stay with that
+// owner.
 func (k *leaseKeeper) mayRenewWithoutState(h *heartbeatRequest) bool {
-	k.pauses.noteRunning(h.now)
+	k.pauses.recordRunning(h.now)
 	if !h.completeAsOf.IsZero() {
 		clear(k.initialTokens)
 		return false
@@ -91,20 +97,21 @@
 	return h.report.FencingToken == initial
 }
 
-// reachable tells whether a node has answered this one lately.
+// reachable reports whether a node has answered this one within tuning.OwnerUnreachableAfter.
 func (k *leaseKeeper) reachable(node string, now time.Time) bool {
 	return now.Sub(k.peerLastAnswered(node)) < tuning.OwnerUnreachableAfter
 }
 
-// pauseDetector notices that the process stood still, for instance while its virtual machine was suspended:
-// what it believes is then older than its clocks say (safety invariant 24).
+// pauseDetector detects that the process was suspended, for example together with its virtual machine. Its view of
+// the cluster is then older than its clocks indicate (safety invariant 24).
 type pauseDetector struct {
-	lastRunning time.Time // when the process was last seen to run
-	resumedAt   time.Time // when it last went on after a pause; zero: it never paused
+	lastRunning time.Time // when recordRunning was last called
+	resumedAt   time.Time // when the process last resumed after a pause; zero if it never paused
 }
 
-// noteRunning notes that the process runs, and whether it stood still before.
-func (d *pauseDetector) noteRunning(now time.Time) {
+// recordRunning records that the process runs at now. A gap of more than tuning.PauseThreshold since the last call
+// counts as a pause.
+func (d *pauseDetector) recordRunning(now time.Time) {
 	if !d.lastRunning.IsZero() && now.Sub(d.lastRunning) > tuning.PauseThreshold {
 		d.resumedAt = now
 	}
--- a/internal/agent/lease_model_test.go
+++ b/internal/agent/lease_model_test.go
@@ -5,68 +5,69 @@
 	"testing"
 )
 
-// The model of docs/zones-design.md: one task on one agent, its owner A inside a zone and a node B outside that
-// may take its shard over, the records of the key-value store, one user who cancels. Every link may be cut or
-// held between any two steps, which is to say that any step may or may not come; time moves between any two.
-// All reachable states are visited.
+// This file has the model described in docs/zones-design.md. It consists of one task on one agent, node A inside a
+// zone, which owns the task's shard, a node B outside the zone that may take over the shard, the records in the
+// key-value store, and a user who cancels the task. Any link may be down or slow between any two steps, so each step
+// may or may not happen, and time may pass between any two steps. The test visits all reachable states.
 
-// Times of the model, in ticks.
+// Durations in the model, in ticks.
 const (
 	modelLease  = 2
 	modelCancel = 4
-	// modelMaxStateAge is the age up to which leases are renewed where cancellations are confirmed at once.
+	// modelMaxStateAge is the age of the cluster state up to which leases are renewed if cancellations are confirmed
+	// immediately.
 	modelMaxStateAge = modelCancel - modelLease - 1
 	modelSessionTTL  = 1
-	modelMaxAge      = modelCancel + 1 // ages beyond it are alike
+	modelMaxAge      = modelCancel + 1 // greater ages are treated as equal to it
 )
 
-// Fencing tokens of the model: an agent without a session has seen none.
+// Fencing tokens in the model. An agent without a session has seen none.
 const (
 	modelNoToken int8 = iota
 	modelTokenA
 	modelTokenB
 )
 
-// modelNotConfirmed is confirmedSince of a cancellation that the user was not told of yet.
+// modelNotConfirmed is the confirmedSince of a cancellation that has not been confirmed to the user yet.
 const modelNotConfirmed = -1
 
-// leasePolicy is how nodes renew leases and confirm cancellations.
+// leasePolicy is a way to renew leases and to confirm cancellations.
 type leasePolicy struct {
 	renewOnStaleState     bool // leases are renewed on a cluster state of any age
 	confirmedCancellation bool // a cancellation is confirmed once no task is bound in the records
-	agentMayHang          bool // in which state it ends nothing by itself
-	renewWithoutState     bool // a process without any cluster state renews leases under the agent's own token
+	agentMayHang          bool // a hung agent does not end its tasks when its lease expires
+	renewWithoutState     bool // a process without a cluster state renews leases under the agent's own token
 }
 
-// nodeView is what a node believes.
+// nodeView is a node's view of the cluster.
 type nodeView struct {
 	cancelled bool
 	stateAge  int8
-	taskLeft  bool // it has seen that the task has left the machine
+	taskLeft  bool // the node has seen that the task left the machine
 }
 
 // modelState is one state of the model.
 type modelState struct {
 	nodeA, nodeB   nodeView
-	sessionAge     int8 // of A
-	ownedByB       bool // the records name B as owner
-	cancelled      bool // the records say so
+	sessionAge     int8 // age of A's session
+	ownedByB       bool // the records have B as the owner
+	cancelled      bool // the records show the cancellation
 	bound          bool // the records bind the task to the machine
-	taskRuns       bool // on the machine
-	secondStarted  bool // the task was started on another one
+	taskRuns       bool // the task runs on the machine
+	secondStarted  bool // the task was started on another machine
 	fencingToken   int8 // the highest that the agent has seen
 	leaseAge       int8 // since the agent's last answered heartbeat
 	agentHangs     bool
-	confirmedSince int8 // since the user was told of the cancellation
+	confirmedSince int8 // time since the cancellation was confirmed to the user
 }
 
-// modelStep is one step of the model: where it is enabled, apply makes it.
+// modelStep is one step of the model. apply performs it, if it is enabled.
 type modelStep struct {
 	enabled bool
 	apply   func(*modelState)
 }
 
-// successors gives all states that one step leads to.
+// successors returns all states that are one step away.
 func (p leasePolicy) successors(s modelState) []modelState {
 	var out []modelState
 	steps := append(p.recordSteps(s), p.heartbeatSteps(s)...)
@@ -84,7 +85,7 @@
 	return out
 }
 
-// recordSteps are those of the records and of what nodes read in them.
+// recordSteps returns the steps that change the records or in which nodes read them.
 func (p leasePolicy) recordSteps(s modelState) []modelStep {
 	return []modelStep{
 		{true, func(n *modelState) { n.readRecords(&n.nodeA); n.sessionAge = 0 }},
@@ -101,8 +102,8 @@
 	}
 }
 
-// heartbeatSteps are those in which a heartbeat is answered. A may be the owner or answer in the owner's stead:
-// its token is the same.
+// heartbeatSteps returns the steps in which a heartbeat is answered. A answers either as the owner or on the owner's
+// behalf, with the same token.
 func (p leasePolicy) heartbeatSteps(s modelState) []modelStep {
 	mayRenew := func(node *nodeView) bool { return p.renewOnStaleState || node.stateAge <= modelMaxStateAge }
 	return []modelStep{
@@ -115,8 +116,8 @@
 	}
 }
 
-// ownerSteps are those of the owner, the cloud and the machine: the owner writes that the task has left, guarded
-// by its ownership; the cloud deletes the machine, or does not.
+// ownerSteps returns the steps of the owner, the cloud and the machine. The owner records that the task has left the
+// machine, in a write that is conditional on its ownership. The cloud may or may not delete the machine.
 func (p leasePolicy) ownerSteps(s modelState) []modelStep {
 	ownerSawTaskLeave := !s.ownedByB && s.nodeA.taskLeft || s.ownedByB && s.nodeB.taskLeft
 	return []modelStep{
@@ -127,10 +128,10 @@
 	}
 }
 
-// readRecords brings what a node believes up to date.
+// readRecords updates a node's view from the records.
 func (s *modelState) readRecords(node *nodeView) { node.cancelled, node.stateAge = s.cancelled, 0 }
 
-// answer renews the agent's lease in a node's name. The agent drops an answer under a lower token.
+// answer renews the agent's lease on behalf of a node. The agent ignores an answer with a lower token.
 func (s *modelState) answer(node *nodeView, fencingToken int8) {
 	if fencingToken < s.fencingToken {
 		return
@@ -142,7 +143,7 @@
 	node.taskLeft = !s.taskRuns
 }
 
-// tick moves time on. An agent whose lease has expired ends its task and begins a new session.
+// tick advances time by one tick. An agent whose lease has expired ends its task and begins a new session.
 func (s *modelState) tick() {
 	for _, age := range []*int8{&s.nodeA.stateAge, &s.nodeB.stateAge, &s.sessionAge, &s.leaseAge} {
 		*age = min(*age+1, modelMaxAge)
@@ -155,7 +156,7 @@
 	}
 }
 
-// violatedRule names the rule that a state breaks, empty if it breaks none.
+// violatedRule returns the name of the rule that a state violates, or an empty string.
 func (s modelState) violatedRule() string {
 	switch {
 	case s.confirmedSince > modelCancel && s.taskRuns:
@@ -166,7 +167,7 @@
 	return ""
 }
 
-// explore visits all states and gives their number and the first rule violated.
+// explore visits all states until one violates a rule. It returns the number of states found and the violated rule.
 func (p leasePolicy) explore() (states int, rule string) {
 	first := modelState{bound: true, taskRuns: true, fencingToken: modelTokenA, confirmedSince: modelNotConfirmed}
 	seen := map[modelState]bool{first: true}
@@ -184,9 +185,9 @@
 	return len(seen), ""
 }
 
-// TestLeaseModel visits every state of the model under each way to renew leases and to confirm cancellations.
-// What is planted must be found: renewing on a stale cluster state, or without one, while cancellations are
-// confirmed at once, and the oldest policy where an agent hangs and the cloud deletes nothing.
+// TestLeaseModel explores the model under each combination of policies. It must find the violations of the unsafe
+// ones: renewing on a stale cluster state or without any while cancellations are confirmed immediately, and the
+// original policy if an agent hangs and the cloud does not delete its machine.
 func TestLeaseModel(t *testing.T) {
 	for _, c := range []struct {
 		leasePolicy
--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -13,31 +13,32 @@
 	"sableusher/internal/wire"
 )
 
-// TestLeaseRenewalDuringPartition: on a cluster state that is too old to know of cancellations leases are
-// renewed only where every node confirms those late, and then without commands; another owner's agents are
-// kept only if that owner is out of reach too, and under the token that they know.
+// TestLeaseRenewalDuringPartition checks which leases are renewed on a cluster state that may be too old to show
+// cancellations. They are renewed only if every node confirms cancellations late, and without commands. The lease of
+// another owner's agent is renewed only if that owner cannot be reached either, and under the token that the agent
+// has seen.
 func TestLeaseRenewalDuringPartition(t *testing.T) {
-	const certain = tuning.SchemaVersionConfirmedCancel
+	const late = tuning.SchemaVersionConfirmedCancel // cancellations are confirmed late
 	for name, c := range map[string]struct {
 		schemaVersion int
 		shard         int
 		stateAge      time.Duration
-		peerSilence   time.Duration // since the other owner answered
-		token         uint64        // that the agent has seen
+		peerSilence   time.Duration // since the other owner last answered
+		token         uint64        // highest token that the agent has seen
 		want          int
 	}{
-		"own, fresh":                        {0, 0, 0, 0, 5, http.StatusOK},
-		"own, within the limit":             {0, 0, 15 * time.Second, 0, 5, http.StatusOK},
-		"own, older, confirmed at once":     {1, 0, 17 * time.Second, 0, 5, http.StatusServiceUnavailable},
-		"own, older, confirmed late":        {certain, 0, 10 * time.Minute, 0, 5, http.StatusOK},
-		"own, it has a newer owner":         {certain, 0, 10 * time.Second, 0, 6, http.StatusMisdirectedRequest},
-		"other's, fresh":                    {certain, 1, 0, time.Minute, 5, http.StatusMisdirectedRequest},
-		"other's, its owner in reach":       {certain, 1, time.Minute, time.Second, 5, http.StatusMisdirectedRequest},
-		"other's, cut off with it":          {certain, 1, time.Minute, time.Minute, 5, http.StatusOK},
-		"other's, within the limit":         {1, 1, 15 * time.Second, time.Minute, 5, http.StatusOK},
-		"other's, older, confirmed at once": {1, 1, time.Minute, time.Minute, 5, http.StatusMisdirectedRequest},
-		"other's, it has a newer owner":     {certain, 1, time.Minute, time.Minute, 6, http.StatusMisdirectedRequest},
-		"other's, it has seen no answer":    {certain, 1, time.Minute, time.Minute, 0, http.StatusOK},
+		"own shard, fresh state":               {0, 0, 0, 0, 5, http.StatusOK},
+		"own shard, state within the limit":    {0, 0, 15 * time.Second, 0, 5, http.StatusOK},
+		"own shard, old, early confirmation":   {1, 0, 17 * time.Second, 0, 5, http.StatusServiceUnavailable},
+		"own shard, old, late confirmation":    {late, 0, 10 * time.Minute, 0, 5, http.StatusOK},
+		"own shard, newer owner":               {late, 0, 10 * time.Second, 0, 6, http.StatusMisdirectedRequest},
+		"other shard, fresh state":             {late, 1, 0, time.Minute, 5, http.StatusMisdirectedRequest},
+		"other shard, owner reachable":         {late, 1, time.Minute, time.Second, 5, http.StatusMisdirectedRequest},
+		"other shard, owner unreachable":       {late, 1, time.Minute, time.Minute, 5, http.StatusOK},
+		"other shard, state within the limit":  {1, 1, 15 * time.Second, time.Minute, 5, http.StatusOK},
+		"other shard, old, early confirmation": {1, 1, time.Minute, time.Minute, 5, http.StatusMisdirectedRequest},
+		"other shard, newer owner":             {late, 1, time.Minute, time.Minute, 6, http.StatusMisdirectedRequest},
+		"other shard, no token seen":           {late, 1, time.Minute, time.Minute, 0, http.StatusOK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newRegistryFixture(c.schemaVersion)
@@ -45,14 +46,14 @@
 			f.confirmedAt, f.peerAnsweredAt = time.Now().Add(-c.stateAge), time.Now().Add(-c.peerSilence)
 			status, body := f.heartbeat(machineName, 1, c.token)
 			if status != c.want {
-				t.Fatalf("%d, want %d", status, c.want)
+				t.Fatalf("status %d, want %d", status, c.want)
 			}
 			expectNoCommands(t, body, testToken)
 		})
 	}
 }
 
-// expectNoCommands checks that an answer that renews a lease does so under the token, and commands nothing.
+// expectNoCommands checks that an answer that renews a lease has the token and no commands.
 func expectNoCommands(t *testing.T, body any, fencingToken uint64) {
 	t.Helper()
 	response, ok := body.(wire.HeartbeatResponse)
@@ -61,8 +62,8 @@
 	}
 }
 
-// TestCancelledTasksStopDuringPartition: an answer on an old cluster state starts nothing, and stops what was
-// cancelled before it: that may have been confirmed at once by an earlier version.
+// TestCancelledTasksStopDuringPartition checks that an answer based on an old cluster state starts nothing and stops
+// the tasks whose cancellation the state shows. An earlier version may have confirmed that cancellation at once.
 func TestCancelledTasksStopDuringPartition(t *testing.T) {
 	for _, shard := range []int{ownShard, peerShard} {
 		f := newRegistryFixture(tuning.SchemaVersionConfirmedCancel)
@@ -85,7 +86,7 @@
 	}
 }
 
-// putServiceOn writes the record of a service whose two replicas are bound to a machine.
+// putServiceOn adds the record of a service that has two replicas bound to a machine.
 func (f *registryFixture) putServiceOn(machineName, jobID string, cancelledAtMs int64) {
 	f.put(record.JobKey(jobID), wire.MustEncode(record.Job{
 		Spec:          wire.JobSpec{ID: jobID, Kind: wire.KindService, TaskCount: 2},
@@ -97,34 +98,39 @@
 	}), 2)
 }
 
-// TestRenewalWithoutClusterState: a process that was started in a zone that is cut off renews leases of all
-// agents there though it knows nothing, and gives no commands; not before it has looked for others, not while
-// one can be reached, not where cancellations may be confirmed at once, not once it has a cluster state or has
-// stood still, and no more of an agent that another owner has reached meanwhile. Without it a zone's 700 tasks
-// ended with their leases when the only controller in it ended during the partition.
+// TestRenewalWithoutClusterState checks that a process that was started in a partitioned zone renews the leases of
+// all agents there, without commands, although it has no cluster state. It renews none:
+//
+//   - before it has had time to find other nodes, or while one of them can be reached;
+//   - if cancellations may be confirmed at once;
+//   - once it has a cluster state, or after it was suspended;
+//   - for an agent that another owner has reached since.
+//
+// Without these renewals, 700 tasks of a zone ended with their leases when the only controller in the zone ended
+// during a partition.
 func TestRenewalWithoutClusterState(t *testing.T) {
-	const certain = tuning.ConfirmedCancelTokenBase + 3
+	const lateToken = tuning.ConfirmedCancelTokenBase + 3 // cancellations are confirmed late
 	for name, c := range map[string]struct {
 		sinceStart time.Duration
 		token      uint64
 		change     func(*registryFixture)
 		want       bool
 	}{
-		"cut off":           {10 * time.Second, certain, nil, true},
-		"just started":      {time.Second, certain, nil, false},
-		"confirmed at once": {10 * time.Second, 5, nil, false},
-		"no answer seen":    {10 * time.Second, 0, nil, false},
-		"another in reach": {10 * time.Second, certain, func(f *registryFixture) {
+		"partitioned":                     {10 * time.Second, lateToken, nil, true},
+		"just started":                    {time.Second, lateToken, nil, false},
+		"cancellations confirmed at once": {10 * time.Second, 5, nil, false},
+		"agent has seen no token":         {10 * time.Second, 0, nil, false},
+		"another node reachable": {10 * time.Second, lateToken, func(f *registryFixture) {
 			f.peerAnsweredAt = time.Now().Add(-time.Second)
 		}, false},
-		"another was long so": {10 * time.Second, certain, func(f *registryFixture) {
+		"another node was reachable long ago": {10 * time.Second, lateToken, func(f *registryFixture) {
 			f.peerAnsweredAt = time.Now().Add(-tuning.OwnerUnreachableAfter)
 		}, true},
-		"it has a cluster state": {10 * time.Second, certain, func(f *registryFixture) {
+		"process has a cluster state": {10 * time.Second, lateToken, func(f *registryFixture) {
 			f.confirmedAt = time.Now().Add(-time.Second)
 		}, false},
-		"a newer owner": {10 * time.Second, certain + 1, func(f *registryFixture) {
-			if status, _ := f.heartbeat(f.addMachine(peerShard), 1, certain); status != http.StatusOK {
+		"agent has a newer owner": {10 * time.Second, lateToken + 1, func(f *registryFixture) {
+			if status, _ := f.heartbeat(f.addMachine(peerShard), 1, lateToken); status != http.StatusOK {
 				panic(status)
 			}
 		}, false},
@@ -141,60 +147,61 @@
 				}
 				status, body := f.heartbeat(machineName, 2, c.token)
 				if (status == http.StatusOK) != c.want {
-					t.Fatalf("%d, want renewed: %v", status, c.want)
+					t.Fatalf("status %d, want renewed: %v", status, c.want)
 				}
 				expectNoCommands(t, body, c.token)
-				time.Sleep(2 * tuning.PauseThreshold) // it stands still
+				time.Sleep(2 * tuning.PauseThreshold) // the process is suspended
 				status, _ = f.heartbeat(machineName, 3, c.token)
 				if status == http.StatusOK && f.confirmedAt.IsZero() {
-					t.Error("renewed after it had stood still")
+					t.Error("renewed after the process was suspended")
 				}
 			})
 		})
 	}
 }
 
-// loseClusterState makes the fixture a process that has read no record and reached no node yet.
+// loseClusterState makes the fixture a process that has read no records and reached no other node yet.
 func (f *registryFixture) loseClusterState() {
 	clear(f.state.Shards)
 	clear(f.state.Machines)
 	f.confirmedAt, f.peerAnsweredAt, f.state.SchemaVersion = time.Time{}, time.Time{}, 0
 }
 
-// runFor lets a time pass in which the process runs.
+// runFor advances the time by duration while the process runs.
 func (f *registryFixture) runFor(duration time.Duration) {
 	for range int(duration / time.Second) {
 		time.Sleep(time.Second)
-		f.noteRunning(time.Now())
+		f.recordRunning(time.Now())
 	}
 }
 
-// TestPausedProcessRenewsNothing: a process that stood still renews no lease, of its own agents or others',
-// until its cluster state is confirmed, whatever it does first when it goes on.
+// TestPausedProcessRenewsNothing checks that a process that was suspended renews no lease, of its own agents or of
+// others, until its cluster state is confirmed. It must not matter whether a heartbeat or the pause check comes first
+// after the process resumes.
 func TestPausedProcessRenewsNothing(t *testing.T) {
 	for _, first := range []string{"heartbeat", "tick"} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newRegistryFixture(tuning.SchemaVersionConfirmedCancel)
 			own, others := f.addMachine(ownShard), f.addMachine(peerShard)
 			if status, _ := f.heartbeat(own, 1, testToken); status != http.StatusOK {
-				t.Fatalf("before: %d", status)
+				t.Fatalf("before the pause: status %d", status)
 			}
-			time.Sleep(40 * time.Second) // nothing ran
+			time.Sleep(40 * time.Second) // the process is suspended
 			if first == "tick" {
-				f.noteRunning(time.Now())
+				f.recordRunning(time.Now())
 			}
 			for sequence := uint64(2); sequence < 5; sequence++ {
 				if status, _ := f.heartbeat(own, sequence, testToken); status == http.StatusOK {
-					t.Errorf("%s first: renewed its own agent's lease", first)
+					t.Errorf("%s first: renewed the lease of its own agent", first)
 				}
 				if status, _ := f.heartbeat(others, sequence, testToken); status == http.StatusOK {
-					t.Errorf("%s first: renewed another's agent's lease", first)
+					t.Errorf("%s first: renewed the lease of another owner's agent", first)
 				}
 				time.Sleep(time.Second)
 			}
 			f.confirmedAt = time.Now()
 			if status, _ := f.heartbeat(own, 9, testToken); status != http.StatusOK {
-				t.Errorf("%s first: %d once its cluster state is confirmed", first, status)
+				t.Errorf("%s first: status %d after its cluster state was confirmed", first, status)
 			}
 		})
 	}
--- a/internal/agent/link.go
+++ b/internal/agent/link.go
@@ -6,41 +6,42 @@
 	"sableusher/internal/tuning"
 )
 
-// linkState follows whether a machine and this node reach each other, each direction by itself. Times are
-// zero where the event has not happened.
+// linkState tracks whether a machine and this node reach each other, separately for each direction. A time is zero if
+// its event has not happened.
 type linkState struct {
-	lastHeard       time.Time // when its last report came: a heartbeat, or the answer to a command
-	lastHeartbeat   time.Time // when its last heartbeat came
-	firstHeard      time.Time // when this node first heard of it
-	commandFailedAt time.Time // when the last direct command without an answer failed
-	// inboundConfirmedAt is when it was last known to receive what this node sends.
+	lastReport      time.Time // when its last report arrived: a heartbeat or the response to a command
+	lastHeartbeat   time.Time // when its last heartbeat arrived
+	firstReport     time.Time // when its first report to this node arrived
+	commandFailedAt time.Time // when a direct command to it last failed
+	// inboundConfirmedAt is when the machine was last known to receive what this node sends.
 	inboundConfirmedAt time.Time
-	// inboundLostSince is when the first command since then failed.
+	// inboundLostSince is when the first command after inboundConfirmedAt failed.
 	inboundLostSince time.Time
-	// inboundRestoredAt is when it answered a command again, after some without an answer since its last
+	// inboundRestoredAt is when the machine answered a command again after commands had failed since its last
 	// heartbeat.
 	inboundRestoredAt time.Time
 }
 
-// inboundLost tells whether a machine's reports prove nothing of what reaches it: a direct command failed, and
-// since then it has neither answered one nor stayed with this node after an answer. Its heartbeats arrive all
-// the same, so that by them alone each would make it look ready for another task.
+// inboundLost reports whether the inbound direction is lost: a direct command failed, and since then nothing has
+// confirmed that the machine receives what this node sends (the response to a command, or a heartbeat that followed a
+// response). Heartbeats alone are no such proof: they keep arriving and would make the machine look ready for another
+// task each time.
 func (l *linkState) inboundLost() bool { return l.commandFailedAt.After(l.inboundConfirmedAt) }
 
-// inboundConfirmed tells whether a machine is known to receive what this node sends.
+// inboundConfirmed reports whether the machine is known to receive what this node sends.
 func (l *linkState) inboundConfirmed() bool {
 	return !l.inboundConfirmedAt.IsZero() && !l.inboundLost()
 }
 
-// commandUnanswered tells whether a direct command since the last report got no answer.
-func (l *linkState) commandUnanswered() bool { return l.commandFailedAt.After(l.lastHeard) }
+// commandUnanswered reports whether a direct command has failed since the last report.
+func (l *linkState) commandUnanswered() bool { return l.commandFailedAt.After(l.lastReport) }
 
-// neverProbed tells whether nothing is known yet of what reaches the machine.
+// neverProbed reports whether nothing is known yet about the inbound direction.
 func (l *linkState) neverProbed() bool {
 	return l.inboundConfirmedAt.IsZero() && l.commandFailedAt.IsZero()
 }
 
-// recordCommandFailure notes that a direct command got no answer.
+// recordCommandFailure records that a direct command got no response.
 func (l *linkState) recordCommandFailure(now time.Time) {
 	if !l.inboundLost() {
 		l.inboundLostSince = now
@@ -48,7 +49,7 @@
 	l.commandFailedAt, l.inboundRestoredAt = now, time.Time{}
 }
 
-// recordCommandResponse notes that a direct command got an answer.
+// recordCommandResponse records that a direct command got a response.
 func (l *linkState) recordCommandResponse(now time.Time) {
 	l.inboundConfirmedAt = now
 	if l.commandFailedAt.After(l.lastHeartbeat) && l.inboundRestoredAt.IsZero() {
@@ -56,24 +57,24 @@
 	}
 }
 
-// recordReport notes that a report came.
+// recordReport records that a report arrived.
 func (l *linkState) recordReport(source reportSource, now time.Time) {
-	l.lastHeard = now
+	l.lastReport = now
 	if source == fromHeartbeat {
 		l.lastHeartbeat, l.inboundRestoredAt = now, time.Time{}
 	}
-	if l.firstHeard.IsZero() {
-		l.firstHeard = now
+	if l.firstReport.IsZero() {
+		l.firstReport = now
 	}
 }
 
-// heartbeatExpected is from when on heartbeats of a machine that answers commands are to be expected, and how
-// much longer than usual the first may take: an agent that is new to this node, or was out of reach, first has
-// to find its shard's owner. Without that time, machines that came back from a partition counted as outbound
-// lost at once, and their replicas were stopped.
+// heartbeatExpected returns the time from which heartbeats are expected from a machine that answers commands, and how
+// much longer than usual the first one may take. An agent that is new to this node or was unreachable first has to
+// find the owner of its shard. Without this extra time, machines that became reachable again after a partition
+// counted as outbound lost at once, and their replicas were stopped.
 func (l *linkState) heartbeatExpected() (from time.Time, reconnectTime time.Duration) {
 	from = l.lastHeartbeat
-	for _, at := range []time.Time{l.firstHeard, l.inboundRestoredAt} {
+	for _, at := range []time.Time{l.firstReport, l.inboundRestoredAt} {
 		if at.After(from) {
 			from, reconnectTime = at, tuning.AgentFailoverTime
 		}
@@ -81,17 +82,17 @@
 	return from, reconnectTime
 }
 
-// outboundLost tells whether a machine answers commands while its heartbeats have been due for some time;
-// maxSilence is how long a machine that is heard may be silent.
+// outboundLost reports whether a machine answers commands although its heartbeats have been overdue for some time.
+// maxSilence is the longest time that may pass between two reports of a reachable machine.
 func (l *linkState) outboundLost(maxSilence time.Duration, now time.Time) bool {
 	from, reconnectTime := l.heartbeatExpected()
 	return l.inboundConfirmed() && now.Sub(from) > maxSilence+reconnectTime &&
-		l.inboundConfirmedAt.After(from) && now.Sub(l.lastHeard) < maxSilence
+		l.inboundConfirmedAt.After(from) && now.Sub(l.lastReport) < maxSilence
 }
 
-// inboundLostForLong tells whether reports arrive while commands have failed for longer than a lost one takes
-// to be followed by another.
+// inboundLostForLong reports whether reports keep arriving while commands have failed for longer than
+// tuning.InboundLostAfter. That is long enough for a second command to be sent after a single lost one.
 func (l *linkState) inboundLostForLong(now time.Time) bool {
-	return l.inboundLost() && l.lastHeard.After(l.inboundLostSince) &&
+	return l.inboundLost() && l.lastReport.After(l.inboundLostSince) &&
 		now.Sub(l.inboundLostSince) > tuning.InboundLostAfter
 }
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -9,10 +9,10 @@
 	"sableusher/internal/wire"
 )
 
-// TestInboundLostMachine: a machine whose heartbeats arrive while commands to it are lost gets nothing more to
-// do until it is known to receive again: by an answer to a command, or by a heartbeat that came to this node
-// next after one that this node had answered. Its heartbeats alone once made it look ready after each of
-// them, and one task after the other was bound to it and waited for its lease to end.
+// TestInboundLostMachine checks that a machine whose heartbeats arrive while commands to it are lost gets no more
+// tasks until it is known to receive again. The proof is the response to a command, or a heartbeat that directly
+// follows one that this node answered. Without this rule, each heartbeat made the machine look ready, and one task
+// after the other was bound to it and waited for its lease to end.
 func TestInboundLostMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRegistryFixture(tuning.SchemaVersionConfirmedCancel)
@@ -29,31 +29,30 @@
 		}
 		heartbeat(1)
 		heartbeat(2)
-		expectSchedulable("it stayed", true)
+		expectSchedulable("after two consecutive heartbeats", true)
 		time.Sleep(time.Second)
 		f.failCommand(name)
-		expectSchedulable("a command was lost", false)
-		for sequence := uint64(4); sequence < 20; sequence += 3 { // the heartbeats between went to other nodes
+		expectSchedulable("after a command was lost", false)
+		for sequence := uint64(4); sequence < 20; sequence += 3 { // other nodes received the heartbeats in between
 			time.Sleep(10 * time.Second)
 			heartbeat(sequence)
-			expectSchedulable("it was heard", false)
+			expectSchedulable("after a heartbeat", false)
 			if f.takeDispatches() == 0 {
-				t.Error("it is not probed")
+				t.Error("the machine is not probed")
 			}
 			if !f.MachineStatus(name, testToken).InboundLost {
-				t.Error("its inbound direction does not count as lost")
+				t.Error("the inbound direction does not count as lost")
 			}
 		}
 		time.Sleep(time.Second)
 		heartbeat(21)
-		expectSchedulable("it was heard, and once more", false)
+		expectSchedulable("after a heartbeat that follows a gap", false)
 		heartbeat(22)
-		expectSchedulable("it stayed again", true)
+		expectSchedulable("after two consecutive heartbeats again", true)
 	})
 }
 
-// outboundLossTest is a machine that answers direct commands, while its heartbeats come only where the test
-// sends one.
+// outboundLossTest has a machine that answers direct commands, but sends a heartbeat only when the test does so.
 type outboundLossTest struct {
 	*testing.T
 	*registryFixture
@@ -75,7 +74,7 @@
 	return o
 }
 
-// commandAfter sends a direct command after a time.
+// commandAfter sends a direct command after the given wait.
 func (o *outboundLossTest) commandAfter(wait time.Duration) {
 	time.Sleep(wait)
 	o.confirmedAt = time.Now()
@@ -91,10 +90,10 @@
 	}
 }
 
-// TestOutboundLostMachine: an agent whose heartbeats reach no node answers commands. For some time its machine
-// is schedulable, as one heartbeat may be lost; then its outbound direction counts as lost: nothing more starts
-// there, until a heartbeat of it comes. A session that only its answer tells of is recorded, since others bind
-// to the one on record.
+// TestOutboundLostMachine checks a machine whose agent answers commands while its heartbeats reach no node. The
+// machine remains schedulable for some time, since a single heartbeat may be lost. Then its outbound direction counts
+// as lost, and no more tasks start there until a heartbeat arrives. A session that only appears in the response to a
+// command is recorded, because other nodes bind tasks to the recorded session.
 func TestOutboundLostMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOutboundLossTest(t)
@@ -102,35 +101,35 @@
 		o.heartbeat(o.machineName, 1, testToken)
 		o.heartbeat(o.machineName, 2, testToken)
 		start := time.Now()
-		o.expect("it reported", true, false)
+		o.expect("after its heartbeats", true, false)
 		o.commandAfter(8 * time.Second)
-		o.expect("one heartbeat is overdue", true, false)
+		o.expect("one heartbeat overdue", true, false)
 		o.commandAfter(8 * time.Second)
-		o.expect("more are", false, true)
+		o.expect("several heartbeats overdue", false, true)
 		status := o.status()
 		if !status.LeaseExpiry.Equal(start.Add(o.settings.LeaseDuration())) || !status.OneWaySince.Equal(start) {
-			t.Errorf("its lease ends at %v, outbound lost since %v",
+			t.Errorf("lease ends after %v, outbound lost after %v",
 				status.LeaseExpiry.Sub(start), status.OneWaySince.Sub(start))
 		}
 		if adoptions := o.TakeAdoptions(); len(adoptions) > 0 {
-			t.Errorf("recorded anew: %v", adoptions)
+			t.Errorf("unexpected record updates: %v", adoptions)
 		}
 		o.session, o.sequence = 2, 0
 		o.commandAfter(20 * time.Second)
-		o.expect("its lease has ended", false, true)
+		o.expect("after its lease has expired", false, true)
 		if adoptions := o.TakeAdoptions(); adoptions[o.machineName].Session != 2 {
-			t.Errorf("a session that an answer tells of is not recorded: %v", adoptions)
+			t.Errorf("the session in the response to a command is not recorded: %v", adoptions)
 		}
 		o.handle(&wire.Heartbeat{
 			Machine: o.machineName, Address: testAddress, Session: 2, Sequence: 9, FencingToken: testToken,
 		})
-		o.expect("a heartbeat comes", true, false)
+		o.expect("after a heartbeat", true, false)
 		o.expectTimeToReconnect()
 	})
 }
 
-// expectTimeToReconnect cuts the machine off for longer than a lease. It answers before its first heartbeat
-// finds the way.
+// expectTimeToReconnect makes the machine unreachable for longer than a lease. Afterwards it answers commands before
+// its first heartbeat arrives, and must get tuning.AgentFailoverTime for that heartbeat.
 func (o *outboundLossTest) expectTimeToReconnect() {
 	o.Helper()
 	o.sequence = 9
@@ -140,12 +139,12 @@
 	restoredAt := time.Now()
 	o.commandAfter(0)
 	o.commandAfter(8 * time.Second)
-	o.expect("it is back from a partition", true, false)
+	o.expect("after it is reachable again", true, false)
 	if status := o.status(); !status.LeaseExpiry.Equal(restoredAt.Add(o.settings.LeaseDuration())) {
-		o.Errorf("its lease ends %v after it is back", status.LeaseExpiry.Sub(restoredAt))
+		o.Errorf("lease ends %v after it became reachable again", status.LeaseExpiry.Sub(restoredAt))
 	}
 	o.commandAfter(10 * time.Second)
-	o.expect("its agent still looks for the owner", true, false)
+	o.expect("while its agent may still be looking for the owner", true, false)
 	o.commandAfter(11 * time.Second)
-	o.expect("no heartbeat follows", false, true)
+	o.expect("without a heartbeat after the reconnect time", false, true)
 }
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -7,23 +7,23 @@
 	"sableusher/internal/wire"
 )
 
-// machine is what this node knows of a machine and its agent. Registry.mu guards it.
+// machine is this node's view of a machine and its agent. Registry.mu guards it.
 type machine struct {
 	address string // of the agent, host and port
 	session sessionProgress
 	link    linkState
 
 	tasks map[attemptKey]reportedTask // as last reported
-	// unboundSince is when a task was first reported that the records bind elsewhere or not at all.
+	// unboundSince is when a task was first reported that the records do not bind to this machine and session.
 	unboundSince map[attemptKey]time.Time
 	starts       pendingStarts
 	images       imageCache
-	// commandInFlight: a direct command is on its way; there is one at a time.
+	// commandInFlight is set while a direct command to the machine is in flight; there is at most one.
 	commandInFlight bool
 
-	reclaimAt      time.Time           // when the cloud takes a spot machine back; zero: no notice
-	startRefusedAt time.Time           // when the agent last refused a start for want of resources
-	failedJobs     map[string]struct{} // whose tasks failed here
+	reclaimAt      time.Time           // when the cloud reclaims a spot machine; zero without a notice
+	startRefusedAt time.Time           // when the agent last refused a start because of insufficient resources
+	failedJobs     map[string]struct{} // IDs of the jobs whose tasks failed on the machine
 }
 
 func newMachine() *machine {
@@ -33,35 +33,36 @@
 	}
 }
 
-// sessionProgress is how far this node has followed an agent's session.
+// sessionProgress has the newest known position in an agent's session.
 type sessionProgress struct {
-	id                uint64 // 0: nothing was heard yet
+	id                uint64 // 0 before the first report
 	sequence          uint64 // of the newest report
-	heartbeatSequence uint64 // of the newest heartbeat; answers to commands count in sequence alone
-	fencingToken      uint64 // the highest that the agent has shown in this session
+	heartbeatSequence uint64 // of the newest heartbeat; responses to commands only advance sequence
+	fencingToken      uint64 // the highest that the agent has reported in this session
 }
 
-// follows tells whether a report is newer than all before.
+// follows reports whether a report is newer than all earlier ones.
 func (s *sessionProgress) follows(report *wire.Heartbeat) bool {
 	return report.Session > s.id || report.Session == s.id && report.Sequence > s.sequence
 }
 
-// confirmsResponse tells whether a heartbeat shows that its agent received the answer to the one before: after a
-// lost answer it would have gone on to another node, and counted that heartbeat.
+// confirmsResponse reports whether a heartbeat proves that its agent received the response to the previous one. If
+// the response had been lost, the agent would have sent its next heartbeat to another node, which would have used up
+// the next sequence number.
 func (s *sessionProgress) confirmsResponse(heartbeat *wire.Heartbeat) bool {
 	return heartbeat.Session == s.id && s.sequence == s.heartbeatSequence && heartbeat.Sequence == s.sequence+1
 }
 
-// reportSource is how a report came.
+// reportSource is the kind of message in which a report arrived.
 type reportSource int
 
 // Sources of reports.
 const (
-	fromHeartbeat       reportSource = iota // the agent sent it, and expects an answer
-	fromCommandResponse                     // it answers a direct command
+	fromHeartbeat       reportSource = iota // a heartbeat, which expects an answer
+	fromCommandResponse                     // the response to a direct command
 )
 
-// String is the source's name in logs.
+// String returns the source's name in logs.
 func (s reportSource) String() string {
 	if s == fromCommandResponse {
 		return "command response"
@@ -74,17 +75,17 @@
 
 // Effects of reports.
 const (
-	reportOutdated  reportEffect = iota // an older one than the newest: nothing changed
-	reportUnchanged                     // newer, and the same as before
-	reportChanged                       // newer, and different
+	reportOutdated  reportEffect = iota // not newer than the last report, so it was ignored
+	reportUnchanged                     // newer, without a change that matters to the scheduler
+	reportChanged                       // newer, with a change that may matter to the scheduler
 )
 
-// String is the effect's name in logs.
+// String returns the effect's name in logs.
 func (e reportEffect) String() string {
 	return [...]string{"outdated", "unchanged", "changed"}[e]
 }
 
-// applyReport takes in a report that is newer than all before.
+// applyReport applies a report if it is newer than all earlier ones.
 func (m *machine) applyReport(report *wire.Heartbeat, source reportSource, now time.Time) reportEffect {
 	if !m.session.follows(report) {
 		return reportOutdated
@@ -110,8 +111,8 @@
 	return reportUnchanged
 }
 
-// beginSession forgets what belongs to an earlier session of the agent: a new one has none of its tasks, and
-// refuses commands to it. The images are as they were.
+// beginSession begins a new session of the agent. It removes the tasks and starts of the earlier session: the new one
+// has none of those tasks and refuses commands to the earlier one. The cached images remain.
 func (m *machine) beginSession(session uint64) {
 	m.session = sessionProgress{id: session}
 	clear(m.tasks)
@@ -119,7 +120,7 @@
 	clear(m.starts)
 }
 
-// reclaimTime is when the cloud takes the machine back, zero without a notice.
+// reclaimTime returns when the cloud reclaims the machine, or the zero time without a notice.
 func reclaimTime(report *wire.Heartbeat, now time.Time) time.Time {
 	if report.ReclaimNoticeSeconds == nil {
 		return time.Time{}
@@ -127,7 +128,8 @@
 	return now.Add(time.Duration(*report.ReclaimNoticeSeconds * float64(time.Second)))
 }
 
-// replaceTasks takes in the tasks of a report and tells whether any is new, over or in another state.
+// replaceTasks replaces the tasks by those of a report, and reports whether a task was added, was removed or changed
+// its state.
 func (m *machine) replaceTasks(reports []wire.TaskStatus, now time.Time) (changed bool) {
 	previous := m.tasks
 	m.tasks = make(map[attemptKey]reportedTask, len(reports))
--- a/internal/agent/machine_test.go
+++ b/internal/agent/machine_test.go
@@ -7,7 +7,7 @@
 	"sableusher/internal/wire"
 )
 
-// TestDelayedReportsIgnored: an older report never changes what is known.
+// TestDelayedReportsIgnored checks that an older report changes nothing.
 func TestDelayedReportsIgnored(t *testing.T) {
 	now := time.Unix(100, 0)
 	m := newMachine()
@@ -15,8 +15,8 @@
 	m.applyReport(newReport(2, 7, testToken, running), fromHeartbeat, now)
 	for _, old := range []*wire.Heartbeat{newReport(2, 7, testToken), newReport(2, 6, 9), newReport(1, 99, 9)} {
 		effect := m.applyReport(old, fromHeartbeat, now.Add(time.Second))
-		if effect != reportOutdated || !m.link.lastHeard.Equal(now) {
-			t.Fatalf("took %+v: %v", old, effect)
+		if effect != reportOutdated || !m.link.lastReport.Equal(now) {
+			t.Fatalf("old report %+v was applied: %v", old, effect)
 		}
 	}
 	_, binding := newBinding(2)
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -16,31 +16,31 @@
 )
 
 const (
-	// firstSession is the session of an agent whose record names none.
+	// firstSession is the session of an agent whose record has no session.
 	firstSession = 1
-	// redirectRetention is how long it is kept that an agent was sent to another node: longer than
-	// redirectLoopWindow and RecentlyHeard look back.
+	// redirectRetention is how long the redirect of an agent is remembered. It is longer than redirectLoopWindow and
+	// than the period that RecentlyHeard covers.
 	redirectRetention = time.Minute
-	// minStopRequestAge is how long a stop request is kept at least where the cluster state does not show its
+	// minStopRequestAge is the minimum time for which a stop request is kept if the cluster state does not show its
 	// attempt as bound.
 	minStopRequestAge = time.Second
 )
 
-// Registry is what a controller node knows of the machines of its shards, and of the others that report to it.
-// It is safe for concurrent use.
+// Registry has a controller node's view of the machines of its shards and of other machines that report to it. It is
+// safe for concurrent use.
 type Registry struct {
 	settings     *config.Settings
 	clusterState *clusterstate.State
 	membership   *membership.Member
-	completeAsOf func() time.Time // when the cluster state was last complete; zero: never
+	completeAsOf func() time.Time // when the cluster state was last complete; zero if it never was
 	logger       *slog.Logger
 
 	client        *commandClient
 	dispatchQueue dispatchQueue
-	dispatchSlots *semaphore.Weighted // bounds the direct commands on their way
+	dispatchSlots *semaphore.Weighted // limits the direct commands in flight
 
-	// mu guards everything below, the machines' contents included. Where the cluster state's lock is needed as
-	// well, it is taken first.
+	// mu guards all fields below, including the contents of the machines. Code that needs both locks acquires the
+	// cluster state's lock first.
 	mu               sync.Mutex
 	machines         map[string]*machine
 	leases           leaseKeeper
@@ -50,19 +50,19 @@
 	updates          updates
 }
 
-// Config has what a registry works with.
+// Config has the dependencies of a Registry.
 type Config struct {
 	Settings     *config.Settings
 	ClusterState *clusterstate.State
 	Membership   *membership.Member
-	// CompleteAsOf tells when the cluster state was last complete; zero: never.
+	// CompleteAsOf returns when the cluster state was last complete, or the zero time if it never was.
 	CompleteAsOf func() time.Time
 	Logger       *slog.Logger
-	// Transport carries direct commands; nil: the network.
+	// Transport sends direct commands; nil means the network.
 	Transport http.RoundTripper
 }
 
-// New makes an empty registry.
+// New returns an empty Registry.
 func New(c Config) *Registry {
 	return &Registry{
 		settings: c.Settings, clusterState: c.ClusterState, membership: c.Membership,
@@ -81,19 +81,19 @@
 	}
 }
 
-// SetPeerLastAnswered sets what tells when another node last answered this one, zero if it never did. It is
-// called before the first heartbeat.
+// SetPeerLastAnswered sets the function that returns when another node last answered this one, or the zero time if it
+// never did. It must be called before the first heartbeat is handled.
 func (r *Registry) SetPeerLastAnswered(lastAnswered func(node string) time.Time) {
 	r.leases.peerLastAnswered = lastAnswered
 }
 
-// HasFreshState tells whether the cluster state is fresh enough for this node to take shards.
+// HasFreshState reports whether the cluster state is fresh enough for this node to take over shards.
 func (r *Registry) HasFreshState() bool {
 	completeAsOf := r.completeAsOf()
 	return !completeAsOf.IsZero() && time.Since(completeAsOf) < tuning.ReadyMaxStateAge
 }
 
-// ensureMachine gives what is known of a machine, and makes an empty entry if there was none. Callers hold mu.
+// ensureMachine returns the entry of a machine and creates an empty one if there is none. Callers hold mu.
 func (r *Registry) ensureMachine(name string) *machine {
 	m := r.machines[name]
 	if m == nil {
@@ -103,19 +103,19 @@
 	return m
 }
 
-// heartbeatIntervals is the time of so many intervals between heartbeats.
+// heartbeatIntervals returns the duration of count heartbeat intervals.
 func (r *Registry) heartbeatIntervals(count float64) time.Duration {
 	return time.Duration(count * float64(r.settings.HeartbeatInterval()))
 }
 
-// noteRunning notes that this process runs.
-func (r *Registry) noteRunning(now time.Time) {
+// recordRunning records that this process runs at now, to detect pauses.
+func (r *Registry) recordRunning(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.leases.pauses.noteRunning(now)
+	r.leases.pauses.recordRunning(now)
 }
 
-// removeExpired forgets what no record and no report needs any more.
+// removeExpired removes the entries that are not needed any more.
 func (r *Registry) removeExpired() {
 	r.clusterState.RLock()
 	defer r.clusterState.RUnlock()
@@ -132,8 +132,7 @@
 	r.removeMachines(now)
 }
 
-// removeStopRequests forgets the stop requests whose attempts are over. Callers hold the cluster state's lock
-// and mu.
+// removeStopRequests removes the stop requests whose attempts are over. Callers hold the cluster state's lock and mu.
 func (r *Registry) removeStopRequests(now time.Time) {
 	for key, request := range r.stopRequests {
 		job := r.clusterState.Jobs[key.ref.JobID]
@@ -149,13 +148,13 @@
 	}
 }
 
-// removeMachines forgets the machines of other owners' shards, and those without a record that have been silent
-// for a lease. Callers hold the cluster state's lock and mu.
+// removeMachines removes the machines whose shards this node does not serve, and those without a record that have
+// sent no report for the duration of a lease. Callers hold the cluster state's lock and mu.
 func (r *Registry) removeMachines(now time.Time) {
 	for name, m := range r.machines {
 		_, owned := r.membership.MayServeAgents(record.ShardOf(name, r.clusterState.ShardCount))
 		unknown := r.clusterState.Machines[name] == nil
-		if !owned || unknown && now.Sub(m.link.lastHeard) > r.settings.LeaseDuration() {
+		if !owned || unknown && now.Sub(m.link.lastReport) > r.settings.LeaseDuration() {
 			delete(r.machines, name)
 			delete(r.updates.adoptions, name)
 		}
--- a/internal/agent/starts.go
+++ b/internal/agent/starts.go
@@ -9,31 +9,32 @@
 
 // pendingStart is a start command that an agent may still carry out.
 type pendingStart struct {
-	// fencingToken is the owner's under which the command was sent.
+	// fencingToken is the token of the owner that sent the command.
 	fencingToken uint64
-	// heartbeatSequence is the heartbeat whose answer carried the command; the agent's next heartbeat
-	// resolves it. 0: it was sent directly.
+	// heartbeatSequence is the sequence number of the heartbeat whose answer carried the command, or 0 for a direct
+	// command. The agent's next heartbeat resolves a start that was sent in an answer.
 	heartbeatSequence uint64
-	// inFlight: a direct command is on its way. Without an answer it stays unresolved until the agent shows
-	// a higher fencing token or a new session, or its machine is deleted.
+	// inFlight is set while the direct command with the start is in flight. If the command gets no response, the
+	// start stays unresolved until the agent reports a higher fencing token or a new session, or its machine is
+	// deleted.
 	inFlight bool
 }
 
-// unresolved tells whether the start was sent directly and got no answer.
+// unresolved reports whether the start was sent directly and got no response.
 func (s pendingStart) unresolved() bool { return s.heartbeatSequence == 0 && !s.inFlight }
 
-// pendingStarts are the start commands to one machine that may still be carried out, by attempt. A command is
-// kept until the agent has shown that it was carried out or never will be (safety invariants 6 and 21).
+// pendingStarts has the start commands to one machine that may still be carried out, by attempt. A command is kept
+// until the agent has proved that it was carried out or never will be (safety invariants 6 and 21).
 type pendingStarts map[attemptKey][]pendingStart
 
-// add notes that a start command is about to be sent.
+// add records a start command that is about to be sent.
 func (p pendingStarts) add(key attemptKey, start pendingStart) { p[key] = append(p[key], start) }
 
-// pending tells whether a start command for the attempt may still be carried out.
+// pending reports whether a start command for the attempt may still be carried out.
 func (p pendingStarts) pending(key attemptKey) bool { return len(p[key]) > 0 }
 
-// hasUnresolved tells whether a direct start without an answer is left under the given fencing token or a
-// higher one.
+// hasUnresolved reports whether a direct start without a response remains that was sent under the given fencing token
+// or a higher one.
 func (p pendingStarts) hasUnresolved(fencingToken uint64) bool {
 	for _, starts := range p {
 		for _, start := range starts {
@@ -45,9 +46,9 @@
 	return false
 }
 
-// resolveByReport removes the starts that a report proves to be over. Where the agent has shown a higher
-// fencing token, what was sent under a lower one is either in the report or will be refused; what an
-// answer carried is resolved by the next heartbeat.
+// resolveByReport removes the starts that a report resolves. If the agent has reported a higher fencing token, a
+// start that was sent under a lower token is either shown in the report or will be refused. A start that was sent in
+// the answer to a heartbeat is resolved by the next heartbeat.
 func (p pendingStarts) resolveByReport(session sessionProgress) {
 	for key, starts := range p {
 		p.set(key, slices.DeleteFunc(starts, func(start pendingStart) bool {
@@ -58,7 +59,7 @@
 	}
 }
 
-// commandAnswered removes the starts of a direct command that was answered: the agent has acted on it.
+// commandAnswered removes the starts of a direct command that got a response: the agent has processed it.
 func (p pendingStarts) commandAnswered(sent []wire.Command, fencingToken uint64) {
 	for _, command := range sent {
 		key := keyOfCommand(command)
@@ -70,7 +71,7 @@
 	}
 }
 
-// commandUnanswered leaves the starts of a direct command that got no answer unresolved.
+// commandUnanswered marks the starts of a direct command that got no response as unresolved.
 func (p pendingStarts) commandUnanswered(sent []wire.Command, fencingToken uint64) {
 	for _, command := range sent {
 		starts := p[keyOfCommand(command)]
@@ -80,7 +81,7 @@
 	}
 }
 
-// set keeps the starts of an attempt, and no entry for none.
+// set replaces the starts of an attempt. It deletes the entry if there are none.
 func (p pendingStarts) set(key attemptKey, starts []pendingStart) {
 	if len(starts) == 0 {
 		delete(p, key)
@@ -89,16 +90,16 @@
 	}
 }
 
-// inFlightIndex is the position of the first start that is on its way under the token, -1 if there is none.
+// inFlightIndex returns the index of the first start that is in flight under the token, or -1 if there is none.
 func inFlightIndex(starts []pendingStart, fencingToken uint64) int {
 	return slices.IndexFunc(starts, func(start pendingStart) bool {
 		return start.inFlight && start.fencingToken == fencingToken
 	})
 }
 
-// keyOfCommand names the attempt that a command is about.
+// keyOfCommand returns the attempt that a command is for.
 func keyOfCommand(command wire.Command) attemptKey {
-	// The commands are our own, so their references parse.
+	// This node composed the command, so its task reference is valid.
 	ref, _ := record.ParseTaskRef(command.Task)
 	return attemptKey{ref, command.Attempt}
 }
--- a/internal/agent/starts_test.go
+++ b/internal/agent/starts_test.go
@@ -7,8 +7,8 @@
 	"sableusher/internal/wire"
 )
 
-// TestUnresolvedStart: a direct start without an answer may arrive minutes later. Until it is fenced the task
-// counts as there, and its exit is not forgotten.
+// TestUnresolvedStart checks that a direct start without a response, which may arrive minutes later, stays pending
+// until it is fenced. Until then the task is not proved absent, and the agent is not told to forget its exit.
 func TestUnresolvedStart(t *testing.T) {
 	now := time.Unix(100, 0)
 	for name, fence := range map[string]*wire.Heartbeat{
@@ -31,18 +31,18 @@
 			}
 			m.applyReport(newReport(1, 3, testToken, exited), fromHeartbeat, now)
 			if commands := planCommands(m, nil, 3, now); len(commands) != 0 {
-				t.Fatalf("forgotten while the start is unresolved: %+v", commands)
+				t.Fatalf("commands while the start is unresolved: %+v", commands)
 			}
 			m.applyReport(fence, fromHeartbeat, now)
 			if m.starts.pending(keyOf(binding)) {
-				t.Fatal("still pending after the fence")
+				t.Fatal("start still pending after it was fenced")
 			}
 		})
 	}
 }
 
-// TestNextHeartbeatResolvesStarts: starts in the answer to a heartbeat are resolved by the agent's next
-// heartbeat, not by an answer to a direct command.
+// TestNextHeartbeatResolvesStarts checks that starts in the answer to a heartbeat are resolved by the agent's next
+// heartbeat and not by the response to a direct command.
 func TestNextHeartbeatResolvesStarts(t *testing.T) {
 	now := time.Unix(100, 0)
 	m := newMachine()
@@ -50,8 +50,8 @@
 	bindings, binding := newBinding(1)
 	planCommands(m, bindings, 1, now)
 	m.applyReport(newReport(1, 2, testToken), fromCommandResponse, now)
-	expectPresence(t, m, binding, testToken, PresenceUnknown, "while the answer may still be carried out")
+	expectPresence(t, m, binding, testToken, PresenceUnknown, "while the start in the answer may still be carried out")
 	m.applyReport(newReport(1, 3, testToken), fromHeartbeat, now)
 	expectPresence(t, m, binding, testToken, PresenceAbsent, "after the next heartbeat")
-	expectPresence(t, m, binding, testToken+1, PresenceUnknown, "though earlier owners are not fenced")
+	expectPresence(t, m, binding, testToken+1, PresenceUnknown, "while earlier owners are not fenced")
 }
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -6,31 +6,31 @@
 	"sableusher/internal/tuning"
 )
 
-// MachineStatus is what a scheduler needs to know of a machine. Times are zero where the event has not
-// happened.
+// MachineStatus is the scheduler's view of a machine and its agent. A time is zero if its event has not happened.
 type MachineStatus struct {
-	LastHeard time.Time // when its last report came
-	Session   uint64    // of its agent; 0: nothing was heard yet
-	// Schedulable: it was heard lately under the owner's fencing token, reaches this node and is reached, is not
-	// reclaimed, and neither refused a start lately nor fails tasks of several jobs.
+	LastHeard time.Time // when its last report arrived
+	Session   uint64    // of its agent; 0 before the first report
+	// Schedulable is set if the machine may get another task: it recently sent a report with the owner's fencing
+	// token, neither direction of its link is known to be lost, it is not being reclaimed, it has not refused a start
+	// recently, and it has not failed tasks of several jobs.
 	Schedulable bool
-	ReclaimAt   time.Time // when the cloud takes a spot machine back
-	// UnresolvedStart: a direct start without an answer is left.
+	ReclaimAt   time.Time // when the cloud reclaims a spot machine
+	// UnresolvedStart is set if a direct start to the machine got no response and may still be carried out.
 	UnresolvedStart bool
-	// CommandUnanswered: a direct command since the last report got no answer.
+	// CommandUnanswered is set if a direct command has failed since the last report.
 	CommandUnanswered bool
-	InboundLost       bool // its heartbeats arrive, while for some time commands to it did not
+	InboundLost       bool // its heartbeats arrive, but commands to it have failed for some time
 	InboundConfirmed  bool // it is known to receive what this node sends
-	OutboundLost      bool // it answers commands, while for some time no heartbeat of it came here
-	// LeaseExpiry is when its lease expires if no heartbeat of it comes any more.
+	OutboundLost      bool // it answers commands, but its heartbeats have been overdue for some time
+	// LeaseExpiry is when its lease expires if no further heartbeat of it arrives.
 	LeaseExpiry time.Time
-	// OneWaySince is since when its inbound or outbound direction has been lost.
+	// OneWaySince is the time since which its inbound or outbound direction has been lost.
 	OneWaySince time.Time
-	FailedJobs  int // how many jobs' tasks failed on it
+	FailedJobs  int // number of jobs whose tasks failed on it
 }
 
-// MachineStatus gives a machine's status for an owner with the given fencing token; the zero value if nothing
-// is known of it.
+// MachineStatus returns a machine's status for an owner with the given fencing token, or the zero value if this node
+// has no entry for the machine.
 func (r *Registry) MachineStatus(machineName string, fencingToken uint64) MachineStatus {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -41,7 +41,7 @@
 	now := time.Now()
 	heartbeatExpectedFrom, _ := m.link.heartbeatExpected()
 	status := MachineStatus{
-		LastHeard: m.link.lastHeard, Session: m.session.id, ReclaimAt: m.reclaimAt, FailedJobs: len(m.failedJobs),
+		LastHeard: m.link.lastReport, Session: m.session.id, ReclaimAt: m.reclaimAt, FailedJobs: len(m.failedJobs),
 		UnresolvedStart: m.starts.hasUnresolved(fencingToken), CommandUnanswered: m.link.commandUnanswered(),
 		InboundLost: m.link.inboundLostForLong(now), InboundConfirmed: m.link.inboundConfirmed(),
 		OutboundLost: r.outboundLost(m, now), LeaseExpiry: heartbeatExpectedFrom.Add(r.settings.LeaseDuration()),
@@ -57,30 +57,32 @@
 	return status
 }
 
-// linkUsable tells whether a machine was heard lately and both directions are not known to be lost.
+// linkUsable reports whether a machine sent a report recently and neither direction of its link is known to be lost.
 func (r *Registry) linkUsable(m *machine, status *MachineStatus, now time.Time) bool {
-	return now.Sub(m.link.lastHeard) < r.maxSilence() &&
+	return now.Sub(m.link.lastReport) < r.maxSilence() &&
 		!status.CommandUnanswered && !m.link.inboundLost() && !status.OutboundLost
 }
 
-// acceptsTasks tells whether nothing that the machine did speaks against another task on it.
+// acceptsTasks reports whether the machine is not being reclaimed, has not refused a start recently and has not
+// failed tasks of too many jobs.
 func (m *machine) acceptsTasks(now time.Time) bool {
 	return m.reclaimAt.IsZero() && now.Sub(m.startRefusedAt) > tuning.StartRefusalBackoff &&
 		len(m.failedJobs) < tuning.MachineMaxFailedJobs
 }
 
-// outboundLost tells whether a machine answers commands while its heartbeats have been due for some time.
+// outboundLost reports whether a machine answers commands although its heartbeats have been overdue for some time.
 // Callers hold mu.
 func (r *Registry) outboundLost(m *machine, now time.Time) bool {
 	return m.link.outboundLost(r.maxSilence(), now)
 }
 
-// maxSilence is how long a machine that is in reach may be silent.
+// maxSilence returns the longest time that may pass between two reports of a reachable machine.
 func (r *Registry) maxSilence() time.Duration {
 	return r.heartbeatIntervals(tuning.SuspectAfterIntervals)
 }
 
-// RecordStartRefusal keeps a machine that refused a start out of scheduling for tuning.StartRefusalBackoff.
+// RecordStartRefusal records that a machine refused a start. The machine is not schedulable for
+// tuning.StartRefusalBackoff.
 func (r *Registry) RecordStartRefusal(machineName string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -89,8 +91,8 @@
 	}
 }
 
-// RecordTaskFailure notes that a job's task failed by itself on a machine. One on which tasks of
-// tuning.MachineMaxFailedJobs jobs failed is not scheduled any more.
+// RecordTaskFailure records that a job's task failed by itself on a machine. A machine is not schedulable any more
+// once tasks of tuning.MachineMaxFailedJobs jobs have failed on it.
 func (r *Registry) RecordTaskFailure(machineName, jobID string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/agent/task.go
+++ b/internal/agent/task.go
@@ -8,13 +8,13 @@
 	"sableusher/internal/wire"
 )
 
-// attemptKey names one attempt of a task.
+// attemptKey identifies one attempt of a task.
 type attemptKey struct {
 	ref     record.TaskRef
 	attempt uint64
 }
 
-// keyOf names the attempt of a binding.
+// keyOf returns the key of a binding's attempt.
 func keyOf(binding clusterstate.Binding) attemptKey { return attemptKey{binding.Ref, binding.Attempt} }
 
 // reportedTask is a task as its agent last reported it.
@@ -23,19 +23,19 @@
 	stateSince time.Time // when it was first reported in this state
 }
 
-// TaskPresence says whether a bound task is on its machine.
+// TaskPresence is what the reports prove about whether a bound task is on its machine.
 type TaskPresence int
 
 // Presences of a bound task.
 const (
 	PresenceUnknown      TaskPresence = iota // the reports prove nothing
-	PresenceAlive                            // the agent reports it, not exited
+	PresenceAlive                            // the agent reports it as not exited
 	PresenceExited                           // the agent reports its exit
-	PresenceSessionEnded                     // the agent has a newer session, without the tasks of earlier ones
-	PresenceAbsent                           // not reported, and no command can start it any more
+	PresenceSessionEnded                     // the agent has a newer session, which has no tasks of earlier ones
+	PresenceAbsent                           // the agent does not report it, and no command can start it any more
 )
 
-// String is the presence's name in logs.
+// String returns the presence's name in logs.
 func (p TaskPresence) String() string {
 	switch p {
 	case PresenceAlive:
@@ -51,16 +51,16 @@
 	}
 }
 
-// TaskObservation is what the newest report of a machine says of a task bound to it.
+// TaskObservation is what the newest report of a machine shows about a task that is bound to it.
 type TaskObservation struct {
 	Presence TaskPresence
-	State    wire.TaskState // as the agent reported it; empty if it did not
-	Cause    wire.ExitCause // of an exit
+	State    wire.TaskState // as reported by the agent; empty if the agent does not report the task
+	Cause    wire.ExitCause // of the exit; set only for an exited task
 	Saved    bool           // its checkpoint was saved before it exited
-	Since    time.Time
+	Since    time.Time      // when the task was first reported in this state
 }
 
-// ObserveTask says what became of a task bound to a machine, for an owner with the given fencing token.
+// ObserveTask returns what is known about a task bound to a machine, for an owner with the given fencing token.
 func (r *Registry) ObserveTask(binding clusterstate.Binding, machineName string, fencingToken uint64) TaskObservation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,7 +71,7 @@
 	return m.observe(binding, fencingToken)
 }
 
-// observe says what the newest report proves of a binding.
+// observe returns what the newest report shows about a binding.
 func (m *machine) observe(binding clusterstate.Binding, fencingToken uint64) TaskObservation {
 	if m.session.id > binding.Session {
 		return TaskObservation{Presence: PresenceSessionEnded}
@@ -87,7 +87,7 @@
 		}
 		return TaskObservation{presence, task.State, task.ExitCause, task.CheckpointSaved, task.stateSince}
 	}
-	// Commands of earlier owners are fenced only once the agent shows our token.
+	// Commands of earlier owners are fenced only once the agent reports this owner's token.
 	if m.session.fencingToken == fencingToken && !m.starts.pending(key) {
 		return TaskObservation{Presence: PresenceAbsent}
 	}
--- a/internal/agent/updates.go
+++ b/internal/agent/updates.go
@@ -2,11 +2,11 @@
 
 import "sableusher/internal/wire"
 
-// updates collects what the scheduler is to learn from reports until it takes it. Registry.mu guards the maps.
+// updates collects the changes from reports until the scheduler takes them. Registry.mu guards the maps.
 type updates struct {
-	machines  map[string]struct{}       // whose reports say something new
-	adoptions map[string]wire.Heartbeat // of machines whose records are missing or behind, their newest report
-	changed   chan struct{}             // has an element while something is to be taken
+	machines  map[string]struct{}       // machines with changed reports
+	adoptions map[string]wire.Heartbeat // newest reports of machines whose records are missing or outdated
+	changed   chan struct{}             // has an element after an update, until the scheduler receives it
 }
 
 func newUpdates() updates {
@@ -17,13 +17,13 @@
 	}
 }
 
-// machineChanged notes that a machine's report says something new.
+// machineChanged records that a machine's report has changed.
 func (u *updates) machineChanged(machineName string) {
 	u.machines[machineName] = struct{}{}
 	u.notify()
 }
 
-// adopt notes that the record of a machine is missing or behind its report.
+// adopt records that the record of a machine is missing or does not match its report.
 func (u *updates) adopt(report *wire.Heartbeat) {
 	u.adoptions[report.Machine] = *report
 	u.notify()
@@ -36,12 +36,12 @@
 	}
 }
 
-// Changed receives after reports that may free resources or move tasks.
+// Changed returns a channel that receives an element after reports that may free resources or move tasks.
 func (r *Registry) Changed() <-chan struct{} { return r.updates.changed }
 
-// TakeUpdatedMachines gives the machines whose reports said something new since the last call, which one
-// caller makes: what follows from reports costs as much as they change, not as much as there are machines. The
-// caller owns the map.
+// TakeUpdatedMachines returns the names of the machines whose reports have changed since the last call, so that the
+// cost of processing reports depends on the number of changes and not on the number of machines. It must have a
+// single caller. The caller owns the map.
 func (r *Registry) TakeUpdatedMachines() map[string]struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,8 +50,8 @@
 	return out
 }
 
-// TakeAdoptions gives, since the last call, the newest reports of machines whose records are missing or
-// behind. The caller owns the map.
+// TakeAdoptions returns the newest reports, by machine name, of the machines whose records were found missing or
+// outdated since the last call. The caller owns the map.
 func (r *Registry) TakeAdoptions() map[string]wire.Heartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/failuredetector/deletion.go
+++ b/internal/failuredetector/deletion.go
@@ -30,11 +30,11 @@
 	byName := map[string]*Machine{}
 	movable := map[string]int{} // machines with movable services, by zones that are unavailable
 	for _, machine := range suspected {
-		if !d.peers.heardByNone(machine.Name) {
+		if !d.peers.reportsToNoPeer(machine.Name) {
 			continue
 		}
 		if d.ZoneUnavailable(machine.Zone) {
-			if d.silence(machine, now) < d.waitInUnavailableZone(machine) {
+			if d.silence(machine, now) < d.unavailableZoneGracePeriod(machine) {
 				continue
 			}
 			if machine.ServiceMovable {
@@ -53,10 +53,10 @@
 	return candidates
 }
 
-// waitInUnavailableZone is the silence up to which a machine of a zone that is unavailable is left alone: it runs
+// unavailableZoneGracePeriod is the silence up to which a machine of a zone that is unavailable is left alone: it runs
 // its tasks until its lease expires, which a controller in the zone renews. After that, what it held must start
 // again; an empty machine is waited for as long as one with a controller.
-func (d *Detector) waitInUnavailableZone(machine *Machine) time.Duration {
+func (d *Detector) unavailableZoneGracePeriod(machine *Machine) time.Duration {
 	switch {
 	case machine.ControllerInZone || machine.BoundTasks == 0:
 		return tuning.PartitionedZoneControllerGrace
@@ -73,13 +73,13 @@
 // heard before. All others are capped, by a smaller share where it is in doubt whether machines die or links go.
 func (d *Detector) mayDelete(machine *Machine, up int, now time.Time) bool {
 	if machine.ServiceMovable && d.ZoneUnavailable(machine.Zone) {
-		return d.pace.zones[machine.Zone].take(d.silence(machine, now), d.Timing.LeaseDuration)
+		return d.pace.zones[machine.Zone].allow(d.silence(machine, now), d.Timing.LeaseDuration)
 	}
 	share := tuning.DeletionCapShare
 	if d.zones.State(machine.Zone) == zonehealth.Serving {
 		share = tuning.DeletionCapShareServingZone
 	}
-	return d.pace.take(max(minDeletions, int(share*float64(up))), now)
+	return d.pace.allow(max(minDeletions, int(share*float64(up))), now)
 }
 
 // deletionReason says in a few words why a machine is given up, and why in this place.
@@ -98,13 +98,13 @@
 	zones map[string]*zoneEvacuation
 }
 
-// forgetOld forgets the deletions that the cap does not count any more.
-func (p *deletionPace) forgetOld(now time.Time) {
+// prune forgets the deletions that the cap does not count any more.
+func (p *deletionPace) prune(now time.Time) {
 	p.recent = slices.DeleteFunc(p.recent, func(at time.Time) bool { return now.Sub(at) > tuning.DeletionCapWindow })
 }
 
-// take tells whether one more machine may be deleted under the cap, and counts it if so.
-func (p *deletionPace) take(limit int, now time.Time) bool {
+// allow tells whether one more machine may be deleted under the cap, and counts it if so.
+func (p *deletionPace) allow(limit int, now time.Time) bool {
 	if len(p.recent) >= limit {
 		return false
 	}
@@ -131,8 +131,8 @@
 // zoneEvacuation is how far the machines with movable services of an unavailable zone are given up.
 type zoneEvacuation struct{ total, deleted int }
 
-// take tells whether one more machine may be deleted now, and counts it if so.
-func (e *zoneEvacuation) take(silence, lease time.Duration) bool {
+// allow tells whether one more machine may be deleted now, and counts it if so.
+func (e *zoneEvacuation) allow(silence, lease time.Duration) bool {
 	if e.deleted >= e.allowance(silence, lease) {
 		return false
 	}
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -52,7 +52,7 @@
 
 	zones   zonehealth.Tracker
 	rosters zoneRosters
-	peers   peerKnowledge
+	peers   peerAnswers
 	pace    deletionPace
 }
 
@@ -70,13 +70,13 @@
 
 	suspected := d.classify(now, machines, &assessment)
 	uncertain := uncertainMachines(suspected, assessment.ProbeMachines)
-	d.peers.forgetOld(now, uncertain)
+	d.peers.prune(now, uncertain)
 	assessment.AskPeersAbout = d.peers.machinesToAskAbout(now, uncertain)
 	assessment.ShardTransfers = d.peers.shardTransfers(now, machines)
 
-	d.pace.forgetOld(now)
+	d.pace.prune(now)
 	up := countUp(machines)
-	if d.nodeIsCutOff(len(suspected), up, heartbeats) {
+	if d.nodeIsPartitioned(len(suspected), up, heartbeats) {
 		return assessment
 	}
 	for _, candidate := range d.deletionCandidates(now, suspected, tasksOn) {
@@ -133,16 +133,16 @@
 	return d.Timing.deadAfterProbe(tuning.ProbeTimeout)
 }
 
-// nodeIsCutOff tells whether it is this node that is cut off, not the machines that are dead: most of them are
+// nodeIsPartitioned tells whether it is this node that is cut off, not the machines that are dead: most of them are
 // suspected at once, and no zone is heard that would show that it is the others that are cut off.
-func (d *Detector) nodeIsCutOff(suspected, up int, heartbeats zonehealth.HeartbeatCount) bool {
-	return suspected*2 > up && up > 2 && !d.otherZonesHeard(heartbeats)
+func (d *Detector) nodeIsPartitioned(suspected, up int, heartbeats zonehealth.HeartbeatCount) bool {
+	return suspected*2 > up && up > 2 && !d.otherZonesReporting(heartbeats)
 }
 
-// otherZonesHeard tells whether, beside the zones that are unavailable, others are heard well.
-func (d *Detector) otherZonesHeard(heartbeats zonehealth.HeartbeatCount) bool {
+// otherZonesReporting tells whether, beside the zones that are unavailable, others are heard well.
+func (d *Detector) otherZonesReporting(heartbeats zonehealth.HeartbeatCount) bool {
 	return len(d.UnavailableZones()) > 0 && heartbeats.Expected >= tuning.PartitionMinMachines &&
-		float64(heartbeats.Received) >= tuning.PartitionElsewhereHeardShare*float64(heartbeats.Expected)
+		float64(heartbeats.Received) >= tuning.NodeConnectedReportingShare*float64(heartbeats.Expected)
 }
 
 // countUp counts the machines that are up by their records.
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -15,7 +15,7 @@
 // live, as far as the pace of deletions allows.
 func TestDeadMachinesAreDeletedSoon(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newTestSite(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(12, 60).Draw(t, "each"))
+		s := newTestCluster(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(12, 60).Draw(t, "each"))
 		dead := rapid.IntRange(1, len(s.machines)/10).Draw(t, "dead")
 		s.run(0, 20)
 		for range dead {
@@ -33,11 +33,11 @@
 	})
 }
 
-// TestOwnPartitionDeletesNothing: a node that hears nobody gives up nothing, and its shards go to the node that
+// TestPartitionedNodeDeletesNothing: a node that hears nobody gives up nothing, and its shards go to the node that
 // hears their agents.
-func TestOwnPartitionDeletesNothing(t *testing.T) {
+func TestPartitionedNodeDeletesNothing(t *testing.T) {
 	for _, peerHears := range []bool{false, true} {
-		s := newTestSite(3, 20)
+		s := newTestCluster(3, 20)
 		s.run(0, 20)
 		for _, machine := range s.machines {
 			s.silent[machine.Name] = true
@@ -57,9 +57,9 @@
 	}
 }
 
-// TestOnlyWhatNoPeerHearsIsDead: a silent machine that another node hears is kept, and so is one that the peers did
+// TestMachineReportingToPeerIsKept: a silent machine that another node hears is kept, and so is one that the peers did
 // not answer about; one that no peer hears is deleted.
-func TestOnlyWhatNoPeerHearsIsDead(t *testing.T) {
+func TestMachineReportingToPeerIsKept(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		heardBy     string
@@ -71,7 +71,7 @@
 		{name: "no answer", peersSilent: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newTestSite(2, 20)
+			s := newTestCluster(2, 20)
 			s.peersSilent = c.peersSilent
 			s.run(0, 20)
 			name := s.machines[3].Name
@@ -89,7 +89,7 @@
 
 // TestOverdueCancellationDeletesDuringPartition: nothing keeps a cancelled task beyond its time.
 func TestOverdueCancellationDeletesDuringPartition(t *testing.T) {
-	s := newTestSite(2, 20)
+	s := newTestCluster(2, 20)
 	s.run(0, 20)
 	for i := range s.machines {
 		s.silent[s.machines[i].Name] = true
@@ -102,20 +102,20 @@
 	}
 }
 
-// TestTakenOverMachinesAreNotCounted: machines that a node has just taken over and not heard yet don't make their
+// TestNewlyOwnedMachinesAreNotCounted: machines that a node has just taken over and not heard yet don't make their
 // zone look cut off.
-func TestTakenOverMachinesAreNotCounted(t *testing.T) {
-	s := newTestSite(1, 10)
+func TestNewlyOwnedMachinesAreNotCounted(t *testing.T) {
+	s := newTestCluster(1, 10)
 	s.run(0, 20)
 	for i := range 40 {
 		name := fmt.Sprint("taken-", i)
 		s.machines = append(s.machines, Machine{
-			Name: name, Zone: cutZone, Shard: 1, Up: true, OwnedSince: atSecond(20),
+			Name: name, Zone: partitionedZone, Shard: 1, Up: true, OwnedSince: atSecond(20),
 		})
 		s.silent[name] = true
 	}
 	for second := 20; second < 30; second++ {
-		if s.step(atSecond(second)); s.detector.ZoneUnavailable(cutZone) {
+		if s.step(atSecond(second)); s.detector.ZoneUnavailable(partitionedZone) {
 			t.Fatalf("cut off %d s after the take-over", second-20)
 		}
 	}
@@ -126,10 +126,10 @@
 	}
 }
 
-// TestShardIsTransferredOnceItsAgentsAreKnown: a shard of which another node hears most machines goes to that node,
+// TestShardIsTransferredAfterMinimumOwnership: a shard of which another node hears most machines goes to that node,
 // but not before this one has had it for long enough to learn which of them hear nothing. Those that are recorded as
 // down move no shard: agents without answers come by every node in turn.
-func TestShardIsTransferredOnceItsAgentsAreKnown(t *testing.T) {
+func TestShardIsTransferredAfterMinimumOwnership(t *testing.T) {
 	const heardElsewhere = "node-1"
 	for _, c := range []struct {
 		name        string
@@ -142,7 +142,7 @@
 		{name: "all down", ownedFor: tuning.ShardTransferMinOwned, down: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := newTestSite(1, 6)
+			s := newTestCluster(1, 6)
 			now := testStart.Add(c.ownedFor)
 			heardBy := map[string]string{}
 			for i := range s.machines {
--- a/internal/failuredetector/fixture_test.go
+++ b/internal/failuredetector/fixture_test.go
@@ -17,8 +17,8 @@
 	testStart  = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// cutZone is the zone that falls silent in most tests.
-const cutZone = "zone-0"
+// partitionedZone is the zone that falls silent in most tests.
+const partitionedZone = "zone-0"
 
 // atSecond is the time of a second of a test.
 func atSecond(second int) time.Time { return testStart.Add(time.Duration(second) * time.Second) }
@@ -31,9 +31,9 @@
 	return make([]evacuation.Task, machine.BoundTasks)
 }
 
-// testSite is a node's machines, as a test moves them on: those that are not silent send a heartbeat within every
+// testCluster is a node's machines, as a test moves them on: those that are not silent send a heartbeat within every
 // interval.
-type testSite struct {
+type testCluster struct {
 	detector     Detector
 	machines     []Machine
 	silent       map[string]bool
@@ -42,9 +42,9 @@
 	deletedAt    map[string]time.Time
 }
 
-// newTestSite makes machines with up to four tasks in turn over the zones.
-func newTestSite(zones, machinesPerZone int) *testSite {
-	s := &testSite{
+// newTestCluster makes machines with up to four tasks in turn over the zones.
+func newTestCluster(zones, machinesPerZone int) *testCluster {
+	s := &testCluster{
 		detector: Detector{Timing: testTiming},
 		silent:   map[string]bool{}, heardByPeers: map[string]string{}, deletedAt: map[string]time.Time{},
 	}
@@ -58,7 +58,7 @@
 }
 
 // step is one assessment, a second after the one before.
-func (s *testSite) step(now time.Time) Assessment {
+func (s *testCluster) step(now time.Time) Assessment {
 	s.sendHeartbeats(now)
 	assessment := s.detector.Assess(now, s.machines, tasksOf)
 	for i := range s.machines {
@@ -81,7 +81,7 @@
 }
 
 // sendHeartbeats lets each machine be heard at a second of its own within the interval.
-func (s *testSite) sendHeartbeats(now time.Time) {
+func (s *testCluster) sendHeartbeats(now time.Time) {
 	interval := int(testTiming.HeartbeatInterval / time.Second)
 	second := int(now.Sub(testStart) / time.Second)
 	for i := range s.machines {
@@ -93,17 +93,17 @@
 }
 
 // run makes the steps of the seconds from one on, up to another.
-func (s *testSite) run(from, to int) {
+func (s *testCluster) run(from, to int) {
 	for second := from; second < to; second++ {
 		s.step(atSecond(second))
 	}
 }
 
-// inCutZone gives the machines of the zone that falls silent.
-func (s *testSite) inCutZone() []*Machine {
+// inPartitionedZone gives the machines of the zone that falls silent.
+func (s *testCluster) inPartitionedZone() []*Machine {
 	var out []*Machine
 	for i := range s.machines {
-		if s.machines[i].Zone == cutZone {
+		if s.machines[i].Zone == partitionedZone {
 			out = append(out, &s.machines[i])
 		}
 	}
--- a/internal/failuredetector/peers.go
+++ b/internal/failuredetector/peers.go
@@ -14,8 +14,8 @@
 	node       string // that has heard the machine; empty: none has
 }
 
-// peerKnowledge is what the peers said of suspected machines, and when they were last asked.
-type peerKnowledge struct {
+// peerAnswers is what the peers said of suspected machines, and when they were last asked.
+type peerAnswers struct {
 	answers map[string]peerAnswer
 	askedAt time.Time
 }
@@ -43,16 +43,16 @@
 	return names
 }
 
-// forgetOld forgets the answers about machines that are not uncertain any more, and those that are too old to
+// prune forgets the answers about machines that are not uncertain any more, and those that are too old to
 // prove anything.
-func (p *peerKnowledge) forgetOld(now time.Time, uncertain map[string]bool) {
+func (p *peerAnswers) prune(now time.Time, uncertain map[string]bool) {
 	maps.DeleteFunc(p.answers, func(name string, answer peerAnswer) bool {
 		return !uncertain[name] || now.Sub(answer.receivedAt) > 2*tuning.PeerQueryInterval
 	})
 }
 
 // machinesToAskAbout gives the uncertain machines in the order of their names if the peers are to be asked now.
-func (p *peerKnowledge) machinesToAskAbout(now time.Time, uncertain map[string]bool) []string {
+func (p *peerAnswers) machinesToAskAbout(now time.Time, uncertain map[string]bool) []string {
 	if len(uncertain) == 0 || now.Sub(p.askedAt) < tuning.PeerQueryInterval {
 		return nil
 	}
@@ -60,15 +60,15 @@
 	return slices.Sorted(maps.Keys(uncertain))
 }
 
-// heardByNone tells whether the peers were asked about a machine and none has heard it.
-func (p *peerKnowledge) heardByNone(name string) bool {
+// reportsToNoPeer tells whether the peers were asked about a machine and none has heard it.
+func (p *peerAnswers) reportsToNoPeer(name string) bool {
 	answer, ok := p.answers[name]
 	return ok && answer.node == ""
 }
 
 // shardTransfers gives the shards of which one other node hears more than half of the machines that are up, and
 // that node. A shard that this node has not had for tuning.ShardTransferMinOwned stays.
-func (p *peerKnowledge) shardTransfers(now time.Time, machines []Machine) map[int]string {
+func (p *peerAnswers) shardTransfers(now time.Time, machines []Machine) map[int]string {
 	up := map[int]int{}
 	heardBy := map[int]map[string]int{}
 	for i := range machines {
--- a/internal/failuredetector/zones_test.go
+++ b/internal/failuredetector/zones_test.go
@@ -11,23 +11,23 @@
 	"sableusher/internal/zonehealth"
 )
 
-// TestCutZoneKeepsItsMachines: while the leases in it last nothing of a zone that falls silent is given up,
+// TestPartitionedZoneKeepsItsMachines: while the leases in it last nothing of a zone that falls silent is given up,
 // whenever that happens and for however long; once it is heard again what is left is kept; and the other zones'
 // dead are given up meanwhile.
-func TestCutZoneKeepsItsMachines(t *testing.T) {
+func TestPartitionedZoneKeepsItsMachines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.IntRange(2, 4).Draw(t, "zones")
-		s := newTestSite(zones, rapid.IntRange(8, 60).Draw(t, "each"))
+		s := newTestCluster(zones, rapid.IntRange(8, 60).Draw(t, "each"))
 		from := rapid.IntRange(12, 30).Draw(t, "from")
 		length := rapid.IntRange(5, 90).Draw(t, "length")
 		s.run(0, from)
-		for _, machine := range s.inCutZone() {
+		for _, machine := range s.inPartitionedZone() {
 			s.silent[machine.Name] = true
 		}
 		dead := s.machines[1].Name // of another zone
 		s.silent[dead] = true
 		s.run(from, from+length)
-		for _, machine := range s.inCutZone() {
+		for _, machine := range s.inPartitionedZone() {
 			delete(s.silent, machine.Name)
 		}
 		s.run(from+length, from+length+30)
@@ -49,12 +49,12 @@
 	})
 }
 
-// TestCutZoneIsEvacuatedAfterLeases: past their leases, machines with tasks are given up, services that can move
+// TestPartitionedZoneIsEvacuatedAfterLeases: past their leases, machines with tasks are given up, services that can move
 // first and earlier, empty ones only after minutes.
-func TestCutZoneIsEvacuatedAfterLeases(t *testing.T) {
-	s := newTestSite(2, 30)
+func TestPartitionedZoneIsEvacuatedAfterLeases(t *testing.T) {
+	s := newTestCluster(2, 30)
 	for i := range s.machines {
-		if machine := &s.machines[i]; machine.Zone == cutZone {
+		if machine := &s.machines[i]; machine.Zone == partitionedZone {
 			s.silent[machine.Name] = true
 			machine.ServiceMovable = machine.BoundTasks > 0 && i%3 == 0
 		}
@@ -64,7 +64,7 @@
 	var movable, others []time.Time
 	for _, machine := range machines {
 		at, ok := s.deletedAt[machine.Name]
-		if want := machine.Zone == cutZone && machine.BoundTasks > 0; ok != want {
+		if want := machine.Zone == partitionedZone && machine.BoundTasks > 0; ok != want {
 			t.Errorf("%s in %s with %d tasks: deleted %v", machine.Name, machine.Zone, machine.BoundTasks, ok)
 		}
 		if ok && machine.ServiceMovable {
@@ -78,7 +78,7 @@
 		t.Errorf("services' machines went at %v, others at %v", movable, others)
 	}
 	s.run(110, 300)
-	if len(s.inCutZone()) > 0 {
+	if len(s.inPartitionedZone()) > 0 {
 		t.Error("a zone that is never heard again is paid for ever")
 	}
 }
@@ -88,10 +88,10 @@
 // on, all by its end.
 func TestZoneWithControllerIsKeptLonger(t *testing.T) {
 	for _, controllerInZone := range []bool{false, true} {
-		s := newTestSite(2, 30)
+		s := newTestCluster(2, 30)
 		s.run(0, 20)
 		var names []string
-		for _, machine := range s.inCutZone() {
+		for _, machine := range s.inPartitionedZone() {
 			machine.ControllerInZone, machine.BoundTasks, machine.ServiceMovable = controllerInZone, 1, true
 			s.silent[machine.Name] = true
 			names = append(names, machine.Name)
@@ -121,12 +121,12 @@
 // restarted, was given up or came meanwhile, however often it was cut off.
 func TestZoneReturnIsReportedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := newTestSite(2, rapid.IntRange(8, 40).Draw(t, "each"))
+		s := newTestCluster(2, rapid.IntRange(8, 40).Draw(t, "each"))
 		s.run(0, 20)
-		before := len(s.inCutZone())
+		before := len(s.inPartitionedZone())
 		second := 20
 		for range rapid.IntRange(1, 2).Draw(t, "partitions") {
-			for _, machine := range s.inCutZone() {
+			for _, machine := range s.inPartitionedZone() {
 				s.silent[machine.Name] = true
 			}
 			s.run(second, second+20)
@@ -136,23 +136,23 @@
 			second++
 		}
 		restarted := 0
-		for _, machine := range s.inCutZone() {
+		for _, machine := range s.inPartitionedZone() {
 			if rapid.Bool().Draw(t, "restarts") {
 				machine.Session++
 				restarted++
 			}
 		}
-		left := len(s.inCutZone())
+		left := len(s.inPartitionedZone())
 		added := rapid.IntRange(0, 5).Draw(t, "added")
 		for i := range added {
 			at := atSecond(second)
 			s.machines = append(s.machines, Machine{
-				Name: fmt.Sprint("new-", i), Zone: cutZone, Up: true, Session: 1, OwnedSince: at, LastHeard: at,
+				Name: fmt.Sprint("new-", i), Zone: partitionedZone, Up: true, Session: 1, OwnedSince: at, LastHeard: at,
 			})
 		}
 		var returns []zonehealth.ReturnSummary
 		for ; second < 600; second++ {
-			if summary, ok := s.step(atSecond(second)).ZoneReturns[cutZone]; ok {
+			if summary, ok := s.step(atSecond(second)).ZoneReturns[partitionedZone]; ok {
 				returns = append(returns, summary)
 			}
 		}
@@ -168,26 +168,26 @@
 // TestEachPartitionHasItsOwnRoster: a machine that came between two partitions counts as added after the first and
 // as one that worked on after the second.
 func TestEachPartitionHasItsOwnRoster(t *testing.T) {
-	s := newTestSite(2, 20)
+	s := newTestCluster(2, 20)
 	s.run(0, 20)
 	second := 20
 	for partition := range 2 {
-		for _, machine := range s.inCutZone() {
+		for _, machine := range s.inPartitionedZone() {
 			s.silent[machine.Name] = true
 		}
-		before := len(s.inCutZone())
+		before := len(s.inPartitionedZone())
 		s.run(second, second+20)
 		second += 20
 		clear(s.silent)
-		left := len(s.inCutZone())
+		left := len(s.inPartitionedZone())
 		if partition == 0 {
 			at := atSecond(second)
-			added := Machine{Name: "new", Zone: cutZone, Up: true, OwnedSince: at, LastHeard: at}
+			added := Machine{Name: "new", Zone: partitionedZone, Up: true, OwnedSince: at, LastHeard: at}
 			s.machines = append(s.machines, added)
 		}
 		var returns []zonehealth.ReturnSummary
 		for end := second + 600; second < end; second++ {
-			if summary, ok := s.step(atSecond(second)).ZoneReturns[cutZone]; ok {
+			if summary, ok := s.step(atSecond(second)).ZoneReturns[partitionedZone]; ok {
 				returns = append(returns, summary)
 			}
 		}
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -34,9 +34,9 @@
 	// heartbeats come up to a quarter late, one in ten later than this, and a probe costs a message. One that does
 	// not answer in ProbeTimeout is deleted, unless another node has heard from it.
 	ProbeAfterIntervals = 1.2
-	// RecentlyHeardIntervals is the time, in heartbeat intervals, within which a node that hears an agent has heard
+	// RecentReportIntervals is the time, in heartbeat intervals, within which a node that hears an agent has heard
 	// it; a little more than the longest between two heartbeats.
-	RecentlyHeardIntervals = 1.35
+	RecentReportIntervals = 1.35
 	// ProbeTimeout is how long such a probe may take: many times a way there and back, a second connection attempt
 	// included.
 	ProbeTimeout = 1500 * time.Millisecond
@@ -100,9 +100,9 @@
 	ZoneProbationMaxDoublings = 4
 	// ZoneProbationForgiveAfter is how long a zone must serve to be forgiven one return.
 	ZoneProbationForgiveAfter = 30 * time.Minute
-	// PartitionElsewhereHeardShare is the share of all machines heard meanwhile from which on it is the zones that
+	// NodeConnectedReportingShare is the share of all machines heard meanwhile from which on it is the zones that
 	// are partitioned, not this node.
-	PartitionElsewhereHeardShare = 0.2
+	NodeConnectedReportingShare = 0.2
 	// PartitionMinOwnedIntervals is how long a shard must be owned, in heartbeat intervals, before machines of it
 	// that were never heard tell anything: agents look for the new owner first.
 	PartitionMinOwnedIntervals = 2.0
