--- a/internal/failuredetector/deletion.go
+++ b/internal/failuredetector/deletion.go
@@ -12,23 +12,24 @@
 	"sableusher/internal/zonehealth"
 )
 
-// minDeletions is how many machines may be deleted in tuning.DeletionCapWindow however few there are.
+// minDeletions is the number of machines that may be deleted per tuning.DeletionCapWindow regardless of how few
+// machines there are.
 const minDeletions = 2
 
-// deletionCandidate is a suspected machine that is due to be given up, with its step in the evacuation plan.
+// deletionCandidate is a suspected machine that may be deleted, with its step in the evacuation plan.
 type deletionCandidate struct {
 	machine *Machine
 	step    evacuation.Step
 }
 
-// deletionCandidates gives the suspected machines that are due to be given up, in the order of the evacuation plan.
-// Only what no other node hears either is dead.
+// deletionCandidates returns the suspected machines that may be deleted, in the order of the evacuation plan. A
+// machine is a candidate only if the peers were asked about it and none of them has received a report from it either.
 func (d *Detector) deletionCandidates(
 	now time.Time, suspected []*Machine, tasksOn func(*Machine) []evacuation.Task,
 ) []deletionCandidate {
 	var lost []evacuation.Machine
 	byName := map[string]*Machine{}
-	movable := map[string]int{} // machines with movable services, by zones that are unavailable
+	movable := map[string]int{} // number of machines with movable services, by unavailable zone
 	for _, machine := range suspected {
 		if !d.peers.reportsToNoPeer(machine.Name) {
 			continue
@@ -53,9 +54,10 @@
 	return candidates
 }
 
-// unavailableZoneGracePeriod is the silence up to which a machine of a zone that is unavailable is left alone: it runs
-// its tasks until its lease expires, which a controller in the zone renews. After that, what it held must start
-// again; an empty machine is waited for as long as one with a controller.
+// unavailableZoneGracePeriod returns how long a machine of an unavailable zone may be silent before it can be
+// deleted. Such a machine runs its tasks until its lease expires, and a controller in the zone keeps renewing the
+// lease. After that, its tasks have to start again elsewhere. An empty machine has nothing to restart, so it is kept
+// for as long as one with a controller in its zone.
 func (d *Detector) unavailableZoneGracePeriod(machine *Machine) time.Duration {
 	switch {
 	case machine.ControllerInZone || machine.BoundTasks == 0:
@@ -67,10 +69,13 @@
 	}
 }
 
-// mayDelete tells whether a machine may be deleted now, and counts it if so. A service that starts elsewhere out
-// of a zone that is unavailable is certain to gain: the machines of these go one after the other over the time
-// that their leases leave, so that the services do not all start again at once, and not at all if the zone is
-// heard before. All others are capped, by a smaller share where it is in doubt whether machines die or links go.
+// mayDelete reports whether a machine may be deleted now, and counts the deletion if so.
+//
+// A service that can move out of an unavailable zone certainly gains from it. The machines of such services are
+// deleted one by one over the remaining time of their leases, so that the services do not all restart at the same
+// time, and no more of them are deleted if the zone becomes reachable before that. All other deletions are capped at
+// a share of the machines that are up. The cap is lower for a zone that is not serving, where either machines or
+// links may have failed.
 func (d *Detector) mayDelete(machine *Machine, up int, now time.Time) bool {
 	if machine.ServiceMovable && d.ZoneUnavailable(machine.Zone) {
 		return d.pace.zones[machine.Zone].allow(d.silence(machine, now), d.Timing.LeaseDuration)
@@ -82,7 +87,7 @@
 	return d.pace.allow(max(minDeletions, int(share*float64(up))), now)
 }
 
-// deletionReason says in a few words why a machine is given up, and why in this place.
+// deletionReason returns a short description of why a machine is deleted and of its place in the order.
 func (d *Detector) deletionReason(now time.Time, candidate deletionCandidate) string {
 	reason := fmt.Sprintf("silent for %v", d.silence(candidate.machine, now).Round(time.Second))
 	if d.ZoneUnavailable(candidate.machine.Zone) {
@@ -91,19 +96,19 @@
 	return reason + ", " + candidate.step.Reason()
 }
 
-// deletionPace bounds how fast machines are given up.
+// deletionPace limits how fast machines are deleted.
 type deletionPace struct {
-	recent []time.Time // of the deletions within tuning.DeletionCapWindow that are capped
-	// zones has the evacuations of zones that are unavailable, of their machines with movable services.
+	recent []time.Time // times of the capped deletions within tuning.DeletionCapWindow
+	// zones has, by unavailable zone, the evacuation of its machines with movable services.
 	zones map[string]*zoneEvacuation
 }
 
-// prune forgets the deletions that the cap does not count any more.
+// prune removes the deletions that are too old to count against the cap.
 func (p *deletionPace) prune(now time.Time) {
 	p.recent = slices.DeleteFunc(p.recent, func(at time.Time) bool { return now.Sub(at) > tuning.DeletionCapWindow })
 }
 
-// allow tells whether one more machine may be deleted under the cap, and counts it if so.
+// allow reports whether one more machine may be deleted under the cap, and counts the deletion if so.
 func (p *deletionPace) allow(limit int, now time.Time) bool {
 	if len(p.recent) >= limit {
 		return false
@@ -112,8 +117,8 @@
 	return true
 }
 
-// planZones notes how many machines with movable services are to be evacuated from each unavailable zone, and
-// forgets the zones that are available again.
+// planZones updates the number of machines with movable services that are to be evacuated from each unavailable zone,
+// and removes the zones that are available again.
 func (p *deletionPace) planZones(movable map[string]int, unavailable func(zone string) bool) {
 	if p.zones == nil {
 		p.zones = map[string]*zoneEvacuation{}
@@ -128,10 +133,10 @@
 	maps.DeleteFunc(p.zones, func(zone string, _ *zoneEvacuation) bool { return !unavailable(zone) })
 }
 
-// zoneEvacuation is how far the machines with movable services of an unavailable zone are given up.
+// zoneEvacuation counts the machines with movable services of an unavailable zone, and how many of them were deleted.
 type zoneEvacuation struct{ total, deleted int }
 
-// allow tells whether one more machine may be deleted now, and counts it if so.
+// allow reports whether one more machine may be deleted now, and counts the deletion if so.
 func (e *zoneEvacuation) allow(silence, lease time.Duration) bool {
 	if e.deleted >= e.allowance(silence, lease) {
 		return false
@@ -140,8 +145,8 @@
 	return true
 }
 
-// allowance is how many machines may have been given up once their zone has been silent for so long: all of them
-// by the end of the lease, the first once tuning.PartitionServiceLeaseShare of it have passed.
+// allowance returns how many machines may have been deleted in total, given the silence of their zone. It rises from
+// the first machine, after tuning.PartitionServiceLeaseShare of the lease, to all of them at the end of the lease.
 func (e *zoneEvacuation) allowance(silence, lease time.Duration) int {
 	start := scaleDuration(lease, tuning.PartitionServiceLeaseShare)
 	share := min(1, float64(silence-start)/float64(lease-start))
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -8,44 +8,45 @@
 	"sableusher/internal/zonehealth"
 )
 
-// Machine is what a node knows of a machine of its shards.
+// Machine is a node's view of a machine of its shards.
 type Machine struct {
 	Name    string
 	Zone    string
 	Shard   int
-	Up      bool   // its record says so
-	Session uint64 // of its agent, as last heard
+	Up      bool   // whether it is up according to its record
+	Session uint64 // of its agent, as last reported
 
-	LastHeard         time.Time // when its last report came, zero if none did
-	OwnedSince        time.Time // since when this node could have heard it
-	CommandUnanswered bool      // a direct command since it was last heard got no answer
+	LastHeard         time.Time // when its last report arrived; zero if there was none
+	OwnedSince        time.Time // when this node became the owner of its shard
+	CommandUnanswered bool      // a direct command has failed since its last report
 
-	BoundTasks          int  // how many tasks are bound to it
-	CancellationOverdue bool // it holds a task whose cancellation is overdue
-	ServiceMovable      bool // a service on it is not bound to its zone and could start elsewhere
-	ControllerInZone    bool // a controller stands in its zone, and renews leases while that is cut off
+	BoundTasks          int  // number of tasks that are bound to it
+	CancellationOverdue bool // it has a task whose cancellation is overdue
+	ServiceMovable      bool // a service on it is not restricted to its zone and could start elsewhere
+	ControllerInZone    bool // a controller runs in its zone and renews leases there during a partition
 }
 
-// Deletion is a machine that is given up and to be deleted at the cloud.
+// Deletion is a machine that counts as dead and is to be deleted in the cloud.
 type Deletion struct {
-	Machine string // its name
+	Machine string // name of the machine
 	Reason  string // for the log
 }
 
-// Assessment is what follows from one look at a node's machines.
+// Assessment is the result of one evaluation of a node's machines.
 type Assessment struct {
 	Deletions      []Deletion
-	ProbeMachines  []string       // to be probed by direct commands
-	AskPeersAbout  []string       // to be asked about with the peers; the answer goes to RecordPeerAnswers
-	ShardTransfers map[int]string // shards whose agents report to another node, and that node
-	// ZoneHeartbeats is what the states of the zones rest on.
+	ProbeMachines  []string       // machines to probe with direct commands
+	AskPeersAbout  []string       // machines to ask the peers about; pass their answers to RecordPeerAnswers
+	ShardTransfers map[int]string // shards whose agents report to another node, with its name
+	// ZoneHeartbeats has the heartbeat counts that the states of the zones are derived from.
 	ZoneHeartbeats map[string]zonehealth.HeartbeatCount
 	ZoneChanges    []zonehealth.Transition
-	// ZoneReturns says of each zone that serves again what became of the machines that stood in it.
+	// ZoneReturns describes, for each zone that serves again, what became of the machines that were in it when it was
+	// cut off.
 	ZoneReturns map[string]zonehealth.ReturnSummary
 }
 
-// Detector follows the suspected machines of one node. The zero value with Timing is ready for use. It is not safe
+// Detector tracks the suspected machines of one node. The zero value with Timing set is ready to use. It is not safe
 // for concurrent use.
 type Detector struct {
 	Timing Timing
@@ -56,8 +57,8 @@
 	pace    deletionPace
 }
 
-// Assess looks at all machines of a node and decides what follows from their silence. tasksOn gives the tasks on
-// a machine that is to be given up.
+// Assess evaluates all machines of a node and returns the consequences of their silence. tasksOn returns the tasks on
+// a machine that may be deleted.
 func (d *Detector) Assess(
 	now time.Time, machines []Machine, tasksOn func(*Machine) []evacuation.Task,
 ) Assessment {
@@ -88,9 +89,9 @@
 	return assessment
 }
 
-// classify gives the suspected machines: those that have been silent for so long that they may be dead. It adds to
-// the assessment those to be probed, and the deletion of those that hold a cancelled task: no cap and no answer of
-// a peer can keep that beyond its time.
+// classify returns the suspected machines, which have been silent for so long that they may be dead. It adds the
+// machines to be probed to the assessment. It also adds the deletion of silent machines that have a task whose
+// cancellation is overdue: neither the cap on deletions nor a peer's answer may delay these.
 func (d *Detector) classify(now time.Time, machines []Machine, assessment *Assessment) []*Machine {
 	var suspected []*Machine
 	for i := range machines {
@@ -98,7 +99,8 @@
 		silence := d.silence(machine, now)
 		switch {
 		case !machine.Up && machine.LastHeard.IsZero():
-			// Whether it comes up at all is not a matter of silence.
+			// A machine that is not up and has never reported to this node may still be booting: its silence proves
+			// nothing.
 		case silence > d.Timing.probeAfter() && machine.CancellationOverdue:
 			deletion := Deletion{machine.Name, "silent with a cancelled task"}
 			assessment.Deletions = append(assessment.Deletions, deletion)
@@ -111,8 +113,9 @@
 	return suspected
 }
 
-// silence is for how long a machine has been silent. After a partition the agents of its zone find back to this
-// node one by one: the first of them must not make the others look dead.
+// silence returns for how long a machine has been silent. The time starts at the latest of its last report, the start
+// of this node's ownership of its shard, and the return of its zone: after a partition the agents of a zone reconnect
+// one by one, and the first to do so must not make the others look dead.
 func (d *Detector) silence(machine *Machine, now time.Time) time.Duration {
 	since := machine.OwnedSince
 	for _, at := range []time.Time{machine.LastHeard, d.zones.ReturningSince(machine.Zone)} {
@@ -123,9 +126,10 @@
 	return now.Sub(since)
 }
 
-// deadAfterProbe is the silence after which a machine that did not answer a probe is dead. Where its zone did
-// not serve all the time since it was last heard, links may have been gone for a moment, and it has somewhat
-// longer to find back; so it has with a new owner that never heard it.
+// deadAfterProbe returns the silence after which a machine that did not answer a probe counts as dead. It is somewhat
+// longer if the zone has not served without interruption since the machine's last report, because links may have
+// failed briefly and the agent needs time to reconnect. The same holds for a new owner that has never received a
+// report from the machine.
 func (d *Detector) deadAfterProbe(machine *Machine) time.Duration {
 	if machine.LastHeard.IsZero() || !d.zones.ServedSince(machine.Zone, machine.LastHeard) {
 		return d.Timing.deadAfterProbe(tuning.CommandTimeout)
@@ -133,19 +137,21 @@
 	return d.Timing.deadAfterProbe(tuning.ProbeTimeout)
 }
 
-// nodeIsPartitioned tells whether it is this node that is cut off, not the machines that are dead: most of them are
-// suspected at once, and no zone is heard that would show that it is the others that are cut off.
+// nodeIsPartitioned reports whether this node seems to be partitioned, and not the machines dead: most machines are
+// suspected at the same time, and no other zone reports, which would show that the unavailable zones are the ones
+// that are cut off.
 func (d *Detector) nodeIsPartitioned(suspected, up int, heartbeats zonehealth.HeartbeatCount) bool {
 	return suspected*2 > up && up > 2 && !d.otherZonesReporting(heartbeats)
 }
 
-// otherZonesReporting tells whether, beside the zones that are unavailable, others are heard well.
+// otherZonesReporting reports whether some zones are unavailable while enough machines still send heartbeats that the
+// node itself must be connected.
 func (d *Detector) otherZonesReporting(heartbeats zonehealth.HeartbeatCount) bool {
 	return len(d.UnavailableZones()) > 0 && heartbeats.Expected >= tuning.PartitionMinMachines &&
 		float64(heartbeats.Received) >= tuning.NodeConnectedReportingShare*float64(heartbeats.Expected)
 }
 
-// countUp counts the machines that are up by their records.
+// countUp returns the number of machines that are up according to their records.
 func countUp(machines []Machine) int {
 	up := 0
 	for i := range machines {
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -11,8 +11,8 @@
 	"sableusher/internal/tuning"
 )
 
-// TestDeadMachinesAreDeletedSoon: machines that die here and there are replaced within seconds, however many
-// live, as far as the pace of deletions allows.
+// TestDeadMachinesAreDeletedSoon checks that individual machines that fail are deleted within seconds, within the
+// limits on the pace of deletions, however many machines there are.
 func TestDeadMachinesAreDeletedSoon(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newTestCluster(rapid.IntRange(1, 4).Draw(t, "zones"), rapid.IntRange(12, 60).Draw(t, "each"))
@@ -24,24 +24,24 @@
 		s.run(20, 60)
 		for name := range s.silent {
 			if at, ok := s.deletedAt[name]; !ok || at.Sub(testStart) > 40*time.Second {
-				t.Fatalf("%s, dead for %v, is still there", name, at.Sub(testStart)-20*time.Second)
+				t.Fatalf("%s, dead for %v, was not deleted in time", name, at.Sub(testStart)-20*time.Second)
 			}
 		}
 		if len(s.deletedAt) != len(s.silent) {
-			t.Fatalf("%d deleted, %d dead", len(s.deletedAt), len(s.silent))
+			t.Fatalf("%d machines deleted, %d dead", len(s.deletedAt), len(s.silent))
 		}
 	})
 }
 
-// TestPartitionedNodeDeletesNothing: a node that hears nobody gives up nothing, and its shards go to the node that
-// hears their agents.
+// TestPartitionedNodeDeletesNothing checks that a node that receives no heartbeats at all deletes no machine, and
+// transfers its shards to the node that receives them, if there is one.
 func TestPartitionedNodeDeletesNothing(t *testing.T) {
-	for _, peerHears := range []bool{false, true} {
+	for _, reportingToPeer := range []bool{false, true} {
 		s := newTestCluster(3, 20)
 		s.run(0, 20)
 		for _, machine := range s.machines {
 			s.silent[machine.Name] = true
-			if peerHears {
+			if reportingToPeer {
 				s.heardByPeers[machine.Name] = "node-1"
 			}
 		}
@@ -50,15 +50,15 @@
 			assessment := s.step(atSecond(second))
 			transferred = transferred || assessment.ShardTransfers[0] == "node-1"
 		}
-		if len(s.deletedAt) > 0 || transferred != peerHears {
-			t.Errorf("another node hears them: %v; %d deleted, shard transferred: %v",
-				peerHears, len(s.deletedAt), transferred)
+		if len(s.deletedAt) > 0 || transferred != reportingToPeer {
+			t.Errorf("machines report to another node: %v; %d deleted, shard transferred: %v",
+				reportingToPeer, len(s.deletedAt), transferred)
 		}
 	}
 }
 
-// TestMachineReportingToPeerIsKept: a silent machine that another node hears is kept, and so is one that the peers did
-// not answer about; one that no peer hears is deleted.
+// TestMachineReportingToPeerIsKept checks that a silent machine is kept if it reports to another node or the peers
+// did not answer about it, and is deleted if it reports to no peer.
 func TestMachineReportingToPeerIsKept(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -66,9 +66,9 @@
 		peersSilent bool
 		deleted     bool
 	}{
-		{name: "heard by none", deleted: true},
-		{name: "heard by another node", heardBy: "node-1"},
-		{name: "no answer", peersSilent: true},
+		{name: "reports to no peer", deleted: true},
+		{name: "reports to another node", heardBy: "node-1"},
+		{name: "no answer from the peers", peersSilent: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestCluster(2, 20)
@@ -87,7 +87,8 @@
 	}
 }
 
-// TestOverdueCancellationDeletesDuringPartition: nothing keeps a cancelled task beyond its time.
+// TestOverdueCancellationDeletesDuringPartition checks that a silent machine with a task whose cancellation is
+// overdue is deleted even while the node seems to be partitioned.
 func TestOverdueCancellationDeletesDuringPartition(t *testing.T) {
 	s := newTestCluster(2, 20)
 	s.run(0, 20)
@@ -102,8 +103,8 @@
 	}
 }
 
-// TestNewlyOwnedMachinesAreNotCounted: machines that a node has just taken over and not heard yet don't make their
-// zone look cut off.
+// TestNewlyOwnedMachinesAreNotCounted checks that machines that a node has just taken over, and that have not
+// reported to it yet, do not make their zone look partitioned.
 func TestNewlyOwnedMachinesAreNotCounted(t *testing.T) {
 	s := newTestCluster(1, 10)
 	s.run(0, 20)
@@ -126,20 +127,21 @@
 	}
 }
 
-// TestShardIsTransferredAfterMinimumOwnership: a shard of which another node hears most machines goes to that node,
-// but not before this one has had it for long enough to learn which of them hear nothing. Those that are recorded as
-// down move no shard: agents without answers come by every node in turn.
+// TestShardIsTransferredAfterMinimumOwnership checks that a shard is transferred to another node that most of its
+// machines report to, but only after this node has owned it for long enough to learn which of the machines receive
+// nothing. Machines that are recorded as down do not count: agents that get no answers send their heartbeats to each
+// node in turn.
 func TestShardIsTransferredAfterMinimumOwnership(t *testing.T) {
-	const heardElsewhere = "node-1"
+	const otherNode = "node-1"
 	for _, c := range []struct {
 		name        string
 		ownedFor    time.Duration
 		down        bool
 		transferred bool
 	}{
-		{name: "owned for long", ownedFor: tuning.ShardTransferMinOwned, transferred: true},
-		{name: "taken over lately", ownedFor: tuning.ShardTransferMinOwned - time.Second},
-		{name: "all down", ownedFor: tuning.ShardTransferMinOwned, down: true},
+		{name: "minimum ownership reached", ownedFor: tuning.ShardTransferMinOwned, transferred: true},
+		{name: "taken over recently", ownedFor: tuning.ShardTransferMinOwned - time.Second},
+		{name: "all machines down", ownedFor: tuning.ShardTransferMinOwned, down: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestCluster(1, 6)
@@ -148,12 +150,12 @@
 			for i := range s.machines {
 				s.machines[i].Up = !c.down
 				s.machines[i].LastHeard = now.Add(-testTiming.probeAfter() - time.Second)
-				heardBy[s.machines[i].Name] = heardElsewhere
+				heardBy[s.machines[i].Name] = otherNode
 			}
 			asked := s.detector.Assess(now, s.machines, tasksOf).AskPeersAbout
 			s.detector.RecordPeerAnswers(now, asked, heardBy)
 			transfers := s.detector.Assess(now, s.machines, tasksOf).ShardTransfers
-			if transferred := transfers[0] == heardElsewhere; len(asked) == 0 || transferred != c.transferred {
+			if transferred := transfers[0] == otherNode; len(asked) == 0 || transferred != c.transferred {
 				t.Errorf("asked about %v, transfers %v", asked, transfers)
 			}
 		})
--- a/internal/failuredetector/doc.go
+++ b/internal/failuredetector/doc.go
@@ -1,13 +1,15 @@
-// Package failuredetector decides which machines that are not heard from are given up. A machine that died has
-// to be replaced soon; one that is only cut off from this node runs its tasks on, and deleting it loses them. So
-// silence is judged by what the suspected machines have in common: where a whole zone falls silent at once, the
-// zone is cut off, and its machines are left alone until their leases have expired.
+// Package failuredetector decides which machines count as dead, and are deleted, because this node receives no
+// heartbeats from them. A machine that has failed has to be replaced soon. A machine that is only partitioned from
+// this node keeps running its tasks, and deleting it loses them. The detector therefore considers what the silent
+// machines have in common: if the heartbeats of a whole zone stop at the same time, it treats the zone as partitioned
+// and does not delete its machines until their leases have expired.
 //
-// The package owns what the peers answered about suspected machines, the pace of deletions and which machines
-// stood in a zone when it was cut off. Package zonehealth makes the zones' states of the counts it is given.
+// The package owns the peers' answers about suspected machines, the pace of deletions, and the list of machines that
+// were in a zone when it was cut off. Package zonehealth derives the states of the zones from the heartbeat counts
+// that this package passes to it.
 //
-// It is a pure state machine: it has no clock, no network and no records. What it gives up leaves a machine by
-// the cloud's deletion and nothing else (safety invariant 4), so a wrong assessment costs time or work and never
-// breaks a rule. A machine that holds a task whose cancellation is overdue is given up whatever else speaks for
-// waiting (invariants 5 and 28).
+// The package is a pure state machine, without a clock, network access or records. Tasks leave a machine only when
+// the cloud has deleted it (safety invariant 4), so a wrong assessment costs time or work but violates no invariant.
+// A machine with a task whose cancellation is overdue is deleted even if there are reasons to wait (invariants 5 and
+// 28).
 package failuredetector
--- a/internal/failuredetector/fixture_test.go
+++ b/internal/failuredetector/fixture_test.go
@@ -17,13 +17,14 @@
 	testStart  = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 )
 
-// partitionedZone is the zone that falls silent in most tests.
+// partitionedZone is the zone that becomes silent in most tests.
 const partitionedZone = "zone-0"
 
-// atSecond is the time of a second of a test.
+// atSecond returns the time at a second of a test.
 func atSecond(second int) time.Time { return testStart.Add(time.Duration(second) * time.Second) }
 
-// tasksOf gives the tasks of a machine: a service of two replicas if it can move, else an array's.
+// tasksOf returns the tasks on a machine: a replica of a service of two if the machine's service can move, and tasks
+// of an array otherwise.
 func tasksOf(machine *Machine) []evacuation.Task {
 	if machine.ServiceMovable {
 		return []evacuation.Task{{JobID: "service of " + machine.Name, Kind: evacuation.Service, PlacedReplicas: 2}}
@@ -31,18 +32,18 @@
 	return make([]evacuation.Task, machine.BoundTasks)
 }
 
-// testCluster is a node's machines, as a test moves them on: those that are not silent send a heartbeat within every
+// testCluster has a node's machines and advances them in time. Machines that are not silent send one heartbeat per
 // interval.
 type testCluster struct {
 	detector     Detector
 	machines     []Machine
 	silent       map[string]bool
-	heardByPeers map[string]string // machines that another node hears, and that node
-	peersSilent  bool              // no peer answers
+	heardByPeers map[string]string // machines that report to another node, with its name
+	peersSilent  bool              // the peers do not answer
 	deletedAt    map[string]time.Time
 }
 
-// newTestCluster makes machines with up to four tasks in turn over the zones.
+// newTestCluster returns a cluster of machines with up to four tasks each, distributed over the zones in turn.
 func newTestCluster(zones, machinesPerZone int) *testCluster {
 	s := &testCluster{
 		detector: Detector{Timing: testTiming},
@@ -57,7 +58,7 @@
 	return s
 }
 
-// step is one assessment, a second after the one before.
+// step makes one assessment. Tests call it once per second.
 func (s *testCluster) step(now time.Time) Assessment {
 	s.sendHeartbeats(now)
 	assessment := s.detector.Assess(now, s.machines, tasksOf)
@@ -80,7 +81,7 @@
 	return assessment
 }
 
-// sendHeartbeats lets each machine be heard at a second of its own within the interval.
+// sendHeartbeats sends the heartbeats that are due at now. The machines' heartbeats are spread over the interval.
 func (s *testCluster) sendHeartbeats(now time.Time) {
 	interval := int(testTiming.HeartbeatInterval / time.Second)
 	second := int(now.Sub(testStart) / time.Second)
@@ -92,14 +93,14 @@
 	}
 }
 
-// run makes the steps of the seconds from one on, up to another.
+// run makes one step for each second in the range [from, to).
 func (s *testCluster) run(from, to int) {
 	for second := from; second < to; second++ {
 		s.step(atSecond(second))
 	}
 }
 
-// inPartitionedZone gives the machines of the zone that falls silent.
+// inPartitionedZone returns the machines of the zone that becomes silent.
 func (s *testCluster) inPartitionedZone() []*Machine {
 	var out []*Machine
 	for i := range s.machines {
--- a/internal/failuredetector/peers.go
+++ b/internal/failuredetector/peers.go
@@ -8,19 +8,20 @@
 	"sableusher/internal/tuning"
 )
 
-// peerAnswer is what the peers said of a suspected machine.
+// peerAnswer is the peers' answer about a suspected machine.
 type peerAnswer struct {
 	receivedAt time.Time
-	node       string // that has heard the machine; empty: none has
+	node       string // that has recently received a report from the machine; empty if none has
 }
 
-// peerAnswers is what the peers said of suspected machines, and when they were last asked.
+// peerAnswers has the peers' answers about suspected machines, and when they were last asked.
 type peerAnswers struct {
 	answers map[string]peerAnswer
 	askedAt time.Time
 }
 
-// RecordPeerAnswers takes in which node has heard which of the machines that were asked about.
+// RecordPeerAnswers records the peers' answers about the machines that they were asked about. heardBy has, by machine
+// name, the node that has recently received a report from the machine.
 func (d *Detector) RecordPeerAnswers(now time.Time, asked []string, heardBy map[string]string) {
 	if d.peers.answers == nil {
 		d.peers.answers = map[string]peerAnswer{}
@@ -30,8 +31,8 @@
 	}
 }
 
-// uncertainMachines gives the names of the suspected machines and of those that are probed: the answers about
-// them must be here by the time they are needed.
+// uncertainMachines returns the names of the suspected machines and of those that are being probed. The probed ones
+// are included so that the answers about them have arrived by the time they become suspected.
 func uncertainMachines(suspected []*Machine, probed []string) map[string]bool {
 	names := make(map[string]bool, len(suspected)+len(probed))
 	for _, machine := range suspected {
@@ -43,15 +44,15 @@
 	return names
 }
 
-// prune forgets the answers about machines that are not uncertain any more, and those that are too old to
-// prove anything.
+// prune removes the answers about machines that are not uncertain any more, and the answers that are too old to prove
+// anything.
 func (p *peerAnswers) prune(now time.Time, uncertain map[string]bool) {
 	maps.DeleteFunc(p.answers, func(name string, answer peerAnswer) bool {
 		return !uncertain[name] || now.Sub(answer.receivedAt) > 2*tuning.PeerQueryInterval
 	})
 }
 
-// machinesToAskAbout gives the uncertain machines in the order of their names if the peers are to be asked now.
+// machinesToAskAbout returns the names of the uncertain machines, sorted, if the peers are to be asked now.
 func (p *peerAnswers) machinesToAskAbout(now time.Time, uncertain map[string]bool) []string {
 	if len(uncertain) == 0 || now.Sub(p.askedAt) < tuning.PeerQueryInterval {
 		return nil
@@ -60,14 +61,15 @@
 	return slices.Sorted(maps.Keys(uncertain))
 }
 
-// reportsToNoPeer tells whether the peers were asked about a machine and none has heard it.
+// reportsToNoPeer reports whether the peers were asked about a machine and none of them has received a report from
+// it.
 func (p *peerAnswers) reportsToNoPeer(name string) bool {
 	answer, ok := p.answers[name]
 	return ok && answer.node == ""
 }
 
-// shardTransfers gives the shards of which one other node hears more than half of the machines that are up, and
-// that node. A shard that this node has not had for tuning.ShardTransferMinOwned stays.
+// shardTransfers returns the shards of which more than half of the machines that are up report to one other node,
+// with that node. A shard stays until this node has owned it for tuning.ShardTransferMinOwned.
 func (p *peerAnswers) shardTransfers(now time.Time, machines []Machine) map[int]string {
 	up := map[int]int{}
 	heardBy := map[int]map[string]int{}
--- a/internal/failuredetector/zones.go
+++ b/internal/failuredetector/zones.go
@@ -7,22 +7,23 @@
 	"sableusher/internal/zonehealth"
 )
 
-// Zones gives the states of the zones as of the last assessment.
+// Zones returns the states of the zones as of the last assessment.
 func (d *Detector) Zones() *zonehealth.Tracker { return &d.zones }
 
-// ZoneUnavailable tells whether a zone is cut off from this node, or lost, as of the last assessment.
+// ZoneUnavailable reports whether a zone was cut off from this node, or lost, as of the last assessment.
 func (d *Detector) ZoneUnavailable(name string) bool { return d.zones.Unavailable(name) }
 
-// ZoneUnstable tells whether a zone is unavailable, or was so lately that its agents may be on their way back.
+// ZoneUnstable reports whether a zone is unavailable or returning, so that its agents may still be reconnecting.
 func (d *Detector) ZoneUnstable(name string) bool {
 	return d.zones.Unavailable(name) || d.zones.State(name) == zonehealth.Returning
 }
 
-// UnavailableZones gives the zones that are cut off or lost.
+// UnavailableZones returns the names of the zones that are cut off or lost.
 func (d *Detector) UnavailableZones() []string { return d.zones.UnavailableZones() }
 
-// countHeartbeats counts, in all and by zone, the machines that should be heard and those that are. Machines that
-// this node took over a moment ago could not be heard yet and do not count.
+// countHeartbeats counts, in total and by zone, the machines from which heartbeats are expected and those from which
+// one arrived within the last heartbeat interval. Machines of recently acquired shards that have not reported to this
+// node yet do not count.
 func (d *Detector) countHeartbeats(
 	now time.Time, machines []Machine,
 ) (all zonehealth.HeartbeatCount, byZone map[string]zonehealth.HeartbeatCount) {
@@ -46,7 +47,7 @@
 	return all, byZone
 }
 
-// updateZones brings the zones' states up to date with what was heard of them.
+// updateZones updates the states of the zones from the heartbeat counts.
 func (d *Detector) updateZones(
 	now time.Time, byZone map[string]zonehealth.HeartbeatCount,
 ) []zonehealth.Transition {
@@ -56,12 +57,12 @@
 	return d.zones.Observe(now, byZone)
 }
 
-// zoneRosters has the machines that stood in a zone when it was cut off, for each zone that does not serve again
-// yet.
+// zoneRosters has, for each zone that was cut off and does not serve again yet, the machines that were in it when it
+// was cut off.
 type zoneRosters map[string]zonehealth.Roster
 
-// update notes the machines of zones that were cut off, and says of those that serve again what became of
-// them. A zone that is cut off again before it serves keeps its first roster.
+// update records the machines of the zones that were cut off, and returns for each zone that serves again what became
+// of its machines. A zone that is cut off again before it serves keeps its first roster.
 func (r *zoneRosters) update(
 	transitions []zonehealth.Transition, machines []Machine,
 ) map[string]zonehealth.ReturnSummary {
@@ -83,7 +84,7 @@
 	return returns
 }
 
-// rosterOf gives the machines that are up in a zone, with their agents' sessions.
+// rosterOf returns the machines that are up in a zone, with the sessions of their agents.
 func rosterOf(zone string, machines []Machine) zonehealth.Roster {
 	roster := zonehealth.Roster{}
 	for i := range machines {
--- a/internal/failuredetector/zones_test.go
+++ b/internal/failuredetector/zones_test.go
@@ -11,9 +11,9 @@
 	"sableusher/internal/zonehealth"
 )
 
-// TestPartitionedZoneKeepsItsMachines: while the leases in it last nothing of a zone that falls silent is given up,
-// whenever that happens and for however long; once it is heard again what is left is kept; and the other zones'
-// dead are given up meanwhile.
+// TestPartitionedZoneKeepsItsMachines checks that no machine of a zone that becomes silent is deleted while the
+// leases in it last, whenever the partition begins and however long it lasts. Once heartbeats arrive again, the
+// remaining machines are kept. A dead machine of another zone is deleted meanwhile.
 func TestPartitionedZoneKeepsItsMachines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.IntRange(2, 4).Draw(t, "zones")
@@ -32,7 +32,7 @@
 		}
 		s.run(from+length, from+length+30)
 		begin := atSecond(from)
-		// It is over for this node once the first of its machines have been heard again.
+		// The partition is over for this node once the first of the machines have sent heartbeats again.
 		over := begin.Add(time.Duration(length)*time.Second + testTiming.HeartbeatInterval)
 		leaseLasts := testTiming.LeaseDuration - testTiming.HeartbeatInterval - time.Second
 		for name, at := range s.deletedAt {
@@ -41,16 +41,17 @@
 			}
 		}
 		if at, ok := s.deletedAt[dead]; !ok || at.Sub(testStart) > time.Duration(from+25)*time.Second {
-			t.Fatalf("the dead machine of a zone that is heard is there yet, or went late: %v", at)
+			t.Fatalf("the dead machine in a connected zone was not deleted or deleted late: %v", at)
 		}
 		if unavailable := s.detector.UnavailableZones(); len(unavailable) > 0 {
-			t.Fatalf("%v still count as cut off", unavailable)
+			t.Fatalf("zones %v still count as unavailable", unavailable)
 		}
 	})
 }
 
-// TestPartitionedZoneIsEvacuatedAfterLeases: past their leases, machines with tasks are given up, services that can move
-// first and earlier, empty ones only after minutes.
+// TestPartitionedZoneIsEvacuatedAfterLeases checks the order in which machines of a partitioned zone are deleted:
+// machines with movable services first and before their leases end, other machines with tasks after their leases,
+// empty machines only after minutes.
 func TestPartitionedZoneIsEvacuatedAfterLeases(t *testing.T) {
 	s := newTestCluster(2, 30)
 	for i := range s.machines {
@@ -75,17 +76,17 @@
 	}
 	if len(movable) == 0 ||
 		slices.MaxFunc(movable, time.Time.Compare).After(slices.MinFunc(others, time.Time.Compare)) {
-		t.Errorf("services' machines went at %v, others at %v", movable, others)
+		t.Errorf("machines with movable services deleted at %v, others at %v", movable, others)
 	}
 	s.run(110, 300)
 	if len(s.inPartitionedZone()) > 0 {
-		t.Error("a zone that is never heard again is paid for ever")
+		t.Error("machines of a zone that never returns are kept forever")
 	}
 }
 
-// TestZoneWithControllerIsKeptLonger: what a controller inside keeps alive is given up only after minutes,
-// services that could start elsewhere as well; without one they go one after the other from a share of the lease
-// on, all by its end.
+// TestZoneWithControllerIsKeptLonger checks that machines whose leases a controller in the zone renews are deleted
+// only after minutes, even if their services could start elsewhere. Without a controller, machines with movable
+// services are deleted one by one, from a share of the lease on and all by its end.
 func TestZoneWithControllerIsKeptLonger(t *testing.T) {
 	for _, controllerInZone := range []bool{false, true} {
 		s := newTestCluster(2, 30)
@@ -104,21 +105,21 @@
 			}
 		}
 		if controllerInZone && len(deletions) > 0 {
-			t.Errorf("deleted though a controller stands in the zone: %v", deletions)
+			t.Errorf("machines deleted although a controller runs in the zone: %v", deletions)
 		}
 		for second, count := range deletions {
 			if count > len(names)/5 {
-				t.Errorf("%d of %d go at once, %d s into the partition", count, len(names), second-20)
+				t.Errorf("%d of %d deleted in one second, %d s into the partition", count, len(names), second-20)
 			}
 		}
 		if !controllerInZone && len(s.deletedAt) < len(names) {
-			t.Errorf("%d of %d are deleted by the lease's end", len(s.deletedAt), len(names))
+			t.Errorf("%d of %d deleted by the end of the lease", len(s.deletedAt), len(names))
 		}
 	}
 }
 
-// TestZoneReturnIsReportedOnce: when a zone serves again each of its machines counts once, as one that worked on,
-// restarted, was given up or came meanwhile, however often it was cut off.
+// TestZoneReturnIsReportedOnce checks the summary of a zone's return after one or more partitions. It is reported
+// once, and counts each machine once: as continued, restarted, deleted or added.
 func TestZoneReturnIsReportedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newTestCluster(2, rapid.IntRange(8, 40).Draw(t, "each"))
@@ -165,8 +166,8 @@
 	})
 }
 
-// TestEachPartitionHasItsOwnRoster: a machine that came between two partitions counts as added after the first and
-// as one that worked on after the second.
+// TestEachPartitionHasItsOwnRoster checks that a machine that is added between two partitions counts as added after
+// the first and as continued after the second.
 func TestEachPartitionHasItsOwnRoster(t *testing.T) {
 	s := newTestCluster(2, 20)
 	s.run(0, 20)
--- a/internal/reconcile/decision.go
+++ b/internal/reconcile/decision.go
@@ -6,7 +6,7 @@
 	"sableusher/internal/wire"
 )
 
-// Reasons of releases other than exit causes.
+// Reasons for releases, in addition to the exit causes.
 const (
 	reasonSessionEnded  = "session ended"
 	reasonNeverStarted  = "never started"
@@ -15,35 +15,35 @@
 	reasonDone          = "done"
 )
 
-// BoundTask is a bound task as the owner of its shard sees it.
+// BoundTask is a bound task, with what the owner of its shard knows about it.
 type BoundTask struct {
 	agent.TaskObservation
 	JobKind          wire.JobKind
 	JobCancelled     bool
-	StopRequested    bool // it has been asked to stop
-	RetriesLimited   bool // its job has a retry limit, so its failures are counted
-	RetriesExhausted bool // one more failure is more than the limit allows
+	StopRequested    bool // a stop of the task has been requested
+	RetriesLimited   bool // its job has a retry limit, so failures are counted
+	RetriesExhausted bool // one more failure would exceed the retry limit
 }
 
-// Decision is what to do about a bound task. The zero value is to do nothing.
+// Decision is the action to take for a bound task. The zero value means no action.
 type Decision struct {
-	Release   bool             // its binding ends
-	NextState record.TaskState // its state after the release
-	Reason    string           // of the release, for the log
-	WholeGang bool             // with Release: all tasks of its attempt are released with it
+	Release   bool             // release the task: end its binding
+	NextState record.TaskState // state of the task after the release
+	Reason    string           // reason for the release, for the log
+	WholeGang bool             // with Release: release all tasks of the gang's attempt
 
-	ResendCommands   bool // its machine's agent is to be commanded again
-	ImagePresent     bool // its image is on the machine
-	TaskFailed       bool // it failed by itself on the machine
-	PlacementRefused bool // the machine had less capacity than was thought
+	ResendCommands   bool // send commands to the machine's agent again
+	ImagePresent     bool // the task's image is on the machine
+	TaskFailed       bool // the task failed by itself on the machine
+	PlacementRefused bool // the agent refused the start, so the machine has less free capacity than recorded
 
-	BackOffJob   bool // its job's tasks are not placed for a while, which grows
-	CountFailure bool // a retry is used up
-	FailJob      bool // with CountFailure: the job fails
+	BackOffJob   bool // delay the placement of the job's tasks, with increasing delays
+	CountFailure bool // count the failure against the retry limit
+	FailJob      bool // with CountFailure: fail the job
 }
 
-// Decide returns what to do about a bound task. Only a session that ended, an exit, and the proven absence of a task
-// that is to stop release it.
+// Decide returns the action to take for a bound task. It releases a task only if the agent's session has ended, the
+// task has exited, or a stop was requested and the task is proved absent.
 func Decide(task BoundTask) Decision {
 	switch task.Presence {
 	case agent.PresenceSessionEnded:
@@ -61,12 +61,13 @@
 	return Decision{}
 }
 
-// releaseToPending releases a task, to be started again unless its job is over.
+// releaseToPending returns the decision to release a task and make it pending, so that it starts again unless its job
+// has ended.
 func releaseToPending(reason string) Decision {
 	return Decision{Release: true, NextState: record.TaskPending, Reason: reason}
 }
 
-// decideExited returns what to do about a task that has exited, by the cause of its exit.
+// decideExited returns the action to take for a task that has exited, depending on the exit cause.
 func decideExited(task BoundTask) Decision {
 	decision := releaseToPending(task.Cause.String())
 	switch task.Cause {
@@ -74,7 +75,7 @@
 		return decideDone(task)
 	case wire.ExitCauseError:
 		decision.TaskFailed = true
-		// Failures that are counted are paced by the retry policy of the job's class.
+		// Counted failures are delayed by the retry policy of the job's class, so they need no backoff here.
 		decision.BackOffJob, decision.CountFailure = !task.RetriesLimited, task.RetriesLimited
 		decision.FailJob = task.RetriesLimited && task.RetriesExhausted && !task.JobCancelled
 	case wire.ExitCauseNoCapacity, wire.ExitCauseAlreadyRunning:
@@ -85,8 +86,9 @@
 	return decision
 }
 
-// decideDone returns what to do about a task whose agent says that it is done. A service never should be; and a gang
-// completes together, so that one task that is done tells it of all.
+// decideDone returns the action to take for a task that the agent reports as done. A service is not expected to
+// complete, so it is restarted after a backoff. The tasks of a gang complete together, so one done task completes the
+// whole gang.
 func decideDone(task BoundTask) Decision {
 	decision := releaseToPending(reasonDone)
 	decision.ImagePresent = true
--- a/internal/reconcile/decision_test.go
+++ b/internal/reconcile/decision_test.go
@@ -20,7 +20,7 @@
 	allKinds = []wire.JobKind{wire.KindArray, wire.KindGang, wire.KindService}
 )
 
-// allBoundTasks are bound tasks of all presences, causes, kinds and flags.
+// allBoundTasks returns bound tasks with all combinations of presences, causes, kinds and flags.
 func allBoundTasks() []BoundTask {
 	var tasks []BoundTask
 	for _, presence := range allPresences {
@@ -40,8 +40,9 @@
 	return tasks
 }
 
-// TestDecideEveryObservation goes through all presences, causes and kinds: a binding ends only by proof, and a task is
-// done only when its agent says so and nobody has cancelled it.
+// TestDecideEveryObservation checks the decisions for all combinations of presences, causes, kinds and flags. A
+// binding must end only with a proof, and a task must become done only if its agent reports so and its job is not
+// cancelled.
 func TestDecideEveryObservation(t *testing.T) {
 	seen := map[Decision]bool{}
 	for _, task := range allBoundTasks() {
@@ -65,7 +66,7 @@
 	}
 }
 
-// checkFailure checks what a decision says of a task's failure and of its job.
+// checkFailure checks the fields of a decision that concern the failure of a task and its job.
 func checkFailure(t *testing.T, task BoundTask, decision Decision) {
 	t.Helper()
 	failed := task.Presence == agent.PresenceExited && task.Cause == wire.ExitCauseError
--- a/internal/reconcile/doc.go
+++ b/internal/reconcile/doc.go
@@ -1,9 +1,9 @@
-// Package reconcile decides what is to become of a bound task, given what its machine's agent has last reported of it.
+// Package reconcile decides what to do with a bound task, given the last report of its machine's agent.
 //
-// It owns the table of all presences, exit causes and kinds of jobs, so that nothing else ends a binding, and the rule
-// by which a gang's attempt can still run whole. It only decides: it holds no state and changes no record; records,
-// commands to agents and what is kept of machines are its caller's.
+// It owns the decision table over all presences, exit causes and job kinds, which is the only place that ends a
+// binding, and the rule for whether an attempt of a gang can still become complete. The package holds no state and
+// changes no record. Its caller applies the decisions to records, agent commands and machine state.
 //
-// It carries safety invariant 4: a binding ends only by proof that the task is on its machine no more, and a task is
-// done only if its agent says so and its job is not cancelled.
+// It implements safety invariant 4: a binding ends only with a proof that the task is not on its machine any more,
+// and a task becomes done only if its agent reports so and its job is not cancelled.
 package reconcile
--- a/internal/reconcile/gang.go
+++ b/internal/reconcile/gang.go
@@ -6,11 +6,11 @@
 	"sableusher/internal/record"
 )
 
-// GangState is how far an attempt of a gang has come.
+// GangState is the state of an attempt to run a gang.
 type GangState int
 
-// The states of an attempt. It forms until all of its tasks are bound, and is whole then; it is broken for good once
-// one of its tasks has ended without being done.
+// States of an attempt. An attempt is forming until all its tasks are bound; then it is whole. It is broken,
+// permanently, once one of its tasks has ended without being done.
 const (
 	GangForming GangState = iota
 	GangWhole
@@ -30,8 +30,8 @@
 	return "gang state " + strconv.Itoa(int(s))
 }
 
-// GangStateOf returns the state of an attempt of a gang of so many tasks. A gang completes together: with a task that
-// is done it counts as whole, whatever has become of the others.
+// GangStateOf returns the state of an attempt of a gang with taskCount tasks. The tasks of a gang complete together,
+// so an attempt with a done task counts as whole regardless of the other tasks.
 func GangStateOf(taskCount int, taskAt func(index int) record.Task, attempt uint64) GangState {
 	state := GangWhole
 	for index := range taskCount {
--- a/internal/reconcile/gang_test.go
+++ b/internal/reconcile/gang_test.go
@@ -8,8 +8,8 @@
 	"sableusher/internal/record"
 )
 
-// TestGangStateOf: an attempt with a task that has ended otherwise than done never looks whole, and only one that has
-// all its tasks bound does.
+// TestGangStateOf checks that an attempt is whole only if all its tasks are bound, and broken if one of them has
+// ended without being done.
 func TestGangStateOf(t *testing.T) {
 	const attempt = 2
 	rapid.Check(t, func(t *rapid.T) {
@@ -29,7 +29,7 @@
 		}
 		got := GangStateOf(count, func(index int) record.Task { return tasks[index] }, attempt)
 		switch {
-		case done: // a done task tells it of all; records that also say otherwise are not written
+		case done: // one done task means that all are done; other combinations are never recorded
 		case ended && got != GangBroken, !ended && bound == count && got != GangWhole,
 			!ended && bound < count && got != GangForming:
 			t.Errorf("%v: %v", tasks, got)
@@ -37,7 +37,7 @@
 	})
 }
 
-// drawTask draws a task of any state, one in ten done.
+// drawTask draws a task in any state. One task in ten is done.
 func drawTask(t *rapid.T, index int) record.Task {
 	states := []record.TaskState{record.TaskPending, record.TaskBound}
 	task := record.Task{
