--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -31,9 +31,9 @@
 // be set.
 type registryFixture struct {
 	*Registry
-	state          *clusterstate.State
-	confirmedAt    time.Time // when the cluster state was last complete
-	peerAnsweredAt time.Time // when node "b" last answered
+	state           *clusterstate.State
+	stateCompleteAt time.Time // when the cluster state was last complete
+	peerAnsweredAt  time.Time // when node "b" last answered
 }
 
 // newRegistryFixture returns a fixture under the given schema version, in which node "a" owns ownShard and node "b"
@@ -59,10 +59,10 @@
 		NodeName: "a", Incarnation: 1, NodeNames: []string{"a", "b"}, SchemaVersion: tuning.SchemaVersion,
 		Client: client, Cache: cache, ClusterState: state, Logger: logger,
 	})
-	f := &registryFixture{state: state, confirmedAt: time.Now(), peerAnsweredAt: time.Now()}
+	f := &registryFixture{state: state, stateCompleteAt: time.Now(), peerAnsweredAt: time.Now()}
 	f.Registry = New(Config{
 		Settings: settings, ClusterState: state, Membership: member,
-		CompleteAsOf: func() time.Time { return f.confirmedAt }, Logger: logger,
+		CompleteAsOf: func() time.Time { return f.stateCompleteAt }, Logger: logger,
 	})
 	f.SetPeerLastAnswered(func(string) time.Time { return f.peerAnsweredAt })
 	return f
@@ -109,8 +109,8 @@
 	f.machines[machineName].link.recordCommandFailure(time.Now())
 }
 
-// takeDispatches empties the dispatch queue and returns the number of its entries.
-func (f *registryFixture) takeDispatches() int {
+// drainDispatches empties the dispatch queue and returns the number of its entries.
+func (f *registryFixture) drainDispatches() int {
 	count := 0
 	for len(f.dispatchQueue) > 0 {
 		<-f.dispatchQueue
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -243,7 +243,7 @@
 // removeOld removes the heartbeats that are so old that no copy of them can still arrive.
 func (history heartbeatHistory) removeOld(lease time.Duration, now time.Time) {
 	for name, position := range history {
-		if now.Sub(position.receivedAt) > tuning.HeartbeatMemoryLeases*lease {
+		if now.Sub(position.receivedAt) > tuning.HeartbeatRetentionLeases*lease {
 			delete(history, name)
 		}
 	}
--- a/internal/agent/heartbeat_test.go
+++ b/internal/agent/heartbeat_test.go
@@ -92,13 +92,13 @@
 // drawHeartbeat draws a heartbeat. The task exits in the agent's second session, and the third session does not have
 // it.
 func (d *delayedCopies) drawHeartbeat(t *rapid.T, id heartbeatID, old bool) *wire.Heartbeat {
-	least := uint64(1)
+	minToken := uint64(1)
 	if !old {
-		least = d.shownToken // an agent's highest token never decreases
+		minToken = d.shownToken // an agent's highest token never decreases
 	}
 	heartbeat := &wire.Heartbeat{
 		Machine: d.machineName, Address: testAddress, Session: id.session, Sequence: id.sequence,
-		FencingToken: rapid.Uint64Range(least, d.ownerToken).Draw(t, "token"),
+		FencingToken: rapid.Uint64Range(minToken, d.ownerToken).Draw(t, "token"),
 	}
 	if id.session == 2 && id.sequence > 3 {
 		heartbeat.Tasks = []wire.TaskStatus{{
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -68,7 +68,7 @@
 
 // mayRenewWithoutState reports whether this process may renew the lease of an agent although it has no cluster state
 // at all. That is the case for a process that was started in a partitioned zone to replace one that had renewed the
-// leases there. Its response neither starts nor stops tasks, as with a cluster state of unlimited age.
+// leases there. It treats the missing state like an arbitrarily old one: its response neither starts nor stops tasks.
 //
 // Such a renewal is safe only if cancellations are confirmed late, which the agent's own token shows. It also
 // requires that no other node can be reached, since that node might have a cluster state, and that the agent's token
--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -43,7 +43,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newRegistryFixture(c.schemaVersion)
 			machineName := f.addMachine(c.shard)
-			f.confirmedAt, f.peerAnsweredAt = time.Now().Add(-c.stateAge), time.Now().Add(-c.peerSilence)
+			f.stateCompleteAt, f.peerAnsweredAt = time.Now().Add(-c.stateAge), time.Now().Add(-c.peerSilence)
 			status, body := f.heartbeat(machineName, 1, c.token)
 			if status != c.want {
 				t.Fatalf("status %d, want %d", status, c.want)
@@ -71,7 +71,7 @@
 		for i, cancelledAtMs := range []int64{5, 0} {
 			f.putServiceOn(machineName, fmt.Sprintf("run-%d", i), cancelledAtMs)
 		}
-		f.confirmedAt, f.peerAnsweredAt = time.Now().Add(-time.Minute), time.Now().Add(-time.Minute)
+		f.stateCompleteAt, f.peerAnsweredAt = time.Now().Add(-time.Minute), time.Now().Add(-time.Minute)
 		status, body := f.handle(&wire.Heartbeat{
 			Machine: machineName, Session: 1, Sequence: 1, FencingToken: testToken, Tasks: []wire.TaskStatus{
 				{Task: "run-0/0", Attempt: 1, State: wire.TaskRunning},
@@ -127,7 +127,7 @@
 			f.peerAnsweredAt = time.Now().Add(-tuning.OwnerUnreachableAfter)
 		}, true},
 		"process has a cluster state": {10 * time.Second, lateToken, func(f *registryFixture) {
-			f.confirmedAt = time.Now().Add(-time.Second)
+			f.stateCompleteAt = time.Now().Add(-time.Second)
 		}, false},
 		"agent has a newer owner": {10 * time.Second, lateToken + 1, func(f *registryFixture) {
 			if status, _ := f.heartbeat(f.addMachine(peerShard), 1, lateToken); status != http.StatusOK {
@@ -152,7 +152,7 @@
 				expectNoCommands(t, body, c.token)
 				time.Sleep(2 * tuning.PauseThreshold) // the process is suspended
 				status, _ = f.heartbeat(machineName, 3, c.token)
-				if status == http.StatusOK && f.confirmedAt.IsZero() {
+				if status == http.StatusOK && f.stateCompleteAt.IsZero() {
 					t.Error("renewed after the process was suspended")
 				}
 			})
@@ -164,7 +164,7 @@
 func (f *registryFixture) loseClusterState() {
 	clear(f.state.Shards)
 	clear(f.state.Machines)
-	f.confirmedAt, f.peerAnsweredAt, f.state.SchemaVersion = time.Time{}, time.Time{}, 0
+	f.stateCompleteAt, f.peerAnsweredAt, f.state.SchemaVersion = time.Time{}, time.Time{}, 0
 }
 
 // runFor advances the time by duration while the process runs.
@@ -199,7 +199,7 @@
 				}
 				time.Sleep(time.Second)
 			}
-			f.confirmedAt = time.Now()
+			f.stateCompleteAt = time.Now()
 			if status, _ := f.heartbeat(own, 9, testToken); status != http.StatusOK {
 				t.Errorf("%s first: status %d after its cluster state was confirmed", first, status)
 			}
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -24,7 +24,7 @@
 			}
 		}
 		heartbeat := func(sequence uint64) {
-			f.confirmedAt = time.Now()
+			f.stateCompleteAt = time.Now()
 			f.heartbeat(name, sequence, testToken)
 		}
 		heartbeat(1)
@@ -37,7 +37,7 @@
 			time.Sleep(10 * time.Second)
 			heartbeat(sequence)
 			expectSchedulable("after a heartbeat", false)
-			if f.takeDispatches() == 0 {
+			if f.drainDispatches() == 0 {
 				t.Error("the machine is not probed")
 			}
 			if !f.MachineStatus(name, testToken).InboundLost {
@@ -77,7 +77,7 @@
 // commandAfter sends a direct command after the given wait.
 func (o *outboundLossTest) commandAfter(wait time.Duration) {
 	time.Sleep(wait)
-	o.confirmedAt = time.Now()
+	o.stateCompleteAt = time.Now()
 	o.dispatch(o.Context(), o.machineName)
 }
 
@@ -97,7 +97,7 @@
 func TestOutboundLostMachine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOutboundLossTest(t)
-		o.confirmedAt = time.Now()
+		o.stateCompleteAt = time.Now()
 		o.heartbeat(o.machineName, 1, testToken)
 		o.heartbeat(o.machineName, 2, testToken)
 		start := time.Now()
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -137,9 +137,9 @@
 	return d.Timing.deadAfterProbe(tuning.ProbeTimeout)
 }
 
-// nodeIsPartitioned reports whether this node seems to be partitioned, and not the machines dead: most machines are
-// suspected at the same time, and no other zone reports, which would show that the unavailable zones are the ones
-// that are cut off.
+// nodeIsPartitioned reports whether the silence seems to be caused by a partition of this node and not by dead
+// machines: most machines are suspected at the same time, and no other zones report, which would show that only the
+// silent zones are cut off.
 func (d *Detector) nodeIsPartitioned(suspected, up int, heartbeats zonehealth.HeartbeatCount) bool {
 	return suspected*2 > up && up > 2 && !d.otherZonesReporting(heartbeats)
 }
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -42,7 +42,7 @@
 		for _, machine := range s.machines {
 			s.silent[machine.Name] = true
 			if reportingToPeer {
-				s.heardByPeers[machine.Name] = "node-1"
+				s.reportsToPeer[machine.Name] = "node-1"
 			}
 		}
 		transferred := false
@@ -62,12 +62,12 @@
 func TestMachineReportingToPeerIsKept(t *testing.T) {
 	for _, c := range []struct {
 		name        string
-		heardBy     string
+		reportsTo   string
 		peersSilent bool
 		deleted     bool
 	}{
 		{name: "reports to no peer", deleted: true},
-		{name: "reports to another node", heardBy: "node-1"},
+		{name: "reports to another node", reportsTo: "node-1"},
 		{name: "no answer from the peers", peersSilent: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -76,8 +76,8 @@
 			s.run(0, 20)
 			name := s.machines[3].Name
 			s.silent[name] = true
-			if c.heardBy != "" {
-				s.heardByPeers[name] = c.heardBy
+			if c.reportsTo != "" {
+				s.reportsToPeer[name] = c.reportsTo
 			}
 			s.run(20, 200)
 			if _, deleted := s.deletedAt[name]; deleted != c.deleted || len(s.deletedAt) > 1 {
@@ -146,14 +146,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestCluster(1, 6)
 			now := testStart.Add(c.ownedFor)
-			heardBy := map[string]string{}
+			reportsTo := map[string]string{}
 			for i := range s.machines {
 				s.machines[i].Up = !c.down
 				s.machines[i].LastHeard = now.Add(-testTiming.probeAfter() - time.Second)
-				heardBy[s.machines[i].Name] = otherNode
+				reportsTo[s.machines[i].Name] = otherNode
 			}
 			asked := s.detector.Assess(now, s.machines, tasksOf).AskPeersAbout
-			s.detector.RecordPeerAnswers(now, asked, heardBy)
+			s.detector.RecordPeerAnswers(now, asked, reportsTo)
 			transfers := s.detector.Assess(now, s.machines, tasksOf).ShardTransfers
 			if transferred := transfers[0] == otherNode; len(asked) == 0 || transferred != c.transferred {
 				t.Errorf("asked about %v, transfers %v", asked, transfers)
--- a/internal/failuredetector/fixture_test.go
+++ b/internal/failuredetector/fixture_test.go
@@ -35,19 +35,19 @@
 // testCluster has a node's machines and advances them in time. Machines that are not silent send one heartbeat per
 // interval.
 type testCluster struct {
-	detector     Detector
-	machines     []Machine
-	silent       map[string]bool
-	heardByPeers map[string]string // machines that report to another node, with its name
-	peersSilent  bool              // the peers do not answer
-	deletedAt    map[string]time.Time
+	detector      Detector
+	machines      []Machine
+	silent        map[string]bool
+	reportsToPeer map[string]string // machines that report to another node, with its name
+	peersSilent   bool              // the peers do not answer
+	deletedAt     map[string]time.Time
 }
 
 // newTestCluster returns a cluster of machines with up to four tasks each, distributed over the zones in turn.
 func newTestCluster(zones, machinesPerZone int) *testCluster {
 	s := &testCluster{
 		detector: Detector{Timing: testTiming},
-		silent:   map[string]bool{}, heardByPeers: map[string]string{}, deletedAt: map[string]time.Time{},
+		silent:   map[string]bool{}, reportsToPeer: map[string]string{}, deletedAt: map[string]time.Time{},
 	}
 	for i := range zones * machinesPerZone {
 		s.machines = append(s.machines, Machine{
@@ -72,7 +72,7 @@
 		}
 	}
 	if len(assessment.AskPeersAbout) > 0 && !s.peersSilent {
-		s.detector.RecordPeerAnswers(now, assessment.AskPeersAbout, s.heardByPeers)
+		s.detector.RecordPeerAnswers(now, assessment.AskPeersAbout, s.reportsToPeer)
 	}
 	for _, deletion := range assessment.Deletions {
 		s.deletedAt[deletion.Machine] = now
--- a/internal/failuredetector/peers.go
+++ b/internal/failuredetector/peers.go
@@ -20,14 +20,14 @@
 	askedAt time.Time
 }
 
-// RecordPeerAnswers records the peers' answers about the machines that they were asked about. heardBy has, by machine
-// name, the node that has recently received a report from the machine.
-func (d *Detector) RecordPeerAnswers(now time.Time, asked []string, heardBy map[string]string) {
+// RecordPeerAnswers records the peers' answers about the machines that they were asked about. reportsTo has, by
+// machine name, the node that has recently received a report from the machine.
+func (d *Detector) RecordPeerAnswers(now time.Time, asked []string, reportsTo map[string]string) {
 	if d.peers.answers == nil {
 		d.peers.answers = map[string]peerAnswer{}
 	}
 	for _, name := range asked {
-		d.peers.answers[name] = peerAnswer{receivedAt: now, node: heardBy[name]}
+		d.peers.answers[name] = peerAnswer{receivedAt: now, node: reportsTo[name]}
 	}
 }
 
@@ -71,8 +71,8 @@
 // shardTransfers returns the shards of which more than half of the machines that are up report to one other node,
 // with that node. A shard stays until this node has owned it for tuning.ShardTransferMinOwned.
 func (p *peerAnswers) shardTransfers(now time.Time, machines []Machine) map[int]string {
-	up := map[int]int{}
-	heardBy := map[int]map[string]int{}
+	up := map[int]int{}                   // number of machines by shard
+	reportsTo := map[int]map[string]int{} // number of machines by shard and node
 	for i := range machines {
 		machine := &machines[i]
 		if !machine.Up || now.Sub(machine.OwnedSince) < tuning.ShardTransferMinOwned {
@@ -80,16 +80,16 @@
 		}
 		up[machine.Shard]++
 		if node := p.answers[machine.Name].node; node != "" {
-			if heardBy[machine.Shard] == nil {
-				heardBy[machine.Shard] = map[string]int{}
+			if reportsTo[machine.Shard] == nil {
+				reportsTo[machine.Shard] = map[string]int{}
 			}
-			heardBy[machine.Shard][node]++
+			reportsTo[machine.Shard][node]++
 		}
 	}
 	var transfers map[int]string
-	for shard, nodes := range heardBy {
-		for node, heard := range nodes {
-			if 2*heard <= up[shard] {
+	for shard, nodes := range reportsTo {
+		for node, reporting := range nodes {
+			if 2*reporting <= up[shard] {
 				continue
 			}
 			if transfers == nil {
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -2,124 +2,132 @@
 
 import "time"
 
-// Agents.
+// Agents, leases, failure detection and zones.
 const (
-	// LeaseMargin is kept between the last possible lease end and the time by which a cancelled task must be gone.
+	// LeaseMargin is the minimum time between the latest possible expiry of a lease and the deadline by which a
+	// cancelled task must have ended.
 	LeaseMargin = 4 * time.Second
-	// ClockDriftFraction is how far two steady clocks may run apart, as a fraction.
+	// ClockDriftFraction is the maximum relative drift between two monotonic clocks.
 	ClockDriftFraction = 0.0005
-	// CommandTimeout is how long a direct command may take.
+	// CommandTimeout is the maximum duration of a direct command, including its response.
 	CommandTimeout = 3 * time.Second
-	// MaxCommandsPerAnswer bounds the commands of one answer: a command takes up to 100 bytes as JSON, and a body
-	// 64 KiB.
+	// MaxCommandsPerAnswer is the maximum number of commands in one response. A command takes up to 100 bytes as
+	// JSON, and a response body may have 64 KiB.
 	MaxCommandsPerAnswer = 400
-	// MaxCommandsInFlight is how many direct commands a node has in flight. A machine that hangs holds one for
-	// CommandTimeout; tens of them must not hold up the others.
+	// MaxCommandsInFlight is the maximum number of direct commands that a node has in flight. A machine that hangs
+	// occupies one of them for CommandTimeout, and tens of such machines must not delay commands to the others.
 	MaxCommandsInFlight = 96
-	// AgentSocketShare is the share of the socket limit that connections to agents may keep; the agents' own
-	// connections are as many as its machines.
+	// AgentSocketShare is the share of the socket limit that idle connections to agents may use. The agents
+	// themselves open as many connections to the node as it has machines.
 	AgentSocketShare = 0.1
-	// DispatchQueueLength bounds the machines that wait for a direct command.
+	// DispatchQueueLength is the maximum number of machines that wait for a direct command.
 	DispatchQueueLength = 4096
-	// UnknownTaskGrace is how long a task that no record knows may be reported before it is stopped; heartbeats may
-	// be a moment older than records.
+	// UnknownTaskGrace is how long an agent may report a task that is not bound to its machine before the task is
+	// stopped. Heartbeats may be slightly older than records.
 	UnknownTaskGrace = 5 * time.Second
-	// SuspectAfterIntervals is how long an agent may be silent, in heartbeat intervals, before its machine counts
-	// as unreachable.
+	// SuspectAfterIntervals is the silence, in heartbeat intervals, after which a machine counts as unreachable.
 	SuspectAfterIntervals = 2.2
-	// DeadAfterIntervals is how long a machine may be silent before it is deleted, in heartbeat intervals, where it
-	// could not be probed.
+	// DeadAfterIntervals is the silence, in heartbeat intervals, after which a machine is deleted if it could not be
+	// probed.
 	DeadAfterIntervals = 3.0
-	// ProbeAfterIntervals is the silence, in heartbeat intervals, after which an agent is asked directly:
-	// heartbeats come up to a quarter late, one in ten later than this, and a probe costs a message. One that does
-	// not answer in ProbeTimeout is deleted, unless another node has heard from it.
+	// ProbeAfterIntervals is the silence, in heartbeat intervals, after which an agent is probed with a direct
+	// command. Heartbeats arrive up to a quarter of an interval late, and one in ten later than this; a probe costs
+	// only one message. A machine that does not answer within ProbeTimeout is deleted, unless another node has
+	// received a report from it.
 	ProbeAfterIntervals = 1.2
-	// RecentReportIntervals is the time, in heartbeat intervals, within which a node that hears an agent has heard
-	// it; a little more than the longest between two heartbeats.
+	// RecentReportIntervals is the time, in heartbeat intervals, for which a node counts as receiving an agent's
+	// reports after the last one. It is slightly more than the longest time between two heartbeats.
 	RecentReportIntervals = 1.35
-	// ProbeTimeout is how long such a probe may take: many times a way there and back, a second connection attempt
-	// included.
+	// ProbeTimeout is the maximum duration of a probe. It is many times the round-trip time and allows for a second
+	// connection attempt.
 	ProbeTimeout = 1500 * time.Millisecond
-	// ProbeInterval is the pause between two such probes of one agent.
+	// ProbeInterval is the pause between two probes of one agent.
 	ProbeInterval = 700 * time.Millisecond
-	// AgentFailoverTime is how long an agent may take beyond that to find its shard's new owner: it tries the nodes
-	// one after the other.
+	// AgentFailoverTime is the additional silence allowed to an agent that has to find the new owner of its shard.
+	// The agent tries the nodes one after the other.
 	AgentFailoverTime = 15 * time.Second
-	// ShardTransferMinOwned is how long a node must have owned a shard before it transfers it to one that hears its
-	// agents. In that time each agent comes round to the owner once, a command to each has failed or not, and it is
-	// certain which machines hear nothing: agents without answers go from node to node, and a shard that followed
-	// them would have no owner for long enough to learn that.
+	// ShardTransferMinOwned is how long a node must have owned a shard before it transfers the shard to another node
+	// that receives the agents' reports. In this time each agent contacts the owner once and a command to each agent
+	// succeeds or fails, so that the owner learns which machines receive nothing. Agents that get no answers move
+	// from node to node; if the shard followed them, no owner would keep it long enough to learn that.
 	ShardTransferMinOwned = AgentFailoverTime + CommandTimeout + InboundLostAfter
-	// DeletionCapShare is the largest fraction of a node's machines (at least two) that may be deleted for silence
-	// in DeletionCapWindow; DeletionCapShareServingZone holds for those in a zone of which at least half is heard:
-	// a loss of a fifth of a region once took two windows, and the services on it were down for 20 s longer.
+	// DeletionCapShare is the maximum share of a node's machines (at least two machines) that may be deleted in
+	// DeletionCapWindow because they are silent. DeletionCapShareServingZone applies instead to machines in a zone
+	// that is serving, in which at least half of the machines report: with the lower cap, deletions after the loss of
+	// a fifth of a region took two windows, and its services were down for 20 s longer.
 	DeletionCapShare            = 0.15
 	DeletionCapShareServingZone = 0.35
-	// DeletionCapWindow is the window of DeletionCapShare.
+	// DeletionCapWindow is the period to which the caps on deletions apply.
 	DeletionCapWindow = 20 * time.Second
-	// InboundLostAfter is how long commands to a machine must have failed, while its heartbeats arrive, before its
-	// record says that it is not up: one that was lost is followed by a probe within a heartbeat interval, which is
-	// answered within CommandTimeout.
+	// InboundLostAfter is how long commands to a machine must have failed, while its heartbeats arrive, before it is
+	// recorded as not up. A single lost command is followed by a probe within a heartbeat interval, which is answered
+	// within CommandTimeout.
 	InboundLostAfter = 2 * CommandTimeout
-	// OutboundLostEvacuationLeaseShare is the share of a lease ahead of its end from which on tasks leave a machine
-	// whose heartbeats reach no node: they need some seconds to save and to start elsewhere, and shorter spells are
-	// waited out. They leave spread over it, in OutboundLostEvacuationSteps.
+	// OutboundLostEvacuationLeaseShare is the share of a lease, before its end, in which tasks are evacuated from a
+	// machine whose heartbeats reach no node. Tasks need some seconds to save a checkpoint and to start elsewhere,
+	// and shorter failures end before the evacuation begins. The evacuations are spread over this period in
+	// OutboundLostEvacuationSteps steps.
 	OutboundLostEvacuationLeaseShare = 0.45
 	OutboundLostEvacuationSteps      = 16
-	// OneWayMachineMaxAge is for how long an empty machine is kept that is reached one way only: some leases and
-	// boot times, as what is in the way often ends.
+	// OneWayMachineMaxAge is how long an empty machine is kept that is reachable in only one direction. It covers
+	// several leases and boot times, because such failures often end by themselves.
 	OneWayMachineMaxAge = 3 * time.Minute
-	// HeartbeatMemoryLeases is for how many leases an agent's newest heartbeat is remembered: the network delivers
-	// copies well over a lease late.
-	HeartbeatMemoryLeases = 8
-	// PauseCheckInterval is the interval at which a node notes that it runs; a gap of more than PauseThreshold
-	// means that it stood still, and that what it believes is to be confirmed.
+	// HeartbeatRetentionLeases is how long an agent's newest heartbeat is remembered, in lease durations. The network
+	// may deliver copies of a heartbeat well over a lease late.
+	HeartbeatRetentionLeases = 8
+	// PauseCheckInterval is the interval at which a node records that its process is running. A gap of more than
+	// PauseThreshold means that the process was suspended, and that its cluster state has to be confirmed.
 	PauseCheckInterval = 500 * time.Millisecond
 	PauseThreshold     = 3 * time.Second
-	// ConfirmedCancelTokenBase is what fencing tokens are above once cancellations are confirmed only after
-	// release: more owners than any shard has before that, and far below what a message's number holds.
+	// ConfirmedCancelTokenBase is the lower bound of fencing tokens once cancellations are confirmed only after their
+	// tasks are released. Earlier tokens are smaller, since no shard has had that many owners, and the value is far
+	// below the range of numbers in messages.
 	ConfirmedCancelTokenBase = 1 << 40
-	// OwnerUnreachableAfter is how long a shard's owner must not have answered this node, two cycles of hints,
-	// before its agents' leases are renewed here during a partition.
+	// OwnerUnreachableAfter is how long a shard's owner must not have answered this node before this node renews the
+	// leases of the owner's agents during a partition. It is two intervals of the queries for the peers' images.
 	OwnerUnreachableAfter = 2 * RemoteImagesInterval
-	// PartitionedZoneControllerGrace is how long machines of a partitioned zone are left alone where a controller
-	// stands in the zone, which renews their leases.
+	// PartitionedZoneControllerGrace is how long the machines of a partitioned zone are kept if a controller runs in
+	// the zone and renews their leases.
 	PartitionedZoneControllerGrace = 2 * time.Minute
-	// PartitionMinMachines is the fewest machines of a zone that tell whether it is partitioned: with four, two
-	// late heartbeats can't look like it.
+	// PartitionMinMachines is the minimum number of machines in a zone for which the zone can count as partitioned.
+	// With four machines, two late heartbeats do not look like a partition.
 	PartitionMinMachines = 4
-	// PartitionHeardShare is the share of a zone's machines heard within one heartbeat interval below which it
-	// counts as partitioned. Nearly all are heard in it as a rule; in the largest losses on record a third of a
-	// zone fell silent at once.
+	// PartitionHeardShare is the share of a zone's machines that report within one heartbeat interval below which the
+	// zone counts as partitioned. Normally nearly all of them do; the largest known failures made a third of a zone
+	// silent at the same time.
 	PartitionHeardShare = 0.25
-	// ZoneSuspectedHeardShare is the share below which a zone is in doubt: the log and the metric say so before it
-	// is certain whether its machines die or its links go.
+	// ZoneSuspectedHeardShare is the share of reporting machines below which a zone is in the state doubted. The log
+	// and the metric show this state before it is certain whether machines or links have failed.
 	ZoneSuspectedHeardShare = 0.5
-	// ZoneProbationMaxDoublings bounds the returns by which a zone's probation doubles: eight times the time that
-	// its agents need to find back, minutes, is long enough to see it flap again.
+	// ZoneProbationMaxDoublings is the maximum number of a zone's returns that count for its probation. Each one
+	// after the first doubles the probation, up to eight times the reconnect time of the agents. That is minutes,
+	// long enough to observe whether the zone fails again.
 	ZoneProbationMaxDoublings = 4
-	// ZoneProbationForgiveAfter is how long a zone must serve to be forgiven one return.
+	// ZoneProbationForgiveAfter is how long a zone must serve until one of its returns does not count for its
+	// probation any more.
 	ZoneProbationForgiveAfter = 30 * time.Minute
-	// NodeConnectedReportingShare is the share of all machines heard meanwhile from which on it is the zones that
-	// are partitioned, not this node.
+	// NodeConnectedReportingShare is the minimum share of all machines that must report for the node to treat the
+	// silent zones, and not itself, as partitioned.
 	NodeConnectedReportingShare = 0.2
-	// PartitionMinOwnedIntervals is how long a shard must be owned, in heartbeat intervals, before machines of it
-	// that were never heard tell anything: agents look for the new owner first.
+	// PartitionMinOwnedIntervals is how long a node must have owned a shard, in heartbeat intervals, before machines
+	// of the shard that have never reported count as silent. Their agents first have to find the new owner.
 	PartitionMinOwnedIntervals = 2.0
-	// PartitionServiceLeaseShare is the share of a lease after which machines of a partitioned zone are given up if
-	// services on them can start elsewhere: shorter partitions are waited out. The rest of the lease they go one
-	// after the other: at 0.75 all of a zone's replicas started again at once, with its leases.
+	// PartitionServiceLeaseShare is the share of a lease after which machines of a partitioned zone are deleted if
+	// their services can start elsewhere, so that shorter partitions cause no restarts. The machines are deleted one
+	// by one over the rest of the lease. With 0.75, all replicas of a zone restarted at the same time, when its
+	// leases ended.
 	PartitionServiceLeaseShare = 0.4
-	// CancelDeletionShare of a cancellation's time may pass before a silent machine is deleted for it, whatever
-	// else speaks for waiting; clocks differ by milliseconds.
+	// CancelDeletionShare is the share of the cancellation deadline after which a silent machine with a cancelled
+	// task is deleted, even if there are reasons to wait. The nodes' clocks differ only by milliseconds.
 	CancelDeletionShare = 0.5
-	// FenceMinInterval is the shortest time between two raises of a shard's fencing token for unresolved starts.
+	// FenceMinInterval is the minimum time between two increases of a shard's fencing token because of unresolved
+	// starts.
 	FenceMinInterval = 5 * time.Second
-	// MachineMaxFailedJobs is how many tasks of different jobs must fail on a machine before it is replaced.
+	// MachineMaxFailedJobs is the number of different jobs whose tasks must fail on a machine before it is replaced.
 	MachineMaxFailedJobs = 2
-	// TombstoneRetention is how long a deleted machine's name is remembered: heartbeats that a partition has held
-	// back come minutes late.
+	// TombstoneRetention is how long the name of a deleted machine is remembered. Heartbeats that a partition has
+	// delayed may arrive minutes late.
 	TombstoneRetention = 10 * time.Minute
-	// StartRefusalBackoff keeps a machine that refused a start out of placement.
+	// StartRefusalBackoff is how long a machine that refused a start gets no other tasks.
 	StartRefusalBackoff = 3 * time.Second
 )
