--- a/internal/failuredetector/peers.go
+++ b/internal/failuredetector/peers.go
@@ -8,30 +8,31 @@
 	"sableusher/internal/tuning"
 )
 
-// peerAnswer is what the peers said of a suspected machine.
+// peerAnswer is the peers' answer about a suspected machine.
 type peerAnswer struct {
 	receivedAt time.Time
-	node       string // that has heard the machine; empty: none has
+	node       string // that has recently received a report from the machine; empty if none has
 }
 
-// peerKnowledge is what the peers said of suspected machines, and when they were last asked.
-type peerKnowledge struct {
+// peerAnswers has the peers' answers about suspected machines, and when they were last asked.
+type peerAnswers struct {
 	answers map[string]peerAnswer
 	askedAt time.Time
 }
 
-// RecordPeerAnswers takes in which node has heard which of the machines that were asked about.
-func (d *Detector) RecordPeerAnswers(now time.Time, asked []string, heardBy map[string]string) {
+// RecordPeerAnswers records the peers' answers about the machines that they were asked about. reportsTo has, by
+// machine name, the node that has recently received a report from the machine.
+func (d *Detector) RecordPeerAnswers(now time.Time, asked []string, reportsTo map[string]string) {
 	if d.peers.answers == nil {
 		d.peers.answers = map[string]peerAnswer{}
 	}
 	for _, name := range asked {
-		d.peers.answers[name] = peerAnswer{receivedAt: now, node: heardBy[name]}
+		d.peers.answers[name] = peerAnswer{receivedAt: now, node: reportsTo[name]}
 	}
 }
 
-// uncertainMachines gives the names of the suspected machines and of those that are probed: the answers about
-// them must be here by the time they are needed.
+// uncertainMachines returns the names of the suspected machines and of those that are being probed. The probed ones
+// are included so that the answers about them have arrived by the time they become suspected.
 func uncertainMachines(suspected []*Machine, probed []string) map[string]bool {
 	names := make(map[string]bool, len(suspected)+len(probed))
 	for _, machine := range suspected {
@@ -43,16 +44,16 @@
 	return names
 }
 
-// forgetOld forgets the answers about machines that are not uncertain any more, and those that are too old to
-// prove anything.
-func (p *peerKnowledge) forgetOld(now time.Time, uncertain map[string]bool) {
+// prune removes the answers about machines that are not uncertain any more, and the answers that are too old to prove
+// anything.
+func (p *peerAnswers) prune(now time.Time, uncertain map[string]bool) {
 	maps.DeleteFunc(p.answers, func(name string, answer peerAnswer) bool {
 		return !uncertain[name] || now.Sub(answer.receivedAt) > 2*tuning.PeerQueryInterval
 	})
 }
 
-// machinesToAskAbout gives the uncertain machines in the order of their names if the peers are to be asked now.
-func (p *peerKnowledge) machinesToAskAbout(now time.Time, uncertain map[string]bool) []string {
+// machinesToAskAbout returns the names of the uncertain machines, sorted, if the peers are to be asked now.
+func (p *peerAnswers) machinesToAskAbout(now time.Time, uncertain map[string]bool) []string {
 	if len(uncertain) == 0 || now.Sub(p.askedAt) < tuning.PeerQueryInterval {
 		return nil
 	}
@@ -60,17 +61,18 @@
 	return slices.Sorted(maps.Keys(uncertain))
 }
 
-// heardByNone tells whether the peers were asked about a machine and none has heard it.
-func (p *peerKnowledge) heardByNone(name string) bool {
+// reportsToNoPeer reports whether the peers were asked about a machine and none of them has received a report from
+// it.
+func (p *peerAnswers) reportsToNoPeer(name string) bool {
 	answer, ok := p.answers[name]
 	return ok && answer.node == ""
 }
 
-// shardTransfers gives the shards of which one other node hears more than half of the machines that are up, and
-// that node. A shard that this node has not had for tuning.ShardTransferMinOwned stays.
-func (p *peerKnowledge) shardTransfers(now time.Time, machines []Machine) map[int]string {
-	up := map[int]int{}
-	heardBy := map[int]map[string]int{}
+// shardTransfers returns the shards of which more than half of the machines that are up report to one other node,
+// with that node. A shard stays until this node has owned it for tuning.ShardTransferMinOwned.
+func (p *peerAnswers) shardTransfers(now time.Time, machines []Machine) map[int]string {
+	up := map[int]int{}                   // number of machines by shard
+	reportsTo := map[int]map[string]int{} // number of machines by shard and node
 	for i := range machines {
 		machine := &machines[i]
 		if !machine.Up || now.Sub(machine.OwnedSince) < tuning.ShardTransferMinOwned {
@@ -78,16 +80,16 @@
 		}
 		up[machine.Shard]++
 		if node := p.answers[machine.Name].node; node != "" {
-			if heardBy[machine.Shard] == nil {
-				heardBy[machine.Shard] = map[string]int{}
+			if reportsTo[machine.Shard] == nil {
+				reportsTo[machine.Shard] = map[string]int{}
 			}
-			heardBy[machine.Shard][node]++
+			reportsTo[machine.Shard][node]++
 		}
 	}
 	var transfers map[int]string
-	for shard, nodes := range heardBy {
-		for node, heard := range nodes {
-			if 2*heard <= up[shard] {
+	for shard, nodes := range reportsTo {
+		for node, reporting := range nodes {
+			if 2*reporting <= up[shard] {
 				continue
 			}
 			if transfers == nil {
