--- a/internal/binpack/allocate.go
+++ b/internal/binpack/allocate.go
@@ -8,12 +8,14 @@
 	"sableusher/internal/wire"
 )
 
-// Allocate takes capacity for a request's remaining tasks on the candidates that the filter, if
-// any, accepts, and returns the machine of each task that was placed. It reduces
-// request.Remaining and counts the tasks in the constraint. Preferred are in this order machines
-// whose capacity was freed for the job, those where a task displaces no larger common one, spot
-// machines, those that hold the job's image, and those in use, so that others stay whole. Tasks
-// without GPUs go beside GPU tasks.
+// Allocate places as many of a request's remaining tasks as fit on the candidates and returns the
+// machine of each placed task. A nil filter accepts every candidate. Allocate subtracts the placed
+// tasks from request.Remaining and from the machines' free capacity, and adds them to the constraint.
+//
+// Machines are preferred in this order: those reserved for the job, those where a task displaces no
+// larger common task, spot machines, those that hold the job's image, and those already in use, so
+// that empty machines stay empty. Machines with GPUs have an order of their own for tasks without
+// GPUs; see tierTakesGPUShare and the constants that follow it.
 func (inv *Inventory) Allocate(
 	request *Request, candidates []*MachineInfo, constraint *ZoneConstraint, filter func(*MachineInfo) bool,
 ) []*MachineInfo {
@@ -27,34 +29,37 @@
 	return a.fillTiers(constraint)
 }
 
-// tier is a combination of drawbacks of a machine, the weightiest in the highest bit. Machines of
-// lower tiers are filled first.
+// tier is a bit set of the drawbacks that a machine has for a request. The worst drawback is the
+// highest bit, and machines of lower tiers are filled first.
 type tier int
 
-// The drawbacks of any machine.
+// tierNotFreedForJob is set for machines that are not reserved for the job. It applies to all
+// machines.
 const tierNotFreedForJob tier = 1 << 5
 
-// The drawbacks of a machine with GPUs for a task without them. Being spot is one: the machine is
-// there anyway, so its price saves nothing, and if it is reclaimed the task's run time is lost.
+// Drawbacks of a machine with GPUs for a task without GPUs. Being a spot machine is a drawback here:
+// the machine is kept for its GPUs anyway, so its lower price saves nothing, and the task's run time
+// is lost if the machine is reclaimed.
 const (
-	tierTakesGPUShare tier = 1 << 3
-	tierGPUsUnused    tier = 1 << 2
-	tierSpot          tier = 1 << 1
-	tierFetchesBeside tier = 1 << 0
+	tierTakesGPUShare          tier = 1 << 3
+	tierGPUsUnused             tier = 1 << 2
+	tierSpot                   tier = 1 << 1
+	tierGPUMachineFetchesImage tier = 1 << 0
 )
 
-// The drawbacks of other machines.
+// Drawbacks of a machine in all other cases.
 const (
-	tierFetchDelaysStart tier = 1 << 4
-	tierDisplacesCommon  tier = 1 << 3
-	tierOnDemand         tier = 1 << 2
-	tierFetchesImage     tier = 1 << 1
-	tierUnused           tier = 1 << 0
+	tierFetchDelaysStart    tier = 1 << 4
+	tierDisplacesCommonTask tier = 1 << 3
+	tierOnDemand            tier = 1 << 2
+	tierFetchesImage        tier = 1 << 1
+	tierUnused              tier = 1 << 0
 )
 
+// tierCount is the number of combinations of drawbacks.
 const tierCount = 1 << 6
 
-// when returns the drawback if a condition holds, and no drawback otherwise.
+// when returns t if the condition holds, and 0 (no drawback) otherwise.
 func (t tier) when(condition bool) tier {
 	if condition {
 		return t
@@ -62,14 +67,15 @@
 	return 0
 }
 
-// allocation is one run of Allocate. The constraint is handed along rather than kept in it: kept
-// beside the machines, each caller's would be allocated on the heap.
+// allocation is the state of one call of Allocate. The constraint is passed as a parameter: as a
+// field it would escape, and every caller's constraint would be allocated on the heap.
 type allocation struct {
 	inv     *Inventory
 	request *Request
 	tiers   [tierCount][]*MachineInfo
 }
 
+// accepts reports whether the request may place a task on a machine.
 func (a *allocation) accepts(
 	info *MachineInfo, constraint *ZoneConstraint, filter func(*MachineInfo) bool,
 ) bool {
@@ -79,26 +85,27 @@
 		constraint.Allows(info.Machine.Zone)
 }
 
+// tierOf returns the drawbacks of a machine for the request.
 func (a *allocation) tierOf(info *MachineInfo) tier {
 	inv, need := a.inv, a.request.Need
 	fetches := info.readiness != Ready || !inv.HasImage(a.request.Spec.Image, info)
 	t := tierNotFreedForJob.when(info.ReservedFor == "")
-	if isBesideGPUs := need.GPUs == 0 && info.Capacity.GPUs > 0; isBesideGPUs {
+	if isGPUMachineForCPUTask := need.GPUs == 0 && info.Capacity.GPUs > 0; isGPUMachineForCPUTask {
 		return t |
 			tierTakesGPUShare.when(!inv.leavesGPUShare(need, info)) |
 			tierGPUsUnused.when(info.Free.GPUs == info.Capacity.GPUs) |
 			tierSpot.when(info.Machine.Spot) |
-			tierFetchesBeside.when(fetches)
+			tierGPUMachineFetchesImage.when(fetches)
 	}
 	return t |
 		tierFetchDelaysStart.when(fetches && inv.fetchDelaysStart(a.request, info)) |
-		tierDisplacesCommon.when(inv.displacesCommon(need, info)) |
+		tierDisplacesCommonTask.when(inv.displacesCommonTask(need, info)) |
 		tierOnDemand.when(!info.Machine.Spot) |
 		tierFetchesImage.when(fetches) |
 		tierUnused.when(info.Free == info.Capacity)
 }
 
-// fillTiers places the remaining tasks and returns the machine of each.
+// fillTiers places the remaining tasks tier by tier and returns the machine of each placed task.
 func (a *allocation) fillTiers(constraint *ZoneConstraint) []*MachineInfo {
 	var picks []*MachineInfo
 	for t := range tier(tierCount) {
@@ -117,13 +124,13 @@
 	return picks
 }
 
-// fill places as many tasks on a machine as fit and returns their number. A machine that has become
-// one where a further task would displace a common one is put off to the tier of those.
+// fill places as many tasks on a machine as fit and returns their number. Once a further task would
+// displace a common one, fill moves the machine to the tier with that drawback, which is filled later.
 func (a *allocation) fill(info *MachineInfo, t tier, constraint *ZoneConstraint) (placed int) {
 	zone := info.Machine.Zone
 	for a.request.Remaining > 0 && a.request.Need.FitsIn(info.Free) && constraint.Allows(zone) {
-		if t&tierDisplacesCommon == 0 && a.inv.displacesCommon(a.request.Need, info) {
-			later := t | tierDisplacesCommon
+		if t&tierDisplacesCommonTask == 0 && a.inv.displacesCommonTask(a.request.Need, info) {
+			later := t | tierDisplacesCommonTask
 			a.tiers[later] = append(a.tiers[later], info)
 			break
 		}
@@ -135,14 +142,16 @@
 	return placed
 }
 
-// prefersSmallMachines reports whether the machines within a tier are sorted for replicas.
+// prefersSmallMachines reports whether the machines within a tier are sorted by sortForReplicas: the
+// machine types differ and the request is for replicas without GPUs.
 func (a *allocation) prefersSmallMachines() bool {
 	return a.inv.types.differ && a.request.Spec.Kind == wire.KindService && a.request.Need.GPUs == 0
 }
 
-// sortForReplicas sorts machines for replicas, which stay for long: while no common need is known
-// the smallest machine is the least loss; otherwise, and among machines of one size, the one that
-// fetches images fastest is best, as the replica's users wait for its image.
+// sortForReplicas sorts machines by how well they suit replicas. Replicas occupy a machine for a
+// long time, so while CommonNeed is unknown the smallest machine comes first. Otherwise, and among
+// machines of equal size, the machine that fetches images fastest comes first, as users wait for the
+// replica until its image is there.
 func (inv *Inventory) sortForReplicas(machines []*MachineInfo) {
 	slices.SortStableFunc(machines, func(x, y *MachineInfo) int {
 		if c := cmp.Compare(x.Capacity.CPUs, y.Capacity.CPUs); c != 0 && inv.CommonNeed.CPUs == 0 {
@@ -152,9 +161,9 @@
 	})
 }
 
-// fetchDelaysStart reports whether a replica would miss its time to start by waiting for its image
-// on a machine, though the fastest machine type would meet it: what the replica takes of a better
-// machine is little beside that.
+// fetchDelaysStart reports whether a replica would miss its start time objective because this
+// machine fetches the image too slowly, while the fastest machine type would meet it. Meeting the
+// objective matters more than the capacity that the replica takes from a larger machine.
 func (inv *Inventory) fetchDelaysStart(request *Request, info *MachineInfo) bool {
 	rate, maxRate := inv.types.fetchRate[info.Machine.Type], inv.types.maxFetchRate
 	return request.StartWithinS > 0 && rate < maxRate &&
@@ -162,19 +171,21 @@
 		request.Spec.ImageSizeGB <= request.StartWithinS*maxRate
 }
 
-// displacesCommon reports whether a small task would take the place of a common one: one core of a
-// machine that just one of those fits on costs as much as the whole machine. Small machines, and
-// what larger ones have left over, are there for small tasks. It is false on machines with GPUs,
-// where leavesGPUShare decides.
-func (inv *Inventory) displacesCommon(need record.Resources, info *MachineInfo) bool {
+// displacesCommonTask reports whether placing a small task reduces the number of common tasks, those
+// with CommonNeed, that fit on the machine. On a machine that fits just one common task, a single
+// core in use costs as much as the whole machine; small tasks should use small machines and the
+// capacity that common tasks leave over. It is always false on machines with GPUs, where
+// leavesGPUShare decides.
+func (inv *Inventory) displacesCommonTask(need record.Resources, info *MachineInfo) bool {
 	if inv.CommonNeed.CPUs == 0 || need.GPUs > 0 || info.Capacity.GPUs > 0 || need.CPUs >= inv.CommonNeed.CPUs {
 		return false
 	}
 	return TasksThatFit(inv.CommonNeed, info.Free) > TasksThatFit(inv.CommonNeed, info.Free.Minus(need))
 }
 
-// leavesGPUShare reports whether a task without GPUs leaves a machine the other resources that
-// tasks on its free GPUs will need: a gang that takes whole machines still finds this one whole.
+// leavesGPUShare reports whether, after placing a task without GPUs, a machine keeps the cores and
+// memory that tasks on its free GPUs will need. A gang that uses whole machines can then still use
+// this one.
 func (inv *Inventory) leavesGPUShare(need record.Resources, info *MachineInfo) bool {
 	reserved := record.Resources{
 		CPUs:     inv.NeedPerGPU.CPUs * info.Free.GPUs,
--- a/internal/binpack/allocate_test.go
+++ b/internal/binpack/allocate_test.go
@@ -10,14 +10,14 @@
 	"sableusher/internal/wire"
 )
 
-// sizedTypes are machine types of three sizes, of which the largest fetches images slowly.
+// sizedTypes are machine types of three sizes. The largest fetches images more slowly than the others.
 var sizedTypes = []wire.MachineType{
 	{Name: "s", CPUs: 4, MemoryGB: 8, ImageFetchGBps: 0.8, Zones: testZones},
 	{Name: "m", CPUs: 8, MemoryGB: 64, ImageFetchGBps: 0.8, Zones: testZones},
 	{Name: "l", CPUs: 32, MemoryGB: 64, ImageFetchGBps: 0.2, Zones: testZones},
 }
 
-// commonNeed is what a common task takes: all cores of a machine of the middle size.
+// commonNeed is the need of a common task: all cores of a medium machine.
 var commonNeed = record.Resources{CPUs: 8, MemoryGB: 13}
 
 func drawSizedCluster(t *rapid.T) *testCluster {
@@ -31,7 +31,7 @@
 	return cluster
 }
 
-// newSizedInventory returns an inventory of the cluster, filtered for a request.
+// newSizedInventory returns an inventory of the cluster with commonNeed set, filtered for a request.
 func newSizedInventory(cluster *testCluster, request *Request) *Inventory {
 	inv := Refresh(nil, cluster.snapshot())
 	inv.CommonNeed = commonNeed
@@ -39,10 +39,11 @@
 	return inv
 }
 
-// TestSmallTasksLeaveRoomForCommonTasks: among machines of three sizes, small tasks take the place
-// of a common one only if no machine has capacity for them that has none for those, and no more
-// than they must; and replicas that have to fetch their image go where it comes fastest.
-func TestSmallTasksLeaveRoomForCommonTasks(t *testing.T) {
+// TestSmallTasksDontDisplaceCommonTasks checks that, on machines of three sizes, small tasks displace
+// common tasks only if they don't all fit into the capacity that common tasks can't use. It also
+// checks that replicas that must fetch their image are placed on the machine type that fetches it
+// fastest.
+func TestSmallTasksDontDisplaceCommonTasks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cluster := drawSizedCluster(t)
 		request := newRequest(&wire.JobSpec{
@@ -50,42 +51,43 @@
 			CPUs: 1, MemoryGB: 0.5, Image: "i",
 		})
 		inv := newSizedInventory(cluster, request)
-		commonBefore, beside := 0, 0 // common tasks that fit, and small ones that fit beside them
+		commonBefore, fitBeside := 0, 0 // common tasks that fit, and small tasks that fit in addition
 		for _, info := range inv.ready {
 			common := TasksThatFit(commonNeed, info.Free)
 			commonBefore += common
-			beside += TasksThatFit(request.Need, info.Free.PlusTimes(commonNeed, -float64(common)))
+			fitBeside += TasksThatFit(request.Need, info.Free.PlusTimes(commonNeed, -float64(common)))
 		}
 		picks := inv.Allocate(request, inv.FittingMachines(request), unconstrained(), nil)
 		commonAfter := 0
 		for _, info := range inv.ready {
 			commonAfter += TasksThatFit(commonNeed, info.Free)
 		}
-		if len(picks) <= beside && commonAfter < commonBefore {
-			t.Errorf("%d tasks, %d fit beside common ones, took the place of %d",
-				len(picks), beside, commonBefore-commonAfter)
+		if len(picks) <= fitBeside && commonAfter < commonBefore {
+			t.Errorf("%d small tasks displaced %d common tasks, though %d fit beside the common ones",
+				len(picks), commonBefore-commonAfter, fitBeside)
 		}
-		// The first that must take a common task's place is where its image comes fastest.
-		if beside == 0 && len(picks) > 0 {
+		// A task that has to displace a common one is placed where its image is fetched fastest.
+		if fitBeside == 0 && len(picks) > 0 {
 			checkFetchesFastest(t, inv, request, picks[0])
 		}
 		checkUrgentReplica(t, cluster, request)
 	})
 }
 
-// checkFetchesFastest checks that no machine that had capacity fetches images faster than the pick.
+// checkFetchesFastest checks that no machine that had capacity for a task of the request fetches images
+// faster than the chosen one.
 func checkFetchesFastest(t *rapid.T, inv *Inventory, request *Request, pick *MachineInfo) {
 	fetchRate := inv.types.fetchRate
 	for _, info := range inv.ready {
 		isFaster := fetchRate[info.Machine.Type] > fetchRate[pick.Machine.Type]
 		if isFaster && request.Need.FitsIn(info.recordedFree) {
-			t.Errorf("%s was chosen, %s fetches faster", pick.Machine.Type, info.Machine.Type)
+			t.Errorf("a machine of type %s was chosen, but %s fetches images faster", pick.Machine.Type, info.Machine.Type)
 		}
 	}
 }
 
-// checkUrgentReplica checks that a replica that should start within 3 s is placed where its image
-// of 2 GB comes in time, if there is capacity at all.
+// checkUrgentReplica checks that a replica that should start within 3 s is placed on a machine that
+// fetches its image of 2 GB in time, if any such machine has capacity.
 func checkUrgentReplica(t *rapid.T, cluster *testCluster, request *Request) {
 	spec := *request.Spec
 	spec.ImageSizeGB = 2
@@ -96,12 +98,12 @@
 	})
 	picks := inv.Allocate(urgent, inv.FittingMachines(urgent), unconstrained(), nil)
 	if canStartInTime && picks[0].Machine.Type == "l" {
-		t.Errorf("placed on %s, where its image takes 10 s", picks[0].Machine.Name)
+		t.Errorf("placed on %s, which takes 10 s to fetch the image", picks[0].Machine.Name)
 	}
 }
 
-// TestReplicasPreferFastFetch: of machines that are alike but for the rate at which they fetch
-// images, a replica without GPUs is placed on the fastest.
+// TestReplicasPreferFastFetch checks that, among machines that differ only in the rate at which they
+// fetch images, a replica without GPUs is placed on the one with the highest rate.
 func TestReplicasPreferFastFetch(t *testing.T) {
 	cluster := newTestCluster(
 		wire.MachineType{Name: "slow", CPUs: 8, MemoryGB: 64, ImageFetchGBps: 0.2, Zones: testZones},
--- a/internal/binpack/cluster_test.go
+++ b/internal/binpack/cluster_test.go
@@ -23,7 +23,7 @@
 	testType  = wire.MachineType{Name: "m", CPUs: 8, GPUs: 4, MemoryGB: 64, Zones: testZones}
 )
 
-// testCluster is a cluster state with a job for each machine that is in use.
+// testCluster is a cluster state in which each machine has a job of its own, whose tasks are bound to it.
 type testCluster struct {
 	state    *clusterstate.State
 	revision uint64
@@ -51,7 +51,8 @@
 
 func machineName(i int) string { return fmt.Sprintf("vm-%02d", i) }
 
-// putMachine adds or changes a machine, with some tasks of a job of its own bound to it.
+// putMachine adds or replaces a machine and its job, and binds the given number of the job's tasks to the
+// machine.
 func (c *testCluster) putMachine(i int, machineRecord record.Machine, job wire.JobSpec, tasks int) {
 	name := machineName(i)
 	machineRecord.CreatedAtMs = 1
@@ -66,14 +67,15 @@
 	c.put(record.JobKey(job.ID), jobRecord)
 }
 
-// putTestMachine adds or changes a machine of testType, with some of its GPUs in use.
+// putTestMachine adds or replaces a machine of testType with the given number of GPUs in use.
 func (c *testCluster) putTestMachine(i int, machineRecord record.Machine, gpusInUse int) {
 	machineRecord.Type = testType.Name
 	job := wire.JobSpec{Kind: wire.KindArray, TaskCount: 4, CPUs: 2, GPUs: 1, MemoryGB: 16, Image: "i"}
 	c.putMachine(i, machineRecord, job, gpusInUse)
 }
 
-// snapshot is that of the owner of shard 0; machines are ready once they are up.
+// snapshot returns the snapshot of a node that owns shard 0. Machines that are up are ready, others are
+// pending.
 func (c *testCluster) snapshot() Snapshot {
 	return Snapshot{
 		Now:           testNow,
@@ -112,7 +114,7 @@
 	return &Request{Spec: spec, Need: record.TaskResources(spec), Remaining: spec.TaskCount}
 }
 
-// unconstrained allows 100 tasks in each zone, more than any test places.
+// unconstrained returns a constraint that allows 100 tasks in each zone, more than any test places.
 func unconstrained() *ZoneConstraint {
 	return &ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: 100}
 }
@@ -133,23 +135,23 @@
 	return names
 }
 
-// filterFor filters the machines for a request as the only one that waits.
+// filterFor filters the machines as if the request were the only one waiting.
 func filterFor(inv *Inventory, request *Request) {
 	inv.FilterFeasible(slices.Values([]record.Resources{request.Need}))
 }
 
-// TestTasksThatFit: a need that asks for nothing fits without limit, and fractions that make up a
-// whole fit despite rounding.
+// TestTasksThatFit checks that a zero need fits without limit, that fractions that add up to the free
+// amount fit despite rounding errors, and that nothing fits on an overcommitted machine.
 func TestTasksThatFit(t *testing.T) {
 	free := record.Resources{CPUs: 0.1 + 0.1 + 0.1, GPUs: 2, MemoryGB: 5}
 	if got := TasksThatFit(record.Resources{}, free); got != math.MaxInt32 {
-		t.Errorf("%d tasks that need nothing fit", got)
+		t.Errorf("%d tasks with a zero need fit, want math.MaxInt32", got)
 	}
 	need := record.Resources{CPUs: 0.1, MemoryGB: 1}
 	if got := TasksThatFit(need, free); got != 3 {
 		t.Errorf("%d tasks fit, want 3", got)
 	}
 	if got := TasksThatFit(record.Resources{GPUs: 1}, record.Resources{GPUs: -1}); got != 0 {
-		t.Errorf("%d tasks fit on an overcommitted machine", got)
+		t.Errorf("%d tasks fit on an overcommitted machine, want 0", got)
 	}
 }
--- a/internal/binpack/doc.go
+++ b/internal/binpack/doc.go
@@ -1,12 +1,13 @@
-// Package binpack keeps the free capacity of all machines and fits tasks into it.
+// Package binpack tracks the free capacity of all machines and places tasks on them.
 //
 // Every controller runs the same scheduling cycle over all machines, so that tasks are distributed
-// across shards by free capacity without any messages between controllers; each binds only what
-// falls to its own shards. Where their cluster states differ, the compare-and-swap on the records
-// decides, and the loser fits again.
+// across shards by free capacity without messages between controllers. Each controller binds only
+// the tasks that are placed on machines of its own shards. If the cluster states of two controllers
+// differ and both use the same capacity, the compare-and-swap on the records decides, and the loser
+// places its tasks again.
 //
-// The package owns the Inventory, which is one cycle's plan, and decides only: it writes no record
-// and sends nothing. Its caller says what a machine may be used for and which images it is believed
-// to hold. A plan proves nothing: bindings become durable elsewhere, before any launch (safety
-// invariants 1 and 2).
+// The package owns the Inventory, which is the plan of one scheduling cycle. It only decides: it
+// writes no record and sends no message. The caller supplies what each machine can be used for and
+// image hints, which say which machines are expected to hold which images. A plan is not a binding:
+// the caller makes bindings durable before any task is launched (safety invariants 1 and 2).
 package binpack
--- a/internal/binpack/feasible.go
+++ b/internal/binpack/feasible.go
@@ -7,8 +7,9 @@
 	"sableusher/internal/record"
 )
 
-// FilterFeasible sets aside the ready machines that are too full for any of the needs. It does
-// nothing if there are no needs.
+// FilterFeasible selects the ready machines that have at least the smallest amount of each resource
+// among needs, the needs of the waiting tasks. FeasibleMachines returns the selected machines.
+// FilterFeasible does nothing if needs is empty.
 func (inv *Inventory) FilterFeasible(needs iter.Seq[record.Resources]) {
 	isFirst := true
 	for need := range needs {
@@ -35,25 +36,27 @@
 	}
 }
 
-// FeasibleMachines returns the ready machines of a shard that some waiting task may fit on. The
-// list is the inventory's own.
+// FeasibleMachines returns the machines of a shard that FilterFeasible selected. The inventory owns
+// the list; callers must not change it.
 func (inv *Inventory) FeasibleMachines(shard int) []*MachineInfo { return inv.feasibleByShard[shard] }
 
-// retainFeasible removes from a list, in place, the machines that this cycle has filled.
+// retainFeasible removes, in place, the machines that have become too full for any waiting task in
+// this cycle.
 func (inv *Inventory) retainFeasible(machines []*MachineInfo) []*MachineInfo {
 	return slices.DeleteFunc(machines, func(info *MachineInfo) bool { return !inv.minNeed.FitsIn(info.Free) })
 }
 
-// KnownInfeasible reports whether this cycle has found no capacity for such a request before.
+// KnownInfeasible reports whether an earlier failure in this cycle implies that the request does not
+// fit; see FailedRequests.
 func (inv *Inventory) KnownInfeasible(request *Request) bool {
 	return inv.failedRequests.Covers(request)
 }
 
-// RecordFailure remembers for this cycle that a request has found no capacity.
+// RecordFailure records for the rest of this cycle that a request did not fit.
 func (inv *Inventory) RecordFailure(request *Request) { inv.failedRequests.Add(request) }
 
-// FittingMachines returns the ready machines on which a task of the request fits. The list is valid
-// until the next call.
+// FittingMachines returns the feasible machines of all shards on which a task of the request fits.
+// If there are none, it records the failure. The list is valid until the next call.
 func (inv *Inventory) FittingMachines(request *Request) []*MachineInfo {
 	if inv.KnownInfeasible(request) {
 		return nil
@@ -74,27 +77,28 @@
 	return fitting
 }
 
-// ShardSearch says how FindShard searches.
+// ShardSearch are the options of FindShard.
 type ShardSearch struct {
-	// First is the shard to begin with; the others follow in a circle.
+	// First is the shard that is searched first. The others follow in ascending order, wrapping
+	// around after the last.
 	First int
-	// OnlyWithImage restricts the search to machines that are believed to hold the job's image.
+	// OnlyWithImage restricts the search to machines that are expected to hold the job's image.
 	OnlyWithImage bool
 }
 
 // ShardFit is the result of FindShard.
 type ShardFit struct {
-	// Shard is the first shard with capacity for all remaining tasks, or the shard that the search
-	// began with if there is none.
+	// Shard is the first shard found with capacity for all remaining tasks, or ShardSearch.First if
+	// there is none.
 	Shard int
-	// FitsAll is set if Shard has capacity for all remaining tasks.
+	// FitsAll reports whether Shard has capacity for all remaining tasks.
 	FitsAll bool
-	// FitsAny is set if there is capacity for at least one task anywhere.
+	// FitsAny reports whether any searched shard has capacity for at least one task.
 	FitsAny bool
 }
 
-// FindShard searches shard by shard for capacity for all remaining tasks of a request, and stops at
-// the first that has it.
+// FindShard searches the shards one after another for one with capacity for all remaining tasks of
+// a request, and stops at the first that has it.
 func (inv *Inventory) FindShard(request *Request, search ShardSearch) ShardFit {
 	candidates := inv.feasibleByShard
 	if search.OnlyWithImage {
@@ -120,7 +124,7 @@
 	return fit
 }
 
-// ShardFits reports whether a task of the request fits on some machine of a shard.
+// ShardFits reports whether a task of the request fits on any feasible machine of a shard.
 func (inv *Inventory) ShardFits(request *Request, shard int) bool {
 	return slices.ContainsFunc(inv.feasibleByShard[shard], request.fits)
 }
--- a/internal/binpack/gang.go
+++ b/internal/binpack/gang.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// AllocateGang takes capacity for all remaining tasks of a gang, in one zone if the job asks for
-// it, and returns the machine of each task. It returns nil, and has taken nothing, if they do not
-// all fit. The constraint is not changed.
+// AllocateGang places all remaining tasks of a gang, in one zone if the job requires that, and
+// returns the machine of each task. If they do not all fit, it returns nil and allocates nothing. A
+// nil filter accepts every candidate. The constraint is not changed.
 func (inv *Inventory) AllocateGang(
 	request *Request, candidates []*MachineInfo, constraint ZoneConstraint, filter func(*MachineInfo) bool,
 ) []*MachineInfo {
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// zonesForGang returns the zones whose candidates fit all remaining tasks, those first where most
-// of the tasks fit on machines that hold the image.
+// zonesForGang returns the zones whose candidates fit all remaining tasks. Zones in which more of
+// these tasks fit on machines that hold the image come first.
 func (inv *Inventory) zonesForGang(
 	request *Request, candidates []*MachineInfo, filter func(*MachineInfo) bool,
 ) []string {
@@ -52,15 +52,15 @@
 		}
 	}
 	zones = slices.DeleteFunc(zones, func(zone string) bool { return tasksByZone[zone] < request.Remaining })
-	useful := func(zone string) int { return min(tasksWithImage[zone], request.Remaining) }
+	usableWithImage := func(zone string) int { return min(tasksWithImage[zone], request.Remaining) }
 	slices.SortFunc(zones, func(x, y string) int {
-		return cmp.Or(cmp.Compare(useful(y), useful(x)), cmp.Compare(x, y))
+		return cmp.Or(cmp.Compare(usableWithImage(y), usableWithImage(x)), cmp.Compare(x, y))
 	})
 	return zones
 }
 
-// RoomiestZone returns the zone that fits most tasks of a gang on the given ready machines and on
-// pending ones; empty if there is no machine.
+// RoomiestZone returns the zone with capacity for the most tasks of a gang, counting the given ready
+// machines and the pending ones. It returns the empty string if there are no such machines.
 func (inv *Inventory) RoomiestZone(request *Request, ready []*MachineInfo) string {
 	tasksByZone := map[string]int{}
 	for _, info := range ready {
--- a/internal/binpack/gang_test.go
+++ b/internal/binpack/gang_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// canPlaceAll counts whether all tasks of a request fit on the ready machines, in one zone if the
-// job asks for it.
+// canPlaceAll reports whether all tasks of a request fit on the ready machines, in one zone if the
+// job requires that. It only counts the tasks that fit on each machine.
 func canPlaceAll(inv *Inventory, request *Request) bool {
 	tasksByZone, total := map[string]int{}, 0
 	for _, info := range inv.ready {
@@ -26,9 +26,10 @@
 	return total >= request.Remaining
 }
 
-// TestGangIsAllocatedWholeOrNotAtAll: all tasks or none, never more than a machine has free, in one
-// zone where asked; and capacity is found wherever counting finds it.
-func TestGangIsAllocatedWholeOrNotAtAll(t *testing.T) {
+// TestGangAllocationIsAllOrNothing checks that AllocateGang places all tasks or none, never more than
+// a machine has free, and in one zone if the job requires that. It must succeed whenever canPlaceAll
+// finds enough capacity.
+func TestGangAllocationIsAllOrNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cluster := newTestCluster(testType)
 		for i := range 12 {
@@ -46,9 +47,9 @@
 		for _, info := range picks {
 			machine := info.Machine
 			placed[machine.Name]++
-			isElsewhere := request.Spec.SameZone && machine.Zone != picks[0].Machine.Zone
-			if isElsewhere || !Eligible(request.Spec, machine) {
-				t.Errorf("%s in %s", machine.Name, machine.Zone)
+			inOtherZone := request.Spec.SameZone && machine.Zone != picks[0].Machine.Zone
+			if inOtherZone || !Eligible(request.Spec, machine) {
+				t.Errorf("a task was placed on %s in zone %s, which the job does not allow", machine.Name, machine.Zone)
 			}
 		}
 		for name, free := range before {
--- a/internal/binpack/images.go
+++ b/internal/binpack/images.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// HintSource says whose machines a set of image hints describes.
+// HintSource identifies the machines that a set of image hints describes. An image hint states that
+// a machine is expected to hold an image.
 type HintSource int
 
 // The sources of image hints.
 const (
-	// OwnMachines are those of the caller's own shards.
+	// OwnMachines are the machines of the caller's own shards.
 	OwnMachines HintSource = iota
-	// OtherMachines are those of all other shards.
+	// OtherMachines are the machines of all other shards.
 	OtherMachines
 
-	hintSources
+	hintSources // the number of sources
 )
 
-// imageIndex numbers the images and keeps which machines with capacity hold them.
+// imageIndex assigns numbers to images and caches which feasible machines hold them.
 type imageIndex struct {
-	ids            map[string]uint // positions in the machines' bit sets
+	ids            map[string]uint // position in the machines' bit sets by image
 	hintsUpdatedAt [hintSources]time.Time
-	holders        map[string][][]*MachineInfo // by image and shard, as first asked for in this cycle
+	holders        map[string][][]*MachineInfo // by image and shard, as of the first lookup in this cycle
 }
 
 func newImageIndex() imageIndex { return imageIndex{ids: map[string]uint{}} }
 
-// id returns an image's position in the machines' bit sets.
+// id returns the position of an image in the machines' bit sets, and assigns one to a new image.
 func (x *imageIndex) id(image string) uint {
 	id, ok := x.ids[image]
 	if !ok {
@@ -37,13 +38,14 @@
 	return id
 }
 
-// HintsUpdatedAt returns the time that SetImageHints was last given for a source.
+// HintsUpdatedAt returns the time passed to the last SetImageHints of a source, or the zero time.
 func (inv *Inventory) HintsUpdatedAt(source HintSource) time.Time {
 	return inv.images.hintsUpdatedAt[source]
 }
 
-// SetImageHints replaces the hints of a source, as pairs of image and machine that is believed to
-// hold it. A hint only chooses among machines with free capacity.
+// SetImageHints replaces the hints of a source; hints yields pairs of an image and the name of a
+// machine that is expected to hold it. Hints of machines that don't belong to the source are ignored.
+// A hint only affects the choice among machines with free capacity.
 func (inv *Inventory) SetImageHints(source HintSource, at time.Time, hints iter.Seq2[string, string]) {
 	inv.images.hintsUpdatedAt[source] = at
 	owned := source == OwnMachines
@@ -59,19 +61,21 @@
 	}
 }
 
-// HasImage reports whether a machine is believed to hold an image: one of its tasks is bound there,
-// or was, as the hints say.
+// HasImage reports whether a machine is expected to hold an image: a task that uses the image is
+// bound to the machine, or a hint names the machine.
 func (inv *Inventory) HasImage(image string, info *MachineInfo) bool {
 	id, ok := inv.images.ids[image]
 	return ok && (info.boundImages.Test(id) || info.hintedImages.Test(id))
 }
 
-// ImageHolders returns the feasible machines of a shard that held an image when this cycle first
-// asked. The list is the inventory's own.
+// ImageHolders returns the feasible machines of a shard that are expected to hold an image, as of
+// the first lookup of that image in this cycle. The inventory owns the list; callers must not change
+// it.
 func (inv *Inventory) ImageHolders(image string, shard int) []*MachineInfo {
 	return inv.imageHoldersByShard(image)[shard]
 }
 
+// imageHoldersByShard returns the feasible machines that are expected to hold an image, by shard.
 func (inv *Inventory) imageHoldersByShard(image string) [][]*MachineInfo {
 	holders, ok := inv.images.holders[image]
 	if ok {
--- a/internal/binpack/inventory.go
+++ b/internal/binpack/inventory.go
@@ -7,19 +7,19 @@
 	"sableusher/internal/record"
 )
 
-// Inventory is the free capacity of all machines during a scheduling cycle. It is kept from cycle
-// to cycle by Refresh, which takes in the machines that changed and undoes what the cycle before
-// allocated; what depends on time alone is computed anew at each sweep. It is not safe for
-// concurrent use.
+// Inventory is the free capacity of all machines during a scheduling cycle. Refresh reuses it from
+// cycle to cycle: it applies the records that changed and undoes the allocations of the previous
+// cycle. A machine whose readiness changes only because time passes is evaluated again when the
+// inventory is rebuilt, every tuning.SweepInterval. An Inventory is not safe for concurrent use.
 //
-// Within a cycle all machines are examined once, and once more for each kind of need that may still
-// fit: a request that found no capacity is remembered, so that a long queue in front of full
-// machines costs little. Machines that are too full for any waiting task are skipped.
+// In each cycle all machines are examined once, and once more for each distinct request that may
+// still fit. Requests that did not fit are recorded, so that a long queue costs little while the
+// machines are full. Machines that are too full for any waiting task are skipped.
 type Inventory struct {
-	// NeedPerGPU is what GPU tasks take of the other resources for each GPU.
+	// NeedPerGPU is the amount of the other resources that GPU tasks use for each GPU.
 	NeedPerGPU record.Resources
-	// CommonNeed is what a task takes of the work that asks for the most cores; zero if that work
-	// uses GPUs or none is known.
+	// CommonNeed is the need of a common task: at least half of all requested cores are for tasks
+	// that use as many cores or more. It is zero if any job uses GPUs or no job is known.
 	CommonNeed record.Resources
 
 	snapshot Snapshot
@@ -27,28 +27,29 @@
 	types    typeIndex
 	machines map[string]*MachineInfo // by name
 	byShard  [][]*MachineInfo        // by shard, ordered by name
-	modified []*MachineInfo          // by this cycle, or the last one until Refresh
+	modified []*MachineInfo          // in this cycle; Refresh resets these machines
 
 	ready        []*MachineInfo // ordered by shard and name
-	readyOffsets []int          // where each shard begins in ready, and the end
+	readyOffsets []int          // index in ready at which each shard begins, and len(ready)
 	pending      []*MachineInfo // ordered by shard and name
 	pendingBins  []*pendingBin
 
-	minNeed         record.Resources // the least of each resource that a waiting task needs
+	minNeed         record.Resources // the smallest amount of each resource that any waiting task needs
 	feasibleByShard [][]*MachineInfo // ready machines with minNeed free
-	fittingBuffer   []*MachineInfo   // the list that FittingMachines returned last
+	fittingBuffer   []*MachineInfo   // backing array of the list that FittingMachines returned last
 	failedRequests  FailedRequests
-	examined        int
+	examined        int // machines examined in this cycle
 
 	images imageIndex
 }
 
-// adjustFree adds a multiple of some resources to what a machine has free.
+// adjustFree adds a multiple of resources to the free capacity of a machine.
 func (inv *Inventory) adjustFree(info *MachineInfo, resources record.Resources, times float64) {
 	inv.markModified(info)
 	info.Free = info.Free.PlusTimes(resources, times)
 }
 
+// markModified records that this cycle changed a machine, so that the next Refresh resets it.
 func (inv *Inventory) markModified(info *MachineInfo) {
 	if !info.modified {
 		info.modified = true
@@ -56,16 +57,16 @@
 	}
 }
 
-// ConsumeByName takes the capacity that tasks on their way to a machine need. An unknown machine is
-// ignored.
+// ConsumeByName subtracts the capacity of tasks whose bindings to a machine are in flight. An unknown
+// machine is ignored.
 func (inv *Inventory) ConsumeByName(machine string, resources record.Resources) {
 	if info := inv.machines[machine]; info != nil {
 		inv.adjustFree(info, resources, -1)
 	}
 }
 
-// ReserveFor reserves a machine's free capacity for a job in this cycle; an empty job ID ends the
-// reservation. An unknown machine is ignored.
+// ReserveFor reserves a machine's free capacity for a job until the end of this cycle. An empty job
+// ID ends the reservation. An unknown machine is ignored.
 func (inv *Inventory) ReserveFor(machine, jobID string) {
 	if info := inv.machines[machine]; info != nil {
 		inv.markModified(info)
@@ -73,14 +74,14 @@
 	}
 }
 
-// ReserveAll reserves a machine for a job and takes all its free capacity: the job waits there for
-// what is being preempted.
+// ReserveAll reserves a machine for a job and sets its free capacity to zero. It is used while the
+// job waits for the tasks that are being preempted on the machine.
 func (inv *Inventory) ReserveAll(info *MachineInfo, jobID string) {
 	inv.markModified(info)
 	info.ReservedFor, info.Free = jobID, record.Resources{}
 }
 
-// Release gives back the capacity that was allocated to a request.
+// Release undoes the allocation of a request's tasks to the machines in picks.
 func (inv *Inventory) Release(request *Request, picks []*MachineInfo) {
 	for _, info := range picks {
 		inv.adjustFree(info, request.Need, 1)
@@ -88,16 +89,17 @@
 	request.Remaining += len(picks)
 }
 
-// ReadyMachines returns the ready machines of a shard, ordered by name. The list is the
-// inventory's own.
+// ReadyMachines returns the ready machines of a shard, ordered by name. The inventory owns the list;
+// callers must not change it.
 func (inv *Inventory) ReadyMachines(shard int) []*MachineInfo {
 	return inv.ready[inv.readyOffsets[shard]:inv.readyOffsets[shard+1]]
 }
 
-// Examined returns how many machines the cycle has examined so far.
+// Examined returns how many machines this cycle has examined so far.
 func (inv *Inventory) Examined() int { return inv.examined }
 
-// HasFreeCapacity reports whether any ready machine has some of each of its resources free.
+// HasFreeCapacity reports whether any ready machine has a free amount of every resource that its type
+// provides.
 func (inv *Inventory) HasFreeCapacity() bool {
 	return slices.ContainsFunc(inv.ready, func(info *MachineInfo) bool {
 		return FreeFraction(info.Free, info.Capacity) > 0
--- a/internal/binpack/machineinfo.go
+++ b/internal/binpack/machineinfo.go
@@ -10,29 +10,30 @@
 	"sableusher/internal/record"
 )
 
-// MachineInfo is a machine as a scheduling cycle sees it.
+// MachineInfo is a machine together with its state in a scheduling cycle.
 type MachineInfo struct {
 	Machine  *clusterstate.Machine
 	Capacity record.Resources
-	// Free is what the cycle has left of the capacity so far.
+	// Free is the capacity that is not in use and that this cycle has not allocated yet.
 	Free record.Resources
-	// Owned is set if the machine is in one of the caller's own shards.
+	// Owned reports whether the machine is in one of the caller's own shards.
 	Owned bool
-	// ReservedFor is the ID of the job that the free capacity is reserved for; empty if it is for
-	// all.
+	// ReservedFor is the ID of the job that the free capacity is reserved for; empty if there is no
+	// reservation.
 	ReservedFor string
 
-	recordedFree record.Resources // what the records leave free
+	recordedFree record.Resources // free capacity according to the records
 	readiness    Readiness
-	modified     bool          // this cycle has changed Free or ReservedFor
-	boundImages  bitset.BitSet // IDs of the images of bound tasks
-	hintedImages bitset.BitSet // IDs of the other images that it is believed to hold
+	modified     bool          // whether this cycle has changed Free or ReservedFor
+	boundImages  bitset.BitSet // IDs of the images that bound tasks use
+	hintedImages bitset.BitSet // IDs of the images that hints name for the machine
 }
 
-// SessionKnown reports whether the machine's agent and its session are known.
+// SessionKnown reports whether the session of the machine's agent is known: the machine is owned, or
+// its record says that it is up.
 func (m *MachineInfo) SessionKnown() bool { return m.Owned || m.Machine.Up }
 
-// compareName compares a machine's name, for binary search.
+// compareName compares the name of a machine to name, for use with slices.BinarySearchFunc.
 func compareName(info *MachineInfo, name string) int { return cmp.Compare(info.Machine.Name, name) }
 
 // Readiness says what a machine can be used for.
@@ -40,15 +41,16 @@
 
 // The values of Readiness.
 const (
-	// Unavailable machines are draining, given up, overdue or cut off.
+	// Unavailable machines are being deleted, draining, of an unknown type, overdue to boot, or in a
+	// zone that can't be reached.
 	Unavailable Readiness = iota
-	// Ready machines take tasks, as far as the caller knows.
+	// Ready machines accept tasks, as far as the caller knows.
 	Ready
-	// Pending machines are booting, or can't be used just now.
+	// Pending machines are booting or temporarily unusable.
 	Pending
 )
 
-// String returns the readiness for logs.
+// String returns the name of the readiness, for logs.
 func (r Readiness) String() string {
 	switch r {
 	case Unavailable:
--- a/internal/binpack/pending.go
+++ b/internal/binpack/pending.go
@@ -6,15 +6,16 @@
 	"sableusher/internal/record"
 )
 
-// pendingBin is a set of pending machines that are alike in type, zone, price and free capacity.
-// Hundreds that boot at once are a few bins, however many jobs are allocated to them.
+// pendingBin is a set of pending machines of the same type, zone, price model and free capacity. It
+// keeps allocation cheap: hundreds of machines that boot at once form a few bins, however many jobs
+// are allocated to them.
 type pendingBin struct {
-	sample   *MachineInfo // any machine of the bin, or of the one that it was divided from
+	sample   *MachineInfo // a machine of this bin, or of the bin that this one was split from
 	free     record.Resources
 	machines []*MachineInfo
 }
 
-// binKey is what the machines of a bin have in common.
+// binKey holds the properties that all machines of a bin share.
 type binKey struct {
 	machineType string
 	zone        string
@@ -22,8 +23,8 @@
 	free        record.Resources
 }
 
-// GroupPending groups the pending machines into bins, for AllocatePending and RoomiestZone. Those
-// too full for any waiting task are left out.
+// GroupPending groups the pending machines into bins, for AllocatePending and RoomiestZone. Machines
+// that are too full for any waiting task are left out.
 func (inv *Inventory) GroupPending() {
 	inv.pendingBins = inv.pendingBins[:0]
 	binByKey := map[binKey]*pendingBin{}
@@ -43,11 +44,13 @@
 	}
 }
 
-// AllocatePending takes capacity on pending machines for the remaining tasks of a request that did
-// not fit on ready ones: spot machines first, then those in use.
+// AllocatePending places the remaining tasks of a request, those that did not fit on ready machines,
+// on pending machines. Spot machines are filled before on-demand ones, and of either kind machines in
+// use before unused ones. It subtracts the placed tasks from request.Remaining and adds them to the
+// constraint.
 func (inv *Inventory) AllocatePending(request *Request, constraint *ZoneConstraint) {
 	for _, t := range pendingTiers {
-		for i := 0; i < len(inv.pendingBins) && request.Remaining > 0; i++ { // grows as bins are divided
+		for i := 0; i < len(inv.pendingBins) && request.Remaining > 0; i++ { // fillBin appends bins
 			bin := inv.pendingBins[i]
 			if bin.tier() == t && Eligible(request.Spec, bin.sample.Machine) {
 				inv.fillBin(bin, request, constraint)
@@ -62,18 +65,19 @@
 // pendingTiers are the tiers of bins in the order in which they are filled.
 var pendingTiers = [...]tier{0, tierUnused, tierOnDemand, tierOnDemand | tierUnused}
 
+// tier returns the drawbacks of the bin's machines.
 func (b *pendingBin) tier() tier {
 	return tierOnDemand.when(!b.sample.Machine.Spot) | tierUnused.when(b.free == b.sample.Capacity)
 }
 
-// fillBin takes machines out of a bin and places tasks on them. Machines with capacity left make up
-// a new bin.
+// fillBin removes machines from a bin and places tasks on them. Machines that still have capacity for
+// some waiting task are appended as a new bin.
 func (inv *Inventory) fillBin(bin *pendingBin, request *Request, constraint *ZoneConstraint) {
 	zone := bin.sample.Machine.Zone
 	tasksPerMachine := TasksThatFit(request.Need, bin.free)
 	for tasksPerMachine > 0 && len(bin.machines) > 0 && request.Remaining > 0 && constraint.Allows(zone) {
 		allowed := min(request.Remaining, constraint.MaxPerZone-constraint.TasksByZone[zone])
-		// As many machines as are filled, or one in part.
+		// Either a number of machines that are filled completely, or one that is filled in part.
 		machineCount := min(max(allowed/tasksPerMachine, 1), len(bin.machines))
 		tasks := min(tasksPerMachine, allowed)
 		taken := bin.machines[:machineCount]
--- a/internal/binpack/pending_test.go
+++ b/internal/binpack/pending_test.go
@@ -8,7 +8,8 @@
 	"sableusher/internal/record"
 )
 
-// freePendingGPUs sums the free GPUs of the pending machines, none of which may be overcommitted.
+// freePendingGPUs returns the sum of the free GPUs of the pending machines. It fails the test if any of
+// them is overcommitted.
 func freePendingGPUs(t *rapid.T, inv *Inventory) float64 {
 	sum := 0.0
 	for _, info := range inv.pending {
@@ -20,8 +21,8 @@
 	return sum
 }
 
-// TestPendingCapacityIsAllocatedOnce: what is allocated on pending machines and what is left over
-// make up what was asked for, and no machine is allocated beyond its size.
+// TestPendingCapacityIsAllocatedOnce checks that the GPUs allocated on pending machines match the
+// number of tasks that AllocatePending placed, and that no machine is overcommitted.
 func TestPendingCapacityIsAllocatedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cluster := newTestCluster(testType)
@@ -38,12 +39,12 @@
 			if len(inv.pendingBins) == 0 {
 				inv.GroupPending()
 			}
-			before, asked := freePendingGPUs(t, inv), request.Remaining
+			before, requested := freePendingGPUs(t, inv), request.Remaining
 			inv.AllocatePending(request, unconstrained())
 			allocated := before - freePendingGPUs(t, inv)
-			if allocated != float64(asked-request.Remaining)*request.Need.GPUs {
-				t.Errorf("%v GPUs allocated for %d tasks of %v",
-					allocated, asked-request.Remaining, request.Need.GPUs)
+			if allocated != float64(requested-request.Remaining)*request.Need.GPUs {
+				t.Errorf("%v GPUs allocated for %d tasks that need %v each",
+					allocated, requested-request.Remaining, request.Need.GPUs)
 			}
 		}
 	})
--- a/internal/binpack/refresh.go
+++ b/internal/binpack/refresh.go
@@ -11,23 +11,25 @@
 	"sableusher/internal/wire"
 )
 
-// Snapshot is what an inventory is refreshed from. Callers hold the lock of State while the
-// inventory is used.
+// Snapshot is the input of Refresh. Callers must hold the lock of State as long as they use the
+// inventory.
 type Snapshot struct {
 	Now   time.Time
 	State *clusterstate.State
-	// LiveShards is set for each shard whose owner is alive.
+	// LiveShards reports, by shard, whether the owner of the shard is alive.
 	LiveShards []bool
-	// FencingTokens are those of the caller's own shards, by shard.
+	// FencingTokens holds the fencing tokens of the caller's own shards, by shard.
 	FencingTokens map[int]uint64
-	// AssessReadiness says what a machine of a known type can be used for, if it is neither being
-	// deleted nor draining.
+	// AssessReadiness returns what a machine can be used for. It is called only for machines of a
+	// known type that are neither being deleted nor draining. owned reports whether the machine is
+	// in one of the caller's own shards.
 	AssessReadiness func(machine *clusterstate.Machine, owned bool) Readiness
 }
 
-// Refresh prepares an inventory for the next cycle. changed names the machines whose records
-// changed since the last one. A nil inventory, one that is due for a sweep, and one whose shards
-// changed hands are built anew.
+// Refresh prepares an inventory for the next cycle and returns it. changed holds the names of the
+// machines whose records changed since the previous cycle. Refresh builds a new inventory if inv is
+// nil, if the previous build is at least tuning.SweepInterval ago, or if the ownership or liveness
+// of any shard changed.
 func Refresh(inv *Inventory, snapshot Snapshot, changed ...map[string]struct{}) *Inventory {
 	if inv == nil || inv.mustRebuild(&snapshot) {
 		inv = newInventory(snapshot)
@@ -42,6 +44,7 @@
 	return inv
 }
 
+// mustRebuild reports whether the inventory has to be built again rather than updated.
 func (inv *Inventory) mustRebuild(snapshot *Snapshot) bool {
 	return snapshot.Now.Sub(inv.builtAt) >= tuning.SweepInterval ||
 		!slices.Equal(inv.snapshot.LiveShards, snapshot.LiveShards) ||
@@ -73,7 +76,7 @@
 	return inv
 }
 
-// undoModifications gives back what the last cycle allocated and reserved.
+// undoModifications reverts the allocations and reservations of the previous cycle.
 func (inv *Inventory) undoModifications() {
 	for _, info := range inv.modified {
 		info.Free, info.ReservedFor, info.modified = info.recordedFree, "", false
@@ -81,6 +84,7 @@
 	inv.modified = inv.modified[:0]
 }
 
+// refreshChanged applies the records of the named machines.
 func (inv *Inventory) refreshChanged(changed []map[string]struct{}) {
 	listsChanged := false
 	for _, names := range changed {
@@ -93,8 +97,8 @@
 	}
 }
 
-// refreshMachine takes in a machine whose record changed, and reports whether the lists of ready
-// and pending machines change with it.
+// refreshMachine applies the changed record of a machine, and reports whether the lists of ready and
+// pending machines have to be rebuilt.
 func (inv *Inventory) refreshMachine(name string) bool {
 	machine, info := inv.snapshot.State.Machines[name], inv.machines[name]
 	if info != nil && info.Machine == machine {
@@ -127,7 +131,8 @@
 	inv.evaluate(info)
 }
 
-// evaluate computes from the records what a machine has free and can be used for.
+// evaluate computes the capacity, free capacity, bound images and readiness of a machine from the
+// records. It drops the allocations and the reservation of the current cycle.
 func (inv *Inventory) evaluate(info *MachineInfo) {
 	machine := info.Machine
 	_, info.Owned = inv.snapshot.FencingTokens[machine.Shard]
@@ -145,7 +150,7 @@
 	}
 }
 
-// rebuildLists lists the ready and the pending machines.
+// rebuildLists rebuilds the lists of ready and pending machines.
 func (inv *Inventory) rebuildLists() {
 	inv.ready, inv.pending, inv.readyOffsets = inv.ready[:0], inv.pending[:0], inv.readyOffsets[:0]
 	for _, machines := range inv.byShard {
@@ -162,13 +167,13 @@
 	inv.readyOffsets = append(inv.readyOffsets, len(inv.ready))
 }
 
-// typeIndex is what the inventory knows of the machine types.
+// typeIndex holds the properties of the machine types that allocation uses.
 type typeIndex struct {
 	capacity map[string]record.Resources
 	// fetchRate is the rate in GB per second at which machines of a type fetch images.
 	fetchRate    map[string]float64
 	maxFetchRate float64
-	// differ is set if the types differ in cores or fetch rate.
+	// differ reports whether the types differ in cores or fetch rate.
 	differ bool
 }
 
--- a/internal/binpack/refresh_test.go
+++ b/internal/binpack/refresh_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestRefreshedInventoryEqualsNewOne: an inventory that is kept over cycles and told only of what
-// changed equals one that is built anew, whatever the cycles between have allocated.
+// TestRefreshedInventoryEqualsNewOne checks that an inventory that is refreshed from cycle to cycle
+// with only the changed machines equals a newly built one, whatever was allocated in between.
 func TestRefreshedInventoryEqualsNewOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cluster := newTestCluster(testType)
@@ -38,11 +38,12 @@
 	})
 }
 
+// checkEqualsNewOne checks that a refreshed inventory has the free capacity and the lists of a new one.
 func checkEqualsNewOne(t *rapid.T, kept, fresh *Inventory) {
 	if !maps.Equal(freeByMachine(kept), freeByMachine(fresh)) ||
 		!slices.Equal(machineNames(kept.ready), machineNames(fresh.ready)) ||
 		!slices.Equal(machineNames(kept.pending), machineNames(fresh.pending)) {
-		t.Fatalf("kept %v %v %v, new %v %v %v",
+		t.Fatalf("refreshed inventory: free %v, ready %v, pending %v; new inventory: free %v, ready %v, pending %v",
 			freeByMachine(kept), machineNames(kept.ready), machineNames(kept.pending),
 			freeByMachine(fresh), machineNames(fresh.ready), machineNames(fresh.pending))
 	}
--- a/internal/binpack/request.go
+++ b/internal/binpack/request.go
@@ -8,30 +8,30 @@
 	"sableusher/internal/wire"
 )
 
-// Request asks for capacity for a job's tasks.
+// Request is a request for capacity for the tasks of a job.
 type Request struct {
 	Spec *wire.JobSpec
-	// Need is what each task takes.
+	// Need is the resources that each task uses.
 	Need record.Resources
 	// Remaining is the number of tasks that have not been placed yet in this cycle.
 	Remaining int
-	// StartWithinS is the time in seconds within which a replica should start; 0 for no such
-	// objective.
+	// StartWithinS is the objective for the start of a replica: the time in seconds within which it
+	// should start. It is 0 if there is no such objective.
 	StartWithinS float64
 }
 
-// fits reports whether one of the request's tasks fits on a machine that the job may use.
+// fits reports whether the job may use a machine and one of its tasks fits there.
 func (r *Request) fits(info *MachineInfo) bool {
 	return r.Need.FitsIn(info.Free) && Eligible(r.Spec, info.Machine)
 }
 
-// mayUse reports whether a machine is not reserved for another job.
+// mayUse reports whether a machine is not reserved, or is reserved for the request's job.
 func (r *Request) mayUse(info *MachineInfo) bool {
 	return info.ReservedFor == "" || info.ReservedFor == r.Spec.ID
 }
 
-// Eligible reports whether a job may use a machine by its zone, type and price, whatever is free
-// there.
+// Eligible reports whether a job allows a machine's zone, type and price model (spot or on demand).
+// It disregards free capacity.
 func Eligible(spec *wire.JobSpec, machine *clusterstate.Machine) bool {
 	return (spec.AllowSpot || !machine.Spot) &&
 		(spec.Zone == "" || spec.Zone == machine.Zone) &&
--- a/internal/binpack/resources.go
+++ b/internal/binpack/resources.go
@@ -6,10 +6,11 @@
 	"sableusher/internal/record"
 )
 
-// roundingTolerance keeps sums of fractions of cores and gigabytes from losing a task to rounding.
+// roundingTolerance, in cores, GPUs or GB, keeps TasksThatFit from rounding the count down by one when
+// sums of fractions are inexact.
 const roundingTolerance = 1e-6
 
-// dimension is one kind of resource in two amounts, the first a part of the second.
+// dimension is a pair of amounts of one resource: a part and the whole that it is compared to.
 type dimension struct{ part, whole float64 }
 
 // dimensions pairs the amounts of each resource.
@@ -21,7 +22,8 @@
 	}
 }
 
-// FreeFraction returns the free fraction of the machine's scarcest resource, from 0 to 1.
+// FreeFraction returns the smallest free fraction of any resource, from 0 to 1. Resources without
+// capacity are disregarded.
 func FreeFraction(free, capacity record.Resources) float64 {
 	fraction := 1.0
 	for _, d := range dimensions(free, capacity) {
@@ -32,7 +34,8 @@
 	return max(fraction, 0)
 }
 
-// TasksThatFit returns how many tasks with a need fit into free resources, at most math.MaxInt32.
+// TasksThatFit returns how many tasks with the given need fit into the free resources, from 0 to
+// math.MaxInt32.
 func TasksThatFit(need, free record.Resources) int {
 	count := math.MaxInt32
 	for _, d := range dimensions(need, free) {
--- a/internal/binpack/spare.go
+++ b/internal/binpack/spare.go
@@ -2,23 +2,24 @@
 
 // SpareCapacity is capacity that no waiting task needs.
 type SpareCapacity struct {
-	// Machines is the spare capacity in machines: the sum of their free fractions.
+	// Machines is the sum of the machines' free fractions; see FreeFraction.
 	Machines float64
-	// UnusedMachines is the number of machines that no task uses or waits for.
+	// UnusedMachines is the number of machines without tasks, allocations and reservations.
 	UnusedMachines int
-	// MachinesByZone is Machines by zone.
+	// MachinesByZone is Machines broken down by zone.
 	MachinesByZone map[string]float64
 }
 
-// Spare is what a cycle leaves over of the ready and pending machines.
+// Spare is the capacity of the ready and pending machines that a cycle has not allocated.
 type Spare struct {
 	OnDemand SpareCapacity
 	Spot     SpareCapacity
-	// IdleMachines are the names of the machines that no task uses or waits for.
+	// IdleMachines are the names of the machines that UnusedMachines counts, of both kinds.
 	IdleMachines []string
 }
 
-// Spare returns what is left over once all waiting tasks have been allocated.
+// Spare returns the capacity that is not allocated. Callers call it after allocating all waiting
+// tasks.
 func (inv *Inventory) Spare() Spare {
 	spare := Spare{
 		OnDemand: SpareCapacity{MachinesByZone: map[string]float64{}},
@@ -32,6 +33,7 @@
 	return spare
 }
 
+// add adds the free capacity of a machine.
 func (s *Spare) add(info *MachineInfo) {
 	capacity := &s.OnDemand
 	if info.Machine.Spot {
