--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,8 +1,8 @@
-// Package admission says which jobs a deployment can never run.
+// Package admission rejects jobs that a deployment can never run.
 //
-// A user's submission, a compiled graph and a job offered by another cell are all checked here, so
-// that each gets the same answer (safety invariant 10). It holds no state and writes nothing; whether a
-// job runs now is decided by the scheduler.
+// Jobs submitted by users, jobs compiled from a graph and jobs offered by another cell are all checked
+// here, so that the same job always gets the same answer (safety invariant 10). The package holds no
+// state and writes nothing. The scheduler decides when an accepted job runs.
 package admission
 
 import (
@@ -13,11 +13,12 @@
 	"sableusher/internal/wire"
 )
 
-// limitTolerance absorbs rounding when amounts are summed over tasks.
+// limitTolerance, in cores or GPUs, absorbs rounding errors of amounts summed over tasks.
 const limitTolerance = 1e-6
 
-// Validate gives the reason why a job can never run, one of the errors of this package; nil if it can.
-// While the machine types are not known, none is held against it.
+// Validate returns the reason why a job can never run, as one of the errors of this package, or nil if
+// it can run. If types is empty, the machine types are not known yet, and Validate does not check
+// whether a task fits on one of them.
 func Validate(spec *wire.JobSpec, teams map[string]config.Team, types map[string]wire.MachineType) error {
 	team, ok := teams[spec.Team]
 	if !ok {
@@ -35,8 +36,8 @@
 	return nil
 }
 
-// exceedsTeamLimit reports whether the tasks that must run at once take more than the team may: one task
-// of an array, all tasks of another job.
+// exceedsTeamLimit reports whether the tasks that must run at the same time need more than the team's
+// limit. In an array that is a single task; in a job of another kind it is all tasks.
 func exceedsTeamLimit(spec *wire.JobSpec, team *config.Team) bool {
 	need := record.TaskResources(spec)
 	taskCount := float64(spec.TaskCount)
@@ -47,7 +48,8 @@
 		team.GPUsMax > 0 && taskCount*need.GPUs > team.GPUsMax+limitTolerance
 }
 
-// fitsAnyType reports whether an empty machine of a type and zone that the job allows holds one task.
+// fitsAnyType reports whether one task fits on an empty machine of any type and zone that the job
+// allows.
 func fitsAnyType(spec *wire.JobSpec, types map[string]wire.MachineType) bool {
 	need := record.TaskResources(spec)
 	for name, machineType := range types {
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -19,7 +19,7 @@
 	}
 )
 
-// validationCases are jobs with the reason for which they can never run; nil: they can.
+// validationCases are jobs by test name, with the error that Validate must return for each.
 var validationCases = map[string]struct {
 	spec wire.JobSpec
 	want error
@@ -80,18 +80,18 @@
 	},
 }
 
-// TestValidate: each reason for which a job can never run is found, and nothing else is.
+// TestValidate checks that Validate finds each reason why a job can never run, and accepts all other jobs.
 func TestValidate(t *testing.T) {
 	for name, c := range validationCases {
 		t.Run(name, func(t *testing.T) {
 			if err := Validate(&c.spec, testTeams, testTypes); !errors.Is(err, c.want) {
-				t.Errorf("%v, want %v", err, c.want)
+				t.Errorf("Validate returned %v, want %v", err, c.want)
 			}
 		})
 	}
 }
 
-// TestValidateWithoutTypes: machine types that are not known are not held against a job.
+// TestValidateWithoutTypes checks that no job is rejected for its machine types while the types are unknown.
 func TestValidateWithoutTypes(t *testing.T) {
 	spec := wire.JobSpec{Team: "unlimited", TaskCount: 1, MemoryGB: 300, Zone: "north"}
 	if err := Validate(&spec, testTeams, nil); err != nil {
--- a/internal/admission/errors.go
+++ b/internal/admission/errors.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// Reasons for which a job can never run. Their texts are sent to users and printed by checks of graph files.
+// Reasons why a job can never run. Their texts are sent to users and printed when graph files are checked.
 var (
 	ErrUnknownTeam       = errors.New("unknown team")
 	ErrOverTeamLimit     = errors.New("more than the team's limit")
