--- a/internal/dependency/resolver.go
+++ b/internal/dependency/resolver.go
@@ -1,9 +1,9 @@
-// Package dependency finds out how the jobs ended on which others depend.
+// Package dependency looks up the outcomes of finished jobs that other jobs depend on.
 //
-// The outcome of a job that is over stands in its final record, which is not part of the cluster state
-// that each node follows; a Resolver reads it and adds it there. It writes no record. A record that is
-// absent or unreadable proves nothing: the dependent job goes on waiting until its outcome is read
-// (safety invariant 27).
+// The outcome of a finished job is stored in its final record. Nodes don't replicate final records into
+// their cluster state, so a Resolver reads the ones that are needed and adds them there. It writes no
+// record. An absent or unreadable final record says nothing about the outcome: the dependent job keeps
+// waiting until the record has been read (safety invariant 27).
 package dependency
 
 import (
@@ -20,22 +20,22 @@
 	"sableusher/internal/tuning"
 )
 
-// Resolver reads the final records of dependencies into the cluster state. Only Run uses it once it
-// is made.
+// Resolver reads the final records of dependencies into the cluster state. Its state is used only by
+// Run, so Run must be called at most once at a time.
 type Resolver struct {
 	clusterState *clusterstate.State
 	reader       kvstore.Reader
 	logger       *slog.Logger
-	failedAt     map[string]time.Time // when the record of a job was last absent or unreadable
+	failedAt     map[string]time.Time // by job ID: the time of the last read that found no readable record
 }
 
-// NewResolver makes a resolver that reads through reader.
+// NewResolver returns a resolver that reads final records from reader and adds them to state.
 func NewResolver(state *clusterstate.State, reader kvstore.Reader, logger *slog.Logger) *Resolver {
 	return &Resolver{clusterState: state, reader: reader, logger: logger, failedAt: map[string]time.Time{}}
 }
 
-// Run reads missing outcomes after each change of the cluster state, until ctx ends; it returns the
-// error of ctx.
+// Run reads missing outcomes after each change of the cluster state, and at intervals of
+// tuning.OutcomeReadRetryPause, until ctx is done. It returns the error of ctx.
 func (r *Resolver) Run(ctx context.Context) error {
 	changed := r.clusterState.Subscribe()
 	retryTicker := time.NewTicker(tuning.OutcomeReadRetryPause)
@@ -51,13 +51,14 @@
 	}
 }
 
-// outcome is what reading a final record gave.
+// outcome is the result of reading a final record.
 type outcome struct {
 	record record.Final
-	found  bool
+	found  bool // whether record was read
 }
 
-// resolveMissing reads each outcome that the cluster state lacks, unless that failed a short while ago.
+// resolveMissing reads the outcomes that are missing in the cluster state, except those whose last read
+// failed less than tuning.OutcomeReadRetryPause ago.
 func (r *Resolver) resolveMissing(ctx context.Context) {
 	now := time.Now()
 	ids := r.dueJobIDs(now)
@@ -70,7 +71,8 @@
 	}
 }
 
-// dueJobIDs gives the jobs whose final records are to be read now.
+// dueJobIDs returns the jobs whose final records are to be read now. It also drops the failures that no
+// longer delay a read.
 func (r *Resolver) dueJobIDs(now time.Time) []string {
 	for id, at := range r.failedAt {
 		if now.Sub(at) >= tuning.OutcomeReadRetryPause {
@@ -79,14 +81,15 @@
 	}
 	var ids []string
 	for _, id := range r.clusterState.UnresolvedDependencies() {
-		if _, failedLately := r.failedAt[id]; !failedLately {
+		if _, failedRecently := r.failedAt[id]; !failedRecently {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// readOutcomes reads the final records of jobs, a bounded number at once.
+// readOutcomes reads the final records of jobs, at most tuning.OutcomeReadConcurrency at a time. The
+// outcomes are in the order of ids.
 func (r *Resolver) readOutcomes(ctx context.Context, ids []string) []outcome {
 	outcomes := make([]outcome, len(ids))
 	var group errgroup.Group
@@ -95,10 +98,10 @@
 		group.Go(func() error {
 			finalRecord, err := kvstore.ReadRecord[record.Final](ctx, r.reader, record.FinalKey(id))
 			outcomes[i] = outcome{record: finalRecord, found: err == nil}
-			// An absent record proves nothing either way: the cluster state is older than the job, or
-			// the job is about to be live in it again.
+			// An absent record is not an error: either the cluster state does not contain the job yet,
+			// or the job is about to become live in it again.
 			if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
-				r.logger.Debug("final record not read", "job_id", id, "err", err)
+				r.logger.Debug("could not read final record; the dependent jobs keep waiting", "job_id", id, "err", err)
 			}
 			return nil
 		})
--- a/internal/dependency/resolver_test.go
+++ b/internal/dependency/resolver_test.go
@@ -15,7 +15,8 @@
 	"sableusher/internal/wire"
 )
 
-// fakeReader answers with the values it holds, or with an error while it is unavailable.
+// fakeReader returns the values it holds, or an error while unavailable is set. It is safe for concurrent
+// use; the test accesses its fields within withLock.
 type fakeReader struct {
 	mu          sync.Mutex
 	unavailable bool
@@ -37,79 +38,80 @@
 	return wire.KeyValue{Value: wire.MustEncode(v)}, nil
 }
 
-// set changes the reader, or looks at it, while no read is under way.
-func (r *fakeReader) set(f func()) {
+// withLock calls f while no read is in progress.
+func (r *fakeReader) withLock(f func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f()
 }
 
-// Ids of the jobs of the test: one depends on the other.
+// IDs of the two jobs of the test: dependentJobID depends on dependencyJobID.
 const (
-	awaitedJobID   = "run-1"
-	dependentJobID = "run-2"
+	dependencyJobID = "run-1"
+	dependentJobID  = "run-2"
 )
 
-// putDependentJob brings a job that depends on another one into the cluster state.
+// putDependentJob adds the dependent job to the cluster state.
 func putDependentJob(state *clusterstate.State) {
-	spec := wire.JobSpec{ID: dependentJobID, Team: "t", TaskCount: 1, Dependencies: []string{awaitedJobID}}
+	spec := wire.JobSpec{ID: dependentJobID, Team: "t", TaskCount: 1, Dependencies: []string{dependencyJobID}}
 	state.BeginUpdate()
 	defer state.EndUpdate()
 	job := record.Job{Spec: spec, SubmittedAtMs: 1}
 	state.Put(record.JobKey(dependentJobID), wire.MustEncode(job), 1)
 }
 
-// waitsStill gives the resolver time, and reports whether the dependent job still waits.
-func waitsStill(state *clusterstate.State) bool {
+// stillWaiting sleeps for three retry intervals of the resolver, and reports whether the dependent job
+// still has unmet dependencies.
+func stillWaiting(state *clusterstate.State) bool {
 	time.Sleep(3 * tuning.OutcomeReadRetryPause)
 	state.RLock()
 	defer state.RUnlock()
 	return state.Jobs[dependentJobID].HasUnmetDependencies()
 }
 
-// TestMissingRecordsProveNothing: a final record that is not there, can't be read or is damaged proves
-// nothing; a job waits until it is read, it is asked for again at a bounded pace, and not at all once it is
-// known.
-func TestMissingRecordsProveNothing(t *testing.T) {
+// TestJobWaitsForReadableFinalRecord checks that a job keeps waiting while the final record of its
+// dependency is absent, can't be read or is damaged. The record must be read again at a bounded rate, and
+// not at all once it is known.
+func TestJobWaitsForReadableFinalRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		logger := slog.New(slog.DiscardHandler)
 		state := clusterstate.New(3, logger)
-		finalKey := record.FinalKey(awaitedJobID)
+		finalKey := record.FinalKey(dependencyJobID)
 		reader := &fakeReader{values: map[string]any{}}
 		go func() { _ = NewResolver(state, reader, logger).Run(ctx) }()
 		putDependentJob(state)
-		if !waitsStill(state) {
-			t.Error("released though nothing is known of the first")
+		if !stillWaiting(state) {
+			t.Error("released though the dependency has no final record")
 		}
-		reader.set(func() { reader.unavailable = true })
-		if !waitsStill(state) {
-			t.Error("released while records can't be read")
+		reader.withLock(func() { reader.unavailable = true })
+		if !stillWaiting(state) {
+			t.Error("released while final records can't be read")
 		}
-		reader.set(func() { reader.unavailable, reader.values[finalKey] = false, "damaged" })
-		if !waitsStill(state) {
-			t.Error("released by a damaged record")
+		reader.withLock(func() { reader.unavailable, reader.values[finalKey] = false, "damaged" })
+		if !stillWaiting(state) {
+			t.Error("released by a damaged final record")
 		}
-		reader.set(func() {
+		reader.withLock(func() {
 			if most := 3*3 + 4; reader.reads > most || reader.reads < 3 {
-				t.Errorf("read %d times", reader.reads)
+				t.Errorf("the final record was read %d times, want 3 to 13", reader.reads)
 			}
 			reader.values[finalKey] = record.Final{Status: wire.JobDone, TaskCount: 1, DoneCount: 1, EndedAtMs: 77}
 		})
-		if waitsStill(state) {
-			t.Error("still waits for a job that is done")
+		if stillWaiting(state) {
+			t.Error("still waiting for a dependency that is done")
 		}
 		if since := state.Jobs[dependentJobID].ReadySinceMs(); since != 77 {
-			t.Errorf("counts from %d", since)
+			t.Errorf("the job is ready since %d ms, want 77", since)
 		}
 		reads := 0
-		reader.set(func() { reads = reader.reads })
+		reader.withLock(func() { reads = reader.reads })
 		putDependentJob(state)
-		waitsStill(state)
-		reader.set(func() {
+		stillWaiting(state)
+		reader.withLock(func() {
 			if reader.reads != reads {
-				t.Error("read again though it is known")
+				t.Error("the final record was read again though it is known")
 			}
 		})
 	})
