--- a/internal/binpack/allocate.go
+++ b/internal/binpack/allocate.go
@@ -14,8 +14,9 @@
 //
 // Machines are preferred in this order: those reserved for the job, those where a task displaces no
 // larger common task, spot machines, those that hold the job's image, and those already in use, so
-// that empty machines stay empty. Machines with GPUs have an order of their own for tasks without
-// GPUs; see tierTakesGPUShare and the constants that follow it.
+// that empty machines stay empty. A task without GPUs prefers a machine where GPUs are in use, as
+// long as enough cores and memory for the free GPUs are left there; see tierTakesGPUShare and the
+// constants that follow it.
 func (inv *Inventory) Allocate(
 	request *Request, candidates []*MachineInfo, constraint *ZoneConstraint, filter func(*MachineInfo) bool,
 ) []*MachineInfo {
--- a/internal/binpack/allocate_test.go
+++ b/internal/binpack/allocate_test.go
@@ -63,8 +63,8 @@
 			commonAfter += TasksThatFit(commonNeed, info.Free)
 		}
 		if len(picks) <= fitBeside && commonAfter < commonBefore {
-			t.Errorf("%d small tasks displaced %d common tasks, though %d fit beside the common ones",
-				len(picks), commonBefore-commonAfter, fitBeside)
+			t.Errorf("%d small tasks, of which %d fit beside common tasks, displaced %d common tasks",
+				len(picks), fitBeside, commonBefore-commonAfter)
 		}
 		// A task that has to displace a common one is placed where its image is fetched fastest.
 		if fitBeside == 0 && len(picks) > 0 {
--- a/internal/binpack/feasible.go
+++ b/internal/binpack/feasible.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// FeasibleMachines returns the machines of a shard that FilterFeasible selected. The inventory owns
-// the list; callers must not change it.
+// FeasibleMachines returns the machines of a shard that FilterFeasible selected, without those that
+// FindShard has since found to be filled. The inventory owns the list; callers must not change it.
 func (inv *Inventory) FeasibleMachines(shard int) []*MachineInfo { return inv.feasibleByShard[shard] }
 
 // retainFeasible removes, in place, the machines that have become too full for any waiting task in
