--- a/internal/fairshare/doc.go
+++ b/internal/fairshare/doc.go
@@ -1,12 +1,12 @@
-// Package fairshare finds the job classes and teams that have been served least of what arrived of
-// them lately, while capacity is short.
+// Package fairshare finds the job classes and teams that are underserved while capacity is short:
+// of their tasks that arrived recently, a smaller share has been started than of other groups' tasks.
 //
-// The package owns a bounded history of arrivals and a pure calculation on it: arrivals, waiting
-// tasks and the time go in, underserved groups come out. It reads no clock and no record. The
-// history stands beside the records because those of finished jobs leave the cluster state; a
-// controller that has just started knows the live jobs only, and agrees with the others once a
-// window has passed.
+// The package owns a bounded history of arrivals and calculates the underserved groups from that
+// history, the waiting tasks and the current time. It reads no clock and no record. The history is
+// kept in memory, apart from the records, because the records of finished jobs leave the cluster
+// state. A controller that has just started therefore knows only the live jobs; its result agrees
+// with that of the other controllers after one tuning.FairShareWindow.
 //
-// The result decides an order and nothing else (the host's own floors of safety invariant 19):
-// beneath priorities and guarantees, and for a bounded share of starts.
+// The result only affects the order in which jobs start (safety invariant 19). It ranks below
+// priorities and guarantees, and applies to a bounded share of the starts.
 package fairshare
--- a/internal/fairshare/group.go
+++ b/internal/fairshare/group.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// GroupKind tells what the jobs of a Group have in common.
+// GroupKind is the property that the jobs of a Group share.
 type GroupKind int
 
 // The kinds of groups.
@@ -23,7 +23,7 @@
 	}
 }
 
-// Group is a job class or a team: the jobs among which a share of service is counted.
+// Group identifies the jobs of a class or of a team. The share of served tasks is counted by group.
 type Group struct {
 	Kind GroupKind
 	Name string
--- a/internal/fairshare/tracker.go
+++ b/internal/fairshare/tracker.go
@@ -7,7 +7,7 @@
 	"sableusher/internal/tuning"
 )
 
-// Arrival is a job that was accepted.
+// Arrival is an accepted job with its number of tasks and the time of its arrival.
 type Arrival struct {
 	JobID string
 	Class string
@@ -16,15 +16,16 @@
 	At    time.Time
 }
 
-// Tracker keeps the arrivals of the last tuning.FairShareWindow, at most tuning.FairShareMaxJobs. The zero
-// value is ready for use; it is not safe for concurrent use.
+// Tracker keeps the arrivals of the last tuning.FairShareWindow, at most tuning.FairShareMaxJobs of
+// them. The zero value is an empty tracker that is ready for use. A Tracker is not safe for concurrent
+// use.
 type Tracker struct {
 	arrivals    []Arrival // in the order in which they were first recorded
 	trackedJobs map[string]bool
 }
 
-// RecordArrival adds a job. A job that is tracked already, that has no tasks or that arrived before
-// the window is ignored. A full tracker forgets its oldest arrival.
+// RecordArrival adds a job. It ignores a job that is already tracked, has no tasks, or arrived before
+// the window that ends now. If the tracker is full, the arrival that was recorded first is removed.
 func (t *Tracker) RecordArrival(now time.Time, arrival Arrival) {
 	if t.trackedJobs[arrival.JobID] || isExpired(now, &arrival) || arrival.Tasks <= 0 {
 		return
@@ -43,9 +44,10 @@
 // Len returns the number of tracked jobs.
 func (t *Tracker) Len() int { return len(t.arrivals) }
 
-// Underserved returns the groups that were served less than tuning.FairShareMinServed of what arrived of
-// them within the window, and less than tuning.FairShareMinRelativeServed of what all groups together were: where
-// all were served alike it returns none. waitingTasks counts the tasks that wait by job ID.
+// Underserved returns the underserved groups. A group is underserved if its served share, the share of
+// its arrived tasks that no longer wait, is less than tuning.FairShareMinServed and also less than
+// tuning.FairShareMinRelativeServed times the served share of all groups together. If all groups have
+// the same served share, none is underserved. waitingTasks is the number of waiting tasks by job ID.
 func (t *Tracker) Underserved(now time.Time, waitingTasks map[string]int) map[Group]bool {
 	t.deleteExpired(now)
 	total, byGroup := t.countTasks(waitingTasks)
@@ -59,6 +61,7 @@
 	return underserved
 }
 
+// deleteExpired removes the arrivals before the window that ends now.
 func (t *Tracker) deleteExpired(now time.Time) {
 	t.arrivals = slices.DeleteFunc(t.arrivals, func(arrival Arrival) bool {
 		expired := isExpired(now, &arrival)
@@ -69,7 +72,7 @@
 	})
 }
 
-// countTasks counts the tasks of all tracked jobs, and by group.
+// countTasks counts the tasks of all tracked jobs, in total and by group.
 func (t *Tracker) countTasks(waitingTasks map[string]int) (total taskCount, byGroup map[Group]taskCount) {
 	byGroup = map[Group]taskCount{}
 	for i := range t.arrivals {
@@ -86,21 +89,22 @@
 	return total, byGroup
 }
 
+// isExpired reports whether a job arrived before the window that ends now.
 func isExpired(now time.Time, arrival *Arrival) bool {
 	return now.Sub(arrival.At) > tuning.FairShareWindow
 }
 
-// taskCount counts the tasks of some arrivals.
+// taskCount is the number of arrived and of waiting tasks of a set of jobs.
 type taskCount struct {
 	arrived int
-	waiting int // those of the arrived that have not been started
+	waiting int // the part of arrived that has not been started
 }
 
 func (c taskCount) plus(other taskCount) taskCount {
 	return taskCount{arrived: c.arrived + other.arrived, waiting: c.waiting + other.waiting}
 }
 
-// servedShare is the share of the arrived tasks that do not wait any more, from 0 to 1.
+// servedShare returns the share of the arrived tasks that no longer wait, from 0 to 1.
 func (c taskCount) servedShare() float64 {
 	return 1 - float64(c.waiting)/float64(max(c.arrived, 1))
 }
--- a/internal/fairshare/tracker_test.go
+++ b/internal/fairshare/tracker_test.go
@@ -22,15 +22,16 @@
 	}
 }
 
-// recount is the model of a tracker: it keeps all arrivals and counts anew each time.
-type recount struct {
+// referenceCount is the expected content of a tracker, counted from the list of all arrivals.
+type referenceCount struct {
 	kept    int
 	total   taskCount
 	byGroup map[Group]taskCount
 }
 
-func newRecount(now time.Time, arrivals []Arrival, waitingTasks map[string]int) recount {
-	model := recount{byGroup: map[Group]taskCount{}}
+// newReferenceCount counts the arrivals within the window that ends now.
+func newReferenceCount(now time.Time, arrivals []Arrival, waitingTasks map[string]int) referenceCount {
+	model := referenceCount{byGroup: map[Group]taskCount{}}
 	for _, arrival := range arrivals {
 		if now.Sub(arrival.At) > tuning.FairShareWindow {
 			continue
@@ -48,8 +49,8 @@
 	return model
 }
 
-// check compares the groups that a tracker found with those that counting anew finds.
-func (r recount) check(t *rapid.T, got map[Group]bool) {
+// check compares the groups that a tracker found with the underserved groups of the reference count.
+func (r referenceCount) check(t *rapid.T, got map[Group]bool) {
 	share := func(c taskCount) float64 { return 1 - float64(c.waiting)/float64(c.arrived) }
 	for group, count := range r.byGroup {
 		want := share(count) < tuning.FairShareMinServed &&
@@ -59,14 +60,14 @@
 		}
 	}
 	if len(got) >= len(r.byGroup) {
-		t.Fatal("all are underserved")
+		t.Fatal("all groups are underserved")
 	}
 }
 
-// TestUnderservedMatchesRecount: over any history the underserved groups are those that counting
-// anew finds, there are none where all were served alike or well, and what is kept is bounded by
-// the window.
-func TestUnderservedMatchesRecount(t *testing.T) {
+// TestUnderservedMatchesReferenceCount checks that, for any history, Underserved returns the same groups
+// as a count over all arrivals, that never all groups are underserved, and that the tracker keeps
+// exactly the jobs that arrived within the window.
+func TestUnderservedMatchesReferenceCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var tracker Tracker
 		var arrivals []Arrival
@@ -80,16 +81,16 @@
 			}
 			waitingTasks[arrival.JobID] = rapid.IntRange(0, arrival.Tasks).Draw(t, "waiting")
 			got := tracker.Underserved(now, waitingTasks)
-			model := newRecount(now, arrivals, waitingTasks)
+			model := newReferenceCount(now, arrivals, waitingTasks)
 			if tracker.Len() != model.kept {
-				t.Fatalf("%d jobs kept, %d came within the window", tracker.Len(), model.kept)
+				t.Fatalf("%d jobs tracked, but %d arrived within the window", tracker.Len(), model.kept)
 			}
 			model.check(t, got)
 		}
 	})
 }
 
-// TestTrackerIsBounded: whatever comes, no more jobs are kept than the bound.
+// TestTrackerIsBounded checks that a tracker keeps at most tuning.FairShareMaxJobs jobs.
 func TestTrackerIsBounded(t *testing.T) {
 	var tracker Tracker
 	for i := range tuning.FairShareMaxJobs + 100 {
@@ -97,6 +98,6 @@
 		tracker.RecordArrival(testStart, arrival)
 	}
 	if tracker.Len() != tuning.FairShareMaxJobs {
-		t.Fatalf("%d jobs kept", tracker.Len())
+		t.Fatalf("%d jobs tracked, want tuning.FairShareMaxJobs", tracker.Len())
 	}
 }
--- a/internal/jobqueue/key.go
+++ b/internal/jobqueue/key.go
@@ -2,35 +2,37 @@
 
 import "cmp"
 
-// Key is the position of a waiting job in the queue. Its fields are compared in their order.
+// Key determines the position of a waiting job in the queue. Keys are compared field by field, in the
+// order in which the fields are declared.
 type Key struct {
 	// PriorityRank is the rank of the job's priority; 0 is the highest.
 	PriorityRank int
-	// WithinGuarantee is set while the job lies within its team's guarantee.
+	// WithinGuarantee is set while the job is within its team's guarantee. Such jobs come first.
 	WithinGuarantee bool
-	// Underserved is set in the cycles that are reserved for underserved classes and teams, if the
-	// job's class or team is one of them.
+	// Underserved is set if the job's class or team is underserved, but only in the cycles that are
+	// reserved for underserved classes and teams. Such jobs come first.
 	Underserved bool
-	// MissesObjectives is set once the job can meet none of its objectives with the capacity there
-	// is.
+	// MissesObjectives is set if the job can meet none of its objectives with the present capacity.
+	// Such jobs come last.
 	MissesObjectives bool
-	// SizeClass is the class of the job's remaining work while capacity is too short for all jobs
-	// to meet their objectives, smaller first; 0 otherwise.
+	// SizeClass is a class of the size of the job's remaining work; smaller classes come first. It
+	// is 0 as long as there is enough capacity for all jobs to meet their objectives.
 	SizeClass int
-	// NearDeadline is set while the job can still meet its deadline, but not for long.
+	// NearDeadline is set while the job can still meet its deadline but will soon no longer be able
+	// to. Such jobs come first.
 	NearDeadline bool
 	// DeadlineNs is the job's deadline in nanoseconds since the Unix epoch.
 	DeadlineNs int64
-	// EligibleSinceMs is when the job could first have started, in milliseconds since the Unix
-	// epoch.
+	// EligibleSinceMs is the time since which the job could have started, in milliseconds since the
+	// Unix epoch.
 	EligibleSinceMs int64
 	// JobID identifies the job and makes every key unique.
 	JobID string
 }
 
-// ComparePrecedence compares the part of the keys that a learned value must not override: all
-// fields up to NearDeadline. It returns a negative number if k comes before other, 0 if they have
-// the same precedence, and a positive number otherwise.
+// ComparePrecedence compares the fields up to and including NearDeadline, which a learned value must
+// not override. It returns a negative number if k comes before other, 0 if they have the same
+// precedence, and a positive number otherwise.
 func (k Key) ComparePrecedence(other Key) int {
 	return cmp.Or(
 		cmp.Compare(k.PriorityRank, other.PriorityRank),
@@ -42,7 +44,8 @@
 	)
 }
 
-// Compare compares whole keys, as for slices.SortFunc. The keys of two jobs are never equal.
+// Compare compares all fields and returns a negative number, 0 or a positive number, as
+// slices.SortFunc expects. The keys of two different jobs are never equal.
 func (k Key) Compare(other Key) int {
 	return cmp.Or(
 		k.ComparePrecedence(other),
@@ -52,7 +55,7 @@
 	)
 }
 
-// compareTrueFirst orders true before false.
+// compareTrueFirst compares two booleans so that true comes before false.
 func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/jobqueue/objectives.go
+++ b/internal/jobqueue/objectives.go
@@ -6,31 +6,34 @@
 	"time"
 )
 
-// NoObjective stands in the result of AttainableObjectives for a job that can meet none.
+// NoObjective is the result of AttainableObjectives for a job that can meet none of its objectives.
 const NoObjective = -1
 
-// WaitingJob is what AttainableObjectives knows of a waiting job.
+// WaitingJob is a waiting job as input of AttainableObjectives.
 type WaitingJob struct {
 	JobID string
-	// ServiceTime is how long the whole capacity would be busy with the tasks that the job still
-	// has to start.
+	// ServiceTime is the time for which the tasks that the job has yet to start would occupy the
+	// whole capacity.
 	ServiceTime time.Duration
-	// TaskRunTime is how long one of its tasks runs: no capacity makes the job shorter.
+	// TaskRunTime is the run time of one task. The job takes at least that long, whatever capacity
+	// there is.
 	TaskRunTime time.Duration
-	// Objectives are the times from now by which the job should be over, earliest first.
+	// Objectives are the times, relative to now, by which the job should have ended, earliest first.
 	Objectives []time.Duration
 }
 
-// AttainableObjectives returns for each job, by ID, the index of the objective that it can meet
-// with the capacity there is, or NoObjective. The capacity is busy with running tasks for the time
-// backlog. The order of jobs does not matter; the cost is n log n times the number of objectives.
+// AttainableObjectives returns, by job ID, the index of the objective that each job can meet with the
+// present capacity, or NoObjective. Running tasks occupy the capacity for the duration backlog. The
+// result does not depend on the order of jobs. The running time is O(m n log n) for n jobs with m
+// objectives each.
 //
-// When a burst meets a loss of machines, more work waits than can be served in time. Served by
-// earliest deadline alone, each job would take the capacity that the next one needed and all would
-// be late. So the number of late jobs is minimized: jobs are admitted by deadline, and whenever one
-// would be late, the admitted job with the longest service time is put off to its next objective,
-// or given up if it has none (Moore, "An n job, one machine sequencing algorithm for minimizing the
-// number of late jobs", Management Science 15, 1968, in Hodgson's form).
+// If a burst of jobs coincides with a loss of machines, more work waits than can be completed in
+// time. Scheduling by earliest deadline alone would then make all jobs late, because each job uses
+// capacity that the next one needs. Instead the number of late jobs is minimized with the
+// Moore-Hodgson algorithm: jobs are admitted by deadline, and whenever one would be late, the
+// admitted job with the longest service time is removed and considered for its next objective, or
+// gets NoObjective if it has no further one. See Moore, "An n job, one machine sequencing algorithm
+// for minimizing the number of late jobs", Management Science 15, 1968.
 func AttainableObjectives(backlog time.Duration, jobs []WaitingJob) map[string]int {
 	s := newSequencer(len(jobs))
 	for i := range jobs {
@@ -52,11 +55,11 @@
 	return s.attained
 }
 
-// sequencer is the state of one run of the algorithm.
+// sequencer is the state of one call of AttainableObjectives.
 type sequencer struct {
-	byDeadline *candidateHeap // not admitted yet, earliest deadline first
-	admitted   *candidateHeap // longest service time first
-	attained   map[string]int // index of the objective by job
+	byDeadline *candidateHeap // jobs not admitted yet, earliest deadline first
+	admitted   *candidateHeap // admitted jobs, longest service time first
+	attained   map[string]int // index of the attainable objective by job ID, or NoObjective
 }
 
 func newSequencer(jobs int) *sequencer {
@@ -67,8 +70,8 @@
 	}
 }
 
-// enqueue puts a job up for the first objective, from its present one on, that it could meet if it
-// had the whole capacity to itself.
+// enqueue adds a job to byDeadline with the first objective, starting at its current one, that it
+// could meet if it had the whole capacity to itself. If there is none, the job gets NoObjective.
 func (s *sequencer) enqueue(c *candidate) {
 	for ; c.objective < len(c.Objectives); c.objective++ {
 		if c.deadline() >= max(c.TaskRunTime, c.ServiceTime) {
@@ -79,15 +82,17 @@
 	s.attained[c.JobID] = NoObjective
 }
 
-// candidate is a job together with the objective that it is up for.
+// candidate is a job together with the objective that is being considered for it.
 type candidate struct {
 	*WaitingJob
 	objective int // index into Objectives
 }
 
+// deadline returns the time, relative to now, of the considered objective.
 func (c *candidate) deadline() time.Duration { return c.Objectives[c.objective] }
 
-// compareDeadlines orders by deadline, then by service time, shorter first.
+// compareDeadlines orders candidates by deadline, earliest first, and equal ones by service time,
+// shortest first.
 func compareDeadlines(a, b *candidate) int {
 	return cmp.Or(
 		cmp.Compare(a.deadline(), b.deadline()),
@@ -96,12 +101,12 @@
 	)
 }
 
-// compareServiceTimes orders by service time, longer first.
+// compareServiceTimes orders candidates by service time, longest first.
 func compareServiceTimes(a, b *candidate) int {
 	return cmp.Or(cmp.Compare(b.ServiceTime, a.ServiceTime), cmp.Compare(a.JobID, b.JobID))
 }
 
-// candidateHeap is a heap of candidates, the first by compare on top.
+// candidateHeap is a heap of candidates. The first candidate in the order of compare is on top.
 type candidateHeap struct {
 	candidates []*candidate
 	compare    func(a, b *candidate) int
--- a/internal/jobqueue/objectives_test.go
+++ b/internal/jobqueue/objectives_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// allInTime reports whether all the jobs meet their first objective when served by deadline.
+// allInTime reports whether all jobs meet their first objective if they are served by earliest deadline.
 func allInTime(backlog time.Duration, jobs []WaitingJob) bool {
 	jobs = slices.Clone(jobs)
 	slices.SortFunc(jobs, func(a, b WaitingJob) int { return int(a.Objectives[0] - b.Objectives[0]) })
@@ -24,7 +24,8 @@
 	return true
 }
 
-// mostInTime tries all sets of jobs and returns the size of the largest that can be in time.
+// mostInTime returns the largest number of jobs that can meet their first objective together. It tries
+// all subsets of jobs.
 func mostInTime(backlog time.Duration, jobs []WaitingJob) int {
 	most := 0
 	for set := range 1 << len(jobs) {
@@ -36,7 +37,7 @@
 	return most
 }
 
-// filterJobs returns the jobs at the indexes for which include is true.
+// filterJobs returns the jobs at the indexes for which include returns true.
 func filterJobs(jobs []WaitingJob, include func(i int) bool) []WaitingJob {
 	var chosen []WaitingJob
 	for i, job := range jobs {
@@ -59,9 +60,10 @@
 	return jobs
 }
 
-// TestAttainableObjectivesMatchExhaustiveSearch: with one objective each, no set of jobs that could
-// all be in time holds more of them; the set that is found is in time, served by deadline; and
-// further objectives give up no job that was in time.
+// TestAttainableObjectivesMatchExhaustiveSearch checks jobs with one objective each: AttainableObjectives
+// must find as many jobs that can be in time as a search of all subsets, and these jobs must be in time
+// if they are served by earliest deadline. If each job is given a second, later objective, at least as
+// many jobs must get an objective as before, and none that is shorter than the job's service time.
 func TestAttainableObjectivesMatchExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		backlog := time.Duration(rapid.IntRange(0, 6).Draw(t, "backlog"))
@@ -75,7 +77,7 @@
 		}
 		chosen := filterJobs(jobs, func(i int) bool { return got[jobs[i].JobID] == 0 })
 		if len(got) != len(jobs) || inTime != most || !allInTime(backlog, chosen) {
-			t.Fatalf("%d of %v in time on %v, %d could be", inTime, jobs, got, most)
+			t.Fatalf("%d jobs of %v in time with objectives %v, want %d", inTime, jobs, got, most)
 		}
 
 		for i := range jobs {
@@ -90,11 +92,11 @@
 			}
 			kept++
 			if job.Objectives[objective] < job.ServiceTime {
-				t.Fatalf("%v is to meet an objective that it can't", job)
+				t.Fatalf("%v got an objective that is shorter than its service time", job)
 			}
 		}
 		if kept < inTime {
-			t.Fatalf("%d with more time, %d with less", kept, inTime)
+			t.Fatalf("%d jobs got an objective when each had a second one, %d when each had one", kept, inTime)
 		}
 	})
 }
--- a/internal/jobqueue/queue.go
+++ b/internal/jobqueue/queue.go
@@ -2,8 +2,8 @@
 
 import "github.com/tidwall/btree"
 
-// Queue holds the waiting jobs in the order of their keys, each with a value of the caller's. Use
-// New to create one; it is not safe for concurrent use.
+// Queue holds the waiting jobs in the order of their keys, each with a value that the caller supplies.
+// Use New to create a Queue. A Queue is not safe for concurrent use.
 type Queue[T any] struct {
 	tree     *btree.BTreeG[entry[T]]
 	keyByJob map[string]Key
@@ -24,7 +24,8 @@
 	}
 }
 
-// Put adds the job named by the key, or moves it to the position of its new key.
+// Put adds the job identified by key.JobID with the given value. If the job is already in the queue,
+// Put replaces its key and value.
 func (q *Queue[T]) Put(key Key, value T) {
 	if old, ok := q.keyByJob[key.JobID]; ok && old != key {
 		q.tree.Delete(entry[T]{key: old})
@@ -33,7 +34,7 @@
 	q.tree.Set(entry[T]{key, value})
 }
 
-// Delete removes a job; a job that is not in the queue is ignored.
+// Delete removes a job. It does nothing if the job is not in the queue.
 func (q *Queue[T]) Delete(jobID string) {
 	if old, ok := q.keyByJob[jobID]; ok {
 		q.tree.Delete(entry[T]{key: old})
@@ -44,8 +45,7 @@
 // Len returns the number of jobs in the queue.
 func (q *Queue[T]) Len() int { return len(q.keyByJob) }
 
-// Each calls yield for each job in order until yield returns false. The queue must not be changed
-// meanwhile.
+// Each calls yield for each job in order until yield returns false. yield must not modify the queue.
 func (q *Queue[T]) Each(yield func(Key, T) bool) {
 	q.tree.Scan(func(e entry[T]) bool { return yield(e.key, e.value) })
 }
--- a/internal/jobqueue/queue_test.go
+++ b/internal/jobqueue/queue_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawKey draws a key whose deadline and arrival come from the given generator's small or large
-// range, so that ties are as common as the caller wants them.
+// drawKey draws a key. The caller supplies the generators of the deadline and of the eligible time,
+// and thereby determines how common ties are: the smaller the range, the more ties.
 func drawKey(t *rapid.T, jobID string, deadline, eligibleSince *rapid.Generator[int64]) Key {
 	return Key{
 		PriorityRank:     rapid.IntRange(0, 3).Draw(t, "priority rank"),
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestQueueMatchesSorting: after any history of arrivals, changes and departures the queue holds
-// what sorting its jobs anew gives.
+// TestQueueMatchesSorting checks that, after any sequence of Put and Delete calls, the queue yields the
+// keys of its jobs in sorted order.
 func TestQueueMatchesSorting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		queue, model := New[int](), map[string]Key{}
