--- a/internal/preemption/plan.go
+++ b/internal/preemption/plan.go
@@ -12,20 +12,21 @@
 // Victim is a running task that may be stopped.
 type Victim struct {
 	Binding            clusterstate.Binding
-	Rank               int     // of its job's priority
-	LostMachineSeconds float64 // work lost when it is stopped
+	Rank               int     // rank of its job's priority; 0 is the highest
+	LostMachineSeconds float64 // work lost if it is stopped, in machine seconds
 }
 
-// Plan is the preemption of tasks on one machine.
+// Plan describes which tasks to stop on one machine.
 type Plan struct {
 	Machine            *binpack.MachineInfo
 	Victims            []Victim
-	LostMachineSeconds float64 // of all victims
+	LostMachineSeconds float64 // sum over all victims
 }
 
-// CheapestPlan returns the plan that frees the capacity for a need at the least loss of work on one of some machines;
-// of equal ones the first. victimsOn returns the tasks that may be stopped on a machine; the plan takes them in the
-// order of sortVictims, which it sorts them into in place. ok is false if no machine can free it.
+// CheapestPlan returns the plan that frees enough capacity for need on one of the machines with the least loss of work.
+// Among equally cheap plans it returns the one for the earliest machine in machines. victimsOn returns the tasks that
+// may be stopped on a machine; CheapestPlan sorts the returned slice in place into the order in which they are stopped,
+// see sortVictims. ok is false if no machine can free enough capacity.
 func CheapestPlan(
 	need record.Resources, machines []*binpack.MachineInfo, victimsOn func(*binpack.MachineInfo) []Victim,
 ) (cheapest Plan, ok bool) {
@@ -40,8 +41,8 @@
 	return cheapest, ok
 }
 
-// sortVictims puts tasks in the order in which they are stopped: the lowest priority first, of one priority what loses
-// the least work.
+// sortVictims sorts tasks into the order in which they are stopped: those of the lowest priority first, and among tasks
+// of equal priority those that lose the least work.
 func sortVictims(victims []Victim) {
 	slices.SortFunc(victims, func(a, b Victim) int {
 		return cmp.Or(
@@ -52,8 +53,8 @@
 	})
 }
 
-// shortestPlan stops the first of some tasks, in their order, until a need fits into what is free then; ok is false if
-// it doesn't when all of them are stopped.
+// shortestPlan returns the plan that stops the fewest of the victims, in the given order, such that need fits into the
+// capacity that is then free. ok is false if need does not fit even when all victims are stopped.
 func shortestPlan(need record.Resources, machine *binpack.MachineInfo, victims []Victim) (plan Plan, ok bool) {
 	plan.Machine = machine
 	free := machine.Free
--- a/internal/preemption/plan_test.go
+++ b/internal/preemption/plan_test.go
@@ -13,13 +13,13 @@
 	"sableusher/internal/wire"
 )
 
-// drawMachine draws a machine with some free GPUs.
+// drawMachine draws a machine with 0 to 2 free GPUs.
 func drawMachine(t *rapid.T, name string) *binpack.MachineInfo {
 	free := record.Resources{GPUs: float64(rapid.IntRange(0, 2).Draw(t, "free"))}
 	return &binpack.MachineInfo{Machine: &clusterstate.Machine{Name: name}, Free: free}
 }
 
-// drawVictims draws tasks on a machine.
+// drawVictims draws 0 to 4 tasks on a machine.
 func drawVictims(t *rapid.T, machine string) []Victim {
 	var victims []Victim
 	for index := range rapid.IntRange(0, 4).Draw(t, "tasks") {
@@ -34,27 +34,28 @@
 	return victims
 }
 
-// checkPlan checks that a plan makes room for a need and stops no task that could be spared, and returns its cost.
+// checkPlan checks that a plan frees enough capacity for need and stops no more tasks than necessary. It returns the
+// work lost by the victims.
 func checkPlan(t *rapid.T, need record.Resources, plan Plan) float64 {
 	cost, free := 0.0, plan.Machine.Free
 	for i, victim := range plan.Victims {
 		if need.FitsIn(free) {
-			t.Errorf("task %d is stopped for nothing", i)
+			t.Errorf("task %d is stopped though need fits without that", i)
 		}
 		free = free.Plus(record.TaskResources(&victim.Binding.Job.Spec))
 		cost += victim.LostMachineSeconds
 	}
 	if !need.FitsIn(free) {
-		t.Errorf("%v freed for %v", free, need)
+		t.Errorf("%v is free after preemption, too little for %v", free, need)
 	}
 	if cost != plan.LostMachineSeconds {
-		t.Errorf("the plan says that it loses %v, its victims lose %v", plan.LostMachineSeconds, cost)
+		t.Errorf("the plan states a loss of %v, but its victims lose %v", plan.LostMachineSeconds, cost)
 	}
 	return cost
 }
 
-// TestCheapestPlanIsMinimal: no machine makes room at a lower cost than the one chosen, the tasks stopped make room,
-// and none of them could be spared.
+// TestCheapestPlanIsMinimal checks that stopping the chosen victims frees enough capacity, that all of them are needed
+// for that, and that no other machine frees enough capacity with a smaller loss of work.
 func TestCheapestPlanIsMinimal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		need := record.Resources{GPUs: float64(rapid.IntRange(1, 4).Draw(t, "need"))}
@@ -73,7 +74,7 @@
 		}
 		for _, machine := range machines {
 			sum, free := 0.0, machine.Free
-			for _, victim := range victims[machine] { // in order by now
+			for _, victim := range victims[machine] { // sorted by CheapestPlan
 				if need.FitsIn(free) {
 					break
 				}
@@ -81,7 +82,7 @@
 				free = free.Plus(record.TaskResources(&victim.Binding.Job.Spec))
 			}
 			if need.FitsIn(free) && sum < cost {
-				t.Errorf("%s makes room for %v, chosen for %v", machine.Machine.Name, sum, cost)
+				t.Errorf("%s frees enough capacity and loses %v, the plan loses %v", machine.Machine.Name, sum, cost)
 			}
 		}
 	})
--- a/internal/preemption/preemptor_test.go
+++ b/internal/preemption/preemptor_test.go
@@ -7,20 +7,20 @@
 	"sableusher/internal/wire"
 )
 
-// side is a job as it stands against others when it waits and when it runs.
-type side struct {
+// testJob is a job in both roles: waiting as a preemptor, and running as a potential victim.
+type testJob struct {
 	waiting Preemptor
 	running RunningJob
 }
 
-// allSides are jobs of two teams with all ranks and guarantees.
-func allSides() []side {
-	var sides []side
+// allTestJobs returns jobs of two teams with all combinations of rank, guarantee and EndsSoon.
+func allTestJobs() []testJob {
+	var jobs []testJob
 	for rank := range wire.PriorityCount {
 		for bits := range 32 {
 			team, teamHasGuarantee := fmt.Sprint("t", bits&1), bits&2 != 0
 			withinGuarantee := bits&4 != 0 && teamHasGuarantee
-			sides = append(sides, side{
+			jobs = append(jobs, testJob{
 				waiting: Preemptor{
 					Rank: rank, Team: team, WithinGuarantee: withinGuarantee, GuaranteedOnArrival: bits&8 != 0,
 				},
@@ -31,15 +31,15 @@
 			})
 		}
 	}
-	return sides
+	return jobs
 }
 
-// TestNoMutualPreemption: over all ranks and guarantees, of two jobs at most one may preempt the other, else they would
-// take turns for ever; and of one team none of one rank.
+// TestNoMutualPreemption checks, for all ranks and guarantees, that no two jobs may preempt each other, as each would
+// then stop the other in turn without end. It also checks each allowed preemption with checkPreemption.
 func TestNoMutualPreemption(t *testing.T) {
 	preempting := 0
-	for _, a := range allSides() {
-		for _, b := range allSides() {
+	for _, a := range allTestJobs() {
+		for _, b := range allTestJobs() {
 			if !a.waiting.MayPreempt(b.running) {
 				continue
 			}
@@ -51,11 +51,13 @@
 		}
 	}
 	if preempting == 0 {
-		t.Error("nothing is ever preempted")
+		t.Error("MayPreempt allows no preemption at all")
 	}
 }
 
-// checkPreemption checks that a job that preempts another may do so.
+// checkPreemption checks the rules for an allowed preemption: the victim does not have a higher priority; and if both
+// have the same priority, the victim belongs to another team, and ends soon only if the preemptor was guaranteed on
+// arrival.
 func checkPreemption(t *testing.T, waiting Preemptor, running RunningJob) {
 	t.Helper()
 	sameRank := waiting.Rank == running.Rank
--- a/internal/preemption/search.go
+++ b/internal/preemption/search.go
@@ -5,13 +5,13 @@
 // Search is a search for machines on which preemption frees enough capacity for a task.
 type Search struct {
 	Request *binpack.Request
-	Rank    int // of the waiting job's priority
+	Rank    int // rank of the waiting job's priority; 0 is the highest
 	Zones   *binpack.ZoneConstraint
-	Limit   int // on the number of machines found
+	Limit   int // maximum number of machines to return
 }
 
-// Candidates returns those of some machines, in their order, on which a task does not fit now and would fit once
-// all preemptible tasks of the search's rank or a lower priority have left.
+// Candidates returns the machines on which a task does not fit now but would fit if all preemptible tasks of the same
+// or a lower priority were stopped. It keeps the order of machines and returns at most Limit of them.
 func (s *Search) Candidates(machines []*binpack.MachineInfo) []*binpack.MachineInfo {
 	var candidates []*binpack.MachineInfo
 	for _, machine := range machines {
@@ -25,8 +25,8 @@
 	return candidates
 }
 
-// freesEnough reports whether preemption on a machine frees the capacity that is missing. What costs least to see is
-// checked first: most machines are ruled out by it.
+// freesEnough reports whether preemption on a machine frees the capacity that the task lacks. The cheapest checks come
+// first because they rule out most machines.
 func (s *Search) freesEnough(machine *binpack.MachineInfo) bool {
 	if machine.ReservedFor != "" || s.Request.Need.FitsIn(machine.Free) {
 		return false
--- a/internal/preemption/search_test.go
+++ b/internal/preemption/search_test.go
@@ -9,9 +9,10 @@
 	"sableusher/internal/wire"
 )
 
-// TestSearchFindsMachinesWherePreemptionMakesRoom: a candidate has no room now and would have room without the tasks of
-// the rank and below; it is not reserved, in an allowed zone, and one of as many as are asked for.
-func TestSearchFindsMachinesWherePreemptionMakesRoom(t *testing.T) {
+// TestSearchFindsMachinesWherePreemptionFreesCapacity checks that a machine is a candidate only if it is in an allowed
+// zone and not reserved, and if the task does not fit on it now but would fit without the preemptible tasks of the same
+// or a lower priority. It also checks that the search returns at most Limit machines.
+func TestSearchFindsMachinesWherePreemptionFreesCapacity(t *testing.T) {
 	gpus := func(n float64) record.Resources { return record.Resources{GPUs: n} }
 	preemptible := func(rank int, amount float64) (byRank [wire.PriorityCount]record.Resources) {
 		byRank[rank] = gpus(amount)
@@ -21,13 +22,13 @@
 	tests := []struct {
 		name      string
 		machine   binpack.MachineInfo
-		rank      int     // of the preemptible tasks
-		amount    float64 // that they take
+		rank      int     // rank of the preemptible tasks
+		amount    float64 // GPUs that they use
 		candidate bool
 	}{
-		{"enough below", binpack.MachineInfo{Free: gpus(1)}, searchRank + 1, 1, true},
-		{"enough of its own rank", binpack.MachineInfo{Free: gpus(0)}, searchRank, 2, true},
-		{"room already", binpack.MachineInfo{Free: gpus(2)}, searchRank, 2, false},
+		{"enough of lower priority", binpack.MachineInfo{Free: gpus(1)}, searchRank + 1, 1, true},
+		{"enough of the same priority", binpack.MachineInfo{Free: gpus(0)}, searchRank, 2, true},
+		{"fits without preemption", binpack.MachineInfo{Free: gpus(2)}, searchRank, 2, false},
 		{"too little", binpack.MachineInfo{Free: gpus(0)}, searchRank, 1, false},
 		{"only of higher priority", binpack.MachineInfo{Free: gpus(0)}, searchRank - 1, 2, false},
 		{"reserved", binpack.MachineInfo{Free: gpus(0), ReservedFor: "other"}, searchRank, 2, false},
