--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -14,43 +14,46 @@
 	"sableusher/internal/wire"
 )
 
-// maxCompletions bounds the finished changes that wait to be taken in.
+// maxCompletions is the capacity of the queue of settled changes that PlanChanges has not applied yet.
 const maxCompletions = 1024
 
-// GrantManager decides on the grants of this node's shards. Its methods are called by one goroutine, which
-// holds the cluster state's lock; only a change's Done may be called by others at any time.
+// GrantManager plans the changes of the grants of this node's shards. It is not safe for concurrent use, and
+// callers of its methods must hold the lock of the cluster state. Only Change.Done may be called by other
+// goroutines at any time.
 type GrantManager struct {
 	teams map[string]config.Team
 	state *clusterstate.State
 
-	// requested is what shards asked for beyond their grants since changes were last planned.
+	// requested is the largest usage beyond its grant that a shard requested since the last PlanChanges.
 	requested map[grantKey]record.Resources
-	// pendingReductions are the grants being lowered: they count as lower already.
+	// pendingReductions holds the new value of each grant whose reduction is in flight. Allows already
+	// applies the new value.
 	pendingReductions map[grantKey]record.Resources
-	teamsInFlight     map[string]bool        // teams with a change of their record in flight
-	surplusSince      map[grantKey]time.Time // since when a grant is larger than needed
-	completions       chan grantKey          // of changes whose outcome is settled
+	teamsInFlight     map[string]bool        // teams that have a change of their grants in flight
+	surplusSince      map[grantKey]time.Time // time since which a grant has been larger than needed
+	completions       chan grantKey          // changes whose outcome is known
 }
 
-// grantKey names the grant of a team in a shard.
+// grantKey identifies the grant of a team in a shard.
 type grantKey struct {
 	shard int
 	team  string
 }
 
-// Change is a change of a team's grants to be committed.
+// Change is a planned change of one grant, which the caller commits.
 type Change struct {
 	Transaction kvstore.Transaction
-	Shard       int // whose grant it changes
-	// Done is to be called once the outcome is settled: never while the transaction may still be applied.
-	// It is safe for concurrent use.
+	Shard       int // shard whose grant is changed
+	// Done must be called once the transaction has been applied or can no longer be applied. It must not
+	// be called earlier. It is safe for concurrent use.
 	Done func()
 }
 
-// UsageFunc returns what a team's tasks take that are charged to a shard, bindings in flight included.
+// UsageFunc returns the resources of a team's tasks that are charged to a shard, including those of bindings
+// in flight.
 type UsageFunc func(shard int, team string) record.Resources
 
-// New makes a manager of the teams' grants.
+// New returns a manager of the grants of teams. It reads the current grants from state.
 func New(teams []config.Team, state *clusterstate.State) *GrantManager {
 	manager := &GrantManager{
 		teams:             make(map[string]config.Team, len(teams)),
@@ -67,8 +70,8 @@
 	return manager
 }
 
-// Allows reports whether a team may use so much of a shard. If its grant does not cover it, the next
-// PlanChanges tries to raise it.
+// Allows reports whether the grant of a team in a shard covers the given total usage. If it does not, the
+// next PlanChanges tries to raise the grant. Teams without a limit are always allowed.
 func (m *GrantManager) Allows(shard int, team string, usage record.Resources) bool {
 	if _, limited := m.Limit(team); !limited {
 		return true
@@ -82,25 +85,25 @@
 	if usage.FitsIn(grant) {
 		return true
 	}
-	m.requested[key] = most(m.requested[key], usage)
+	m.requested[key] = maxResources(m.requested[key], usage)
 	return false
 }
 
-// grantOf returns a shard's grant in a team's record.
+// grantOf returns the grant of a shard according to a team's record.
 func grantOf(quota clusterstate.Quota, shard int) record.Resources {
 	return quota.Grants[strconv.Itoa(shard)]
 }
 
-// PlanChanges returns the changes of grants that are due now. owned gives the modification revision of the
-// ownership record of each of this node's shards.
+// PlanChanges returns the changes of grants that are due now. owned holds, by shard, the modification
+// revision of the ownership record of each shard that this node owns.
 func (m *GrantManager) PlanChanges(now time.Time, owned map[int]uint64, usage UsageFunc) []Change {
-	m.takeCompletions()
+	m.applyCompletions()
 	changes := m.planRaises(owned)
 	return append(changes, m.planReductions(now, owned, usage)...)
 }
 
-// takeCompletions takes in the changes whose outcome is settled.
-func (m *GrantManager) takeCompletions() {
+// applyCompletions marks the changes whose outcome is known as no longer in flight.
+func (m *GrantManager) applyCompletions() {
 	for {
 		select {
 		case key := <-m.completions:
@@ -112,7 +115,7 @@
 	}
 }
 
-// planRaises returns the changes that raise grants to what was requested.
+// planRaises returns the changes that raise grants to the requested usage, and clears the requests.
 func (m *GrantManager) planRaises(owned map[int]uint64) []Change {
 	var changes []Change
 	for key, requested := range m.requested {
@@ -130,8 +133,8 @@
 	return changes
 }
 
-// raised returns a grant raised to what was requested and some headroom, within what the other shards'
-// grants leave of the limit.
+// raised returns a grant raised to the requested usage plus headroom, as far as the grants of the other
+// shards leave that much of the limit.
 func (m *GrantManager) raised(
 	key grantKey, quota clusterstate.Quota, requested record.Resources,
 ) record.Resources {
@@ -149,30 +152,31 @@
 	}
 }
 
-// raisedAmount raises one dimension of a grant to what was requested and some headroom, within what is
-// left of the limit. The headroom leaves a rest of the limit that others may request.
+// raisedAmount returns one dimension of a grant, raised to requested plus headroom but to at most left, the
+// part of the limit that the other shards' grants leave. The headroom is reduced so that
+// tuning.GrantReserveFraction of the limit stays ungranted for other shards' requests.
 func raisedAmount(grant, requested, headroom, left, limit float64) float64 {
-	withHeadroom := min(requested+headroom, left-tuning.GrantReserveShare*limit)
+	withHeadroom := min(requested+headroom, left-tuning.GrantReserveFraction*limit)
 	return max(grant, min(max(requested, withHeadroom), left))
 }
 
-// surplusRule says when the grants of a team are larger than needed.
+// surplusRule decides whether the grants of a team are larger than needed and are to be lowered.
 type surplusRule struct {
-	limited  bool // the team has a limit
-	headroom record.Resources
+	limited  bool             // whether the team has a limit
+	headroom record.Resources // see GrantManager.headroom
 }
 
-// planReductions returns the changes that lower grants which have been larger than needed for a while.
+// planReductions returns the changes that lower grants which have been larger than needed for too long.
 func (m *GrantManager) planReductions(now time.Time, owned map[int]uint64, usage UsageFunc) []Change {
 	var changes []Change
 	for team, quota := range m.state.Quotas {
 		limit, limited := m.Limit(team)
-		if limited && (m.teamsInFlight[team] || m.hasAmpleRest(quota, limit)) {
-			continue // nobody needs what is not used
+		if limited && (m.teamsInFlight[team] || m.hasUngrantedReserve(quota, limit)) {
+			continue // other shards can be granted more without this team's surplus
 		}
 		rule := surplusRule{limited: limited, headroom: m.headroom(limit)}
 		for name, grant := range quota.Grants {
-			shard, _ := strconv.Atoi(name) // the record's keys are numbers of shards
+			shard, _ := strconv.Atoi(name) // the keys of the record are shard numbers
 			key := grantKey{shard, team}
 			revision, isOwned := owned[shard]
 			needed := rule.needed(grant, usage(shard, team))
@@ -190,7 +194,8 @@
 	return changes
 }
 
-// surplusFor returns for how long a grant has been larger than needed; 0 the first time.
+// surplusFor returns for how long a grant has been larger than needed. The first call for a grant starts
+// the measurement and returns 0.
 func (m *GrantManager) surplusFor(now time.Time, key grantKey) time.Duration {
 	since, known := m.surplusSince[key]
 	if !known {
@@ -200,43 +205,46 @@
 	return now.Sub(since)
 }
 
-// needed returns what a shard needs of its grant: what is used, and half the headroom for a team with a limit.
+// needed returns the part of a grant that a shard should keep: its usage, plus half the headroom if the team
+// has a limit, but no more than the grant.
 func (r surplusRule) needed(grant, usage record.Resources) record.Resources {
 	used := withoutMemory(usage)
 	if !r.limited {
 		return used
 	}
-	return least(used.PlusTimes(r.headroom, 0.5), grant)
+	return minResources(used.PlusTimes(r.headroom, 0.5), grant)
 }
 
-// reductionDue reports whether a grant has been larger than needed for long enough to be lowered: a small
-// surplus is kept for longer.
+// reductionDue reports whether a grant has been larger than needed for long enough to be lowered. A surplus
+// of at most half the headroom above what is needed may be kept for longer.
 func (r surplusRule) reductionDue(surplusFor time.Duration, grant, needed record.Resources) bool {
-	if surplusFor > tuning.GrantSmallRestHold {
+	if surplusFor > tuning.GrantSmallSurplusHold {
 		return true
 	}
 	isSmall := r.limited && grant.FitsIn(needed.PlusTimes(r.headroom, 0.5))
-	return surplusFor > tuning.GrantIdleHold && !isSmall
+	return surplusFor > tuning.GrantSurplusHold && !isSmall
 }
 
-// headroom is what a shard is granted above what it needs.
+// headroom returns the amount by which a raised grant exceeds the requested usage, rounded down to whole
+// cores and GPUs.
 func (m *GrantManager) headroom(limit record.Resources) record.Resources {
-	fraction := tuning.GrantLotShare / float64(m.state.ShardCount)
+	fraction := tuning.GrantHeadroomFraction / float64(m.state.ShardCount)
 	return record.Resources{CPUs: math.Floor(limit.CPUs * fraction), GPUs: math.Floor(limit.GPUs * fraction)}
 }
 
-// hasAmpleRest reports whether enough of a limit is ungranted for whoever requests more.
-func (m *GrantManager) hasAmpleRest(quota clusterstate.Quota, limit record.Resources) bool {
+// hasUngrantedReserve reports whether at least tuning.GrantReserveFraction of a team's limit is ungranted, so that
+// shards can request more.
+func (m *GrantManager) hasUngrantedReserve(quota clusterstate.Quota, limit record.Resources) bool {
 	var granted record.Resources
 	for _, grant := range quota.Grants {
 		granted = granted.Plus(grant)
 	}
-	return granted.CPUs <= (1-tuning.GrantReserveShare)*limit.CPUs &&
-		granted.GPUs <= (1-tuning.GrantReserveShare)*limit.GPUs
+	return granted.CPUs <= (1-tuning.GrantReserveFraction)*limit.CPUs &&
+		granted.GPUs <= (1-tuning.GrantReserveFraction)*limit.GPUs
 }
 
-// newChange returns the change of a grant, conditional on the revision of the ownership record of its shard. Until
-// it is done, no other change of the team is planned.
+// newChange returns the change that sets a grant. Its transaction is conditional on the revisions of the team's
+// record and of the ownership record of the shard. Until Done is called, no other change for the team is planned.
 func (m *GrantManager) newChange(
 	key grantKey, quota clusterstate.Quota, ownership uint64, grant record.Resources,
 ) Change {
--- a/internal/quota/limits.go
+++ b/internal/quota/limits.go
@@ -5,8 +5,8 @@
 	"sableusher/internal/tuning"
 )
 
-// Limit returns the most that a team's tasks may take; a dimension without a limit is unbounded. It returns
-// false for a team without any limit.
+// Limit returns the maximum that a team's tasks may use; a dimension without a limit is tuning.MaxAmount. It
+// returns false for a team without any limit and for an unknown team.
 func (m *GrantManager) Limit(team string) (record.Resources, bool) {
 	settings, ok := m.teams[team]
 	if !ok || settings.CPUsMax == 0 && settings.GPUsMax == 0 {
@@ -15,8 +15,9 @@
 	return unboundedWhereZero(settings.CPUsMax, settings.GPUsMax), true
 }
 
-// Guarantee returns what a team need not wait for others within; a dimension without a guarantee is
-// unbounded. It returns false for a team without any guarantee.
+// Guarantee returns the usage up to which a team's jobs need not wait for other teams' jobs; a dimension
+// without a guarantee is tuning.MaxAmount. It returns false for a team without any guarantee and for an
+// unknown team.
 func (m *GrantManager) Guarantee(team string) (record.Resources, bool) {
 	settings, ok := m.teams[team]
 	if !ok || settings.CPUs == 0 && settings.GPUs == 0 {
@@ -25,7 +26,8 @@
 	return unboundedWhereZero(settings.CPUs, settings.GPUs), true
 }
 
-// unboundedWhereZero returns an amount of cores and GPUs, where 0 stands for no bound; memory has none.
+// unboundedWhereZero returns the given cores and GPUs, with tuning.MaxAmount in place of 0. Memory is always
+// tuning.MaxAmount.
 func unboundedWhereZero(cpus, gpus float64) record.Resources {
 	amount := record.Resources{CPUs: cpus, GPUs: gpus, MemoryGB: tuning.MaxAmount}
 	if cpus == 0 {
@@ -37,17 +39,17 @@
 	return amount
 }
 
-// withoutMemory returns the cores and GPUs of an amount: grants are of those alone.
+// withoutMemory returns the cores and GPUs of an amount. Grants do not cover memory.
 func withoutMemory(amount record.Resources) record.Resources {
 	return record.Resources{CPUs: amount.CPUs, GPUs: amount.GPUs}
 }
 
-// least returns the lesser cores and the lesser GPUs of two amounts.
-func least(a, b record.Resources) record.Resources {
+// minResources returns the minimum of two amounts in cores and in GPUs, without memory.
+func minResources(a, b record.Resources) record.Resources {
 	return record.Resources{CPUs: min(a.CPUs, b.CPUs), GPUs: min(a.GPUs, b.GPUs)}
 }
 
-// most returns the greater cores and the greater GPUs of two amounts.
-func most(a, b record.Resources) record.Resources {
+// maxResources returns the maximum of two amounts in cores and in GPUs, without memory.
+func maxResources(a, b record.Resources) record.Resources {
 	return record.Resources{CPUs: max(a.CPUs, b.CPUs), GPUs: max(a.GPUs, b.GPUs)}
 }
--- a/internal/tuning/quota.go
+++ b/internal/tuning/quota.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// Teams.
+// Grants of team quotas to shards; see package quota.
 const (
-	// GrantIdleHold is how long a shard keeps a granted share that its tasks do not use, once other shards may want
-	// it.
-	GrantIdleHold = 1 * time.Second
-	// GrantSmallRestHold is how long it keeps less than a lot of it.
-	GrantSmallRestHold = 6 * time.Second
-	// GrantLotShare is how much more than it needs a shard is granted, as a share of the team's limit over the
-	// shards: grants follow use in lots, not task by task.
-	GrantLotShare = 0.25
-	// GrantReserveShare is the share of a limit that is to be left ungranted for shards that want more; below it
-	// shards give back what they do not use.
-	GrantReserveShare = 0.15
+	// GrantSurplusHold is how long a shard keeps a grant that is larger than needed. If the team has a limit, the
+	// grant is lowered only while less than GrantReserveFraction of the limit is ungranted.
+	GrantSurplusHold = 1 * time.Second
+	// GrantSmallSurplusHold is how long a shard keeps it if the team has a limit and the unused part of the grant is
+	// at most the headroom; see GrantHeadroomFraction.
+	GrantSmallSurplusHold = 6 * time.Second
+	// GrantHeadroomFraction determines the headroom, the amount by which a raised grant exceeds the requested usage. It
+	// is a fraction of the team's limit divided by the number of shards. With headroom, a grant need not be changed for
+	// every task.
+	GrantHeadroomFraction = 0.25
+	// GrantReserveFraction is the fraction of a team's limit that is kept ungranted for requests by other shards.
+	// While less is ungranted, shards return the unused parts of their grants.
+	GrantReserveFraction = 0.15
 )
