--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -1,8 +1,8 @@
-// Package retry is the rule of how often the tasks of a class may fail by themselves and start again,
-// and after which backoff.
+// Package retry defines how often the tasks of a job class are retried after failures of their own, and
+// with which backoff.
 //
-// It holds no state: the number of failures stands in the job's records, the limit in its description,
-// fixed when the job is accepted.
+// The package holds no state. The number of failures is stored in the job's records. The limit is part of
+// the job's description and is fixed when the job is accepted.
 package retry
 
 import (
@@ -13,11 +13,11 @@
 	"sableusher/internal/tuning"
 )
 
-// Policies are the classes that limit retries, by name. It is not changed once made, and so safe for
-// concurrent use.
+// Policies maps the names of the job classes that limit retries to their settings. It must not be modified
+// after NewPolicies returns, and is then safe for concurrent use.
 type Policies map[string]config.Class
 
-// NewPolicies makes the policies of the operators' classes.
+// NewPolicies returns the policies of the classes that the operators configured.
 func NewPolicies(classes []config.Class) Policies {
 	policies := Policies{}
 	for _, class := range classes {
@@ -26,12 +26,13 @@
 	return policies
 }
 
-// Enabled reports whether any class limits retries. Where none does, no failure is counted and what a
-// submission asks for is not looked at.
+// Enabled reports whether any class limits retries. If none does, failures are not counted and the number
+// of retries that a submission requests is ignored.
 func (p Policies) Enabled() bool { return len(p) > 0 }
 
-// MaxRetries gives how many retries each task of a job has: what its submission requests, else what its
-// class allows, else nil for no limit. A request for more than the class allows is a LimitError.
+// MaxRetries returns the maximum number of retries of each task of a job: the number that the submission
+// requests, or else the maximum of its class. It returns nil, for no limit, if neither is given. It returns
+// a *LimitError if the submission requests more than its class allows.
 func (p Policies) MaxRetries(class string, requested *int) (*int, error) {
 	policy, limited := p[class]
 	switch {
@@ -45,22 +46,24 @@
 	return nil, nil
 }
 
-// Backoff is how long a task waits after its failures until it is retried: the initial pause of its
-// class, doubled with each further failure up to the longest one. Without a class it is that of tasks
-// whose failures are not counted.
+// Backoff returns how long a task that has failed the given number of times waits until it is retried. The
+// backoff after the first failure is the initial one of the class; it doubles with each further failure, up
+// to the maximum of the class. If the class does not limit retries, tuning.MinJobBackoff and
+// tuning.MaxJobBackoff apply, as for tasks whose failures are not counted.
 func (p Policies) Backoff(class string, failures int) time.Duration {
-	initial, longest := tuning.MinJobBackoff, tuning.MaxJobBackoff
+	initial, maximum := tuning.MinJobBackoff, tuning.MaxJobBackoff
 	if policy, ok := p[class]; ok {
-		initial, longest = config.ToDuration(policy.RetryPauseSeconds), config.ToDuration(policy.MaxRetryPauseSeconds)
+		initial, maximum = config.ToDuration(policy.RetryPauseSeconds), config.ToDuration(policy.MaxRetryPauseSeconds)
 	}
 	if failures < 1 {
 		return 0
 	}
-	if pause := math.Ldexp(float64(initial), failures-1); pause < float64(longest) {
-		return time.Duration(pause)
+	if backoff := math.Ldexp(float64(initial), failures-1); backoff < float64(maximum) {
+		return time.Duration(backoff)
 	}
-	return longest
+	return maximum
 }
 
-// Exhausted reports whether a task with so many failures has no retry left. Without a limit it always has.
+// Exhausted reports whether a task that has failed the given number of times has no retry left. A nil limit
+// means that the number of retries is not limited.
 func Exhausted(limit *int, failures int) bool { return limit != nil && failures >= *limit }
--- a/internal/retry/policy_test.go
+++ b/internal/retry/policy_test.go
@@ -10,8 +10,8 @@
 	"sableusher/internal/config"
 )
 
-// limitedClass draws a class that limits retries.
-func limitedClass(t *rapid.T) config.Class {
+// drawClass draws a class that limits retries.
+func drawClass(t *rapid.T) config.Class {
 	class := config.Class{
 		Name:              "c",
 		MaxRetries:        rapid.IntRange(0, 1000).Draw(t, "retries"),
@@ -21,11 +21,11 @@
 	return class
 }
 
-// TestMaxRetries: nobody gets more retries than the class allows, and a task with a limit starts at most
-// once more than that.
+// TestMaxRetries checks that MaxRetries returns at most the maximum of the class and rejects requests for
+// more, and that a task with a limit starts exactly once more than it has retries.
 func TestMaxRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		class := limitedClass(t)
+		class := drawClass(t)
 		var requested *int
 		if rapid.Bool().Draw(t, "requests") {
 			n := rapid.IntRange(0, 1000).Draw(t, "requested")
@@ -35,47 +35,48 @@
 		if requested != nil && *requested > class.MaxRetries {
 			var over *LimitError
 			if !errors.As(err, &over) || over.Requested != *requested || over.Allowed != class.MaxRetries {
-				t.Fatalf("%d requested, %d allowed: %v", *requested, class.MaxRetries, err)
+				t.Fatalf("%d retries requested, %d allowed: %v, want a LimitError", *requested, class.MaxRetries, err)
 			}
 			return
 		}
 		if err != nil {
-			t.Fatalf("%v requested, %d allowed: %v", requested, class.MaxRetries, err)
+			t.Fatalf("%v retries requested, %d allowed: got error %v", requested, class.MaxRetries, err)
 		}
 		if *limit > class.MaxRetries || requested != nil && *limit != *requested {
-			t.Errorf("limit %d", *limit)
+			t.Errorf("got a limit of %d", *limit)
 		}
 		starts := 1
 		for failures := 0; !Exhausted(limit, failures); failures++ {
 			starts++
 		}
 		if starts != *limit+1 {
-			t.Errorf("%d starts with %d retries", starts, *limit)
+			t.Errorf("a task started %d times with %d retries", starts, *limit)
 		}
 	})
 }
 
-// TestBackoff: the backoff begins with the class's pause and grows up to the longest and no further.
+// TestBackoff checks that the backoff starts at the initial one of the class, never decreases and never
+// exceeds the maximum of the class.
 func TestBackoff(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		class := limitedClass(t)
+		class := drawClass(t)
 		policies := NewPolicies([]config.Class{class})
-		initial, longest := config.ToDuration(class.RetryPauseSeconds), config.ToDuration(class.MaxRetryPauseSeconds)
+		initial, maximum := config.ToDuration(class.RetryPauseSeconds), config.ToDuration(class.MaxRetryPauseSeconds)
 		last := time.Duration(0)
 		for failures := range 1200 {
-			pause := policies.Backoff("c", failures)
-			if pause < last || pause > longest || failures == 1 && pause != initial {
-				t.Fatalf("pause %v after %d failures, %v before", pause, failures, last)
+			backoff := policies.Backoff("c", failures)
+			if backoff < last || backoff > maximum || failures == 1 && backoff != initial {
+				t.Fatalf("backoff %v after %d failures, %v after one failure less", backoff, failures, last)
 			}
-			last = pause
+			last = backoff
 		}
 	})
 }
 
-// TestNoPolicies: without a class that limits retries there is no limit.
+// TestNoPolicies checks that retries are not limited if no class limits them.
 func TestNoPolicies(t *testing.T) {
 	limit, err := NewPolicies(nil).MaxRetries("c", nil)
 	if limit != nil || err != nil || Exhausted(nil, 1<<30) {
-		t.Error("limited without a class")
+		t.Error("retries are limited though no class limits them")
 	}
 }
