--- a/internal/binpack/allocate_test.go
+++ b/internal/binpack/allocate_test.go
@@ -81,7 +81,7 @@
 	for _, info := range inv.ready {
 		isFaster := fetchRate[info.Machine.Type] > fetchRate[pick.Machine.Type]
 		if isFaster && request.Need.FitsIn(info.recordedFree) {
-			t.Errorf("a machine of type %s was chosen, but %s fetches images faster", pick.Machine.Type, info.Machine.Type)
+			t.Errorf("a machine of type %s was chosen, but %s fetches faster", pick.Machine.Type, info.Machine.Type)
 		}
 	}
 }
