--- a/internal/binpack/inventory.go
+++ b/internal/binpack/inventory.go
@@ -9,8 +9,8 @@
 
 // Inventory is the free capacity of all machines during a scheduling cycle. Refresh reuses it from
 // cycle to cycle: it applies the records that changed and undoes the allocations of the previous
-// cycle. A machine whose readiness changes only because time passes is evaluated again when the
-// inventory is rebuilt, every tuning.SweepInterval. An Inventory is not safe for concurrent use.
+// cycle. Properties that change only because time passes are computed again when the inventory is
+// rebuilt, every tuning.SweepInterval. An Inventory is not safe for concurrent use.
 //
 // In each cycle all machines are examined once, and once more for each distinct request that may
 // still fit. Requests that did not fit are recorded, so that a long queue costs little while the
--- a/internal/binpack/machineinfo.go
+++ b/internal/binpack/machineinfo.go
@@ -36,7 +36,7 @@
 // compareName compares the name of a machine to name, for use with slices.BinarySearchFunc.
 func compareName(info *MachineInfo, name string) int { return cmp.Compare(info.Machine.Name, name) }
 
-// Readiness says what a machine can be used for.
+// Readiness is the state of a machine that determines what it can be used for.
 type Readiness int
 
 // The values of Readiness.
--- a/internal/binpack/refresh.go
+++ b/internal/binpack/refresh.go
@@ -27,9 +27,9 @@
 }
 
 // Refresh prepares an inventory for the next cycle and returns it. changed holds the names of the
-// machines whose records changed since the previous cycle. Refresh builds a new inventory if inv is
-// nil, if the previous build is at least tuning.SweepInterval ago, or if the ownership or liveness
-// of any shard changed.
+// machines to evaluate again, which must include those whose records changed since the previous
+// cycle. Refresh builds a new inventory if inv is nil, if the previous build is at least
+// tuning.SweepInterval ago, or if the ownership or liveness of any shard changed.
 func Refresh(inv *Inventory, snapshot Snapshot, changed ...map[string]struct{}) *Inventory {
 	if inv == nil || inv.mustRebuild(&snapshot) {
 		inv = newInventory(snapshot)
