--- a/internal/clusterstate/bindings.go
+++ b/internal/clusterstate/bindings.go
@@ -2,15 +2,15 @@
 
 import "sableusher/internal/record"
 
-// Binding is a task bound to a machine.
+// Binding describes a task that is bound to a machine.
 type Binding struct {
 	Ref     record.TaskRef
 	Job     *Job
 	Attempt uint64
-	Session uint64 // of the agent that was to start it
+	Session uint64 // of the agent that was assigned the task
 }
 
-// indexChange is the number by which a task changes the counts of the indexes.
+// indexChange is the amount by which adding or removing one task changes the counts in the indexes.
 type indexChange int
 
 const (
@@ -18,7 +18,7 @@
 	taskRemoved indexChange = -1
 )
 
-// indexTask adds a task to the indexes or removes it.
+// indexTask adds a task to the indexes or removes it from them.
 func (s *State) indexTask(job *Job, task record.Task, change indexChange) {
 	switch task.State {
 	case record.TaskDone:
@@ -27,11 +27,12 @@
 		job.BoundCount += int(change)
 		s.indexUsage(job, task, change)
 		s.indexBinding(job, task, change)
-	case record.TaskPending: // stands in no index
+	case record.TaskPending: // pending tasks are not indexed
 	}
 }
 
-// indexUsage counts what a bound task takes, and where.
+// indexUsage adds a bound task's resources to the usage of the shard they are charged to, or subtracts them. It also
+// counts the task in the shard of its machine.
 func (s *State) indexUsage(job *Job, task record.Task, change indexChange) {
 	shard := record.ShardOf(task.Machine, s.ShardCount)
 	usage := s.UsageByShard[shard]
@@ -46,7 +47,8 @@
 	job.BoundByShard[shard] += int(change)
 }
 
-// indexBinding adds a bound task to its machine or removes it, or to the orphans if the machine is unknown.
+// indexBinding adds a bound task to the bindings of its machine or removes it from them. If the machine is unknown,
+// the binding is kept in OrphanBindings instead.
 func (s *State) indexBinding(job *Job, task record.Task, change indexChange) {
 	s.changes.markMachine(task.Machine)
 	ref := record.TaskRef{JobID: job.Spec.ID, Index: task.Index}
@@ -67,7 +69,7 @@
 	}
 }
 
-// indexOrphan adds the binding to a machine that no record knows, or removes it.
+// indexOrphan adds a binding to OrphanBindings, or removes it; no record exists for the machine.
 func (s *State) indexOrphan(machine string, binding Binding, change indexChange) {
 	if change == taskAdded {
 		if s.OrphanBindings[machine] == nil {
--- a/internal/clusterstate/cancelrequests.go
+++ b/internal/clusterstate/cancelrequests.go
@@ -5,27 +5,29 @@
 	"sableusher/internal/wire"
 )
 
-// CancelRequestSupport says whether a request to cancel a job (record.Job.CancelRequestedAtMs) has any effect.
+// CancelRequestSupport is how the shard owners treat a request to cancel a job (record.Job.CancelRequestedAtMs).
 type CancelRequestSupport int
 
-// What the owners of all shards do with such a request.
+// Levels of support for cancel requests.
 const (
-	// CancelRequestsIgnored: an owner binds and starts tasks of the job all the same, or a shard never had one.
+	// CancelRequestsIgnored: at least one owner still binds and starts tasks of the job, or a shard has no record
+	// because it never had an owner.
 	CancelRequestsIgnored CancelRequestSupport = iota
-	// CancelRequestsUnsettled: an owner has no session, so that a shard is about to change hands.
+	// CancelRequestsUnsettled: an owner has no session, so its shard is about to get another owner.
 	CancelRequestsUnsettled
-	// CancelRequestsHonored: no owner starts anything of the job, and each stops what it has bound.
+	// CancelRequestsHonored: no owner starts tasks of the job, and each stops the tasks that it has bound.
 	CancelRequestsHonored
 )
 
-// String names what the owners do.
+// String returns the name of the support level.
 func (s CancelRequestSupport) String() string {
 	return [...]string{"ignored", "unsettled", "honored"}[s]
 }
 
-// CancelRequestSupport returns what the owners of all shards do with a request to cancel a job, and the conditions
-// under which that still holds when a transaction is applied: each binding is subject to the same ownership. The
-// caller holds the lock.
+// CancelRequestSupport returns how the owners of all shards treat a request to cancel a job. The conditions require
+// that no shard has changed its owner: a transaction that includes them fails if the result may no longer hold.
+// Every binding of a task is conditional on the ownership of its shard in the same way. The caller must hold the
+// lock.
 func (s *State) CancelRequestSupport() (support CancelRequestSupport, conditions []wire.Condition) {
 	support = CancelRequestsHonored
 	for number := range s.ShardCount {
--- a/internal/clusterstate/cancelrequests_test.go
+++ b/internal/clusterstate/cancelrequests_test.go
@@ -8,9 +8,9 @@
 	"sableusher/internal/wire"
 )
 
-// TestStoppingJobChangesItsMachines: what follows the changes looks at the machines of a job again when it is
-// cancelled and when that is requested: its tasks are to be stopped there.
-func TestStoppingJobChangesItsMachines(t *testing.T) {
+// TestStoppingJobMarksItsMachinesChanged checks that the change feed reports the machines of a job's bound tasks when
+// the job is cancelled and when its cancellation is requested, because the tasks have to be stopped there.
+func TestStoppingJobMarksItsMachinesChanged(t *testing.T) {
 	const machine = "vm-1"
 	for name, stop := range map[string]func(*record.Job){
 		"cancelled": func(job *record.Job) { job.MarkCancelled(5, true) },
@@ -30,7 +30,7 @@
 			clear(feed.machines)
 			put(2)
 			if len(feed.machines) > 0 {
-				t.Errorf("without a change: %v", feed.machines)
+				t.Errorf("unchanged job marked machines %v as changed", feed.machines)
 			}
 			stop(&job)
 			put(3)
--- a/internal/clusterstate/catalog.go
+++ b/internal/clusterstate/catalog.go
@@ -6,24 +6,25 @@
 	"sableusher/internal/wire"
 )
 
-// Catalog is the machine types that can be rented. They stand in one record, or where that would be too long
-// in one record each.
+// Catalog holds the machine types that can be rented. They are stored in one record, or in one record per type if a
+// single record would be too long.
 type Catalog struct {
-	Types       map[string]wire.MachineType // by name, of all records
-	ModRevision uint64                      // of the record with all types; 0: there is none
+	Types       map[string]wire.MachineType // by name, merged from all records
+	ModRevision uint64                      // of the record of all types; 0 if there is none
 
-	combined []wire.MachineType          // from the record with all types
-	single   map[string]wire.MachineType // from records of one type, by name
+	combined []wire.MachineType          // from the record of all types
+	single   map[string]wire.MachineType // from the records of single types, by name
 }
 
 func newCatalog() Catalog {
 	return Catalog{Types: map[string]wire.MachineType{}, single: map[string]wire.MachineType{}}
 }
 
-// KeptByType reports whether there are records of single types. Callers hold the lock.
+// KeptByType reports whether the catalog has records of single types. The caller must hold the State's lock.
 func (c *Catalog) KeptByType() bool { return len(c.single) > 0 }
 
-// rebuild puts the types of all records together.
+// rebuild merges the types of all records into Types. The record of a single type takes precedence over the record
+// of all types.
 func (c *Catalog) rebuild() {
 	types := maps.Clone(c.single)
 	for _, machineType := range c.combined {
--- a/internal/clusterstate/catalog_test.go
+++ b/internal/clusterstate/catalog_test.go
@@ -8,8 +8,9 @@
 	"sableusher/internal/wire"
 )
 
-// TestCatalogOfBothForms: records of single types go before the record of all types.
-func TestCatalogOfBothForms(t *testing.T) {
+// TestSingleTypeRecordTakesPrecedence checks that the record of a single machine type overrides that type in the
+// record of all types.
+func TestSingleTypeRecordTakesPrecedence(t *testing.T) {
 	state := New(testShards, slog.New(slog.DiscardHandler))
 	all := wire.Catalog{Types: []wire.MachineType{{Name: "a", CPUs: 1}, {Name: "b", CPUs: 1}}}
 	update(state, func() { state.Put(record.CatalogKey, wire.MustEncode(all), 1) })
--- a/internal/clusterstate/cells.go
+++ b/internal/clusterstate/cells.go
@@ -2,20 +2,20 @@
 
 import "sableusher/internal/record"
 
-// Cell is what is kept of another cell, with the outcomes of the guest jobs it sent.
+// Cell is the record of another cell, together with the outcomes of the guest jobs that it sent to this one.
 type Cell struct {
 	record.Cell
-	ModRevision   uint64                  // 0: there are only outcomes
-	GuestOutcomes map[uint64]GuestOutcome // by the number of the transfer
+	ModRevision   uint64                  // of the cell's record; 0 if only outcomes are stored
+	GuestOutcomes map[uint64]GuestOutcome // by transfer number
 }
 
-// GuestOutcome is how a guest job ended.
+// GuestOutcome is the stored outcome of a guest job that has ended.
 type GuestOutcome struct {
 	record.GuestOutcome
 	ModRevision uint64
 }
 
-// cellEntry returns the entry of another cell, made if there is none.
+// cellEntry returns the entry of another cell and creates it if it does not exist.
 func (s *State) cellEntry(name string) *Cell {
 	cell := s.Cells[name]
 	if cell == nil {
--- a/internal/clusterstate/changefeed.go
+++ b/internal/clusterstate/changefeed.go
@@ -1,26 +1,26 @@
 package clusterstate
 
-// changeNotifier tells others in this process of changes. The State's lock guards it.
+// changeNotifier informs other components of this process about changes. It is guarded by the State's lock.
 type changeNotifier struct {
 	feeds       []*ChangeFeed
 	subscribers []chan struct{}
 }
 
-// markMachine enters a changed machine into all feeds.
+// markMachine adds a changed machine to all feeds.
 func (n *changeNotifier) markMachine(name string) {
 	for _, feed := range n.feeds {
 		feed.machines[name] = struct{}{}
 	}
 }
 
-// markJob enters a changed job into all feeds.
+// markJob adds a changed job to all feeds.
 func (n *changeNotifier) markJob(id string) {
 	for _, feed := range n.feeds {
 		feed.jobs[id] = struct{}{}
 	}
 }
 
-// notify wakes the subscribers that are not yet awake.
+// notify wakes the subscribers without blocking. A subscriber with a pending notification gets no second one.
 func notify(subscribers []chan struct{}) {
 	for _, subscriber := range subscribers {
 		select {
@@ -30,7 +30,8 @@
 	}
 }
 
-// Subscribe returns a channel that receives after each group of changes; a receipt may stand for several.
+// Subscribe returns a channel that receives a value after each group of changes. Groups that follow each other before
+// the value is received share one value.
 func (s *State) Subscribe() <-chan struct{} {
 	subscriber := make(chan struct{}, 1)
 	s.Lock()
@@ -39,15 +40,16 @@
 	return subscriber
 }
 
-// ChangeFeed collects what changed since it was last taken: the machines whose record or bindings did, and
-// the jobs of which any record, or the outcome of a dependency, did. Work that follows it costs what changed,
-// not what there is.
+// ChangeFeed collects the machines and jobs that have changed since they were last taken from it. A machine changes
+// with its record, with its bindings, and with the cancellation or preemption of a job that has a task bound to it. A
+// job changes with any of its records and with the outcome of a dependency. The cost of processing a feed depends on
+// the number of changes and not on the size of the cluster.
 type ChangeFeed struct {
-	machines, jobs map[string]struct{}
+	machines, jobs map[string]struct{} // by name and by ID
 }
 
-// FollowChanges returns a feed of the changes from now on, which starts with all there is. Its caller takes
-// from it now and then.
+// FollowChanges returns a feed that initially contains all machines and jobs and collects all later changes. The caller
+// has to take from it regularly, because the feed is never emptied otherwise.
 func (s *State) FollowChanges() *ChangeFeed {
 	s.Lock()
 	defer s.Unlock()
@@ -62,14 +64,15 @@
 	return feed
 }
 
-// TakeMachines returns and empties the feed's machines. Callers hold the State's lock, and no two take at once.
+// TakeMachines returns the changed machines and removes them from the feed. The caller must hold the State's lock, at
+// least for reading, and must not take from the same feed concurrently.
 func (f *ChangeFeed) TakeMachines() map[string]struct{} {
 	machines := f.machines
 	f.machines = map[string]struct{}{}
 	return machines
 }
 
-// TakeJobs returns and empties the feed's jobs; as TakeMachines.
+// TakeJobs returns the changed jobs and removes them from the feed. The rules of TakeMachines apply.
 func (f *ChangeFeed) TakeJobs() map[string]struct{} {
 	jobs := f.jobs
 	f.jobs = map[string]struct{}{}
--- a/internal/clusterstate/chunks.go
+++ b/internal/clusterstate/chunks.go
@@ -2,10 +2,11 @@
 
 import "sableusher/internal/record"
 
-// A job's own record and those of its further chunks change in one transaction, but arrive one after another.
-// A chunk that the job's own record does not place is therefore kept as an orphan until that record changes.
+// A transaction may change a job's own record and the records of its further chunks together, but the watch delivers
+// these changes one after another. A chunk that is not part of the layout in the job's own record is therefore kept as
+// an orphan until that record changes.
 
-// jobEntry returns a job's entry, made if there is none.
+// jobEntry returns a job's entry and creates it if it does not exist.
 func (s *State) jobEntry(id string) *Job {
 	job := s.Jobs[id]
 	if job == nil {
@@ -15,7 +16,7 @@
 	return job
 }
 
-// removeIfEmpty forgets a job of which no record is left.
+// removeIfEmpty removes the entry of a job that has no record left.
 func (s *State) removeIfEmpty(id string, job *Job) {
 	if !job.HasRecord && len(job.orphanChunks) == 0 {
 		delete(s.Jobs, id)
@@ -51,7 +52,7 @@
 	s.updateDependents(id)
 }
 
-// markMachinesOf enters the machines of a job's bound tasks into the change feeds.
+// markMachinesOf adds the machines of a job's bound tasks to the change feeds.
 func (s *State) markMachinesOf(job *Job) {
 	job.ForEachStartedTask(func(task record.Task) {
 		if task.State == record.TaskBound {
@@ -71,13 +72,13 @@
 		s.orphanChunks(job)
 		s.removeDependencies(id, job)
 	}
-	remains := &Job{orphanChunks: job.orphanChunks}
-	s.Jobs[id] = remains
-	s.removeIfEmpty(id, remains)
+	orphansOnly := &Job{orphanChunks: job.orphanChunks}
+	s.Jobs[id] = orphansOnly
+	s.removeIfEmpty(id, orphansOnly)
 	s.updateDependents(id)
 }
 
-// putChunk applies a further chunk of a job's tasks.
+// putChunk applies a written record of a further chunk of a job.
 func (s *State) putChunk(change recordChange, tasks []record.Task) {
 	id, _, ok := record.ParseChunkKey(change.key)
 	if !ok {
@@ -117,7 +118,8 @@
 	j.orphanChunks[key] = orphan
 }
 
-// orphanChunks makes the further chunks of a job orphans, as its own record is about to place them anew.
+// orphanChunks removes all chunks of a job from the indexes and keeps the further chunks as orphans. It is called
+// before the job's own record is deleted or changes the layout.
 func (s *State) orphanChunks(job *Job) {
 	for chunk, old := range job.Chunks {
 		for _, task := range old.Tasks {
@@ -130,7 +132,7 @@
 	job.Chunks = nil
 }
 
-// adoptChunks places the orphans that the job's layout has.
+// adoptChunks applies the orphaned chunks that are part of the job's layout.
 func (s *State) adoptChunks(job *Job) {
 	for key, orphan := range job.orphanChunks {
 		if chunk, ok := job.ChunkIndexOf(key); ok {
@@ -140,7 +142,7 @@
 	}
 }
 
-// setChunk replaces a chunk's tasks and keeps the indexes in step.
+// setChunk replaces the tasks of a chunk and updates the indexes.
 func (s *State) setChunk(job *Job, number int, tasks []record.Task, modRevision uint64) {
 	for len(job.Chunks) <= number {
 		job.Chunks = append(job.Chunks, Chunk{})
@@ -156,8 +158,8 @@
 	}
 	chunk.Tasks = job.fillChunk(number, tasks)
 	chunk.pendingCount = 0
-	// Only what differs is taken out of the indexes and put in again: a record of many tasks is written again
-	// for each of them.
+	// Only tasks that differ are indexed again: a record holds many tasks and is rewritten for the change of each
+	// of them.
 	for i, task := range chunk.Tasks {
 		if task.State == record.TaskPending {
 			chunk.pendingCount++
@@ -173,7 +175,7 @@
 	}
 }
 
-// fillChunk returns the tasks of a chunk by position, with those that its record leaves out.
+// fillChunk returns all tasks of a chunk by position. Tasks that the record omits were never bound.
 func (j *Job) fillChunk(chunk int, tasks []record.Task) []record.Task {
 	first, end := j.TaskRange(chunk)
 	filled := make([]record.Task, end-first)
--- a/internal/clusterstate/dependencies.go
+++ b/internal/clusterstate/dependencies.go
@@ -7,16 +7,16 @@
 	"sableusher/internal/wire"
 )
 
-// A job may depend on others. What became of those is read from their records: a live job shows it by itself,
-// a finished one by its final record, which the dependency resolver reads. Done and cancelled are final, so what
-// was once seen stands; what was not seen proves nothing.
+// A job may depend on other jobs. Their outcomes are taken from their records: from the live record of a job that has
+// one, and otherwise from the final record, which the dependency resolver reads. Done and cancelled are final, so an
+// outcome that was observed once remains valid. A missing record proves nothing about the outcome.
 
-// dependencyIndex tracks which live jobs depend on which others. The State's lock guards it.
+// dependencyIndex tracks which live jobs depend on which other jobs. It is guarded by the State's lock.
 type dependencyIndex struct {
-	dependentsOf map[string]map[string]struct{} // live jobs, by the job they depend on
-	finals       map[string]record.Final        // final records of the jobs depended on
-	unresolved   map[string]struct{}            // jobs depended on that are not live, their final record not read
-	cancelled    map[string]struct{}            // live jobs that depend on a cancelled one
+	dependentsOf map[string]map[string]struct{} // live jobs, by the ID of the job they depend on
+	finals       map[string]record.Final        // final records of jobs that others depend on
+	unresolved   map[string]struct{}            // dependencies that are not live and whose final record was not read
+	cancelled    map[string]struct{}            // live jobs that depend on a cancelled job
 }
 
 func newDependencyIndex() dependencyIndex {
@@ -28,7 +28,7 @@
 	}
 }
 
-// add enters the dependencies of a new job.
+// add adds the dependencies of a new job.
 func (x *dependencyIndex) add(id string, job *Job) {
 	for _, dependency := range job.Spec.Dependencies {
 		dependents := x.dependentsOf[dependency]
@@ -40,7 +40,7 @@
 	}
 }
 
-// remove takes out the dependencies of a job that is over, and what only it needed.
+// remove removes the dependencies of a job that has ended, and the entries that no other job needs.
 func (x *dependencyIndex) remove(id string, job *Job) {
 	for _, dependency := range job.Spec.Dependencies {
 		delete(x.dependentsOf[dependency], id)
@@ -53,14 +53,14 @@
 	delete(x.cancelled, id)
 }
 
-// dependencyOutcome is what is known of a job that another depends on.
+// dependencyOutcome is the known outcome of a job that another job depends on.
 type dependencyOutcome int
 
 const (
-	dependencyUnknown   dependencyOutcome = iota // not live, its final record not read
-	dependencyLive                               // not over
+	dependencyUnknown   dependencyOutcome = iota // not live, and its final record was not read
+	dependencyLive                               // has not ended
 	dependencyMet                                // done
-	dependencyCancelled                          // cancelled, or to be cancelled: it is never done
+	dependencyCancelled                          // cancelled or about to be: it will never be done
 )
 
 // String returns the outcome's name.
@@ -68,7 +68,8 @@
 	return [...]string{"unknown", "live", "met", "cancelled"}[o]
 }
 
-// dependencyOutcome returns what is known of a job, and if it is done, when it was.
+// dependencyOutcome returns the known outcome of a job. If the job is done, atMs is when it ended according to its
+// final record, or the current time while only its live record is known.
 func (s *State) dependencyOutcome(id string) (outcome dependencyOutcome, atMs int64) {
 	if final, over := s.dependencies.finals[id]; over {
 		if final.Status == wire.JobDone {
@@ -88,23 +89,23 @@
 	return dependencyLive, 0
 }
 
-// addDependencies enters the dependencies of a new job into the index.
+// addDependencies adds the dependencies of a new job to the index and updates their outcomes.
 func (s *State) addDependencies(id string, job *Job) {
 	s.dependencies.add(id, job)
 	s.updateDependencies(id)
 }
 
-// removeDependencies takes the dependencies of a job that is over out of the index.
+// removeDependencies removes the dependencies of a job that has ended from the index.
 func (s *State) removeDependencies(id string, job *Job) { s.dependencies.remove(id, job) }
 
-// updateDependents looks again at the jobs that depend on one of which something changed.
+// updateDependents updates the dependency outcomes of all jobs that depend on the given job, which has changed.
 func (s *State) updateDependents(id string) {
 	for dependent := range s.dependencies.dependentsOf[id] {
 		s.updateDependencies(dependent)
 	}
 }
 
-// updateDependencies finds out what became of the jobs that one depends on.
+// updateDependencies updates the outcomes of the jobs that the given job depends on.
 func (s *State) updateDependencies(id string) {
 	job := s.Jobs[id]
 	if job == nil || !job.HasRecord || job.DependencyCancelled {
@@ -127,7 +128,7 @@
 		case dependencyCancelled:
 			s.markDependencyCancelled(id, job)
 			return
-		case dependencyLive, dependencyUnknown: // nothing to note
+		case dependencyLive, dependencyUnknown: // no final outcome yet
 		}
 	}
 }
@@ -146,28 +147,29 @@
 	s.updateDependents(id)
 }
 
-// HasUnmetDependencies reports whether a job that this one depends on is not known to be done. Every binding
-// of a task is subject to it.
+// HasUnmetDependencies reports whether any job that this one depends on is not known to be done. No task of the job
+// may be bound while it reports true.
 func (j *Job) HasUnmetDependencies() bool {
 	return len(j.metDependencies) < len(j.Spec.Dependencies) || j.DependencyCancelled
 }
 
-// ReadySinceMs is when the job could have started at the earliest: its submission, or the end of the last job
-// it depends on.
+// ReadySinceMs returns the earliest time at which the job could have started: its submission, or the end of the last
+// job it depends on, whichever is later.
 func (j *Job) ReadySinceMs() int64 { return max(j.SubmittedAtMs, j.DependenciesMetAtMs) }
 
-// ReadySince is ReadySinceMs as a time.
+// ReadySince returns ReadySinceMs as a time.Time.
 func (j *Job) ReadySince() time.Time { return time.UnixMilli(j.ReadySinceMs()) }
 
-// Dependents returns the live jobs that depend on one. Callers hold the lock, and change nothing.
+// Dependents returns the live jobs that depend on the given one. The caller must hold the lock and must not modify the
+// map.
 func (s *State) Dependents(id string) map[string]struct{} { return s.dependencies.dependentsOf[id] }
 
-// DependencyCancelled returns the live jobs that depend on a cancelled one and are to be cancelled with it.
-// Callers hold the lock, and change nothing.
+// DependencyCancelled returns the live jobs that depend on a cancelled job and therefore have to be cancelled too. The
+// caller must hold the lock and must not modify the map.
 func (s *State) DependencyCancelled() map[string]struct{} { return s.dependencies.cancelled }
 
-// OutcomeUndecided reports whether a job may be about to be cancelled with one it depends on: a poll must not
-// answer then that it is waiting. Callers hold the lock.
+// OutcomeUndecided reports whether the job is, or may be, about to be cancelled because of a job that it depends on. A
+// status request must not be answered with "waiting" in that case. The caller must hold the lock.
 func (s *State) OutcomeUndecided(job *Job) bool {
 	if job.DependencyCancelled {
 		return true
@@ -183,7 +185,7 @@
 	return false
 }
 
-// UnresolvedDependencies lists the jobs depended on whose final record is to be read. It takes the lock.
+// UnresolvedDependencies returns the IDs of the dependencies whose final record has to be read. It acquires the lock.
 func (s *State) UnresolvedDependencies() []string {
 	s.RLock()
 	defer s.RUnlock()
@@ -194,7 +196,7 @@
 	return ids
 }
 
-// PutFinalRecord applies the final record of a job that others depend on. It takes the lock.
+// PutFinalRecord applies the final record of a job that others depend on. It acquires the lock.
 func (s *State) PutFinalRecord(id string, final record.Final) {
 	s.BeginUpdate()
 	defer s.EndUpdate()
--- a/internal/clusterstate/dependencies_test.go
+++ b/internal/clusterstate/dependencies_test.go
@@ -11,14 +11,14 @@
 	"sableusher/internal/wire"
 )
 
-// dependencyModel is a plain model of jobs that depend on others, next to a State that follows their records.
+// dependencyModel is a reference model of jobs that depend on others, with a State that receives their records.
 type dependencyModel struct {
 	state        *State
 	revision     uint64
-	ids          []string                 // in the order of submission
-	dependencies map[string][]string      // by job
-	outcome      map[string]wire.JobState // as the store holds it: "", wire.JobDone or wire.JobCancelled
-	live         map[string]bool          // whether the live record is still there
+	ids          []string                 // in submission order
+	dependencies map[string][]string      // by job ID
+	outcome      map[string]wire.JobState // according to the store: "", wire.JobDone or wire.JobCancelled
+	live         map[string]bool          // whether the live record still exists
 	final        map[string]wire.JobState // status of the final records
 }
 
@@ -51,7 +51,7 @@
 	m.state.EndUpdate()
 }
 
-// dependencyCancelled reports whether a job that one depends on, at whatever distance, is cancelled.
+// dependencyCancelled reports whether a direct or indirect dependency of a job is cancelled.
 func (m *dependencyModel) dependencyCancelled(id string) bool {
 	for _, dependency := range m.dependencies[id] {
 		outcome := m.outcome[dependency]
@@ -62,7 +62,7 @@
 	return false
 }
 
-// ready reports whether all jobs that one depends on are done.
+// ready reports whether all dependencies of a job are done.
 func (m *dependencyModel) ready(id string) bool {
 	for _, dependency := range m.dependencies[id] {
 		if m.outcome[dependency] != wire.JobDone {
@@ -72,8 +72,8 @@
 	return true
 }
 
-// readFinals gives a state the final records that it asks for.
-func (m *dependencyModel) readFinals(state *State) {
+// readFinalRecords applies the final records that a state requests, as far as they exist.
+func (m *dependencyModel) readFinalRecords(state *State) {
 	for _, id := range state.UnresolvedDependencies() {
 		if status, ok := m.final[id]; ok {
 			state.PutFinalRecord(id, record.Final{Status: status, TaskCount: 1, EndedAtMs: 9})
@@ -81,7 +81,7 @@
 	}
 }
 
-// submit adds a job that depends on some of those there are.
+// submit adds a job that depends on some of the existing jobs.
 func (m *dependencyModel) submit(t *rapid.T) {
 	id := fmt.Sprintf("run-%d", len(m.ids))
 	for _, other := range m.ids {
@@ -93,14 +93,14 @@
 	m.put(id, func(*record.Job) {})
 }
 
-// The steps of the model beside submission.
+// The steps of the model other than submission, which is step 0.
 const (
-	stepComplete = iota + 1 // the task completes, the live record stays for a while
-	stepFinish              // the task completes and the job is over in one step
+	stepComplete = iota + 1 // the task completes, but the live record remains for now
+	stepFinish              // the task completes and the final record replaces the live one in the same step
 	stepCancel
 	stepFinalize
-	stepReadFinals
-	stepCancelDone // a job cancelled at its end: it is done all the same
+	stepReadFinalRecords
+	stepCancelDone // cancels a job whose task is done; the job remains done
 	stepCount
 )
 
@@ -110,10 +110,10 @@
 	if m.live[id] {
 		m.stepLive(id, step)
 	}
-	if step == stepReadFinals {
-		m.readFinals(m.state)
+	if step == stepReadFinalRecords {
+		m.readFinalRecords(m.state)
 	}
-	m.sweep(t, id)
+	m.maybeCancelDependent(t, id)
 }
 
 // stepLive changes a live job, if its outcome allows the step.
@@ -138,8 +138,9 @@
 	}
 }
 
-// sweep cancels a job, as the leader does sooner or later, if the state says that one it depends on is cancelled.
-func (m *dependencyModel) sweep(t *rapid.T, id string) {
+// maybeCancelDependent cancels a job, or leaves that to a later step, if the state reports that one of its dependencies
+// is cancelled. The leader cancels such jobs eventually.
+func (m *dependencyModel) maybeCancelDependent(t *rapid.T, id string) {
 	_, cancelled := m.state.DependencyCancelled()[id]
 	if cancelled && m.live[id] && m.outcome[id] == "" && rapid.Bool().Draw(t, "sweep") {
 		m.outcome[id] = wire.JobCancelled
@@ -147,7 +148,8 @@
 	}
 }
 
-// checkSafe checks that the state, which may lag behind, claims nothing that is not so.
+// checkSafe checks that the state, which may be stale, reports neither a met nor a cancelled dependency that the model
+// does not have.
 func (m *dependencyModel) checkSafe(t *rapid.T) {
 	for _, id := range m.ids {
 		if !m.live[id] {
@@ -155,15 +157,15 @@
 		}
 		job := m.state.Jobs[id]
 		if !job.HasUnmetDependencies() && !m.ready(id) {
-			t.Fatalf("%s may start before what it depends on is done", id)
+			t.Fatalf("%s may start before its dependencies are done", id)
 		}
 		if job.DependencyCancelled && !m.dependencyCancelled(id) {
-			t.Fatalf("%s is to be cancelled though nothing that it depends on is", id)
+			t.Fatalf("%s is to be cancelled though none of its dependencies is cancelled", id)
 		}
 	}
 }
 
-// restart returns the state of a node that starts from the records alone.
+// restart returns the state of a restarted node, which is built from the live records alone.
 func (m *dependencyModel) restart() *State {
 	restarted := New(3, slog.New(slog.DiscardHandler))
 	restarted.BeginUpdate()
@@ -178,7 +180,7 @@
 	return restarted
 }
 
-// checkExact checks that a state has caught up with the model.
+// checkExact checks that a state, after reading all final records, agrees with the model.
 func (m *dependencyModel) checkExact(t *rapid.T, state *State) {
 	for _, id := range m.ids {
 		if !m.live[id] {
@@ -194,14 +196,14 @@
 			t.Errorf("%s has a cancelled dependency: %v, want %v", id, job.DependencyCancelled, cancelled)
 		}
 		if state.OutcomeUndecided(job) != job.DependencyCancelled {
-			t.Errorf("%s undecided: %v", id, state.OutcomeUndecided(job))
+			t.Errorf("%s has an undecided outcome: %v", id, state.OutcomeUndecided(job))
 		}
 	}
 }
 
-// TestDependenciesMatchModel drives graphs of jobs through submission, completion, cancellation and the loss of
-// live records, with final records read late or not at all, and compares what may start and what is to be
-// cancelled with a plain model.
+// TestDependenciesMatchModel runs random graphs of jobs through submission, completion, cancellation and the deletion
+// of live records, with final records that are read late or not at all. It compares which jobs may start and which
+// have to be cancelled with a reference model.
 func TestDependenciesMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newDependencyModel()
@@ -214,20 +216,20 @@
 			}
 			model.checkSafe(t)
 		}
-		// Nothing more happens: what is known has to catch up, however long the chains.
+		// Once the jobs stop changing, the states must agree with the model, however long the dependency chains are.
 		restarted := model.restart()
 		for _, state := range []*State{model.state, restarted} {
 			for range len(model.ids) + 1 {
-				model.readFinals(state)
+				model.readFinalRecords(state)
 			}
 			model.checkExact(t, state)
 		}
-		model.checkNothingKept(t)
+		model.checkNoEntriesLeft(t)
 	})
 }
 
-// checkNothingKept checks that the end of all jobs leaves no entry behind.
-func (m *dependencyModel) checkNothingKept(t *rapid.T) {
+// checkNoEntriesLeft deletes all live records and checks that the state has no entry left.
+func (m *dependencyModel) checkNoEntriesLeft(t *rapid.T) {
 	m.state.BeginUpdate()
 	for _, id := range m.ids {
 		if m.live[id] {
@@ -238,6 +240,6 @@
 	index := &m.state.dependencies
 	kept := len(index.dependentsOf) + len(index.finals) + len(index.unresolved) + len(index.cancelled)
 	if kept += len(m.state.Jobs); kept != 0 {
-		t.Errorf("%d entries are kept of jobs that are over", kept)
+		t.Errorf("%d entries are left after all jobs have ended", kept)
 	}
 }
--- a/internal/clusterstate/jobs.go
+++ b/internal/clusterstate/jobs.go
@@ -7,61 +7,62 @@
 	"sableusher/internal/wire"
 )
 
-// Job is a live job.
+// Job is a live job, as far as its records have been received.
 type Job struct {
-	record.Job             // without its tasks, which stand in Chunks
+	record.Job             // without its tasks, which are in Chunks
 	ModRevision     uint64 // of the job's own record
-	HasRecord       bool   // the job's own record was seen, not only chunks
+	HasRecord       bool   // the job's own record was received, not only chunks
 	EncodedBaseSize int    // see record.EncodedBaseSize
 	Chunks          []Chunk
 	orphanChunks    map[string]orphanChunk // by key
 
 	BoundCount   int
 	DoneCount    int
-	BoundByShard []int // counts the bound tasks by their machine's shard; empty until there was one
+	BoundByShard []int // number of bound tasks by the shard of their machine; nil until a task is bound
 
-	// PendingRetries holds the tasks that failed by themselves and wait for another attempt, by index.
+	// PendingRetries holds, by index, the pending tasks that have failures of their own and wait for a retry.
 	PendingRetries map[int]PendingRetry
 
-	metDependencies       map[string]int64 // jobs it depends on that are done, and when they were
-	DependenciesMetAtMs   int64            // when the last of them was done
-	DependencyCancelled   bool             // a job it depends on is cancelled: it never runs
-	DependencyCancelledAt time.Time        // when this node learned of it
+	metDependencies       map[string]int64 // end times of the dependencies that are done, in Unix milliseconds
+	DependenciesMetAtMs   int64            // when the last of them was done; 0 if none is
+	DependencyCancelled   bool             // a dependency is cancelled, so this job never runs
+	DependencyCancelledAt time.Time        // when this node observed that
 }
 
-// Chunk is the run of a job's tasks that one record holds.
+// Chunk is the range of a job's tasks that is stored in one record.
 type Chunk struct {
-	ModRevision  uint64        // 0: there is no record
-	Tasks        []record.Task // by position in the chunk; empty until a task of it was bound
+	ModRevision  uint64        // 0 if there is no record
+	Tasks        []record.Task // by position in the chunk; empty until the first of them is bound
 	pendingCount int
 }
 
-// orphanChunk is a chunk that the job's own record does not place, or does not place yet.
+// orphanChunk is a chunk that is not, or not yet, part of the layout in the job's own record.
 type orphanChunk struct {
 	tasks       []record.Task
 	modRevision uint64
 }
 
-// PendingRetry is a task that waits for another attempt after a failure of its own.
+// PendingRetry describes a task that waits for a retry after a failure of its own.
 type PendingRetry struct {
 	Failures int
-	SeenAt   time.Time // when this node saw the last failure, or first read the record
+	SeenAt   time.Time // when this node observed the last failure, or first read the record
 }
 
-// PendingCount is the number of tasks that are neither bound nor done.
+// PendingCount returns the number of tasks that are neither bound nor done.
 func (j *Job) PendingCount() int { return j.Spec.TaskCount - j.BoundCount - j.DoneCount }
 
 // Cancelled reports whether the job was cancelled.
 func (j *Job) Cancelled() bool { return j.CancelledAtMs != 0 }
 
-// CancelRequested reports whether the job is to be cancelled once no task of it is bound, and is not yet.
+// CancelRequested reports whether the cancellation of the job was requested but is not effective yet: the job is
+// cancelled once none of its tasks is bound.
 func (j *Job) CancelRequested() bool { return j.CancelRequestedAtMs != 0 && !j.Cancelled() }
 
-// Stopping reports whether nothing of the job may start any more and what is bound is to stop: it was cancelled, or
-// that was requested.
+// Stopping reports whether the job was cancelled or its cancellation was requested. No task of such a job may start,
+// and its bound tasks have to be stopped.
 func (j *Job) Stopping() bool { return j.Cancelled() || j.CancelRequested() }
 
-// StoppingSince is when a stopping job was cancelled, or when that was requested.
+// StoppingSince returns when a stopping job was cancelled or, if it was not, when its cancellation was requested.
 func (j *Job) StoppingSince() time.Time {
 	if j.Cancelled() {
 		return time.UnixMilli(j.CancelledAtMs)
@@ -69,12 +70,13 @@
 	return time.UnixMilli(j.CancelRequestedAtMs)
 }
 
-// Complete reports whether all tasks of the job are done. That decides what became of the job whatever else its
-// records say: the last task of a job with several records ends in a change that does not collide with a
-// cancellation at that moment, and users may have been told of the end by then.
+// Complete reports whether all tasks of the job are done. A complete job is done even if its own record marks it as
+// cancelled: the last task of a job with several records may complete in a transaction that does not conflict with a
+// concurrent cancellation, and by then users may have been informed that the job is done.
 func (j *Job) Complete() bool { return j.HasRecord && j.DoneCount == j.Spec.TaskCount }
 
-// CancelledStatus is the final status of a cancelled job: cancelled, or failed if it ended itself.
+// CancelledStatus returns the final status of a cancelled job: failed if the job was ended because a task had no retry
+// left, and cancelled otherwise.
 func (j *Job) CancelledStatus() wire.JobState {
 	if j.Failed {
 		return wire.JobFailed
@@ -82,17 +84,18 @@
 	return wire.JobCancelled
 }
 
-// CanStart reports whether tasks of the job may start, as far as its records go. A job that is offloaded may
-// not: another cell may start it.
+// CanStart reports whether the job's records allow its tasks to start. Tasks of an offloaded job must not start here,
+// because another cell may start them.
 func (j *Job) CanStart() bool {
 	recalled := j.OffloadedFrom != nil && j.OffloadedFrom.Recalled
 	return j.HasRecord && !j.Stopping() && !j.HasUnmetDependencies() && j.OffloadedTo == nil && !recalled
 }
 
-// FullyReleased reports whether no task of the job is on a machine of this cell, and none can be in another.
+// FullyReleased reports whether no task of the job is bound to a machine of this cell and the job is not offloaded to
+// another cell.
 func (j *Job) FullyReleased() bool { return j.BoundCount == 0 && j.OffloadedTo == nil }
 
-// Task returns the durable state of a task.
+// Task returns the durable state of the task with the given index.
 func (j *Job) Task(index int) record.Task {
 	if chunk := j.ChunkOf(index); chunk < len(j.Chunks) {
 		if tasks := j.Chunks[chunk].Tasks; len(tasks) > 0 {
@@ -103,7 +106,7 @@
 	return record.Task{Index: index}
 }
 
-// ChunkFullyAssigned reports whether no task of a chunk is pending.
+// ChunkFullyAssigned reports whether the chunk has a record and none of its tasks is pending.
 func (j *Job) ChunkFullyAssigned(chunk int) bool {
 	return chunk < len(j.Chunks) && len(j.Chunks[chunk].Tasks) > 0 && j.Chunks[chunk].pendingCount == 0
 }
@@ -119,7 +122,7 @@
 	}
 }
 
-// trackRetry notes whether a task waits for another attempt.
+// trackRetry updates the task's entry in PendingRetries.
 func (j *Job) trackRetry(task record.Task) {
 	if task.State != record.TaskPending || task.Failures == 0 {
 		delete(j.PendingRetries, task.Index)
--- a/internal/clusterstate/jobwrites.go
+++ b/internal/clusterstate/jobwrites.go
@@ -5,7 +5,8 @@
 	"sableusher/internal/wire"
 )
 
-// startedTasks lists the tasks from first up to end that were ever bound, with changes, by index, applied.
+// startedTasks returns the tasks in [first, end) that were ever bound. A task in changes, which is keyed by task index,
+// replaces the stored one.
 func (j *Job) startedTasks(first, end int, changes map[int]record.Task) []record.Task {
 	var tasks []record.Task
 	for index := first; index < end; index++ {
@@ -20,24 +21,24 @@
 	return tasks
 }
 
-// chunkTasks lists the tasks of a chunk that were ever bound, with changes applied.
+// chunkTasks returns the tasks of a chunk that were ever bound, with changes applied as in startedTasks.
 func (j *Job) chunkTasks(chunk int, changes map[int]record.Task) []record.Task {
 	first, end := j.TaskRange(chunk)
 	return j.startedTasks(first, end, changes)
 }
 
-// EncodeChunk returns the operation that writes a chunk with changes, by task index, applied.
+// EncodeChunk returns the operation that writes a chunk with changes applied, which are keyed by task index.
 func (j *Job) EncodeChunk(chunk int, changes map[int]record.Task) wire.Op {
 	return j.EncodeTasks(chunk, j.chunkTasks(chunk, changes))
 }
 
-// MaxChunkSize returns an upper bound of what a chunk takes with changes applied, in bytes of its JSON form.
+// MaxChunkSize returns an upper bound of the size of a chunk's record with changes applied, in bytes of its JSON form.
 func (j *Job) MaxChunkSize(chunk int, changes map[int]record.Task) int {
 	return j.Job.MaxChunkSize(chunk, j.EncodedBaseSize, j.chunkTasks(chunk, changes))
 }
 
-// ChunkConditions returns the conditions under which an encoded chunk may be written: neither it nor the job's
-// own record has changed.
+// ChunkConditions returns the conditions for writing an encoded chunk: neither the chunk nor the job's own record has
+// changed.
 func (j *Job) ChunkConditions(chunk int) []wire.Condition {
 	conditions := []wire.Condition{{Key: record.JobKey(j.Spec.ID), ModRevision: j.ModRevision}}
 	if chunk > 0 {
@@ -46,12 +47,12 @@
 	return conditions
 }
 
-// chunkCondition is the condition that a further chunk has not changed.
+// chunkCondition returns the condition that the record of a further chunk has not changed.
 func (j *Job) chunkCondition(chunk int) wire.Condition {
 	return wire.Condition{Key: j.ChunkKey(chunk), ModRevision: j.chunkModRevision(chunk)}
 }
 
-// chunkModRevision is the mod revision of a chunk's record, 0 if there is none.
+// chunkModRevision returns the mod revision of a chunk's record, or 0 if there is none.
 func (j *Job) chunkModRevision(chunk int) uint64 {
 	if chunk < len(j.Chunks) {
 		return j.Chunks[chunk].ModRevision
@@ -59,8 +60,8 @@
 	return 0
 }
 
-// FinalizeOps returns the operations that replace the job's own record by its final one. Its further chunks
-// are left to DeleteFurtherChunks.
+// FinalizeOps returns the operations that replace the job's own record by its final record. The records of its further
+// chunks remain; DeleteFurtherChunks deletes them.
 func (j *Job) FinalizeOps(status wire.JobState, doneCount int, endedAtMs int64) []wire.Op {
 	id := j.Spec.ID
 	final := record.Final{Status: status, TaskCount: j.Spec.TaskCount, DoneCount: doneCount, EndedAtMs: endedAtMs}
@@ -70,8 +71,8 @@
 	}
 }
 
-// DeleteFurtherChunks returns at most limit operations that delete further chunks of the job; the remaining
-// ones are collected later.
+// DeleteFurtherChunks returns at most limit operations that delete records of further chunks of the job. Records beyond
+// the limit are left for a later call.
 func (j *Job) DeleteFurtherChunks(limit int) []wire.Op {
 	var ops []wire.Op
 	for _, key := range j.FurtherChunkKeys() {
@@ -82,7 +83,7 @@
 	return ops
 }
 
-// FurtherChunkKeys lists the keys of the job's further chunks that have a record, orphans included.
+// FurtherChunkKeys returns the keys of all records of the job's further chunks, including orphans.
 func (j *Job) FurtherChunkKeys() []string {
 	var keys []string
 	for chunk := 1; chunk < len(j.Chunks); chunk++ {
--- a/internal/clusterstate/machines.go
+++ b/internal/clusterstate/machines.go
@@ -10,21 +10,21 @@
 	"sableusher/internal/wire"
 )
 
-// Machine is a known machine: one with a record of its own, or one that an open rental lists.
+// Machine is a machine that has a record of its own or is listed in an open rental.
 type Machine struct {
 	record.Machine
 	Name        string
 	Shard       int
-	ModRevision uint64 // 0: only a rental lists it
+	ModRevision uint64 // 0 if the machine has no record of its own
 	Bindings    map[record.TaskRef]Binding
 	Used        record.Resources // by the bound tasks
-	// PreemptibleByRank is what tasks that may be preempted alone take, by rank of priority.
+	// PreemptibleByRank is the part of Used whose tasks may be preempted individually, by priority rank.
 	PreemptibleByRank [wire.PriorityCount]record.Resources
 	// TasksByImage counts the bound tasks by image.
 	TasksByImage map[string]int
 }
 
-// addUsage adds what count tasks of a job take; count may be negative.
+// addUsage adds the resources of count tasks of a job; count may be negative.
 func (m *Machine) addUsage(spec *wire.JobSpec, count int) {
 	need := record.TaskResources(spec)
 	m.Used = m.Used.PlusTimes(need, float64(count))
@@ -37,14 +37,15 @@
 	}
 }
 
-// resetUsage forgets the rounding errors of an empty machine.
+// resetUsage clears the rounding errors that remain in the usage of a machine without tasks.
 func (m *Machine) resetUsage() {
 	m.Used, m.PreemptibleByRank = record.Resources{}, [wire.PriorityCount]record.Resources{}
 }
 
 func compareMachineName(machine *Machine, name string) int { return cmp.Compare(machine.Name, name) }
 
-// machineEntry returns a machine's entry, made if there is none.
+// machineEntry returns a machine's entry and creates it if it does not exist. A new entry takes over the machine's
+// orphan bindings.
 func (s *State) machineEntry(name string) *Machine {
 	if machine := s.Machines[name]; machine != nil {
 		return machine
@@ -79,14 +80,14 @@
 	}
 	s.changes.markMachine(change.name)
 	if rental, ok := s.Rentals[s.rentalByMachine[change.name]]; ok {
-		// The rental still lists it: it counts as not yet up.
+		// The rental still lists the machine, so it is treated as one that is not up yet.
 		machine.Machine, machine.ModRevision = rental.InitialMachine(), 0
 		return
 	}
 	s.removeMachine(machine)
 }
 
-// removeMachine takes a machine out of the indexes; its bindings become orphans.
+// removeMachine removes a machine from the indexes and keeps its bindings in OrphanBindings.
 func (s *State) removeMachine(machine *Machine) {
 	delete(s.Machines, machine.Name)
 	ofShard := s.MachinesByShard[machine.Shard]
@@ -98,11 +99,12 @@
 	}
 }
 
-// LongestMachineName is the length in bytes of the longest machine name so far. Callers hold the lock.
+// LongestMachineName returns the length in bytes of the longest machine name seen so far. The caller must hold the
+// lock.
 func (s *State) LongestMachineName() int { return s.longestMachineName }
 
-// SizeLimits returns the limits of records of at most maxBytes, given the machine names so far. Callers hold
-// the lock.
+// SizeLimits returns the limits for records of at most maxBytes, with an allowance for the longest machine name seen
+// so far. The caller must hold the lock.
 func (s *State) SizeLimits(maxBytes int) record.SizeLimits {
 	extraNameBytes := max(0, s.longestMachineName-tuning.BoundTaskNameBytes)
 	return record.SizeLimits{MaxBytes: maxBytes, BoundTaskBytes: tuning.BoundTaskMaxBytes + extraNameBytes}
--- a/internal/clusterstate/migration.go
+++ b/internal/clusterstate/migration.go
@@ -6,28 +6,28 @@
 	"sableusher/internal/wire"
 )
 
-// NeedsMigration reports whether a fixed chunk of the job may come to exceed the limits, so that it has to be
-// migrated before it is written again.
+// NeedsMigration reports whether the job has fixed chunks that have to be migrated before they are written again: one
+// of them may grow beyond the limits, or a migration has begun and is not complete.
 func (j *Job) NeedsMigration(limits record.SizeLimits) bool {
 	if j.ChunkWidth > 0 {
 		return j.FirstFixedChunk > 0
 	}
-	// A job whose description alone is too long stays as it is.
+	// A job whose description alone is too long for any chunk width is not migrated.
 	return !limits.FixedChunksFit(&j.Spec, j.EncodedBaseSize) && limits.ChunkWidth(&j.Spec, j.EncodedBaseSize) > 0
 }
 
-// Migration is a step that migrates a fixed chunk of a job to grouped ones: operations to be applied in one
-// transaction if all conditions hold.
+// Migration is one step of a job's migration, which replaces a fixed chunk by grouped ones. All of its operations have
+// to be applied in one transaction under its conditions.
 type Migration struct {
 	Conditions []wire.Condition
 	Ops        []wire.Op
 }
 
-// MigrateChunk returns the next step of a job's migration: its first chunk together with the job's own record,
-// later ones one at a time. Every write of a job's tasks is conditional on the job's own record, which each step
-// rewrites: a writer that still assumes the old layout fails, and readers see one layout or the other. maxAbsent
-// bounds the chunks without a record that are passed over at once. It returns false if no layout fits the
-// limits.
+// MigrateChunk returns the next step of a job's migration, or false if no layout fits the limits. The first step
+// migrates the chunk in the job's own record; each later step migrates one further chunk. Every step rewrites the job's
+// own record, and every write of the job's tasks is conditional on that record: a writer that still uses the old layout
+// fails, and readers see either the old or the new layout. A step also skips up to maxAbsent chunks that have no
+// record.
 func (j *Job) MigrateChunk(limits record.SizeLimits, maxAbsent int) (Migration, bool) {
 	migrating := j.FirstFixedChunk
 	next := *j
@@ -51,17 +51,18 @@
 	return step, true
 }
 
-// migratedChunkWidth is the chunk width that a job with fixed chunks is migrated to, 0 if none fits.
+// migratedChunkWidth returns the chunk width that a job with fixed chunks is migrated to, or 0 if none fits.
 func (j *Job) migratedChunkWidth(limits record.SizeLimits) int {
 	width := limits.ChunkWidth(&j.Spec, j.EncodedBaseSize)
 	if width > 0 && j.Spec.Spread {
-		// Each chunk of a spread job keeps to its half of a zone: its run of tasks must stay.
+		// Each chunk of a spread job is placed in its own half of a zone, so its range of tasks must not change.
 		return tuning.FixedChunkTasks
 	}
 	return width
 }
 
-// deleteFixedChunk adds the deletion of the fixed chunk that is migrated.
+// deleteFixedChunk adds the deletion of the fixed chunk that is being migrated, and the condition that it has not
+// changed.
 func (m *Migration) deleteFixedChunk(job *Job, fixedChunk int) {
 	chunk := job.ChunkOf(fixedChunk * tuning.FixedChunkTasks)
 	m.Conditions = append(m.Conditions, job.chunkCondition(chunk))
@@ -70,8 +71,8 @@
 	}
 }
 
-// skipAbsentChunks returns how many fixed chunks from first on need no step of their own, as they have no record,
-// and adds the condition that they still have none.
+// skipAbsentChunks returns how many consecutive fixed chunks from first on, at most limit, have no record and so need
+// no step of their own. It adds the conditions that they still have none.
 func (m *Migration) skipAbsentChunks(job *Job, first, limit int) int {
 	skipped := 0
 	for skipped < limit && first+skipped < record.FixedChunkCount(job.Spec.TaskCount) {
@@ -85,8 +86,8 @@
 	return skipped
 }
 
-// putGroupedChunks adds the writes of the job's own record and of the grouped chunks, in the layout of next, that
-// hold the tasks of a fixed chunk of job.
+// putGroupedChunks adds the writes of the job's own record and of the grouped chunks that hold the tasks of the given
+// fixed chunk. The tasks are read from job and written in the layout of next.
 func (m *Migration) putGroupedChunks(job, next *Job, fixedChunk int) {
 	firstTasks := job.startedTasks(0, min(next.ChunkWidth, job.Spec.TaskCount), nil)
 	m.Ops = append(m.Ops, next.EncodeTasks(0, firstTasks))
--- a/internal/clusterstate/migration_test.go
+++ b/internal/clusterstate/migration_test.go
@@ -14,7 +14,7 @@
 	"sableusher/internal/wire"
 )
 
-// recordStore is a store of records with mod revisions, and a state that follows it.
+// recordStore is an in-memory store of records with mod revisions, and a state that receives its changes.
 type recordStore struct {
 	records      map[string]wire.RawValue
 	modRevisions map[string]uint64
@@ -30,7 +30,7 @@
 	}
 }
 
-// commit applies operations if all conditions hold; the state sees them in any order.
+// commit applies operations if all conditions hold. The state receives the operations in random order.
 func (s *recordStore) commit(t *rapid.T, conditions []wire.Condition, ops []wire.Op) bool {
 	for _, condition := range conditions {
 		if s.modRevisions[condition.Key] != condition.ModRevision {
@@ -53,7 +53,7 @@
 	return true
 }
 
-// reload reads all records anew, in any order, as a node does that starts.
+// reload returns a new state, as a starting node builds it, from all records in random order.
 func (s *recordStore) reload(t *rapid.T) *State {
 	state := New(3, slog.New(slog.DiscardHandler))
 	state.BeginUpdate()
@@ -73,21 +73,21 @@
 	s.state.EndUpdate()
 }
 
-// taskWrite is a change of some tasks of one chunk.
+// taskWrite is a transaction that changes tasks of one chunk or is a step of the migration.
 type taskWrite struct {
 	conditions []wire.Condition
 	ops        []wire.Op
 	tasks      map[int]record.Task
-	migrates   bool // it is a step of the migration
+	migrates   bool // whether it is a step of the migration
 }
 
-// migrationModel is a job whose tasks change while its chunks are migrated, next to a plain map of its tasks.
+// migrationModel is a job whose tasks change while its chunks are migrated, with a map of the expected tasks.
 type migrationModel struct {
 	store     *recordStore
 	limits    record.SizeLimits
 	spec      wire.JobSpec
-	tasks     map[int]record.Task // those that were ever changed, by index
-	delayed   []taskWrite         // applied later, if their conditions still hold
+	tasks     map[int]record.Task // expected states of the tasks that were changed, by index
+	delayed   []taskWrite         // to be committed later, if their conditions still hold then
 	migrating bool
 }
 
@@ -114,7 +114,7 @@
 
 func (m *migrationModel) job() *Job { return m.store.state.Jobs[m.spec.ID] }
 
-// drawTask draws the next state of a task.
+// drawTask draws a random state of a task.
 func (m *migrationModel) drawTask(t *rapid.T, index int) record.Task {
 	task := record.Task{
 		Index:   index,
@@ -131,7 +131,7 @@
 	return task
 }
 
-// writeTasks changes some tasks of one chunk, now or later.
+// writeTasks changes some tasks of one chunk, immediately or as a delayed write.
 func (m *migrationModel) writeTasks(t *rapid.T) {
 	job := m.job()
 	first, end := job.TaskRange(rapid.IntRange(0, job.ChunkCount()-1).Draw(t, "record"))
@@ -145,7 +145,7 @@
 		conditions: job.ChunkConditions(chunk), ops: []wire.Op{job.EncodeChunk(chunk, changes)}, tasks: changes,
 	}
 	if size := wire.JSONSize(write.ops[0].Value); job.MaxChunkSize(chunk, changes) < size {
-		t.Fatalf("record takes %d bytes, %d were expected", size, job.MaxChunkSize(chunk, changes))
+		t.Fatalf("record takes %d bytes, more than the upper bound of %d", size, job.MaxChunkSize(chunk, changes))
 	}
 	if rapid.Bool().Draw(t, "late") {
 		m.delayed = append(m.delayed, write)
@@ -161,7 +161,7 @@
 	}
 }
 
-// applyDelayed applies the oldest write that was delayed.
+// applyDelayed commits the oldest delayed write.
 func (m *migrationModel) applyDelayed(t *rapid.T) {
 	if len(m.delayed) > 0 {
 		write := m.delayed[0]
@@ -170,7 +170,7 @@
 	}
 }
 
-// migrate takes the next step of the job's migration, now or, if allowed, later.
+// migrate takes the next step of the job's migration, immediately or, if mayDelay is set, possibly as a delayed write.
 func (m *migrationModel) migrate(t *rapid.T, mayDelay bool) {
 	job := m.job()
 	if !job.NeedsMigration(m.limits) {
@@ -181,7 +181,7 @@
 		return
 	}
 	if len(step.Ops) > tuning.MinUpcomingTxnOps {
-		t.Fatalf("%d changes in one step", len(step.Ops))
+		t.Fatalf("%d operations in one step", len(step.Ops))
 	}
 	if mayDelay && rapid.Bool().Draw(t, "late") {
 		m.delayed = append(m.delayed, taskWrite{conditions: step.Conditions, ops: step.Ops, migrates: true})
@@ -189,11 +189,11 @@
 	}
 	m.migrating = true
 	if !m.store.commit(t, step.Conditions, step.Ops) {
-		t.Fatal("a migration from the newest state failed")
+		t.Fatal("a migration step based on the current state failed")
 	}
 }
 
-// check compares a state with the model.
+// check compares the tasks and counts in a state with the model.
 func (m *migrationModel) check(t *rapid.T, state *State) {
 	job := state.Jobs[m.spec.ID]
 	bound, done, retries := 0, 0, 0
@@ -209,7 +209,7 @@
 		if want.State == record.TaskPending && want.Failures > 0 {
 			retries++
 			if job.PendingRetries[index].Failures != want.Failures {
-				t.Fatalf("task %d waits for a retry after %d failures, known as %+v",
+				t.Fatalf("task %d waits for a retry after %d failures, the state has %+v",
 					index, want.Failures, job.PendingRetries[index])
 			}
 		}
@@ -229,9 +229,9 @@
 	}
 }
 
-// TestMigrationUnderConcurrentWrites changes tasks of jobs of every size in every layout while their chunks are
-// migrated, with writers that pause in between, and compares with a plain map: nothing is lost, nothing written
-// twice, and what is written after the migration stays within the limit.
+// TestMigrationUnderConcurrentWrites changes tasks of jobs of all sizes and layouts while their chunks are migrated.
+// Writers may commit after a delay, when the layout has already changed. The test compares each state with a map of the
+// tasks: no write is lost or applied twice, and no record exceeds the size that was computed for it.
 func TestMigrationUnderConcurrentWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newMigrationModel(t)
@@ -253,15 +253,15 @@
 			}
 		}
 		if job := model.job(); model.migrating && (job.ChunkWidth == 0 || job.FirstFixedChunk != 0) {
-			t.Fatalf("chunks were not migrated to the end: chunk width %d, first fixed chunk %d",
+			t.Fatalf("migration is not complete: chunk width %d, first fixed chunk %d",
 				job.ChunkWidth, job.FirstFixedChunk)
 		}
 		if job := model.job(); model.migrating && len(job.orphanChunks) != 0 {
-			t.Fatalf("%d chunks of the old layout are left", len(job.orphanChunks))
+			t.Fatalf("%d orphaned chunks are left after the migration", len(job.orphanChunks))
 		}
 		model.store.deleteAll()
 		if len(model.store.state.Jobs) != 0 {
-			t.Fatal("a job without records is left")
+			t.Fatal("the state still has a job after all records were deleted")
 		}
 	})
 }
--- a/internal/clusterstate/ownership.go
+++ b/internal/clusterstate/ownership.go
@@ -2,13 +2,13 @@
 
 import "sableusher/internal/record"
 
-// Shard is a shard's ownership.
+// Shard is the ownership record of a shard, with its mod revision.
 type Shard struct {
 	record.Shard
 	ModRevision uint64
 }
 
-// Node is a node's live session.
+// Node is the record of a node's live session, with its mod revision.
 type Node struct {
 	record.Node
 	ModRevision uint64
--- a/internal/clusterstate/quotas.go
+++ b/internal/clusterstate/quotas.go
@@ -2,7 +2,7 @@
 
 import "sableusher/internal/record"
 
-// Quota is a team's grants.
+// Quota is the record of a team's quota grants, with its mod revision.
 type Quota struct {
 	record.Quota
 	ModRevision uint64
--- a/internal/clusterstate/rentals.go
+++ b/internal/clusterstate/rentals.go
@@ -2,14 +2,14 @@
 
 import "sableusher/internal/record"
 
-// Rental is an open rental request.
+// Rental is the record of an open rental request, with its mod revision.
 type Rental struct {
 	record.Rental
 	ModRevision uint64
 }
 
-// ListedInRental reports whether an open rental lists a machine: the machine's own record must stay until the
-// rental is deleted, or it would count as coming up again. Callers hold the lock.
+// ListedInRental reports whether an open rental lists the machine. The machine's own record must not be deleted before
+// the rental is, or the machine would again be treated as one that is not up yet. The caller must hold the lock.
 func (s *State) ListedInRental(machine string) bool { return s.rentalByMachine[machine] != "" }
 
 func (s *State) putRental(change recordChange, rental record.Rental) {
@@ -28,7 +28,7 @@
 
 func (s *State) deleteRental(change recordChange) { s.removeRental(change.name) }
 
-// removeRental takes a rental out of the indexes, with the machines that only it lists.
+// removeRental removes a rental from the indexes, and its machines that have no record of their own.
 func (s *State) removeRental(rentalName string) {
 	rental := s.Rentals[rentalName]
 	delete(s.Rentals, rentalName)
--- a/internal/clusterstate/rentals_test.go
+++ b/internal/clusterstate/rentals_test.go
@@ -8,8 +8,8 @@
 	"sableusher/internal/wire"
 )
 
-// TestRentedMachinesWithoutRecords: an open rental's machines are known before they have records, and again after
-// those are deleted, until the rental itself is.
+// TestRentedMachinesWithoutRecords checks that the machines of an open rental are in the state before they have records
+// and after these are deleted, until the rental itself is deleted.
 func TestRentedMachinesWithoutRecords(t *testing.T) {
 	state := New(testShards, slog.New(slog.DiscardHandler))
 	rental := record.Rental{Type: "g8", Zone: "east", Count: 1, RequestedAtMs: 5, Machines: []string{"vm-1"}}
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -7,40 +7,41 @@
 	"sableusher/internal/record"
 )
 
-// State is a node's view of the records. Its lock guards everything in it, the entries of its maps included;
-// holders of the lock may read them but never change them. Writers use BeginUpdate and EndUpdate, not Lock.
+// State is a node's cache of the durable records. Its lock guards all fields, including the entries of the maps, which
+// callers that hold the lock may read but must not modify. Updates are made between BeginUpdate and EndUpdate; callers
+// do not use Lock.
 type State struct {
 	sync.RWMutex
 	ShardCount int
 
-	Jobs     map[string]*Job // also jobs of which only chunks were seen, see Job.HasRecord
+	Jobs     map[string]*Job // includes jobs of which only chunks were received, see Job.HasRecord
 	Machines map[string]*Machine
-	Shards   map[int]Shard // with record.LeaderShard
+	Shards   map[int]Shard // includes record.LeaderShard
 	Nodes    map[string]Node
 	Quotas   map[string]Quota // by team
 	Rentals  map[string]Rental
 	Cells    map[string]*Cell
 	Catalog  Catalog
 
-	// SchemaVersion is the one in which records may be written.
+	// SchemaVersion is the active version: the newest one in which records may be written.
 	SchemaVersion            int
 	SchemaVersionModRevision uint64
 
-	// UsageByShard is what bound tasks take, by the shard whose grant they are charged to and by team.
+	// UsageByShard is the resource usage of bound tasks, by the shard whose quota grant is charged and by team.
 	UsageByShard []map[string]record.Resources
-	// MachinesByShard lists the machines of each shard by name.
+	// MachinesByShard lists the machines of each shard, sorted by name.
 	MachinesByShard [][]*Machine
-	// OrphanBindings are bindings to machines that no record knows, by machine.
+	// OrphanBindings holds the bindings to machines that are not in Machines, by machine name.
 	OrphanBindings map[string]map[record.TaskRef]Binding
 
-	rentalByMachine    map[string]string // the open rental that lists a machine
-	longestMachineName int               // in bytes, of all machines so far
+	rentalByMachine    map[string]string // name of the open rental that lists a machine
+	longestMachineName int               // in bytes, of all machines seen so far
 	dependencies       dependencyIndex
 	changes            changeNotifier
 	log                *slog.Logger
 }
 
-// New returns an empty view of a cell with so many shards.
+// New returns the empty state of a cell with shardCount shards. Records that cannot be decoded are logged to log.
 func New(shardCount int, log *slog.Logger) *State {
 	s := &State{
 		ShardCount:      shardCount,
--- a/internal/clusterstate/state_test.go
+++ b/internal/clusterstate/state_test.go
@@ -21,7 +21,7 @@
 
 const testShards = 3
 
-// drawTasks draws the states of some of count tasks.
+// drawTasks draws random states for some of the count tasks from first on.
 func drawTasks(t *rapid.T, first, count int) []record.Task {
 	var tasks []record.Task
 	for i := range count {
@@ -37,7 +37,7 @@
 	return tasks
 }
 
-// changeRecord writes or deletes a record of a generated job or machine.
+// changeRecord writes or deletes a random record of a job or machine.
 func changeRecord(t *rapid.T, state *State, modRevision uint64) {
 	id := rapid.SampledFrom(testJobs).Draw(t, "job")
 	machine := rapid.SampledFrom(testMachines).Draw(t, "m")
@@ -62,7 +62,7 @@
 	}
 }
 
-// boundTasks counts the bound tasks from scratch, by shard and by machine, and checks the counts of each job.
+// boundTasks counts the bound tasks by shard and by machine without the indexes, and checks the counts of each job.
 func boundTasks(t *rapid.T, state *State) (byShard []float64, byMachine map[string]int) {
 	byShard, byMachine = make([]float64, testShards), map[string]int{}
 	for _, job := range state.Jobs {
@@ -88,7 +88,7 @@
 	return byShard, byMachine
 }
 
-// checkMachine compares what the state holds of a machine with the number of tasks bound to it.
+// checkMachine compares the indexed bindings and usage of a machine with the number of tasks bound to it.
 func checkMachine(t *rapid.T, state *State, name string, bound int) {
 	got := len(state.OrphanBindings[name])
 	if machine := state.Machines[name]; machine != nil {
@@ -97,7 +97,7 @@
 			t.Fatalf("%s: used %v, want %d", name, machine.Used.GPUs, bound)
 		}
 		if state.OrphanBindings[name] != nil {
-			t.Fatalf("%s is known and orphaned", name)
+			t.Fatalf("%s is a known machine and has orphan bindings", name)
 		}
 	}
 	if got != bound {
@@ -105,8 +105,8 @@
 	}
 }
 
-// TestIndexesFollowRecords writes and deletes records in generated orders and compares the indexes with a count
-// from scratch.
+// TestIndexesFollowRecords writes and deletes records in random order and compares the indexes with counts that are
+// computed without them.
 func TestIndexesFollowRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := New(testShards, slog.New(slog.DiscardHandler))
--- a/internal/clusterstate/update.go
+++ b/internal/clusterstate/update.go
@@ -7,22 +7,22 @@
 	"sableusher/internal/wire"
 )
 
-// recordChange is a record that was written or deleted.
+// recordChange describes a record that was written or deleted.
 type recordChange struct {
 	key         string
-	name        string        // the key without its prefix
-	value       wire.RawValue // nothing where the record was deleted
+	name        string        // the key without the prefix of its kind
+	value       wire.RawValue // empty if the record was deleted
 	modRevision uint64
 }
 
-// recordHandler applies the changes of the records with one prefix.
+// recordHandler applies changes of records whose keys have a common prefix.
 type recordHandler struct {
 	prefix string
 	put    func(*State, recordChange) error
-	delete func(*State, recordChange) // nil: such records are never deleted
+	delete func(*State, recordChange) // nil if records of this kind are never deleted
 }
 
-// prefixHandlers are the handlers of records of which there are many.
+// prefixHandlers are the handlers of the record kinds that have many records.
 var prefixHandlers = []recordHandler{
 	{record.JobPrefix, decodedBy(record.DecodeJob, (*State).putJob), (*State).deleteJob},
 	{record.FixedChunkPrefix, decodedBy(record.DecodeFixedChunk, (*State).putChunk), (*State).deleteChunk},
@@ -37,13 +37,13 @@
 	{record.MachineTypePrefix, decoded((*State).putMachineType), nil},
 }
 
-// singleHandlers apply the writes of records of which there is one; these are never deleted.
+// singleHandlers apply writes of the records that exist only once, by key. These records are never deleted.
 var singleHandlers = map[string]func(*State, recordChange) error{
 	record.CatalogKey:       decoded((*State).putCatalog),
 	record.SchemaVersionKey: decoded((*State).putSchemaVersion),
 }
 
-// decodedBy returns the handler that decodes a written record and applies what it says.
+// decodedBy returns a handler that decodes a written record with decode and passes the result to apply.
 func decodedBy[T any](
 	decode func(wire.RawValue) (T, error), apply func(*State, recordChange, T),
 ) func(*State, recordChange) error {
@@ -57,7 +57,7 @@
 	}
 }
 
-// decoded is decodedBy for records that need no more than their codec.
+// decoded is decodedBy for records that wire.Decode decodes completely.
 func decoded[T any](apply func(*State, recordChange, T)) func(*State, recordChange) error {
 	return decodedBy(func(encoded wire.RawValue) (T, error) {
 		var value T
@@ -66,7 +66,7 @@
 	}, apply)
 }
 
-// BeginUpdate starts a group of changes that readers see as one. It takes the lock.
+// BeginUpdate starts a group of changes that readers observe atomically. It acquires the lock.
 func (s *State) BeginUpdate() { s.Lock() }
 
 // EndUpdate ends the group, releases the lock and notifies the subscribers.
@@ -76,12 +76,12 @@
 	notify(subscribers)
 }
 
-// Put applies a written record; between BeginUpdate and EndUpdate. A record that cannot be read is logged and
-// otherwise ignored.
+// Put applies a written record. It must be called between BeginUpdate and EndUpdate. A record that cannot be decoded is
+// logged and otherwise ignored; keys of unknown kinds are ignored.
 func (s *State) Put(key string, value wire.RawValue, modRevision uint64) {
 	change := recordChange{key: key, value: value, modRevision: modRevision}
 	if err := s.put(change); err != nil {
-		s.log.Error("unreadable record", "key", key, "err", err)
+		s.log.Error("ignoring record that cannot be decoded", "key", key, "err", err)
 	}
 }
 
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// Delete applies the deletion of a record; between BeginUpdate and EndUpdate.
+// Delete applies the deletion of a record. It must be called between BeginUpdate and EndUpdate.
 func (s *State) Delete(key string) {
 	for _, handler := range prefixHandlers {
 		name, ok := strings.CutPrefix(key, handler.prefix)
--- a/internal/clusterstate/update_test.go
+++ b/internal/clusterstate/update_test.go
@@ -17,15 +17,15 @@
 	change()
 }
 
-// TestEveryRecordIsFollowed: a written record of each kind is in the state with its mod revision, and a deleted one
-// is not.
-func TestEveryRecordIsFollowed(t *testing.T) {
+// TestEveryRecordKindIsApplied checks that a written record of each kind is in the state with its mod revision, and
+// that a deleted one is not.
+func TestEveryRecordKindIsApplied(t *testing.T) {
 	const revision = 7
 	for _, kind := range []struct {
 		name  string
 		key   string
 		value any
-		// modRevision of the record in the state, 0 if it is not there
+		// modRevision returns the record's mod revision in the state, or 0 if it is absent
 		modRevision func(*State) uint64
 	}{
 		{"job", record.JobKey("run-1"), record.Job{Spec: wire.JobSpec{ID: "run-1"}}, func(s *State) uint64 {
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestSchemaVersionOnlyRises: a schema version that comes late does not lower the one in force.
+// TestSchemaVersionOnlyRises checks that a lower schema version that arrives late does not lower the active one.
 func TestSchemaVersionOnlyRises(t *testing.T) {
 	state := New(testShards, slog.New(slog.DiscardHandler))
 	for revision, version := range []int{2, 3, 1} {
@@ -94,8 +94,9 @@
 	}
 }
 
-// TestUnreadableRecordIsIgnored: a record that cannot be read is logged, and leaves what was known as it is.
-func TestUnreadableRecordIsIgnored(t *testing.T) {
+// TestUndecodableRecordIsIgnored checks that a record that cannot be decoded is logged and leaves the state unchanged,
+// and that a key of an unknown kind is ignored.
+func TestUndecodableRecordIsIgnored(t *testing.T) {
 	var logged bytes.Buffer
 	state := New(testShards, slog.New(slog.NewTextHandler(&logged, nil)))
 	update(state, func() {
@@ -106,7 +107,8 @@
 	if machine := state.Machines["vm-1"]; machine.Type != "g8" || machine.ModRevision != 1 {
 		t.Errorf("machine is %+v", machine)
 	}
-	if got := logged.String(); strings.Count(got, "unreadable record") != 1 || !strings.Contains(got, "key=s/m/vm-1") {
+	if got := logged.String(); strings.Count(got, "ignoring record that cannot be decoded") != 1 ||
+		!strings.Contains(got, "key=s/m/vm-1") {
 		t.Errorf("logged %q", got)
 	}
 }
