--- a/internal/record/cell.go
+++ b/internal/record/cell.go
@@ -2,20 +2,20 @@
 
 import "sableusher/internal/wire"
 
-// Cell is what a cell keeps of another one; its leader writes it.
+// Cell is what a cell stores about another cell. Only the leader writes it.
 type Cell struct {
-	OwnEpoch             uint64 `cbor:"o"`           // this cell's epoch at the time of writing
-	PeerEpoch            uint64 `cbor:"t,omitempty"` // the highest one received from the other cell
-	LastSentTransfer     uint64 `cbor:"n,omitempty"` // the last number given to a transfer to the other cell
-	LastReceivedTransfer uint64 `cbor:"h,omitempty"` // the highest number of a transfer taken from there
+	OwnEpoch             uint64 `cbor:"o"`           // this cell's epoch when the record was written
+	PeerEpoch            uint64 `cbor:"t,omitempty"` // highest epoch received from the other cell
+	LastSentTransfer     uint64 `cbor:"n,omitempty"` // number of the last transfer to the other cell
+	LastReceivedTransfer uint64 `cbor:"h,omitempty"` // highest number of a transfer accepted from the other cell
 	Standing             int    `cbor:"s,omitempty"` // a federation.Standing
 	StandingSinceMs      int64  `cbor:"m,omitempty"`
-	ReturnCount          int    `cbor:"r,omitempty"` // how often it came back, less those forgiven
-	InventoryReceived    bool   `cbor:"k,omitempty"` // its inventory under these epochs is complete
-	FencedEpoch          uint64 `cbor:"f,omitempty"` // its epochs up to this one are refused
+	ReturnCount          int    `cbor:"r,omitempty"` // times the other cell became available again, less those forgiven
+	InventoryReceived    bool   `cbor:"k,omitempty"` // the other cell's inventory under these epochs is complete
+	FencedEpoch          uint64 `cbor:"f,omitempty"` // epochs of the other cell up to this one are rejected
 }
 
-// GuestOutcome is how a guest job ended, kept until its home cell has it.
+// GuestOutcome is the outcome of a guest job that has ended. It is stored until the job's home cell has received it.
 type GuestOutcome struct {
 	JobID     string        `cbor:"j"`
 	Status    wire.JobState `cbor:"s"`
--- a/internal/record/chunk.go
+++ b/internal/record/chunk.go
@@ -7,20 +7,21 @@
 	"sableusher/internal/wire"
 )
 
-// FixedChunk holds tuning.FixedChunkTasks tasks of a job, each in full: the first layout of a job's records.
+// FixedChunk holds up to tuning.FixedChunkTasks tasks of a job, each one in full. It is the original layout of job
+// records.
 type FixedChunk struct {
 	Tasks    []Task `cbor:"k"`
 	Failures []int  `cbor:"f,omitempty"` // as in Job
 }
 
-// GroupedChunk holds Job.ChunkWidth tasks of a job, equal ones as one group, so that the record stays within
-// a small value limit.
+// GroupedChunk holds up to Job.ChunkWidth tasks of a job. Tasks that are equal except for their indexes form one group,
+// so that the record stays within a small value limit.
 type GroupedChunk struct {
 	Groups   []TaskGroup `cbor:"g"`
 	Failures []int       `cbor:"f,omitempty"` // as in Job
 }
 
-// TaskGroup is a number of tasks that are equal but for their indexes.
+// TaskGroup is a set of tasks that are equal except for their indexes.
 type TaskGroup struct {
 	_            struct{} `cbor:",toarray"`
 	State        TaskState
@@ -28,10 +29,11 @@
 	Machine      string
 	Session      uint64
 	ChargedShard int
-	IndexRuns    []int // pairs: the first task's index and how many more follow it
+	IndexRuns    []int // pairs of a run's first index and the number of further indexes in the run
 }
 
-// groupTasks combines tasks that are equal but for their indexes, in the order of their indexes.
+// groupTasks combines tasks that are equal except for their indexes and failures. The tasks must be sorted by index for
+// the runs to be as long as possible.
 func groupTasks(tasks []Task) []TaskGroup {
 	var groups []TaskGroup
 	groupOf := map[Task]int{}
@@ -50,7 +52,7 @@
 	return groups
 }
 
-// appendIndex adds the index of a task to runs, to the last one if the index follows it.
+// appendIndex adds the index of a task to runs. It extends the last run if the index follows it directly.
 func appendIndex(runs []int, index int) []int {
 	if n := len(runs); n > 0 && runs[n-2]+runs[n-1]+1 == index {
 		runs[n-1]++
@@ -59,8 +61,8 @@
 	return append(runs, index, 0)
 }
 
-// expandGroups returns the tasks of groups. It refuses groups with more tasks than a record may hold, or with
-// indexes outside of any job, so that a damaged record cannot fill the memory.
+// expandGroups returns the tasks of groups. It returns an error if the groups have more tasks than a record may hold or
+// indexes that no job can have, so that a corrupt record cannot exhaust the memory.
 func expandGroups(groups []TaskGroup) ([]Task, error) {
 	var tasks []Task
 	for _, group := range groups {
@@ -82,7 +84,7 @@
 	return tasks, nil
 }
 
-// failurePairs returns the failures of tasks as their record holds them.
+// failurePairs returns the failures of tasks in their stored form, as in Job.Failures.
 func failurePairs(tasks []Task) []int {
 	var pairs []int
 	for _, task := range tasks {
@@ -93,7 +95,7 @@
 	return pairs
 }
 
-// attachFailures gives tasks, in place, the failures that stand beside them in their record.
+// attachFailures sets the failures of tasks in place from the pairs in their record, and returns tasks.
 func attachFailures(tasks []Task, pairs []int) []Task {
 	if len(pairs) == 0 {
 		return tasks
@@ -108,8 +110,8 @@
 	return tasks
 }
 
-// DecodeJob reads a job's own record. All tasks of its chunk are in Tasks then, with their failures; Groups and
-// Failures are empty.
+// DecodeJob decodes a job's own record. The result has all stored tasks of the first chunk in Tasks, including their
+// failures; Groups and Failures are empty.
 func DecodeJob(value wire.RawValue) (Job, error) {
 	var job Job
 	if err := wire.Decode(value, &job); err != nil {
@@ -127,7 +129,7 @@
 	return job, nil
 }
 
-// DecodeFixedChunk reads the tasks of a FixedChunk.
+// DecodeFixedChunk decodes a FixedChunk and returns its tasks.
 func DecodeFixedChunk(value wire.RawValue) ([]Task, error) {
 	var chunk FixedChunk
 	if err := wire.Decode(value, &chunk); err != nil {
@@ -136,7 +138,7 @@
 	return attachFailures(chunk.Tasks, chunk.Failures), nil
 }
 
-// DecodeGroupedChunk reads the tasks of a GroupedChunk.
+// DecodeGroupedChunk decodes a GroupedChunk and returns its tasks.
 func DecodeGroupedChunk(value wire.RawValue) ([]Task, error) {
 	var chunk GroupedChunk
 	if err := wire.Decode(value, &chunk); err != nil {
--- a/internal/record/compatibility_test.go
+++ b/internal/record/compatibility_test.go
@@ -14,9 +14,9 @@
 	"sableusher/internal/wire"
 )
 
-// The records as they were before schema version 1, frozen: they must not follow the
-// code. Until all nodes read a newer version, every record must pass through these
-// types unharmed, as an older node rewrites what it has read.
+// The record types as they were before schema version 1. They are frozen and must not
+// change with the code. Until all nodes read a newer version, every record must survive
+// decoding and encoding with these types, because older nodes rewrite records they read.
 type (
 	oldSpec struct {
 		ID          string   `cbor:"id"`
@@ -126,7 +126,7 @@
 	}
 )
 
-// readFixture reads the records as the version before wrote them, by name.
+// readFixture returns encoded records of schema version 0, by name.
 func readFixture(t *testing.T) map[string][]byte {
 	t.Helper()
 	fixture, err := os.ReadFile("testdata/schemaversion0.txt")
@@ -143,8 +143,8 @@
 	return records
 }
 
-// checkRoundTrip decodes a record as it was written into the old type and the new one, and what the new one
-// encodes to into the old type again: nothing may be lost.
+// checkRoundTrip decodes an old record into the old and into the current type, encodes the current value and decodes
+// the result into the old type again. Both values of the old type must be equal.
 func checkRoundTrip[Old, New any](t *testing.T, name string, encoded []byte) {
 	t.Helper()
 	var before, after Old
@@ -163,7 +163,8 @@
 	}
 }
 
-// TestOldRecordsRoundTrip: each kind of record passes from the version before to this one and back.
+// TestOldRecordsRoundTrip checks that each kind of record survives the conversion from schema version 0 to the current
+// one and back.
 func TestOldRecordsRoundTrip(t *testing.T) {
 	records := readFixture(t)
 	checkRoundTrip[oldJob, record.Job](t, "job", records["job"])
@@ -178,7 +179,7 @@
 	checkRoundTrip[oldCatalog, wire.Catalog](t, "catalog", records["catalog"])
 	checkRoundTrip[oldLearnerCheckpoint, learner.Checkpoint](t, "learned", records["learned"])
 
-	// A node's schema version must not disturb a node that knows of none.
+	// A node that knows no schema versions must be able to read a session with one.
 	var node oldNode
 	encoded := wire.MustEncode(record.Node{Incarnation: 77, SchemaVersion: 3})
 	if err := wire.Decode(encoded, &node); err != nil || node.Inc != 77 {
@@ -186,8 +187,8 @@
 	}
 }
 
-// TestOldJobKeepsItsLayout: a job read from the version before is written again in a form that it reads, as long
-// as nothing was migrated: same keys, same layout.
+// TestOldJobKeepsItsLayout checks that a job of schema version 0 that was not migrated is written again under the same
+// key and in the same layout, so that older nodes can read it.
 func TestOldJobKeepsItsLayout(t *testing.T) {
 	encoded := readFixture(t)["job"]
 	state := clusterstate.New(3, slog.New(slog.DiscardHandler))
@@ -211,14 +212,15 @@
 	}
 }
 
-// TestNewKeysAreUnknownToOldNodes: an older node neither rewrites nor minds what stands under keys of its own.
+// TestNewKeysAreUnknownToOldNodes checks that new kinds of records have keys that older nodes do not read as records of
+// a kind they know.
 func TestNewKeysAreUnknownToOldNodes(t *testing.T) {
 	for _, key := range []string{
 		record.SchemaVersionKey, record.GroupedChunkKey("run-000412", 1), record.MachineTypeKey("g8"),
 	} {
 		for _, known := range []string{"s/j/", "s/t/", "s/m/", "s/p/", "s/n/", "s/q/", "s/r/", "f/", "l/"} {
 			if strings.HasPrefix(key, known) || key == "s/catalog" {
-				t.Errorf("%s would be read as another record", key)
+				t.Errorf("an older node would read %s as another kind of record", key)
 			}
 		}
 	}
--- a/internal/record/layout.go
+++ b/internal/record/layout.go
@@ -7,17 +7,18 @@
 	"sableusher/internal/wire"
 )
 
-// A job's tasks are split into chunks, numbered from 0; each chunk is one record, the first one the job's own.
-// In the first layout every chunk is fixed. Since schema version 1 a job may have a ChunkWidth, and its chunks
-// are grouped ones. A job accepted before is migrated one fixed chunk at a time: its grouped chunks come first
-// then, and the fixed ones from FirstFixedChunk on follow them.
+// A job's tasks are split into chunks, which are numbered from 0. Each chunk is stored in one record; chunk 0 is part
+// of the job's own record. In the original layout all chunks are fixed chunks. Since schema version 1 a job may have a
+// ChunkWidth, and then its chunks are grouped chunks. A job that was accepted earlier is migrated one fixed chunk at a
+// time. During the migration its grouped chunks have the lowest numbers, and the fixed chunks that are left, from
+// FirstFixedChunk on, follow them.
 
-// FixedChunkCount is the number of fixed chunks that so many tasks take.
+// FixedChunkCount returns the number of fixed chunks that hold the given number of tasks.
 func FixedChunkCount(tasks int) int {
 	return (tasks + tuning.FixedChunkTasks - 1) / tuning.FixedChunkTasks
 }
 
-// validLayout reports whether the job's chunks can be laid out as its record says.
+// validLayout reports whether ChunkWidth and FirstFixedChunk describe a valid layout of the job's tasks.
 func (j *Job) validLayout() bool {
 	if j.ChunkWidth == 0 {
 		return j.FirstFixedChunk == 0
@@ -26,7 +27,7 @@
 		j.FirstFixedChunk >= 0 && j.FirstFixedChunk < FixedChunkCount(j.Spec.TaskCount)
 }
 
-// groupedChunkCount is the number of the job's grouped chunks.
+// groupedChunkCount returns the number of the job's grouped chunks.
 func (j *Job) groupedChunkCount() int {
 	switch {
 	case j.ChunkWidth == 0:
@@ -40,7 +41,7 @@
 // isGrouped reports whether a chunk of the job is a grouped one.
 func (j *Job) isGrouped(chunk int) bool { return j.ChunkWidth > 0 && chunk < j.groupedChunkCount() }
 
-// ChunkCount is the number of chunks, and so of records, that the job's tasks may take.
+// ChunkCount returns the number of chunks of the job. A further chunk has a record only once a task of it was bound.
 func (j *Job) ChunkCount() int {
 	if j.ChunkWidth > 0 && j.FirstFixedChunk == 0 {
 		return j.groupedChunkCount()
@@ -48,7 +49,7 @@
 	return j.groupedChunkCount() + FixedChunkCount(j.Spec.TaskCount) - j.FirstFixedChunk
 }
 
-// ChunkOf returns the chunk that holds a task.
+// ChunkOf returns the number of the chunk that holds the task with the given index.
 func (j *Job) ChunkOf(task int) int {
 	switch {
 	case j.ChunkWidth == 0:
@@ -59,7 +60,7 @@
 	return j.groupedChunkCount() + task/tuning.FixedChunkTasks - j.FirstFixedChunk
 }
 
-// TaskRange returns the indexes of a chunk's tasks, from first up to but not including end.
+// TaskRange returns the indexes of a chunk's tasks as the half-open range [first, end).
 func (j *Job) TaskRange(chunk int) (first, end int) {
 	first, width := chunk*j.ChunkWidth, j.ChunkWidth
 	if grouped := j.groupedChunkCount(); chunk >= grouped {
@@ -80,8 +81,8 @@
 	}
 }
 
-// ChunkIndexOf returns which chunk of the job a FixedChunk's or GroupedChunk's key names, if the job's layout
-// has it.
+// ChunkIndexOf returns the number of the job's chunk that has the given FixedChunk or GroupedChunk key. It returns
+// false if the job's layout has no such chunk.
 func (j *Job) ChunkIndexOf(key string) (int, bool) {
 	_, index, ok := ParseChunkKey(key)
 	chunk := index
@@ -91,7 +92,7 @@
 	return chunk, ok && chunk > 0 && chunk < j.ChunkCount() && j.ChunkKey(chunk) == key
 }
 
-// ChooseLayout chooses the layout of a new job's records under a schema version. It returns
+// ChooseLayout sets the layout of a new job's records under the given schema version. It returns
 // ErrDescriptionTooLarge if the job's own record would exceed the limits even without tasks.
 func (j *Job) ChooseLayout(schemaVersion int, limits SizeLimits) error {
 	baseSize := EncodedBaseSize(*j)
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// EncodeTasks returns the operation that writes a chunk of the job with these tasks.
+// EncodeTasks returns the operation that writes a chunk of the job with the given tasks.
 func (j *Job) EncodeTasks(chunk int, tasks []Task) wire.Op {
 	var value any
 	failures := failurePairs(tasks)
--- a/internal/record/layout_test.go
+++ b/internal/record/layout_test.go
@@ -10,7 +10,7 @@
 	"sableusher/internal/wire"
 )
 
-// drawLayout draws a job with a valid layout of its chunks, before, during or after a migration.
+// drawLayout draws a job with a valid layout from before, during or after a migration.
 func drawLayout(t *rapid.T) Job {
 	job := Job{Spec: wire.JobSpec{ID: "run-7", TaskCount: rapid.IntRange(1, 3000).Draw(t, "tasks")}}
 	if rapid.Bool().Draw(t, "grouped") {
@@ -20,8 +20,8 @@
 	return job
 }
 
-// TestChunksPartitionTasks: in every layout each task is in exactly one chunk, and each further chunk is known by
-// its key.
+// TestChunksPartitionTasks checks that in every layout each task is in exactly one chunk, and that the key of each
+// further chunk identifies it.
 func TestChunksPartitionTasks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job := drawLayout(t)
@@ -52,7 +52,7 @@
 	})
 }
 
-// TestJobRoundTrip: a job's own record is read as it was written, in every layout.
+// TestJobRoundTrip checks that encoding and decoding a job's own record preserves its tasks in every layout.
 func TestJobRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		job := drawLayout(t)
@@ -86,8 +86,8 @@
 	})
 }
 
-// TestInvalidLayoutsAreRefused: a job whose chunks cannot be laid out as its record says is unreadable.
-func TestInvalidLayoutsAreRefused(t *testing.T) {
+// TestInvalidLayoutsAreRejected checks that a job record with an invalid layout fails to decode.
+func TestInvalidLayoutsAreRejected(t *testing.T) {
 	for _, layout := range []struct{ width, firstFixed int }{
 		{-1, 0}, {3, 0}, {tuning.FixedChunkTasks * 2, 0}, {0, 1}, {16, -1}, {16, 2},
 	} {
@@ -97,7 +97,7 @@
 		var invalid *LayoutError
 		want := LayoutError{layout.width, layout.firstFixed, job.Spec.TaskCount}
 		if !errors.As(err, &invalid) || *invalid != want {
-			t.Errorf("%+v gave %v", layout, err)
+			t.Errorf("decoding layout %+v returned %v", layout, err)
 		}
 	}
 }
--- a/internal/record/machine.go
+++ b/internal/record/machine.go
@@ -1,6 +1,6 @@
 package record
 
-// Machine is a rented or adopted machine.
+// Machine is the record of a rented or adopted machine.
 type Machine struct {
 	Type        string `cbor:"h"`
 	Zone        string `cbor:"z"`
@@ -8,13 +8,13 @@
 	Address     string `cbor:"a,omitempty"`
 	CreatedAtMs int64  `cbor:"t"`
 	Up          bool   `cbor:"u,omitempty"` // its agent has sent a heartbeat
-	Session     uint64 `cbor:"s,omitempty"` // of the agent; 0 stands for the first
-	Draining    bool   `cbor:"d,omitempty"` // gets no new tasks and is returned once it is empty
-	Deleting    bool   `cbor:"g,omitempty"` // its deletion was requested: nothing is placed or renewed
+	Session     uint64 `cbor:"s,omitempty"` // of the agent; 0 for its first session
+	Draining    bool   `cbor:"d,omitempty"` // receives no new tasks and is returned once it has none
+	Deleting    bool   `cbor:"g,omitempty"` // deletion was requested: no tasks are placed on it and no leases renewed
 }
 
-// Rental is a rental request, written before it is sent. Once answered it lists the machines, which need no
-// records of their own until they are up.
+// Rental is the record of a rental request. It is written before the request is sent. Once the request is answered, it
+// lists the rented machines, which need no records of their own until they are up.
 type Rental struct {
 	Type          string   `cbor:"h"`
 	Zone          string   `cbor:"z"`
@@ -24,8 +24,8 @@
 	Machines      []string `cbor:"m,omitempty"`
 }
 
-// InitialMachine is the record that stands for each machine of the rental until it has one of its own: a few
-// rentals record a whole scale-out.
+// InitialMachine returns the record that represents each machine of the rental until the machine has its own record. In
+// this way a few rental records suffice for a whole scale-out.
 func (r *Rental) InitialMachine() Machine {
 	return Machine{Type: r.Type, Zone: r.Zone, Spot: r.Spot, CreatedAtMs: r.RequestedAtMs}
 }
--- a/internal/record/membership.go
+++ b/internal/record/membership.go
@@ -2,14 +2,15 @@
 
 import "hash/fnv"
 
-// LeaderShard is the pseudo shard whose owner is the leader, which scales the machines in and out.
+// LeaderShard is the pseudo shard whose owner is the leader. The leader scales the machines in and out.
 const LeaderShard = -1
 
 // ShardOf returns the shard, from 0 to shardCount-1, that a machine belongs to.
 func ShardOf(machine string, shardCount int) int {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(machine)) // a hash never fails
-	// The low bits of FNV follow the last character too closely for names that count up.
+	// The low bits of FNV depend too strongly on the last character, which would distribute consecutively numbered
+	// names unevenly.
 	mixed := hash.Sum32()
 	mixed ^= mixed >> 15
 	mixed *= 0x2c1b3c6d
@@ -17,32 +18,32 @@
 	return int(mixed % uint32(shardCount))
 }
 
-// Shard says which node owns a shard. Every change of owner raises the fencing token.
+// Shard is the ownership record of a shard. Every change of owner raises the fencing token.
 type Shard struct {
 	Owner            string `cbor:"o"`
-	OwnerIncarnation uint64 `cbor:"i"` // of the owner
+	OwnerIncarnation uint64 `cbor:"i"` // of the owner's process
 	FencingToken     uint64 `cbor:"e"`
-	HandedOff        bool   `cbor:"g,omitempty"` // its home node gave it up, as it could not reach the agents
-	FenceCount       uint64 `cbor:"c,omitempty"` // counts rewrites that only fence older transactions
+	HandedOff        bool   `cbor:"g,omitempty"` // transferred by an owner that the agents could not reach
+	FenceCount       uint64 `cbor:"c,omitempty"` // number of rewrites that only fence older transactions
 }
 
-// Node marks a node's live session; it is attached to the node's lease in the store.
+// Node is the record of a node's live session. It is attached to the node's lease in the store and disappears with it.
 type Node struct {
 	Incarnation uint64 `cbor:"i"`
-	// SchemaVersion is the newest one that the node's process reads.
+	// SchemaVersion is the newest schema version that the node's process reads.
 	SchemaVersion int `cbor:"l,omitempty"`
-	// HonorsCancelRequests: the node's process starts nothing of a job with Job.CancelRequestedAtMs and stops what
-	// it has bound of it, whatever schema version is active.
+	// HonorsCancelRequests means that the node's process starts no tasks of a job with Job.CancelRequestedAtMs and
+	// stops the tasks it has bound, whichever schema version is active.
 	HonorsCancelRequests bool `cbor:"x,omitempty"`
 }
 
-// SchemaVersion is the newest form in which records may be written. It is only raised, and only once every
-// node reads that version.
+// SchemaVersion is the record of the newest schema version in which records may be written. The version is only ever
+// raised, and only once every node reads the new version.
 type SchemaVersion struct {
 	Version int `cbor:"l"`
 }
 
-// Quota grants shares of a team's limit to shards.
+// Quota is the record of how a team's limit is divided among the shards.
 type Quota struct {
-	Grants map[string]Resources `cbor:"g"` // by the shard's number, in decimal
+	Grants map[string]Resources `cbor:"g"` // by shard number in decimal
 }
--- a/internal/record/membership_test.go
+++ b/internal/record/membership_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// TestShardsAreBalanced: names that count up must not crowd into one shard.
+// TestShardsAreBalanced checks that consecutively numbered machine names are distributed evenly over the shards.
 func TestShardsAreBalanced(t *testing.T) {
 	counts := make([]int, 3)
 	for i := range 300 {
@@ -13,7 +13,7 @@
 	}
 	for shard, count := range counts {
 		if count < 70 || count > 130 {
-			t.Errorf("shard %d has %d of 300", shard, count)
+			t.Errorf("shard %d has %d of 300 machines", shard, count)
 		}
 	}
 }
--- a/internal/record/resources.go
+++ b/internal/record/resources.go
@@ -2,14 +2,15 @@
 
 import "sableusher/internal/wire"
 
-// Resources is an amount of what tasks take and machines have.
+// Resources is an amount of the resources that tasks use and machines provide.
 type Resources struct {
 	CPUs     float64 `cbor:"c"`
 	GPUs     float64 `cbor:"g"`
 	MemoryGB float64 `cbor:"m,omitempty"`
 }
 
-// resourceTolerance absorbs rounding: amounts are decimal fractions, and their sums are not exact.
+// resourceTolerance is the rounding error allowed in comparisons: amounts are decimal fractions, whose floating-point
+// sums are not exact.
 const resourceTolerance = 1e-6
 
 // Plus returns r plus other.
@@ -33,18 +34,19 @@
 		r.MemoryGB <= limit.MemoryGB+resourceTolerance
 }
 
-// TaskResources is what one task of a job takes.
+// TaskResources returns the resources that one task of a job uses.
 func TaskResources(spec *wire.JobSpec) Resources {
 	return Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}
 }
 
-// Capacity is what a machine of the type has.
+// Capacity returns the resources that a machine of the type provides.
 func Capacity(machineType *wire.MachineType) Resources {
 	return Resources{CPUs: machineType.CPUs, GPUs: machineType.GPUs, MemoryGB: machineType.MemoryGB}
 }
 
-// TaskPreemptible reports whether one task of a job may be preempted alone: users would notice the loss of a
-// service's task, and a gang stops as a whole or not at all.
+// TaskPreemptible reports whether one task of a job may be preempted individually. Tasks of services may not, because
+// users would notice their loss. Tasks of gangs may not, because a gang can only be stopped as a whole, unless it has a
+// single task.
 func TaskPreemptible(spec *wire.JobSpec) bool {
 	return spec.Kind == wire.KindArray || spec.Kind == wire.KindGang && spec.TaskCount == 1
 }
--- a/internal/record/size.go
+++ b/internal/record/size.go
@@ -5,26 +5,27 @@
 	"sableusher/internal/wire"
 )
 
-// The store limits the size of a value in its JSON form. The sizes below are in bytes of that form, without the
-// digits and names that vary.
+// The store limits the size of a value in its JSON form. The constants are sizes in bytes of that form, excluding
+// numbers and names, whose length varies.
 const (
 	chunkBytes        = 8              // {"k":[]}
-	failureListBytes  = len(`,"f":[]`) // beside the tasks
-	failurePairBytes  = 4              // two numbers of the list, rather too much
-	taskBytes         = 11             // brackets, quotes, commas and the state
-	groupBytes        = 14             // as for a task, with the list of index runs
+	failureListBytes  = len(`,"f":[]`) // the list without its pairs
+	failurePairBytes  = 4              // the separators around the two numbers of a pair, rounded up
+	taskBytes         = 11             // brackets, quotes, commas and the state of one task
+	groupBytes        = 14             // as for a task, with the brackets of the index runs
 	indexRunItemBytes = 1              // a comma
 )
 
-// SizeLimits bounds the records of jobs, in bytes of their JSON form.
+// SizeLimits holds the size limits of job records, in bytes of their JSON form.
 type SizeLimits struct {
 	MaxBytes       int // of one record
-	BoundTaskBytes int // the most that a bound task takes of it
+	BoundTaskBytes int // upper bound of one bound task in a record
 }
 
-// ChunkWidth returns how many tasks a chunk of a job should hold if the job's own record without tasks takes
-// baseSize bytes; 0 if no width fits. A gang's tasks are bound together and may each have a machine to
-// themselves; an array whose tasks are on so many machines finds some of them waiting.
+// ChunkWidth returns the number of tasks that a grouped chunk of a job should hold, or 0 if no width fits. baseSize is
+// the size in bytes of the job's own record without tasks. The width of a gang allows for a different machine for each
+// task, because its tasks are bound together. The width of an array assumes that tasks share machines; if they are on
+// too many machines for the record, some of them have to wait.
 func (l SizeLimits) ChunkWidth(spec *wire.JobSpec, baseSize int) int {
 	bytesPerTask := tuning.BoundTaskTypicalBytes
 	if spec.Kind == wire.KindGang {
@@ -39,13 +40,13 @@
 	return 0
 }
 
-// FixedChunksFit reports whether fixed chunks of a job stay within the limits whatever becomes of its tasks.
+// FixedChunksFit reports whether fixed chunks of a job stay within the limits in every state of its tasks.
 func (l SizeLimits) FixedChunksFit(spec *wire.JobSpec, baseSize int) bool {
 	bytesPerTask := l.BoundTaskBytes + failureBytesPerTask(spec)
 	return baseSize+min(spec.TaskCount, tuning.FixedChunkTasks)*bytesPerTask <= l.MaxBytes
 }
 
-// failureBytesPerTask is what a task of a job may take in its record beside its own state.
+// failureBytesPerTask returns the maximum size of a task's entry in the failure list; 0 for jobs without a retry limit.
 func failureBytesPerTask(spec *wire.JobSpec) int {
 	if spec.MaxRetries == nil {
 		return 0
@@ -53,9 +54,9 @@
 	return tuning.RetryCountMaxBytes
 }
 
-// EncodedBaseSize is the most that a job's own record takes without tasks.
+// EncodedBaseSize returns the maximum size of a job's own record without tasks, in bytes of its JSON form.
 func EncodedBaseSize(job Job) int {
-	// Fields that are still empty may be set later.
+	// Allow for the fields that may be set later.
 	job.MarkCancelled(job.SubmittedAtMs, true)
 	job.PreemptedAttempt = tuning.MaxTasksPerJob
 	job.ChunkWidth, job.FirstFixedChunk = tuning.FixedChunkTasks, tuning.MaxTasksPerJob
@@ -66,8 +67,8 @@
 	return wire.JSONSize(wire.MustEncode(job))
 }
 
-// MaxChunkSize returns an upper bound of what a chunk takes with these tasks; baseSize is the job's
-// EncodedBaseSize.
+// MaxChunkSize returns an upper bound of the size of a chunk's record with the given tasks, in bytes of its JSON form.
+// baseSize is the job's EncodedBaseSize.
 func (j *Job) MaxChunkSize(chunk, baseSize int, tasks []Task) int {
 	size := chunkBytes
 	if j.Spec.MaxRetries != nil {
@@ -87,7 +88,7 @@
 	return size + fixedSize(tasks)
 }
 
-// fixedSize is what tasks take in a fixed chunk.
+// fixedSize returns the size of tasks in a fixed chunk, excluding failures.
 func fixedSize(tasks []Task) int {
 	size := 0
 	for _, task := range tasks {
@@ -97,7 +98,7 @@
 	return size
 }
 
-// groupedSize is what tasks take in a grouped chunk.
+// groupedSize returns the size of tasks in a grouped chunk, excluding failures.
 func groupedSize(tasks []Task) int {
 	size := 0
 	for _, group := range groupTasks(tasks) {
@@ -110,7 +111,7 @@
 	return size
 }
 
-// decimalDigits is the number of digits of n, which is not negative.
+// decimalDigits returns the number of decimal digits of n, which must not be negative.
 func decimalDigits(n int) int {
 	digits := 1
 	for ; n >= 10; n /= 10 {
--- a/internal/record/size_test.go
+++ b/internal/record/size_test.go
@@ -12,8 +12,8 @@
 
 const submittedAtMs = 1764600000000
 
-// TestLargestFixedChunkFits: a full record stays within the smallest value limit seen (16 KiB as JSON), whatever
-// its tasks have gone through.
+// TestLargestFixedChunkFits checks that a fixed chunk full of tasks with long field values stays within the smallest
+// value limit of a store (16 KiB as JSON).
 func TestLargestFixedChunkFits(t *testing.T) {
 	job := Job{Spec: wire.JobSpec{ID: "run-00000000000000000001", TaskCount: tuning.MaxTasksPerJob}}
 	var tasks []Task
@@ -26,8 +26,8 @@
 	}
 }
 
-// wideGang is a gang whose description is as long as they come.
-func wideGang(tasks int) wire.JobSpec {
+// longSpecGang returns a gang whose description is as long as descriptions usually get.
+func longSpecGang(tasks int) wire.JobSpec {
 	return wire.JobSpec{
 		ID: "run-00000000000000000001", Class: "a-class-of-work", Team: "a-team-of-people", Kind: wire.KindGang,
 		Priority: wire.PriorityProduction, TaskCount: tasks, CPUs: 28.123456789, GPUs: 4, MemoryGB: 200.123456789,
@@ -40,17 +40,17 @@
 	}
 }
 
-// TestGangRecordsFitSmallLimit: a gang of the widest kind with a machine for each task, and a full record of an
-// array, are written within a limit of 2 KiB.
+// TestGangRecordsFitSmallLimit checks that the records of a gang with a long description and a different machine for
+// each task stay within a value limit of 2 KiB.
 func TestGangRecordsFitSmallLimit(t *testing.T) {
 	limit := 2048
 	limits := SizeLimits{MaxBytes: int(float64(limit) * tuning.JSONShareOfValueLimit),
 		BoundTaskBytes: tuning.BoundTaskMaxBytes}
 	for _, taskCount := range []int{1, 32, 100, 5000} {
-		job := Job{Spec: wideGang(taskCount), SubmittedAtMs: submittedAtMs}
+		job := Job{Spec: longSpecGang(taskCount), SubmittedAtMs: submittedAtMs}
 		job.ChunkWidth = limits.ChunkWidth(&job.Spec, EncodedBaseSize(job))
 		if job.ChunkWidth == 0 {
-			t.Fatalf("%d tasks: no width", taskCount)
+			t.Fatalf("%d tasks: no chunk width fits", taskCount)
 		}
 		for chunk := range min(job.ChunkCount(), 3) {
 			var tasks []Task
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestRecordsWithFailuresFit: where every task of a job waits for a retry, its records still have room for a task
-// to be bound again: else the job would stand still for ever.
+// TestRecordsWithFailuresFit checks that a task can still be bound within the size limit if all other tasks of its
+// chunk wait for a retry. Otherwise no task of the job could ever start again.
 func TestRecordsWithFailuresFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.SampledFrom([]float64{2048, 8192, 16384}).Draw(t, "limit")
@@ -83,7 +83,7 @@
 		baseSize := EncodedBaseSize(job)
 		if !limits.FixedChunksFit(&job.Spec, baseSize) {
 			if job.ChunkWidth = limits.ChunkWidth(&job.Spec, baseSize); job.ChunkWidth == 0 {
-				t.Fatal("no width")
+				t.Fatal("no chunk width fits")
 			}
 		}
 		chunk := rapid.IntRange(0, job.ChunkCount()-1).Draw(t, "record")
@@ -94,7 +94,7 @@
 			tasks = append(tasks, Task{Index: i, Attempt: 999, Failures: retries})
 		}
 		if size := wire.JSONSize(job.EncodeTasks(chunk, tasks).Value); size > limits.MaxBytes {
-			t.Errorf("width %d: a record takes %d bytes of %d", job.ChunkWidth, size, limits.MaxBytes)
+			t.Errorf("chunk width %d: record takes %d bytes, limit is %d", job.ChunkWidth, size, limits.MaxBytes)
 		}
 	})
 }
--- a/internal/record/task.go
+++ b/internal/record/task.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// TaskState is the durable state of a task. It is stored as its number.
+// TaskState is the durable state of a task. Its numeric value is stored.
 type TaskState int
 
-// The states of a task. A pending task becomes bound when it is assigned to a machine; a bound one becomes
-// done, or pending again if its attempt ended without success.
+// The states of a task. A pending task becomes bound when it is assigned to a machine. A bound task becomes done when
+// it succeeds, or pending again if its attempt ends without success.
 const (
 	TaskPending TaskState = 0
 	TaskBound   TaskState = 1
@@ -29,35 +29,35 @@
 	return "task state " + strconv.Itoa(int(s))
 }
 
-// Task is the durable state of one task.
+// Task is the durable record of one task. It is stored as an array, so the order of the fields must not change.
 type Task struct {
 	_       struct{} `cbor:",toarray"`
 	Index   int
 	State   TaskState
-	Attempt uint64 // the last one used
+	Attempt uint64 // number of the last attempt; 0 if there was none
 	Machine string
 	Session uint64 // of the agent on the machine
-	// ChargedShard is one more than the number of the shard whose quota grant the task uses, or 0 where that
-	// is its machine's shard.
+	// ChargedShard is one more than the number of the shard whose quota grant is charged for the task, or 0 if that
+	// is the shard of its machine.
 	ChargedShard int
-	// Failures counts the task's own failures while it is not done, for jobs with a retry limit. It stands
-	// beside the tasks in their record.
+	// Failures counts the task's own failures while it is not done, for jobs with a retry limit. It is stored in a
+	// separate list of the record, as in Job.Failures.
 	Failures int `cbor:"-"`
 }
 
 // Started reports whether the task was ever bound.
 func (t Task) Started() bool { return t.State != TaskPending || t.Attempt != 0 }
 
-// TaskRef names a task.
+// TaskRef identifies a task.
 type TaskRef struct {
 	JobID string
 	Index int
 }
 
-// String returns the task's name, which ParseTaskRef reads.
+// String returns the form of the reference that ParseTaskRef parses.
 func (r TaskRef) String() string { return r.JobID + "/" + strconv.Itoa(r.Index) }
 
-// ParseTaskRef reads a task's name.
+// ParseTaskRef parses the result of TaskRef.String.
 func ParseTaskRef(s string) (TaskRef, bool) {
 	job, number, ok := strings.Cut(s, "/")
 	index, err := strconv.Atoi(number)
--- a/internal/tuning/membership.go
+++ b/internal/tuning/membership.go
@@ -4,17 +4,21 @@
 
 // Membership.
 const (
-	// SessionTTL is the time to live of a node's session without renewal: a crash is noticed after it. Shorter
-	// would turn a slow second into a failover.
+	// SessionTTL is how long a node's session lives without renewal, and therefore how long a crash remains
+	// undetected. A shorter TTL would cause a failover whenever a node is slow for a second.
 	SessionTTL = 3 * time.Second
-	// SessionRenewInterval is the interval of renewals, a third of it.
+	// SessionRenewInterval is the interval at which sessions are renewed, a third of SessionTTL.
 	SessionRenewInterval = 1 * time.Second
-	// FailoverStagger staggers nodes that want the same shard, per shard already owned.
+	// FailoverStagger is how much longer a node waits before it takes over a shard without a live owner, for each
+	// shard that it already owns.
 	FailoverStagger = 250 * time.Millisecond
-	// HomeNodeGrace is how long others leave an unowned shard to its home node.
+	// HomeNodeGrace is the additional time that other nodes wait before they take over a shard whose home node is
+	// live.
 	HomeNodeGrace = 1500 * time.Millisecond
-	// ShardReturnDelay is how long a home node must be present before its shard returns to it.
+	// ShardReturnDelay is how long a home node must have had a session, and another node must have owned its shard,
+	// before the shard is returned to the home node after a failover.
 	ShardReturnDelay = 10 * time.Second
-	// MembershipInterval is the interval at which membership is reviewed.
+	// MembershipInterval is the longest time between two reviews of shard ownership, and the pause between two
+	// checks for a schema version to activate.
 	MembershipInterval = 200 * time.Millisecond
 )
--- a/internal/tuning/records.go
+++ b/internal/tuning/records.go
@@ -4,43 +4,46 @@
 
 // Job records.
 const (
-	// FixedChunkTasks is how many tasks one record holds: at about 50 bytes a task it stays below the smallest
-	// value limit seen (16 KiB as JSON).
+	// FixedChunkTasks is the number of tasks in a fixed chunk. At about 50 bytes per task its record stays below the
+	// smallest value limit of a store (16 KiB as JSON).
 	FixedChunkTasks = 128
-	// MinValueLimitKB is the smallest value limit that a record of FixedChunkTasks tasks fits, measured as JSON:
-	// about 50 bytes a task and 1 KiB of description.
+	// MinValueLimitKB is the smallest value limit, measured as JSON, within which a record of FixedChunkTasks tasks
+	// fits: about 50 bytes per task and 1 KiB for the description.
 	MinValueLimitKB = 8
-	// MinUpcomingValueLimitKB is the smallest value limit under which records can be split far enough: a
-	// description of 600 bytes and MinChunkWidth tasks of a gang.
+	// MinUpcomingValueLimitKB is the smallest value limit that may be announced for the future. Records can be split
+	// to fit within it: it has room for a description of 600 bytes and MinChunkWidth tasks of a gang.
 	MinUpcomingValueLimitKB = 1
-	// MinUpcomingTxnOps is the least number of changes of a transaction to come: one old record is split into
-	// FixedChunkTasks/MinChunkWidth, and the job's own is written too.
+	// MinUpcomingTxnOps is the smallest number of operations per transaction that may be announced for the future. A
+	// migration step splits one fixed chunk into FixedChunkTasks/MinChunkWidth records and also writes the job's own
+	// record.
 	MinUpcomingTxnOps = 10
-	// JSONShareOfValueLimit of a value limit is used where the JSON form is measured: the service may write its
-	// numbers and separators a little longer than we do.
+	// JSONShareOfValueLimit is the fraction of a value limit that a record may use if its size is computed in the
+	// JSON form. The state service may write numbers and separators slightly longer than the computation assumes.
 	JSONShareOfValueLimit = 0.85
-	// MinChunkWidth is the fewest tasks a record is made for.
+	// MinChunkWidth is the smallest number of tasks in a grouped chunk.
 	MinChunkWidth = 16
-	// BoundTaskMaxBytes is what a bound task takes in a record, as JSON: state, attempt, machine, session, charged
-	// shard and number, each longer than is ever seen, and a machine's name of up to BoundTaskNameBytes; longer
-	// names add what they are longer.
+	// BoundTaskMaxBytes is the maximum size of a bound task in a record, as JSON: state, attempt, machine, session,
+	// charged shard and index, each with more digits than occur in practice, and a machine name of up to
+	// BoundTaskNameBytes bytes. The excess length of longer names has to be added.
 	BoundTaskMaxBytes  = 40
 	BoundTaskNameBytes = 20
-	// BoundTaskTypicalBytes is what a task of an array takes as a rule: tasks on the same machine stand together. A
-	// record in which they do not takes fewer at a time.
+	// BoundTaskTypicalBytes is the typical size of a bound array task in a record, as JSON, where tasks on the same
+	// machine form one group. If the tasks are on more machines, fewer of them can be bound at the same time.
 	BoundTaskTypicalBytes = 20
-	// RetryCountMaxBytes is what a counted failure takes in a record, as JSON: the task's number and the count.
+	// RetryCountMaxBytes is the maximum size of a task's entry in the failure list of a record, as JSON: the index of
+	// the task and its number of failures.
 	RetryCountMaxBytes = 12
-	// MigrationsPerCycle bounds the old records that one cycle migrates, MigrationInterval paces them where nothing
-	// waits for them, so that submissions keep their share of the budget.
+	// MigrationsPerCycle is the maximum number of records that one scheduling cycle migrates. MigrationInterval is
+	// the minimum time between migrations of records that no change waits for. Together they leave enough of the
+	// request budget for submissions.
 	MigrationsPerCycle = 4
 	MigrationInterval  = 250 * time.Millisecond
-	// MaxTasksPerJob is the largest job of the protocol.
+	// MaxTasksPerJob is the maximum number of tasks in a job that the protocol allows.
 	MaxTasksPerJob = 100_000
-	// MaxNameBytes bounds names in users' input.
+	// MaxNameBytes is the maximum length of a name in user input.
 	MaxNameBytes = 128
-	// MaxAmount bounds amounts in users' input; anything larger is absurd.
+	// MaxAmount is the maximum of a numeric amount in user input. No plausible amount is larger.
 	MaxAmount = 1e9
-	// FinalRecordCacheSize is how many finished jobs a node remembers to spare reads.
+	// FinalRecordCacheSize is the number of final records that a node caches to avoid reads.
 	FinalRecordCacheSize = 4096
 )
--- a/internal/tuning/schemaversion.go
+++ b/internal/tuning/schemaversion.go
@@ -4,27 +4,28 @@
 
 // Schema versions and dependencies.
 const (
-	// SchemaVersion is the newest schema version that this program reads and, once all nodes do, writes: 4 is jobs
-	// offloaded between cells, 3 counted retries, 2 cancellations that are confirmed once no task is left, 1
-	// dependencies and split records, 0 what came before.
+	// SchemaVersion is the newest schema version that this program reads, and writes once all nodes read it.
+	// Version 1 added dependencies and split records, 2 cancellations that are confirmed once no task is bound, 3
+	// counted retries, and 4 jobs that are offloaded between cells. Version 0 is the original schema.
 	SchemaVersion = 4
-	// SchemaVersionDependencies is the first one with jobs that depend on others.
+	// SchemaVersionDependencies is the first schema version with dependencies between jobs and with split records.
 	SchemaVersionDependencies = 1
-	// SchemaVersionConfirmedCancel is the first one at which every node confirms a cancellation only once no task
-	// of the job is left, so that leases may be renewed during a partition.
+	// SchemaVersionConfirmedCancel is the first schema version at which every node confirms a cancellation only once
+	// no task of the job is bound. Because of that, leases may be renewed during a partition.
 	SchemaVersionConfirmedCancel = 2
-	// SchemaVersionRetries is the first one that counts the failures of tasks in jobs' records.
+	// SchemaVersionRetries is the first schema version with counts of task failures in job records.
 	SchemaVersionRetries = 3
-	// SchemaVersionOffload is the first one at which a job's record may say that it is with another cell.
+	// SchemaVersionOffload is the first schema version whose job records may refer to another cell.
 	SchemaVersionOffload = 4
-	// OutcomeReadRetryPause is the pause before a final record that was not there, or could not be read, is asked
-	// for again.
+	// OutcomeReadRetryPause is the pause before the read of a final record is retried after the record was missing or
+	// the read failed.
 	OutcomeReadRetryPause = 300 * time.Millisecond
-	// OutcomeReadConcurrency is how many final records are read at once.
+	// OutcomeReadConcurrency is the maximum number of final records that are read concurrently.
 	OutcomeReadConcurrency = 4
-	// DependentCancelOwnerGrace is how long a job that is cancelled with one that it depends on is left to the
-	// owner of its shard before any node may write its end.
+	// DependentCancelOwnerGrace is how long only the owner of a job's shard may cancel the job after one of its
+	// dependencies was cancelled. After that any node may do so.
 	DependentCancelOwnerGrace = 3 * time.Second
-	// DependentCancelsPerCycle bounds the jobs that one cycle cancels so.
+	// DependentCancelsPerCycle is the maximum number of jobs that one scheduling cycle cancels because of a cancelled
+	// dependency.
 	DependentCancelsPerCycle = 32
 )
