--- a/internal/membership/failover.go
+++ b/internal/membership/failover.go
@@ -11,8 +11,8 @@
 	"sableusher/internal/wire"
 )
 
-// ownershipHistory is since when things are as they are, as this node saw it.
-// It belongs to the goroutine that reviews ownership.
+// ownershipHistory holds the times at which this node first observed the current
+// sessions and owners. Only the goroutine that reviews ownership accesses it.
 type ownershipHistory struct {
 	orphanedSince map[int]time.Time    // shards without a live owner
 	ownedSince    map[int]time.Time    // shards of this node
@@ -27,7 +27,7 @@
 	}
 }
 
-// ownershipChange is a new owner of a shard, to be committed.
+// ownershipChange is a planned change of a shard's owner.
 type ownershipChange struct {
 	shard         int
 	previousOwner string
@@ -35,16 +35,17 @@
 	transaction   kvstore.Transaction
 }
 
-// ownershipPlan is what a review found to do.
+// ownershipPlan is the result of a review of shard ownership.
 type ownershipPlan struct {
 	changes []ownershipChange
-	// shardToMark is one of this node's shards whose fencing token doesn't say yet
-	// that cancellations are confirmed; LeaderShard: none.
-	shardToMark int
+	// shardToRaise is one of this node's shards whose fencing token is still below
+	// tuning.ConfirmedCancelTokenBase and has to be raised above it; LeaderShard if
+	// there is none.
+	shardToRaise int
 }
 
-// reviewOwnership takes over shards, and hands back others to their home nodes.
-// It does nothing on a cluster state that may be old.
+// reviewOwnership takes over shards without a live owner and returns shards to
+// their home nodes. It does nothing while the cluster state may be stale.
 func (m *Member) reviewOwnership(ctx context.Context) {
 	completeAsOf := m.cache.CompleteAsOf()
 	if completeAsOf.IsZero() || time.Since(completeAsOf) > tuning.ReadyMaxStateAge {
@@ -52,8 +53,8 @@
 	}
 	plan := m.planOwnership()
 	m.client.SetBudgetShare(m.budgetShare())
-	if plan.shardToMark != record.LeaderShard {
-		m.FenceAndRaiseToken(ctx, plan.shardToMark)
+	if plan.shardToRaise != record.LeaderShard {
+		m.FenceAndRaiseToken(ctx, plan.shardToRaise)
 	}
 	for _, change := range plan.changes {
 		m.commitChange(ctx, change)
@@ -64,28 +65,29 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*tuning.KVRequestTimeout)
 	defer cancel()
 	if _, err := m.committer.Commit(ctx, change.transaction); err != nil {
-		m.logger.Info("shard not taken over", "shard", change.shard, "err", err)
+		m.logger.Info("shard ownership change not committed", "shard", change.shard, "err", err)
 		return
 	}
-	m.logger.Info("shard changes owner", "shard", change.shard, "node", change.record.Owner,
+	m.logger.Info("shard ownership changed", "shard", change.shard, "node", change.record.Owner,
 		"fencing_token", change.record.FencingToken, "previous_node", change.previousOwner)
-	// The new owner may act only once the cluster state has its record.
+	// The new owner may act only after its cluster state contains the new record.
 	m.cache.RequestReadBarrier()
 }
 
-// planOwnership looks for shards to take over, to hand back, and to mark.
+// planOwnership plans which shards to take over, which to return to their home
+// nodes, and for which shard to raise the fencing token.
 func (m *Member) planOwnership() ownershipPlan {
 	now := time.Now()
 	m.clusterState.RLock()
 	defer m.clusterState.RUnlock()
-	m.noteSessions(now)
-	plan := ownershipPlan{shardToMark: record.LeaderShard}
+	m.recordSessionTimes(now)
+	plan := ownershipPlan{shardToRaise: record.LeaderShard}
 	self, live := m.clusterState.Nodes[m.NodeName]
 	if !live || self.Incarnation != m.Incarnation {
 		return plan
 	}
-	m.noteOwnedShards(now)
-	plan.shardToMark = m.shardToMark()
+	m.recordOwnershipTimes(now)
+	plan.shardToRaise = m.shardToRaise()
 	owned := m.ownedCount()
 	for shard := record.LeaderShard; shard < m.clusterState.ShardCount; shard++ {
 		current, known := m.clusterState.Shards[shard]
@@ -104,9 +106,9 @@
 	return plan
 }
 
-// noteSessions keeps since when each node has a session. The caller holds the
-// cluster state's lock.
-func (m *Member) noteSessions(now time.Time) {
+// recordSessionTimes records when this node first observed a session of each
+// node. The caller must hold the cluster state's lock.
+func (m *Member) recordSessionTimes(now time.Time) {
 	sessionSince := m.history.sessionSince
 	for name := range m.clusterState.Nodes {
 		if _, ok := sessionSince[name]; !ok {
@@ -120,9 +122,9 @@
 	}
 }
 
-// noteOwnedShards keeps since when this node owns each of its shards. The
-// caller holds the cluster state's lock.
-func (m *Member) noteOwnedShards(now time.Time) {
+// recordOwnershipTimes records when this node first observed that it owns each
+// of its shards. The caller must hold the cluster state's lock.
+func (m *Member) recordOwnershipTimes(now time.Time) {
 	ownedSince := m.history.ownedSince
 	for shard, current := range m.clusterState.Shards {
 		if _, ok := ownedSince[shard]; !m.ownedBySelf(current) {
@@ -133,10 +135,10 @@
 	}
 }
 
-// shardToMark is one of this node's shards whose next fencing token is the
-// first to say that cancellations are confirmed; LeaderShard if there is none.
-// The caller holds the cluster state's lock.
-func (m *Member) shardToMark() int {
+// shardToRaise returns one of this node's shards whose fencing token has to be
+// raised above tuning.ConfirmedCancelTokenBase, or LeaderShard if there is none.
+// The caller must hold the cluster state's lock.
+func (m *Member) shardToRaise() int {
 	found := record.LeaderShard
 	for shard, current := range m.clusterState.Shards {
 		next := nextFencingToken(current.FencingToken, m.clusterState.SchemaVersion)
@@ -147,8 +149,8 @@
 	return found
 }
 
-// takeOver plans to take a shard without a live owner, once it is this node's
-// turn. The caller holds the cluster state's lock.
+// takeOver plans the takeover of a shard without a live owner once this node's
+// takeover delay has elapsed. The caller must hold the cluster state's lock.
 func (m *Member) takeOver(shard, owned int, now time.Time) (ownershipChange, bool) {
 	current, known := m.clusterState.Shards[shard]
 	orphanedSince, ok := m.history.orphanedSince[shard]
@@ -166,7 +168,8 @@
 	}
 	conditions := []wire.Condition{sessionCondition(m.NodeName, m.clusterState.Nodes[m.NodeName])}
 	if current.Owner != m.NodeName && current.Owner != "" {
-		// Absent, or present as another process: either way the owner's session is gone.
+		// The key of the owner's node is absent or belongs to another process. In both
+		// cases the owner's session has ended.
 		conditions = append(conditions, sessionCondition(current.Owner, m.clusterState.Nodes[current.Owner]))
 	}
 	return ownershipChange{
@@ -177,10 +180,11 @@
 	}, true
 }
 
-// takeoverDelay is how long this node leaves a shard without a live owner to
-// others: none for its home node and its last owner, and otherwise the longer
-// the more shards it owns, so that nodes don't all want the same one. The
-// caller holds the cluster state's lock.
+// takeoverDelay returns how long this node waits before it takes over a shard
+// without a live owner. The delay is 0 for the shard's home node and for its
+// last owner. For other nodes it increases with the number of shards that they
+// own, so that the nodes don't all try to take over the same shard. It is longer
+// while the home node is live. The caller must hold the cluster state's lock.
 func (m *Member) takeoverDelay(shard int, current clusterstate.Shard, known bool, owned int) time.Duration {
 	home := m.homeNode(shard)
 	if home == m.NodeName || current.Owner == m.NodeName {
--- a/internal/membership/failover_test.go
+++ b/internal/membership/failover_test.go
@@ -10,11 +10,11 @@
 	"sableusher/internal/wire"
 )
 
-// earlierIncarnation is that of a process that has ended.
+// earlierIncarnation is the incarnation of a process that has ended.
 const earlierIncarnation = 9
 
-// changeOf is what a member plans for a shard.
-func changeOf(m *Member, shard int) (ownershipChange, bool) {
+// plannedChange returns the ownership change that a member plans for a shard.
+func plannedChange(m *Member, shard int) (ownershipChange, bool) {
 	for _, change := range m.planOwnership().changes {
 		if change.shard == shard {
 			return change, true
@@ -23,9 +23,10 @@
 	return ownershipChange{}, false
 }
 
-// TestShardHasOneOwner: of all nodes that could take over a shard at once, one
-// does, on condition that its record has not changed, and with a raised token.
-func TestShardHasOneOwner(t *testing.T) {
+// TestOneNodeTakesOverShard checks that of several live nodes only the home node
+// plans to take over a shard immediately, with a raised fencing token and on
+// condition that the shard's record has not changed.
+func TestOneNodeTakesOverShard(t *testing.T) {
 	const shard = 0
 	cluster := newTestCluster(3)
 	for _, member := range cluster.members {
@@ -35,29 +36,30 @@
 	cluster.own(shard, home, earlierIncarnation, 4, 3)
 	takeovers := 0
 	for _, member := range cluster.members {
-		change, ok := changeOf(member, shard)
+		change, ok := plannedChange(member, shard)
 		if !ok {
 			continue
 		}
 		takeovers++
 		if member != home {
-			t.Errorf("%s takes a shard whose home is back at once", member.NodeName)
+			t.Errorf("%s immediately takes over a shard whose home node is live", member.NodeName)
 		}
 		unchanged := wire.Condition{Key: record.ShardKey(shard), ModRevision: 3}
 		if change.record.FencingToken != 5 || change.transaction.Conditions[0] != unchanged {
-			t.Errorf("record %+v with conditions %v", change.record, change.transaction.Conditions)
+			t.Errorf("planned record %+v with conditions %v", change.record, change.transaction.Conditions)
 		}
 	}
 	if takeovers != 1 {
-		t.Errorf("%d takeovers", takeovers)
+		t.Errorf("%d nodes take over the shard, want 1", takeovers)
 	}
 }
 
-// TestOrphanedShardIsTakenOverInTurn: a shard whose owner is gone goes to a node
-// without shards first, later to one that has some, on condition that the
-// owner's session is still gone; never to its owner of now, whose session only
-// lapsed.
-func TestOrphanedShardIsTakenOverInTurn(t *testing.T) {
+// TestOrphanedShardTakeoverIsStaggered checks that a node without shards takes
+// over a shard whose owner has no session immediately, and a node with shards
+// only after its delay. The takeover is conditional on the absence of the
+// owner's session. The owner itself does not take the shard over, neither
+// without a session nor after it has opened one again.
+func TestOrphanedShardTakeoverIsStaggered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const orphaned = 2
 		cluster := newTestCluster(3)
@@ -68,37 +70,38 @@
 		for shard := record.LeaderShard; shard < orphaned; shard++ {
 			cluster.own(shard, busy, testIncarnation, 4, 3)
 		}
-		if _, ok := changeOf(busy, orphaned); ok {
-			t.Error("a node that owns three shards takes over another one at once")
+		if _, ok := plannedChange(busy, orphaned); ok {
+			t.Error("a node that owns three shards takes over another one immediately")
 		}
-		change, ok := changeOf(idle, orphaned)
+		change, ok := plannedChange(idle, orphaned)
 		if !ok {
-			t.Fatal("a node without shards doesn't take over at once")
+			t.Fatal("a node without shards doesn't take over immediately")
 		}
 		absent := wire.Condition{Key: record.NodeKey(gone.NodeName)}
 		if got := change.transaction.Conditions[len(change.transaction.Conditions)-1]; got != absent {
 			t.Errorf("takeover on condition %v, want %v", got, absent)
 		}
 		time.Sleep(3*tuning.FailoverStagger - time.Millisecond)
-		if _, ok := changeOf(busy, orphaned); ok {
-			t.Error("a node that owns three shards takes over another one early")
+		if _, ok := plannedChange(busy, orphaned); ok {
+			t.Error("a node that owns three shards takes over another one before its delay has elapsed")
 		}
 		time.Sleep(time.Millisecond)
-		if _, ok := changeOf(busy, orphaned); !ok {
-			t.Error("a node that owns three shards doesn't take over after its delay")
+		if _, ok := plannedChange(busy, orphaned); !ok {
+			t.Error("a node that owns three shards doesn't take over after its delay has elapsed")
 		}
-		if _, ok := changeOf(gone, orphaned); ok {
+		if _, ok := plannedChange(gone, orphaned); ok {
 			t.Error("a node without a session takes over a shard")
 		}
 		cluster.openSession(gone, 7)
-		if _, ok := changeOf(gone, orphaned); ok {
-			t.Error("a node takes over its own shard")
+		if _, ok := plannedChange(gone, orphaned); ok {
+			t.Error("a node takes over a shard that it owns")
 		}
 	})
 }
 
-// TestHomeNodeTakesOverFirst: while a shard's home node lives as another process
-// than the owner, the others leave the shard to it for a while.
+// TestHomeNodeTakesOverFirst checks that other nodes wait for an additional grace
+// period while a shard's home node is live but runs a newer process than the one
+// that owns the shard.
 func TestHomeNodeTakesOverFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const shard = 2
@@ -110,19 +113,19 @@
 		for owned := record.LeaderShard; owned < shard; owned++ {
 			cluster.own(owned, other, testIncarnation, 4, 3)
 		}
-		if _, ok := changeOf(other, shard); ok {
-			t.Error("another node takes the shard at once")
+		if _, ok := plannedChange(other, shard); ok {
+			t.Error("another node takes over the shard immediately")
 		}
-		if _, ok := changeOf(home, shard); !ok {
-			t.Error("the home node doesn't take the shard at once")
+		if _, ok := plannedChange(home, shard); !ok {
+			t.Error("the home node doesn't take over the shard immediately")
 		}
 		time.Sleep(3*tuning.FailoverStagger + tuning.HomeNodeGrace - time.Millisecond)
-		if _, ok := changeOf(other, shard); ok {
-			t.Error("another node takes the shard within the grace period")
+		if _, ok := plannedChange(other, shard); ok {
+			t.Error("another node takes over the shard within the grace period")
 		}
 		time.Sleep(time.Millisecond)
-		if _, ok := changeOf(other, shard); !ok {
-			t.Error("another node doesn't take the shard after the grace period")
+		if _, ok := plannedChange(other, shard); !ok {
+			t.Error("another node doesn't take over the shard after the grace period")
 		}
 	})
 }
--- a/internal/membership/fencing.go
+++ b/internal/membership/fencing.go
@@ -9,7 +9,7 @@
 	"sableusher/internal/tuning"
 )
 
-// fenceMode says what a fence does with the shard's fencing token.
+// fenceMode selects whether a fence raises the shard's fencing token.
 type fenceMode int
 
 const (
@@ -17,7 +17,7 @@
 	raiseToken
 )
 
-// String names the mode.
+// String returns the name of the mode.
 func (f fenceMode) String() string {
 	switch f {
 	case keepToken:
@@ -28,13 +28,15 @@
 	return fmt.Sprintf("fenceMode(%d)", int(f))
 }
 
-// runningFences is the set of shards that this node is fencing.
+// runningFences is the set of shards that this node is fencing. It is safe for
+// concurrent use.
 type runningFences struct {
 	mu     sync.Mutex // guards shards
 	shards map[int]bool
 }
 
-// begin reports whether a fence of the shard may start: only one runs at a time.
+// begin registers a fence of the shard and reports whether it may run. It reports
+// false if another fence of the shard is running.
 func (r *runningFences) begin(shard int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,14 +59,16 @@
 	return r.shards[shard]
 }
 
-// Fence rewrites a shard's record, so that no earlier transaction with a
-// condition on it can be applied any more. It returns once the cluster state
-// holds all that came before, or this node has lost the shard; until then
-// Ownership reports false. A call while a fence of the shard runs does nothing.
+// Fence rewrites a shard's record, so that no earlier transaction that has the
+// record as a condition can be applied any more. It retries until the rewrite is
+// committed and the cluster state contains all transactions that precede it, or
+// until this node no longer owns the shard or ctx is done. Ownership reports
+// false while Fence runs. A call while another fence of the shard runs returns
+// immediately.
 func (m *Member) Fence(ctx context.Context, shard int) { m.fence(ctx, shard, keepToken) }
 
-// FenceAndRaiseToken is Fence that also raises the fencing token, which fences
-// commands on their way to agents.
+// FenceAndRaiseToken is like Fence but also raises the fencing token, so that
+// agents reject commands that are already in flight.
 func (m *Member) FenceAndRaiseToken(ctx context.Context, shard int) { m.fence(ctx, shard, raiseToken) }
 
 func (m *Member) fence(ctx context.Context, shard int, mode fenceMode) {
@@ -83,7 +87,8 @@
 	}
 }
 
-// tryFence reports whether the shard is fenced, or no longer this node's.
+// tryFence makes one attempt to fence the shard. It reports whether the shard is
+// fenced or no longer owned by this node.
 func (m *Member) tryFence(ctx context.Context, shard int, mode fenceMode) bool {
 	m.clusterState.RLock()
 	current, known := m.clusterState.Shards[shard]
@@ -100,8 +105,8 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*tuning.KVRequestTimeout)
 	defer cancel()
 	_, err := m.committer.Commit(ctx, ownershipTransaction(shard, current, next))
-	// Also after an error: the transaction may have been applied, and the next
-	// attempt reads the record again.
+	// Wait for the read barrier even after an error: the transaction may have been
+	// applied, and the next attempt has to use the resulting record.
 	barrierErr := m.cache.WaitForReadBarrier(ctx)
 	if err != nil || barrierErr != nil {
 		return false
@@ -110,10 +115,11 @@
 	return true
 }
 
-// nextFencingToken is a shard's token after a given one. From the schema
-// version on at which cancellations are confirmed, it is one that says so: the
-// version is never lowered, so an agent that has seen such a token proves that
-// cancellations are confirmed, even to a process without any cluster state.
+// nextFencingToken returns the fencing token that follows the given one. Once the
+// schema version is at least tuning.SchemaVersionConfirmedCancel, tokens are
+// above tuning.ConfirmedCancelTokenBase. The schema version is never lowered, so
+// if an agent reports such a token, even a process without cluster state knows
+// that cancellations are confirmed only after all tasks of a job are released.
 func nextFencingToken(fencingToken uint64, schemaVersion int) uint64 {
 	next := fencingToken + 1
 	if schemaVersion >= tuning.SchemaVersionConfirmedCancel && next < tuning.ConfirmedCancelTokenBase {
--- a/internal/membership/fencing_test.go
+++ b/internal/membership/fencing_test.go
@@ -9,11 +9,12 @@
 	"sableusher/internal/tuning"
 )
 
-// TestFencingTokensMarkConfirmedCancellations: tokens only grow, and are above
-// the mark once the schema version is active, never before: on it a process
-// without a cluster state renews leases. An owner whose token is below it raises
-// its own, one shard at a time.
-func TestFencingTokensMarkConfirmedCancellations(t *testing.T) {
+// TestFencingTokensIndicateConfirmedCancellations checks that fencing tokens only
+// increase, and that they are above tuning.ConfirmedCancelTokenBase if and only
+// if the schema version has confirmed cancellations: a process without cluster
+// state renews leases based on that. An owner with lower tokens raises them one
+// shard at a time.
+func TestFencingTokensIndicateConfirmedCancellations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		token, version := rapid.Uint64Range(0, 1000).Draw(t, "token"), 0
 		for range 20 {
@@ -21,24 +22,24 @@
 			next := nextFencingToken(token, version)
 			if next <= token || (next >= tuning.ConfirmedCancelTokenBase) != (version >=
 				tuning.SchemaVersionConfirmedCancel) {
-				t.Fatalf("%d after %d at version %d", next, token, version)
+				t.Fatalf("token %d follows %d at schema version %d", next, token, version)
 			}
 			token = next
 		}
 	})
-	const unmarkedShard = 2
+	const lowTokenShard = 2
 	cluster := newTestCluster(3)
 	member := cluster.members[1]
 	cluster.openSession(member, 5)
 	for shard := record.LeaderShard; shard < 3; shard++ {
 		cluster.own(shard, member, testIncarnation, tuning.ConfirmedCancelTokenBase+4, 3)
 	}
-	cluster.own(unmarkedShard, member, testIncarnation, 4, 3)
+	cluster.own(lowTokenShard, member, testIncarnation, 4, 3)
 	cluster.own(record.LeaderShard, member, testIncarnation, 4, 3)
-	for version, want := range map[int]int{0: record.LeaderShard, tuning.SchemaVersionConfirmedCancel: unmarkedShard} {
+	for version, want := range map[int]int{0: record.LeaderShard, tuning.SchemaVersionConfirmedCancel: lowTokenShard} {
 		cluster.state.SchemaVersion = version
-		if got := member.planOwnership().shardToMark; got != want {
-			t.Errorf("version %d: the token of shard %d is raised, want %d", version, got, want)
+		if got := member.planOwnership().shardToRaise; got != want {
+			t.Errorf("schema version %d: the token of shard %d is raised, want shard %d", version, got, want)
 		}
 	}
 }
--- a/internal/membership/handover_test.go
+++ b/internal/membership/handover_test.go
@@ -9,19 +9,20 @@
 	"sableusher/internal/tuning"
 )
 
-// TestShardIsHandedBack: a shard returns to its home node once that has had a
-// session for a while, and its owner the shard, and later where it was handed
-// off for want of agents; not while it is being fenced.
-func TestShardIsHandedBack(t *testing.T) {
+// TestShardReturnsToHomeNode checks that an owner returns a shard to its home node
+// once the home node has had a session, and the owner has had the shard, for the
+// required time. That time is longer if the shard was transferred because no
+// heartbeats reached its owner. A shard is not returned while it is being fenced.
+func TestShardReturnsToHomeNode(t *testing.T) {
 	for name, c := range map[string]struct {
 		handedOff  bool
-		ownedFirst bool // the shard is owned before its home node is back
+		ownedFirst bool // the shard is owned before its home node has a session
 		wait       time.Duration
 	}{
-		"after a failover":                 {false, true, tuning.ShardReturnDelay},
-		"after a failover from a late one": {false, false, tuning.ShardReturnDelay},
-		"after a transfer":                 {true, false, tuning.HandOffHold},
-		"after a transfer and a restart":   {true, true, tuning.HandOffHold},
+		"after a failover":                  {false, true, tuning.ShardReturnDelay},
+		"after a failover, home node first": {false, false, tuning.ShardReturnDelay},
+		"after a transfer":                  {true, false, tuning.HandOffHold},
+		"after a transfer and a restart":    {true, true, tuning.HandOffHold},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -50,23 +51,23 @@
 	}
 }
 
-// checkHandBack checks that an owner hands a shard back after a while, and not
-// before.
+// checkHandBack checks that an owner returns a shard to its home node after wait
+// and not earlier.
 func checkHandBack(t *testing.T, owner, home *Member, shard int, wait time.Duration) {
-	owner.planOwnership() // the while begins when the owner knows
+	owner.planOwnership() // wait starts when the owner observes the state
 	time.Sleep(wait - time.Millisecond)
-	if _, ok := changeOf(owner, shard); ok {
-		t.Error("handed back early")
+	if _, ok := plannedChange(owner, shard); ok {
+		t.Error("shard returned before the required time")
 	}
 	time.Sleep(time.Millisecond)
 	owner.fences.begin(shard)
-	if _, ok := changeOf(owner, shard); ok {
-		t.Error("handed back while it is being fenced")
+	if _, ok := plannedChange(owner, shard); ok {
+		t.Error("shard returned while it is being fenced")
 	}
 	owner.fences.end(shard)
-	change, ok := changeOf(owner, shard)
+	change, ok := plannedChange(owner, shard)
 	want := record.Shard{Owner: home.NodeName, OwnerIncarnation: testIncarnation, FencingToken: 5}
 	if !ok || change.record != want {
-		t.Errorf("handed back: %v, %+v", ok, change.record)
+		t.Errorf("shard returned: %v, new record %+v", ok, change.record)
 	}
 }
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -12,12 +12,12 @@
 	"sableusher/internal/tuning"
 )
 
-// Config is what a Member is made of.
+// Config holds the configuration and the dependencies of a Member.
 type Config struct {
 	NodeName      string
-	Incarnation   uint64   // tells this process from all others that ran under the name
-	NodeNames     []string // of the whole deployment, in an order that all nodes share
-	SchemaVersion int      // the newest that this process reads
+	Incarnation   uint64   // distinguishes this process from all others that have used the node name
+	NodeNames     []string // of all nodes of the deployment, in the same order on every node
+	SchemaVersion int      // newest version that this process reads
 
 	Client       *kvstore.Client
 	Committer    *kvstore.Committer
@@ -26,12 +26,13 @@
 	Logger       *slog.Logger
 }
 
-// Member is this node's membership: its session and the shards that it owns. It
-// is safe for concurrent use. Methods whose comment says so need the cluster
-// state's lock, which is taken before the Member's own.
+// Member manages this node's membership in the cluster: its session and the
+// shards that it owns. It is safe for concurrent use. Methods whose comment says
+// so must be called with the cluster state's lock held. That lock is acquired
+// before the Member's own locks.
 type Member struct {
 	NodeName    string
-	Incarnation uint64 // tells this process from all others that ran under the name
+	Incarnation uint64 // distinguishes this process from all others that have used the node name
 
 	nodeNames    []string
 	client       *kvstore.Client
@@ -61,7 +62,8 @@
 	}
 }
 
-// Run keeps the session and takes over shards until ctx ends.
+// Run maintains the session and reviews the ownership of shards until ctx is
+// done. It then ends the session and returns the error of ctx.
 func (m *Member) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return m.session.run(ctx) })
@@ -86,5 +88,6 @@
 	}
 }
 
-// HasReached reports whether the cluster state holds everything up to a revision.
+// HasReached reports whether the cluster state contains all changes up to a
+// revision.
 func (m *Member) HasReached(revision uint64) bool { return m.cache.Revision() >= revision }
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -11,10 +11,10 @@
 	"sableusher/internal/wire"
 )
 
-// testIncarnation is that of all processes of the tests.
+// testIncarnation is the incarnation of all processes that run in the tests.
 const testIncarnation = 1
 
-// testCluster is one cluster state that several nodes share.
+// testCluster is a set of members that share one cluster state.
 type testCluster struct {
 	state   *clusterstate.State
 	members []*Member
@@ -46,7 +46,8 @@
 	return cluster
 }
 
-// openSession gives a member a session as of a revision.
+// openSession adds a session of the member, with the given mod revision, to the
+// cluster state.
 func (c *testCluster) openSession(m *Member, modRevision uint64) {
 	c.state.Nodes[m.NodeName] = clusterstate.Node{
 		Node:        record.Node{Incarnation: testIncarnation},
@@ -54,7 +55,7 @@
 	}
 }
 
-// own gives a shard to a process.
+// own makes a process of the given node the owner of a shard.
 func (c *testCluster) own(shard int, owner *Member, incarnation, fencingToken, modRevision uint64) {
 	c.state.Shards[shard] = clusterstate.Shard{
 		Shard: record.Shard{
--- a/internal/membership/ownership.go
+++ b/internal/membership/ownership.go
@@ -8,17 +8,18 @@
 	"sableusher/internal/wire"
 )
 
-// Ownership is this node's claim to a shard.
+// Ownership describes this node's ownership of a shard.
 type Ownership struct {
 	FencingToken uint64
-	// ModRevision is that of the shard's record: the condition of every write for
-	// the shard.
+	// ModRevision is the mod revision of the shard's record. Every write for the
+	// shard has it as a condition.
 	ModRevision uint64
 }
 
-// Ownership returns this node's claim to a shard. It reports false if the node
-// doesn't own the shard, hasn't seen yet all that was written before it took
-// the shard, or is fencing it. The caller holds the cluster state's lock.
+// Ownership returns this node's ownership of a shard. It reports false if the
+// node doesn't own the shard, is fencing it, or has a cluster state without some
+// of the changes that precede the shard's record. The caller must hold the
+// cluster state's lock.
 func (m *Member) Ownership(shard int) (Ownership, bool) {
 	current, known := m.clusterState.Shards[shard]
 	if !known || !m.ownedBySelf(current) {
@@ -28,16 +29,17 @@
 	return claim, m.cache.Revision() >= current.ModRevision && !m.fences.isRunning(shard)
 }
 
-// MayServeAgents reports whether this node may answer the agents of a shard,
-// though it may not have rebuilt the shard's state yet, and with which fencing
-// token. The caller holds the cluster state's lock.
+// MayServeAgents reports whether this node may answer the agents of a shard, and
+// returns the fencing token to use. Unlike Ownership it may report true before
+// the node has rebuilt the shard's state. The caller must hold the cluster
+// state's lock.
 func (m *Member) MayServeAgents(shard int) (fencingToken uint64, ok bool) {
 	current, known := m.clusterState.Shards[shard]
 	return current.FencingToken, known && m.ownedBySelf(current)
 }
 
-// OwnerOf names a shard's owner and reports whether its session lives. The
-// caller holds the cluster state's lock.
+// OwnerOf returns the name of a shard's owner and reports whether its session is
+// live. The caller must hold the cluster state's lock.
 func (m *Member) OwnerOf(shard int) (owner string, isLive bool) {
 	current, known := m.clusterState.Shards[shard]
 	if !known {
@@ -46,19 +48,19 @@
 	return current.Owner, m.ownerIsLive(current)
 }
 
-// ownerIsLive reports whether the process that a record names has a session.
-// The caller holds the cluster state's lock.
+// ownerIsLive reports whether the process that owns a shard according to its
+// record has a session. The caller must hold the cluster state's lock.
 func (m *Member) ownerIsLive(current clusterstate.Shard) bool {
 	node, live := m.clusterState.Nodes[current.Owner]
 	return live && node.Incarnation == current.OwnerIncarnation
 }
 
-// ownedBySelf reports whether a record names this process.
+// ownedBySelf reports whether this process is the owner in a shard's record.
 func (m *Member) ownedBySelf(current clusterstate.Shard) bool {
 	return current.Owner == m.NodeName && current.OwnerIncarnation == m.Incarnation
 }
 
-// homeNode is the node that owns a shard when all are well.
+// homeNode returns the node that owns a shard when all nodes are live.
 func (m *Member) homeNode(shard int) string {
 	if shard == record.LeaderShard {
 		return m.nodeNames[0]
@@ -66,8 +68,8 @@
 	return m.nodeNames[shard%len(m.nodeNames)]
 }
 
-// ownedCount is the number of shards that this node owns, the leader's
-// included. The caller holds the cluster state's lock.
+// ownedCount returns the number of shards that this node owns, including
+// LeaderShard. The caller must hold the cluster state's lock.
 func (m *Member) ownedCount() int {
 	count := 0
 	for _, current := range m.clusterState.Shards {
@@ -78,9 +80,10 @@
 	return count
 }
 
-// budgetShare is this node's share of the key-value store's budget: a part is
-// the same for all live nodes, the rest follows the shards, whose tasks cause
-// the writes. All nodes' shares together keep within the whole.
+// budgetShare returns this node's share of the key-value store's request budget.
+// One part of the budget is divided evenly among the live nodes. The rest is
+// divided by the number of owned shards, because their tasks cause the writes.
+// The shares of all live nodes together do not exceed tuning.KVBudgetShare.
 func (m *Member) budgetShare() float64 {
 	m.clusterState.RLock()
 	defer m.clusterState.RUnlock()
@@ -88,12 +91,12 @@
 		return tuning.KVBudgetShare / float64(len(m.nodeNames))
 	}
 	evenShare := tuning.KVEvenBudgetShare / float64(len(m.clusterState.Nodes))
-	shardCount := m.clusterState.ShardCount + 1 // the leader's included
+	shardCount := m.clusterState.ShardCount + 1 // including LeaderShard
 	return tuning.KVBudgetShare * (evenShare + (1-tuning.KVEvenBudgetShare)*float64(m.ownedCount())/float64(shardCount))
 }
 
-// ownershipTransaction writes a shard's record, on condition that nobody has
-// changed it and that the other conditions hold.
+// ownershipTransaction returns the transaction that writes a shard's record on
+// condition that the record has not changed and that the other conditions hold.
 func ownershipTransaction(
 	shard int, current clusterstate.Shard, next record.Shard, others ...wire.Condition,
 ) kvstore.Transaction {
@@ -105,7 +108,8 @@
 	}
 }
 
-// sessionCondition holds while a node's session is the one that is known.
+// sessionCondition returns the condition that a node's session record has the mod
+// revision of the given one. A zero node stands for the absence of a session.
 func sessionCondition(name string, node clusterstate.Node) wire.Condition {
 	return wire.Condition{Key: record.NodeKey(name), ModRevision: node.ModRevision}
 }
--- a/internal/membership/ownership_test.go
+++ b/internal/membership/ownership_test.go
@@ -9,9 +9,10 @@
 	"sableusher/internal/tuning"
 )
 
-// TestBudgetSharesStayWithinTheBudget: whoever lives and owns what, the nodes'
-// shares of the key-value store's budget never add up to more than is planned,
-// and one that is alone with all shards has all of it.
+// TestBudgetSharesStayWithinTheBudget checks that for any set of live nodes and
+// any distribution of shards the nodes' shares of the key-value store's budget
+// add up to at most tuning.KVBudgetShare, and that a single live node that owns
+// all shards has that whole share.
 func TestBudgetSharesStayWithinTheBudget(t *testing.T) {
 	const tolerance = 1e-9
 	rapid.Check(t, func(t *rapid.T) {
@@ -23,7 +24,7 @@
 			cluster.openSession(member, 0)
 		}
 		for shard := record.LeaderShard; shard < nodeCount; shard++ {
-			owner := rapid.IntRange(-1, liveCount-1).Draw(t, "owner") // -1: none, unless one lives alone
+			owner := rapid.IntRange(-1, liveCount-1).Draw(t, "owner") // -1: no owner, unless only one node is live
 			if owner >= 0 || liveCount == 1 {
 				cluster.own(shard, live[max(owner, 0)], testIncarnation, 1, 0)
 			}
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -13,8 +13,8 @@
 	"sableusher/internal/wire"
 )
 
-// session is this node's registration under a lease. Its fields belong to the
-// goroutine of run.
+// session manages this node's registration, which is attached to a lease. Only
+// the goroutine of run accesses its fields.
 type session struct {
 	nodeName     string
 	record       record.Node
@@ -24,8 +24,8 @@
 	clusterState *clusterstate.State
 	logger       *slog.Logger
 
-	leaseID      uint64 // 0: none
-	registeredAt uint64 // revision of the registration; 0: none under this lease
+	leaseID      uint64 // 0 if there is no lease
+	registeredAt uint64 // revision of the registration; 0 if not registered under this lease
 }
 
 func newSession(config Config) *session {
@@ -42,7 +42,7 @@
 	}
 }
 
-// run keeps the session until ctx ends, and then closes it.
+// run maintains the session until ctx is done and then closes it.
 func (s *session) run(ctx context.Context) error {
 	ticker := time.NewTicker(tuning.SessionRenewInterval)
 	defer ticker.Stop()
@@ -59,17 +59,17 @@
 	}
 }
 
-// maintain renews the lease, or grants one, and registers the node where it
-// isn't. It reports whether to try again at once.
+// maintain renews the lease or obtains a new one, and registers the node if it
+// isn't registered. It reports whether to retry immediately.
 func (s *session) maintain(ctx context.Context) (retryNow bool) {
 	err := s.renewOrGrantLease(ctx)
 	if errors.Is(err, kvstore.ErrNotFound) {
-		s.logger.Info("session expired, opening another")
+		s.logger.Info("session lease expired; opening a new session")
 		s.leaseID = 0
 		return true
 	}
 	if s.registeredAt != 0 && s.isDisplaced() {
-		s.logger.Info("session replaced by a late registration, registering again")
+		s.logger.Info("session record deleted or replaced by another registration; registering again")
 		s.registeredAt = 0
 	}
 	if err == nil && s.registeredAt == 0 {
@@ -78,18 +78,19 @@
 		case err == nil:
 			s.logger.Info("session open", "node", s.nodeName, "incarnation", s.record.Incarnation)
 		case errors.Is(err, kvstore.ErrConditionFailed):
-			return true // the session before has just ended
+			return true // the registration that was read has changed, for example expired
 		case errors.Is(err, kvstore.ErrRejected):
 			s.leaseID = 0
 		}
 	}
 	if err != nil && ctx.Err() == nil {
-		s.logger.Debug("session not renewed", "err", err)
+		s.logger.Debug("session renewal or registration failed", "err", err)
 	}
 	return false
 }
 
-// renewOrGrantLease fails with kvstore.ErrNotFound if the lease has expired.
+// renewOrGrantLease renews the lease, or obtains one if there is none. It returns
+// kvstore.ErrNotFound if the lease has expired.
 func (s *session) renewOrGrantLease(ctx context.Context) error {
 	if s.leaseID != 0 {
 		return s.client.RenewLease(ctx, s.leaseID)
@@ -100,10 +101,10 @@
 	return err
 }
 
-// register writes this process's session and returns the revision. Its
-// condition is what stood there before: a process that ended before it had an
-// answer leaves a registration that may be applied seconds later, and must not
-// take the place of the one that follows it.
+// register writes this process's session record and returns the revision. The
+// write is conditional on the record that was read before it: if a process ends
+// while its registration is in flight, the store may apply that registration
+// seconds later, and it must not replace the registration of the next process.
 func (s *session) register(ctx context.Context) (uint64, error) {
 	key := record.NodeKey(s.nodeName)
 	current, err := s.client.Get(ctx, key)
@@ -119,10 +120,13 @@
 	})
 }
 
-// isDisplaced reports whether the cluster state, which holds this process's
-// registration, shows another or none though its lease lives: a version before
-// registrations had conditions may have written late. Such a process once went
-// on believing itself registered and never owned anything again.
+// isDisplaced reports whether the session record of this process was deleted or
+// replaced although the process has registered and its lease has not expired. It
+// reports false until the cluster state has reached the revision of the
+// registration. A process of an older version, which registers without a
+// condition, can replace the record when its write is applied late. Without this
+// check the displaced process would assume that it is registered and would never
+// own a shard again.
 func (s *session) isDisplaced() bool {
 	s.clusterState.RLock()
 	defer s.clusterState.RUnlock()
@@ -130,8 +134,8 @@
 	return s.cache.Revision() >= s.registeredAt && (!exists || node.Incarnation != s.record.Incarnation)
 }
 
-// close ends the session of a node that stops in order, so that the others take
-// over its shards at once rather than after the lease's expiry.
+// close revokes the lease on an orderly shutdown, so that the other nodes can take
+// over this node's shards without waiting for the lease to expire.
 func (s *session) close(ctx context.Context) {
 	if s.leaseID == 0 {
 		return
@@ -139,6 +143,6 @@
 	ctx, cancel := context.WithTimeout(ctx, tuning.ShutdownGrace/2)
 	defer cancel()
 	if err := s.client.RevokeLease(ctx, s.leaseID); err != nil {
-		s.logger.Info("session left to expire", "err", err)
+		s.logger.Info("session lease not revoked; the session ends when the lease expires", "err", err)
 	}
 }
--- a/internal/membership/store_test.go
+++ b/internal/membership/store_test.go
@@ -23,19 +23,19 @@
 	"sableusher/internal/wire"
 )
 
-// errLost is the failure of a request whose answer is lost.
-var errLost = errors.New("connection lost")
+// errConnectionLost is the error of a request whose response is lost.
+var errConnectionLost = errors.New("connection lost")
 
-// storeTransport hands requests to a fake store.
+// storeTransport passes requests to a fake store.
 type storeTransport struct {
-	store       http.Handler
-	isCut       atomic.Bool // requests don't reach the store
-	losesCommit atomic.Bool // transactions are applied, and their answers lost
+	store                   http.Handler
+	isPartitioned           atomic.Bool // requests don't reach the store
+	dropsTransactionReplies atomic.Bool // transactions are applied, but their responses are lost
 }
 
 func (s *storeTransport) RoundTrip(request *http.Request) (*http.Response, error) {
-	if s.isCut.Load() {
-		return nil, errLost
+	if s.isPartitioned.Load() {
+		return nil, errConnectionLost
 	}
 	inner := request.Clone(request.Context())
 	if inner.Body == nil {
@@ -43,13 +43,13 @@
 	}
 	recorder := httptest.NewRecorder()
 	s.store.ServeHTTP(recorder, inner)
-	if s.losesCommit.Load() && request.URL.Path == "/multi" {
-		return nil, errLost
+	if s.dropsTransactionReplies.Load() && request.URL.Path == "/multi" {
+		return nil, errConnectionLost
 	}
 	return recorder.Result(), nil
 }
 
-// testNode is a node of a cluster of one, with one shard.
+// testNode is the only node of a cluster with one shard.
 type testNode struct {
 	name      string
 	store     *simulation.FakeKV
@@ -57,9 +57,10 @@
 	state     *clusterstate.State
 	committer *kvstore.Committer
 	member    *membership.Member
-	stop      func() // and waits
+	stop      func() // stops the node and waits for its goroutines
 }
 
+// startNode starts a node with an empty fake store.
 func startNode(t *testing.T) *testNode {
 	t.Helper()
 	const writesPerSecond, maxOps, maxValueKiB = 1000, 32, 16
@@ -91,21 +92,21 @@
 	node.stop = func() {
 		cancel()
 		if err := group.Wait(); !errors.Is(err, context.Canceled) {
-			t.Errorf("stopped with %v", err)
+			t.Errorf("node stopped with error %v", err)
 		}
 	}
 	return node
 }
 
-// ownership is the node's claim to its shard.
+// ownership returns the node's ownership of its shard.
 func (n *testNode) ownership() (membership.Ownership, bool) {
 	n.state.RLock()
 	defer n.state.RUnlock()
 	return n.member.Ownership(0)
 }
 
-// registration is the session that the store has for the node; ok is false if
-// it has none.
+// registration returns the node's session record in the store; ok is false if
+// there is none.
 func (n *testNode) registration(t *testing.T) (session record.Node, ok bool) {
 	t.Helper()
 	entry := n.store.Row(record.NodeKey(n.name))
@@ -118,9 +119,9 @@
 	return session, true
 }
 
-// TestSessionIsKept: a node is registered while it runs, again after its lease
-// has expired or another registration has taken its place, and no longer once
-// it has stopped.
+// TestSessionIsKept checks that a node is registered while it runs, that it
+// registers again after its lease has expired or its registration was replaced,
+// and that it is no longer registered after it has stopped.
 func TestSessionIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		node := startNode(t)
@@ -130,75 +131,75 @@
 		}
 		time.Sleep(2 * tuning.SessionRenewInterval)
 		if !isRegistered() {
-			t.Error("not registered at first")
+			t.Error("not registered after the start")
 		}
-		node.transport.isCut.Store(true)
+		node.transport.isPartitioned.Store(true)
 		time.Sleep(tuning.SessionTTL + tuning.SessionRenewInterval)
-		node.transport.isCut.Store(false)
+		node.transport.isPartitioned.Store(false)
 		time.Sleep(3 * tuning.SessionRenewInterval)
 		if !isRegistered() {
 			t.Error("not registered after the lease has expired")
 		}
-		// Only a process of an earlier version writes so, without a condition on
-		// what stands there; here it names it.
+		// Replace the registration, as a process of an earlier version does. Such a
+		// process writes without a condition; the committer used here needs one.
 		key := record.NodeKey(node.name)
 		_, err := node.committer.Commit(t.Context(), kvstore.Transaction{
 			Conditions: []wire.Condition{{Key: key, ModRevision: node.store.Row(key).ModRevision}},
 			Ops:        []wire.Op{kvstore.PutOp(key, record.Node{Incarnation: 9})},
 		})
 		if err != nil || isRegistered() {
-			t.Fatalf("not replaced: %v", err)
+			t.Fatalf("registration not replaced: %v", err)
 		}
 		time.Sleep(3 * tuning.SessionRenewInterval)
 		if !isRegistered() {
-			t.Error("not registered after another registration")
+			t.Error("not registered after the registration was replaced")
 		}
 		node.stop()
 		if _, ok := node.registration(t); ok {
-			t.Error("registered after the end")
+			t.Error("still registered after the node has stopped")
 		}
 	})
 }
 
-// TestFenceFailsEarlierTransactions: after a fence, what was decided on the
-// shard's earlier record can't be applied any more, and only the fence that
-// raises the token changes it. This holds too where the answers to the fence's
-// own transactions are lost; until it is known to hold, the node doesn't own
-// the shard.
+// TestFenceFailsEarlierTransactions checks that after a fence no transaction that
+// is conditional on the shard's earlier record can be applied, and that only
+// FenceAndRaiseToken changes the fencing token. Both must also hold if the
+// responses to the fence's own transactions are lost. While a fence runs, the
+// node doesn't report that it owns the shard.
 func TestFenceFailsEarlierTransactions(t *testing.T) {
-	for name, losesCommit := range map[string]bool{"answers come": false, "answers are lost": true} {
+	for name, dropsTransactionReplies := range map[string]bool{"responses arrive": false, "responses are lost": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				node := startNode(t)
 				time.Sleep(3 * tuning.SessionRenewInterval)
 				before, owns := node.ownership()
 				if !owns {
-					t.Fatal("the shard isn't taken over")
+					t.Fatal("the node doesn't own the shard")
 				}
-				node.transport.losesCommit.Store(losesCommit)
+				node.transport.dropsTransactionReplies.Store(dropsTransactionReplies)
 				node.member.Fence(t.Context(), 0)
 				kept, owns := node.ownership()
 				if !owns || kept.FencingToken != before.FencingToken || kept.ModRevision <= before.ModRevision {
-					t.Errorf("after a fence %+v, %v; before %+v", kept, owns, before)
+					t.Errorf("ownership after a fence is %+v, %v; before it was %+v", kept, owns, before)
 				}
 				node.member.FenceAndRaiseToken(t.Context(), 0)
 				raised, owns := node.ownership()
-				// A fence that is tried again, since its answer was lost, raises the token again.
+				// A fence that is retried because its response was lost raises the token again.
 				raisedBy := raised.FencingToken - before.FencingToken
-				if !owns || raisedBy < 1 || raisedBy > 1 && !losesCommit {
-					t.Errorf("after a fence that raises the token %+v, %v; before %+v", raised, owns, before)
+				if !owns || raisedBy < 1 || raisedBy > 1 && !dropsTransactionReplies {
+					t.Errorf("ownership after a fence that raises the token is %+v, %v; before it was %+v", raised, owns, before)
 				}
-				node.transport.losesCommit.Store(false)
+				node.transport.dropsTransactionReplies.Store(false)
 				for _, earlier := range []membership.Ownership{before, kept} {
 					_, err := node.committer.Commit(t.Context(), kvstore.Transaction{
 						Conditions: []wire.Condition{{Key: record.ShardKey(0), ModRevision: earlier.ModRevision}},
 						Ops:        []wire.Op{kvstore.PutOp("s/x", 1)},
 					})
 					if !errors.Is(err, kvstore.ErrConditionFailed) {
-						t.Errorf("a transaction on the record of %+v: %v", earlier, err)
+						t.Errorf("a transaction conditional on the record of %+v returned %v", earlier, err)
 					}
 				}
-				node.transport.isCut.Store(true)
+				node.transport.isPartitioned.Store(true)
 				ctx, cancel := context.WithCancel(t.Context())
 				fenced := make(chan struct{})
 				go func() {
@@ -207,11 +208,11 @@
 				}()
 				synctest.Wait()
 				if _, owns := node.ownership(); owns {
-					t.Error("owns the shard while a fence runs")
+					t.Error("the node reports that it owns the shard while a fence runs")
 				}
 				cancel()
 				<-fenced
-				node.transport.isCut.Store(false)
+				node.transport.isPartitioned.Store(false)
 				node.stop()
 			})
 		})
--- a/internal/schemaversion/activator.go
+++ b/internal/schemaversion/activator.go
@@ -27,22 +27,23 @@
 	Commit(ctx context.Context, transaction kvstore.Transaction) (uint64, error)
 }
 
-// Owner says what this node owns. The caller holds the cluster state's lock.
+// Owner provides this node's ownership of shards. Ownership must be called with
+// the cluster state's lock held.
 type Owner interface {
 	Ownership(shard int) (membership.Ownership, bool)
 }
 
-// LimitSwitcher is the key-value store's client, which keeps to lower limits
-// once records can be split.
+// LimitSwitcher is the part of the key-value store's client that switches to the
+// lower limits the store will have. It is used once records can be split.
 type LimitSwitcher interface {
 	ApplyUpcomingLimits()
 	MaxTransactionOps() int
 }
 
-// Config is what an Activator is made of.
+// Config holds the configuration and the dependencies of an Activator.
 type Config struct {
-	NodeNames        []string // of the whole deployment
-	SupportedVersion int      // the newest that this process reads
+	NodeNames        []string // of all nodes of the deployment
+	SupportedVersion int      // newest version that this process reads
 
 	ClusterState *clusterstate.State
 	Owner        Owner
@@ -51,8 +52,9 @@
 	Logger       *slog.Logger
 }
 
-// Activator activates schema versions while this node leads, and follows their
-// activation on every node. Its methods belong to one goroutine, that of Run.
+// Activator activates schema versions while this node is the leader. On every node
+// it applies the effects of an activation to the process. It is not safe for
+// concurrent use: after construction only the goroutine of Run uses it.
 type Activator struct {
 	config            Config
 	lastLoggedBlocker blocker
@@ -62,8 +64,8 @@
 // NewActivator returns an activator.
 func NewActivator(config Config) *Activator { return &Activator{config: config} }
 
-// Run looks for a version to activate after each change of the cluster state,
-// until ctx ends.
+// Run checks for a version to activate after changes of the cluster state, until
+// ctx is done. It returns the error of ctx.
 func (a *Activator) Run(ctx context.Context) error {
 	changed := a.config.ClusterState.Subscribe()
 	for {
@@ -73,7 +75,7 @@
 			return ctx.Err()
 		case <-changed:
 		}
-		// Changes come many a second; activation is not in that hurry.
+		// The state may change many times per second, and activation is not urgent.
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -82,14 +84,14 @@
 	}
 }
 
-// check follows the active version and commits the activation of the next one
-// where that is possible.
+// check applies a change of the active version and commits the activation of the
+// next version if that is possible.
 func (a *Activator) check(ctx context.Context) {
 	a.config.ClusterState.RLock()
 	version := a.config.ClusterState.SchemaVersion
 	next := a.planActivation()
 	a.config.ClusterState.RUnlock()
-	a.followVersion(version)
+	a.applyVersion(version)
 	a.logBlocker(next.blocker)
 	if next.transaction == nil {
 		return
@@ -101,9 +103,9 @@
 	}
 }
 
-// followVersion publishes a version that has become active, and lowers the
-// store's limits once records can be split.
-func (a *Activator) followVersion(version int) {
+// applyVersion logs and exports a newly active version, and switches to the
+// store's upcoming limits once the version allows records to be split.
+func (a *Activator) applyVersion(version int) {
 	if version == a.lastLoggedVersion {
 		return
 	}
@@ -116,7 +118,7 @@
 	}
 }
 
-// logBlocker logs what activation waits for when that has changed.
+// logBlocker logs what blocks the activation if that has changed.
 func (a *Activator) logBlocker(b blocker) {
 	if b == a.lastLoggedBlocker {
 		return
@@ -127,18 +129,18 @@
 	}
 }
 
-// blockReason says why a version that this process reads is not activated.
+// blockReason is the reason why a version that this process reads is not activated.
 type blockReason int
 
 const (
 	notBlocked blockReason = iota
 	// blockedByNode: a node has no session, or its process reads only older versions.
 	blockedByNode
-	// blockedByTransactionSize: there are more nodes than a transaction may have conditions.
+	// blockedByTransactionSize: a transaction may not have a condition for each node.
 	blockedByTransactionSize
 )
 
-// String describes the reason.
+// String returns a description of the reason for the log.
 func (r blockReason) String() string {
 	switch r {
 	case notBlocked:
@@ -151,24 +153,25 @@
 	return fmt.Sprintf("blockReason(%d)", int(r))
 }
 
-// blocker is what activation waits for.
+// blocker describes what blocks the activation of a version.
 type blocker struct {
 	reason blockReason
-	node   string // where reason is blockedByNode
+	node   string // set if reason is blockedByNode
 }
 
-// activation is the change that activates a version, if it is possible now, and
-// what stands in the way of the newest one.
+// activation is the transaction that activates a version, if one can be activated
+// now, and what blocks the activation of the newest version.
 type activation struct {
-	transaction *kvstore.Transaction // nil: nothing to commit
+	transaction *kvstore.Transaction // nil if no version can be activated now
 	blocker     blocker
 }
 
-// planActivation plans to raise the version, if this node leads and every node
-// is there with a process that reads it. The sessions themselves are
-// conditions: a node that goes down, or comes back as an older version, before
-// the change is applied makes it fail. A node that is down or cut off has no
-// session and is waited for. The caller holds the cluster state's lock.
+// planActivation plans the activation of the newest version that all nodes read,
+// if this node is the leader and every node has a session. The sessions are
+// conditions of the transaction: it fails if a node goes down, or restarts with
+// an older version, before the transaction is applied. A node that is down or
+// partitioned from the store has no session and blocks the activation. The caller
+// must hold the cluster state's lock.
 func (a *Activator) planActivation() activation {
 	state := a.config.ClusterState
 	if state.SchemaVersion >= a.config.SupportedVersion {
@@ -190,7 +193,7 @@
 			return activation{blocker: blocker{reason: blockedByNode, node: name}}
 		}
 		if node.SchemaVersion < a.config.SupportedVersion {
-			// All may read a version between.
+			// All nodes may still read a version between the active and the newest one.
 			version = min(version, node.SchemaVersion)
 			blocked = blocker{reason: blockedByNode, node: name}
 		}
--- a/internal/schemaversion/activator_test.go
+++ b/internal/schemaversion/activator_test.go
@@ -16,11 +16,11 @@
 	"sableusher/internal/wire"
 )
 
-// nodeIsDown stands for the version of a node without a process.
+// nodeIsDown is used in place of a version for a node without a running process.
 const nodeIsDown = -1
 
-// fakeCluster is a key-value store with the sessions of a few nodes, and one
-// node's cluster state, which lags behind it.
+// fakeCluster is a key-value store with the sessions of several nodes, and the
+// cluster state of one node, which may lag behind the store.
 type fakeCluster struct {
 	t             *rapid.T
 	nodeNames     []string
@@ -28,21 +28,21 @@
 	values        map[string]wire.RawValue
 	revision      uint64
 	activeVersion int
-	nodeVersions  map[string]int // that each node's process reads
-	limitsApplied int            // times
+	nodeVersions  map[string]int // newest version that each node's process reads
+	limitsApplied int            // number of calls of ApplyUpcomingLimits
 
-	state *clusterstate.State
-	shown map[string]uint64 // the modRevisions that the state holds
+	state           *clusterstate.State
+	syncedRevisions map[string]uint64 // modRevisions of the records in state
 }
 
 func newFakeCluster(t *rapid.T, nodeCount int) *fakeCluster {
 	f := &fakeCluster{
-		t:            t,
-		modRevisions: map[string]uint64{},
-		values:       map[string]wire.RawValue{},
-		nodeVersions: map[string]int{},
-		state:        clusterstate.New(nodeCount, slog.New(slog.DiscardHandler)),
-		shown:        map[string]uint64{},
+		t:               t,
+		modRevisions:    map[string]uint64{},
+		values:          map[string]wire.RawValue{},
+		nodeVersions:    map[string]int{},
+		state:           clusterstate.New(nodeCount, slog.New(slog.DiscardHandler)),
+		syncedRevisions: map[string]uint64{},
 	}
 	for i := range nodeCount {
 		f.nodeNames = append(f.nodeNames, fmt.Sprintf("node-%d", i))
@@ -50,8 +50,8 @@
 	return f
 }
 
-// Commit applies a transaction, and checks that it activates no version that a
-// running process doesn't read.
+// Commit applies a transaction if its conditions hold. It fails the test if the
+// transaction activates a version that a running process doesn't read.
 func (f *fakeCluster) Commit(_ context.Context, transaction kvstore.Transaction) (uint64, error) {
 	for _, condition := range transaction.Conditions {
 		if f.modRevisions[condition.Key] != condition.ModRevision {
@@ -70,11 +70,11 @@
 func (f *fakeCluster) activate(value wire.RawValue) {
 	var active record.SchemaVersion
 	if err := wire.Decode(value, &active); err != nil || active.Version <= f.activeVersion {
-		f.t.Fatalf("version %d after %d: %v", active.Version, f.activeVersion, err)
+		f.t.Fatalf("schema version %d written after %d (decode error %v)", active.Version, f.activeVersion, err)
 	}
 	for name, version := range f.nodeVersions {
 		if version < active.Version {
-			f.t.Fatalf("version %d activated while %s runs version %d", active.Version, name, version)
+			f.t.Fatalf("version %d activated while %s reads only version %d", active.Version, name, version)
 		}
 	}
 	f.activeVersion = active.Version
@@ -91,21 +91,21 @@
 func (f *fakeCluster) ApplyUpcomingLimits()   { f.limitsApplied++ }
 func (f *fakeCluster) MaxTransactionOps() int { return 10 }
 
-// start starts a process that reads a version on a node.
+// start starts a process on a node that reads schema versions up to version.
 func (f *fakeCluster) start(name string, version int) {
 	f.nodeVersions[name] = version
 	session := record.Node{Incarnation: f.revision + 1, SchemaVersion: version}
 	f.put(record.NodeKey(name), wire.MustEncode(session))
 }
 
-// stop ends a node's process, and its session with it.
+// stop ends a node's process and its session.
 func (f *fakeCluster) stop(name string) {
 	f.nodeVersions[name] = nodeIsDown
 	delete(f.modRevisions, record.NodeKey(name))
 	delete(f.values, record.NodeKey(name))
 }
 
-// keys are those of all sessions and of the active version.
+// keys returns the keys of all sessions and of the active version.
 func (f *fakeCluster) keys() []string {
 	var keys []string
 	for _, name := range f.nodeNames {
@@ -114,15 +114,15 @@
 	return append(keys, record.SchemaVersionKey)
 }
 
-// show brings the cluster state up to date for some keys.
-func (f *fakeCluster) show(keys ...string) {
+// syncState updates the given keys in the cluster state from the store.
+func (f *fakeCluster) syncState(keys ...string) {
 	f.state.BeginUpdate()
 	defer f.state.EndUpdate()
 	for _, key := range keys {
-		if f.shown[key] == f.modRevisions[key] {
+		if f.syncedRevisions[key] == f.modRevisions[key] {
 			continue
 		}
-		f.shown[key] = f.modRevisions[key]
+		f.syncedRevisions[key] = f.modRevisions[key]
 		if f.values[key] == nil {
 			f.state.Delete(key)
 		} else {
@@ -131,30 +131,32 @@
 	}
 }
 
-// step does one thing that may happen to the cluster.
+// step performs one random event: a start or stop of a process, an update of the
+// cluster state, or a check of the activator.
 func (f *fakeCluster) step(activator *Activator) {
 	name := rapid.SampledFrom(f.nodeNames).Draw(f.t, "node")
 	switch rapid.IntRange(0, 4).Draw(f.t, "step") {
 	case 0:
-		f.start(name, f.activeVersion) // going back further is for before activation
+		f.start(name, f.activeVersion) // a downgrade below the active version is not supported
 	case 1:
 		f.start(name, rapid.IntRange(f.activeVersion, tuning.SchemaVersion).Draw(f.t, "version"))
 	case 2:
 		f.stop(name)
 	case 3:
-		f.show(record.NodeKey(name))
+		f.syncState(record.NodeKey(name))
 	case 4:
 		activator.check(f.t.Context())
 	}
 	if f.activeVersion != 0 && len(f.values[record.SchemaVersionKey]) == 0 {
-		f.t.Fatal("taken back")
+		f.t.Fatal("the record of the active version was removed")
 	}
 }
 
-// TestVersionIsNeverActivatedEarly: under any order of starts, ends and returns
-// to the version before, and with cluster states that lag, the new version is
-// written only while all nodes run a process that reads it; once they do, it is,
-// and limits are lowered. Where all read a version between, that one is written.
+// TestVersionIsNeverActivatedEarly starts and stops processes of different
+// versions in random order, with a cluster state that may lag behind the store. It
+// checks that a version is activated only while all nodes run processes that read
+// it. Once all nodes read the newest version, it must become active and the
+// upcoming limits must be applied.
 func TestVersionIsNeverActivatedEarly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cluster := newFakeCluster(t, rapid.IntRange(1, 5).Draw(t, "nodes"))
@@ -177,11 +179,11 @@
 			cluster.start(name, tuning.SchemaVersion)
 		}
 		for range 2 {
-			cluster.show(cluster.keys()...)
+			cluster.syncState(cluster.keys()...)
 			activator.check(t.Context())
 		}
 		if cluster.activeVersion != tuning.SchemaVersion || cluster.limitsApplied == 0 {
-			t.Errorf("version %d, limits lowered %d times", cluster.activeVersion, cluster.limitsApplied)
+			t.Errorf("active version is %d, limits applied %d times", cluster.activeVersion, cluster.limitsApplied)
 		}
 	})
 }
--- a/internal/schemaversion/doc.go
+++ b/internal/schemaversion/doc.go
@@ -1,12 +1,12 @@
 // Package schemaversion activates new schema versions of the durable records.
 //
-// Each process says with its session which version it reads. Once all nodes of
-// the deployment are there with processes that read a version, the leader
-// writes so, and from then on records of that version are written. Nobody takes
-// that back.
+// Each process publishes in its session the newest schema version that it reads.
+// Once all nodes of the deployment have sessions of processes that read a
+// version, the leader activates it by writing the schema version record. From
+// then on nodes write records of that version. An activation is never undone.
 //
-// The package never writes a record of a new version itself, and never guesses
-// what a node without a session reads: such a node is waited for. It carries
-// the part of safety invariant 11 that concerns older nodes, and of 5 that
-// makes the version durable and conditional.
+// The package does not write records of a new version itself. It makes no
+// assumption about a node without a session but waits for the node to return. It
+// implements the part of safety invariant 11 that concerns older nodes, and the
+// part of invariant 5 that makes the version durable and its change conditional.
 package schemaversion
--- a/internal/tuning/records.go
+++ b/internal/tuning/records.go
@@ -10,12 +10,12 @@
 	// MinValueLimitKB is the smallest value limit, measured as JSON, within which a record of FixedChunkTasks tasks
 	// fits: about 50 bytes per task and 1 KiB for the description.
 	MinValueLimitKB = 8
-	// MinUpcomingValueLimitKB is the smallest value limit that may be announced for the future. Records can be split
-	// to fit within it: it has room for a description of 600 bytes and MinChunkWidth tasks of a gang.
+	// MinUpcomingValueLimitKB is the smallest value limit that may be configured as an upcoming limit. Records can be
+	// split to fit within it: it has room for a description of 600 bytes and MinChunkWidth tasks of a gang.
 	MinUpcomingValueLimitKB = 1
-	// MinUpcomingTxnOps is the smallest number of operations per transaction that may be announced for the future. A
-	// migration step splits one fixed chunk into FixedChunkTasks/MinChunkWidth records and also writes the job's own
-	// record.
+	// MinUpcomingTxnOps is the smallest number of operations per transaction that may be configured as an upcoming
+	// limit. A migration step splits one fixed chunk into FixedChunkTasks/MinChunkWidth records and also writes the
+	// job's own record.
 	MinUpcomingTxnOps = 10
 	// JSONShareOfValueLimit is the fraction of a value limit that a record may use if its size is computed in the
 	// JSON form. The state service may write numbers and separators slightly longer than the computation assumes.
