--- a/internal/clusterstate/dependencies_test.go
+++ b/internal/clusterstate/dependencies_test.go
@@ -85,7 +85,7 @@
 func (m *dependencyModel) submit(t *rapid.T) {
 	id := fmt.Sprintf("run-%d", len(m.ids))
 	for _, other := range m.ids {
-		if rapid.IntRange(0, 2).Draw(t, "awaits") == 0 {
+		if rapid.IntRange(0, 2).Draw(t, "depends") == 0 {
 			m.dependencies[id] = append(m.dependencies[id], other)
 		}
 	}
@@ -142,7 +142,7 @@
 // is cancelled. The leader cancels such jobs eventually.
 func (m *dependencyModel) maybeCancelDependent(t *rapid.T, id string) {
 	_, cancelled := m.state.DependencyCancelled()[id]
-	if cancelled && m.live[id] && m.outcome[id] == "" && rapid.Bool().Draw(t, "sweep") {
+	if cancelled && m.live[id] && m.outcome[id] == "" && rapid.Bool().Draw(t, "cancel") {
 		m.outcome[id] = wire.JobCancelled
 		m.finalize(id, wire.JobCancelled)
 	}
--- a/internal/clusterstate/migration_test.go
+++ b/internal/clusterstate/migration_test.go
@@ -95,7 +95,7 @@
 	m := &migrationModel{
 		store: newRecordStore(),
 		limits: record.SizeLimits{
-			MaxBytes: rapid.IntRange(900, 16000).Draw(t, "room"), BoundTaskBytes: tuning.BoundTaskMaxBytes,
+			MaxBytes: rapid.IntRange(900, 16000).Draw(t, "max bytes"), BoundTaskBytes: tuning.BoundTaskMaxBytes,
 		},
 		spec: wire.JobSpec{
 			ID: "run-7", Class: "c", Team: "t", Priority: wire.PriorityNormal, GPUs: 1,
@@ -104,7 +104,7 @@
 		},
 		tasks: map[int]record.Task{},
 	}
-	if rapid.Bool().Draw(t, "counted") {
+	if rapid.Bool().Draw(t, "retry limit") {
 		m.spec.MaxRetries = new(int)
 	}
 	job := record.Job{Spec: m.spec, SubmittedAtMs: 1764600000000}
@@ -134,7 +134,7 @@
 // writeTasks changes some tasks of one chunk, immediately or as a delayed write.
 func (m *migrationModel) writeTasks(t *rapid.T) {
 	job := m.job()
-	first, end := job.TaskRange(rapid.IntRange(0, job.ChunkCount()-1).Draw(t, "record"))
+	first, end := job.TaskRange(rapid.IntRange(0, job.ChunkCount()-1).Draw(t, "chunk"))
 	changes := map[int]record.Task{}
 	for range rapid.IntRange(1, 12).Draw(t, "changed") {
 		index := rapid.IntRange(first, end-1).Draw(t, "task")
@@ -147,7 +147,7 @@
 	if size := wire.JSONSize(write.ops[0].Value); job.MaxChunkSize(chunk, changes) < size {
 		t.Fatalf("record takes %d bytes, more than the upper bound of %d", size, job.MaxChunkSize(chunk, changes))
 	}
-	if rapid.Bool().Draw(t, "late") {
+	if rapid.Bool().Draw(t, "delayed") {
 		m.delayed = append(m.delayed, write)
 		return
 	}
@@ -183,7 +183,7 @@
 	if len(step.Ops) > tuning.MinUpcomingTxnOps {
 		t.Fatalf("%d operations in one step", len(step.Ops))
 	}
-	if mayDelay && rapid.Bool().Draw(t, "late") {
+	if mayDelay && rapid.Bool().Draw(t, "delayed") {
 		m.delayed = append(m.delayed, taskWrite{conditions: step.Conditions, ops: step.Ops, migrates: true})
 		return
 	}
--- a/internal/membership/failover.go
+++ b/internal/membership/failover.go
@@ -14,9 +14,9 @@
 // ownershipHistory holds the times at which this node first observed the current
 // sessions and owners. Only the goroutine that reviews ownership accesses it.
 type ownershipHistory struct {
-	orphanedSince map[int]time.Time    // shards without a live owner
-	ownedSince    map[int]time.Time    // shards of this node
-	sessionSince  map[string]time.Time // nodes with a session
+	orphanedSince map[int]time.Time    // by shard without a live owner
+	ownedSince    map[int]time.Time    // by shard that this node owns
+	sessionSince  map[string]time.Time // by name of a node with a session
 }
 
 func newOwnershipHistory() ownershipHistory {
@@ -184,7 +184,8 @@
 // without a live owner. The delay is 0 for the shard's home node and for its
 // last owner. For other nodes it increases with the number of shards that they
 // own, so that the nodes don't all try to take over the same shard. It is longer
-// while the home node is live. The caller must hold the cluster state's lock.
+// by tuning.HomeNodeGrace if the home node is live or the shard has no record yet.
+// The caller must hold the cluster state's lock.
 func (m *Member) takeoverDelay(shard int, current clusterstate.Shard, known bool, owned int) time.Duration {
 	home := m.homeNode(shard)
 	if home == m.NodeName || current.Owner == m.NodeName {
--- a/internal/membership/failover_test.go
+++ b/internal/membership/failover_test.go
@@ -100,7 +100,7 @@
 }
 
 // TestHomeNodeTakesOverFirst checks that other nodes wait for an additional grace
-// period while a shard's home node is live but runs a newer process than the one
+// period while a shard's home node is live but runs another process than the one
 // that owns the shard.
 func TestHomeNodeTakesOverFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/record/size_test.go
+++ b/internal/record/size_test.go
@@ -86,7 +86,7 @@
 				t.Fatal("no chunk width fits")
 			}
 		}
-		chunk := rapid.IntRange(0, job.ChunkCount()-1).Draw(t, "record")
+		chunk := rapid.IntRange(0, job.ChunkCount()-1).Draw(t, "chunk")
 		first, end := job.TaskRange(chunk)
 		tasks := []Task{{Index: first, State: TaskBound, Attempt: 1000, Machine: "vm-000000000", Session: 99,
 			ChargedShard: 3, Failures: retries}}
--- a/internal/tuning/membership.go
+++ b/internal/tuning/membership.go
@@ -13,7 +13,7 @@
 	// shard that it already owns.
 	FailoverStagger = 250 * time.Millisecond
 	// HomeNodeGrace is the additional time that other nodes wait before they take over a shard whose home node is
-	// live.
+	// live, or a shard that never had an owner.
 	HomeNodeGrace = 1500 * time.Millisecond
 	// ShardReturnDelay is how long a home node must have had a session, and another node must have owned its shard,
 	// before the shard is returned to the home node after a failover.
