--- a/internal/membership/store_test.go
+++ b/internal/membership/store_test.go
@@ -148,7 +148,7 @@
 			Ops:        []wire.Op{kvstore.PutOp(key, record.Node{Incarnation: 9})},
 		})
 		if err != nil || isRegistered() {
-			t.Fatalf("registration not replaced: %v", err)
+			t.Fatalf("not replaced: %v", err)
 		}
 		time.Sleep(3 * tuning.SessionRenewInterval)
 		if !isRegistered() {
--- a/internal/record/size_test.go
+++ b/internal/record/size_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// longSpecGang returns a gang whose description is as long as descriptions usually get.
+// longSpecGang returns a gang with the longest description that is expected in practice.
 func longSpecGang(tasks int) wire.JobSpec {
 	return wire.JobSpec{
 		ID: "run-00000000000000000001", Class: "a-class-of-work", Team: "a-team-of-people", Kind: wire.KindGang,
