--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -12,7 +12,7 @@
 	"sableusher/internal/wire"
 )
 
-// adoptMachines records the machines whose agents have sent heartbeats and whose records are missing or behind.
+// adoptMachines records the machines whose agents have sent heartbeats and whose records are missing or out of date.
 func (c *cycle) adoptMachines() {
 	heartbeats := c.agents.TakeAdoptions()
 	for _, name := range c.smallestFirst(heartbeats) {
@@ -21,9 +21,9 @@
 	}
 }
 
-// smallestFirst returns the names of machines, those with the fewest cores first. What the key-value store takes in a
-// second is little beside a cluster that comes up at once, and services, which are placed first then, should find
-// small machines before they take the place of larger tasks for as long as they run.
+// smallestFirst returns the names of machines in ascending order of their cores. When a cluster starts, many more
+// machines appear at once than the key-value store can record in a second. Services are placed first then: they
+// should find small machines recorded, or they would occupy machines that larger tasks need, for as long as they run.
 func (c *cycle) smallestFirst(heartbeats map[string]wire.Heartbeat) []string {
 	cores := func(name string) float64 { return c.cluster.Catalog.Types[heartbeats[name].MachineType].CPUs }
 	return slices.SortedFunc(maps.Keys(heartbeats), func(a, b string) int {
@@ -31,9 +31,9 @@
 	})
 }
 
-// adoptMachine records a machine as its heartbeat describes it. It leaves alone what is being deleted and what was
-// deleted lately: a heartbeat that a partition held back may come long after the deletion, and a record made of it
-// would be capacity that is not there.
+// adoptMachine records a machine as its heartbeat describes it. It ignores machines that are being deleted or were
+// deleted recently: a heartbeat delayed by a partition may arrive long after the deletion, and a record created from
+// it would count as capacity that doesn't exist.
 func (c *cycle) adoptMachine(name string, heartbeat *wire.Heartbeat) {
 	shard := record.ShardOf(name, c.cluster.ShardCount)
 	if !c.shards.owns(shard) || c.changes.inFlight(record.MachineKey(name)) {
@@ -49,7 +49,7 @@
 	if machine != nil {
 		update = updateOf(changeOfMachineUp, machine)
 	} else {
-		c.log.Info("adopting a machine", "machine", name, "machine_type", heartbeat.MachineType, "zone", heartbeat.Zone)
+		c.log.Info("adopting machine", "machine", name, "machine_type", heartbeat.MachineType, "zone", heartbeat.Zone)
 	}
 	session := recordedSession(heartbeat.Session)
 	newSession := machine != nil && update.machine.Session != session
@@ -64,7 +64,8 @@
 	c.writeMachine(update).Priority = adoptionPriority(machine, newSession)
 }
 
-// recordedSession is an agent's session as machines' records hold it: the first one is left out.
+// recordedSession returns an agent's session as it is stored in machine records, where 0 stands for the first
+// session.
 func recordedSession(session uint64) uint64 {
 	if session == 1 {
 		return 0
@@ -72,8 +73,8 @@
 	return session
 }
 
-// isUp reports whether a machine is to be recorded as up, given its record so far. A new session of a machine that can
-// be reached in one direction only is recorded, but not that it is up.
+// isUp reports whether a machine is to be recorded as up. recorded is its record so far. A machine that is reachable
+// in only one direction is not recorded as up, even when a new session of it is recorded.
 func isUp(status agent.MachineStatus, recorded *record.Machine) bool {
 	switch {
 	case status.OutboundLost:
@@ -85,7 +86,7 @@
 	}
 }
 
-// oneWayReason says in which direction a machine can't be reached, for the log.
+// oneWayReason returns the direction in which a machine is unreachable, for the log.
 func oneWayReason(status agent.MachineStatus) string {
 	if status.OutboundLost {
 		return reasonOutboundLost
@@ -93,10 +94,12 @@
 	return reasonInboundLost
 }
 
-// adoptionPriority is the priority of recording a machine; machine is nil if it has no record yet. That a machine is
-// up can wait: other nodes only plan with it, its owner uses it at once. A new session can't: other nodes bind gangs
-// and services to the one on record, which this node ends at once, and both over and over. After a zone's leases had
-// expired that used up the whole budget, so that the records were never mended.
+// adoptionPriority returns the priority of recording a machine. machine is nil if it has no record yet.
+//
+// A record that only marks the machine as up has background priority: other nodes use it only for planning, and the
+// owner doesn't need it. A new session is urgent: until it is recorded, other nodes bind gangs and services to the
+// old session and this node ends those bindings at once, again and again. After the leases of a whole zone had
+// expired, these changes used up the whole request budget, so that the new sessions were never recorded.
 func adoptionPriority(machine *clusterstate.Machine, newSession bool) kvstore.Priority {
 	switch {
 	case newSession:
--- a/internal/scheduler/adoption_test.go
+++ b/internal/scheduler/adoption_test.go
@@ -9,8 +9,8 @@
 	"sableusher/internal/wire"
 )
 
-// TestDeletedMachineIsNotAdopted: a heartbeat that a partition has held back and delivers after its machine was deleted
-// must not make a record of it. Some seventy such machines once counted as capacity, and tasks were bound to them.
+// TestDeletedMachineIsNotAdopted checks that a heartbeat that a partition delays until after the deletion of its
+// machine creates no record. About seventy such machines once counted as capacity, and tasks were bound to them.
 func TestDeletedMachineIsNotAdopted(t *testing.T) {
 	fixture := newTestCluster(t)
 	deleted, unknown := "vm-000001", "vm-000002"
@@ -25,9 +25,10 @@
 	}
 }
 
-// TestNewSessionIsRecordedFirst: other nodes bind gangs and services to the session on record. An agent's new one goes
-// before all else; that a machine is up can wait. Else binding and ending such tasks, which are urgent, would leave no
-// budget for the records that would end it.
+// TestNewSessionIsRecordedFirst checks that a new session of an agent is recorded with urgent priority, and that a
+// machine is up with background priority. Other nodes bind gangs and services to the recorded session. Binding and
+// ending such tasks is urgent too, and could leave no request budget for the record of the new session that would
+// stop it.
 func TestNewSessionIsRecordedFirst(t *testing.T) {
 	fixture := newTestCluster(t)
 	name := fixture.addMachine(1, false)
@@ -52,8 +53,8 @@
 	}
 }
 
-// TestOneWayMachineIsNotRecordedAsUp: a machine is up if it is known to be reached, or nothing speaks against it and it
-// was up or is new; never while its heartbeats reach no node.
+// TestOneWayMachineIsNotRecordedAsUp checks that a machine is recorded as up if commands are known to reach it, or if
+// they are not known to be lost and the machine was up or is new; never while its heartbeats reach no node.
 func TestOneWayMachineIsNotRecordedAsUp(t *testing.T) {
 	wasUp, wasDown, isNew := record.Machine{Up: true, Address: testAddress}, record.Machine{Address: testAddress},
 		record.Machine{}
--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -10,17 +10,18 @@
 	"sableusher/internal/wire"
 )
 
-// shardOfMachine charges a binding to the grant of the shard of its machine.
-const shardOfMachine = -1
+// chargeMachineShard as the charged shard of a binding stands for the shard of its machine.
+const chargeMachineShard = -1
 
-// bindToOwnMachines binds waiting tasks of a job to those of the machines that are this node's.
+// bindToOwnMachines binds pending tasks of a job, from a chunk on, to those of the picked machines that this node
+// owns.
 func (c *cycle) bindToOwnMachines(queued *queuedJob, chunk int, picks []*binpack.MachineInfo) {
 	picks = slices.DeleteFunc(picks, func(candidate *binpack.MachineInfo) bool { return !candidate.Owned })
-	c.bindTasks(queued, chunk, picks, shardOfMachine)
+	c.bindTasks(queued, chunk, picks, chargeMachineShard)
 }
 
-// bindTasks binds waiting tasks of a job, from a chunk on, to machines, charged to the grant of one
-// shard or to that of each machine's own.
+// bindTasks binds pending tasks of a job, from firstChunk on, to the picked machines, one task each. The bindings are
+// charged to the quota grant of the charged shard, or to that of each machine's own shard for chargeMachineShard.
 func (c *cycle) bindTasks(queued *queuedJob, firstChunk int, picks []*binpack.MachineInfo, charged int) {
 	job := queued.job
 	if queued.deferred {
@@ -55,24 +56,24 @@
 	}
 }
 
-// chunkBindable reports whether a task of a chunk waits and its record can be changed now.
+// chunkBindable reports whether a chunk has a pending task and no change of its record is in flight.
 func (c *cycle) chunkBindable(job *clusterstate.Job, chunk int) bool {
 	return !job.ChunkFullyAssigned(chunk) && !c.changes.inFlight(job.ChunkKey(chunk))
 }
 
-// taskStart is a start of a task on a machine that a cycle has chosen for it.
+// taskStart is the start of a task on the machine that a cycle has chosen for it.
 type taskStart struct {
 	task      record.TaskRef
 	attempt   uint64
-	failures  int // of the task's earlier attempts
+	failures  int // number of failed attempts before this one
 	candidate *binpack.MachineInfo
-	charged   int // shard
+	charged   int // shard whose quota grant the task uses
 }
 
 func newTaskStart(
 	task record.Task, job string, attempt uint64, candidate *binpack.MachineInfo, charged int,
 ) taskStart {
-	if charged == shardOfMachine {
+	if charged == chargeMachineShard {
 		charged = candidate.Machine.Shard
 	}
 	return taskStart{
@@ -81,8 +82,8 @@
 	}
 }
 
-// bindTask adds a binding to the changes of its record. It returns false, and changes nothing, if the
-// task may not start now.
+// bindTask adds a binding to the edit of its chunk. It returns false, and changes nothing, if the task may not start
+// now.
 func (c *cycle) bindTask(queued *queuedJob, start taskStart) bool {
 	job, machine := queued.job, start.candidate.Machine
 	if !c.mayBind(queued, start) {
@@ -104,22 +105,22 @@
 	c.inFlight.add(pending)
 	c.tasksBound++
 	c.recordDecision(queued, pending, start.attempt)
-	c.endWaits(job.Spec.ID, start.candidate)
+	c.clearWaitState(job.Spec.ID, start.candidate)
 	c.log.Debug("task bound", "task", start.task, "attempt", start.attempt, "machine", machine.Name,
 		"image_present", c.inventory.HasImage(job.Spec.Image, start.candidate))
 	return true
 }
 
-// mayBind reports whether a task may be bound now: its job may start tasks here, the cycle starts no more
-// than it should, and its team's grant of the charged shard covers it.
+// mayBind reports whether a task may be bound now: its job may start tasks here, the cycle has not reached its limit
+// of bindings, and the team's grant in the charged shard covers the task.
 func (c *cycle) mayBind(queued *queuedJob, start taskStart) bool {
 	job := queued.job
 	if c.failingJobs[job.Spec.ID] {
-		return false // in the same change as its end it would be bound to a job that is over
+		return false // a change of this cycle ends the job, and would contain the binding
 	}
 	if job.HasUnmetDependencies() || job.OffloadedTo != nil || !c.holdsStartRight(job) {
-		// Every way to a machine comes through here: queues may err, this may not.
-		c.log.Error("job without the right to start was about to start", "job_id", job.Spec.ID)
+		// Every binding passes this check. Queues may contain such a job by mistake, but it must never start.
+		c.log.Error("refused to bind a task of a job that may not start", "job_id", job.Spec.ID)
 		return false
 	}
 	if job.Spec.Kind != wire.KindGang && c.tasksBound >= tuning.BindingsPerCycle ||
@@ -130,14 +131,14 @@
 	return true
 }
 
-// grantCovers reports whether a shard's grant of a job's team covers so many more of its tasks. If it
-// does not, more is requested.
+// grantCovers reports whether a shard's grant of the job's team covers the given number of additional tasks. If it
+// doesn't, a larger grant is requested.
 func (c *cycle) grantCovers(queued *queuedJob, shard, tasks int) bool {
 	team := queued.job.Spec.Team
 	return c.quota.Allows(shard, team, c.usage(shard, team).PlusTimes(queued.Need, float64(tasks)))
 }
 
-// boundTask is the record of a binding. The machine's session is the newest that this node knows.
+// boundTask returns the record of a binding, with the newest session of the machine that this node knows.
 func (c *cycle) boundTask(start taskStart) record.Task {
 	machine := start.candidate.Machine
 	session := max(machine.Session, 1)
@@ -149,14 +150,14 @@
 		Machine: machine.Name, Session: session, Failures: start.failures,
 	}
 	if start.charged != machine.Shard {
-		task.ChargedShard = start.charged + 1 // 0 in the record stands for the machine's own
+		task.ChargedShard = start.charged + 1 // in the record, 0 stands for the machine's own shard
 	}
 	return task
 }
 
-// endWaits drops what is kept of a job because it waits: a task of it starts on a machine, whose
-// reservation for the job, if any, is used now.
-func (c *cycle) endWaits(job string, candidate *binpack.MachineInfo) {
+// clearWaitState drops the state that is kept for a job while it waits, because a task of it starts on a machine. If
+// that machine was reserved for the job, the reservation is released.
+func (c *cycle) clearWaitState(job string, candidate *binpack.MachineInfo) {
 	delete(c.pace.ownerWaits, job)
 	delete(c.demand.unplacedSince, job)
 	if candidate.ReservedFor == job {
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -1,22 +1,25 @@
-// Package scheduler decides which waiting task starts on which machine, carries out what has become of bound tasks, and
-// changes the records of jobs and machines accordingly.
+// Package scheduler decides which pending task starts on which machine, processes the outcome of bound tasks, and
+// updates the records of jobs and machines accordingly.
 //
-// It works in cycles. A cycle takes in what has changed, reconciles bound tasks with what agents report, brings the
-// inventory of free capacity up to date, orders the queue, places what can be placed, preempts for what can't, and
-// commits its decisions. A cycle writes nothing while it decides; its changes are committed concurrently after it, and
-// their bindings count as running until their outcome is known.
+// It works in cycles. A cycle reads what has changed since the last one, reconciles bound tasks with what agents
+// report, refreshes the inventory of free capacity, orders the queue, places the tasks that fit, preempts running
+// tasks for those that don't, and hands its decisions over to be committed. A cycle writes nothing while it decides.
+// Its changes are committed concurrently afterwards, and the bindings in them count as running until the outcome of
+// their change is known.
 //
-// The package owns the scheduling of this node's shards: changes in flight, reservations, backoffs, confirmed deletions
-// of machines, the order of the queue and the bookkeeping of the learner. It never speaks to agents or to the cloud:
-// package agent commands what it sees bound, package autoscaler returns the machines that are given up. The rules stand
-// in packages of their own, which act on nothing: jobqueue (order), binpack (capacity), preemption (victims), reconcile
-// (fate of bound tasks), failuredetector (which machines are given up), evacuation (in which order), fairshare, quota.
+// The package owns the scheduling state of this node's shards: changes in flight, reservations, backoffs, confirmed
+// deletions of machines, the order of the queue and the state of the learner. It never communicates with agents or
+// with the cloud: package agent sends the commands for the bindings that it finds in the cluster state, and package
+// autoscaler deletes at the cloud the machines that this package marks as deleting. The policies are in packages of
+// their own that have no side effects: jobqueue (order of the queue), binpack (capacity), preemption (choice of
+// victims), reconcile (next state of bound tasks), failuredetector (machines to delete), evacuation (order in which
+// machines of an unavailable zone are deleted), fairshare, quota.
 //
-// Its changes are compare-and-swap transactions on the records that they rest on and on the ownership of the shards
-// concerned (safety invariants 2, 3 and 8). A task is bound durably before it is started (1), and is released only by
-// proof that it has left its machine (4). A change whose outcome stays unknown is fenced before anything of it counts
-// as free (22, 27).
+// Each change is a compare-and-swap transaction with conditions on the records that the decision was based on and on
+// the ownership of the shards concerned (safety invariants 2, 3 and 8). A task is bound durably before it is started
+// (invariant 1), and is released only on proof that it has left its machine (invariant 4). If the outcome of a change
+// stays unknown, its shards are fenced before any resource that it uses counts as free (invariants 22 and 27).
 //
-// Where to begin: engine.go holds the engine, its loop and the steps of a cycle in their order; cycle.go what a cycle
-// knows, and its placement of jobs; commit.go what becomes of its changes.
+// Entry points for reading: engine.go has the engine, its loop and the steps of a cycle in order; cycle.go has the
+// state of a cycle and the placement of jobs; commit.go commits the changes.
 package scheduler
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -17,7 +17,7 @@
 	"sableusher/internal/tuning"
 )
 
-// Config is what an engine works with. The caller runs and closes what is in it.
+// Config holds the dependencies of an Engine. The caller starts and closes them.
 type Config struct {
 	Settings     *config.Settings
 	Operator     *config.Operator
@@ -30,7 +30,7 @@
 	Logger       *slog.Logger
 }
 
-// dependencies are the parts of the controller that the engine works with; they guard themselves.
+// dependencies are the parts of the controller that the engine uses. Each of them does its own locking.
 type dependencies struct {
 	settings   *config.Settings
 	operator   *config.Operator
@@ -43,22 +43,22 @@
 	log        *slog.Logger
 }
 
-// machineState is what the engine keeps of single machines beside their records.
+// machineState holds the engine's state of individual machines that is not in their records.
 type machineState struct {
-	machinesToReconcile machineSet // something new is known of them, or of their tasks
+	machinesToReconcile machineSet // machines that changed, or whose tasks changed, since they were last reconciled
 	deletedMachines     deletedMachines
 	failureDetector     failuredetector.Detector
 	fences              fenceLimiter
 }
 
-// Engine runs the scheduling cycles of this node's shards. It is safe for concurrent use; each part of its state is a
-// type of its own that the engine's lock guards.
+// Engine runs the scheduling cycles of this node's shards. It is safe for concurrent use: mu guards all of its
+// mutable state.
 type Engine struct {
 	dependencies
-	retryRules retry.Policies // pace tasks that failed by themselves
-	wakeup     chan struct{}  // asks for a cycle
+	retryRules retry.Policies // delays between the attempts of tasks that failed
+	wakeup     chan struct{}  // requests a cycle
 
-	mu sync.Mutex // guards all that follows; it is taken before the cluster state's lock
+	mu sync.Mutex // guards the fields below; it is locked before the cluster state's lock
 
 	changes      changeTracker
 	migration    migrationSchedule
@@ -82,7 +82,7 @@
 	lastSweep      time.Time
 }
 
-// New makes an engine; nothing runs before Run.
+// New returns an Engine. It does nothing until Run is called.
 func New(c Config) *Engine {
 	timing := failuredetector.Timing{HeartbeatInterval: c.Settings.HeartbeatInterval(),
 		LeaseDuration: c.Settings.LeaseDuration()}
@@ -117,8 +117,8 @@
 	}
 }
 
-// Run runs a scheduling cycle after each change, and every tuning.CycleIdleInterval without one, until ctx
-// ends. It returns once all that the cycles have started has ended.
+// Run runs a scheduling cycle after each change, and at least every tuning.CycleIdleInterval, until ctx is done. It
+// returns once everything that the cycles have started has ended.
 func (e *Engine) Run(ctx context.Context) error {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -141,15 +141,15 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		// Cycles that cost much come less often, so that heartbeats, polls and sessions keep their share of the
-		// processor.
+		// The pause is proportional to the duration of the cycle, so that expensive cycles leave processor time for
+		// heartbeats, polls and sessions.
 		case <-time.After(max(e.cycleInterval(), tuning.CycleRestFactor*cycleDuration)):
 		}
 	}
 }
 
-// cycleInterval is the shortest time between two cycles. A cycle costs the more the larger the cluster is, so beyond
-// some size cycles come less often instead of costing more a second.
+// cycleInterval returns the minimum pause between two cycles. The cost of a cycle grows with the size of the cluster.
+// Beyond tuning.CycleMinIntervalMachines machines the pause grows with it, so that the cost per second doesn't.
 func (e *Engine) cycleInterval() time.Duration {
 	e.cluster.RLock()
 	machineCount := len(e.cluster.Machines)
@@ -158,7 +158,7 @@
 	return min(max(tuning.CycleMinInterval, interval), tuning.CycleMinIntervalMax)
 }
 
-// wake asks for a cycle soon.
+// wake requests a cycle. It never blocks.
 func (e *Engine) wake() {
 	select {
 	case e.wakeup <- struct{}{}:
@@ -166,8 +166,8 @@
 	}
 }
 
-// runCycle holds one scheduling cycle and starts the changes that it has decided on. What it starts is counted in
-// running.
+// runCycle runs one scheduling cycle and starts the changes and background calls that it decided on. Their goroutines
+// are counted in running.
 func (e *Engine) runCycle(ctx context.Context, now time.Time, running *sync.WaitGroup) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -181,14 +181,14 @@
 	}
 }
 
-// planCycle takes in what has changed and decides on everything that a cycle does. It writes nothing: the changes and
-// calls that it has decided on are in the cycle.
+// planCycle applies what has changed since the last cycle and makes all decisions of a cycle. It writes nothing: the
+// changes and background calls that it decides on are in the cycle that it returns.
 func (e *Engine) planCycle(ctx context.Context, now time.Time) *cycle {
-	heardMachines := e.agents.TakeUpdatedMachines()
+	reportedMachines := e.agents.TakeUpdatedMachines()
 	e.cluster.RLock()
 	defer e.cluster.RUnlock()
 	changedMachines := e.changeFeed.TakeMachines()
-	for _, names := range []map[string]struct{}{heardMachines, changedMachines} {
+	for _, names := range []map[string]struct{}{reportedMachines, changedMachines} {
 		e.machinesToReconcile.addAll(names)
 		e.inventoryCache.toRefresh.addAll(names)
 	}
@@ -208,8 +208,8 @@
 	return c
 }
 
-// sweep does what follows from time alone: it accrues machine time, forgets what is over, deletes failed machines and
-// has all machines of this node's shards reconciled.
+// sweep does the periodic work that no change triggers: it accrues machine time, drops expired state, deletes failed
+// machines and schedules the reconciliation of all machines of this node's shards.
 func (c *cycle) sweep() {
 	c.accrueMachineTime()
 	c.demand.updateNeedPerGPU(c.cluster.Jobs)
@@ -223,7 +223,7 @@
 	}
 }
 
-// planGrants adds the changes of the teams' grants in this node's shards.
+// planGrants adds the changes of the teams' quota grants in this node's shards.
 func (c *cycle) planGrants() {
 	for _, grant := range c.quota.PlanChanges(c.now, c.shards.revisions, c.usage) {
 		c.outgoing = append(c.outgoing, &recordChange{
@@ -233,7 +233,7 @@
 	}
 }
 
-// Demand returns what the last cycle that accounted it could not place.
+// Demand returns the demand that the last cycle that accounted it could not place.
 func (e *Engine) Demand() UnmetDemand {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -21,17 +21,17 @@
 	Help: "1 for the state of each zone as this node sees it, once it has changed.",
 }, []string{"zone", "state"})
 
-// UnavailableZones returns the zones that are cut off from this node.
+// UnavailableZones returns the zones that are partitioned from this node.
 func (e *Engine) UnavailableZones() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.failureDetector.UnavailableZones()
 }
 
-// zoneHeartbeatLog holds what was last logged of the heartbeats of each zone.
+// zoneHeartbeatLog holds the heartbeat count that was last logged for each zone.
 type zoneHeartbeatLog map[string]zonehealth.HeartbeatCount
 
-// report logs what the states of the zones rest on, for each zone of which that has changed.
+// report logs the heartbeat counts on which the states of the zones are based, for each zone whose count has changed.
 func (l zoneHeartbeatLog) report(log *slog.Logger, assessment *failuredetector.Assessment, zones *zonehealth.Tracker) {
 	for zone, count := range assessment.ZoneHeartbeats {
 		if last, logged := l[zone]; logged && last == count {
@@ -43,7 +43,7 @@
 	}
 }
 
-// reportZones logs and counts what has changed of the zones' states.
+// reportZones logs the changes of the zones' states and updates the metric.
 func (c *cycle) reportZones(assessment *failuredetector.Assessment) {
 	for _, change := range assessment.ZoneChanges {
 		c.log.Info("zone state changed", "zone", change.Zone, "state", change.To, "former_state", change.From,
@@ -58,13 +58,13 @@
 	}
 	c.zoneHeartbeats.report(c.log, assessment, c.failureDetector.Zones())
 	for zone, summary := range assessment.ZoneReturns {
-		c.log.Info("zone is back", "zone", zone, "continued", summary.Continued, "restarted", summary.Restarted,
+		c.log.Info("zone is reachable again", "zone", zone, "continued", summary.Continued, "restarted", summary.Restarted,
 			"deleted", summary.Deleted, "added", summary.Added)
 	}
 }
 
-// controllerInZone reports whether a controller stands in a zone and would renew leases there while the zone is cut
-// off.
+// controllerInZone reports whether a controller runs in a zone and would renew leases there while the zone is
+// partitioned from this node. That requires a schema version of at least tuning.SchemaVersionConfirmedCancel.
 func (c *cycle) controllerInZone(zone string) bool {
 	if c.cluster.SchemaVersion < tuning.SchemaVersionConfirmedCancel {
 		return false
@@ -73,7 +73,7 @@
 	return c.settings.Zone == zone || slices.ContainsFunc(c.settings.Peers, inZone)
 }
 
-// countReachableZones counts the zones that are not cut off.
+// countReachableZones returns the number of zones of the catalog that are not partitioned from this node.
 func (c *cycle) countReachableZones() int {
 	reachable := map[string]bool{}
 	for _, machineType := range c.cluster.Catalog.Types {
@@ -86,8 +86,8 @@
 	return len(reachable)
 }
 
-// serviceCanMove reports whether a service on a machine in a zone that is cut off could start in another one, of so
-// many that are not.
+// serviceCanMove reports whether a machine is in a zone that is partitioned from this node and runs a service that
+// could start in another zone. reachableZones is the number of zones that are not partitioned.
 func (c *cycle) serviceCanMove(machine *clusterstate.Machine, reachableZones int) bool {
 	if !c.failureDetector.ZoneUnavailable(machine.Zone) || reachableZones == 0 {
 		return false
@@ -97,7 +97,8 @@
 		if spec.Kind != wire.KindService || spec.Zone != "" {
 			continue
 		}
-		// Spread over two zones, half of the tasks may stand in the one that is left, and as a rule do.
+		// A service spread over two zones may have half of its tasks in the only reachable zone and usually has them
+		// there already, so no task can move.
 		if reachableZones > 1 || !spec.Spread || spec.TaskCount == 1 {
 			return true
 		}
