--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -97,9 +97,9 @@
 // adoptionPriority returns the priority of recording a machine. machine is nil if it has no record yet.
 //
 // A record that only marks the machine as up has background priority: other nodes use it only for planning, and the
-// owner doesn't need it. A new session is urgent: until it is recorded, other nodes bind gangs and services to the
-// old session and this node ends those bindings at once, again and again. After the leases of a whole zone had
-// expired, these changes used up the whole request budget, so that the new sessions were never recorded.
+// owner uses the machine without it. A new session is urgent: until it is recorded, other nodes bind gangs and
+// services to the old session and this node ends those bindings at once, again and again. After the leases of a whole
+// zone had expired, these changes used up the whole request budget, so that the new sessions were never recorded.
 func adoptionPriority(machine *clusterstate.Machine, newSession bool) kvstore.Priority {
 	switch {
 	case newSession:
--- a/internal/scheduler/cancelrequests_test.go
+++ b/internal/scheduler/cancelrequests_test.go
@@ -9,15 +9,16 @@
 	"sableusher/internal/wire"
 )
 
-// honorCancelRequests gives the sessions of all nodes as processes have them that honor such requests, or not.
-func (f *testCluster) honorCancelRequests(honor bool) {
+// setHonorsCancelRequests sets for all nodes whether their processes honor requests to cancel a job.
+func (f *testCluster) setHonorsCancelRequests(honor bool) {
 	for name, node := range f.cluster.Nodes {
 		node.HonorsCancelRequests = honor
 		f.cluster.Nodes[name] = node
 	}
 }
 
-// requestCancel writes a job that is to be cancelled, at revision 0: the state holds all up to it.
+// requestCancel writes a job with a request to cancel it. The record has revision 0, so that the cluster state has
+// reached it.
 func (f *testCluster) requestCancel(spec wire.JobSpec, tasks ...record.Task) {
 	spec.Team, spec.Class = "t", "c"
 	job := record.Job{Spec: spec, SubmittedAtMs: testNow.UnixMilli(), Tasks: tasks}
@@ -27,15 +28,15 @@
 	f.cluster.EndUpdate()
 }
 
-// TestRequestedCancellationStartsNothing: of a job that is to be cancelled nothing is bound, though there is room;
-// without the request there is.
+// TestRequestedCancellationStartsNothing checks that no task of a job is bound after a request to cancel it, although
+// there is free capacity; without the request, tasks are bound.
 func TestRequestedCancellationStartsNothing(t *testing.T) {
 	for _, requested := range []bool{false, true} {
 		fixture := newTestCluster(t)
 		for i := range 6 {
 			fixture.addMachine(i, false)
 		}
-		fixture.honorCancelRequests(true)
+		fixture.setHonorsCancelRequests(true)
 		if spec := arraySpec(1, 3); requested {
 			fixture.requestCancel(spec)
 		} else {
@@ -52,8 +53,8 @@
 	}
 }
 
-// TestRequestedCancellationEndsWithLastTask: the change that releases the last task of a job that is to be cancelled
-// turns its record into the final one.
+// TestRequestedCancellationEndsWithLastTask checks that after a request to cancel a job, the change that releases its
+// last task turns its record into the final one.
 func TestRequestedCancellationEndsWithLastTask(t *testing.T) {
 	fixture := newTestCluster(t)
 	machine := fixture.addMachine(1, false)
@@ -71,12 +72,13 @@
 	}
 }
 
-// TestLeaderEndsRequestedCancellation: the leader ends a job of several records that is to be cancelled once nothing
-// of it is bound, under the condition that no shard has changed hands; not while an owner might bind a task of it.
+// TestLeaderEndsRequestedCancellation checks that after a request to cancel a job of several records, the leader ends
+// it once none of its tasks is bound, with the condition that no shard has changed its owner. It doesn't while an
+// owner ignores such requests and might bind a task.
 func TestLeaderEndsRequestedCancellation(t *testing.T) {
 	for _, honored := range []bool{true, false} {
 		fixture := newTestCluster(t)
-		fixture.honorCancelRequests(honored)
+		fixture.setHonorsCancelRequests(honored)
 		spec := arraySpec(1, tuning.FixedChunkTasks+3)
 		fixture.requestCancel(spec)
 		c := fixture.inCycle(0, (*cycle).finishJobs)
@@ -97,8 +99,8 @@
 	}
 }
 
-// TestRequestedCancellationBecomesOverdue: a machine with a task whose release was asked for longer ago than a
-// cancellation may take is given up.
+// TestRequestedCancellationBecomesOverdue checks that a machine's cancellation becomes overdue, for which the machine
+// is deleted, once the request to cancel the job of a task on it is older than the cancellation deadline.
 func TestRequestedCancellationBecomesOverdue(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		fixture := newTestCluster(t)
@@ -115,7 +117,8 @@
 	}
 }
 
-// TestCancelRequestSupport: requests are of use only if every shard's owner honors them.
+// TestCancelRequestSupport checks that requests to cancel count as honored only if the owners of all shards honor
+// them.
 func TestCancelRequestSupport(t *testing.T) {
 	fixture := newTestCluster(t)
 	expect := func(want clusterstate.CancelRequestSupport) {
@@ -125,7 +128,7 @@
 		}
 	}
 	expect(clusterstate.CancelRequestsIgnored)
-	fixture.honorCancelRequests(true)
+	fixture.setHonorsCancelRequests(true)
 	expect(clusterstate.CancelRequestsHonored)
 	delete(fixture.cluster.Nodes, "node-2")
 	expect(clusterstate.CancelRequestsUnsettled)
--- a/internal/scheduler/changetracker.go
+++ b/internal/scheduler/changetracker.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// changeTracker keeps the record changes that have been started and whose outcome is not yet known, and the
-// records that the key-value store has rejected. Until a change has finished, no other change of its records may
-// start, and its bindings count as running. It is not safe for concurrent use.
+// changeTracker tracks the record changes that have been started and whose outcome is not yet known, and the records
+// whose changes the key-value store has rejected. Until a change is finished, no other change of its records may
+// start and its bindings count as running. It is not safe for concurrent use.
 type changeTracker struct {
 	nextID        uint64
 	changes       map[uint64]*recordChange
@@ -24,7 +24,7 @@
 	}
 }
 
-// start notes a change as in flight and returns the number under which it is finished.
+// start records a change as in flight and returns the ID to finish it with.
 func (t *changeTracker) start(change *recordChange) uint64 {
 	id := t.nextID
 	t.nextID++
@@ -35,7 +35,7 @@
 	return id
 }
 
-// finish forgets a change whose outcome is known and frees its records.
+// finish removes a change whose outcome is known and allows other changes of its records again.
 func (t *changeTracker) finish(id uint64) {
 	for _, key := range t.changes[id].keys {
 		delete(t.keysInFlight, key)
@@ -43,13 +43,14 @@
 	delete(t.changes, id)
 }
 
-// reserveKey keeps other changes from a record before the change of it has started.
+// reserveKey marks a record as in flight before the change of it is started, so that no other change of it starts in
+// the meantime. Finishing that change clears the mark.
 func (t *changeTracker) reserveKey(key string) { t.keysInFlight[key] = true }
 
-// inFlight reports whether a change of a record is in flight.
+// inFlight reports whether a change of a record is in flight or reserved.
 func (t *changeTracker) inFlight(key string) bool { return t.keysInFlight[key] }
 
-// bindings yields the bindings of all changes in flight, in no particular order.
+// bindings returns an iterator over the bindings of all changes in flight, in no particular order.
 func (t *changeTracker) bindings() iter.Seq[pendingBinding] {
 	return func(yield func(pendingBinding) bool) {
 		for _, change := range t.changes {
@@ -62,21 +63,21 @@
 	}
 }
 
-// reject keeps the records of a malformed change from being changed until a time: tried again in each cycle, it
-// would only take the request budget from other changes.
+// reject blocks changes of the records of a malformed change until the given time. Without the pause the change would
+// be retried in each cycle and take request budget from other changes.
 func (t *changeTracker) reject(change *recordChange, until time.Time) {
 	for _, key := range change.keys {
 		t.rejectedUntil[key] = until
 	}
 }
 
-// rejected reports whether a change of a record was rejected lately.
+// rejected reports whether a change of a record was rejected and its pause has not been pruned yet.
 func (t *changeTracker) rejected(key string) bool {
 	_, rejected := t.rejectedUntil[key]
 	return rejected
 }
 
-// pruneRejected lets records be changed again whose time is up.
+// pruneRejected allows changes again of the rejected records whose pause is over.
 func (t *changeTracker) pruneRejected(now time.Time) {
 	maps.DeleteFunc(t.rejectedUntil, func(_ string, until time.Time) bool { return now.After(until) })
 }
--- a/internal/scheduler/changetracker_test.go
+++ b/internal/scheduler/changetracker_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// TestRecordIsBusyUntilItsChangeFinishes: the records of a change are busy, and its bindings count, from its start
-// until it has finished; other changes in flight are left as they are.
-func TestRecordIsBusyUntilItsChangeFinishes(t *testing.T) {
+// TestRecordIsInFlightUntilItsChangeFinishes checks that the records of a change are in flight and its bindings are
+// listed from its start until it has finished, and that finishing it doesn't affect other changes in flight.
+func TestRecordIsInFlightUntilItsChangeFinishes(t *testing.T) {
 	tracker := newChangeTracker()
 	first := tracker.start(&recordChange{keys: []string{"a", "b"}, bindings: []pendingBinding{{machine: "m1"}}})
 	second := tracker.start(&recordChange{keys: []string{"c"}, bindings: []pendingBinding{{machine: "m2"}}})
 	if first == second {
-		t.Fatalf("two changes have the number %d", first)
+		t.Fatalf("two changes have the ID %d", first)
 	}
 	if !tracker.inFlight("a") || !tracker.inFlight("b") || !tracker.inFlight("c") || tracker.inFlight("d") {
 		t.Errorf("in flight: %v", tracker.keysInFlight)
@@ -27,21 +27,22 @@
 	}
 }
 
-// TestReservedKeyIsFreedWithItsChange: a key reserved ahead of its change is busy at once and free when the change
-// has finished.
-func TestReservedKeyIsFreedWithItsChange(t *testing.T) {
+// TestReservedKeyIsReleasedWithItsChange checks that a key that is reserved before its change starts is in flight at
+// once, and no longer once the change has finished.
+func TestReservedKeyIsReleasedWithItsChange(t *testing.T) {
 	tracker := newChangeTracker()
 	tracker.reserveKey("a")
 	if !tracker.inFlight("a") {
-		t.Error("reserved, yet not in flight")
+		t.Error("not in flight after reserveKey")
 	}
 	if tracker.finish(tracker.start(&recordChange{keys: []string{"a"}})); tracker.inFlight("a") {
-		t.Error("in flight after its change")
+		t.Error("still in flight after its change has finished")
 	}
 }
 
-// TestRejectedRecordIsTriedAgainAfterItsPause: a rejected record stays so until its time is over and pruned.
-func TestRejectedRecordIsTriedAgainAfterItsPause(t *testing.T) {
+// TestRejectedRecordIsAllowedAfterItsPause checks that a rejected record stays rejected until its pause is over and
+// pruneRejected has been called.
+func TestRejectedRecordIsAllowedAfterItsPause(t *testing.T) {
 	tracker := newChangeTracker()
 	tracker.reject(&recordChange{keys: []string{"a", "b"}}, testNow.Add(time.Minute))
 	for _, step := range []struct {
--- a/internal/scheduler/chunkedit.go
+++ b/internal/scheduler/chunkedit.go
@@ -6,25 +6,26 @@
 	"sableusher/internal/tuning"
 )
 
-// chunkKey names one chunk of a job: one of the records that its tasks are spread over. Chunk 0 is the job's own
-// record.
+// chunkKey identifies a chunk of a job: one of the records that its tasks are distributed over. Chunk 0 is in the
+// job's own record.
 type chunkKey struct {
 	job   *clusterstate.Job
 	chunk int
 }
 
-// chunkEdit gathers what a cycle changes in one chunk of a job.
+// chunkEdit collects the changes that a cycle makes to one chunk of a job.
 type chunkEdit struct {
 	chunkKey
-	tasks       map[int]record.Task // as they will be, by index
-	shards      map[int]bool        // whose ownership the edit rests on
+	tasks       map[int]record.Task // state after the edit, by task index
+	shards      map[int]bool        // shards whose ownership is a condition of the edit
 	bindings    []pendingBinding
-	encodedSize int  // of the chunk with the edit, as JSON; 0: not measured yet
-	failsJob    bool // a task of it has no retry left
+	encodedSize int  // size of the edited chunk as JSON, in bytes; 0 if not computed yet
+	failsJob    bool // a task of the chunk has failed with no retry left
 }
 
-// editChunk opens the chunk that holds a task. It returns nil if the chunk can't be changed in this cycle: a change of
-// it is in flight or was rejected lately, or the job's records have to be migrated first.
+// editChunk returns this cycle's edit of the chunk that holds a task, and creates it if there is none. It returns nil
+// if the chunk can't be changed in this cycle: a change of it is in flight or was rejected recently, or the job's
+// records have to be migrated first.
 func (c *cycle) editChunk(job *clusterstate.Job, taskIndex int) *chunkEdit {
 	key := chunkKey{job: job, chunk: job.ChunkOf(taskIndex)}
 	if !c.chunkIsFree(key) || c.needsMigration(job) {
@@ -38,8 +39,9 @@
 	return edit
 }
 
-// chunkIsFree reports whether a chunk may be changed now. Where all tasks must be in one zone, the job's own record
-// must be free too, as the choice of the zone is written there.
+// chunkIsFree reports whether a chunk may be changed now: no change of it is in flight or was rejected recently. If
+// all tasks of the job must be in one zone, no change of the job's own record may be in flight either, because the
+// chosen zone is written there.
 func (c *cycle) chunkIsFree(key chunkKey) bool {
 	recordKey := key.job.ChunkKey(key.chunk)
 	if c.changes.rejected(recordKey) || c.changes.inFlight(recordKey) {
@@ -48,7 +50,7 @@
 	return key.chunk == 0 || !key.job.Spec.SameZone || !c.changes.inFlight(key.job.ChunkKey(0))
 }
 
-// taskState returns a task as it will be after this cycle's edits.
+// taskState returns a task with this cycle's edits applied.
 func (c *cycle) taskState(job *clusterstate.Job, taskIndex int) record.Task {
 	if edit := c.chunkEdits[chunkKey{job: job, chunk: job.ChunkOf(taskIndex)}]; edit != nil {
 		if task, ok := edit.tasks[taskIndex]; ok {
@@ -58,8 +60,8 @@
 	return job.Task(taskIndex)
 }
 
-// chunkFull reports whether a chunk can't take so many more bound tasks. Without the check a key-value store with
-// a small value limit would reject the chunk over and over.
+// chunkFull reports whether a chunk has no space for the given number of additional bound tasks. Without this check,
+// a key-value store with a small value limit would reject the change of the chunk again and again.
 func (c *cycle) chunkFull(job *clusterstate.Job, chunk, added int, machine string) bool {
 	limit := c.committer.MaxRecordBytes()
 	if c.cluster.SizeLimits(limit).FixedChunksFit(&job.Spec, job.EncodedBaseSize) {
@@ -67,7 +69,7 @@
 	}
 	edit := c.chunkEdits[chunkKey{job: job, chunk: chunk}]
 	if edit == nil {
-		edit = &chunkEdit{} // nothing of it has changed in this cycle
+		edit = &chunkEdit{} // this cycle has not edited the chunk
 	}
 	if edit.encodedSize == 0 {
 		edit.encodedSize = job.MaxChunkSize(chunk, edit.tasks)
@@ -75,5 +77,5 @@
 	return edit.encodedSize+added*maxBindingBytes(machine) > limit
 }
 
-// maxBindingBytes is the most that binding a task to a machine adds to its chunk, as JSON.
+// maxBindingBytes returns the most bytes that binding a task to a machine adds to its chunk as JSON.
 func maxBindingBytes(machine string) int { return len(machine) + tuning.BoundTaskMaxBytes/2 }
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -10,13 +10,13 @@
 	"sableusher/internal/tuning"
 )
 
-// changeKind says what a change does, for the log.
+// changeKind describes what a change does, for the log.
 type changeKind string
 
 const (
 	changeOfTasks           changeKind = "tasks of a job"
 	changeOfJobEnd          changeKind = "end of a job"
-	changeOfCancelledJob    changeKind = "cancellation with a job that is needed"
+	changeOfCancelledJob    changeKind = "cancellation with a dependency"
 	changeOfGangStop        changeKind = "stop of a gang"
 	changeOfMigration       changeKind = "migration of a job's records"
 	changeOfGrant           changeKind = "grant of a team"
@@ -26,39 +26,41 @@
 	changeOfDeletedRecord   changeKind = "deletion of a machine's record"
 )
 
-// recordChange is one compare-and-swap of records that a cycle has decided on.
+// recordChange is a compare-and-swap transaction on records that a cycle has decided on.
 type recordChange struct {
 	kind        changeKind
-	subject     string // the job or machine that is changed, for the log
+	subject     string // job or machine that is changed, for the log
 	transaction kvstore.Transaction
-	keys        []string // of the records that no other change may write meanwhile
-	shards      []int    // owned by this node, to be fenced if the outcome stays unknown
+	keys        []string // records that no other change may write while this one is in flight
+	shards      []int    // shards of this node to fence if the outcome stays unknown
 	bindings    []pendingBinding
-	// harmlessWhenLate: it needs no fence, as the condition on its own record decides also when it is applied late.
+	// harmlessWhenLate is set if the change needs no fence when its outcome is unknown: the condition on the changed
+	// record makes it safe even if the store applies it late.
 	harmlessWhenLate bool
 	onResult         func(applied bool)
 }
 
-// pendingBinding is a task that a change binds to a machine.
+// pendingBinding is the binding of a task to a machine by a change whose outcome is not known yet.
 type pendingBinding struct {
 	task         record.TaskRef
 	machine      string
-	chargedShard int // whose grant of the team's quota it uses
+	chargedShard int // shard whose grant of the team's quota the task uses
 	team         string
 	need         record.Resources
 }
 
-// commitChange commits a change and finishes it once its outcome is known. If no answer comes, its shards are fenced
-// first, so that the change is either in the cluster state or can never be applied.
+// commitChange commits a change and finishes it once its outcome is known. If the outcome is unknown, the change's
+// shards are fenced first, unless it is harmless when late: afterwards the change either is in the cluster state or
+// can never be applied.
 func (e *Engine) commitChange(ctx context.Context, id uint64, change *recordChange) {
 	revision, err := e.commitWithin(ctx, tuning.CommitTimeout, change.transaction)
 	rejected := errors.Is(err, kvstore.ErrRejected)
 	switch {
 	case rejected:
-		e.log.Error("change rejected as malformed", "change", string(change.kind), "subject", change.subject,
-			"err", err)
+		e.log.Error("key-value store rejected a change as malformed", "change", string(change.kind),
+			"subject", change.subject, "err", err)
 	case err != nil && !isNotApplied(err) && !change.harmlessWhenLate:
-		e.log.Info("change has no known outcome", "change", string(change.kind), "subject", change.subject, "err", err)
+		e.log.Info("outcome of a change is unknown", "change", string(change.kind), "subject", change.subject, "err", err)
 		for _, shard := range change.shards {
 			e.membership.Fence(ctx, shard)
 		}
@@ -83,7 +85,7 @@
 	e.wake()
 }
 
-// commitWithin commits a transaction, waiting for its answer for so long at most.
+// commitWithin commits a transaction and waits at most timeout for the answer.
 func (e *Engine) commitWithin(
 	ctx context.Context, timeout time.Duration, transaction kvstore.Transaction,
 ) (revision uint64, err error) {
@@ -92,7 +94,7 @@
 	return e.committer.Commit(ctx, transaction)
 }
 
-// isNotApplied reports whether an error of a commit proves that the transaction was not and will not be applied.
+// isNotApplied reports whether a commit error proves that the transaction was not applied and never will be.
 func isNotApplied(err error) bool {
 	return errors.Is(err, kvstore.ErrConditionFailed) || errors.Is(err, kvstore.ErrUnavailable)
 }
--- a/internal/scheduler/commit_test.go
+++ b/internal/scheduler/commit_test.go
@@ -19,17 +19,18 @@
 	"sableusher/internal/wire"
 )
 
-// unansweredBindings is a key-value store that answers no transaction that binds a task, and carries out all others.
+// unansweredBindings is the transport of a key-value store that never answers a transaction that binds a task, and
+// answers all others.
 type unansweredBindings struct {
-	fenced        bool // the shard's record was written again
-	releasedEarly bool // the binding's record was open to others before that
+	fenced        bool // the shard's record has been rewritten
+	releasedEarly bool // the binding was no longer in flight before the rewrite
 	engine        *Engine
 }
 
-// RoundTrip answers a request.
+// RoundTrip implements http.RoundTripper.
 func (f *unansweredBindings) RoundTrip(request *http.Request) (*http.Response, error) {
 	if request.URL.Path != "/multi" {
-		return answerOK(wire.WatchResponse{Revision: 1000}), nil
+		return okResponse(wire.WatchResponse{Revision: 1000}), nil
 	}
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
@@ -44,13 +45,13 @@
 			<-request.Context().Done()
 			return nil, request.Context().Err()
 		}
-		f.noteFence()
+		f.recordFence()
 	}
-	return answerOK(wire.TxnResponse{Revision: 1000}), nil
+	return okResponse(wire.TxnResponse{Revision: 1000}), nil
 }
 
-// noteFence notes that the shard is fenced, and whether the binding still counts.
-func (f *unansweredBindings) noteFence() {
+// recordFence records that the shard is fenced, and whether the binding was released before.
+func (f *unansweredBindings) recordFence() {
 	f.engine.mu.Lock()
 	defer f.engine.mu.Unlock()
 	f.fenced = true
@@ -60,12 +61,12 @@
 	}
 }
 
-// answerOK is a response with a value.
-func answerOK(value any) *http.Response {
+// okResponse returns a response with status 200 and an encoded value.
+func okResponse(value any) *http.Response {
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(wire.MustEncode(value)))}
 }
 
-// useTransport has an engine's transactions answered by a transport.
+// useTransport sends an engine's transactions through a transport.
 func useTransport(fixture *testCluster, engine *Engine, node string, transport http.RoundTripper) {
 	limits := kvstore.Limits{RequestsPerSecond: 1000, WritesPerSecond: 1000, MaxValueKiB: 16, MaxTransactionOps: 32}
 	client := kvstore.NewClient("10.0.0.1:1", limits, transport)
@@ -78,9 +79,10 @@
 	})
 }
 
-// TestUnknownOutcomeIsFenced: a binding whose transaction gets no answer may yet be carried out, after newer ones. Its
-// room, its team's share and its record count as taken until the shard's record has been written anew, which its
-// condition does not outlive. Freed before, a grant could be lowered under it.
+// TestUnknownOutcomeIsFenced checks that a binding whose transaction gets no answer counts as in flight until its
+// shard is fenced. The store may still apply the transaction, even after newer ones. Its capacity, its team's quota
+// and its record therefore stay in use until the shard's record has been rewritten, after which its condition can no
+// longer hold. If they were released earlier, the team's grant could be lowered below what the binding uses.
 func TestUnknownOutcomeIsFenced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newTestCluster(t)
@@ -115,7 +117,7 @@
 		cancel()
 		<-finished
 		if !transport.fenced || transport.releasedEarly {
-			t.Errorf("fenced: %v, freed before: %v", transport.fenced, transport.releasedEarly)
+			t.Errorf("fenced: %v, released before the fence: %v", transport.fenced, transport.releasedEarly)
 		}
 	})
 }
--- a/internal/scheduler/deletedmachines_test.go
+++ b/internal/scheduler/deletedmachines_test.go
@@ -7,8 +7,8 @@
 	"sableusher/internal/tuning"
 )
 
-// TestTombstoneOutlivesConfirmation: a machine's tombstone stands for its time, also when nothing of the machine is
-// left and its confirmation is forgotten.
+// TestTombstoneOutlivesConfirmation checks that a machine's tombstone is kept for tuning.TombstoneRetention, even if
+// the confirmation of its deletion is dropped earlier.
 func TestTombstoneOutlivesConfirmation(t *testing.T) {
 	deleted := newDeletedMachines()
 	deleted.confirm("m1", testNow)
@@ -25,6 +25,6 @@
 	}
 	deleted.pruneTombstones(testNow.Add(tuning.TombstoneRetention + 1))
 	if deleted.hasTombstone("m1") || !deleted.hasTombstone("m2") {
-		t.Errorf("tombstones after the first one's time: %v", deleted.tombstones)
+		t.Errorf("tombstones after the retention of the first: %v", deleted.tombstones)
 	}
 }
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -18,9 +18,9 @@
 	Help: "Jobs cancelled with one that they need.",
 })
 
-// cancelDependents ends the jobs that need one that is cancelled. Such a job never had a task, so one
-// change turns its record into the final one. The cause is in the records of what it needs: whoever owns
-// its home shard can go on from those alone, and where that owner does not, any node does.
+// cancelDependents ends the jobs of which a dependency is cancelled. Such a job never had a task, so a single change
+// turns its record into the final one. The records of its dependencies are enough to decide this, so any node may do
+// it: the owner of the job's first live shard at once, any other node after tuning.DependentCancelOwnerGrace.
 func (c *cycle) cancelDependents() {
 	cancelled := 0
 	for id := range c.cluster.DependencyCancelled() {
@@ -35,11 +35,11 @@
 		cancelled++
 		jobsCancelledWithDependency.Inc()
 		c.outgoing = append(c.outgoing, c.cancelDependent(job))
-		c.log.Info("job cancelled with one that it needs", "job_id", id)
+		c.log.Info("job cancelled because a dependency was cancelled", "job_id", id)
 	}
 }
 
-// cancelDependent is the change that ends a job as cancelled.
+// cancelDependent returns the change that ends a job as cancelled.
 func (c *cycle) cancelDependent(job *clusterstate.Job) *recordChange {
 	key := record.JobKey(job.Spec.ID)
 	return &recordChange{
@@ -55,16 +55,17 @@
 	}
 }
 
-// dependentNeeds is what the jobs that need one ask of it: the highest of their priorities, and by when it
-// should be over for them to meet their deadlines; zero if none of them has one.
+// dependentNeeds is what a job's dependents require of it: the highest of their priorities, as a rank, and the time
+// by which the job should be done so that they can meet their deadlines. The deadline is zero if no dependent has
+// one.
 type dependentNeeds struct {
 	rank     int
 	deadline time.Time
 }
 
-// needsOfDependents follows the jobs that need one, directly or through others; those that are cancelled
-// ask nothing any more. It reads records only, so that all nodes find the same but for their estimates of
-// the run times in between.
+// needsOfDependents returns what a job's direct and indirect dependents require of it; dependents that are cancelled
+// require nothing. It depends on records only, so that all nodes get the same result, except for their estimates of
+// run times.
 func (c *cycle) needsOfDependents(id string) dependentNeeds {
 	needs := dependentNeeds{rank: wire.PriorityCount}
 	dependents := c.cluster.Dependents(id)
@@ -79,10 +80,10 @@
 		if job == nil || !job.HasRecord || job.Stopping() || job.DependencyCancelled {
 			continue
 		}
-		further := c.needsOfDependents(dependent)
-		needs.rank = min(needs.rank, further.rank, job.Spec.Priority.Rank())
-		own, _ := firstReachable(c.now, c.deadlineObjectives(job), c.predictedRunTime(job))
-		if by := earliestNonZero(further.deadline, own); !by.IsZero() {
+		transitive := c.needsOfDependents(dependent)
+		needs.rank = min(needs.rank, transitive.rank, job.Spec.Priority.Rank())
+		ownDeadline, _ := firstReachable(c.now, c.deadlineObjectives(job), c.predictedRunTime(job))
+		if by := earliestNonZero(transitive.deadline, ownDeadline); !by.IsZero() {
 			needs.deadline = earliestNonZero(needs.deadline, by.Add(-c.predictedRunTime(job)))
 		}
 	}
@@ -93,7 +94,7 @@
 	return needs
 }
 
-// earliestNonZero returns the earlier of two times, of which either may be the zero time for none.
+// earliestNonZero returns the earlier of two times. The zero time stands for none.
 func earliestNonZero(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -101,12 +102,12 @@
 	return a
 }
 
-// effectiveRank is the rank of a job's priority, raised to that of a job that needs it. Production stays
-// for services that users watch: work for the sake of other jobs is at most of high priority, so that a
-// long pipeline can't push services aside.
+// effectiveRank returns the rank of a job's priority, raised to that of its dependents but at most to high priority.
+// Production priority is reserved for services that users depend on, so that a long pipeline can't displace them.
 func (c *cycle) effectiveRank(job *clusterstate.Job) int {
 	return min(job.Spec.Priority.Rank(), max(c.needsOfDependents(job.Spec.ID).rank, wire.PriorityHigh.Rank()))
 }
 
-// isHighPriority reports whether a rank is that of high or production priority: work that doesn't wait for others.
+// isHighPriority reports whether a rank is that of high or production priority. Such work is not delayed for other
+// work.
 func isHighPriority(rank int) bool { return rank <= wire.PriorityHigh.Rank() }
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -13,7 +13,7 @@
 // autoscaler deletes at the cloud the machines that this package marks as deleting. The policies are in packages of
 // their own that have no side effects: jobqueue (order of the queue), binpack (capacity), preemption (choice of
 // victims), reconcile (next state of bound tasks), failuredetector (machines to delete), evacuation (order in which
-// machines of an unavailable zone are deleted), fairshare, quota.
+// lost machines are deleted), fairshare, quota.
 //
 // Each change is a compare-and-swap transaction with conditions on the records that the decision was based on and on
 // the ownership of the shards concerned (safety invariants 2, 3 and 8). A task is bound durably before it is started
