--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -47,9 +47,9 @@
 		kind: changeOfMachineUp, name: name, shard: shard, machine: record.Machine{CreatedAtMs: c.now.UnixMilli()},
 	}
 	if machine != nil {
-		update = updateOf(changeOfMachineUp, machine)
+		update = newMachineUpdate(changeOfMachineUp, machine)
 	} else {
-		c.log.Info("adopting machine", "machine", name, "machine_type", heartbeat.MachineType, "zone", heartbeat.Zone)
+		c.log.Info("adopting a machine", "machine", name, "machine_type", heartbeat.MachineType, "zone", heartbeat.Zone)
 	}
 	session := recordedSession(heartbeat.Session)
 	newSession := machine != nil && update.machine.Session != session
--- a/internal/scheduler/adoption_test.go
+++ b/internal/scheduler/adoption_test.go
@@ -46,10 +46,10 @@
 		return c.outgoing[0].transaction
 	}
 	if transaction := adopt(1, false); transaction.Priority != kvstore.PriorityBackground {
-		t.Errorf("up: %+v", transaction)
+		t.Errorf("recording that a machine is up: %+v", transaction)
 	}
 	if transaction := adopt(2, true); transaction.Priority != kvstore.PriorityUrgent {
-		t.Errorf("a new session: %+v", transaction)
+		t.Errorf("recording a new session: %+v", transaction)
 	}
 }
 
--- a/internal/scheduler/cancelrequests_test.go
+++ b/internal/scheduler/cancelrequests_test.go
@@ -28,9 +28,9 @@
 	f.cluster.EndUpdate()
 }
 
-// TestRequestedCancellationStartsNothing checks that no task of a job is bound after a request to cancel it, although
+// TestCancelRequestPreventsStarts checks that no task of a job is bound after a request to cancel it, although
 // there is free capacity; without the request, tasks are bound.
-func TestRequestedCancellationStartsNothing(t *testing.T) {
+func TestCancelRequestPreventsStarts(t *testing.T) {
 	for _, requested := range []bool{false, true} {
 		fixture := newTestCluster(t)
 		for i := range 6 {
@@ -48,7 +48,7 @@
 			bound += len(bindings)
 		}
 		if requested == (bound > 0) {
-			t.Errorf("requested %v: %d tasks bound", requested, bound)
+			t.Errorf("cancellation requested: %v, %d tasks bound", requested, bound)
 		}
 	}
 }
@@ -68,7 +68,7 @@
 	})
 	finals := finalRecords(t, c, spec.ID)
 	if len(finals) != 1 || finals[0].Status != wire.JobCancelled {
-		t.Errorf("ends as %+v", finals)
+		t.Errorf("final records: %+v", finals)
 	}
 }
 
@@ -85,16 +85,16 @@
 		finals := finalRecords(t, c, spec.ID)
 		if !honored {
 			if len(finals) != 0 {
-				t.Errorf("an owner ignores the request: ends as %+v", finals)
+				t.Errorf("final records although an owner ignores the request: %+v", finals)
 			}
 			continue
 		}
 		if len(finals) != 1 || finals[0].Status != wire.JobCancelled {
-			t.Fatalf("ends as %+v", finals)
+			t.Fatalf("final records: %+v", finals)
 		}
 		_, ownersUnchanged := c.cluster.CancelRequestSupport()
 		if conditions := c.outgoing[0].transaction.Conditions; len(conditions) != 1+len(ownersUnchanged) {
-			t.Errorf("conditions %+v", conditions)
+			t.Errorf("unexpected conditions: %+v", conditions)
 		}
 	}
 }
@@ -111,7 +111,7 @@
 				c.now = c.now.Add(c.settings.CancelDeadline() + 1)
 			}
 			if overdue := c.cancellationOverdue(c.cluster.Machines[machine]); overdue != late {
-				t.Errorf("late %v: overdue %v", late, overdue)
+				t.Errorf("past the deadline: %v, overdue: %v", late, overdue)
 			}
 		})
 	}
@@ -124,7 +124,7 @@
 	expect := func(want clusterstate.CancelRequestSupport) {
 		t.Helper()
 		if support, _ := fixture.cluster.CancelRequestSupport(); support != want {
-			t.Errorf("%v, want %v", support, want)
+			t.Errorf("support %v, want %v", support, want)
 		}
 	}
 	expect(clusterstate.CancelRequestsIgnored)
--- a/internal/scheduler/evacuation.go
+++ b/internal/scheduler/evacuation.go
@@ -10,9 +10,9 @@
 	"sableusher/internal/wire"
 )
 
-// evacuateMachine stops what gains by it on a machine that is about to be lost: tasks with checkpoints save one,
-// services start again elsewhere at once. Of the others some may still end in time; a gang of several tasks must be
-// stopped as a whole.
+// evacuateMachine requests the stop of those tasks that benefit from it on a machine that is about to be lost: tasks
+// with checkpoints save one, and services start elsewhere at once. Other tasks keep running because some of them may
+// still finish in time. If a gang of several tasks has checkpoints, the whole gang is stopped.
 func (c *cycle) evacuateMachine(machine *clusterstate.Machine) {
 	for _, binding := range machine.Bindings {
 		spec := &binding.Job.Spec
@@ -31,12 +31,12 @@
 	}
 }
 
-// stopGraceSeconds is how long a task is given to save its checkpoint when it is stopped.
+// stopGraceSeconds returns the time in seconds that a task has to save its checkpoint when it is stopped.
 func stopGraceSeconds(spec *wire.JobSpec) float64 {
 	return spec.CheckpointSaveSeconds + tuning.StopMargin.Seconds()
 }
 
-// hasStoppingTask reports whether a task on a machine has been asked to stop.
+// hasStoppingTask reports whether the stop of a task on a machine has been requested.
 func (c *cycle) hasStoppingTask(machine *clusterstate.Machine) bool {
 	for _, binding := range machine.Bindings {
 		if c.agents.StopRequested(binding) {
@@ -46,17 +46,19 @@
 	return false
 }
 
-// outboundLostMachine is a machine that answers commands while its heartbeats reach no node.
+// outboundLostMachine is a machine that answers commands but whose heartbeats reach no node.
 type outboundLostMachine struct {
 	*clusterstate.Machine
 	leaseExpiry time.Time
 }
 
-// evacuateOutboundLost evacuates the machines whose heartbeats reach no node. Nothing renews their leases, and what
-// runs on them ends with those: nothing more is started there, and what can save a checkpoint or start elsewhere leaves
-// ahead of the expiry, spread over what is left of the lease, as replicas that all end at once find less capacity.
-// Where most of this node's machines seem to be lost so, it is this node that can't be reached, and its shards go to
-// one that can.
+// evacuateOutboundLost marks the machines whose heartbeats reach no node as down, so that nothing is started there
+// any more, and evacuates them. Nothing renews their leases, and their tasks end when the lease expires. Tasks that
+// can save a checkpoint or start elsewhere are therefore stopped before that. The machines are evacuated at different
+// times over the last part of the lease, because replicas that all end at once find less free capacity.
+//
+// It does nothing if these are more than half of this node's machines. Then it is probably this node that heartbeats
+// can't reach, and its shards are transferred to a node that they can reach.
 func (c *cycle) evacuateOutboundLost(machines []outboundLostMachine, machineCount int) {
 	if 2*len(machines) > machineCount {
 		return
@@ -75,14 +77,14 @@
 	}
 }
 
-// evacuationKinds are the kinds of jobs as evacuation plans know them.
+// evacuationKinds maps the kinds of jobs to those of package evacuation.
 var evacuationKinds = map[wire.JobKind]evacuation.WorkloadKind{
 	wire.KindService: evacuation.Service,
 	wire.KindGang:    evacuation.Gang,
 	wire.KindArray:   evacuation.Array,
 }
 
-// evacuationTasks returns the tasks on a machine, for the plan of its evacuation.
+// evacuationTasks returns the tasks on a machine as input of an evacuation plan.
 func (c *cycle) evacuationTasks(machine string) []evacuation.Task {
 	var tasks []evacuation.Task
 	for _, binding := range c.cluster.Machines[machine].Bindings {
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -14,15 +14,15 @@
 	"sableusher/internal/tuning"
 )
 
-// machineInspection gathers what a cycle finds out about the machines of this node's shards.
+// machineInspection collects what a cycle finds out about the machines of this node's shards.
 type machineInspection struct {
-	reachableZones int // how many zones are not cut off
+	reachableZones int // number of zones that are not partitioned from this node
 	machines       []failuredetector.Machine
 	outboundLost   []outboundLostMachine
 }
 
-// deleteFailedMachines deletes the machines of this node's shards that failed, and carries out what the failure
-// detector concludes from those that are not heard from.
+// deleteFailedMachines deletes the failed machines of this node's shards, and applies what the failure detector
+// concludes about those that have not sent heartbeats.
 func (c *cycle) deleteFailedMachines() {
 	inspection := &machineInspection{reachableZones: c.countReachableZones()}
 	for _, name := range slices.Sorted(maps.Keys(c.cluster.Machines)) {
@@ -39,8 +39,8 @@
 	c.applyAssessment(&assessment)
 }
 
-// inspectMachine takes a machine into an inspection, and does what its own state asks for whatever becomes of the
-// others: it is marked as down, deleted, or fenced.
+// inspectMachine adds a machine to an inspection. It also takes the actions that depend on the state of this machine
+// alone: marking it as down, deleting it, or fencing its shard.
 func (c *cycle) inspectMachine(machine *clusterstate.Machine, inspection *machineInspection) {
 	status := c.agents.MachineStatus(machine.Name, c.shards.fencingTokens[machine.Shard])
 	inspection.machines = append(inspection.machines, failuredetector.Machine{
@@ -72,7 +72,7 @@
 	}
 }
 
-// deletionReason says why a machine is to be deleted by its own state; empty if it is not.
+// deletionReason returns why a machine is to be deleted because of its own state, or "" if it is not.
 func (c *cycle) deletionReason(machine *clusterstate.Machine, status *agent.MachineStatus) string {
 	empty := len(machine.Bindings) == 0 && c.inFlight.byMachine[machine.Name] == (record.Resources{})
 	oneWayTooLong := !status.OneWaySince.IsZero() && c.now.Sub(status.OneWaySince) > tuning.OneWayMachineMaxAge
@@ -89,8 +89,9 @@
 	return ""
 }
 
-// bootTimedOut reports whether a machine should have come up long ago. A new owner has heard of none of its machines
-// yet, and the record of one that has long been up may not say so.
+// bootTimedOut reports whether a machine that has never come up is past its boot limit. After a change of the shard's
+// owner it reports false until the machine has had time to send a heartbeat to the new owner, because the record of a
+// running machine may not yet say that it is up.
 func (c *cycle) bootTimedOut(machine *clusterstate.Machine) bool {
 	if c.cluster.Catalog.Types[machine.Type].Name == "" {
 		return false
@@ -102,9 +103,11 @@
 		c.now.Sub(c.shardTenure.since(machine.Shard)) > heartbeatLimit
 }
 
-// cancellationOverdue reports whether a machine holds a task whose cancellation was asked for so long ago that only the
-// machine's deletion ends it: an agent that hangs doesn't end its tasks with its lease. Where cancellations are
-// confirmed at once it must go in time, where they are confirmed with their proof, before the user gives up asking.
+// cancellationOverdue reports whether a machine holds a task whose cancellation is so old that the machine has to be
+// deleted to end the task: an agent that hangs doesn't end its tasks when its lease expires. If the cancellation may
+// have been reported to the user at once, the limit is tuning.CancelDeletionShare of the cancel deadline, so that the
+// task ends within the deadline. If it is reported only once all tasks are released, the limit is the deadline
+// itself, so that the user gets the confirmation before giving up.
 func (c *cycle) cancellationOverdue(machine *clusterstate.Machine) bool {
 	for _, binding := range machine.Bindings {
 		job, limit := binding.Job, c.settings.CancelDeadline()
@@ -118,13 +121,14 @@
 	return false
 }
 
-// fenceUnresolvedStart raises a shard's fencing token: a start without an answer could still run a task that must not.
+// fenceUnresolvedStart raises a shard's fencing token, because a start command without an answer could still start a
+// task that must not run.
 func (c *cycle) fenceUnresolvedStart(shard int) {
 	members := c.membership
 	c.inBackground(func(ctx context.Context) { members.FenceAndRaiseToken(ctx, shard) })
 }
 
-// applyAssessment carries out what the failure detector has concluded.
+// applyAssessment applies the conclusions of the failure detector.
 func (c *cycle) applyAssessment(assessment *failuredetector.Assessment) {
 	c.reportZones(assessment)
 	for _, name := range assessment.ProbeMachines {
@@ -142,8 +146,8 @@
 	}
 }
 
-// askPeers asks the other nodes which of some machines they have heard from, and has their answers weighed in the next
-// cycle.
+// askPeers asks the other nodes which of the machines have recently sent heartbeats to them, and records their
+// answers for the next cycle.
 func (e *Engine) askPeers(ctx context.Context, machines []string) {
 	heard := e.peers.QueryRecentlyHeard(ctx, machines)
 	e.mu.Lock()
--- a/internal/scheduler/failedmachines_test.go
+++ b/internal/scheduler/failedmachines_test.go
@@ -8,9 +8,10 @@
 	"sableusher/internal/record"
 )
 
-// TestNewOwnerKeepsRunningMachines: whether a machine came up may not stand in its record yet when its shard changes
-// owner; the new owner must give its agent time for a heartbeat before it deletes what "never came up". It once deleted
-// hundreds of running machines after two controllers had ended.
+// TestNewOwnerKeepsRunningMachines checks that a new owner of a shard gives the agents time to send a heartbeat
+// before it deletes machines that "never came up". When a shard changes owner, the record of a running machine may
+// not yet say that it is up. Without the delay, hundreds of running machines were deleted after two controllers had
+// ended.
 func TestNewOwnerKeepsRunningMachines(t *testing.T) {
 	const machines = 40
 	fixture := newTestCluster(t)
--- a/internal/scheduler/fencelimiter_test.go
+++ b/internal/scheduler/fencelimiter_test.go
@@ -7,8 +7,8 @@
 	"sableusher/internal/tuning"
 )
 
-// TestTokenIsRaisedOncePerInterval: the token of a shard is raised at once and then once per tuning.FenceMinInterval,
-// whatever is done with the other shards.
+// TestTokenIsRaisedOncePerInterval checks that the token of a shard may be raised at once and then once per
+// tuning.FenceMinInterval, independently of other shards.
 func TestTokenIsRaisedOncePerInterval(t *testing.T) {
 	limiter := fenceLimiter{}
 	for _, step := range []struct {
--- a/internal/scheduler/homeshard.go
+++ b/internal/scheduler/homeshard.go
@@ -11,24 +11,27 @@
 	"sableusher/internal/wire"
 )
 
-// placementPace is what spaces placements out over time and over nodes.
+// placementPace holds the state that spreads placements over time and over nodes.
 type placementPace struct {
 	ownerWaits     ownerWaits
-	lastArrayStart time.Time // when arrays were last placed
+	lastArrayStart time.Time // time at which arrays were last placed
 }
 
-// ownerWait is since when a job waits, with so many tasks, for the owner of its home shard.
+// ownerWait describes a job's wait for the owner of its home shard to place its tasks.
 type ownerWait struct {
 	since    time.Time
-	lastSeen time.Time
-	pending  int
+	lastSeen time.Time // last cycle in which the job was still waiting
+	pending  int       // number of pending tasks; the wait starts again when it changes
 }
 
-// ownerWaits are the jobs that wait though another shard's machines have capacity for them, by id.
+// ownerWaits holds, by job ID, the jobs that wait for another node to place them: the owner of their home shard,
+// whose machines have capacity for them.
 type ownerWaits map[string]ownerWait
 
-// note notes that a job waits and gives since when it does, with no task placed and without a break.
-func (w ownerWaits) note(now time.Time, job *clusterstate.Job) time.Time {
+// observe records that a job is waiting at the given time, and returns the time since which it has been waiting. The
+// wait starts again when the job's number of pending tasks changes, or when the job has not been observed for more
+// than tuning.HomeShardHold.
+func (w ownerWaits) observe(now time.Time, job *clusterstate.Job) time.Time {
 	id, pending := job.Spec.ID, job.PendingCount()
 	waiting, ok := w[id]
 	if !ok || waiting.pending != pending || now.Sub(waiting.lastSeen) > tuning.HomeShardHold {
@@ -44,19 +47,20 @@
 	maps.DeleteFunc(w, func(job string, _ ownerWait) bool { return isOver(job) })
 }
 
-// homeShard is the shard whose owner places a job: where its tasks already are, else the first in an
-// order of its own that has capacity for all of them. All nodes find the same without messages; where
-// their views differ, the conditions on the records decide. anywhere tells whether there is capacity for
-// a task of it in any shard.
-func (c *cycle) homeShard(queued *queuedJob) (home int, anywhere bool) {
+// homeShard returns the shard whose owner places a job: the shard with most of its tasks; else the first one whose
+// holders of the job's image have capacity for all of its tasks; else the first one with capacity for all of them.
+// The order of the shards depends on the job. All nodes compute the same shard without messages; if their views
+// differ, the conditions on the records decide. fitsAny reports whether any shard has capacity for at least one task
+// of the job.
+func (c *cycle) homeShard(queued *queuedJob) (home int, fitsAny bool) {
 	first := c.firstLiveShard(queued.job)
 	underShortage := c.isArrayUnderShortage(queued)
 	home = c.shardOfMostTasks(queued, underShortage)
 	switch {
 	case underShortage:
-		// Its shard has capacity again before long, as all shards have a little at any time. In one shard
-		// all of its tasks have one writer: spread over five, their ends would fail each other's conditions
-		// and take a transaction for each.
+		// While capacity is short, all shards release a little of it at any time, so the home shard will soon have
+		// some again. Keeping all tasks in one shard gives the job's record a single writer. With tasks in five
+		// shards, the changes that end them would fail each other's conditions and need a transaction each.
 		if home == unknownShard {
 			home = first
 		}
@@ -73,8 +77,9 @@
 	return fit.Shard, fit.FitsAny
 }
 
-// shardOfMostTasks is the shard with most of a job's tasks of those that can take more of them, and
-// while capacity is short of those whose owner lives; unknownShard if there is none.
+// shardOfMostTasks returns the shard with most of a job's bound tasks among the shards with capacity for another one.
+// Under a shortage of capacity, shards whose owner is alive are considered too. It returns unknownShard if there is
+// none.
 func (c *cycle) shardOfMostTasks(queued *queuedJob, underShortage bool) int {
 	best := unknownShard
 	for shard, bound := range queued.job.BoundByShard {
@@ -88,13 +93,13 @@
 	return best
 }
 
-// isArrayUnderShortage reports whether a job is an array of a priority whose waiting arrays can't all meet their
-// objectives.
+// isArrayUnderShortage reports whether a job is an array at a priority at which the waiting arrays can't all meet
+// their objectives.
 func (c *cycle) isArrayUnderShortage(queued *queuedJob) bool {
 	return c.order.objectives.capacityShort[queued.rank] && queued.job.Spec.Kind == wire.KindArray
 }
 
-// firstLiveShard is the first shard in a job's own order whose owner lives.
+// firstLiveShard returns the first shard whose owner is alive, in an order that depends on the job's ID.
 func (c *cycle) firstLiveShard(job *clusterstate.Job) int {
 	hashed := record.ShardOf(job.Spec.ID, c.cluster.ShardCount)
 	for offset := range c.cluster.ShardCount {
@@ -105,15 +110,15 @@
 	return hashed
 }
 
-// homeOwnerTimedOut reports whether the owner of a job's home shard has had time to place it and it is this
-// node's turn to do so instead. The shards take turns: at once, all but one would fail for the
-// condition on the record.
+// homeOwnerTimedOut reports whether the owner of a job's home shard has had enough time to place the job, and this
+// node may place it now instead. Only the owner of one shard may do so at a time, and the shard changes every
+// tuning.HomeShardHold: if several nodes tried at once, all but one would fail the condition on the record.
 func (c *cycle) homeOwnerTimedOut(queued *queuedJob) bool {
-	since := c.pace.ownerWaits.note(c.now, queued.job)
-	turn := int(c.now.UnixMilli()/tuning.HomeShardHold.Milliseconds()) + c.firstLiveShard(queued.job)
+	since := c.pace.ownerWaits.observe(c.now, queued.job)
+	rotation := int(c.now.UnixMilli()/tuning.HomeShardHold.Milliseconds()) + c.firstLiveShard(queued.job)
 	hold := tuning.HomeShardHold
 	if c.isArrayUnderShortage(queued) {
 		hold = tuning.HomeShardHoldUnderShortage
 	}
-	return c.shards.owns(turn%c.cluster.ShardCount) && c.now.Sub(since) > hold
+	return c.shards.owns(rotation%c.cluster.ShardCount) && c.now.Sub(since) > hold
 }
--- a/internal/scheduler/homeshard_test.go
+++ b/internal/scheduler/homeshard_test.go
@@ -10,9 +10,9 @@
 	"sableusher/internal/wire"
 )
 
-// TestOwnerWaitBeginsAnewWithProgress: a job waits for the owner of its home shard since it was first noted, until
-// a task of it is placed or it is not noted for longer than tuning.HomeShardHold.
-func TestOwnerWaitBeginsAnewWithProgress(t *testing.T) {
+// TestOwnerWaitRestarts checks that a job's wait for the owner of its home shard counts from its first observation,
+// and starts again when a task of it has been placed or it was not observed for longer than tuning.HomeShardHold.
+func TestOwnerWaitRestarts(t *testing.T) {
 	job := &clusterstate.Job{Job: record.Job{Spec: wire.JobSpec{ID: "a", TaskCount: 4}}}
 	waits := ownerWaits{}
 	for _, step := range []struct {
@@ -22,14 +22,14 @@
 		since time.Duration
 	}{
 		{"first", 0, 0, 0},
-		{"noted again", tuning.HomeShardHold, 0, 0},
-		{"at the end of its time", 2 * tuning.HomeShardHold, 0, 0},
-		{"not noted for longer", 3*tuning.HomeShardHold + 1, 0, 3*tuning.HomeShardHold + 1},
+		{"observed again", tuning.HomeShardHold, 0, 0},
+		{"at the end of the hold", 2 * tuning.HomeShardHold, 0, 0},
+		{"not observed for longer", 3*tuning.HomeShardHold + 1, 0, 3*tuning.HomeShardHold + 1},
 		{"a task placed", 4 * tuning.HomeShardHold, 1, 4 * tuning.HomeShardHold},
-		{"noted again after it", 5 * tuning.HomeShardHold, 1, 4 * tuning.HomeShardHold},
+		{"observed again after that", 5 * tuning.HomeShardHold, 1, 4 * tuning.HomeShardHold},
 	} {
 		job.BoundCount = step.bound
-		if since := waits.note(testNow.Add(step.after), job).Sub(testNow); since != step.since {
+		if since := waits.observe(testNow.Add(step.after), job).Sub(testNow); since != step.since {
 			t.Errorf("%s: waits since %v, want %v", step.name, since, step.since)
 		}
 	}
--- a/internal/scheduler/imagehints.go
+++ b/internal/scheduler/imagehints.go
@@ -7,15 +7,15 @@
 	"sableusher/internal/tuning"
 )
 
-// imageHints is what the other nodes last said about which of their machines hold which images. It is advice for
-// the choice of machines only.
+// imageHints holds the last answers of the other nodes on which of their machines hold which images. They are used
+// only as hints for the choice of machines.
 type imageHints struct {
 	machinesByImage map[string]map[string]bool
 	updatedAt       time.Time
 }
 
-// TrackRemoteImages asks the other nodes every tuning.RemoteImagesInterval which machines hold which images,
-// until ctx ends. Where none answers, what they last said stands.
+// TrackRemoteImages asks the other nodes every tuning.RemoteImagesInterval which machines hold which images, until
+// ctx is done. If no node answers, the previous answers are kept.
 func (e *Engine) TrackRemoteImages(ctx context.Context) error {
 	ticker := time.NewTicker(tuning.RemoteImagesInterval)
 	defer ticker.Stop()
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -9,15 +9,16 @@
 	"sableusher/internal/tuning"
 )
 
-// inventoryCache keeps the inventory from cycle to cycle, with what it does not show yet.
+// inventoryCache keeps the inventory from one cycle to the next, together with the updates that are not yet applied
+// to it.
 type inventoryCache struct {
 	inventory    *binpack.Inventory // nil before the first cycle
-	toRefresh    machineSet         // machines whose agents have sent news
+	toRefresh    machineSet         // machines with updates that the inventory doesn't include yet
 	remoteImages imageHints
 }
 
-// refreshInventory brings the inventory that is kept from cycle to cycle up to date: what changed, what is
-// in flight, what is reserved, and which images are believed to be where.
+// refreshInventory updates the cached inventory and returns it: it applies changed machines, bindings in flight,
+// reservations and image hints.
 func (c *cycle) refreshInventory() *binpack.Inventory {
 	snapshot := binpack.Snapshot{
 		Now: c.now, State: c.cluster, LiveShards: c.shards.live, FencingTokens: c.shards.fencingTokens,
@@ -38,8 +39,8 @@
 	return inventory
 }
 
-// refreshImageHints tells an inventory which machines are believed to hold which images: this node's from
-// time to time, the other nodes' when there is news of them.
+// refreshImageHints updates an inventory's hints on which machines probably hold which images: those of this node's
+// machines every tuning.ImageHoldersMaxAge, those of other nodes' machines when new answers have arrived.
 func (c *cycle) refreshImageHints(inventory *binpack.Inventory) {
 	if c.now.Sub(inventory.HintsUpdatedAt(binpack.OwnMachines)) >= tuning.ImageHoldersMaxAge {
 		inventory.SetImageHints(binpack.OwnMachines, c.now, c.ownImageHints())
@@ -49,7 +50,7 @@
 	}
 }
 
-// ownImageHints returns pairs of an image and a machine of this node that is believed to hold it.
+// ownImageHints returns pairs of an image and a machine of this node that probably holds it.
 func (c *cycle) ownImageHints() iter.Seq2[string, string] {
 	return func(yield func(image, machine string) bool) {
 		for image, machines := range c.agents.MachinesByImage() {
@@ -62,7 +63,7 @@
 	}
 }
 
-// remoteImageHints returns pairs of an image and a machine of another node that is believed to hold it.
+// remoteImageHints returns pairs of an image and a machine of another node that probably holds it.
 func (c *cycle) remoteImageHints() iter.Seq2[string, string] {
 	return func(yield func(image, machine string) bool) {
 		for image, machines := range c.inventoryCache.remoteImages.machinesByImage {
@@ -75,43 +76,44 @@
 	}
 }
 
-// readiness is what a machine is good for in this node's scheduling cycles.
+// readiness returns whether this node's scheduling cycles may use a machine now, later or not at all.
 func (c *cycle) readiness(machine *clusterstate.Machine, owned bool) binpack.Readiness {
 	switch {
 	case c.failureDetector.ZoneUnavailable(machine.Zone):
-		return binpack.Unavailable // nothing starts there before the cut is over
+		return binpack.Unavailable // no task starts in a zone while it is partitioned from this node
 	case owned && c.isSchedulable(machine), !owned && c.isLikelyUp(machine):
 		return binpack.Ready
 	case !machine.Up && c.bootOverdue(machine):
-		return binpack.Unavailable // others are rented rather than waited for
+		return binpack.Unavailable // other machines are rented instead of waiting for this one
 	default:
 		return binpack.Pending
 	}
 }
 
-// isSchedulable reports whether tasks may start on a machine of this node, by what its agent reports.
+// isSchedulable reports whether tasks may start on a machine of this node, according to its agent's status.
 func (c *cycle) isSchedulable(machine *clusterstate.Machine) bool {
 	return c.agents.MachineStatus(machine.Name, c.shards.fencingTokens[machine.Shard]).Schedulable
 }
 
-// isLikelyUp reports whether tasks may be planned on another node's machine.
+// isLikelyUp reports whether another node's machine may be used in plans: its shard's owner is alive, and the machine
+// is recorded as up or should have booted by now.
 func (c *cycle) isLikelyUp(machine *clusterstate.Machine) bool {
 	return c.shards.live[machine.Shard] && (machine.Up || c.likelyBooted(machine))
 }
 
-// bootOverdue reports whether a machine should have come up long ago.
+// bootOverdue reports whether a machine is so late that it should not be waited for.
 func (c *cycle) bootOverdue(machine *clusterstate.Machine) bool {
 	late := c.bootTimes(machine, tuning.BootOverdueFactor)
 	return c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > max(late, tuning.MinBootOverdue)
 }
 
-// likelyBooted reports whether a machine should be up by now.
+// likelyBooted reports whether a machine should have booted by now and is not overdue.
 func (c *cycle) likelyBooted(machine *clusterstate.Machine) bool {
 	boot := c.bootTimes(machine, tuning.BootLikelyFactor)
 	return machine.CreatedAtMs > 0 && c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > boot && !c.bootOverdue(machine)
 }
 
-// bootTimes is a multiple of the nominal boot time of a machine's type.
+// bootTimes returns a multiple of the nominal boot time of a machine's type.
 func (c *cycle) bootTimes(machine *clusterstate.Machine, factor float64) time.Duration {
 	return time.Duration(factor * c.cluster.Catalog.Types[machine.Type].BootSeconds * float64(time.Second))
 }
--- a/internal/scheduler/jobend.go
+++ b/internal/scheduler/jobend.go
@@ -7,8 +7,9 @@
 	"sableusher/internal/wire"
 )
 
-// finishJobs ends jobs whose tasks are all done, or that are cancelled and have left every machine, where no change of
-// a single record could end them. Only the leader does so; it also deletes the chunks that long jobs have left.
+// finishJobs ends the jobs whose tasks are all done, or that are cancelled and have no task on a machine any more, if
+// no change of a single record could end them. It also deletes the remaining chunks of ended jobs. Only the leader
+// does this.
 func (c *cycle) finishJobs() {
 	if _, isLeader := c.membership.Ownership(record.LeaderShard); !isLeader {
 		return
@@ -30,8 +31,8 @@
 	}
 }
 
-// finishTransaction ends the job with a key, or deletes chunks that it has left; it has no ops if there is nothing
-// to do.
+// finishTransaction returns the transaction that ends a job, or that deletes remaining chunks of a job that has
+// ended. key is the key of the job's record. The transaction has no operations if there is nothing to do.
 func (c *cycle) finishTransaction(job *clusterstate.Job, key string) kvstore.Transaction {
 	if !job.HasRecord {
 		return kvstore.Transaction{Conditions: []wire.Condition{{Key: key}}, Ops: c.deleteFurtherOps(job, 0)}
@@ -45,16 +46,17 @@
 	case !job.Cancelled():
 		support, ownersUnchanged := c.cluster.CancelRequestSupport()
 		if support != clusterstate.CancelRequestsHonored {
-			return kvstore.Transaction{} // an owner may still bind a task
+			return kvstore.Transaction{} // the owner of a shard might still bind a task
 		}
 		conditions = append(conditions, ownersUnchanged...)
 	}
-	// No task can be bound after the cancellation, and the cluster state holds all before it.
+	// No task can be bound after the cancellation, and the cluster state includes all bindings before it.
 	return kvstore.Transaction{Conditions: conditions, Ops: c.finalOps(job, job.CancelledStatus(), job.DoneCount)}
 }
 
-// finalOps returns the ops that turn a job's records into its final one. Of a job taken over from another cell they
-// write its outcome instead: its home cell alone answers its user, and has the outcome sent until it has it.
+// finalOps returns the operations that replace a job's records by its final one. For a job accepted from another cell
+// they write its outcome instead: only the home cell answers the user, and the outcome is sent to that cell
+// repeatedly until it has it.
 func (c *cycle) finalOps(job *clusterstate.Job, status wire.JobState, done int) []wire.Op {
 	var ops []wire.Op
 	if guest := job.OffloadedFrom; guest != nil {
@@ -69,8 +71,8 @@
 	return append(ops, c.deleteFurtherOps(job, len(ops))...)
 }
 
-// deleteFurtherOps returns the ops that delete as many of a job's further chunks as a transaction with so many other
-// ops can take; what stays is deleted later.
+// deleteFurtherOps returns operations that delete a job's further chunks, as many as fit into a transaction with
+// otherOps other operations. The remaining chunks are deleted later.
 func (c *cycle) deleteFurtherOps(job *clusterstate.Job, otherOps int) []wire.Op {
 	return job.DeleteFurtherChunks(c.committer.MaxTransactionOps() - otherOps)
 }
--- a/internal/scheduler/machinedeletion.go
+++ b/internal/scheduler/machinedeletion.go
@@ -8,7 +8,7 @@
 	"sableusher/internal/tuning"
 )
 
-// ConfirmDeleted takes in that the cloud has confirmed the deletion of machines: their tasks are released in the next
+// ConfirmDeleted records that the cloud has confirmed the deletion of machines. Their tasks are released in the next
 // cycle.
 func (e *Engine) ConfirmDeleted(names []string) {
 	e.mu.Lock()
@@ -20,9 +20,9 @@
 	e.wake()
 }
 
-// MachinesToDelete returns machines of this node's shards to be deleted at the cloud, at most
-// tuning.ReturnMaxMachines. First come those on which tasks are still bound, as these start elsewhere once the
-// deletion is confirmed; tasksWaiting reports whether there are any.
+// MachinesToDelete returns at most tuning.ReturnMaxMachines machines of this node's shards that are to be deleted at
+// the cloud. Machines with bound tasks come first, because those tasks start elsewhere once the deletion is
+// confirmed; tasksWaiting reports whether there are any.
 func (e *Engine) MachinesToDelete() (names []string, tasksWaiting bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -37,7 +37,7 @@
 		switch {
 		case machine.Deleting && len(machine.Bindings) > 0:
 			withTasks = e.appendDeletable(withTasks, name)
-		// Nothing is placed on a draining machine any more: once it is empty it can go.
+		// Nothing is placed on a draining machine any more, so it can be deleted as soon as it is empty.
 		case machine.Deleting || machine.Draining && len(machine.Bindings) == 0 && !bindingTargets[name]:
 			idle = e.appendDeletable(idle, name)
 		}
@@ -49,8 +49,8 @@
 	return names[:min(len(names), tuning.ReturnMaxMachines)], len(withTasks) > 0
 }
 
-// appendDeletable appends a machine to a list that is not full, if the machine is this node's and its deletion is not
-// confirmed yet.
+// appendDeletable appends a machine to names if the list is not full, the machine is this node's and its deletion is
+// not confirmed yet.
 func (e *Engine) appendDeletable(names []string, name string) []string {
 	if len(names) >= tuning.ReturnMaxMachines || e.deletedMachines.isConfirmed(name) {
 		return names
--- a/internal/scheduler/machinedeletion_test.go
+++ b/internal/scheduler/machinedeletion_test.go
@@ -7,8 +7,9 @@
 	"sableusher/internal/record"
 )
 
-// TestMachinesToDelete: of a node's own machines those are returned that are being deleted and those that are draining
-// and empty, also of bindings in flight; machines with tasks come first, and confirmed deletions no more.
+// TestMachinesToDelete checks that MachinesToDelete returns those of a node's own machines that are being deleted,
+// and the draining ones without tasks and without bindings in flight. Machines with tasks come first; machines whose
+// deletion is confirmed are left out.
 func TestMachinesToDelete(t *testing.T) {
 	fixture := newTestCluster(t)
 	var own []string // machines of the first node
--- a/internal/scheduler/machinerecord.go
+++ b/internal/scheduler/machinerecord.go
@@ -8,29 +8,30 @@
 	"sableusher/internal/wire"
 )
 
-// machineUpdate is a machine's record as it shall be.
+// machineUpdate is a change of a machine's record.
 type machineUpdate struct {
 	kind        changeKind
 	name        string
 	shard       int
-	modRevision uint64 // of the record that it replaces; 0: there is none
-	machine     record.Machine
+	modRevision uint64         // modification revision of the record that is replaced; 0 if there is none
+	machine     record.Machine // the new record
 }
 
-// updateOf is an update that leaves a machine's record as it is.
-func updateOf(kind changeKind, machine *clusterstate.Machine) machineUpdate {
+// newMachineUpdate returns an update that starts from a machine's present record.
+func newMachineUpdate(kind changeKind, machine *clusterstate.Machine) machineUpdate {
 	return machineUpdate{
 		kind: kind, name: machine.Name, shard: machine.Shard, modRevision: machine.ModRevision,
 		machine: machine.Machine,
 	}
 }
 
-// writeMachine adds the change of a machine's record. The caller may set the priority of the transaction returned.
+// writeMachine adds the change of a machine's record to the cycle's changes. It returns the transaction, of which the
+// caller may set the priority.
 func (c *cycle) writeMachine(update machineUpdate) *kvstore.Transaction {
 	key := record.MachineKey(update.name)
 	change := &recordChange{
 		kind: update.kind, subject: update.name, keys: []string{key}, shards: []int{update.shard},
-		harmlessWhenLate: true,
+		safeIfAppliedLate: true,
 		transaction: kvstore.Transaction{
 			Conditions: []wire.Condition{
 				c.ownershipCondition(update.shard),
@@ -43,18 +44,19 @@
 	return &change.transaction
 }
 
-// Reasons for which a machine that is there is recorded as down, for the log.
+// Reasons for which a running machine is recorded as down, for the log.
 const (
 	reasonInboundLost  = "inbound lost"
 	reasonOutboundLost = "outbound lost"
 )
 
-// markMachineDown records that a machine which can be reached in one direction only is not up, until that is over. Its
-// owner knows it anyway; but gangs and services are placed by other nodes too, to which it would look like the emptiest
-// machine there is, and what they bind to it would wait until its lease expires, over and over.
+// markMachineDown records a machine that is reachable in only one direction as down, until both directions work
+// again. The machine's owner knows its status without the record, but other nodes place gangs and services too. To
+// them the machine would look like the emptiest one, and whatever they bind to it would wait until its lease expires,
+// again and again.
 func (c *cycle) markMachineDown(machine *clusterstate.Machine, reason string) {
 	c.logMarkedDown(machine, reason)
-	update := updateOf(changeOfMachineDown, machine)
+	update := newMachineUpdate(changeOfMachineDown, machine)
 	update.machine.Up = false
 	c.writeMachine(update).Priority = kvstore.PriorityHigh
 	c.inventoryCache.toRefresh.add(machine.Name)
@@ -64,13 +66,14 @@
 	c.log.Info("machine marked as down", "machine", machine.Name, "reason", reason, "count", len(machine.Bindings))
 }
 
-// deleteMachine marks a machine to be deleted at the cloud. What runs on it waits for this change as for one of its
-// own: behind the ends of arrays' tasks, replicas would wait for seconds more.
+// deleteMachine marks a machine as to be deleted at the cloud. The change has the priority of the most important
+// tasks on the machine, because these wait for it: queued behind the ends of arrays' tasks, replicas of services
+// would wait for seconds more.
 func (c *cycle) deleteMachine(deletion failuredetector.Deletion) {
 	machine := c.cluster.Machines[deletion.Machine]
 	c.log.Info("deleting a machine", "machine", deletion.Machine, "reason", deletion.Reason,
 		"count", len(machine.Bindings))
-	update := updateOf(changeOfMachineDeletion, machine)
+	update := newMachineUpdate(changeOfMachineDeletion, machine)
 	update.machine.Deleting = true
 	transaction := c.writeMachine(update)
 	for _, binding := range machine.Bindings {
@@ -82,8 +85,8 @@
 	}
 }
 
-// deleteMachineRecord adds the deletion of a machine's record. It can wait: the record says that the machine is being
-// deleted, so nobody counts on it.
+// deleteMachineRecord adds the deletion of a machine's record to the cycle's changes. It has background priority: the
+// record already marks the machine as being deleted, so no node uses it.
 func (c *cycle) deleteMachineRecord(machine *clusterstate.Machine) {
 	key := record.MachineKey(machine.Name)
 	c.outgoing = append(c.outgoing, &recordChange{
--- a/internal/scheduler/machineset.go
+++ b/internal/scheduler/machineset.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// machineSet is a set of machines, by name, that are to be looked at again.
+// machineSet is a set of machines, by name, that are to be processed.
 type machineSet map[string]struct{}
 
-// add puts a machine into the set.
+// add adds a machine to the set.
 func (s machineSet) add(name string) { s[name] = struct{}{} }
 
-// addAll puts machines into the set.
+// addAll adds machines to the set.
 func (s machineSet) addAll(names map[string]struct{}) { maps.Copy(s, names) }
 
-// drain empties the set and returns what it held, sorted by name.
+// drain empties the set and returns its machines sorted by name.
 func (s machineSet) drain() []string {
 	names := slices.Sorted(maps.Keys(s))
 	clear(s)
