--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -34,10 +34,10 @@
 	keys        []string // records that no other change may write while this one is in flight
 	shards      []int    // shards of this node to fence if the outcome stays unknown
 	bindings    []pendingBinding
-	// harmlessWhenLate is set if the change needs no fence when its outcome is unknown: the condition on the changed
+	// safeIfAppliedLate is set if the change needs no fence when its outcome is unknown: the condition on the changed
 	// record makes it safe even if the store applies it late.
-	harmlessWhenLate bool
-	onResult         func(applied bool)
+	safeIfAppliedLate bool
+	onResult          func(applied bool)
 }
 
 // pendingBinding is the binding of a task to a machine by a change whose outcome is not known yet.
@@ -50,8 +50,8 @@
 }
 
 // commitChange commits a change and finishes it once its outcome is known. If the outcome is unknown, the change's
-// shards are fenced first, unless it is harmless when late: afterwards the change either is in the cluster state or
-// can never be applied.
+// shards are fenced first, unless the change is safe to apply late: after the fence the change either is in the
+// cluster state or can never be applied.
 func (e *Engine) commitChange(ctx context.Context, id uint64, change *recordChange) {
 	revision, err := e.commitWithin(ctx, tuning.CommitTimeout, change.transaction)
 	rejected := errors.Is(err, kvstore.ErrRejected)
@@ -59,7 +59,7 @@
 	case rejected:
 		e.log.Error("key-value store rejected a change as malformed", "change", string(change.kind),
 			"subject", change.subject, "err", err)
-	case err != nil && !isNotApplied(err) && !change.harmlessWhenLate:
+	case err != nil && !isNotApplied(err) && !change.safeIfAppliedLate:
 		e.log.Info("outcome of a change is unknown", "change", string(change.kind), "subject", change.subject, "err", err)
 		for _, shard := range change.shards {
 			e.membership.Fence(ctx, shard)
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -43,10 +43,10 @@
 func (c *cycle) cancelDependent(job *clusterstate.Job) *recordChange {
 	key := record.JobKey(job.Spec.ID)
 	return &recordChange{
-		kind:             changeOfCancelledJob,
-		subject:          job.Spec.ID,
-		keys:             []string{key},
-		harmlessWhenLate: true,
+		kind:              changeOfCancelledJob,
+		subject:           job.Spec.ID,
+		keys:              []string{key},
+		safeIfAppliedLate: true,
 		transaction: kvstore.Transaction{
 			Conditions: []wire.Condition{{Key: key, ModRevision: job.ModRevision}},
 			Ops:        c.finalOps(job, wire.JobCancelled, job.DoneCount),
--- a/internal/scheduler/migrationschedule.go
+++ b/internal/scheduler/migrationschedule.go
@@ -6,24 +6,25 @@
 	"sableusher/internal/tuning"
 )
 
-// migrationSchedule holds which jobs' records are to be migrated to the present layout, and paces the migration of
-// those that nothing waits for.
+// migrationSchedule holds the jobs whose records have to be migrated to the current layout before they can be
+// changed, and limits the rate of background migrations, which no change waits for.
 type migrationSchedule struct {
-	requested map[string]bool // by the job's ID: a change waits for the migration
-	lastPaced time.Time       // when records that nothing waits for were last migrated
+	requested      map[string]bool // by ID of a job with a change that waits for the migration
+	lastBackground time.Time       // time of the last background migration
 }
 
 func newMigrationSchedule() migrationSchedule {
 	return migrationSchedule{requested: map[string]bool{}}
 }
 
-// request has a job's records migrated in this cycle or the next.
+// request requests the migration of a job's records in this cycle or the next.
 func (s *migrationSchedule) request(jobID string) { s.requested[jobID] = true }
 
-// takeRequest ends a request, whether or not the migration was made: what still needs it asks again.
-func (s *migrationSchedule) takeRequest(jobID string) { delete(s.requested, jobID) }
+// removeRequest removes a request, whether or not the records were migrated. A change that still needs the migration
+// requests it again.
+func (s *migrationSchedule) removeRequest(jobID string) { delete(s.requested, jobID) }
 
-// paceIsDue reports whether records that nothing waits for may be migrated again.
-func (s *migrationSchedule) paceIsDue(now time.Time) bool {
-	return now.Sub(s.lastPaced) >= tuning.MigrationInterval
+// backgroundDue reports whether the next background migration is due.
+func (s *migrationSchedule) backgroundDue(now time.Time) bool {
+	return now.Sub(s.lastBackground) >= tuning.MigrationInterval
 }
--- a/internal/scheduler/migrationschedule_test.go
+++ b/internal/scheduler/migrationschedule_test.go
@@ -6,22 +6,22 @@
 	"sableusher/internal/tuning"
 )
 
-// TestMigrationsThatNothingWaitsForArePaced: they are due once per tuning.MigrationInterval; requests stand
-// until taken.
-func TestMigrationsThatNothingWaitsForArePaced(t *testing.T) {
+// TestBackgroundMigrationInterval checks that background migrations are due once per tuning.MigrationInterval, and
+// that a request is kept until it is removed.
+func TestBackgroundMigrationInterval(t *testing.T) {
 	schedule := newMigrationSchedule()
-	if !schedule.paceIsDue(testNow) {
-		t.Error("not due though none was ever made")
+	if !schedule.backgroundDue(testNow) {
+		t.Error("not due before the first migration")
 	}
-	schedule.lastPaced = testNow
-	if schedule.paceIsDue(testNow.Add(tuning.MigrationInterval-1)) ||
-		!schedule.paceIsDue(testNow.Add(tuning.MigrationInterval)) {
-		t.Errorf("not due once per %v", tuning.MigrationInterval)
+	schedule.lastBackground = testNow
+	if schedule.backgroundDue(testNow.Add(tuning.MigrationInterval-1)) ||
+		!schedule.backgroundDue(testNow.Add(tuning.MigrationInterval)) {
+		t.Errorf("next migration not due exactly %v after the last one", tuning.MigrationInterval)
 	}
 	schedule.request("a")
 	schedule.request("a")
 	schedule.request("b")
-	if schedule.takeRequest("a"); len(schedule.requested) != 1 || !schedule.requested["b"] {
+	if schedule.removeRequest("a"); len(schedule.requested) != 1 || !schedule.requested["b"] {
 		t.Errorf("requested: %v", schedule.requested)
 	}
 }
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -9,8 +9,9 @@
 	"sableusher/internal/wire"
 )
 
-// reconcileMachines carries out what has become of the tasks bound in this node's shards, on machines of which
-// something new is known.
+// reconcileMachines reconciles the tasks bound in this node's shards, on the machines that changed or whose tasks
+// changed since their last reconciliation. It also releases the tasks of deleted machines without a record and ends
+// finished jobs.
 func (c *cycle) reconcileMachines() {
 	for _, name := range c.machinesToReconcile.drain() {
 		if machine := c.cluster.Machines[name]; machine != nil && c.shards.owns(machine.Shard) {
@@ -24,8 +25,8 @@
 	c.finishJobs()
 }
 
-// reconcileMachine carries out what has become of a machine's tasks. A machine with a task that is to leave it is
-// reconciled again in the next cycle, until the task has left.
+// reconcileMachine reconciles a machine's tasks with what its agent reports. A machine with a task that is to leave
+// it is reconciled again in each cycle until the task has left.
 func (c *cycle) reconcileMachine(machine *clusterstate.Machine) {
 	token := c.shards.fencingTokens[machine.Shard]
 	if status := c.agents.MachineStatus(machine.Name, token); !status.ReclaimAt.IsZero() {
@@ -46,8 +47,8 @@
 	}
 }
 
-// releaseDeletedMachine releases the tasks of a machine whose deletion is confirmed, and deletes its record once none
-// is left and no rental lists it.
+// releaseDeletedMachine releases the tasks of a machine whose deletion is confirmed. It deletes the machine's record
+// once no task is bound to the machine and no rental lists it.
 func (c *cycle) releaseDeletedMachine(machine *clusterstate.Machine) {
 	for _, binding := range machine.Bindings {
 		c.releaseTask(binding, machine.Name, record.TaskPending, "machine deleted")
@@ -73,7 +74,8 @@
 	}
 }
 
-// reconcileTask carries out what is to become of a bound task, and reports whether it is to leave its machine.
+// reconcileTask decides on a bound task by its observed state and applies the decision. It reports whether the task
+// is to leave its machine.
 func (c *cycle) reconcileTask(
 	binding clusterstate.Binding, machine *clusterstate.Machine, token uint64,
 ) (leaving bool) {
@@ -89,7 +91,7 @@
 	}
 	decision := reconcile.Decide(task)
 	c.applyToMachine(decision, machine, spec)
-	if task.Presence == agent.PresenceExited && !endedAsAsked(task.TaskObservation) {
+	if task.Presence == agent.PresenceExited && !exitedAsExpected(task.TaskObservation) {
 		c.log.Debug("task exited without being done", "task", binding.Ref, "cause", task.Cause, "machine", machine.Name)
 	}
 	switch {
@@ -111,12 +113,12 @@
 	return leaving
 }
 
-// endedAsAsked reports whether a task that exited is done, or was stopped with its checkpoint saved.
-func endedAsAsked(task agent.TaskObservation) bool {
+// exitedAsExpected reports whether a task that exited is done, or was stopped with its checkpoint saved.
+func exitedAsExpected(task agent.TaskObservation) bool {
 	return task.Cause == wire.ExitCauseDone || task.Cause == wire.ExitCauseStopped && task.Saved
 }
 
-// applyToMachine carries out what a decision says of the task's machine and of the pace of its job.
+// applyToMachine applies those parts of a decision that concern the task's machine and the backoff of its job.
 func (c *cycle) applyToMachine(decision reconcile.Decision, machine *clusterstate.Machine, spec *wire.JobSpec) {
 	if decision.ResendCommands {
 		c.agents.RequestDispatch(machine.Name)
@@ -138,8 +140,8 @@
 	}
 }
 
-// releaseGang releases all tasks of a task's attempt that are still bound, also those in other nodes' shards, and
-// reports whether there are any.
+// releaseGang releases all tasks of a gang's attempt that are still bound, including those in other nodes' shards,
+// and reports whether there were any.
 func (c *cycle) releaseGang(binding clusterstate.Binding, decision reconcile.Decision) (anyBound bool) {
 	job := binding.Job
 	for taskIndex := range job.Spec.TaskCount {
@@ -152,13 +154,13 @@
 			Ref: record.TaskRef{JobID: job.Spec.ID, Index: taskIndex}, Job: job,
 			Attempt: task.Attempt, Session: task.Session,
 		}
-		c.releaseTask(member, task.Machine, decision.NextState, "done with its gang")
+		c.releaseTask(member, task.Machine, decision.NextState, "released with its gang")
 	}
 	return anyBound
 }
 
-// releaseTask ends a task's binding to a machine. It returns the edit that does so, nil if its chunk can't be changed
-// in this cycle or the task is not bound there any more.
+// releaseTask ends a task's binding to a machine. It returns the edit that does so, or nil if the task's chunk can't
+// be changed in this cycle or the task is not bound to the machine any more.
 func (c *cycle) releaseTask(
 	binding clusterstate.Binding, machine string, state record.TaskState, reason string,
 ) *chunkEdit {
@@ -176,8 +178,8 @@
 		released.Failures = task.Failures
 	}
 	edit.tasks[taskIndex] = released
-	// A gang's tasks end together, also those in other nodes' shards: there the condition on the job's record alone
-	// guards the change, as this node doesn't own the shard.
+	// A gang's tasks end together, including those in other nodes' shards. This node doesn't own those shards, so
+	// only the condition on the job's record guards their release.
 	if shard := record.ShardOf(machine, c.cluster.ShardCount); c.shards.revisions[shard] != 0 {
 		edit.shards[shard] = true
 	}
@@ -186,8 +188,8 @@
 	return edit
 }
 
-// countFailure counts a failure with the edit that ends the failed attempt: whichever process ends in between, it is
-// counted once. With the last retry the job fails.
+// countFailure counts a failure of a task in the same edit that ends the failed attempt, so that it is counted once
+// even if a controller process ends in between. The job fails if no retry is left.
 func (c *cycle) countFailure(binding clusterstate.Binding, edit *chunkEdit, decision reconcile.Decision) {
 	task := edit.tasks[binding.Ref.Index]
 	task.Failures++
--- a/internal/scheduler/reconcile_test.go
+++ b/internal/scheduler/reconcile_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestReconciledMachinesAreSkipped: a cycle reconciles only machines of which something new is known.
-func TestReconciledMachinesAreSkipped(t *testing.T) {
+// TestUnchangedMachinesAreNotReconciledAgain checks that a reconciled machine is not reconciled again until something
+// about it changes.
+func TestUnchangedMachinesAreNotReconciledAgain(t *testing.T) {
 	fixture := newTestCluster(t)
 	for i := range 50 {
 		fixture.addMachine(i, false)
--- a/internal/scheduler/recordmigration.go
+++ b/internal/scheduler/recordmigration.go
@@ -17,7 +17,8 @@
 	Help: "Steps in which old job records were split.",
 })
 
-// needsMigration reports whether a job's records have to be migrated before they are written again, and asks for it.
+// needsMigration reports whether a job's records have to be migrated before they are written again. If so, it
+// requests the migration.
 func (c *cycle) needsMigration(job *clusterstate.Job) bool {
 	if c.cluster.SchemaVersion < tuning.SchemaVersionDependencies ||
 		!job.NeedsMigration(c.cluster.SizeLimits(c.committer.MaxRecordBytes())) {
@@ -27,15 +28,16 @@
 	return true
 }
 
-// recordMigrator migrates records in one cycle, in as many steps as one may take.
+// recordMigrator migrates records in one cycle, at most tuning.MigrationsPerCycle steps.
 type recordMigrator struct {
 	*cycle
 	limits   record.SizeLimits
-	migrated int // steps taken so far
+	migrated int // number of steps so far
 }
 
-// migrateRecords splits old records that could outgrow the value limit of the key-value store: at once where a change
-// waits for it, the others at a pace of their own while the request budget is free.
+// migrateRecords splits old records that could outgrow the value limit of the key-value store. Records that a change
+// waits for are migrated at once. Others are migrated in the background every tuning.MigrationInterval, while the
+// store's request budget is not used up.
 func (c *cycle) migrateRecords() {
 	if c.cluster.SchemaVersion < tuning.SchemaVersionDependencies {
 		return
@@ -44,14 +46,14 @@
 	for id := range c.migration.requested {
 		migrator.migrate(id)
 	}
-	if c.migration.paceIsDue(c.now) && c.committer.QueueLength() < tuning.StoreSaturatedQueueLength {
-		c.migration.lastPaced = c.now
-		migrator.migrateUnrequested()
+	if c.migration.backgroundDue(c.now) && c.committer.QueueLength() < tuning.StoreSaturatedQueueLength {
+		c.migration.lastBackground = c.now
+		migrator.migrateInBackground()
 	}
 }
 
-// migrateUnrequested migrates records that no change waits for, of jobs whose home shard is this node's.
-func (m *recordMigrator) migrateUnrequested() {
+// migrateInBackground migrates records that no change waits for, of jobs whose first live shard is this node's.
+func (m *recordMigrator) migrateInBackground() {
 	for id, job := range m.cluster.Jobs {
 		if m.migrated >= tuning.MigrationsPerCycle {
 			return
@@ -64,9 +66,9 @@
 	}
 }
 
-// migrate adds the change that takes a job's next step of migration, if it can be taken now.
+// migrate adds the change for the next step of a job's migration, if that is possible in this cycle.
 func (m *recordMigrator) migrate(id string) {
-	m.migration.takeRequest(id)
+	m.migration.removeRequest(id)
 	job := m.cluster.Jobs[id]
 	if job == nil || !job.HasRecord || !job.NeedsMigration(m.limits) || m.changes.inFlight(record.JobKey(id)) ||
 		m.migrated >= tuning.MigrationsPerCycle || m.anyChunkChanging(job) {
@@ -80,7 +82,7 @@
 	m.migrated++
 	migrationSteps.Inc()
 	change := &recordChange{
-		kind: changeOfMigration, subject: id, harmlessWhenLate: true,
+		kind: changeOfMigration, subject: id, safeIfAppliedLate: true,
 		transaction: kvstore.Transaction{Conditions: step.Conditions, Ops: step.Ops},
 	}
 	for _, condition := range step.Conditions {
@@ -89,7 +91,7 @@
 	m.outgoing = append(m.outgoing, change)
 }
 
-// anyChunkChanging reports whether a chunk of a job is changed in this cycle or by a change in flight.
+// anyChunkChanging reports whether this cycle or a change in flight changes a chunk of a job.
 func (m *recordMigrator) anyChunkChanging(job *clusterstate.Job) bool {
 	for chunk := range job.Chunks {
 		edit := m.chunkEdits[chunkKey{job: job, chunk: chunk}]
--- a/internal/scheduler/shardtenure.go
+++ b/internal/scheduler/shardtenure.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// shardTenure holds since when this node owns each of its shards. What a new owner has not heard yet proves nothing
-// before its machines have had time to find it.
+// shardTenure maps each shard that this node owns to the time since which it has owned it. Missing heartbeats prove
+// nothing about a machine until its agent has had time to find the shard's new owner.
 type shardTenure map[int]time.Time
 
-// begin notes that a shard is owned, and reports whether it was not before.
+// begin records that a shard is owned from now on, and reports whether it was not owned before.
 func (t shardTenure) begin(shard int, now time.Time) (isNew bool) {
 	if _, known := t[shard]; known {
 		return false
@@ -15,8 +15,8 @@
 	return true
 }
 
-// end notes that a shard is owned no longer.
+// end records that a shard is no longer owned.
 func (t shardTenure) end(shard int) { delete(t, shard) }
 
-// since returns since when a shard is owned, the zero time if it is not.
+// since returns the time since which a shard has been owned, or the zero time if it is not owned.
 func (t shardTenure) since(shard int) time.Time { return t[shard] }
--- a/internal/scheduler/shardtenure_test.go
+++ b/internal/scheduler/shardtenure_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// TestTenureCountsFromTheLatestTakeover: a shard's tenure counts from when it was taken over until it is given up;
-// taken over again it begins anew.
+// TestTenureCountsFromTheLatestTakeover checks that a shard's tenure counts from its takeover until its end, and
+// starts again with the next takeover.
 func TestTenureCountsFromTheLatestTakeover(t *testing.T) {
 	tenure := shardTenure{}
 	if !tenure.begin(2, testNow) || tenure.begin(2, testNow.Add(time.Second)) {
-		t.Error("a tenure begins once, with the takeover")
+		t.Error("begin must report true for the first call only")
 	}
 	if since := tenure.since(2); !since.Equal(testNow) {
 		t.Errorf("owned since %v, want %v", since, testNow)
--- a/internal/scheduler/taskchange.go
+++ b/internal/scheduler/taskchange.go
@@ -11,9 +11,9 @@
 	"sableusher/internal/wire"
 )
 
-// buildChanges turns the cycle's edits into changes: one for each chunk, and one for all chunks of a gang, whose tasks
-// are bound together. A gang too long for a transaction is bound chunk by chunk, and withdrawn if it doesn't become
-// whole.
+// buildChanges turns the cycle's edits into changes, one for each chunk. The chunks of a gang are changed together,
+// because its tasks are bound together. A gang with too many chunks for one transaction is bound chunk by chunk, and
+// its bindings are withdrawn if not all of its tasks become bound.
 func (c *cycle) buildChanges() {
 	editsByJob := map[string][]*chunkEdit{}
 	for _, edit := range c.chunkEdits {
@@ -34,7 +34,8 @@
 	}
 }
 
-// maxChunksPerTransaction is how many chunks of a job one transaction may write beside the job's own record.
+// maxChunksPerTransaction returns how many chunks of a job one transaction may write, not counting the job's own
+// record.
 func (c *cycle) maxChunksPerTransaction(job *clusterstate.Job) int {
 	if job.ChunkWidth == 0 {
 		return min(tuning.GangRecordsPerTxn, c.committer.MaxTransactionOps()-1)
@@ -42,22 +43,22 @@
 	return min(tuning.TxnMaxBytes/max(c.committer.MaxRecordBytes(), 1), c.committer.MaxTransactionOps()-1)
 }
 
-// taskChange is the change of some chunks of a job while it is put together.
+// taskChange is a change of chunks of a job while it is being built.
 type taskChange struct {
 	*recordChange
-	job            *clusterstate.Job
-	modRevisions   map[string]uint64 // that the change rests on, by key
-	involvedShards map[int]bool      // whose ownership the change rests on
-	doneCount      int               // tasks of the job that are done once the change is applied
-	boundCount     int               // tasks of the job that are bound then
-	writesOwn      bool              // the change writes the job's own record
+	job             *clusterstate.Job
+	modRevisions    map[string]uint64 // expected modification revisions of records, by key
+	involvedShards  map[int]bool      // shards whose ownership is a condition of the change
+	doneCount       int               // done tasks of the job after the change
+	boundCount      int               // bound tasks of the job after the change
+	writesJobRecord bool              // the change writes the job's own record
 }
 
-// changeTasks adds the change that makes some edits of a job's chunks. It ends the job where that is its last change.
+// changeTasks adds the change that applies edits of a job's chunks. It ends the job if this is the job's last change.
 func (c *cycle) changeTasks(job *clusterstate.Job, edits []*chunkEdit) {
 	failsJob := slices.ContainsFunc(edits, func(edit *chunkEdit) bool { return edit.failsJob })
 	if failsJob {
-		job = c.markedFailed(job)
+		job = c.failedCopy(job)
 	}
 	change := &taskChange{
 		recordChange:   &recordChange{kind: changeOfTasks, subject: job.Spec.ID},
@@ -76,16 +77,17 @@
 	c.outgoing = append(c.outgoing, change.recordChange)
 }
 
-// markedFailed returns a copy of a job that is marked as failed. It is marked as cancelled too, so that all that holds
-// for such jobs holds: nothing starts any more, what runs is stopped, its dependents are cancelled.
-func (c *cycle) markedFailed(job *clusterstate.Job) *clusterstate.Job {
+// failedCopy returns a copy of a job that is marked as failed. The copy is marked as cancelled too, so that the rules
+// for cancelled jobs apply: no task starts any more, running tasks are stopped, and the job's dependents are
+// cancelled.
+func (c *cycle) failedCopy(job *clusterstate.Job) *clusterstate.Job {
 	failed := *job
 	failed.MarkCancelled(c.now.UnixMilli(), true)
 	failed.Failed = true
 	return &failed
 }
 
-// include adds an edit of a chunk.
+// include adds an edit of a chunk to the change.
 func (t *taskChange) include(edit *chunkEdit) {
 	for taskIndex, task := range edit.tasks {
 		t.count(t.job.Task(taskIndex), -1)
@@ -97,10 +99,10 @@
 	}
 	t.bindings = append(t.bindings, edit.bindings...)
 	t.write(t.job.EncodeChunk(edit.chunk, edit.tasks))
-	t.writesOwn = t.writesOwn || edit.chunk == 0
+	t.writesJobRecord = t.writesJobRecord || edit.chunk == 0
 }
 
-// count adds a task to the job's counts, or takes it off them.
+// count adds sign to the job's count of tasks in the state of the given task.
 func (t *taskChange) count(task record.Task, sign int) {
 	switch task.State {
 	case record.TaskBound:
@@ -110,15 +112,16 @@
 	}
 }
 
-// write adds the writing of a record.
+// write adds an operation that writes a record.
 func (t *taskChange) write(op wire.Op) {
 	t.transaction.Ops = append(t.transaction.Ops, op)
 	t.keys = append(t.keys, op.PutKey)
 }
 
-// endOrMarkJob has a change end its job if all of the job is in one record and nothing is left to do. Else it writes
-// the job's own record where the change rests on what is there: the mark that the job has failed stands in it, and
-// bindings in different chunks must not choose different zones at once.
+// endOrMarkJob makes a change end its job if the whole job is in one record and no task is left to run or release.
+// Otherwise it adds a write of the job's own record in two cases. If the job fails, that record holds the mark. If
+// all tasks must be in one zone, the write keeps concurrent bindings in different chunks from choosing different
+// zones.
 func (c *cycle) endOrMarkJob(change *taskChange, failsJob bool) {
 	job := change.job
 	inOneRecord := len(job.FurtherChunkKeys()) == 0 && job.ChunkCount() == 1
@@ -128,13 +131,14 @@
 		change.transaction.Ops = c.finalOps(job, wire.JobDone, change.doneCount)
 	case inOneRecord && job.Stopping() && change.boundCount == 0:
 		change.transaction.Ops = c.finalOps(job, job.CancelledStatus(), change.doneCount)
-	case !change.writesOwn && (failsJob || choosesZone):
+	case !change.writesJobRecord && (failsJob || choosesZone):
 		change.write(job.EncodeChunk(0, nil))
 	}
 }
 
-// addConditions guards a change by the records that it rests on and by the ownership of its shards. A gang's machine
-// may be in another node's shard: there the change holds while that node owns it.
+// addConditions adds the conditions of a change: the records that it is based on are unchanged, and so is the
+// ownership of its shards. If the machine of a gang's task is in another node's shard, the condition is that the
+// other node still owns the shard.
 func (c *cycle) addConditions(change *taskChange) {
 	for _, shard := range slices.Sorted(maps.Keys(change.involvedShards)) {
 		modRevision, owned := c.shards.revisions[shard]
@@ -151,12 +155,13 @@
 	}
 }
 
-// ownershipCondition holds while a shard of this node has the owner and the fencing token that it has in this cycle.
+// ownershipCondition returns the condition that a shard of this node still has the owner and the fencing token of
+// this cycle.
 func (c *cycle) ownershipCondition(shard int) wire.Condition {
 	return wire.Condition{Key: record.ShardKey(shard), ModRevision: c.shards.revisions[shard]}
 }
 
-// transactionPriority is the place of a job's changes in the committer's queue.
+// transactionPriority returns the priority of a job's changes in the committer's queue.
 func (c *cycle) transactionPriority(job *clusterstate.Job) kvstore.Priority {
 	switch {
 	case job.Spec.Priority == wire.PriorityProduction:
