--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -149,9 +149,9 @@
 // askPeers asks the other nodes which of the machines have recently sent heartbeats to them, and records their
 // answers for the next cycle.
 func (e *Engine) askPeers(ctx context.Context, machines []string) {
-	heard := e.peers.QueryRecentlyHeard(ctx, machines)
+	peerByMachine := e.peers.QueryRecentlyHeard(ctx, machines)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.failureDetector.RecordPeerAnswers(time.Now(), machines, heard)
+	e.failureDetector.RecordPeerAnswers(time.Now(), machines, peerByMachine)
 	e.wake()
 }
