--- a/internal/scheduler/backoff.go
+++ b/internal/scheduler/backoff.go
@@ -7,17 +7,17 @@
 	"sableusher/internal/tuning"
 )
 
-// jobBackoff keeps the tasks of a job from being placed until a time.
+// jobBackoff is the time until which no task of a job is placed.
 type jobBackoff struct {
 	until time.Time
-	delay time.Duration // of the latest failure; the next one doubles it
+	delay time.Duration // after the latest failure; the next failure doubles it
 }
 
-// backoffTable holds the backoffs of jobs whose tasks failed in a way that their class's retries don't pace, by
-// the job's ID.
+// backoffTable holds the backoff of each job, by job ID. It covers only failures that the retry rules of the job's
+// class don't pace.
 type backoffTable map[string]jobBackoff
 
-// extend starts a job's backoff anew, twice as long as the one before, within bounds.
+// extend starts a new backoff of a job, twice as long as its last one and within the bounds of package tuning.
 func (t backoffTable) extend(jobID string, now time.Time) {
 	backoff := t[jobID]
 	backoff.delay = min(max(2*backoff.delay, tuning.MinJobBackoff), tuning.MaxJobBackoff)
@@ -25,13 +25,13 @@
 	t[jobID] = backoff
 }
 
-// active reports whether a job's tasks may not be placed yet.
+// active reports whether a job is still in backoff.
 func (t backoffTable) active(jobID string, now time.Time) bool {
 	backoff, ok := t[jobID]
 	return ok && now.Before(backoff.until)
 }
 
-// prune drops the backoffs of jobs that are over.
+// prune drops the backoffs of jobs that have ended.
 func (t backoffTable) prune(isOver func(jobID string) bool) {
 	maps.DeleteFunc(t, func(jobID string, _ jobBackoff) bool { return isOver(jobID) })
 }
--- a/internal/scheduler/backoff_test.go
+++ b/internal/scheduler/backoff_test.go
@@ -7,8 +7,8 @@
 	"sableusher/internal/tuning"
 )
 
-// TestBackoffDoublesUpToItsBound: each failure of a job doubles its backoff, from the least to the most; other jobs
-// and jobs that are over have none.
+// TestBackoffDoublesUpToItsBound checks that each failure of a job doubles its backoff, from tuning.MinJobBackoff up to
+// tuning.MaxJobBackoff, and that other jobs and jobs that have ended have no backoff.
 func TestBackoffDoublesUpToItsBound(t *testing.T) {
 	table := backoffTable{}
 	now, want := testNow, tuning.MinJobBackoff
@@ -23,9 +23,9 @@
 		t.Errorf("backoff still grows at %v", want)
 	}
 	if table.active("b", now) {
-		t.Error("a job that never failed backs off")
+		t.Error("a job that never failed is in backoff")
 	}
 	if table.prune(func(jobID string) bool { return jobID == "a" }); len(table) != 0 {
-		t.Errorf("left after the job is over: %v", table)
+		t.Errorf("backoffs kept after the job ended: %v", table)
 	}
 }
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -10,14 +10,15 @@
 	"sableusher/internal/wire"
 )
 
-// cycle is one scheduling cycle: what is known in it, and the changes it makes. The caller holds the
-// engine's lock and the cluster state's read lock throughout.
+// cycle is the state of one scheduling cycle and the changes that it decides on. The caller holds the engine's lock
+// and the cluster state's read lock throughout the cycle.
 type cycle struct {
 	*Engine
 	now      time.Time
 	shards   shardView
 	inFlight inFlightUsage
-	// inventory is the free capacity in this cycle; what is placed or expected is taken from it.
+	// inventory is the free capacity in this cycle. Placed tasks, and tasks expected on pending machines, are
+	// subtracted from it.
 	inventory *binpack.Inventory
 
 	chunkEdits map[chunkKey]*chunkEdit
@@ -27,37 +28,37 @@
 	tasksBound      int
 
 	preempting          preemptionProgress
-	dependentNeedsByJob map[string]dependentNeeds // what jobs that need others ask of them
+	dependentNeedsByJob map[string]dependentNeeds // by job: the requirements of the jobs that depend on it
 
-	storeSaturated bool // the key-value store's budget is the bottleneck
-	collectsDemand bool // this cycle accounts the unmet demand for the autoscaler
-	logsWaiting    bool // the log takes in why jobs wait
+	storeSaturated bool // the key-value store's request budget is the bottleneck
+	collectsDemand bool // this cycle computes the unmet demand for the autoscaler
+	logsWaiting    bool // this cycle logs why jobs wait
 
 	failingJobs    map[string]bool      // jobs that a change of this cycle ends as failed
-	brokenAttempts map[gangAttempt]bool // whether an attempt is broken, worked out once a cycle
+	brokenAttempts map[gangAttempt]bool // cache of isBroken
 }
 
-// shardView is who owns which shard as a cycle sees it.
+// shardView is the ownership of the shards as of the start of a cycle.
 type shardView struct {
 	fencingTokens map[int]uint64 // of this node's shards
 	revisions     map[int]uint64 // modification revisions of the ownership records of this node's shards
-	live          []bool         // by shard: its owner lives
+	live          []bool         // by shard: whether its owner is alive
 }
 
-// owns reports whether a shard is this node's.
+// owns reports whether this node owns a shard.
 func (v *shardView) owns(shard int) bool {
 	_, owned := v.fencingTokens[shard]
 	return owned
 }
 
-// inFlightUsage is what the tasks take whose bindings are decided but not yet in the cluster state.
+// inFlightUsage is the resources of tasks whose bindings are decided but not yet in the cluster state.
 type inFlightUsage struct {
 	byMachine  map[string]record.Resources
 	byTeam     map[int]map[string]record.Resources // by charged shard and team
 	tasksByJob map[string]int
 }
 
-// add counts a binding.
+// add adds the resources of a binding.
 func (u *inFlightUsage) add(binding pendingBinding) {
 	u.byMachine[binding.machine] = u.byMachine[binding.machine].Plus(binding.need)
 	teams := u.byTeam[binding.chargedShard]
@@ -65,19 +66,19 @@
 	u.tasksByJob[binding.task.JobID]++
 }
 
-// usage is what a team's tasks of a shard take, those in flight included.
+// usage returns the resources of a team's tasks that are charged to a shard, including tasks in flight.
 func (c *cycle) usage(shard int, team string) record.Resources {
 	return c.cluster.UsageByShard[shard][team].Plus(c.inFlight.byTeam[shard][team])
 }
 
-// preemptionProgress is what a cycle has done to make capacity by stopping tasks.
+// preemptionProgress records which tasks and machines a cycle has preempted tasks for.
 type preemptionProgress struct {
-	machines int                                        // on which tasks are stopped in this cycle
-	awaiting map[record.TaskRef]bool                    // tasks that others are stopped for
-	failed   [wire.PriorityCount]binpack.FailedRequests // requests for which nothing could be stopped anywhere, by rank
+	machines int                                        // number of machines on which this cycle stops tasks
+	awaiting map[record.TaskRef]bool                    // tasks for which other tasks are being stopped
+	failed   [wire.PriorityCount]binpack.FailedRequests // by rank: requests for which no task could be stopped
 }
 
-// newCycle begins a scheduling cycle at a time.
+// newCycle starts a scheduling cycle at the given time.
 func (e *Engine) newCycle(now time.Time) *cycle {
 	c := &cycle{
 		Engine: e,
@@ -100,7 +101,7 @@
 	}
 	for shard := range e.cluster.ShardCount {
 		c.inFlight.byTeam[shard] = map[string]record.Resources{}
-		c.viewShard(shard)
+		c.recordShardOwnership(shard)
 	}
 	for binding := range e.changes.bindings() {
 		c.inFlight.add(binding)
@@ -108,9 +109,9 @@
 	return c
 }
 
-// viewShard notes who owns a shard. A new owner hears of its machines at once rather than at their next
-// heartbeat.
-func (c *cycle) viewShard(shard int) {
+// recordShardOwnership records who owns a shard. When this node has just become the owner, it dispatches to the shard's machines
+// at once instead of at their next heartbeat.
+func (c *cycle) recordShardOwnership(shard int) {
 	_, c.shards.live[shard] = c.membership.OwnerOf(shard)
 	ownership, owned := c.membership.Ownership(shard)
 	if !owned {
@@ -128,16 +129,16 @@
 	}
 }
 
-// inBackground has a call made after the cycle, without waiting for it.
+// inBackground adds a call that is made after the cycle and that the cycle doesn't wait for.
 func (c *cycle) inBackground(call func(context.Context)) {
 	c.backgroundCalls = append(c.backgroundCalls, call)
 }
 
-// schedule places what waits: it brings the inventory up to date, orders the queue, and then goes
-// through its priorities one after the other. What is left over is the unmet demand.
+// schedule places waiting tasks: it refreshes the inventory, builds the queue and places its jobs one priority after
+// the other. Tasks that remain unplaced are the unmet demand.
 func (c *cycle) schedule() {
 	c.inventory = c.refreshInventory()
-	c.limitStarts()
+	c.throttleArrayStarts()
 	_, isLeader := c.membership.Ownership(record.LeaderShard)
 	c.collectsDemand = isLeader && c.now.Sub(c.demand.unmet.ComputedAt) >= tuning.DemandInterval
 	queue := c.buildQueue(c.inventory.HasFreeCapacity())
@@ -165,9 +166,9 @@
 	}
 }
 
-// limitStarts lets arrays start only every tuning.StoreSaturatedPlacementInterval while the key-value store's
-// budget is the bottleneck.
-func (c *cycle) limitStarts() {
+// throttleArrayStarts allows arrays to start only every tuning.StoreSaturatedPlacementInterval while the key-value store's
+// request budget is the bottleneck.
+func (c *cycle) throttleArrayStarts() {
 	if c.committer.QueueLength() < tuning.StoreSaturatedQueueLength ||
 		c.now.Sub(c.pace.lastArrayStart) > tuning.StoreSaturatedPlacementInterval {
 		c.pace.lastArrayStart = c.now
@@ -176,7 +177,7 @@
 	c.storeSaturated = true
 }
 
-// teamUsage is what each team's tasks take in all shards, those in flight included.
+// teamUsage returns the resources of each team's tasks in all shards, including tasks in flight.
 func (c *cycle) teamUsage() map[string]record.Resources {
 	usage := map[string]record.Resources{}
 	for shard := range c.cluster.ShardCount {
@@ -190,7 +191,7 @@
 	return usage
 }
 
-// samePriority counts the first jobs of a queue that have the same priority.
+// samePriority returns how many jobs at the head of a queue have the priority of the first one.
 func samePriority(queue []queuedJob) int {
 	count := 1
 	for count < len(queue) && queue[count].rank == queue[0].rank {
@@ -199,8 +200,8 @@
 	return count
 }
 
-// scheduleRank places the jobs of one priority: each first in its home shard, and what is left over
-// wherever there is capacity.
+// scheduleRank places the jobs of one priority. Each job is placed in its home shard first; its remaining tasks are
+// placed in any shard with capacity.
 func (c *cycle) scheduleRank(queue []queuedJob, usage map[string]record.Resources, unmet *UnmetDemand) {
 	for i := range queue {
 		c.countPlaceable(&queue[i], usage)
@@ -208,8 +209,8 @@
 			c.placeFirstReplica(&queue[i])
 		}
 	}
-	// Of work that is in no hurry, first comes what finds its image on a machine with capacity: to fetch
-	// it would take the machine's time.
+	// Among jobs that are not urgent, those whose image is already on a machine with capacity go first: fetching an
+	// image would take up the machine's time.
 	for i := range queue {
 		queued := &queue[i]
 		if !isHighPriority(queued.rank) && !queued.nearDeadline && !queued.key.MissesObjectives {
--- a/internal/scheduler/deadlines.go
+++ b/internal/scheduler/deadlines.go
@@ -11,20 +11,20 @@
 
 // Kinds of service-level objectives in the deployment's settings.
 const (
-	objectiveWait     = "wait"     // a time within which a task starts
-	objectiveDeadline = "deadline" // a multiple of the job's own deadline within which it is done
+	objectiveWait     = "wait"     // the time within which a task must start
+	objectiveDeadline = "deadline" // the multiple of the job's own deadline within which the job must be done
 )
 
-// objectiveTimes are the times by which a job should be over by its user's deadline, its class's objectives
-// and the jobs that need it, the earliest first; empty if there are none.
+// objectiveTimes returns the times by which a job should be done according to its user's deadline, its class's
+// objectives and the jobs that depend on it, earliest first. It returns none if the job has no objective.
 func (c *cycle) objectiveTimes(job *clusterstate.Job) []time.Time {
-	// A deadline counts from the submission, all else from when the job could start.
+	// A deadline counts from the submission, all other objectives from when the job could first start.
 	startable, runTime, objectives := job.ReadySince(), c.predictedRunTime(job), c.deadlineObjectives(job)
 	for _, objective := range c.settings.Deployment.Objectives {
 		switch {
 		case objective.Class != job.Spec.Class || objective.WithinS <= 0:
 		case objective.Kind == objectiveDeadline && job.Spec.DeadlineSeconds > 0 && objective.Times > 0:
-			// It is among the deadline objectives.
+			// deadlineObjectives includes this objective.
 		case objective.Kind == objectiveWait:
 			objectives = append(objectives, startable.Add(config.ToDuration(objective.WithinS)+runTime))
 		default:
@@ -38,8 +38,8 @@
 	return objectives
 }
 
-// deadlineObjectives are a job's own deadline and the multiples of it that its class's objectives name,
-// counted from its submission, the earliest first; empty without a deadline.
+// deadlineObjectives returns a job's own deadline and the multiples of it in its class's objectives, counted from its
+// submission, earliest first. It returns none if the job has no deadline.
 func (c *cycle) deadlineObjectives(job *clusterstate.Job) []time.Time {
 	if job.Spec.DeadlineSeconds <= 0 {
 		return nil
@@ -57,8 +57,8 @@
 	return deadlines
 }
 
-// firstReachable returns the first of some times by which a task that starts now can still be over, else the
-// last, and the slack that is left; negative if it would be late.
+// firstReachable returns the first of the objectives that a task started now can meet, or the last objective if it can
+// meet none, and the slack until that time. The slack is negative if the task would be late.
 func firstReachable(now time.Time, objectives []time.Time, runTime time.Duration) (at time.Time, slack time.Duration) {
 	for _, at = range objectives {
 		if slack = at.Sub(now) - runTime; slack >= 0 {
@@ -68,19 +68,19 @@
 	return at, slack
 }
 
-// jobDeadline is when a job should be over, as scheduling goes by it.
+// jobDeadline is the deadline by which scheduling orders a job.
 type jobDeadline struct {
 	at         time.Time
-	near       bool      // it can still be met, but little slack is left
-	validUntil time.Time // when it changes if nothing but time moves
+	near       bool      // the deadline can still be met, but little slack is left
+	validUntil time.Time // when the deadline changes if nothing but time passes
 }
 
-// effectiveDeadline is the next of a job's objectives that can still be met, with the capacity there is if
-// that was assessed, else the last.
+// effectiveDeadline returns the first objective of a job that it can still meet, given the available capacity if that
+// was assessed. If the job can meet none, it returns the last one.
 func (c *cycle) effectiveDeadline(job *clusterstate.Job) jobDeadline {
-	runTime, objectives, never := c.predictedRunTime(job), c.objectiveTimes(job), c.now.Add(tuning.DefaultDeadline)
+	runTime, objectives, farFuture := c.predictedRunTime(job), c.objectiveTimes(job), c.now.Add(tuning.DefaultDeadline)
 	if len(objectives) == 0 {
-		return jobDeadline{at: job.ReadySince().Add(tuning.DefaultDeadline), validUntil: never}
+		return jobDeadline{at: job.ReadySince().Add(tuning.DefaultDeadline), validUntil: farFuture}
 	}
 	if first, ok := c.order.objectives.attainable[job.Spec.ID]; ok {
 		if i := slices.IndexFunc(objectives, func(at time.Time) bool { return !at.Before(first) }); i > 0 {
@@ -91,7 +91,7 @@
 	guardTime := max(tuning.MinDeadlineSlack, time.Duration(tuning.DeadlineSlackShare*float64(runTime)))
 	switch {
 	case slack < 0 || c.order.objectives.unattainable[job.Spec.ID]:
-		return jobDeadline{at: deadline, validUntil: never}
+		return jobDeadline{at: deadline, validUntil: farFuture}
 	case slack < guardTime:
 		return jobDeadline{at: deadline, near: true, validUntil: c.now.Add(slack)}
 	default:
@@ -99,13 +99,13 @@
 	}
 }
 
-// predictedRunTime is how long a task of a job is expected to run, by the runs seen of its class and its
+// predictedRunTime returns the expected run time of a job's tasks, from earlier runs of the job's class and the
 // owner's estimate.
 func (c *cycle) predictedRunTime(job *clusterstate.Job) time.Duration {
 	return config.ToDuration(c.learning.runTimes.ExpectedRunSeconds(job.Spec.Class, job.Spec.RuntimeEstimateSeconds))
 }
 
-// estimatedRunTime is how long a task of a job runs by its owner's estimate, or as predicted without one.
+// estimatedRunTime returns the owner's estimate of the run time of a job's tasks, or predictedRunTime without one.
 func (c *cycle) estimatedRunTime(job *clusterstate.Job) time.Duration {
 	if job.Spec.RuntimeEstimateSeconds > 0 {
 		return config.ToDuration(job.Spec.RuntimeEstimateSeconds)
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -13,48 +13,48 @@
 	"sableusher/internal/wire"
 )
 
-// UnplacedGroup is a number of like tasks for which a cycle found no capacity.
+// UnplacedGroup is a number of identical tasks of a job for which a cycle found no capacity.
 type UnplacedGroup struct {
 	Spec        *wire.JobSpec
 	Count       int
-	Zone        string    // where the rest of its tasks have capacity, if they must be together
-	Rank        int       // of its priority, or of that of a job that needs it
-	SubmittedAt time.Time // or when the job could first start
+	Zone        string    // the zone of the job's other tasks, if all its tasks must be in one zone
+	Rank        int       // of the job's priority, or of the higher priority of a job that depends on it
+	SubmittedAt time.Time // or when the job could first start, if that is later
 }
 
-// UnmetDemand is what a cycle could not place, and the capacity it had no use for.
+// UnmetDemand is the tasks that a cycle could not place, and the capacity that it left unused.
 type UnmetDemand struct {
 	Groups        []UnplacedGroup
-	IdleMachines  []string              // machines, up or booting, that no task uses or waits for
-	SpareOnDemand binpack.SpareCapacity // of ordinary machines
+	IdleMachines  []string              // machines, up or booting, that have no task and are not planned for any
+	SpareOnDemand binpack.SpareCapacity // of on-demand machines
 	SpareSpot     binpack.SpareCapacity // of spot machines
 	ComputedAt    time.Time
-	// CommonTask is what a common task needs, if some of that work found no capacity: machines too small
-	// for it then keep small tasks off those that are large enough.
+	// CommonTask is the resources of a common task if tasks of at least that size found no capacity, else zero. Small
+	// tasks are then placed on machines that are too small for a common task.
 	CommonTask record.Resources
 }
 
-// demandState is what is kept of the demand between cycles.
+// demandState is the part of the demand that is kept between cycles.
 type demandState struct {
-	// unmet is the last account for the autoscaler. Only the leader's is kept up to date.
+	// unmet is the latest unmet demand for the autoscaler. Only the leader updates it.
 	unmet UnmetDemand
-	// unplacedSince is since when a job finds no capacity for a task.
+	// unplacedSince holds, by job ID, since when a job has found no capacity for one of its tasks.
 	unplacedSince map[string]time.Time
-	// lastServiceShortage is when a service last found none.
+	// lastServiceShortage is when a service last found no capacity.
 	lastServiceShortage time.Time
-	// needPerGPU is what work on GPUs takes of the rest of a machine for each GPU.
+	// needPerGPU is the CPUs and memory that GPU tasks need for each GPU.
 	needPerGPU record.Resources
-	// commonTask is what a task of the work that asks for most cores needs; zero where work uses GPUs.
+	// commonTask is the resources of a common task, see updateCommonTask. It is zero while any job uses GPUs.
 	commonTask   record.Resources
-	commonTaskAt time.Time
+	commonTaskAt time.Time // when commonTask was last set
 }
 
 func newDemandState() demandState {
 	return demandState{unplacedSince: map[string]time.Time{}}
 }
 
-// noteUnplaced notes that a job found no capacity for a task.
-func (d *demandState) noteUnplaced(job *clusterstate.Job, now time.Time) {
+// recordUnplaced records that a job found no capacity for a task.
+func (d *demandState) recordUnplaced(job *clusterstate.Job, now time.Time) {
 	if _, ok := d.unplacedSince[job.Spec.ID]; !ok {
 		d.unplacedSince[job.Spec.ID] = now
 	}
@@ -63,15 +63,15 @@
 	}
 }
 
-// prune drops what is kept of jobs that are over or have nothing to place.
+// prune drops the entries of jobs that have ended or have no pending task.
 func (d *demandState) prune(jobs map[string]*clusterstate.Job) {
 	maps.DeleteFunc(d.unplacedSince, func(id string, _ time.Time) bool {
 		return jobs[id] == nil || jobs[id].PendingCount() == 0
 	})
 }
 
-// updateNeedPerGPU finds what work on GPUs takes of the rest of a machine for each GPU: the
-// most that a gang or a service takes, and what arrays take on average.
+// updateNeedPerGPU computes the CPUs and memory that GPU tasks need for each GPU: the maximum over gangs and services,
+// where arrays count with their mean.
 func (d *demandState) updateNeedPerGPU(jobs map[string]*clusterstate.Job) {
 	var most, arrays record.Resources
 	for _, job := range jobs {
@@ -92,15 +92,15 @@
 	d.needPerGPU = most
 }
 
-// jobCores is what a task of a job needs and the cores of all its unfinished tasks.
+// jobCores is the resources of one task of a job, and the cores of all its unfinished tasks together.
 type jobCores struct {
 	need  record.Resources
 	cores float64
 }
 
-// updateCommonTask finds what a common task needs: half of all cores that are asked for or in use are
-// for tasks of at least that size. It stays for a while when that work is over, as the next is likely
-// to be alike.
+// updateCommonTask determines the size of a common task: the largest size such that tasks of at least that size have
+// half of all cores that are requested or in use. When the work of that size ends, the size is kept for
+// tuning.CommonTaskRetention, because later work is likely to be similar.
 func (d *demandState) updateCommonTask(jobs map[string]*clusterstate.Job, now time.Time) {
 	var list []jobCores
 	total := 0.0
@@ -110,7 +110,7 @@
 		}
 		need := record.TaskResources(&job.Spec)
 		if need.GPUs != 0 {
-			d.commonTask, d.commonTaskAt = record.Resources{}, now // GPUs are what is scarce here
+			d.commonTask, d.commonTaskAt = record.Resources{}, now // GPUs are the scarce resource
 			return
 		}
 		cores := need.CPUs * float64(job.Spec.TaskCount-job.DoneCount)
@@ -125,7 +125,7 @@
 		if sum += job.cores; 2*sum < total || total <= 0 {
 			continue
 		}
-		if job.need.CPUs >= d.commonTask.CPUs || now.Sub(d.commonTaskAt) > tuning.CommonTaskHold {
+		if job.need.CPUs >= d.commonTask.CPUs || now.Sub(d.commonTaskAt) > tuning.CommonTaskRetention {
 			d.commonTask, d.commonTaskAt = job.need, now
 		}
 		return
--- a/internal/scheduler/demand_test.go
+++ b/internal/scheduler/demand_test.go
@@ -10,14 +10,14 @@
 	"sableusher/internal/wire"
 )
 
-// startableJob is a job that may start, with tasks of some cores and GPUs.
+// startableJob returns a job that may start, with tasks of the given cores and GPUs.
 func startableJob(id string, kind wire.JobKind, tasks int, cpus, gpus float64) *clusterstate.Job {
 	spec := wire.JobSpec{ID: id, Kind: kind, TaskCount: tasks, CPUs: cpus, GPUs: gpus, MemoryGB: 2 * cpus}
 	return &clusterstate.Job{Job: record.Job{Spec: spec}, HasRecord: true}
 }
 
-// TestCommonTaskIsHalfOfAllCores: half of all cores asked for are for tasks of at least the common size; it stays
-// for tuning.CommonTaskHold when larger work is over, and there is none beside work on GPUs.
+// TestCommonTaskIsHalfOfAllCores checks that tasks of at least the common size have half of all requested cores, that
+// the size is kept for tuning.CommonTaskRetention after larger work has ended, and that it is zero beside GPU work.
 func TestCommonTaskIsHalfOfAllCores(t *testing.T) {
 	demand := newDemandState()
 	small := startableJob("small", wire.KindArray, 100, 1, 0)
@@ -27,25 +27,25 @@
 	check := func(when string, cpus float64) {
 		t.Helper()
 		if demand.commonTask.CPUs != cpus {
-			t.Errorf("%s: a common task takes %v cores, want %v", when, demand.commonTask.CPUs, cpus)
+			t.Errorf("%s: a common task needs %v cores, want %v", when, demand.commonTask.CPUs, cpus)
 		}
 	}
 	now := testNow
 	demand.updateCommonTask(jobs, now)
 	check("large and huge have 224 of 324 cores", 8)
 	delete(jobs, "large")
-	now = now.Add(tuning.CommonTaskHold)
+	now = now.Add(tuning.CommonTaskRetention)
 	demand.updateCommonTask(jobs, now)
-	check("large is over", 8)
+	check("large has just ended", 8)
 	demand.updateCommonTask(jobs, now.Add(1))
-	check("large has been over for long", 1)
+	check("large ended longer ago than the retention", 1)
 	jobs["gpu"] = startableJob("gpu", wire.KindGang, 1, 8, 1)
 	demand.updateCommonTask(jobs, now.Add(1))
-	check("work on GPUs", 0)
+	check("GPU work", 0)
 }
 
-// TestNeedPerGPUIsMostOfGangsAndMeanOfArrays: a gang or a service counts with what it takes for each GPU, arrays
-// with what they take on average.
+// TestNeedPerGPUIsMostOfGangsAndMeanOfArrays checks that gangs and services count with their own need for each GPU and
+// arrays with the mean need of all arrays.
 func TestNeedPerGPUIsMostOfGangsAndMeanOfArrays(t *testing.T) {
 	demand := newDemandState()
 	jobs := map[string]*clusterstate.Job{
@@ -60,30 +60,30 @@
 	jobs["d"] = startableJob("d", wire.KindGang, 1, 40, 4)
 	demand.updateNeedPerGPU(jobs)
 	if got, want := demand.needPerGPU, (record.Resources{CPUs: 10, MemoryGB: 20}); got != want {
-		t.Errorf("a gang beside them needs %v, want %v", got, want)
+		t.Errorf("with a gang the need for each GPU is %v, want %v", got, want)
 	}
 }
 
-// TestUnplacedJobsAreKeptWhileTheyWait: a job counts as unplaced since it was first noted, until it is over or has
-// nothing to place; a service that found no capacity is remembered beside it.
+// TestUnplacedJobsAreKeptWhileTheyWait checks that a job counts as unplaced from when it was first recorded until it
+// ends or has no pending task, and that the last time at which a service found no capacity is recorded too.
 func TestUnplacedJobsAreKeptWhileTheyWait(t *testing.T) {
 	demand := newDemandState()
 	array := startableJob("array", wire.KindArray, 1, 1, 0)
 	service := startableJob("service", wire.KindService, 1, 1, 0)
-	demand.noteUnplaced(array, testNow)
-	demand.noteUnplaced(array, testNow.Add(time.Second))
+	demand.recordUnplaced(array, testNow)
+	demand.recordUnplaced(array, testNow.Add(time.Second))
 	if since := demand.unplacedSince["array"]; since != testNow || !demand.lastServiceShortage.IsZero() {
-		t.Errorf("unplaced since %v, services since %v", since, demand.lastServiceShortage)
+		t.Errorf("unplaced since %v, last service shortage %v", since, demand.lastServiceShortage)
 	}
-	demand.noteUnplaced(service, testNow.Add(1))
+	demand.recordUnplaced(service, testNow.Add(1))
 	if demand.lastServiceShortage != testNow.Add(1) {
-		t.Errorf("services found no capacity at %v", demand.lastServiceShortage)
+		t.Errorf("last service shortage at %v", demand.lastServiceShortage)
 	}
 	array.BoundCount = 1
 	if demand.prune(map[string]*clusterstate.Job{"array": array, "service": service}); len(demand.unplacedSince) != 1 {
-		t.Errorf("kept %v, want the service alone", demand.unplacedSince)
+		t.Errorf("kept %v, want the service only", demand.unplacedSince)
 	}
 	if demand.prune(nil); len(demand.unplacedSince) != 0 {
-		t.Errorf("kept %v of jobs that are over", demand.unplacedSince)
+		t.Errorf("kept %v of jobs that have ended", demand.unplacedSince)
 	}
 }
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -11,14 +11,14 @@
 	"sableusher/internal/wire"
 )
 
-// countPlaceable finds how many tasks of a job may be placed in this cycle: those that wait for nothing
-// else, as far as its team's limit allows. It adds them to the team's usage.
+// countPlaceable sets how many tasks of a job may be placed in this cycle: its pending tasks that are neither in
+// flight nor in retry backoff, up to its team's limit. It adds them to the team's usage.
 func (c *cycle) countPlaceable(queued *queuedJob, usage map[string]record.Resources) {
 	job, spec := queued.job, &queued.job.Spec
 	retrying := c.countRetryBackoffs(job)
 	queued.Remaining = max(0, job.PendingCount()-c.inFlight.tasksByJob[spec.ID]-retrying)
 	if c.failingJobs[spec.ID] || retrying > 0 && spec.Kind == wire.KindGang {
-		queued.Remaining = 0 // all or none
+		queued.Remaining = 0 // a gang starts with all of its tasks or not at all
 	}
 	queued.deferred = c.storeSaturated && !isHighPriority(queued.rank)
 	if limit, ok := c.quota.Limit(spec.Team); ok {
@@ -27,13 +27,13 @@
 	usage[spec.Team] = usage[spec.Team].PlusTimes(queued.Need, float64(queued.Remaining))
 }
 
-// applyTeamLimit lowers how many tasks of a job may be placed to what its team's limit leaves.
+// applyTeamLimit reduces the number of a job's tasks that may be placed to what its team's limit allows.
 func (c *cycle) applyTeamLimit(
 	queued *queuedJob, limit record.Resources, usage map[string]record.Resources,
 ) {
 	job, spec := queued.job, &queued.job.Spec
 	open := limit.Minus(usage[spec.Team])
-	open.MemoryGB = tuning.MaxAmount * tuning.MaxTasksPerJob // limits are of cores and GPUs
+	open.MemoryGB = tuning.MaxAmount * tuning.MaxTasksPerJob // limits cover cores and GPUs, not memory
 	allowed := binpack.TasksThatFit(queued.Need, open)
 	if allowed >= queued.Remaining {
 		return
@@ -45,11 +45,11 @@
 	}
 	queued.Remaining = 0
 	if c.now.Sub(job.ReadySince()) > tuning.ScaleOutOverrideAfter {
-		usage[spec.Team] = limit // narrower ones would keep a wide one out for ever
+		usage[spec.Team] = limit // otherwise smaller jobs of the team could keep a large gang waiting forever
 	}
 }
 
-// countRetryBackoffs counts the failed tasks of a job that are not to be retried yet.
+// countRetryBackoffs returns how many failed tasks of a job are still in retry backoff.
 func (c *cycle) countRetryBackoffs(job *clusterstate.Job) int {
 	count := 0
 	for taskIndex := range job.PendingRetries {
@@ -60,23 +60,22 @@
 	return count
 }
 
-// inRetryBackoff reports whether a task that failed is not to be retried yet.
+// inRetryBackoff reports whether a failed task may not be retried yet.
 func (c *cycle) inRetryBackoff(job *clusterstate.Job, taskIndex int) bool {
 	retry, ok := job.PendingRetries[taskIndex]
 	return ok && c.now.Sub(retry.SeenAt) < c.retryRules.Backoff(job.Spec.Class, retry.Failures)
 }
 
-// holdsStartRight reports whether the right to start a job is with this cell as it is now (safety
-// invariant 17): a guest that was taken under an earlier epoch may have been released since, in writes
-// that are lost; and a cell that lost writes starts nothing before it knows what the others hold of
-// its own.
+// holdsStartRight reports whether this cell, in its current epoch, may start a job (safety invariant 17). It may not
+// start an offloaded job that it accepted in an earlier epoch: that job may have been released since, in writes that
+// were lost. A cell that has lost writes starts none of its own jobs until it knows which of them the other cells hold.
 func (c *cycle) holdsStartRight(job *clusterstate.Job) bool {
 	epoch := c.operator.CellEpoch
 	if job.OffloadedFrom != nil {
 		return epoch > 0 && job.OffloadedFrom.Epoch == epoch
 	}
 	if epoch <= 1 {
-		return true // it has lost nothing yet
+		return true // a cell in its first epoch has lost no writes
 	}
 	for _, cell := range c.operator.Cells {
 		if other := c.cluster.Cells[cell.Name]; other == nil || other.OwnEpoch != epoch || !other.InventoryReceived {
@@ -86,8 +85,8 @@
 	return true
 }
 
-// chunkToPlace is the chunk of a job whose tasks are placed in this cycle: where the tasks of each
-// chunk must be spread over zones, the first in which one waits.
+// chunkToPlace returns the chunk of a job whose tasks are placed in this cycle. If the tasks of each chunk must be
+// spread over zones, it is the first chunk with a pending task.
 func (c *cycle) chunkToPlace(job *clusterstate.Job) int {
 	if !job.Spec.Spread {
 		return 0
@@ -100,8 +99,8 @@
 	return 0
 }
 
-// zoneConstraint is where the tasks of a chunk may stand, by what its job asks for and where its tasks
-// already are.
+// zoneConstraint returns the zones in which the tasks of a chunk may be placed, given the job's requirements and the
+// zones of its bound tasks.
 func (c *cycle) zoneConstraint(job *clusterstate.Job, chunk int) binpack.ZoneConstraint {
 	zones := binpack.ZoneConstraint{TasksByZone: map[string]int{}, PlacementKnown: true, MaxPerZone: math.MaxInt}
 	if job.Spec.Spread {
@@ -131,8 +130,8 @@
 	return zones
 }
 
-// inTrustedZones returns those of some machines whose zones are trusted with services; all of them if
-// there is none, as a replica in a zone that may be lost again is better than none.
+// inTrustedZones returns the candidates in zones that are trusted with services. If there is none, it returns all
+// candidates, because a replica in a zone that may fail again is better than none.
 func (c *cycle) inTrustedZones(candidates []*binpack.MachineInfo) []*binpack.MachineInfo {
 	trusted := slices.DeleteFunc(slices.Clone(candidates), func(candidate *binpack.MachineInfo) bool {
 		return !c.failureDetector.Zones().Trusted(candidate.Machine.Zone)
--- a/internal/scheduler/objectives_test.go
+++ b/internal/scheduler/objectives_test.go
@@ -27,7 +27,7 @@
 		drawArrays(t, cluster)
 		cluster.cluster.RLock()
 		defer cluster.cluster.RUnlock()
-		second := rapid.IntRange(0, tuning.FairShareTurnSeconds-1).Draw(t, "second")
+		second := rapid.IntRange(0, tuning.FairShareRoundSeconds-1).Draw(t, "second")
 		c := engine.newCycle(testNow.Add(time.Duration(second) * time.Second))
 		c.inventory = c.refreshInventory()
 		queue := c.buildQueue(true)
--- a/internal/scheduler/precedence.go
+++ b/internal/scheduler/precedence.go
@@ -37,7 +37,7 @@
 // serviceCapacityScarce reports whether services have found no capacity of late, as after the loss of a zone.
 // Then one replica of each starts before the second of any, and those with the fewest left go first.
 func (c *cycle) serviceCapacityScarce() bool {
-	return c.now.Sub(c.demand.lastServiceShortage) < tuning.ServiceShortageHold
+	return c.now.Sub(c.demand.lastServiceShortage) < tuning.ServiceShortageWindow
 }
 
 // nearLastObjective reports whether an array has to start soon to meet the last of its objectives, which it
@@ -52,7 +52,7 @@
 	return slack >= 0 && slack < max(runTime, tuning.MinObjectiveUrgentSlack)
 }
 
-// turn is a second of the cycle of tuning.FairShareTurnSeconds in which certain arrays come first while capacity is
+// turn is a second of the cycle of tuning.FairShareRoundSeconds in which certain arrays come first while capacity is
 // short. All nodes find the same turn by the clock.
 type turn int64
 
@@ -60,7 +60,7 @@
 	turnOfClasses      turn = 0 // arrays of underserved classes
 	turnOfTeams        turn = 1 // arrays of underserved teams
 	turnOfClassesAgain turn = 2 // classes have two turns, as they differ most
-	turnOfOverdue      turn = tuning.FairShareTurnSeconds - 1
+	turnOfOverdue      turn = tuning.FairShareRoundSeconds - 1
 )
 
 // String names a turn for messages.
@@ -76,7 +76,7 @@
 }
 
 // currentTurn is the turn at the time of the cycle.
-func (c *cycle) currentTurn() turn { return turn(c.now.Unix() % tuning.FairShareTurnSeconds) }
+func (c *cycle) currentTurn() turn { return turn(c.now.Unix() % tuning.FairShareRoundSeconds) }
 
 // hasUnderservedTurn reports whether it is the turn of an array whose class or team has had least of what is
 // due while capacity is short. By size alone a class of large arrays would wait for as long as smaller ones
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -63,7 +63,7 @@
 	return true
 }
 
-// shardRotation moves the shard in which capacity is freed first for urgent work, every tuning.PreemptShardTurn that it
+// shardRotation moves the shard in which capacity is freed first for urgent work, every tuning.PreemptShardInterval that it
 // finds none: the owner of a shard may know that machines are not to be had which other nodes take for ready, and all
 // would wait for it. It counts from when the work first found none: by the clock alone the turns would pass in the
 // midst of stops, and capacity would be freed twice.
@@ -72,7 +72,7 @@
 	if !ok || !isHighPriority(queued.rank) {
 		return 0
 	}
-	return int(c.now.Sub(since) / tuning.PreemptShardTurn)
+	return int(c.now.Sub(since) / tuning.PreemptShardInterval)
 }
 
 // countReservedZones counts, with a job's tasks, the machines on which capacity is being freed for it.
@@ -139,7 +139,7 @@
 	machine := plan.Machine.Machine.Name
 	c.preempting.machines++
 	c.inventory.ReserveAll(plan.Machine, task.JobID)
-	c.reservations.reserve(machine, task, c.now.Add(tuning.ReservationHold))
+	c.reservations.reserve(machine, task, c.now.Add(tuning.ReservationTimeout))
 	c.preempting.awaiting[task] = true
 	for _, victim := range plan.Victims {
 		spec := &victim.Binding.Job.Spec
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -145,7 +145,7 @@
 		return
 	}
 	c.logWaiting(job, waitCapacity, nil)
-	c.demand.noteUnplaced(job, c.now)
+	c.demand.recordUnplaced(job, c.now)
 	// What is expected on booting machines takes no zone from what is preempted for it meanwhile:
 	// services that are spread once waited for boots in the midst of arrays.
 	missing, preemptionZones := queued.Remaining, zones.Clone()
--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -4,125 +4,132 @@
 
 // Scheduling cycles.
 const (
-	// CycleMinInterval is the shortest time between two scheduling cycles.
+	// CycleMinInterval is the minimum time between two scheduling cycles of a fleet of up to
+	// CycleMinIntervalMachines machines.
 	CycleMinInterval = 80 * time.Millisecond
-	// CycleMinIntervalMachines is the fleet up to which that holds; beyond it the gap grows in proportion, so that
-	// cycles of a fleet of any size take the same share of a core, and CycleMinIntervalMax bounds it: a service
-	// that is to start within seconds waits for one.
+	// CycleMinIntervalMachines is the number of machines above which the minimum interval grows in proportion to the
+	// fleet, so that the cycles of a fleet of any size take the same share of a core. CycleMinIntervalMax bounds that
+	// growth, because a service that has to start within seconds waits for a cycle.
 	CycleMinIntervalMachines = 600
 	CycleMinIntervalMax      = 400 * time.Millisecond
-	// CycleIdleInterval is the longest.
+	// CycleIdleInterval is the time after which a scheduling cycle runs even if nothing has changed.
 	CycleIdleInterval = 500 * time.Millisecond
-	// CycleRestFactor is how many times as long as a cycle took the next one waits at least, so that cycles take at
-	// most a fifth of the processor.
+	// CycleRestFactor is the minimum pause after a scheduling cycle, as a multiple of the cycle's duration: cycles
+	// take at most a fifth of the processor.
 	CycleRestFactor = 4
-	// DemandInterval is the shortest time between two reports of unmet demand and spare capacity; the autoscaler
-	// looks at them every AutoscalerInterval.
+	// DemandInterval is the minimum time between two updates of the unmet demand and the spare capacity. The
+	// autoscaler reads them every AutoscalerInterval.
 	DemandInterval = 250 * time.Millisecond
-	// ImageHoldersMaxAge is how long the index of images by machine is kept. What is bound there is known from the
-	// records at once; this is about what ran before.
+	// ImageHoldersMaxAge is the maximum age of the index of the images on this node's machines. It matters only for
+	// the images of earlier tasks: the images of bound tasks are always taken from the current records.
 	ImageHoldersMaxAge = time.Second
-	// GuaranteeInterval is how often it is computed anew which jobs lie within their team's guarantee.
+	// GuaranteeInterval is the interval at which the jobs within their team's guarantee are determined again.
 	GuaranteeInterval = 250 * time.Millisecond
-	// MinObjectiveUrgentSlack is the slack, at least, from which on an array goes first that can only just be in
-	// time for its last objective: its tasks start over some cycles and fetch their image.
+	// MinObjectiveUrgentSlack is the lower bound of the slack below which an array that can still meet its last
+	// objective goes before arrays of all sizes. Its tasks need that time, because they start over several cycles and
+	// fetch their image.
 	MinObjectiveUrgentSlack = 30 * time.Second
-	// ObjectiveInterval is how often it is computed anew which arrays can meet their objectives: a job that comes
-	// in between counts as one that can.
+	// ObjectiveInterval is the interval at which the objectives that waiting arrays can meet are assessed. An array
+	// that arrives between two assessments is assumed to meet its objectives.
 	ObjectiveInterval = time.Second
-	// OverdueJobAge is how long an array that can't be in time for anything waits before it has a share of the
-	// starts: a few times the longest of its objectives as deployments set them.
+	// OverdueJobAge is the time for which an array that can meet none of its objectives waits before some of the
+	// starts are reserved for it: a few times the longest objective that deployments set.
 	OverdueJobAge = 5 * time.Minute
-	// FairShareTurnSeconds is how many seconds make a round of turns: the last is for overdue jobs, the others are
-	// for classes and teams that are underserved.
-	FairShareTurnSeconds = 4
-	// FairShareWindow is for how long arrivals are counted for the fair share of classes and teams, a few times the
-	// longest objectives; FairShareMaxJobs bounds how many are kept, a few MB.
+	// FairShareRoundSeconds is the number of one-second time slots in a fair-share round. The last slot of a round
+	// is for overdue arrays, the others are for underserved classes and teams.
+	FairShareRoundSeconds = 4
+	// FairShareWindow is the time for which arrivals count towards the fair share of classes and teams: a few times
+	// the longest objective. FairShareMaxJobs bounds the number of arrivals that are kept, which take a few MB.
 	FairShareWindow  = 5 * time.Minute
 	FairShareMaxJobs = 20_000
-	// FairShareMinServed is the share of what arrived below which a class or team is underserved, with some
-	// distance to the half that is the least that anybody may be served, if it is also below
-	// FairShareMinRelativeServed of what all together were served.
+	// FairShareMinServed is the served share of the arrived tasks below which a class or team counts as underserved,
+	// if its share is also below FairShareMinRelativeServed times the share of all classes and teams together. It
+	// leaves a margin above one half, the smallest share that any class or team may be served.
 	FairShareMinServed         = 0.65
 	FairShareMinRelativeServed = 0.9
-	// ServiceShortageHold is for how long after a service found no room the services with the fewest replicas left
-	// go first: longer than it takes until capacity that is being freed for one is empty.
-	ServiceShortageHold = 5 * time.Second
-	// QueueReorderInterval is how often all waiting jobs are ordered anew: estimates of run times, by which
-	// deadlines become close, move with each task that completes.
+	// ServiceShortageWindow is the time after a service found no capacity during which services with the fewest
+	// running replicas go first. It is longer than freeing capacity for a service takes.
+	ServiceShortageWindow = 5 * time.Second
+	// QueueReorderInterval is the interval at which the keys of all waiting jobs are computed again: run time
+	// estimates, which decide when a deadline is near, change with each task that completes.
 	QueueReorderInterval = 2 * time.Second
-	// SweepInterval is the interval at which all machines of a node are looked at; between sweeps only those of
-	// which something new is known.
+	// SweepInterval is the interval at which a node examines all of its machines. Between sweeps it examines only
+	// machines with changes.
 	SweepInterval = time.Second
-	// FailedRequestsKept is how many requests that found no capacity a cycle remembers.
+	// FailedRequestsKept is the maximum number of requests without capacity that a cycle remembers.
 	FailedRequestsKept = 64
-	// PreemptTasksPerJob is how many tasks of a job one cycle frees capacity for.
+	// PreemptTasksPerJob is the maximum number of a job's tasks for which one cycle frees capacity.
 	PreemptTasksPerJob = 8
-	// PreemptMachinesCompared is how many machines are compared for it.
+	// PreemptMachinesCompared is the maximum number of machines that are compared to find the cheapest preemption for
+	// a task.
 	PreemptMachinesCompared = 24
-	// PreemptMachinesPerCycle bounds the machines on which one cycle frees capacity.
+	// PreemptMachinesPerCycle is the maximum number of machines on which one cycle frees capacity.
 	PreemptMachinesPerCycle = 16
-	// BootOverdueFactor is how many nominal boot times a machine may take before others are rented rather than
-	// waiting for it.
+	// BootOverdueFactor is the time, as a multiple of the nominal boot time, after which the autoscaler no longer
+	// counts on a machine that has not come up and rents others instead.
 	BootOverdueFactor = 1.8
-	// MinBootOverdue is the least such time.
+	// MinBootOverdue is the lower bound of that time.
 	MinBootOverdue = 15 * time.Second
-	// HomeShardHold is how long a task is left to its home shard before any shard may take it.
+	// HomeShardHold is the time for which only the owner of a task's home shard may place the task; after that any
+	// shard's owner may.
 	HomeShardHold = 600 * time.Millisecond
-	// HomeShardHoldUnderShortage is the same for arrays where capacity is short: in each shard some is released
-	// several times a second, and a second writer of a record costs more than the wait.
+	// HomeShardHoldUnderShortage replaces HomeShardHold for arrays while capacity is short. Each shard then has
+	// capacity released several times a second, and a second writer of a job's record costs more than the wait.
 	HomeShardHoldUnderShortage = 5 * time.Second
-	// BindingsPerCycle bounds the tasks bound in one cycle.
+	// BindingsPerCycle is the maximum number of tasks bound in one cycle.
 	BindingsPerCycle = 96
-	// CommonTaskHold is for how long small tasks make room for common ones after the last of those: some minutes,
-	// as long as a burst and the quiet after it.
-	CommonTaskHold = 5 * time.Minute
-	// StoreSaturatedQueueLength is how many changes wait for the key-value store's budget when it counts as the
-	// bottleneck: then arrays are placed StoreSaturatedPlacementInterval at a time, so that one write binds many
-	// tasks.
+	// CommonTaskRetention is the time for which the size of a common task is kept after work of that size has ended:
+	// some minutes, which cover a burst and the quiet period after it.
+	CommonTaskRetention = 5 * time.Minute
+	// StoreSaturatedQueueLength is the number of changes waiting for the key-value store's request budget from which
+	// on the store counts as saturated. Arrays are then placed only every StoreSaturatedPlacementInterval, so that one
+	// write binds many tasks.
 	StoreSaturatedQueueLength       = 12
 	StoreSaturatedPlacementInterval = 700 * time.Millisecond
-	// BootLikelyFactor is how many nominal boot times after its rental another node's machine is taken for up,
-	// though its record does not say so yet.
+	// BootLikelyFactor is the time after a machine's rental, as a multiple of the nominal boot time, from which on
+	// another node's machine is assumed to be up although its record does not say so yet.
 	BootLikelyFactor = 1.3
-	// MinJobBackoff and MaxJobBackoff pace the restarts of a task that fails on several machines.
+	// MinJobBackoff and MaxJobBackoff bound the backoff of a job whose tasks fail on several machines.
 	MinJobBackoff = 2 * time.Second
 	MaxJobBackoff = 60 * time.Second
-	// MaxClassRetries is the most that a class may allow: beyond it a task that fails for good would take machines
-	// for days.
+	// MaxClassRetries is the maximum number of retries that a class may allow: with more, a task that always fails
+	// would occupy machines for days.
 	MaxClassRetries = 1000
-	// MaxRetryPauseSeconds is the longest pause between retries, in seconds.
+	// MaxRetryPauseSeconds is the maximum pause between two retries, in seconds.
 	MaxRetryPauseSeconds = 86400
-	// MaxOperatorClasses bounds the classes of the operators' file.
+	// MaxOperatorClasses is the maximum number of classes in the operators' file.
 	MaxOperatorClasses = 256
-	// RejectedRecordPause is how long a record is left alone that the key-value store refused as malformed, which
-	// it does with one over a limit that fell early.
+	// RejectedRecordPause is the time for which a record is not changed again after the key-value store rejected a
+	// change of it as malformed. The store also rejects a change that exceeds a limit that was lowered early.
 	RejectedRecordPause = 2 * time.Second
-	// PreemptMinRemainingRun is the expected run time below which an array's tasks make room by themselves sooner
-	// than a stop pays: that costs a save, a start elsewhere, a fetch and the work since the last save.
+	// PreemptMinRemainingRun is the expected run time below which an array's tasks are not preempted: they end sooner
+	// than a preemption pays off, which costs a checkpoint, a start elsewhere, an image fetch and the work since the
+	// last checkpoint.
 	PreemptMinRemainingRun = 3 * time.Minute
-	// PreemptShardTurn is for how long one shard alone may free capacity for urgent work: longer than a stop, its
-	// heartbeat and the change of the records take as a rule.
-	PreemptShardTurn = 4 * time.Second
-	// ReservationHold is how long capacity freed for a task is kept for it.
-	ReservationHold = 12 * time.Second
-	// GangFormTimeout is how long a gang may take to be bound whole before it is withdrawn.
+	// PreemptShardInterval is the time for which only one shard frees capacity for an urgent task before the next
+	// shard is tried. It is longer than a stop, the heartbeat that reports it and the record change usually take.
+	PreemptShardInterval = 4 * time.Second
+	// ReservationTimeout is the time for which capacity freed for a task stays reserved for it.
+	ReservationTimeout = 12 * time.Second
+	// GangFormTimeout is the time within which all tasks of a gang must be bound; otherwise the attempt is stopped.
 	GangFormTimeout = 6 * time.Second
-	// GangFormTimeoutPerTask is added to it for each task, as one cycle binds a part of a long gang.
+	// GangFormTimeoutPerTask is added to GangFormTimeout for each task of the gang, because one cycle binds only a part
+	// of a large gang.
 	GangFormTimeoutPerTask = 2 * time.Millisecond
-	// GangRecordsPerTxn is how many records of a gang are bound in one transaction: at some 6 KiB each they stay
-	// within its size.
+	// GangRecordsPerTxn is the maximum number of a gang's records that one transaction changes. With about 6 KiB per
+	// record, it stays below the size limit of a transaction.
 	GangRecordsPerTxn = 4
-	// TasksPerJobPerCycle is how many of a job's waiting tasks one cycle looks at.
+	// TasksPerJobPerCycle is the maximum number of a job's waiting tasks that one cycle examines.
 	TasksPerJobPerCycle = 256
-	// DefaultDeadline stands for the deadline of jobs without one, after their arrival.
+	// DefaultDeadline is the deadline of jobs that have none, counted from when the job could first start.
 	DefaultDeadline = time.Hour
-	// CommitTimeout bounds the wait for one change of records.
+	// CommitTimeout bounds the wait for the outcome of a record change.
 	CommitTimeout = 8 * time.Second
-	// StopMargin is added to a task's saving time when it is stopped.
+	// StopMargin is added to a task's checkpoint save time to get the grace period of its stop.
 	StopMargin = 1 * time.Second
-	// WaitReasonLogInterval is how often the log says why a job waits.
+	// WaitReasonLogInterval is the minimum time between two log lines about why the same job waits.
 	WaitReasonLogInterval = 5 * time.Second
-	// UnknownOutcomePause is how long placement waits before it fences a write without an answer.
+	// UnknownOutcomePause is the pause between two attempts to fence a shard, as after a write whose outcome is
+	// unknown.
 	UnknownOutcomePause = 200 * time.Millisecond
 )
