--- a/internal/scheduler/cycle_bench_test.go
+++ b/internal/scheduler/cycle_bench_test.go
@@ -9,11 +9,11 @@
 	"sableusher/internal/wire"
 )
 
-// benchmarkSizes are the numbers of machines that cycles are measured with.
+// benchmarkSizes are the numbers of machines for which cycles are benchmarked.
 var benchmarkSizes = []int{1500, 5000, 15000}
 
-// newCrowdedRegion is a region of which four fifths of the machines are in use, and a queue of an eighth as
-// many waiting arrays.
+// newCrowdedRegion returns a region in which four fifths of the machines are in use, with one waiting array per eight
+// machines.
 func newCrowdedRegion(tb testing.TB, machines int) *testCluster {
 	cluster := newTestCluster(tb)
 	for i := range machines {
@@ -28,14 +28,14 @@
 	return cluster
 }
 
-// occupy adds a job that takes a machine whole.
+// occupy adds a job that uses a whole machine.
 func occupy(cluster *testCluster, i int, machine string) {
 	running := record.Task{State: record.TaskBound, Attempt: 1, Machine: machine, Session: 1}
 	cluster.addJob(gangSpec(1000000+i, 1), running)
 }
 
-// BenchmarkCycleBySize is a cycle that has capacity for a fifth of what waits. Its ratios from size to size,
-// in one run, are in docs/limits.md.
+// BenchmarkCycleBySize measures a cycle that has capacity for a fifth of the waiting work. docs/limits.md lists the
+// ratios between the sizes, from one run.
 func BenchmarkCycleBySize(b *testing.B) {
 	for _, machines := range benchmarkSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// BenchmarkCycleWithoutCapacityBySize is a cycle with a long queue and no capacity at all.
+// BenchmarkCycleWithoutCapacityBySize measures a cycle with a long queue and no free capacity.
 func BenchmarkCycleWithoutCapacityBySize(b *testing.B) {
 	for _, machines := range benchmarkSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// BenchmarkCycleDuringStartupBySize is a cycle while a region comes up: a third of the machines are there, the
-// others are booting, and services, gangs and arrays of many images wait.
+// BenchmarkCycleDuringStartupBySize measures a cycle during the startup of a region: a third of the machines are up,
+// the others are booting, and services, gangs and arrays with many different images wait.
 func BenchmarkCycleDuringStartupBySize(b *testing.B) {
 	for _, machines := range benchmarkSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -80,8 +80,8 @@
 	}
 }
 
-// newBootingRegion is a region of which two thirds of the machines are booting, and a queue of a sixth as many
-// waiting jobs.
+// newBootingRegion returns a region in which two thirds of the machines are booting, with one waiting job per six
+// machines.
 func newBootingRegion(tb testing.TB, machines int) *testCluster {
 	cluster := newTestCluster(tb)
 	for i := range machines {
@@ -110,7 +110,7 @@
 	return cluster
 }
 
-// BenchmarkCycle is one cycle of a large region with some room and a queue.
+// BenchmarkCycle measures a cycle of a large region with some free capacity and a queue.
 func BenchmarkCycle(b *testing.B) {
 	cluster := newTestCluster(b)
 	for i := range 1500 {
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -30,7 +30,7 @@
 	testNow = time.Now()
 )
 
-// testCluster is the cluster state of a region that several nodes share, each with an engine and a shard.
+// testCluster is a cluster state that several nodes share. Each node has an engine and owns one shard.
 type testCluster struct {
 	cluster  *clusterstate.State
 	engines  []*Engine
@@ -38,7 +38,7 @@
 	revision uint64
 }
 
-// newTestCluster makes a cluster without machines and jobs. tb may be nil within a property test.
+// newTestCluster returns a cluster without machines and jobs. tb may be nil within a property test.
 func newTestCluster(tb testing.TB) *testCluster {
 	fixture := &testCluster{cluster: clusterstate.New(testShards, slog.New(slog.DiscardHandler))}
 	operator, err := config.LoadOperator("")
@@ -60,14 +60,14 @@
 	return fixture
 }
 
-// own gives a shard to a node.
+// own makes a node the owner of a shard.
 func (f *testCluster) own(shard int, node string) {
 	f.cluster.Shards[shard] = clusterstate.Shard{
 		Shard: record.Shard{Owner: node, OwnerIncarnation: 1, FencingToken: testToken},
 	}
 }
 
-// addNode adds a node's engine and registry of agents.
+// addNode adds a node's engine and agent registry.
 func (f *testCluster) addNode(node string, nodes []string, operator *config.Operator) {
 	log := slog.New(slog.DiscardHandler)
 	settings := &config.Settings{Node: node}
@@ -95,7 +95,7 @@
 	}))
 }
 
-// put writes a record into the cluster state.
+// put applies a record to the cluster state.
 func (f *testCluster) put(key string, value any) {
 	f.revision++
 	f.cluster.BeginUpdate()
@@ -103,7 +103,7 @@
 	f.cluster.EndUpdate()
 }
 
-// addMachine adds a machine that is up and whose heartbeat has reached the owner of its shard.
+// addMachine adds a machine that is up and whose heartbeat has reached the owner of its shard, and returns its name.
 func (f *testCluster) addMachine(index int, spot bool) string {
 	name := fmt.Sprintf("vm-%06d", index)
 	zone := testZones[index%len(testZones)]
@@ -120,18 +120,18 @@
 	f.agents[record.ShardOf(heartbeat.Machine, testShards)].HandleHeartbeat(&heartbeat)
 }
 
-// boundTask is a task in its first attempt on a machine.
+// boundTask returns a task that is bound to a machine in its first attempt.
 func boundTask(index int, machine string) record.Task {
 	return record.Task{Index: index, State: record.TaskBound, Attempt: 1, Machine: machine, Session: 1}
 }
 
-// addJob adds a job of the one team.
+// addJob adds a job of the test team and class.
 func (f *testCluster) addJob(spec wire.JobSpec, tasks ...record.Task) {
 	spec.Team, spec.Class = "t", "c"
 	f.put(record.JobKey(spec.ID), record.Job{Spec: spec, SubmittedAtMs: testNow.UnixMilli(), Tasks: tasks})
 }
 
-// inCycle takes some steps in a cycle of one node.
+// inCycle starts a cycle of one node, runs the steps in it and returns it.
 func (f *testCluster) inCycle(index int, steps func(c *cycle)) *cycle {
 	f.cluster.RLock()
 	defer f.cluster.RUnlock()
@@ -140,7 +140,7 @@
 	return c
 }
 
-// runCycle schedules in a cycle of one node, and returns the cycle and what it has bound.
+// runCycle schedules in a cycle of one node, and returns the cycle and its bindings.
 func (f *testCluster) runCycle(index int) (*cycle, []pendingBinding) {
 	c := f.inCycle(index, func(c *cycle) {
 		c.schedule()
@@ -153,7 +153,7 @@
 	return c, bindings
 }
 
-// arraySpec is an array of small tasks.
+// arraySpec returns an array of small tasks.
 func arraySpec(id, tasks int) wire.JobSpec {
 	return wire.JobSpec{
 		ID: fmt.Sprintf("run-%d", id), Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: tasks,
@@ -161,7 +161,7 @@
 	}
 }
 
-// gangSpec is a gang whose tasks take a machine each, all in one zone.
+// gangSpec returns a gang whose tasks each use a whole machine, all in one zone.
 func gangSpec(id, tasks int) wire.JobSpec {
 	return wire.JobSpec{
 		ID: fmt.Sprintf("run-%d", id), Kind: wire.KindGang, Priority: wire.PriorityHigh, TaskCount: tasks,
@@ -169,7 +169,7 @@
 	}
 }
 
-// serviceSpec is a service of small replicas.
+// serviceSpec returns a service with small replicas.
 func serviceSpec(id string, tasks int) wire.JobSpec {
 	return wire.JobSpec{
 		ID: id, Kind: wire.KindService, Priority: wire.PriorityProduction, TaskCount: tasks,
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -9,27 +9,27 @@
 	"sableusher/internal/tuning"
 )
 
-// gangStart is the attempt that a gang's waiting tasks are bound for.
+// gangStart is the attempt for which a gang's pending tasks are bound.
 type gangStart struct {
-	attempt uint64
-	idle    []int // indexes of the tasks to be bound
-	forming bool  // tasks of the attempt are bound already
+	attempt     uint64
+	pending     []int // indexes of the pending tasks
+	partlyBound bool  // other tasks of the attempt are bound already
 }
 
-// placeGang allocates capacity for all of a gang's tasks or for none. One node does so for each gang, over the
-// machines of all shards, in one transaction: the owner of the gang's home shard, whose grant it uses.
-// The owners of its machines start the tasks as they see them bound. Where an owner has used the capacity
-// meanwhile, its agent refuses and the gang is placed anew.
+// placeGang allocates capacity for all of a gang's tasks or for none, on the machines of all shards. The owner of the
+// gang's home shard alone does so, in one transaction, and charges the gang to its own grant. The owners of the
+// machines' shards start the tasks when they see the bindings. If one of them has used the capacity in the meantime,
+// the machine's agent refuses the task and the gang is placed again.
 func (c *cycle) placeGang(queued *queuedJob) {
 	job := queued.job
 	start := c.gangStart(job)
-	queued.Remaining = len(start.idle)
+	queued.Remaining = len(start.pending)
 	if !c.gangMayStart(job, start) {
 		c.logWaiting(job, waitGangAttempt, nil)
 		queued.Remaining = 0
 		return
 	}
-	if !start.forming { // else one too long for a transaction is completed
+	if !start.partlyBound { // a partly bound gang, too large for one transaction, continues its attempt
 		start.attempt++
 	}
 	queued.homeShard = c.firstLiveShard(job)
@@ -41,40 +41,41 @@
 	queued.Remaining = 0
 	if c.shards.owns(queued.homeShard) && c.gangBindable(queued, start, picks) {
 		for i, pick := range picks {
-			task := c.taskState(job, start.idle[i])
+			task := c.taskState(job, start.pending[i])
 			c.bindTask(queued, newTaskStart(task, job.Spec.ID, start.attempt, pick, queued.homeShard))
 		}
 	}
 }
 
-// gangStart finds the tasks of a gang that wait, and its last attempt.
+// gangStart returns a gang's pending tasks and its latest attempt.
 func (c *cycle) gangStart(job *clusterstate.Job) gangStart {
-	start := gangStart{idle: make([]int, 0, job.PendingCount())}
+	start := gangStart{pending: make([]int, 0, job.PendingCount())}
 	for taskIndex := range job.Spec.TaskCount {
 		task := c.taskState(job, taskIndex)
 		start.attempt = max(start.attempt, task.Attempt)
 		if task.State == record.TaskPending {
-			start.idle = append(start.idle, taskIndex)
+			start.pending = append(start.pending, taskIndex)
 		} else {
-			start.forming = true
+			start.partlyBound = true
 		}
 	}
 	return start
 }
 
-// gangMayStart reports whether a gang's record can be changed, and no task of its last attempt has ended
-// while others are still on machines.
+// gangMayStart reports whether a gang's record can be changed now and no task of its latest attempt has ended while
+// others are still bound.
 func (c *cycle) gangMayStart(job *clusterstate.Job, start gangStart) bool {
 	if c.changes.inFlight(record.JobKey(job.Spec.ID)) || c.needsMigration(job) {
 		return false
 	}
-	return !start.forming || !slices.ContainsFunc(start.idle, func(taskIndex int) bool {
+	return !start.partlyBound || !slices.ContainsFunc(start.pending, func(taskIndex int) bool {
 		return c.taskState(job, taskIndex).Attempt >= start.attempt
 	})
 }
 
-// allocateGang takes capacity for all of a gang's tasks; nil, and none taken, if there is none. Machines
-// that hold its image go first, then those of its home shard, where no other node places.
+// allocateGang allocates capacity for all of a gang's tasks. It returns nil, and allocates nothing, if they don't all
+// fit. It prefers machines that hold the gang's image, then machines in its home shard, where no other node places
+// tasks.
 func (c *cycle) allocateGang(queued *queuedJob) []*binpack.MachineInfo {
 	zones := c.zoneConstraint(queued.job, 0)
 	candidates := c.inventory.FittingMachines(&queued.Request)
@@ -95,15 +96,15 @@
 	return nil
 }
 
-// gangBindable reports whether a gang can be bound to machines as a whole: this cycle starts no more than it
-// should, the gang's records hold the bindings and the grant of its home shard covers them.
+// gangBindable reports whether a whole gang can be bound in this cycle: the limit of bindings per cycle allows it, the
+// gang's records have space for the bindings and the grant of its home shard covers them.
 func (c *cycle) gangBindable(queued *queuedJob, start gangStart, picks []*binpack.MachineInfo) bool {
 	job := queued.job
 	if c.tasksBound > 0 && c.tasksBound+len(picks) > tuning.BindingsPerCycle {
 		return false
 	}
 	bindingsByChunk := map[int]int{}
-	for _, taskIndex := range start.idle {
+	for _, taskIndex := range start.pending {
 		bindingsByChunk[job.ChunkOf(taskIndex)]++
 	}
 	for chunk, bindings := range bindingsByChunk {
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -8,7 +8,7 @@
 	"sableusher/internal/record"
 )
 
-// drawPartlyUsedMachines adds machines, some of them in use, and returns how many are free by zone.
+// drawPartlyUsedMachines adds machines, some of them in use, and returns the number of free ones by zone.
 func drawPartlyUsedMachines(t *rapid.T, fixture *testCluster) map[string]int {
 	free := map[string]int{}
 	for i := range rapid.IntRange(1, 90).Draw(t, "machines") {
@@ -22,8 +22,8 @@
 	return free
 }
 
-// checkGangBindings checks that bindings of one gang by one node are on different machines of one zone, charged to the
-// node's own shard and guarded by every shard concerned.
+// checkGangBindings checks that the bindings of one gang by one node are on different machines in one zone, are charged
+// to the node's own shard and have a condition on the ownership of each shard involved.
 func checkGangBindings(t *rapid.T, fixture *testCluster, shard int, change *recordChange, bindings []pendingBinding) {
 	guarded := map[string]bool{}
 	for _, condition := range change.transaction.Conditions {
@@ -33,7 +33,7 @@
 	zoneOf := func(binding pendingBinding) string { return fixture.cluster.Machines[binding.machine].Zone }
 	for _, binding := range bindings {
 		if used[binding.machine] || zoneOf(binding) != zoneOf(bindings[0]) {
-			t.Errorf("%s twice or in another zone", binding.machine)
+			t.Errorf("%s is bound twice or in another zone", binding.machine)
 		}
 		used[binding.machine] = true
 		machineShard := record.ShardOf(binding.machine, testShards)
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestGangIsPlacedWhole: one node binds all tasks of a gang in one change, in one zone, on machines with room for them,
-// guarded by every shard concerned; or none binds any.
+// TestGangIsPlacedWhole checks that one node binds all tasks of a gang in one change, on free machines in one zone and
+// with a condition on each shard involved, or that no node binds any.
 func TestGangIsPlacedWhole(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fixture := newTestCluster(nil)
--- a/internal/scheduler/gangattempt.go
+++ b/internal/scheduler/gangattempt.go
@@ -8,14 +8,14 @@
 	"sableusher/internal/wire"
 )
 
-// gangAttempt names one attempt of a gang.
+// gangAttempt identifies one attempt of a gang.
 type gangAttempt struct {
 	job     *clusterstate.Job
 	attempt uint64
 }
 
-// stopGangTask has a task of a gang stopped if its attempt is marked to be stopped as a whole, or can no longer run
-// whole.
+// stopGangTask requests the stop of a gang's task if its attempt is marked to be stopped as a whole, or if the tasks of
+// the attempt can no longer all run.
 func (c *cycle) stopGangTask(binding clusterstate.Binding, machine string) {
 	if binding.Job.PreemptedAttempt == binding.Attempt {
 		c.agents.RequestStop(binding, machine, stopGraceSeconds(&binding.Job.Spec))
@@ -25,7 +25,7 @@
 	}
 }
 
-// isBroken reports whether a gang's attempt can no longer run whole. It is worked out once a cycle.
+// isBroken reports whether the tasks of a gang's attempt can no longer all run. The result is cached for the cycle.
 func (c *cycle) isBroken(attempt gangAttempt) bool {
 	broken, known := c.brokenAttempts[attempt]
 	if !known {
@@ -35,7 +35,7 @@
 	return broken
 }
 
-// findBroken finds whether a task of an attempt has ended, or not all of them were bound in time.
+// findBroken reports whether a task of an attempt has ended, or its tasks were not all bound in time.
 func (c *cycle) findBroken(attempt gangAttempt) bool {
 	spec := &attempt.job.Spec
 	taskAt := func(taskIndex int) record.Task { return c.taskState(attempt.job, taskIndex) }
@@ -43,15 +43,15 @@
 	case reconcile.GangBroken:
 		return true
 	case reconcile.GangWhole:
-		c.gangFormation.formed(spec.ID)
+		c.gangFormation.recordFormed(spec.ID)
 		return false
 	default:
 		return c.gangFormation.timedOut(spec.ID, spec.TaskCount, c.now)
 	}
 }
 
-// requestGangStop marks a gang's attempt to be stopped as a whole. The owners of all its tasks see the mark at once and
-// command their agents within the time in which a gang's checkpoints must begin.
+// requestGangStop adds a change that marks a gang's attempt to be stopped as a whole. The owners of all its tasks see
+// the mark at the same time and stop the tasks within the time in which a gang's checkpoints must begin.
 func (c *cycle) requestGangStop(binding clusterstate.Binding, machine *clusterstate.Machine) {
 	job, key := binding.Job, record.JobKey(binding.Ref.JobID)
 	if job.PreemptedAttempt == binding.Attempt || c.changes.inFlight(key) ||
@@ -74,15 +74,15 @@
 	})
 }
 
-// isPartlyDone reports whether some tasks of a gang are done, and none is on a machine any more.
+// isPartlyDone reports whether some tasks of a gang are done and none is bound any more.
 func isPartlyDone(job *clusterstate.Job) bool {
 	return job.Spec.Kind == wire.KindGang && job.DoneCount > 0 && job.BoundCount == 0 && job.HasRecord &&
 		!job.Complete() && !job.Stopping()
 }
 
-// completeGang ends the tasks of a gang that is partly done. A gang completes together, so all of its tasks are done:
-// the heartbeats that said so of the others were lost, with an agent's session or its machine. Without this the gang
-// would wait for ever, as its last attempt would look as if it had not left.
+// completeGang marks the pending tasks of a partly done gang as done. The tasks of a gang complete together, so these
+// are done too, but the heartbeats that reported it were lost with an agent's session or its machine. If they were left
+// pending, the gang would wait forever, because its last attempt would count as not yet released.
 func (c *cycle) completeGang(job *clusterstate.Job) {
 	for taskIndex := range job.Spec.TaskCount {
 		task := c.taskState(job, taskIndex)
@@ -93,6 +93,6 @@
 			edit.tasks[taskIndex] = record.Task{Index: taskIndex, State: record.TaskDone, Attempt: task.Attempt}
 		}
 	}
-	c.log.Info("gang completed by some of its tasks", "job_id", job.Spec.ID, "done", job.DoneCount,
+	c.log.Info("completing a gang of which some tasks are done", "job_id", job.Spec.ID, "done", job.DoneCount,
 		"count", job.Spec.TaskCount)
 }
--- a/internal/scheduler/gangattempt_test.go
+++ b/internal/scheduler/gangattempt_test.go
@@ -7,7 +7,7 @@
 	"sableusher/internal/wire"
 )
 
-// finalRecords returns the final records of a job that the changes of a cycle write.
+// finalRecords returns the final records of a job that a cycle's changes write.
 func finalRecords(t *testing.T, c *cycle, jobID string) []record.Final {
 	t.Helper()
 	var finals []record.Final
@@ -26,8 +26,8 @@
 	return finals
 }
 
-// TestGangIsDoneWithOneOfItsTasks: where one task's agent has lost its session after the gang had completed, the other
-// one's heartbeat tells it of both. The job once waited for ever.
+// TestGangIsDoneWithOneOfItsTasks checks that a gang is completed when only one of its tasks is reported as done,
+// because the other task's agent lost its session after the gang had completed. Otherwise the job waits forever.
 func TestGangIsDoneWithOneOfItsTasks(t *testing.T) {
 	fixture := newTestCluster(t)
 	spec := gangSpec(1, 2)
@@ -46,12 +46,12 @@
 		}
 	}
 	if ended != 1 {
-		t.Errorf("ended by %d nodes", ended)
+		t.Errorf("final records written by %d nodes, want 1", ended)
 	}
 }
 
-// TestPartlyDoneGangIsCancelled: a gang of which one task is done and none is on a machine is completed by the leader;
-// once it is marked as cancelled its user may have been told so, and it ends as that.
+// TestPartlyDoneGangIsCancelled checks that the leader completes a gang of which one task is done and none is bound. If
+// the gang is marked as cancelled, its user may already have received that state, so it must end as cancelled.
 func TestPartlyDoneGangIsCancelled(t *testing.T) {
 	for cancelledAtMs, want := range map[int64]wire.JobState{0: wire.JobDone, 5: wire.JobCancelled} {
 		fixture := newTestCluster(t)
@@ -65,7 +65,7 @@
 			},
 		}
 		fixture.cluster.BeginUpdate()
-		fixture.cluster.Put(record.JobKey(spec.ID), wire.MustEncode(job), 0) // the state holds all up to it
+		fixture.cluster.Put(record.JobKey(spec.ID), wire.MustEncode(job), 0) // 0 is the state's revision
 		fixture.cluster.EndUpdate()
 		c := fixture.inCycle(0, func(c *cycle) {
 			c.finishJobs()
@@ -73,7 +73,7 @@
 		})
 		finals := finalRecords(t, c, spec.ID)
 		if len(finals) != 1 || finals[0].Status != want {
-			t.Errorf("cancelled at %d: ends as %+v, want %q", cancelledAtMs, finals, want)
+			t.Errorf("cancelled at %d ms: final records %+v, want %q", cancelledAtMs, finals, want)
 		}
 	}
 }
--- a/internal/scheduler/gangformation.go
+++ b/internal/scheduler/gangformation.go
@@ -7,13 +7,13 @@
 	"sableusher/internal/tuning"
 )
 
-// gangFormation holds since when gangs have some of their tasks bound and others not, by the job's ID.
+// gangFormation holds, by job ID, since when a gang has had only some of its tasks bound.
 type gangFormation map[string]time.Time
 
-// formed notes that all tasks of a gang are bound.
-func (g gangFormation) formed(jobID string) { delete(g, jobID) }
+// recordFormed records that all tasks of a gang are bound.
+func (g gangFormation) recordFormed(jobID string) { delete(g, jobID) }
 
-// timedOut notes that a gang of so many tasks is bound in part, and reports whether it has been for too long.
+// timedOut records that only some of a gang's taskCount tasks are bound, and reports whether that has lasted too long.
 func (g gangFormation) timedOut(jobID string, taskCount int, now time.Time) bool {
 	since, known := g[jobID]
 	if !known {
@@ -23,7 +23,7 @@
 	return now.Sub(since) > tuning.GangFormTimeout+time.Duration(taskCount)*tuning.GangFormTimeoutPerTask
 }
 
-// prune drops the gangs that are over.
+// prune drops the gangs that have ended.
 func (g gangFormation) prune(isOver func(jobID string) bool) {
 	maps.DeleteFunc(g, func(jobID string, _ time.Time) bool { return isOver(jobID) })
 }
--- a/internal/scheduler/gangformation_test.go
+++ b/internal/scheduler/gangformation_test.go
@@ -6,8 +6,8 @@
 	"sableusher/internal/tuning"
 )
 
-// TestGangTimesOutByItsSize: a gang that is bound in part times out, the later the more tasks it has; one that has
-// formed in between has its time anew.
+// TestGangTimesOutByItsSize checks that a partly bound gang times out, later the more tasks it has, and that the time
+// starts again after the gang was bound completely.
 func TestGangTimesOutByItsSize(t *testing.T) {
 	formation := gangFormation{}
 	const tasks = 10
@@ -16,13 +16,13 @@
 		t.Error("timed out too early")
 	}
 	if formation.timedOut("a", tasks+1, limit.Add(1)) || !formation.timedOut("a", tasks, limit.Add(1)) {
-		t.Error("the time does not follow the number of tasks")
+		t.Error("the timeout does not follow the number of tasks")
 	}
-	formation.formed("a")
+	formation.recordFormed("a")
 	if formation.timedOut("a", tasks, limit.Add(1)) {
-		t.Error("timed out at once after it had formed")
+		t.Error("timed out immediately after all tasks were bound")
 	}
 	if formation.prune(func(jobID string) bool { return jobID == "a" }); len(formation) != 0 {
-		t.Errorf("left after the job is over: %v", formation)
+		t.Errorf("entries kept after the job ended: %v", formation)
 	}
 }
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -10,29 +10,30 @@
 	"sableusher/internal/record"
 )
 
-// guarantees tells which work lies within its team's guaranteed share, as of the last update.
-// The maps are replaced by each update and only read in between.
+// guarantees is which jobs lie within their team's guaranteed share, as of the last update. Each update replaces the
+// maps; they are only read in between.
 type guarantees struct {
 	updatedAt time.Time
-	// jobs holds the jobs of which all unfinished tasks lie within the guarantee.
+	// jobs holds the jobs whose unfinished tasks all lie within the guarantee.
 	jobs map[string]bool
-	// running holds the jobs whose bound tasks lie within it: they are not preempted for other teams.
+	// running holds the jobs whose bound tasks lie within the guarantee. They are not preempted for other teams.
 	running map[string]bool
-	// onArrival tells of each startable job of a team with a guarantee whether it lay within the
-	// guarantee when this node first saw it.
+	// onArrival holds, for each startable job of a team with a guarantee, whether it lay within the guarantee when this
+	// node first saw it.
 	onArrival map[string]bool
 }
 
-// guaranteeBudget is what a team's guarantee has left while its jobs are gone through.
+// guaranteeBudget is the part of a team's guarantee that its jobs have reserved so far.
 type guaranteeBudget struct {
 	limit    record.Resources
 	reserved record.Resources
 }
 
-// reserve takes some tasks of a job from the budget; false, and nothing taken, if they exceed it.
+// reserve adds the resources of some tasks of a job to the reserved ones. It returns false and adds nothing if they
+// exceed the limit.
 func (b *guaranteeBudget) reserve(job *clusterstate.Job, tasks int) bool {
 	total := b.reserved.PlusTimes(record.TaskResources(&job.Spec), float64(tasks))
-	total.MemoryGB = 0 // guarantees are of cores and GPUs
+	total.MemoryGB = 0 // guarantees cover cores and GPUs, not memory
 	if !total.FitsIn(b.limit) {
 		return false
 	}
@@ -40,7 +41,7 @@
 	return true
 }
 
-// updateGuarantees finds what lies within the teams' guarantees.
+// updateGuarantees determines which jobs lie within their teams' guarantees.
 func (c *cycle) updateGuarantees() {
 	earlier := c.order.guarantees.onArrival
 	c.order.guarantees = guarantees{
@@ -53,7 +54,7 @@
 	}
 }
 
-// startableJobsOfGuaranteedTeams gives, for each team with a guarantee, its jobs that may start.
+// startableJobsOfGuaranteedTeams returns the startable jobs of each team with a guarantee.
 func (c *cycle) startableJobsOfGuaranteedTeams() map[string][]*clusterstate.Job {
 	teams := map[string][]*clusterstate.Job{}
 	for _, job := range c.cluster.Jobs {
@@ -64,8 +65,8 @@
 	return teams
 }
 
-// guaranteeOrder orders a team's waiting jobs within what its guarantee has left: the smallest first
-// where capacity is short, and those that can meet no objective last.
+// guaranteeOrder returns the sort key by which a team's waiting jobs share the rest of its guarantee: the smallest jobs
+// first while capacity is short, and jobs that can meet no objective last.
 func (c *cycle) guaranteeOrder(job *clusterstate.Job) int {
 	if c.missesObjectives(job) {
 		return math.MaxInt
@@ -73,11 +74,10 @@
 	return c.sizeClass(job)
 }
 
-// addTeam finds what of one team's jobs lies within its guarantee. First come the jobs that did
-// when they arrived, together with the team's earlier unfinished jobs: that was promised. Then
-// what runs of the others, the earliest first. The team's waiting jobs share the rest in the given
-// order: by arrival alone one large job that is late would keep out the later ones until they are
-// late as well.
+// addTeam determines which of one team's jobs lie within its guarantee. A job that on arrival fitted into the guarantee,
+// together with the team's earlier unfinished jobs, comes first, because its place was promised. Bound tasks of the
+// other jobs follow, earliest job first. The team's waiting jobs share the rest in the given order. If they shared it by
+// arrival alone, one large late job would keep out the later ones until they were late as well.
 func (g *guarantees) addTeam(
 	limit record.Resources, jobs []*clusterstate.Job, earlier map[string]bool, order func(*clusterstate.Job) int,
 ) {
@@ -85,14 +85,14 @@
 		return cmp.Or(cmp.Compare(a.ReadySinceMs(), b.ReadySinceMs()), cmp.Compare(a.Spec.ID, b.Spec.ID))
 	})
 	budget := guaranteeBudget{limit: limit}
-	others := g.addPromised(&budget, jobs, earlier)
+	others := g.addGuaranteedOnArrival(&budget, jobs, earlier)
 	g.addRunning(&budget, others)
 	slices.SortStableFunc(others, func(a, b *clusterstate.Job) int { return cmp.Compare(order(a), order(b)) })
 	g.addWaiting(&budget, others)
 }
 
-// addPromised adds the jobs that lay within the guarantee when they arrived and gives the others.
-func (g *guarantees) addPromised(
+// addGuaranteedOnArrival adds the jobs that lay within the guarantee on arrival, and returns the other jobs.
+func (g *guarantees) addGuaranteedOnArrival(
 	budget *guaranteeBudget, jobs []*clusterstate.Job, earlier map[string]bool,
 ) []*clusterstate.Job {
 	var others []*clusterstate.Job
@@ -101,12 +101,12 @@
 	for _, job := range jobs {
 		id, unfinished := job.Spec.ID, job.Spec.TaskCount-job.DoneCount
 		exhausted = exhausted || !byArrival.reserve(job, unfinished)
-		promised, known := earlier[id]
+		guaranteed, known := earlier[id]
 		if !known {
-			promised = !exhausted
+			guaranteed = !exhausted
 		}
-		g.onArrival[id] = promised
-		if promised && budget.reserve(job, unfinished) {
+		g.onArrival[id] = guaranteed
+		if guaranteed && budget.reserve(job, unfinished) {
 			g.jobs[id], g.running[id] = true, true
 			continue
 		}
@@ -115,7 +115,7 @@
 	return others
 }
 
-// addRunning adds what runs of some jobs, in their order, until the guarantee is used up.
+// addRunning adds the bound tasks of the jobs, in the given order, until the guarantee is used up.
 func (g *guarantees) addRunning(budget *guaranteeBudget, jobs []*clusterstate.Job) {
 	for _, job := range jobs {
 		if job.BoundCount > 0 && !budget.reserve(job, job.BoundCount) {
@@ -125,7 +125,7 @@
 	}
 }
 
-// addWaiting adds what waits of some jobs, in their order, until the guarantee is used up.
+// addWaiting adds the pending tasks of the jobs, in the given order, until the guarantee is used up.
 func (g *guarantees) addWaiting(budget *guaranteeBudget, jobs []*clusterstate.Job) {
 	for _, job := range jobs {
 		if !budget.reserve(job, job.PendingCount()) {
