--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -17,9 +17,9 @@
 }
 
 // placeGang allocates capacity for all of a gang's tasks or for none, on the machines of all shards. The owner of the
-// gang's home shard alone does so, in one transaction, and charges the gang to its own grant. The owners of the
-// machines' shards start the tasks when they see the bindings. If one of them has used the capacity in the meantime,
-// the machine's agent refuses the task and the gang is placed again.
+// gang's home shard alone does so, in one transaction unless the gang is too large for one, and charges the gang to its
+// own grant. The owners of the machines' shards start the tasks when they see the bindings. If one of them has used the
+// capacity in the meantime, the machine's agent refuses the task and the gang is placed again.
 func (c *cycle) placeGang(queued *queuedJob) {
 	job := queued.job
 	start := c.gangStart(job)
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -74,10 +74,10 @@
 	return c.sizeClass(job)
 }
 
-// addTeam determines which of one team's jobs lie within its guarantee. A job that on arrival fitted into the guarantee,
-// together with the team's earlier unfinished jobs, comes first, because its place was promised. Bound tasks of the
-// other jobs follow, earliest job first. The team's waiting jobs share the rest in the given order. If they shared it by
-// arrival alone, one large late job would keep out the later ones until they were late as well.
+// addTeam determines which of one team's jobs lie within its guarantee. Jobs that on arrival fitted into the guarantee,
+// together with the team's earlier unfinished jobs, come first, because their place was promised. Bound tasks of the
+// other jobs follow, earliest job first. The team's waiting jobs share the rest in the given order. If they shared it
+// by arrival alone, one large late job would keep out the later ones until they were late as well.
 func (g *guarantees) addTeam(
 	limit record.Resources, jobs []*clusterstate.Job, earlier map[string]bool, order func(*clusterstate.Job) int,
 ) {
--- a/internal/scheduler/learner_checkpoint.go
+++ b/internal/scheduler/learner_checkpoint.go
@@ -14,7 +14,7 @@
 	"sableusher/internal/wire"
 )
 
-// learnerCheckpoints saves what was learned under the node's name in the key-value store.
+// learnerCheckpoints saves and loads the learner's checkpoint of a node in the key-value store.
 type learnerCheckpoints struct {
 	node      string
 	cluster   *clusterstate.State
@@ -22,10 +22,11 @@
 	reader    kvstore.Reader
 }
 
-// Learner returns the learner that the autoscaler shares.
+// Learner returns the learner, which the autoscaler shares.
 func (e *Engine) Learner() *learner.Learner { return e.learning.learner }
 
-// RunLearner keeps the value function fitted and saved until ctx ends. It returns the error of ctx.
+// RunLearner restores the learner, then refits its value function and saves its checkpoint periodically until ctx ends.
+// It returns the error of ctx.
 func (e *Engine) RunLearner(ctx context.Context) error {
 	checkpoints := learnerCheckpoints{
 		node: e.settings.Node, cluster: e.cluster, committer: e.committer, reader: e.reader,
@@ -51,7 +52,7 @@
 	}
 }
 
-// refitLearner fits the value function to the rewards seen and drops decisions that none will come for.
+// refitLearner fits the value function to the rewards so far and drops decisions that will never be rewarded.
 func (e *Engine) refitLearner() {
 	if err := e.learning.learner.Refit(); err != nil {
 		e.log.Info("learner not refitted", "err", err)
@@ -63,8 +64,8 @@
 	e.learning.dropStaleAttempts(e.cluster.Jobs)
 }
 
-// restoreLearner goes on from the checkpoint saved under the node's name. It is advice only: what is
-// corrupt or of another form is ignored.
+// restoreLearner restores the checkpoint saved under the node's name. The checkpoint only improves decisions, so one
+// that is corrupt or in another format is ignored.
 func (e *Engine) restoreLearner(ctx context.Context, checkpoints learnerCheckpoints) {
 	checkpoint, err := checkpoints.load(ctx)
 	if err == nil {
@@ -88,7 +89,7 @@
 	return err
 }
 
-// ops returns the changes that save a checkpoint, in the form that the schema version asks for.
+// ops returns the operations that save a checkpoint, in the format of the cluster's schema version.
 func (s learnerCheckpoints) ops(checkpoint learner.Checkpoint) []wire.Op {
 	s.cluster.RLock()
 	version := s.cluster.SchemaVersion
@@ -103,7 +104,7 @@
 	return ops
 }
 
-// load reads the checkpoint: in pieces, or as one record, as it was before tuning.SchemaVersionDependencies.
+// load reads the checkpoint, in pieces or, as before tuning.SchemaVersionDependencies, as one record.
 func (s learnerCheckpoints) load(ctx context.Context) (learner.Checkpoint, error) {
 	checkpoint, err := s.read(ctx, record.LearnerCheckpointPieceKey(s.node, 0))
 	if errors.Is(err, kvstore.ErrNotFound) {
@@ -118,7 +119,7 @@
 	return checkpoint, err
 }
 
-// read reads a record, again and again while the key-value store does not answer.
+// read reads a record. It retries until the key-value store answers or ctx ends.
 func (s learnerCheckpoints) read(ctx context.Context, key string) (learner.Checkpoint, error) {
 	for {
 		var checkpoint learner.Checkpoint
--- a/internal/scheduler/learner_checkpoint_test.go
+++ b/internal/scheduler/learner_checkpoint_test.go
@@ -14,7 +14,7 @@
 	"sableusher/internal/wire"
 )
 
-// recordReader is a key-value store that fails to answer some times and then reads from a map.
+// recordReader is a key-value store that is unavailable for a number of calls and then reads from a map.
 type recordReader struct {
 	records  map[string]any
 	failures int
@@ -33,9 +33,9 @@
 	return wire.KeyValue{Key: key, Value: wire.MustEncode(value)}, nil
 }
 
-// TestCheckpointIsReadInBothForms: a checkpoint in pieces comes before one in a single record, missing and
-// mismatched pieces are errors, and reading goes on while the store does not answer.
-func TestCheckpointIsReadInBothForms(t *testing.T) {
+// TestCheckpointIsReadInBothFormats checks that a checkpoint in pieces takes precedence over one in a single record, that
+// missing and mismatched pieces are errors, and that reads are retried while the store is unavailable.
+func TestCheckpointIsReadInBothFormats(t *testing.T) {
 	single := record.LearnerCheckpointKey("node-0")
 	first, second := record.LearnerCheckpointPieceKey("node-0", 0), record.LearnerCheckpointPieceKey("node-0", 1)
 	piece := func(rewards int, writtenAtMs int64) learner.Checkpoint {
@@ -54,9 +54,9 @@
 		{"pieces", map[string]any{
 			single: learner.Checkpoint{RewardCount: 3}, first: piece(5, 1), second: piece(0, 1),
 		}, 0, 5, false, false},
-		{"store without an answer", map[string]any{first: piece(5, 1), second: piece(0, 1)}, 3, 5, false, false},
+		{"store unavailable at first", map[string]any{first: piece(5, 1), second: piece(0, 1)}, 3, 5, false, false},
 		{"missing piece", map[string]any{first: piece(5, 1)}, 0, 0, true, true},
-		{"piece of another time", map[string]any{first: piece(5, 1), second: piece(0, 2)}, 0, 0, true, false},
+		{"piece of another checkpoint", map[string]any{first: piece(5, 1), second: piece(0, 2)}, 0, 0, true, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -70,14 +70,14 @@
 					t.Errorf("%d rewards, want %d", checkpoint.RewardCount, test.rewards)
 				}
 				if waited := time.Since(start); waited != time.Duration(test.failures)*tuning.KVRetryPause {
-					t.Errorf("waited %v for %d answers", waited, test.failures)
+					t.Errorf("waited %v for %d failed reads", waited, test.failures)
 				}
 			})
 		})
 	}
 }
 
-// TestCheckpointReadEndsWithItsContext: while the store does not answer, the end of the context ends the reading.
+// TestCheckpointReadEndsWithItsContext checks that reading from an unavailable store ends with the context.
 func TestCheckpointReadEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 10*tuning.KVRetryPause)
@@ -85,7 +85,7 @@
 		reader := &recordReader{failures: 1 << 20}
 		_, err := learnerCheckpoints{node: "node-0", reader: reader}.load(ctx)
 		if !errors.Is(err, kvstore.ErrUnavailable) || ctx.Err() == nil {
-			t.Errorf("ended with %v, context %v", err, ctx.Err())
+			t.Errorf("load returned %v, context error %v", err, ctx.Err())
 		}
 	})
 }
--- a/internal/scheduler/learner_policy.go
+++ b/internal/scheduler/learner_policy.go
@@ -7,11 +7,11 @@
 	"sableusher/internal/tuning"
 )
 
-// orderByValue applies the paper's policy (section 3.1, algorithm 1): the waiting job with the highest
-// value first, and with a small probability a random one (epsilon-greedy). It moves jobs only within
-// what value never crosses: priority, guarantee and the other parts of a key's precedence. Values are
-// asked for only if there is capacity to start anything, and not before the learner has seen enough
-// rewards: until then the earliest deadline decides.
+// orderByValue applies the paper's policy (section 3.1, algorithm 1): the waiting job with the highest value goes first
+// or, with a small probability, a random one (epsilon-greedy). It reorders only jobs of the same precedence, so a value
+// never overrides priority, guarantee and the other fields that ComparePrecedence compares. It does nothing if there is
+// no capacity to start anything, or before the learner has received enough rewards; until then the earliest deadline
+// decides.
 func (c *cycle) orderByValue(queue []queuedJob, hasCapacity bool) {
 	if !hasCapacity || !c.operator.LearningEnabled || len(queue) == 0 || !c.learning.learner.Warm() {
 		return
@@ -20,7 +20,7 @@
 	c.explore(queue)
 }
 
-// exploit orders jobs by value.
+// exploit orders jobs of the same precedence by descending value.
 func (c *cycle) exploit(queue []queuedJob) {
 	for i := range queue {
 		queue[i].value = c.jobValue(queue[i].job)
@@ -34,7 +34,7 @@
 	})
 }
 
-// explore moves a random job, if one is to be drawn, before all others of its precedence.
+// explore asks the learner whether to explore, and if so moves a random job before all others of its precedence.
 func (c *cycle) explore(queue []queuedJob) {
 	drawn, ok := c.learning.learner.Explore(len(queue))
 	if !ok {
@@ -44,7 +44,7 @@
 	first := slices.IndexFunc(queue, func(queued queuedJob) bool {
 		return queued.key.ComparePrecedence(picked.key) == 0
 	})
-	c.log.Debug("random job explored", "job_id", picked.job.Spec.ID)
+	c.log.Debug("moving a random job to the front of its precedence", "job_id", picked.job.Spec.ID)
 	copy(queue[first+1:drawn+1], queue[first:drawn])
 	queue[first] = picked
 }
--- a/internal/scheduler/learner_policy_test.go
+++ b/internal/scheduler/learner_policy_test.go
@@ -15,7 +15,7 @@
 	"sableusher/internal/wire"
 )
 
-// drawQueue draws a queue in scheduling order, and a value for each of its jobs that is still fresh.
+// drawQueue draws a queue in scheduling order, and a cached value for each of its jobs.
 func drawQueue(t *rapid.T, c *cycle) []queuedJob {
 	var queue []queuedJob
 	for i := range rapid.IntRange(1, 20).Draw(t, "jobs") {
@@ -34,7 +34,7 @@
 	return queue
 }
 
-// newPolicyCycle is a cycle with a learner that explores with some probability, and nothing else.
+// newPolicyCycle returns a cycle with nothing but a learner with the given probability of exploration.
 func newPolicyCycle(exploration float64) *cycle {
 	log := slog.New(slog.DiscardHandler)
 	engine := &Engine{learning: newLearning(&config.Operator{Exploration: exploration, LearningEnabled: true}, 1, log)}
@@ -50,8 +50,8 @@
 	return ids
 }
 
-// TestExploitOrdersByValueWithinPrecedence: jobs of the same precedence are ordered by value, equal values and what
-// is near its deadline as before; no precedence is crossed.
+// TestExploitOrdersByValueWithinPrecedence checks that jobs of the same precedence are ordered by value, that jobs with
+// equal values and jobs near their deadline keep their order, and that precedence is never violated.
 func TestExploitOrdersByValueWithinPrecedence(t *testing.T) {
 	moved := false
 	rapid.Check(t, func(t *rapid.T) {
@@ -65,11 +65,11 @@
 			inOrder := first.key.DeadlineNs < second.key.DeadlineNs
 			switch {
 			case precedence > 0:
-				t.Fatalf("%v stands before %v", first.key, second.key)
+				t.Fatalf("%v is before %v", first.key, second.key)
 			case precedence == 0 && first.nearDeadline && !inOrder:
-				t.Fatalf("value orders what is near its deadline: %v before %v", first.key, second.key)
+				t.Fatalf("jobs near their deadline are ordered by value: %v before %v", first.key, second.key)
 			case precedence == 0 && !first.nearDeadline && first.value < second.value:
-				t.Fatalf("a value of %v stands before %v", first.value, second.value)
+				t.Fatalf("a value of %v is before %v", first.value, second.value)
 			case precedence == 0 && first.value == second.value && !inOrder:
 				t.Fatalf("equal values change the order: %v before %v", first.key, second.key)
 			}
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestExploreMovesOneJobToTheFirstOfItsPrecedence: at most one job moves, before all others of its precedence, and
-// the others keep their order.
+// TestExploreMovesOneJobToTheFirstOfItsPrecedence checks that at most one job moves, before all others of its
+// precedence, and that the others keep their order.
 func TestExploreMovesOneJobToTheFirstOfItsPrecedence(t *testing.T) {
 	moved := false
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/scheduler/learner_reward.go
+++ b/internal/scheduler/learner_reward.go
@@ -11,34 +11,34 @@
 	"sableusher/internal/wire"
 )
 
-// utilization is the utilization reward U of the paper (equation 3): the machine time of completed
-// tasks over the machine time held. Both sides fade, so that it follows what is recent.
+// utilization is the utilization reward U of the paper (equation 3): the machine time of completed tasks divided by the
+// machine time held. Both decay with tuning.UtilizationHalfLife, so that recent times count most.
 type utilization struct {
-	finishedMachineS float64 // in seconds
-	heldMachineS     float64 // in seconds
-	accruedAt        time.Time
+	finishedMachineSeconds float64 // decayed machine time of completed tasks, in seconds
+	heldMachineSeconds     float64 // decayed machine time held, in seconds
+	accruedAt              time.Time
 }
 
-// accrue fades both sides and adds the time of the machines held since it was last called.
+// accrue applies the decay since its last call and adds the time for which the given number of machines was held.
 func (u *utilization) accrue(now time.Time, machines int) {
 	if !u.accruedAt.IsZero() {
 		elapsed := now.Sub(u.accruedAt).Seconds()
 		fade := math.Pow(0.5, elapsed/tuning.UtilizationHalfLife.Seconds())
-		u.finishedMachineS *= fade
-		u.heldMachineS = u.heldMachineS*fade + float64(machines)*elapsed
+		u.finishedMachineSeconds *= fade
+		u.heldMachineSeconds = u.heldMachineSeconds*fade + float64(machines)*elapsed
 	}
 	u.accruedAt = now
 }
 
-// value is the utilization, from 0 to 1.
+// value returns the utilization, from 0 to 1.
 func (u *utilization) value() float64 {
-	if u.heldMachineS <= 0 {
+	if u.heldMachineSeconds <= 0 {
 		return 0
 	}
-	return min(1, u.finishedMachineS/u.heldMachineS)
+	return min(1, u.finishedMachineSeconds/u.heldMachineSeconds)
 }
 
-// accrueMachineTime counts the machines of this node's shards as held.
+// accrueMachineTime counts the machines of this node's shards as held since the last call.
 func (c *cycle) accrueMachineTime() {
 	machines := 0
 	for shard := range c.shards.revisions {
@@ -47,7 +47,7 @@
 	c.learning.utilization.accrue(c.now, machines)
 }
 
-// shareOfMachine is the share of a machine that a task takes; 0 if the machine or its type is not known.
+// shareOfMachine returns the share of a machine that a task occupies, or 0 if the machine or its type is unknown.
 func shareOfMachine(cluster *clusterstate.State, spec *wire.JobSpec, machineName string) float64 {
 	machine := cluster.Machines[machineName]
 	if machine == nil {
@@ -62,8 +62,8 @@
 	return 1 - binpack.FreeFraction(rest, capacity)
 }
 
-// responsivenessOf is the responsiveness utility W of the paper (equation 1): the run time over the run
-// time and all other time since the job could start. Both are in seconds.
+// responsivenessOf returns the responsiveness utility W of the paper (equation 1): the run time divided by the whole
+// time since the job could start. Both are in seconds.
 func responsivenessOf(runS, sinceReadyS float64) float64 {
 	total := max(runS, sinceReadyS)
 	if total <= 0 {
@@ -72,17 +72,17 @@
 	return runS / total
 }
 
-// reward is the reward R of the paper's elastic provisioning problem (section 3.2): a combination of
-// responsiveness and utilization, weighted by the operator's lambda.
+// reward returns the reward R of the paper's elastic provisioning problem (section 3.2): the mean of responsiveness and
+// utilization, weighted by the operator's lambda.
 func (l *learning) reward(responsiveness float64) float64 {
 	return l.operator.ResponsivenessWeight*responsiveness + (1-l.operator.ResponsivenessWeight)*l.utilization.value()
 }
 
-// recentResponsivenessWindow is over how many tasks the recent responsiveness fades.
+// recentResponsivenessWindow is the number of tasks over which the mean of recent responsiveness decays.
 const recentResponsivenessWindow = 16
 
-// giveReward tells the learner what a decision has earned.
-func (l *learning) giveReward(id int64, start taskAttempt, responsiveness float64) {
+// reportReward reports the reward of a decision to the learner.
+func (l *learning) reportReward(id int64, start taskAttempt, responsiveness float64) {
 	delete(l.pendingRewards, start)
 	l.recentResponsiveness += (responsiveness - l.recentResponsiveness) / recentResponsivenessWindow
 	reward := l.reward(responsiveness)
@@ -91,7 +91,7 @@
 		"utilization", l.utilization.value(), "reward", reward)
 }
 
-// ProvisioningReward is the reward of a pool size: recent responsiveness and utilization, from 0 to 1.
+// ProvisioningReward returns the reward of a pool size, from recent responsiveness and utilization. It is from 0 to 1.
 func (e *Engine) ProvisioningReward() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/scheduler/learner_reward_test.go
+++ b/internal/scheduler/learner_reward_test.go
@@ -8,38 +8,38 @@
 	"sableusher/internal/tuning"
 )
 
-// TestUtilizationIsFinishedOverHeld: utilization is the machine time of finished tasks over the time held, never
-// above one, and both sides fade by half in tuning.UtilizationHalfLife.
+// TestUtilizationIsFinishedOverHeld checks that utilization is the machine time of finished tasks divided by the time
+// held, never above 1, and that both times halve within tuning.UtilizationHalfLife.
 func TestUtilizationIsFinishedOverHeld(t *testing.T) {
 	var used utilization
 	if used.value() != 0 {
-		t.Errorf("utilization of nothing is %v", used.value())
+		t.Errorf("utilization without machines is %v", used.value())
 	}
 	used.accrue(testNow, 10)
-	if used.heldMachineS != 0 {
-		t.Errorf("%v s held before any time has passed", used.heldMachineS)
+	if used.heldMachineSeconds != 0 {
+		t.Errorf("%v s held before any time has passed", used.heldMachineSeconds)
 	}
 	now := testNow.Add(time.Second)
 	used.accrue(now, 10)
-	used.finishedMachineS += 4
+	used.finishedMachineSeconds += 4
 	if math.Abs(used.value()-0.4) > 1e-3 {
 		t.Errorf("utilization is %v, want 0.4", used.value())
 	}
 	used.accrue(now.Add(tuning.UtilizationHalfLife), 0)
-	if math.Abs(used.finishedMachineS-2) > 1e-3 || math.Abs(used.heldMachineS-5) > 1e-2 {
-		t.Errorf("%v of %v s after half has faded", used.finishedMachineS, used.heldMachineS)
+	if math.Abs(used.finishedMachineSeconds-2) > 1e-3 || math.Abs(used.heldMachineSeconds-5) > 1e-2 {
+		t.Errorf("%v s finished and %v s held after one half-life", used.finishedMachineSeconds, used.heldMachineSeconds)
 	}
-	if used.finishedMachineS = 1000; used.value() != 1 {
+	if used.finishedMachineSeconds = 1000; used.value() != 1 {
 		t.Errorf("utilization is %v, want at most 1", used.value())
 	}
 }
 
-// TestResponsivenessIsRunTimeOverAllTime follows equation 1 of the paper.
+// TestResponsivenessIsRunTimeOverAllTime checks equation 1 of the paper.
 func TestResponsivenessIsRunTimeOverAllTime(t *testing.T) {
 	for _, test := range []struct{ runS, sinceReadyS, want float64 }{
 		{10, 40, 0.25},
 		{10, 10, 1},
-		{10, 5, 1}, // clocks that differ
+		{10, 5, 1}, // clock skew: the run time exceeds the time since the job was ready
 		{0, 0, 0},
 		{0, 10, 0},
 	} {
--- a/internal/scheduler/learner_state.go
+++ b/internal/scheduler/learner_state.go
@@ -7,9 +7,9 @@
 	"sableusher/internal/learner"
 )
 
-// state is the state s in which an action is chosen, by the five variables of the paper's grid model
-// (section 3.2, "State Space"): the work of running jobs, the time until a machine becomes free, the
-// backlog, the idle machines, and each team's share of the waiting jobs.
+// state returns the state s in which an action is chosen, described by the five variables of the paper's grid model
+// (section 3.2, "State Space"): the remaining work of running jobs, the time until a machine becomes free, the backlog,
+// the idle machines, and each team's share of the waiting jobs.
 func (l *learning) state(cluster *clusterstate.State) learner.State {
 	state := learner.State{TeamShares: map[string]float64{}, NextFreeSeconds: math.Inf(1)}
 	waitingJobs := 0.0
@@ -18,7 +18,7 @@
 			continue
 		}
 		runS := l.runTimes.ExpectedRunSeconds(job.Spec.Class, job.Spec.RuntimeEstimateSeconds)
-		// Half of a task's run time is left on average.
+		// On average a running task has half of its run time left.
 		state.RunningWorkSeconds += float64(job.BoundCount) * runS / 2
 		if job.BoundCount > 0 && runS > 0 {
 			state.NextFreeSeconds = min(state.NextFreeSeconds, runS/2/float64(job.BoundCount))
@@ -43,7 +43,7 @@
 	return state
 }
 
-// ProvisioningState is the state in which the size of the pool is chosen.
+// ProvisioningState returns the state in which the size of the pool is chosen.
 func (e *Engine) ProvisioningState() learner.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/scheduler/learner_value.go
+++ b/internal/scheduler/learner_value.go
@@ -8,21 +8,21 @@
 	"sableusher/internal/tuning"
 )
 
-// valueCache keeps values of the function Q(s, a) for a short while: the state changes little within
-// it, and to describe it anew for each job would go through all jobs and machines each time.
+// valueCache caches the state and the values of the function Q(s, a) for tuning.LearnerValueMaxAge. The state changes
+// little in that time, and computing it iterates over all jobs and machines.
 type valueCache struct {
 	byJob   map[string]cachedValue
 	state   *learner.State
 	stateAt time.Time
 }
 
-// cachedValue is the value of starting a job's task, as of a time.
+// cachedValue is the value of starting a task of a job, as of computedAt.
 type cachedValue struct {
 	value      float64
 	computedAt time.Time
 }
 
-// scoreJob returns the value Q(s, a) of starting a task of a job now (paper, section 3.1).
+// scoreJob returns the score of starting a task of a job now, with its value Q(s, a) (paper, section 3.1).
 func (c *cycle) scoreJob(job *clusterstate.Job) learner.ScoredAction {
 	l := &c.learning
 	if l.values.state == nil || c.now.Sub(l.values.stateAt) > tuning.LearnerValueMaxAge {
@@ -32,7 +32,7 @@
 	return l.learner.Score(l.values.state, c.jobAction(job))
 }
 
-// jobValue is the value of starting a task of a job, at most tuning.LearnerValueMaxAge old.
+// jobValue returns the value of starting a task of a job, at most tuning.LearnerValueMaxAge old.
 func (c *cycle) jobValue(job *clusterstate.Job) float64 {
 	cached, ok := c.learning.values.byJob[job.Spec.ID]
 	if !ok || c.now.Sub(cached.computedAt) > tuning.LearnerValueMaxAge {
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -14,26 +14,26 @@
 	"sableusher/internal/wire"
 )
 
-// learning is the scheduler's part of reinforcement learning, after the paper that docs/design.md follows:
-// the model of the scheduling problem (section 3.2) is here, the value function Q (section 3.3) in
-// package learner. The files learner_*.go hold its parts by their names there: state, action, reward,
-// value, policy. The engine's lock guards it.
+// learning is the scheduler's reinforcement learning, after the paper that docs/design.md follows. The scheduler
+// implements the paper's model of the scheduling problem (section 3.2), and package learner implements the value
+// function Q (section 3.3). The files learner_*.go are named after the parts of the paper's model: state, action,
+// reward, value and policy. The engine's lock guards learning.
 type learning struct {
 	operator *config.Operator
 	log      *slog.Logger
 
 	learner  *learner.Learner
-	runTimes *learner.RunTimeEstimates // of each class, the paper's estimated model
-	// pendingRewards are the actions taken whose reward is not known yet, by the learner's number.
+	runTimes *learner.RunTimeEstimates // by class; the paper's estimated model
+	// pendingRewards holds the learner's IDs of the actions whose reward is not known yet.
 	pendingRewards map[taskAttempt]int64
 	startedAt      map[taskAttempt]time.Time
 	utilization    utilization
-	// recentResponsiveness is a fading mean of the responsiveness of the tasks that ended.
+	// recentResponsiveness is a decaying mean of the responsiveness of ended tasks.
 	recentResponsiveness float64
 	values               valueCache
 }
 
-// taskAttempt names one attempt of a task.
+// taskAttempt identifies one attempt of a task.
 type taskAttempt struct {
 	task    record.TaskRef
 	attempt uint64
@@ -62,9 +62,8 @@
 	}
 }
 
-// recordDecision tells the learner of a task that was started. Each task is a decision of its own, as
-// the paper's jobs take one processor each; the reservoir has moved on since the job was valued, so
-// the action is scored anew.
+// recordDecision reports the start of a task to the learner. Each task is a decision of its own, as each of the paper's
+// jobs uses one processor. The action is scored again, because the reservoir has changed since the job was valued.
 func (c *cycle) recordDecision(queued *queuedJob, binding pendingBinding, attempt uint64) {
 	l := &c.learning
 	if !l.operator.LearningEnabled {
@@ -75,8 +74,8 @@
 	l.log.Debug("task chosen", "task", binding.task, "value", choice.Value, "near_deadline", queued.nearDeadline)
 }
 
-// recordRunning notes when a task began to run, and rewards a service's start once it has run for a
-// while, as a service never completes.
+// recordRunning records when a task began to run. A service never completes, so its start is rewarded once the task has
+// run for tuning.ServiceRewardAfter.
 func (l *learning) recordRunning(now time.Time, binding clusterstate.Binding, task agent.TaskObservation) {
 	if task.State != wire.TaskRunning {
 		return
@@ -91,11 +90,10 @@
 	}
 	waited := max(0, task.Since.Sub(binding.Job.ReadySince()).Seconds())
 	ran := tuning.ServiceRewardAfter.Seconds()
-	l.giveReward(id, start, ran/(ran+waited))
+	l.reportReward(id, start, ran/(ran+waited))
 }
 
-// recordEnd rewards the start of a task that left its machine. A start that did not lead to the end of
-// the task has no responsiveness.
+// recordEnd rewards the start of a task that left its machine. The responsiveness is 0 if the task did not complete.
 func (l *learning) recordEnd(
 	now time.Time, cluster *clusterstate.State, binding clusterstate.Binding, done bool, machineName string,
 ) {
@@ -107,22 +105,22 @@
 	if done && started {
 		runS := now.Sub(startedAt).Seconds()
 		responsiveness = responsivenessOf(runS, now.Sub(binding.Job.ReadySince()).Seconds())
-		l.utilization.finishedMachineS += runS * shareOfMachine(cluster, spec, machineName)
+		l.utilization.finishedMachineSeconds += runS * shareOfMachine(cluster, spec, machineName)
 		if binding.Attempt == 1 { // a later attempt may have resumed from a checkpoint
 			l.runTimes.RecordRun(spec.Class, runS, spec.RuntimeEstimateSeconds)
 		}
 	}
 	if id, ok := l.pendingRewards[start]; ok {
-		l.giveReward(id, start, responsiveness)
+		l.reportReward(id, start, responsiveness)
 	}
 }
 
-// prune drops what is kept of jobs that are over.
+// prune drops the cached values of jobs that have ended.
 func (l *learning) prune(isOver func(job string) bool) {
 	maps.DeleteFunc(l.values.byJob, func(job string, _ cachedValue) bool { return isOver(job) })
 }
 
-// dropStaleAttempts drops what no attempt of a task needs any more.
+// dropStaleAttempts drops the attempts of jobs that have ended and of tasks that are in a later attempt.
 func (l *learning) dropStaleAttempts(jobs map[string]*clusterstate.Job) {
 	stale := func(start taskAttempt) bool {
 		job := jobs[start.task.JobID]
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -10,34 +10,34 @@
 	"sableusher/internal/wire"
 )
 
-// objectives is the last assessment of the service-level objectives of waiting arrays against the
-// capacity there is.
+// objectives is the latest assessment of which service-level objectives waiting arrays can meet with the available
+// capacity.
 type objectives struct {
 	assessedAt time.Time
 	// unattainable holds the waiting arrays that can meet none of their objectives.
 	unattainable map[string]bool
-	// attainable is, for each of the others, the first objective it can meet.
+	// attainable holds, for each other waiting array, the first objective that it can meet.
 	attainable map[string]time.Time
-	// capacityShort tells, by priority rank, that not all waiting arrays can meet their first reachable objective.
+	// capacityShort is set, by priority rank, if not all waiting arrays can meet their first reachable objective.
 	capacityShort [wire.PriorityCount]bool
-	// arrivals are the recent arrivals of classes and teams; underserved are those that were served least of theirs.
+	// arrivals tracks the recent arrivals of each class and team. underserved holds the classes and teams of which the
+	// smallest share was served.
 	arrivals    fairshare.Tracker
 	underserved map[fairshare.Group]bool
 }
 
-// arrayWork is the work of the arrays that may start.
+// arrayWork is the remaining work of the startable arrays.
 type arrayWork struct {
 	waiting [wire.PriorityCount][]jobqueue.WaitingJob
-	// runningMachineS is the machine time that running tasks still take, in seconds.
-	runningMachineS [wire.PriorityCount]float64
-	objectives      map[string][]time.Time // by job, earliest first
-	pending         map[string]int         // tasks by job
+	// runningMachineSeconds is the machine time that running tasks still need, in seconds, by priority rank.
+	runningMachineSeconds [wire.PriorityCount]float64
+	objectives            map[string][]time.Time // by job ID, earliest first
+	pending               map[string]int         // number of pending tasks, by job ID
 }
 
-// assessObjectives finds which objective each waiting array can meet with the capacity there is: the
-// capacity that arrays may use, on machines that are up, serves them one after the other. Gangs and
-// services are not counted: they come before, and take what they need whole. It reads records and
-// estimates only, so that all nodes find nearly the same.
+// assessObjectives determines which objective each waiting array can meet if the capacity that arrays may use on ready
+// machines serves them one after the other. Gangs and services are left out: they precede arrays and take all the
+// capacity that they need. The assessment uses only records and estimates, so all nodes get nearly the same result.
 func (c *cycle) assessObjectives() {
 	state := &c.order.objectives
 	state.assessedAt, state.unattainable, state.attainable = c.now, map[string]bool{}, map[string]time.Time{}
@@ -51,7 +51,7 @@
 	}
 }
 
-// collectArrayWork goes through the arrays that may start, and notes their arrival.
+// collectArrayWork returns the work of all startable arrays, and records their arrival.
 func (c *cycle) collectArrayWork() *arrayWork {
 	work := &arrayWork{objectives: map[string][]time.Time{}, pending: map[string]int{}}
 	for id, job := range c.cluster.Jobs {
@@ -62,7 +62,8 @@
 		c.order.objectives.arrivals.RecordArrival(c.now, fairshare.Arrival{
 			JobID: id, Class: job.Spec.Class, Team: job.Spec.Team, Tasks: job.Spec.TaskCount, At: job.ReadySince(),
 		})
-		work.runningMachineS[rank] += float64(job.BoundCount) * share * runTime.Seconds() / 2 // half is left on average
+		// On average a running task has half of its run time left.
+		work.runningMachineSeconds[rank] += float64(job.BoundCount) * share * runTime.Seconds() / 2
 		pending := job.PendingCount()
 		if pending == 0 {
 			continue
@@ -84,17 +85,17 @@
 	return work
 }
 
-// assessRank finds which objectives the waiting arrays of one priority rank can meet.
+// assessRank determines which objectives the waiting arrays of one priority rank can meet.
 func (c *cycle) assessRank(rank int, work *arrayWork) {
 	state, waiting := &c.order.objectives, work.waiting[rank]
 	capacity := c.capacityForRank(rank)
 	if capacity < 1 {
-		return // nothing is up: no objective can be assessed
+		return // no machine is ready, so no objective can be assessed
 	}
 	for i := range waiting {
 		waiting[i].ServiceTime = time.Duration(float64(waiting[i].ServiceTime) / capacity)
 	}
-	backlog := time.Duration(work.runningMachineS[rank] / capacity * float64(time.Second))
+	backlog := time.Duration(work.runningMachineSeconds[rank] / capacity * float64(time.Second))
 	missed, total := 0, time.Duration(0)
 	for id, attained := range jobqueue.AttainableObjectives(backlog, waiting) {
 		if attained < 0 {
@@ -115,10 +116,10 @@
 		"short", state.capacityShort[rank], "capacity", int(capacity), "backlog", backlog, "service_time", total)
 }
 
-// capacityForRank is the capacity, in machines that are up, that work of a priority rank may use: what is
-// free and what work of its own rank or below takes. Where work takes no GPUs, it is counted in common
-// tasks: by the share that is free, a machine for one of them would count as much as one for four, and so
-// would one too small for any.
+// capacityForRank returns the capacity that tasks of a priority rank may use on ready machines: the free capacity and
+// the capacity that tasks of the same rank or below use. It is in units of machines, or in units of common tasks if no
+// job uses GPUs. Without GPUs the free share of a machine would mislead: a machine with space for one common task would
+// count as much as one with space for four, and so would one that is too small for any.
 func (c *cycle) capacityForRank(rank int) float64 {
 	commonTask, sum := c.demand.commonTask, 0.0
 	for shard := range c.cluster.ShardCount {
@@ -137,8 +138,8 @@
 	return sum
 }
 
-// machineShare is what a task takes of a machine, of the type of which it takes least, or of what a
-// common task takes: in the unit that capacityForRank counts in.
+// machineShare returns what a task needs in the unit of capacityForRank: the share of a machine of the type of which it
+// needs least, or the multiple of a common task.
 func (c *cycle) machineShare(spec *wire.JobSpec) float64 {
 	need := record.TaskResources(spec)
 	if commonTask := c.demand.commonTask; commonTask.CPUs > 0 {
--- a/internal/scheduler/objectives_test.go
+++ b/internal/scheduler/objectives_test.go
@@ -11,10 +11,11 @@
 	"sableusher/internal/tuning"
 )
 
-// TestLateJobsDoNotDelayOthers: arrays of all sizes wait behind a cluster that is in use, some of them past all
-// objectives. In the queue nothing that can't be in time stands before what can, and where not all can be,
-// nothing before what is of a smaller class; where all can be, size counts for nothing. In a burst the
-// oldest, past all objectives, once kept 0.69 of the others from their deadlines.
+// TestLateJobsDoNotDelayOthers draws arrays of all sizes that wait behind a busy cluster, some of them past all their
+// objectives. In the queue, arrays that can't meet an objective must not precede arrays that can. While capacity is
+// short, an array must not precede one of a smaller size class; otherwise the size must not matter. The test guards
+// against a queue in which the oldest jobs go first although they are past all their objectives: during a burst, such
+// jobs made 0.69 of the others miss their deadlines.
 func TestLateJobsDoNotDelayOthers(t *testing.T) {
 	short, ample := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -44,11 +45,11 @@
 		}
 	})
 	if short == 0 || ample == 0 {
-		t.Errorf("capacity was short %d times, ample %d times", short, ample)
+		t.Errorf("capacity was short %d times and ample %d times, want both", short, ample)
 	}
 }
 
-// drawArrays adds machines that are in use and arrays that wait.
+// drawArrays adds busy machines and waiting arrays.
 func drawArrays(t *rapid.T, cluster *testCluster) {
 	for i := range rapid.IntRange(1, 30).Draw(t, "machines") {
 		name := cluster.addMachine(i, true)
@@ -63,29 +64,29 @@
 	}
 }
 
-// checkQueueEntry checks a job's key against its objectives and turns.
+// checkQueueEntry checks a job's key against its objectives and the current time slot.
 func checkQueueEntry(t *rapid.T, c *cycle, queued queuedJob) {
 	key := queued.key
 	_, slack := firstReachable(c.now, c.objectiveTimes(queued.job), c.predictedRunTime(queued.job))
-	hasTurn := c.hasOverdueTurn(queued.job)
-	if hasTurn && (key.MissesObjectives || key.SizeClass != sizeClassFirst) {
-		t.Fatalf("%v has its turn and stands behind", key)
+	isOverdueSlot := c.inOverdueSlot(queued.job)
+	if isOverdueSlot && (key.MissesObjectives || key.SizeClass != sizeClassFirst) {
+		t.Fatalf("%v is not first in its time slot", key)
 	}
 	if c.nearLastObjective(queued.job) && key.SizeClass != sizeClassFirst {
-		t.Fatalf("%v is near its last objective and stands behind", key)
+		t.Fatalf("%v is near its last objective and not first", key)
 	}
-	if slack < 0 && !key.MissesObjectives && !hasTurn {
-		t.Fatalf("%v is past all objectives and not late", key)
+	if slack < 0 && !key.MissesObjectives && !isOverdueSlot {
+		t.Fatalf("%v is past all its objectives and not marked as missing them", key)
 	}
 	if (key.SizeClass != sizeClassNone) != c.order.objectives.capacityShort[queued.rank] {
-		t.Fatalf("%v though short is %v", key, c.order.objectives.capacityShort)
+		t.Fatalf("%v has the wrong size class while capacityShort is %v", key, c.order.objectives.capacityShort)
 	}
 }
 
-// checkQueueOrder checks that a job stands rightly before the next one.
+// checkQueueOrder checks the order of two adjacent jobs of the queue.
 func checkQueueOrder(t *rapid.T, first, second queuedJob) {
 	if first.key.MissesObjectives && !second.key.MissesObjectives ||
 		first.key.MissesObjectives == second.key.MissesObjectives && first.key.SizeClass > second.key.SizeClass {
-		t.Fatalf("%v stands before %v", first.key, second.key)
+		t.Fatalf("%v is before %v", first.key, second.key)
 	}
 }
--- a/internal/scheduler/precedence.go
+++ b/internal/scheduler/precedence.go
@@ -28,7 +28,7 @@
 	if job.Spec.Kind != wire.KindArray || !c.order.objectives.capacityShort[c.effectiveRank(job)] {
 		return sizeClassNone
 	}
-	if c.hasOverdueTurn(job) || c.nearLastObjective(job) {
+	if c.inOverdueSlot(job) || c.nearLastObjective(job) {
 		return sizeClassFirst
 	}
 	return 1 + bits.Len(uint(float64(job.PendingCount())*c.estimatedRunTime(job).Seconds()))
@@ -52,60 +52,62 @@
 	return slack >= 0 && slack < max(runTime, tuning.MinObjectiveUrgentSlack)
 }
 
-// turn is a second of the cycle of tuning.FairShareRoundSeconds in which certain arrays come first while capacity is
-// short. All nodes find the same turn by the clock.
-type turn int64
+// fairShareSlot is a second of the cycle of tuning.FairShareRoundSeconds in which certain arrays come first while capacity is
+// short. All nodes find the same fairShareSlot by the clock.
+type fairShareSlot int64
 
 const (
-	turnOfClasses      turn = 0 // arrays of underserved classes
-	turnOfTeams        turn = 1 // arrays of underserved teams
-	turnOfClassesAgain turn = 2 // classes have two turns, as they differ most
-	turnOfOverdue      turn = tuning.FairShareRoundSeconds - 1
+	slotOfClasses       fairShareSlot = 0 // arrays of underserved classes
+	slotOfTeams         fairShareSlot = 1 // arrays of underserved teams
+	secondSlotOfClasses fairShareSlot = 2 // classes have two turns, as they differ most
+	slotOfOverdue       fairShareSlot = tuning.FairShareRoundSeconds - 1
 )
 
 // String names a turn for messages.
-func (t turn) String() string {
-	switch t {
-	case turnOfClasses, turnOfClassesAgain:
+func (s fairShareSlot) String() string {
+	switch s {
+	case slotOfClasses, secondSlotOfClasses:
 		return "classes"
-	case turnOfTeams:
+	case slotOfTeams:
 		return "teams"
 	default:
 		return "overdue"
 	}
 }
 
-// currentTurn is the turn at the time of the cycle.
-func (c *cycle) currentTurn() turn { return turn(c.now.Unix() % tuning.FairShareRoundSeconds) }
+// currentSlot is the turn at the time of the cycle.
+func (c *cycle) currentSlot() fairShareSlot {
+	return fairShareSlot(c.now.Unix() % tuning.FairShareRoundSeconds)
+}
 
-// hasUnderservedTurn reports whether it is the turn of an array whose class or team has had least of what is
+// inUnderservedSlot reports whether it is the turn of an array whose class or team has had least of what is
 // due while capacity is short. By size alone a class of large arrays would wait for as long as smaller ones
 // keep coming. Their arrays come first in their turn, in the order that holds among all.
-func (c *cycle) hasUnderservedTurn(job *clusterstate.Job) bool {
+func (c *cycle) inUnderservedSlot(job *clusterstate.Job) bool {
 	state := &c.order.objectives
 	if len(state.underserved) == 0 || job.Spec.Kind != wire.KindArray || !state.capacityShort[c.effectiveRank(job)] {
 		return false
 	}
-	switch c.currentTurn() {
-	case turnOfClasses, turnOfClassesAgain:
+	switch c.currentSlot() {
+	case slotOfClasses, secondSlotOfClasses:
 		return state.underserved[fairshare.Class(job.Spec.Class)]
-	case turnOfTeams:
+	case slotOfTeams:
 		return state.underserved[fairshare.Team(job.Spec.Team)]
 	default:
 		return false
 	}
 }
 
-// hasOverdueTurn reports whether it is the turn of arrays that have missed their objectives for long. Behind
+// inOverdueSlot reports whether it is the turn of arrays that have missed their objectives for long. Behind
 // what can be in time they would wait as long as capacity is short, be it for hours; so in their turn they
 // come first, the oldest of them before the others.
-func (c *cycle) hasOverdueTurn(job *clusterstate.Job) bool {
+func (c *cycle) inOverdueSlot(job *clusterstate.Job) bool {
 	return c.order.objectives.unattainable[job.Spec.ID] && c.now.Sub(job.ReadySince()) > tuning.OverdueJobAge &&
-		c.currentTurn() == turnOfOverdue
+		c.currentSlot() == slotOfOverdue
 }
 
 // missesObjectives reports whether an array stands behind those that can be in time: it can't, and it is not
 // its turn.
 func (c *cycle) missesObjectives(job *clusterstate.Job) bool {
-	return c.order.objectives.unattainable[job.Spec.ID] && !c.hasOverdueTurn(job)
+	return c.order.objectives.unattainable[job.Spec.ID] && !c.inOverdueSlot(job)
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -107,7 +107,7 @@
 // keyOutdated reports whether what a waiting job's key says no longer holds.
 func (c *cycle) keyOutdated(key jobqueue.Key, job *clusterstate.Job) bool {
 	return key.WithinGuarantee != c.order.guarantees.jobs[key.JobID] ||
-		key.Underserved != c.hasUnderservedTurn(job) ||
+		key.Underserved != c.inUnderservedSlot(job) ||
 		key.MissesObjectives != c.missesObjectives(job) ||
 		key.SizeClass != c.sizeClass(job) ||
 		c.now.After(c.order.waiting.nextReorder[key.JobID])
@@ -124,7 +124,7 @@
 	c.order.waiting.put(jobqueue.Key{
 		PriorityRank:     c.effectiveRank(job),
 		WithinGuarantee:  c.order.guarantees.jobs[id],
-		Underserved:      c.hasUnderservedTurn(job),
+		Underserved:      c.inUnderservedSlot(job),
 		MissesObjectives: c.missesObjectives(job),
 		SizeClass:        c.sizeClass(job),
 		NearDeadline:     deadline.near,
