--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -109,8 +109,8 @@
 	return c
 }
 
-// recordShardOwnership records who owns a shard. When this node has just become the owner, it dispatches to the shard's machines
-// at once instead of at their next heartbeat.
+// recordShardOwnership records who owns a shard. When this node has just become the owner, it dispatches to the shard's
+// machines at once instead of at their next heartbeat.
 func (c *cycle) recordShardOwnership(shard int) {
 	_, c.shards.live[shard] = c.membership.OwnerOf(shard)
 	ownership, owned := c.membership.Ownership(shard)
@@ -166,8 +166,8 @@
 	}
 }
 
-// throttleArrayStarts allows arrays to start only every tuning.StoreSaturatedPlacementInterval while the key-value store's
-// request budget is the bottleneck.
+// throttleArrayStarts allows arrays to start only every tuning.StoreSaturatedPlacementInterval while the key-value
+// store's request budget is the bottleneck.
 func (c *cycle) throttleArrayStarts() {
 	if c.committer.QueueLength() < tuning.StoreSaturatedQueueLength ||
 		c.now.Sub(c.pace.lastArrayStart) > tuning.StoreSaturatedPlacementInterval {
--- a/internal/scheduler/learner_checkpoint_test.go
+++ b/internal/scheduler/learner_checkpoint_test.go
@@ -33,8 +33,8 @@
 	return wire.KeyValue{Key: key, Value: wire.MustEncode(value)}, nil
 }
 
-// TestCheckpointIsReadInBothFormats checks that a checkpoint in pieces takes precedence over one in a single record, that
-// missing and mismatched pieces are errors, and that reads are retried while the store is unavailable.
+// TestCheckpointIsReadInBothFormats checks that a checkpoint in pieces takes precedence over one in a single record,
+// that missing and mismatched pieces are errors, and that reads are retried while the store is unavailable.
 func TestCheckpointIsReadInBothFormats(t *testing.T) {
 	single := record.LearnerCheckpointKey("node-0")
 	first, second := record.LearnerCheckpointPieceKey("node-0", 0), record.LearnerCheckpointPieceKey("node-0", 1)
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -11,8 +11,8 @@
 	"sableusher/internal/wire"
 )
 
-// TestLongQueueBehindFullCluster: hundreds of jobs of different shapes behind a cluster without room must not each be
-// held against each machine.
+// TestLongQueueBehindFullCluster checks that a cycle doesn't compare each of hundreds of jobs of different shapes with
+// each machine when the cluster has no free capacity.
 func TestLongQueueBehindFullCluster(t *testing.T) {
 	const machines, jobs, gangSize = 1500, 500, 100
 	fixture := newTestCluster(t)
@@ -33,19 +33,19 @@
 	}
 	c, bindings := fixture.runCycle(0)
 	if len(bindings) != 0 {
-		t.Fatalf("%d tasks bound without room", len(bindings))
+		t.Fatalf("%d tasks bound without free capacity", len(bindings))
 	}
 	if examined := c.inventory.Examined(); examined > 2*machines {
 		t.Errorf("%d machines examined for %d jobs on %d machines", examined, jobs, machines)
 	}
 	if groups := len(c.demand.unmet.Groups); groups != jobs {
-		t.Errorf("demand names %d of %d jobs", groups, jobs)
+		t.Errorf("unmet demand lists %d of %d jobs", groups, jobs)
 	}
 }
 
-// TestArrayIsBoundByOneShard: with room everywhere, one node binds all of an array's tasks, in its own shard and in one
-// change; the others leave it alone. Several writers of one record would fail each other's conditions and use up the
-// budget of the key-value store.
+// TestArrayIsBoundByOneShard checks that, with free capacity in all shards, one node binds all of an array's tasks in
+// its own shard and in one change, and the other nodes bind none. Several writers of one record would fail each other's
+// conditions and use up the request budget of the key-value store.
 func TestArrayIsBoundByOneShard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fixture := newTestCluster(nil)
@@ -76,8 +76,8 @@
 	})
 }
 
-// TestPlacementPrefersMachinesWithTheImage: of machines with room, those that hold the image are taken, also in other
-// nodes' shards, of which hints tell.
+// TestPlacementPrefersMachinesWithTheImage checks that among machines with free capacity those that hold the image are
+// used, also in the shards of other nodes, whose images are known from hints.
 func TestPlacementPrefersMachinesWithTheImage(t *testing.T) {
 	fixture := newTestCluster(t)
 	held := map[string]map[string]bool{"g": {}}
@@ -104,21 +104,22 @@
 	}
 }
 
-// TestServicesSpreadWhereAsked: with the operators' setting at most half of a service that does not ask for it stands
-// in one zone while another has room; without another all of it is placed.
-func TestServicesSpreadWhereAsked(t *testing.T) {
+// TestServicesSpreadWhenConfigured checks the operators' setting that spreads services which don't ask for it: at most
+// half of a service is placed in one zone while another zone has free capacity. If only one zone has, all of it goes
+// there.
+func TestServicesSpreadWhenConfigured(t *testing.T) {
 	for _, zones := range []int{1, 2} {
 		for _, spreads := range []bool{false, true} {
 			count, bound := placeService(t, zones, spreads)
 			if bound != 6 || spreads && zones == 2 && (count["east"] != 3 || count["west"] != 3) {
-				t.Errorf("%d zones with room, spread %v: %v", zones, spreads, count)
+				t.Errorf("%d zones with capacity, spread %v: %v", zones, spreads, count)
 			}
 		}
 	}
 }
 
-// placeService places a service of six replicas on machines in some zones, and returns how many were bound, by zone and
-// in all.
+// placeService places a service of six replicas on machines in the given number of zones. It returns the number of
+// bound replicas, by zone and in total.
 func placeService(t *testing.T, zones int, spreads bool) (count map[string]int, bound int) {
 	t.Helper()
 	fixture := newTestCluster(t)
@@ -140,10 +141,10 @@
 	return count, bound
 }
 
-// TestZoneOfALongJobIsChosenOnce: bindings in different chunks of a job whose tasks must be in one zone write the job's
-// own record too, so that two nodes that choose at once collide; and while a task of it is bound to a machine that no
-// record knows, none is bound, as its zone is not known.
-func TestZoneOfALongJobIsChosenOnce(t *testing.T) {
+// TestZoneOfMultiChunkJobIsChosenOnce checks a job with several chunks whose tasks must be in one zone. A change that
+// binds tasks of any chunk also writes the job's own record, so that two nodes that choose a zone at the same time
+// conflict. While a task is bound to a machine without a record, its zone is unknown and no other task is bound.
+func TestZoneOfMultiChunkJobIsChosenOnce(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		fixture := newTestCluster(t)
 		for i := range 30 {
@@ -170,7 +171,7 @@
 			}
 		}
 		if (bound == 0) != lost {
-			t.Errorf("a task out of sight: %v, %d bound", lost, bound)
+			t.Errorf("task on an unknown machine: %v, %d tasks bound", lost, bound)
 		}
 	}
 }
--- a/internal/scheduler/precedence.go
+++ b/internal/scheduler/precedence.go
@@ -11,19 +11,23 @@
 
 // Size classes that are not powers of two.
 const (
-	sizeClassFirst = -1 // before all others
-	sizeClassNone  = 0  // size counts for nothing
+	sizeClassFirst = -1 // before all other size classes
+	sizeClassNone  = 0  // the size doesn't affect the order
 )
 
-// sizeClass is the class of what an array still takes, by powers of two, where capacity is so short that not
-// all arrays can meet their objectives; sizeClassNone elsewhere. The large would each hold up many that are over soon:
-// by the smallest first the mean waiting time is least (Smith, Various optimizers for single-stage
-// production, Naval Research Logistics 3, 1956), and with it the reward's responsiveness highest. Within a
-// class the nearness of the deadline and the value decide. The owner's estimate tells the jobs of one class
-// apart, which the class's median can't.
+// sizeClass returns the size class of a job, by which jobs of the same priority are ordered, smallest first. While
+// capacity is too short for all waiting arrays to meet their objectives, the class of an array is the power of two of
+// its remaining work. Starting the smallest first minimizes the mean waiting time (Smith, Various optimizers for
+// single-stage production, Naval Research Logistics 3, 1956) and so maximizes the reward's responsiveness: a large
+// array would delay many that end soon. Within a size class the nearness of the deadline and the value decide. The work
+// is computed from the owner's estimate, because it distinguishes the jobs of one class, which the class's median
+// doesn't.
+//
+// While services find no capacity, the class of a service is determined by its number of running replicas, fewest
+// first. In all other cases it is sizeClassNone.
 func (c *cycle) sizeClass(job *clusterstate.Job) int {
 	if job.Spec.Kind == wire.KindService && c.serviceCapacityScarce() {
-		return 1 + job.BoundCount // the fewest replicas left first
+		return 1 + job.BoundCount
 	}
 	if job.Spec.Kind != wire.KindArray || !c.order.objectives.capacityShort[c.effectiveRank(job)] {
 		return sizeClassNone
@@ -34,15 +38,15 @@
 	return 1 + bits.Len(uint(float64(job.PendingCount())*c.estimatedRunTime(job).Seconds()))
 }
 
-// serviceCapacityScarce reports whether services have found no capacity of late, as after the loss of a zone.
-// Then one replica of each starts before the second of any, and those with the fewest left go first.
+// serviceCapacityScarce reports whether a service has recently found no capacity, as after the loss of a zone. Then one
+// replica of each service starts before the second one of any, and services with the fewest replicas go first.
 func (c *cycle) serviceCapacityScarce() bool {
 	return c.now.Sub(c.demand.lastServiceShortage) < tuning.ServiceShortageWindow
 }
 
-// nearLastObjective reports whether an array has to start soon to meet the last of its objectives, which it
-// can. Behind smaller ones that keep coming a large one would miss it though there is capacity for all by
-// then: one in a hundred did where capacity was a little short.
+// nearLastObjective reports whether an array has to start soon to meet the last of its objectives, and can still meet
+// it. Behind smaller arrays that keep arriving, a large one would miss it although there is capacity for all of them by
+// then: this happened to one in a hundred arrays when capacity was slightly short.
 func (c *cycle) nearLastObjective(job *clusterstate.Job) bool {
 	if _, ok := c.order.objectives.attainable[job.Spec.ID]; !ok {
 		return false
@@ -52,18 +56,18 @@
 	return slack >= 0 && slack < max(runTime, tuning.MinObjectiveUrgentSlack)
 }
 
-// fairShareSlot is a second of the cycle of tuning.FairShareRoundSeconds in which certain arrays come first while capacity is
-// short. All nodes find the same fairShareSlot by the clock.
+// fairShareSlot is a one-second time slot in a round of tuning.FairShareRoundSeconds, in which certain arrays go first
+// while capacity is short. All nodes derive the same slot from the clock.
 type fairShareSlot int64
 
 const (
 	slotOfClasses       fairShareSlot = 0 // arrays of underserved classes
 	slotOfTeams         fairShareSlot = 1 // arrays of underserved teams
-	secondSlotOfClasses fairShareSlot = 2 // classes have two turns, as they differ most
+	secondSlotOfClasses fairShareSlot = 2 // classes have two slots, because they differ most
 	slotOfOverdue       fairShareSlot = tuning.FairShareRoundSeconds - 1
 )
 
-// String names a turn for messages.
+// String returns the name of the slot for messages.
 func (s fairShareSlot) String() string {
 	switch s {
 	case slotOfClasses, secondSlotOfClasses:
@@ -75,14 +79,14 @@
 	}
 }
 
-// currentSlot is the turn at the time of the cycle.
+// currentSlot returns the slot at the time of the cycle.
 func (c *cycle) currentSlot() fairShareSlot {
 	return fairShareSlot(c.now.Unix() % tuning.FairShareRoundSeconds)
 }
 
-// inUnderservedSlot reports whether it is the turn of an array whose class or team has had least of what is
-// due while capacity is short. By size alone a class of large arrays would wait for as long as smaller ones
-// keep coming. Their arrays come first in their turn, in the order that holds among all.
+// inUnderservedSlot reports whether an array goes first in the current slot because its class or team is underserved
+// while capacity is short. If size alone decided, a class of large arrays would wait for as long as smaller ones keep
+// arriving. Among themselves, the arrays of a slot keep their usual order.
 func (c *cycle) inUnderservedSlot(job *clusterstate.Job) bool {
 	state := &c.order.objectives
 	if len(state.underserved) == 0 || job.Spec.Kind != wire.KindArray || !state.capacityShort[c.effectiveRank(job)] {
@@ -98,16 +102,16 @@
 	}
 }
 
-// inOverdueSlot reports whether it is the turn of arrays that have missed their objectives for long. Behind
-// what can be in time they would wait as long as capacity is short, be it for hours; so in their turn they
-// come first, the oldest of them before the others.
+// inOverdueSlot reports whether an array goes first in the current slot because it can meet none of its objectives and
+// has waited for longer than tuning.OverdueJobAge. Without this slot it would wait behind arrays that can meet their
+// objectives for as long as capacity is short, possibly for hours. Among the arrays of the slot the oldest goes first.
 func (c *cycle) inOverdueSlot(job *clusterstate.Job) bool {
 	return c.order.objectives.unattainable[job.Spec.ID] && c.now.Sub(job.ReadySince()) > tuning.OverdueJobAge &&
 		c.currentSlot() == slotOfOverdue
 }
 
-// missesObjectives reports whether an array stands behind those that can be in time: it can't, and it is not
-// its turn.
+// missesObjectives reports whether an array goes behind those that can meet their objectives: it can meet none of its
+// own, and the current slot is not for it.
 func (c *cycle) missesObjectives(job *clusterstate.Job) bool {
 	return c.order.objectives.unattainable[job.Spec.ID] && !c.inOverdueSlot(job)
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -9,16 +9,17 @@
 	"sableusher/internal/wire"
 )
 
-// preemptForTask frees capacity for a task of a waiting job by stopping tasks on the machine where the least work is
-// lost, and reports whether there is a shard where it can be freed. All nodes do so in their cycles, but only a shard's
-// owner knows what its tasks would lose: the shard is chosen by what all nodes know, the machine by the owner.
+// preemptForTask frees capacity for a pending task by stopping other tasks on the machine where the least work is lost,
+// and reports whether some shard can free it. All nodes call it in their cycles, but only the owner of a shard knows
+// how much work its tasks would lose. So the shard is chosen by what all nodes know, and the machine by the shard's
+// owner.
 //
-// Once there is no such shard, like requests of the same rank are not looked at again in this cycle: hundreds of arrays
-// that wait behind a full cluster would each pass all of its machines.
+// When no shard can free capacity, similar requests of the same rank are not examined again in this cycle. Otherwise
+// hundreds of arrays that wait behind a full cluster would each examine all machines.
 func (c *cycle) preemptForTask(queued *queuedJob, taskIndex int, zones *binpack.ZoneConstraint) bool {
 	task := record.TaskRef{JobID: queued.job.Spec.ID, Index: taskIndex}
 	if c.preempting.awaiting[task] {
-		return true // capacity is being freed for it already
+		return true // capacity is already being freed for the task
 	}
 	if c.preempting.machines >= tuning.PreemptMachinesPerCycle ||
 		c.preempting.failed[queued.rank].Covers(&queued.Request) {
@@ -31,21 +32,22 @@
 			return true
 		}
 	}
-	// What must stand in certain zones may have failed for that alone.
+	// A request that is restricted to certain zones may have failed only because of that restriction.
 	if !queued.job.Spec.SameZone && !queued.job.Spec.Spread {
 		c.preempting.failed[queued.rank].Add(&queued.Request)
 	}
 	return false
 }
 
-// preemptInShard frees capacity for a task in a shard if it is this node's, and reports whether it can be freed there.
+// preemptInShard frees capacity for a task in a shard if this node owns the shard, and reports whether the shard can
+// free it.
 func (c *cycle) preemptInShard(
 	shard int, queued *queuedJob, task record.TaskRef, zones *binpack.ZoneConstraint,
 ) bool {
 	search := preemption.Search{Request: &queued.Request, Rank: queued.rank, Zones: zones, Limit: 1}
 	owned := c.shards.owns(shard)
 	if owned {
-		// Elsewhere its owner decides: that there is one machine is all that matters.
+		// Only a shard's owner compares the machines. In other shards it only matters whether there is one.
 		search.Limit = tuning.PreemptMachinesCompared
 	}
 	candidates := search.Candidates(c.inventory.ReadyMachines(shard))
@@ -63,10 +65,11 @@
 	return true
 }
 
-// shardRotation moves the shard in which capacity is freed first for urgent work, every tuning.PreemptShardInterval that it
-// finds none: the owner of a shard may know that machines are not to be had which other nodes take for ready, and all
-// would wait for it. It counts from when the work first found none: by the clock alone the turns would pass in the
-// midst of stops, and capacity would be freed twice.
+// shardRotation returns by how many shards the search for capacity to free for an urgent task is shifted: one more for
+// each tuning.PreemptShardInterval since its job found no capacity. Nodes assume machines of other shards to be ready
+// that their owner knows to be unavailable, and without the shift all nodes would wait for that owner. The time counts
+// from when the job first found no capacity: intervals of the wall clock would end while tasks are being stopped, and
+// capacity would be freed twice.
 func (c *cycle) shardRotation(queued *queuedJob) int {
 	since, ok := c.demand.unplacedSince[queued.job.Spec.ID]
 	if !ok || !isHighPriority(queued.rank) {
@@ -75,7 +78,7 @@
 	return int(c.now.Sub(since) / tuning.PreemptShardInterval)
 }
 
-// countReservedZones counts, with a job's tasks, the machines on which capacity is being freed for it.
+// countReservedZones counts the machines reserved for a job like bound tasks of it, by zone.
 func (c *cycle) countReservedZones(jobID string, zones *binpack.ZoneConstraint) {
 	for name, task := range c.reservations.active(c.now) {
 		if machine := c.cluster.Machines[name]; machine != nil && task.JobID == jobID {
@@ -108,7 +111,7 @@
 	return victims
 }
 
-// runningJob is a job as it stands against those that would preempt it.
+// runningJob returns the properties of a job that decide whether it may be preempted.
 func (c *cycle) runningJob(job *clusterstate.Job) preemption.RunningJob {
 	_, guaranteed := c.quota.Guarantee(job.Spec.Team)
 	return preemption.RunningJob{
@@ -120,8 +123,8 @@
 	}
 }
 
-// lostMachineSeconds is the work lost when a task is stopped: what it has done since it began, or at most since its
-// last checkpoint.
+// lostMachineSeconds returns the work lost when a task is stopped, in seconds: its run time so far, or at most the
+// interval of its checkpoints, plus one second.
 func (c *cycle) lostMachineSeconds(binding clusterstate.Binding, machine *clusterstate.Machine) float64 {
 	task := c.agents.ObserveTask(binding, machine.Name, c.shards.fencingTokens[machine.Shard])
 	ran := 0.0
@@ -134,7 +137,7 @@
 	return 1 + ran
 }
 
-// preempt stops the victims of a plan for a waiting task, and reserves their machine for it.
+// preempt stops the victims of a plan for a waiting task and reserves their machine for it.
 func (c *cycle) preempt(plan preemption.Plan, queued *queuedJob, task record.TaskRef) {
 	machine := plan.Machine.Machine.Name
 	c.preempting.machines++
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -7,11 +7,11 @@
 	"sableusher/internal/record"
 )
 
-// TestServicePreemptsDespiteBootingMachines: a service that is spread over two zones has arrays stopped at once in
-// both, though machines that come up would hold all of it: it once waited for their boot, since what it expected there
-// counted against its zones.
+// TestServicePreemptsDespiteBootingMachines checks that a service spread over two zones has arrays stopped at once in
+// both zones, although booting machines would have enough capacity for it. The service waits for the boot instead if
+// the tasks expected on booting machines count towards the limit of tasks per zone.
 func TestServicePreemptsDespiteBootingMachines(t *testing.T) {
-	inUsedZone := func(i int) bool { return i%len(testZones) != 2 } // of three zones two are used
+	inUsedZone := func(i int) bool { return i%len(testZones) != 2 } // two of the three zones are used
 	fixture := newTestCluster(t)
 	array := arraySpec(1, 40)
 	array.CPUs, array.GPUs = 28, 4
@@ -43,6 +43,6 @@
 		}
 	}
 	if zones["east"]+zones["west"] != 4 || zones["east"] > 3 {
-		t.Errorf("room is made by zone: %v, want 4 in both", zones)
+		t.Errorf("machines reserved by zone: %v, want 4 in both zones", zones)
 	}
 }
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -11,21 +11,21 @@
 	"sableusher/internal/wire"
 )
 
-// queueOrder is what decides the order of the waiting jobs, with the jobs in it, from cycle to cycle.
+// queueOrder is the state, kept between cycles, that determines the order of the waiting jobs.
 type queueOrder struct {
 	guarantees guarantees
 	objectives objectives
 	waiting    waitingJobs
 }
 
-// waitingJobs keeps the jobs that wait in scheduling order from cycle to cycle.
+// waitingJobs keeps the waiting jobs in scheduling order between cycles.
 type waitingJobs struct {
 	queue *jobqueue.Queue[*clusterstate.Job]
-	// nextReorder is when a job's key next changes if nothing but time moves.
+	// nextReorder holds, by job ID, when a job's key changes if nothing but time passes.
 	nextReorder map[string]time.Time
-	// lastFullReorder is when the keys of all jobs were last computed anew.
+	// lastFullReorder is when the keys of all jobs were last computed.
 	lastFullReorder time.Time
-	// buffer is the list of the previous cycle, whose memory is used again.
+	// buffer is the list of the previous cycle. Its memory is reused.
 	buffer []queuedJob
 }
 
@@ -33,37 +33,37 @@
 	return waitingJobs{queue: jobqueue.New[*clusterstate.Job](), nextReorder: map[string]time.Time{}}
 }
 
-// remove takes a job out of the queue.
+// remove removes a job from the queue.
 func (w *waitingJobs) remove(id string) {
 	w.queue.Delete(id)
 	delete(w.nextReorder, id)
 }
 
-// put places a job by its key, which holds until a time if nothing but time moves.
+// put inserts a job with its key or moves it. The key is valid until validUntil if nothing but time passes.
 func (w *waitingJobs) put(key jobqueue.Key, job *clusterstate.Job, validUntil time.Time) {
 	w.nextReorder[key.JobID] = validUntil
 	w.queue.Put(key, job)
 }
 
-// queuedJob is a waiting job in a scheduling cycle; its request counts the tasks still to be placed.
+// queuedJob is a waiting job in one scheduling cycle. Its request counts the tasks that are still to be placed.
 type queuedJob struct {
 	binpack.Request
 	job             *clusterstate.Job
 	rank            int
-	withinGuarantee bool // within its team's guarantee
-	nearDeadline    bool // its deadline can still be met, but not for long
+	withinGuarantee bool // the job lies within its team's guarantee
+	nearDeadline    bool // its deadline can still be met, but little slack is left
 	key             jobqueue.Key
-	value           float64 // learned; orders the first of the queue
-	homeShard       int     // the shard whose owner binds its tasks as a rule; unknownShard before it is chosen
-	deferred        bool    // nothing of it is bound in this cycle
+	value           float64 // learned value; set only for the first jobs of the queue
+	homeShard       int     // the shard whose owner usually binds its tasks; unknownShard before it is chosen
+	deferred        bool    // no task of the job is bound in this cycle
 }
 
-// unknownShard is the home shard of a job for which none was chosen yet.
+// unknownShard is the home shard of a job for which none has been chosen yet.
 const unknownShard = -1
 
-// buildQueue returns the jobs that wait, in scheduling order. The order is kept between cycles: jobs of
-// which something changed are moved to where they belong, those that time or their team's guarantee
-// moves when it does, and all of them now and then, as estimates move too.
+// buildQueue returns the waiting jobs in scheduling order. The order is kept between cycles. Jobs that changed get a
+// new position in each cycle, jobs whose key depends on the time or on their team's guarantee get one when that key
+// changes, and all jobs get one every tuning.QueueReorderInterval, because run time estimates change too.
 func (c *cycle) buildQueue(hasCapacity bool) []queuedJob {
 	changed := c.changeFeed.TakeJobs()
 	outdated := c.now.Sub(c.order.guarantees.updatedAt) >= tuning.GuaranteeInterval
@@ -85,8 +85,8 @@
 	return queue
 }
 
-// findReorderedJobs brings guarantees and objectives up to date and adds the waiting jobs that they or
-// time have moved to those that changed.
+// findReorderedJobs updates guarantees and objectives, and adds to changed the waiting jobs whose key they or the time
+// have changed.
 func (c *cycle) findReorderedJobs(changed map[string]struct{}) {
 	if c.now.Sub(c.order.objectives.assessedAt) >= tuning.ObjectiveInterval {
 		c.assessObjectives()
@@ -104,7 +104,7 @@
 	})
 }
 
-// keyOutdated reports whether what a waiting job's key says no longer holds.
+// keyOutdated reports whether a waiting job's key is no longer valid.
 func (c *cycle) keyOutdated(key jobqueue.Key, job *clusterstate.Job) bool {
 	return key.WithinGuarantee != c.order.guarantees.jobs[key.JobID] ||
 		key.Underserved != c.inUnderservedSlot(job) ||
@@ -113,7 +113,7 @@
 		c.now.After(c.order.waiting.nextReorder[key.JobID])
 }
 
-// updateQueueEntry puts a job into the queue, where it belongs now, or takes it out.
+// updateQueueEntry inserts a job into the queue, moves it to its current position or removes it.
 func (c *cycle) updateQueueEntry(id string) {
 	job := c.cluster.Jobs[id]
 	if job == nil || !job.CanStart() || !c.holdsStartRight(job) || job.PendingCount() == 0 {
@@ -134,7 +134,7 @@
 	}, job, deadline.validUntil)
 }
 
-// newQueuedJob returns a waiting job as one cycle sees it.
+// newQueuedJob returns a waiting job as an entry of this cycle's queue.
 func (c *cycle) newQueuedJob(key jobqueue.Key, job *clusterstate.Job) queuedJob {
 	return queuedJob{
 		Request: binpack.Request{
@@ -149,8 +149,8 @@
 	}
 }
 
-// startObjectiveS is the time in seconds within which a replica should start by its class's objectives;
-// 0 if there is none. It is asked for each waiting job in each cycle.
+// startObjectiveS returns the time in seconds within which a replica should start according to its class's objectives,
+// or 0 if there is none. It is called for each waiting job in each cycle.
 func (c *cycle) startObjectiveS(spec *wire.JobSpec) float64 {
 	if spec.Kind != wire.KindService {
 		return 0
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -8,16 +8,16 @@
 	"sableusher/internal/record"
 )
 
-// reservation keeps a machine for a task while other tasks are stopped there for it.
+// reservation reserves a machine for a task while other tasks on the machine are stopped for it.
 type reservation struct {
 	task      record.TaskRef
 	expiresAt time.Time
 }
 
-// reservationTable holds at most one reservation per machine, by the machine's name.
+// reservationTable holds at most one reservation per machine, by machine name.
 type reservationTable map[string]reservation
 
-// reserve keeps a machine for a task until a time.
+// reserve reserves a machine for a task until expiresAt. It replaces an earlier reservation of the machine.
 func (t reservationTable) reserve(machine string, task record.TaskRef, expiresAt time.Time) {
 	t[machine] = reservation{task: task, expiresAt: expiresAt}
 }
@@ -25,7 +25,7 @@
 // release ends a machine's reservation.
 func (t reservationTable) release(machine string) { delete(t, machine) }
 
-// active yields the machines whose reservation has not expired, with the task that each is kept for, in no
+// active yields the machines whose reservation has not expired, with the task that each is reserved for, in no
 // particular order.
 func (t reservationTable) active(now time.Time) iter.Seq2[string, record.TaskRef] {
 	return func(yield func(string, record.TaskRef) bool) {
--- a/internal/scheduler/reservations_test.go
+++ b/internal/scheduler/reservations_test.go
@@ -8,7 +8,8 @@
 	"sableusher/internal/record"
 )
 
-// TestReservationEndsByReleaseOrTime: a machine is kept for one task until it is released or its time is over.
+// TestReservationEndsByReleaseOrTime checks that a machine is reserved for one task until it is released or the
+// reservation expires.
 func TestReservationEndsByReleaseOrTime(t *testing.T) {
 	table := reservationTable{}
 	first, second := record.TaskRef{JobID: "a"}, record.TaskRef{JobID: "b", Index: 1}
@@ -28,6 +29,6 @@
 		t.Errorf("pruned too early: %v", table)
 	}
 	if table.prune(testNow.Add(1)); len(table) != 1 {
-		t.Errorf("kept after its time: %v", table)
+		t.Errorf("kept after expiry: %v", table)
 	}
 }
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -7,15 +7,15 @@
 	"sableusher/internal/wire"
 )
 
-// candidateSet says which machines of a home shard are considered.
+// candidateSet selects the machines of a home shard that are considered for a job.
 type candidateSet int
 
 const (
 	allMachines  candidateSet = iota
-	imageHolders              // those believed to hold the job's image
+	imageHolders              // machines that are expected to hold the job's image
 )
 
-// String names a set for messages.
+// String returns the name of the set for messages.
 func (s candidateSet) String() string {
 	if s == imageHolders {
 		return "image holders"
@@ -26,8 +26,9 @@
 // machineFilter reports whether a machine may be used; nil accepts all.
 type machineFilter func(*binpack.MachineInfo) bool
 
-// placeFirstReplica places one replica of a service that has lost all of them, before any has capacity
-// for its second. One that never had any starts whole: each start alone is a change of its record.
+// placeFirstReplica places one replica of a service that has lost all of its replicas, before any service gets capacity
+// for its second one. A service that never had a replica is left out: all of its replicas start together, because each
+// separate start would be a change of its record.
 func (c *cycle) placeFirstReplica(queued *queuedJob) {
 	job := queued.job
 	if job.Spec.Kind != wire.KindService || job.BoundCount > 0 || c.taskState(job, 0).Attempt == 0 {
@@ -39,8 +40,8 @@
 	queued.Remaining += rest
 }
 
-// placeInHomeShard places a job's tasks in the job's home shard, so that its record has one writer as a
-// rule. A gang is placed whole over all shards.
+// placeInHomeShard places a job's tasks in the job's home shard, so that its record usually has one writer. A gang is
+// placed as a whole on the machines of all shards.
 func (c *cycle) placeInHomeShard(queued *queuedJob, set candidateSet) {
 	job, isService := queued.job, queued.job.Spec.Kind == wire.KindService
 	switch {
@@ -73,14 +74,14 @@
 	}
 }
 
-// homeCandidates chooses a job's home shard and gives the machines to be considered for it, with the
-// condition they must meet, if any. None means that there is no capacity.
+// homeCandidates chooses a job's home shard and returns the machines to be considered for it and the filter that they
+// must pass, if any. It returns no machines if there is no capacity.
 func (c *cycle) homeCandidates(
 	queued *queuedJob, set candidateSet,
 ) (candidates []*binpack.MachineInfo, accept machineFilter) {
 	if queued.job.Spec.Kind == wire.KindService {
-		// Its tasks go wherever the image is; the owner of one shard places them all. A zone that was
-		// lost and came back is the last to be trusted with a replica.
+		// The owner of one shard places all replicas, on machines of all shards, preferably with the image. Zones
+		// that were lost and have recovered are used only if there is no capacity in trusted zones.
 		queued.homeShard = c.firstLiveShard(queued.job)
 		candidates = c.inTrustedZones(c.inventory.FittingMachines(&queued.Request))
 		return candidates, (*binpack.MachineInfo).SessionKnown
@@ -98,7 +99,7 @@
 	}
 }
 
-// allocateOwned takes capacity for a job's tasks on this node's machines.
+// allocateOwned allocates capacity for a job's tasks on this node's machines.
 func (c *cycle) allocateOwned(queued *queuedJob, chunk int) []*binpack.MachineInfo {
 	zones := c.zoneConstraint(queued.job, chunk)
 	candidates := c.inventory.FittingMachines(&queued.Request)
@@ -107,9 +108,9 @@
 	})
 }
 
-// allocateAcrossZones takes capacity for a job's tasks; where the operators ask for it, for a service so
-// that at most half of it stands in one zone, as far as there is capacity for that. It is a preference:
-// what fits nowhere else is placed all the same.
+// allocateAcrossZones allocates capacity for a job's tasks. If the operators' settings ask for it, at most half of a
+// service is placed in one zone as far as capacity allows. This is a preference: replicas that fit only in one zone are
+// placed there anyway.
 func (c *cycle) allocateAcrossZones(
 	queued *queuedJob, candidates []*binpack.MachineInfo, zones *binpack.ZoneConstraint, accept machineFilter,
 ) []*binpack.MachineInfo {
@@ -131,8 +132,8 @@
 	return append(picks, c.inventory.Allocate(&queued.Request, candidates, zones, accept)...)
 }
 
-// placeInOtherShards looks in other shards for capacity for what a job's home shard had none for, then
-// at machines that are coming up; the rest is unmet demand, for which urgent work preempts.
+// placeInOtherShards searches all shards for capacity for the tasks that a job's home shard had no capacity for, then
+// the pending machines. The tasks that remain are unmet demand. For an urgent job it also preempts other tasks.
 func (c *cycle) placeInOtherShards(queued *queuedJob, unmet *UnmetDemand) {
 	job := queued.job
 	if queued.Remaining == 0 {
@@ -146,8 +147,8 @@
 	}
 	c.logWaiting(job, waitCapacity, nil)
 	c.demand.recordUnplaced(job, c.now)
-	// What is expected on booting machines takes no zone from what is preempted for it meanwhile:
-	// services that are spread once waited for boots in the midst of arrays.
+	// Tasks expected on pending machines must not count towards the zone limits of preemption. Otherwise a spread
+	// service would wait for machines to boot although it could preempt arrays.
 	missing, preemptionZones := queued.Remaining, zones.Clone()
 	c.inventory.AllocatePending(&queued.Request, &zones)
 	if queued.Remaining > 0 && c.collectsDemand {
@@ -158,8 +159,9 @@
 	}
 }
 
-// allocateAnywhere takes capacity for a job's tasks in all shards, and binds them to this node's machines
-// if their owner has left them. What has capacity elsewhere is only counted.
+// allocateAnywhere allocates capacity for a job's tasks in all shards. It binds the tasks that fit on this node's
+// machines if the job is urgent or the owner of its home shard has not placed it in time. Other tasks with capacity are
+// only counted.
 func (c *cycle) allocateAnywhere(queued *queuedJob, chunk int, zones *binpack.ZoneConstraint) {
 	job := queued.job
 	candidates := c.inventory.FittingMachines(&queued.Request)
@@ -167,7 +169,7 @@
 		if job.Spec.SameZone && zones.PinnedZone == "" {
 			zones.PinnedZone = c.inventory.RoomiestZone(&queued.Request, candidates)
 		}
-		c.inventory.Allocate(&queued.Request, candidates, zones, nil) // kept whole for it
+		c.inventory.Allocate(&queued.Request, candidates, zones, nil) // keeps the capacity free for the whole gang
 		return
 	}
 	picks := c.inventory.Allocate(&queued.Request, candidates, zones, func(candidate *binpack.MachineInfo) bool {
@@ -178,7 +180,7 @@
 	}
 }
 
-// addUnmet adds what is left of a job to the unmet demand.
+// addUnmet adds the remaining tasks of a job to the unmet demand.
 func (c *cycle) addUnmet(unmet *UnmetDemand, queued *queuedJob, zone string) {
 	if queued.Need.CPUs >= c.demand.commonTask.CPUs {
 		unmet.CommonTask = c.demand.commonTask
@@ -189,8 +191,8 @@
 	})
 }
 
-// mayPreempt reports whether other work may be stopped for a job: if it is of high priority or within its
-// team's guarantee. For gangs of several tasks nothing is stopped.
+// mayPreempt reports whether other tasks may be stopped for a job: its priority is high or it lies within its team's
+// guarantee, and it is not a gang of several tasks.
 func (c *cycle) mayPreempt(queued *queuedJob) bool {
 	spec := &queued.job.Spec
 	if spec.Kind == wire.KindGang && spec.TaskCount > 1 {
@@ -199,8 +201,8 @@
 	return queued.withinGuarantee || isHighPriority(queued.rank)
 }
 
-// preemptForTasks stops other work for the first of a job's missing tasks, until there is no shard left in
-// which any could be stopped.
+// preemptForTasks stops other tasks for the first of a job's missing tasks, until no shard can free capacity for
+// another one.
 func (c *cycle) preemptForTasks(queued *queuedJob, missing int, zones *binpack.ZoneConstraint) {
 	c.countReservedZones(queued.job.Spec.ID, zones)
 	for taskIndex := range min(missing, tuning.PreemptTasksPerJob) {
--- a/internal/scheduler/waitlog.go
+++ b/internal/scheduler/waitlog.go
@@ -7,11 +7,11 @@
 	"sableusher/internal/tuning"
 )
 
-// waitLog holds when the log last said why a job waits, by the job's ID.
+// waitLog holds when the reason why a job waits was last logged, by job ID.
 type waitLog map[string]time.Time
 
-// allow reports whether the log may say again why a job waits, and notes that it does.
-func (l waitLog) allow(jobID string, now time.Time) bool {
+// shouldLog reports whether the reason why a job waits may be logged now, and if so records that it is.
+func (l waitLog) shouldLog(jobID string, now time.Time) bool {
 	if now.Sub(l[jobID]) < tuning.WaitReasonLogInterval {
 		return false
 	}
@@ -19,7 +19,7 @@
 	return true
 }
 
-// prune drops the jobs that are over.
+// prune drops the entries of jobs that have ended.
 func (l waitLog) prune(isOver func(jobID string) bool) {
 	maps.DeleteFunc(l, func(jobID string, _ time.Time) bool { return isOver(jobID) })
 }
--- a/internal/scheduler/waitlog_test.go
+++ b/internal/scheduler/waitlog_test.go
@@ -6,18 +6,18 @@
 	"sableusher/internal/tuning"
 )
 
-// TestWaitingIsLoggedOncePerInterval: the log says once per tuning.WaitReasonLogInterval why a job waits, for
-// each job by itself.
+// TestWaitingIsLoggedOncePerInterval checks that the reason why a job waits is logged once per
+// tuning.WaitReasonLogInterval, independently for each job.
 func TestWaitingIsLoggedOncePerInterval(t *testing.T) {
 	log := waitLog{}
-	if !log.allow("a", testNow) || log.allow("a", testNow.Add(tuning.WaitReasonLogInterval-1)) ||
-		!log.allow("b", testNow.Add(1)) {
+	if !log.shouldLog("a", testNow) || log.shouldLog("a", testNow.Add(tuning.WaitReasonLogInterval-1)) ||
+		!log.shouldLog("b", testNow.Add(1)) {
 		t.Errorf("logged: %v", log)
 	}
-	if !log.allow("a", testNow.Add(tuning.WaitReasonLogInterval)) {
+	if !log.shouldLog("a", testNow.Add(tuning.WaitReasonLogInterval)) {
 		t.Error("not logged again")
 	}
 	if log.prune(func(jobID string) bool { return jobID == "a" }); len(log) != 1 {
-		t.Errorf("left after one job is over: %v", log)
+		t.Errorf("entries kept after one job ended: %v", log)
 	}
 }
--- a/internal/scheduler/waitreason.go
+++ b/internal/scheduler/waitreason.go
@@ -5,7 +5,7 @@
 	"sableusher/internal/clusterstate"
 )
 
-// waitReason is why a job waits, as the log tells it.
+// waitReason is the reason why a job waits, as it is logged.
 type waitReason string
 
 const (
@@ -20,10 +20,10 @@
 	waitRecordMigration waitReason = "records can't be split far enough"
 )
 
-// logWaiting logs why a job waits, at most every tuning.WaitReasonLogInterval for each job. The candidate is the
-// machine that it could have used, if any.
+// logWaiting logs why a job waits, at most once per tuning.WaitReasonLogInterval for each job. The candidate is the
+// machine that the job could have used, if any.
 func (c *cycle) logWaiting(job *clusterstate.Job, reason waitReason, candidate *binpack.MachineInfo) {
-	if !c.logsWaiting || !c.waitLog.allow(job.Spec.ID, c.now) {
+	if !c.logsWaiting || !c.waitLog.shouldLog(job.Spec.ID, c.now) {
 		return
 	}
 	machine := ""
