--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -71,7 +71,7 @@
 	return c.cluster.UsageByShard[shard][team].Plus(c.inFlight.byTeam[shard][team])
 }
 
-// preemptionProgress records which tasks and machines a cycle has preempted tasks for.
+// preemptionProgress records the preemptions of a cycle so far.
 type preemptionProgress struct {
 	machines int                                        // number of machines on which this cycle stops tasks
 	awaiting map[record.TaskRef]bool                    // tasks for which other tasks are being stopped
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -19,7 +19,7 @@
 	Count       int
 	Zone        string    // the zone of the job's other tasks, if all its tasks must be in one zone
 	Rank        int       // of the job's priority, or of the higher priority of a job that depends on it
-	SubmittedAt time.Time // or when the job could first start, if that is later
+	SubmittedAt time.Time // when the job could first start
 }
 
 // UnmetDemand is the tasks that a cycle could not place, and the capacity that it left unused.
@@ -29,8 +29,9 @@
 	SpareOnDemand binpack.SpareCapacity // of on-demand machines
 	SpareSpot     binpack.SpareCapacity // of spot machines
 	ComputedAt    time.Time
-	// CommonTask is the resources of a common task if tasks of at least that size found no capacity, else zero. Small
-	// tasks are then placed on machines that are too small for a common task.
+	// CommonTask is the resources of a common task if tasks of at least that size found no capacity, else zero. While
+	// it is set, the autoscaler keeps idle machines that are too small for a common task: small tasks can run there and
+	// leave the larger machines free.
 	CommonTask record.Resources
 }
 
@@ -70,8 +71,8 @@
 	})
 }
 
-// updateNeedPerGPU computes the CPUs and memory that GPU tasks need for each GPU: the maximum over gangs and services,
-// where arrays count with their mean.
+// updateNeedPerGPU computes the CPUs and memory that GPU tasks need for each GPU: the largest need of any gang or
+// service, or the mean need of all arrays if that is larger.
 func (d *demandState) updateNeedPerGPU(jobs map[string]*clusterstate.Job) {
 	var most, arrays record.Resources
 	for _, job := range jobs {
--- a/internal/scheduler/learner_checkpoint.go
+++ b/internal/scheduler/learner_checkpoint.go
@@ -46,7 +46,7 @@
 			checkpoint := e.learning.learner.Save()
 			e.learning.runTimes.Save(&checkpoint)
 			if err := checkpoints.save(ctx, checkpoint); err != nil {
-				e.log.Debug("learner checkpoint not saved", "err", err)
+				e.log.Debug("cannot save the learner checkpoint", "err", err)
 			}
 		}
 	}
@@ -55,7 +55,7 @@
 // refitLearner fits the value function to the rewards so far and drops decisions that will never be rewarded.
 func (e *Engine) refitLearner() {
 	if err := e.learning.learner.Refit(); err != nil {
-		e.log.Info("learner not refitted", "err", err)
+		e.log.Info("cannot refit the learner's value function", "err", err)
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -74,7 +74,7 @@
 	switch {
 	case errors.Is(err, kvstore.ErrNotFound) || ctx.Err() != nil:
 	case err != nil:
-		e.log.Info("learner checkpoint ignored", "err", err)
+		e.log.Info("cannot restore the learner checkpoint; starting without it", "err", err)
 	default:
 		e.learning.runTimes.Restore(checkpoint)
 		e.log.Info("learner checkpoint restored", "rewards", checkpoint.RewardCount)
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -65,11 +65,11 @@
 	return true
 }
 
-// shardRotation returns by how many shards the search for capacity to free for an urgent task is shifted: one more for
-// each tuning.PreemptShardInterval since its job found no capacity. Nodes assume machines of other shards to be ready
-// that their owner knows to be unavailable, and without the shift all nodes would wait for that owner. The time counts
-// from when the job first found no capacity: intervals of the wall clock would end while tasks are being stopped, and
-// capacity would be freed twice.
+// shardRotation returns the number of shards by which the search for an urgent task's shard to free capacity in is
+// shifted: one for each tuning.PreemptShardInterval since the job first found no capacity. Other nodes may take the
+// machines of a shard for ready although its owner knows that they are not available. Without the shift, all nodes
+// would keep waiting for that owner. The intervals start when the job first found no capacity, because intervals of the
+// wall clock could end while tasks are being stopped, and capacity would be freed twice.
 func (c *cycle) shardRotation(queued *queuedJob) int {
 	since, ok := c.demand.unplacedSince[queued.job.Spec.ID]
 	if !ok || !isHighPriority(queued.rank) {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -61,9 +61,10 @@
 // unknownShard is the home shard of a job for which none has been chosen yet.
 const unknownShard = -1
 
-// buildQueue returns the waiting jobs in scheduling order. The order is kept between cycles. Jobs that changed get a
-// new position in each cycle, jobs whose key depends on the time or on their team's guarantee get one when that key
-// changes, and all jobs get one every tuning.QueueReorderInterval, because run time estimates change too.
+// buildQueue returns the waiting jobs that are not in backoff, in scheduling order. The order is kept between cycles.
+// In each cycle a job's position is computed again if the job has changed or if its key has become outdated with time
+// or with its team's guarantee. Every tuning.QueueReorderInterval all positions are computed again, because run time
+// estimates change too.
 func (c *cycle) buildQueue(hasCapacity bool) []queuedJob {
 	changed := c.changeFeed.TakeJobs()
 	outdated := c.now.Sub(c.order.guarantees.updatedAt) >= tuning.GuaranteeInterval
@@ -85,8 +86,8 @@
 	return queue
 }
 
-// findReorderedJobs updates guarantees and objectives, and adds to changed the waiting jobs whose key they or the time
-// have changed.
+// findReorderedJobs updates guarantees and objectives, and adds the waiting jobs whose key has become outdated to
+// changed. Every tuning.QueueReorderInterval it adds all waiting jobs.
 func (c *cycle) findReorderedJobs(changed map[string]struct{}) {
 	if c.now.Sub(c.order.objectives.assessedAt) >= tuning.ObjectiveInterval {
 		c.assessObjectives()
