--- a/internal/scheduler/learner_reward.go
+++ b/internal/scheduler/learner_reward.go
@@ -81,7 +81,7 @@
 // recentResponsivenessWindow is the number of tasks over which the mean of recent responsiveness decays.
 const recentResponsivenessWindow = 16
 
-// reportReward reports the reward of a decision to the learner.
+// reportReward reports the reward of a decision to the learner, and adds the responsiveness to the recent mean.
 func (l *learning) reportReward(id int64, start taskAttempt, responsiveness float64) {
 	delete(l.pendingRewards, start)
 	l.recentResponsiveness += (responsiveness - l.recentResponsiveness) / recentResponsivenessWindow
--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -76,7 +76,8 @@
 	// HomeShardHoldUnderShortage replaces HomeShardHold for arrays while capacity is short. Each shard then has
 	// capacity released several times a second, and a second writer of a job's record costs more than the wait.
 	HomeShardHoldUnderShortage = 5 * time.Second
-	// BindingsPerCycle is the maximum number of tasks bound in one cycle.
+	// BindingsPerCycle is the maximum number of tasks bound in one cycle. A gang with more tasks is bound only if the
+	// cycle has bound nothing before it.
 	BindingsPerCycle = 96
 	// CommonTaskRetention is the time for which the size of a common task is kept after work of that size has ended:
 	// some minutes, which cover a burst and the quiet period after it.
