--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -13,31 +13,31 @@
 	"sableusher/internal/wire"
 )
 
-// noCapacityMessage is the cloud's message if it has none of the machines asked for.
+// noCapacityMessage is the cloud's error message when it has none of the requested machines available.
 const noCapacityMessage = "no capacity"
 
 // Options configures a Client.
 type Options struct {
 	// Address is the cloud's host and port.
 	Address string
-	// RequestsPerSecond is the rate that all controllers together keep to.
+	// RequestsPerSecond is the request rate that the cloud allows for all controllers together.
 	RequestsPerSecond float64
 	// Controllers is the number of controllers.
 	Controllers int
-	// Transport carries the requests; nil for the default one.
+	// Transport sends the requests. If it is nil, New creates a network transport.
 	Transport http.RoundTripper
 }
 
-// Client sends requests to the cloud within a rate. It is safe for concurrent use.
+// Client sends rate-limited requests to the cloud. It is safe for concurrent use.
 type Client struct {
 	baseURL      string
 	httpClient   *http.Client
 	limiter      *rate.Limiter
-	leaderRate   rate.Limit // for the leader, which rents and lists for all
-	followerRate rate.Limit // for another controller, which only returns machines of its shards
+	leaderRate   rate.Limit // of the leader, which rents and lists machines for all controllers
+	followerRate rate.Limit // of any other controller, which only returns machines of its shards
 }
 
-// New returns a client with a follower's rate, unless there is only one controller.
+// New returns a client. It starts with the rate of a follower, or of the leader if there is only one controller.
 func New(options Options) *Client {
 	transport := options.Transport
 	if transport == nil {
@@ -59,7 +59,7 @@
 	return c
 }
 
-// SetLeader sets the rate by whether this controller is the leader.
+// SetLeader sets the request rate to that of the leader or that of a follower.
 func (c *Client) SetLeader(isLeader bool) {
 	limit := c.followerRate
 	if isLeader {
@@ -71,11 +71,11 @@
 	}
 }
 
-// HasSpareCall reports whether a call now would leave one for what can't wait.
+// HasSpareCall reports whether the rate limit allows a call now and would still allow one urgent call after it.
 func (c *Client) HasSpareCall() bool { return c.limiter.Tokens() >= tuning.CloudCallBurst }
 
-// call sends a request once the rate allows it, with the encoded input as its body, and decodes the
-// answer into output. Either may be nil.
+// call waits for the rate limiter, sends a request with the encoded input as its body, and decodes
+// the response into output. Both input and output may be nil.
 func (c *Client) call(ctx context.Context, method, path string, input, output any) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CloudTimeout)
 	defer cancel()
@@ -121,18 +121,19 @@
 	return req, nil
 }
 
-// send returns the status and the whole body of an answer.
+// send sends a request and returns the status and the whole body of the response.
 func (c *Client) send(req *http.Request) (status int, body []byte, err error) {
 	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
-	// An error of closing says nothing of an answer that has been read.
+	// The body has been read by then, so an error from Close is irrelevant.
 	defer func() { _ = resp.Body.Close() }()
 	body, err = wire.ReadBody(resp.Body, tuning.KVResponseMaxBytes)
 	return resp.StatusCode, body, err
 }
 
+// saysNoCapacity reports whether an error response has the noCapacityMessage.
 func saysNoCapacity(body []byte) bool {
 	var response wire.ErrorResponse
 	return wire.Decode(body, &response) == nil && response.Message == noCapacityMessage
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -11,12 +11,12 @@
 	"sableusher/internal/wire"
 )
 
-// fakeTransport answers requests without a network.
+// fakeTransport is an http.RoundTripper that answers requests without a network.
 type fakeTransport func(*http.Request) (*http.Response, error)
 
 func (f fakeTransport) RoundTrip(req *http.Request) (*http.Response, error) { return f(req) }
 
-func newAnswer(status int, body []byte) *http.Response {
+func newResponse(status int, body []byte) *http.Response {
 	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(body))}
 }
 
@@ -24,9 +24,9 @@
 	return New(Options{Address: "cloud:1", RequestsPerSecond: 1e6, Controllers: 1, Transport: transport})
 }
 
-// TestAnswersBecomeErrors: each kind of answer becomes the error that says what is known of the
-// request.
-func TestAnswersBecomeErrors(t *testing.T) {
+// TestResponsesMapToErrors checks that each kind of response is returned as exactly one of the errors, since
+// the errors differ in whether the request may have been executed.
+func TestResponsesMapToErrors(t *testing.T) {
 	noCapacity := wire.MustEncode(wire.ErrorResponse{Message: noCapacityMessage})
 	busy := wire.MustEncode(wire.ErrorResponse{Message: "busy"})
 	for name, c := range map[string]struct {
@@ -46,29 +46,29 @@
 				if c.err != nil {
 					return nil, c.err
 				}
-				return newAnswer(c.status, c.body), nil
+				return newResponse(c.status, c.body), nil
 			})
 			machines, err := client.Rent(t.Context(), wire.RentalRequest{Name: "r", Count: 1})
 			if !errors.Is(err, c.want) || len(machines) > 0 {
-				t.Errorf("%v with machines %v, want %v", err, machines, c.want)
+				t.Errorf("error %v with machines %v, want error %v and no machines", err, machines, c.want)
 			}
 			for _, other := range []error{ErrNoCapacity, ErrUnavailable, ErrMalformedRequest} {
 				if !errors.Is(other, c.want) && errors.Is(err, other) {
-					t.Errorf("%v is also %v", err, other)
+					t.Errorf("error %v also matches %v", err, other)
 				}
 			}
 		})
 	}
 }
 
-// TestListFollowsPages: a list is read page by page until there are no more.
+// TestListFollowsPages checks that List reads page by page until there are no more.
 func TestListFollowsPages(t *testing.T) {
 	pages := map[string]wire.MachinePage{
 		"":  {Machines: []wire.CloudMachine{{ID: "a"}, {ID: "b"}}, HasMore: true},
 		"b": {Machines: []wire.CloudMachine{{ID: "c"}}},
 	}
 	client := newTestClient(func(req *http.Request) (*http.Response, error) {
-		return newAnswer(http.StatusOK, wire.MustEncode(pages[req.URL.Query().Get("after")])), nil
+		return newResponse(http.StatusOK, wire.MustEncode(pages[req.URL.Query().Get("after")])), nil
 	})
 	machines, err := client.List(t.Context())
 	if err != nil {
@@ -79,6 +79,6 @@
 		names = append(names, machine.ID)
 	}
 	if want := []string{"a", "b", "c"}; !slices.Equal(names, want) {
-		t.Errorf("%v, want %v", names, want)
+		t.Errorf("machines %v, want %v", names, want)
 	}
 }
--- a/internal/cloud/doc.go
+++ b/internal/cloud/doc.go
@@ -1,11 +1,11 @@
-// Package cloud is the client of the cloud that machines are rented from.
+// Package cloud is the client of the cloud provider that machines are rented from.
 //
-// The package owns the protocol and the pace of requests: all controllers together keep to the
-// rate that the cloud allows, of which the leader has the larger part, as it rents and lists for
-// all. It decides nothing and keeps no record; which names are rented and returned is for the
-// caller to make durable.
+// The package implements the protocol and limits the request rate: all controllers together stay
+// within the rate that the cloud allows. The leader has a share of its own, since it rents and
+// lists machines for all controllers; the others divide the rest. The package makes no decisions and stores nothing; the caller makes
+// the names of rentals and of returned machines durable.
 //
-// Safety invariants 4 and 9 rest on what the answers mean: a rental with the same name gives the
-// same machines however often it is asked for, a Return without an error proves that the machines
-// are gone, and an error proves nothing: the request may have been carried out.
+// Safety invariants 4 and 9 depend on what the responses mean. Renting is idempotent: repeated
+// requests with the same name return the same machines. If Return succeeds, the machines are gone.
+// ErrUnavailable proves nothing: the request may have been executed.
 package cloud
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -6,17 +6,18 @@
 )
 
 var (
-	// ErrNoCapacity says that the cloud has none of the machines asked for just now. Nothing was
-	// rented.
+	// ErrNoCapacity is returned if the cloud has none of the requested machines available at the
+	// moment. Nothing was rented.
 	ErrNoCapacity = errors.New("no capacity")
-	// ErrMalformedRequest says that the cloud will never accept the request. Nothing was done.
+	// ErrMalformedRequest is returned if the cloud refuses the request as malformed. The request was
+	// not executed, and a retry would be refused too.
 	ErrMalformedRequest = errors.New("malformed request")
-	// ErrUnavailable says that the cloud gave no usable answer. The request may have been carried
-	// out all the same.
+	// ErrUnavailable is returned if there was no response from the cloud, or an unexpected one. The
+	// request may have been executed nevertheless.
 	ErrUnavailable = errors.New("cloud unavailable")
 )
 
-// StatusError is an answer with an unexpected HTTP status. It is an ErrUnavailable.
+// StatusError is a response with an unexpected HTTP status. It wraps ErrUnavailable.
 type StatusError struct {
 	Method string
 	Path   string
--- a/internal/cloud/machines.go
+++ b/internal/cloud/machines.go
@@ -8,31 +8,32 @@
 	"sableusher/internal/wire"
 )
 
-// listPageSize is the number of machines on one page of a list, as the query says it.
+// listPageSize is the number of machines on one page of a list, as a query parameter.
 const listPageSize = "500"
 
-// Catalog returns the machine types.
+// Catalog returns the machine types that the cloud rents out.
 func (c *Client) Catalog(ctx context.Context) (wire.Catalog, error) {
 	var catalog wire.Catalog
 	err := c.call(ctx, http.MethodGet, "/catalog", nil, &catalog)
 	return catalog, err
 }
 
-// Rent asks for machines and returns their names, which may be fewer than asked for. A request
-// with the same name gives the same answer. It fails with ErrNoCapacity if there are none; after an
-// ErrUnavailable the machines may have been rented all the same.
+// Rent rents machines and returns their names, which may be fewer than requested. It is idempotent:
+// requests with the same name return the same machines. It fails with ErrNoCapacity if no machine is
+// available. After ErrUnavailable the machines may have been rented nevertheless.
 func (c *Client) Rent(ctx context.Context, request wire.RentalRequest) ([]string, error) {
 	var rented wire.MachineNames
 	err := c.call(ctx, http.MethodPost, "/machines", request, &rented)
 	return rented.Names, err
 }
 
-// Return deletes machines; once it returns nil they are gone.
+// Return returns machines to the cloud. If it returns nil, the machines are gone.
 func (c *Client) Return(ctx context.Context, machines []string) error {
 	return c.call(ctx, http.MethodPost, "/machines/return", wire.MachineNames{Names: machines}, nil)
 }
 
-// List returns all machines of the deployment. The list may lag behind rentals and returns.
+// List returns all machines of the deployment. The list may be stale: recent rentals may be missing from it and
+// recently returned machines may still be in it.
 func (c *Client) List(ctx context.Context) ([]wire.CloudMachine, error) {
 	var machines []wire.CloudMachine
 	query := url.Values{"page": {listPageSize}}
--- a/internal/tuning/kvstore.go
+++ b/internal/tuning/kvstore.go
@@ -2,63 +2,69 @@
 
 import "time"
 
-// Key-value store: budget and transactions.
+// Constants of package kvstore: rate budget, transactions, watches and connections.
 const (
-	// KVBudgetShare is the fraction of the key-value store's limits that all nodes together plan to use; the rest
-	// covers bursts and clock drift.
+	// KVBudgetShare is the fraction of the key-value store's rate limits that all nodes together plan to use. The
+	// rest covers bursts and clock drift.
 	KVBudgetShare = 0.92
-	// KVEvenBudgetShare of that is spread evenly over the live nodes, for users and sessions; the rest goes by the
-	// shards that each owns.
+	// KVEvenBudgetShare is the fraction of KVBudgetShare that is divided evenly among the live nodes, for user
+	// requests and sessions. The rest is divided in proportion to the number of shards that each node owns.
 	KVEvenBudgetShare = 0.35
-	// KVUrgentExtraShare is the extra fraction of a node's budget that only urgent requests (sessions, ownership,
-	// cancellations) may use.
+	// KVUrgentExtraShare is the fraction of a node's request budget that is reserved for urgent requests
+	// (sessions, ownership, acceptance, cancellations, read barriers).
 	KVUrgentExtraShare = 0.15
-	// TxnMaxBytes bounds one transaction's encoded size; the store takes 64 KiB measured as JSON, and our CBOR is
-	// smaller than its JSON form by up to a third.
+	// TxnMaxBytes bounds the encoded size of one transaction in CBOR. The store accepts up to 64 KiB measured as
+	// JSON, and CBOR is up to a third smaller than JSON.
 	TxnMaxBytes = 36 << 10
-	// RecordShareOfValueLimit of the value limit is what one record may take in CBOR, since the limit is measured
-	// in the longer JSON form.
+	// RecordShareOfValueLimit is the fraction of the store's value limit that one record may use in CBOR. The limit
+	// is measured in JSON, which is longer.
 	RecordShareOfValueLimit = 0.6
-	// TxnConditionsPerOp is how many conditions a transaction may have per operation.
+	// TxnConditionsPerOp is the maximum number of conditions of a transaction, as a multiple of the maximum number
+	// of operations.
 	TxnConditionsPerOp = 4
-	// WriteRateCutFactor is the factor by which a rejection for too many changes lowers a node's write rate, at
-	// most once in WriteRateAdjustInterval and not below WriteRateMinFactor; WriteRateRecoveryStep is the share it
-	// regains in each WriteRateAdjustInterval without one.
+	// WriteRateCutFactor multiplies a node's write rate after the store rejected a request for exceeding a rate
+	// limit (status 429). The rate is cut at most once per WriteRateAdjustInterval and not below
+	// WriteRateMinFactor of the node's budget. WriteRateRecoveryStep is the fraction of the budget that the rate
+	// regains after a WriteRateAdjustInterval without a rejection.
 	WriteRateCutFactor      = 0.8
 	WriteRateRecoveryStep   = 0.05
 	WriteRateMinFactor      = 0.3
 	WriteRateAdjustInterval = time.Second
-	// CommitWorkers is how many transactions a node has in flight. More would only make conditions collide.
+	// CommitWorkers is the maximum number of transactions that a node has in flight. With more, the transactions
+	// only fail each other's conditions.
 	CommitWorkers = 3
-	// BackgroundTxnMaxWait is how long a background transaction waits behind all others.
+	// BackgroundTxnMaxWait is how long a background transaction is queued behind all others before it counts as
+	// one of normal priority.
 	BackgroundTxnMaxWait = 2 * time.Second
-	// NormalTxnMaxWait is how long other transactions wait behind those of work of high priority. While the budget
-	// is the bottleneck they wait some seconds anyway.
+	// NormalTxnMaxWait is how long a transaction of normal priority is queued behind those of high priority before
+	// it counts as one of them. While the write budget is the bottleneck, transactions wait some seconds anyway.
 	NormalTxnMaxWait = 5 * time.Second
-	// CommitQueueLength bounds the transactions that wait to be sent.
+	// CommitQueueLength is the maximum number of transactions that wait to be sent.
 	CommitQueueLength = 4096
-	// KVRequestTimeout is how long a request to the key-value store may take: usual answers come under 10 ms, rare
-	// ones take a few hundred.
+	// KVRequestTimeout is the timeout of a request to the key-value store. Most responses arrive within 10 ms, a few
+	// take some hundred milliseconds.
 	KVRequestTimeout = 1500 * time.Millisecond
-	// TxnAnswerLateAfter is how long an answer to a transaction may take, far more than the usual one, before the
-	// watch cache is asked, every TxnOutcomePollInterval, whether it shows the outcome.
+	// TxnAnswerLateAfter is how long the committer waits for the response to a transaction before it starts to
+	// check the watch cache for the outcome, every TxnOutcomePollInterval. It is far above the usual response time.
 	TxnAnswerLateAfter     = 150 * time.Millisecond
 	TxnOutcomePollInterval = 50 * time.Millisecond
-	// InFlightKeyMaxChanges bounds the changes of one key that are kept while a transaction of it is in flight.
+	// InFlightKeyMaxChanges is the maximum number of changes that are kept of one key while a transaction that
+	// changes it is in flight.
 	InFlightKeyMaxChanges = 32
-	// KVRetryPause is the pause after 429 or 503 from the key-value store.
+	// KVRetryPause is the delay before a failed request to the key-value store is retried, for example after status
+	// 429 or 503.
 	KVRetryPause = 150 * time.Millisecond
-	// KVResponseMaxBytes bounds one answer of the key-value store: watches have no limit of their own, so this only
-	// stops a runaway.
+	// KVResponseMaxBytes bounds the body of one response from the key-value store. The response to a watch has no
+	// size limit in the protocol; this bound only stops a runaway response.
 	KVResponseMaxBytes = 64 << 20
-	// ListPageSize is how many keys a listing asks for at a time.
+	// ListPageSize is the number of keys on one page of a listing.
 	ListPageSize = 500
-	// WatchMaxWait is how long a watch waits for a change.
+	// WatchMaxWait is how long the store holds a watch request open while there is no change.
 	WatchMaxWait = 2 * time.Second
 	// WatchBudgetShare is the fraction of a node's request budget that watches may use.
 	WatchBudgetShare = 0.25
 	// ReadBarrierBudgetShare is the fraction of a node's request budget that read barriers may use.
 	ReadBarrierBudgetShare = 0.3
-	// MaxIdleConnsPerHost is how many kept connections a client holds for one host.
+	// MaxIdleConnsPerHost is the maximum number of idle connections that a client keeps open per host.
 	MaxIdleConnsPerHost = 8
 )
