--- a/internal/cloud/doc.go
+++ b/internal/cloud/doc.go
@@ -2,8 +2,8 @@
 //
 // The package implements the protocol and limits the request rate: all controllers together stay
 // within the rate that the cloud allows. The leader has a share of its own, since it rents and
-// lists machines for all controllers; the others divide the rest. The package makes no decisions and stores nothing; the caller makes
-// the names of rentals and of returned machines durable.
+// lists machines for all controllers; the others divide the rest. The package makes no decisions and
+// stores nothing; the caller makes the names of rentals and of returned machines durable.
 //
 // Safety invariants 4 and 9 depend on what the responses mean. Renting is idempotent: repeated
 // requests with the same name return the same machines. If Return succeeds, the machines are gone.
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -5,7 +5,8 @@
 	Types []MachineType `cbor:"hulls"`
 }
 
-// MachineType is one type of the catalog. Prices are the cloud's, per machine and unit of time.
+// MachineType is a machine type of the catalog. Price and SpotPrice are per machine and unit of time, in the cloud's
+// units.
 type MachineType struct {
 	Name           string   `cbor:"sku"`
 	CPUs           float64  `cbor:"vcpus"`
@@ -19,7 +20,8 @@
 	Zones          []string `cbor:"harbors"`
 }
 
-// RentalRequest asks the cloud for machines of one type in one zone. Its name is never used for another.
+// RentalRequest requests machines of one type in one zone. Name identifies the request: it is never reused for another
+// one, so that the request can be repeated safely.
 type RentalRequest struct {
 	Name        string `cbor:"charter"`
 	MachineType string `cbor:"hull"`
@@ -28,12 +30,12 @@
 	Count       int    `cbor:"how_many"`
 }
 
-// MachineNames names machines: those that were rented, or those to be returned.
+// MachineNames lists the names of machines: the rented ones in a response, the ones to return in a request.
 type MachineNames struct {
 	Names []string `cbor:"fleet"`
 }
 
-// MachineState is the state of a machine as the cloud sees it.
+// MachineState is the state of a machine as reported by the cloud.
 type MachineState string
 
 // States of a machine.
@@ -43,10 +45,10 @@
 	MachineFailed  MachineState = "failed"
 )
 
-// String gives the state as the protocol names it.
+// String returns the state's name in the protocol.
 func (s MachineState) String() string { return string(s) }
 
-// CloudMachine is a rented machine in the cloud's list.
+// CloudMachine is a rented machine in the list returned by the cloud.
 type CloudMachine struct {
 	ID          string       `cbor:"id"`
 	Address     string       `cbor:"address"`
@@ -54,10 +56,10 @@
 	Zone        string       `cbor:"harbor"`
 	Spot        bool         `cbor:"standby"`
 	State       MachineState `cbor:"status"`
-	AgeSeconds  float64      `cbor:"held_s"` // since it was rented
+	AgeSeconds  float64      `cbor:"held_s"` // time since it was rented
 }
 
-// MachinePage is one page of the cloud's list.
+// MachinePage is one page of the list of rented machines.
 type MachinePage struct {
 	Machines []CloudMachine `cbor:"fleet"`
 	HasMore  bool           `cbor:"more"`
--- a/internal/wire/codec.go
+++ b/internal/wire/codec.go
@@ -10,10 +10,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// RawValue is a value in its encoded form.
+// RawValue is a value in its CBOR encoding.
 type RawValue = cbor.RawMessage
 
-// Limits of what is decoded. Counterparts of the service are trusted with large messages, users are not.
+// Decoding limits. Agents, the key-value store and the cloud are trusted to send large messages; users are not.
 const (
 	maxPartnerElements = 1 << 20
 	maxPartnerNesting  = 32
@@ -29,7 +29,8 @@
 	strictDecodeMode  = must(userOptions().DecMode())
 )
 
-// partnerOptions are lenient about the size of a message, not about its form.
+// partnerOptions returns the decoding options for messages of trusted partners (agents, the key-value store, the
+// cloud): large messages are allowed, malformed ones are not.
 func partnerOptions() cbor.DecOptions {
 	return cbor.DecOptions{
 		MaxArrayElements: maxPartnerElements,
@@ -38,14 +39,15 @@
 	}
 }
 
-// genericOptions decode any value into the types that JSON has too.
+// genericOptions returns the options for decoding any value into types that can be encoded as JSON.
 func genericOptions() cbor.DecOptions {
 	options := partnerOptions()
 	options.DefaultMapType = reflect.TypeFor[map[string]any]()
 	return options
 }
 
-// userOptions refuse CBOR tags, keys that stand twice, deep nesting and text that is not UTF-8.
+// userOptions returns the decoding options for messages of users. They reject CBOR tags, duplicate keys, deep
+// nesting and text that is not valid UTF-8.
 func userOptions() cbor.DecOptions {
 	return cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
@@ -57,7 +59,7 @@
 	}
 }
 
-// must gives a mode whose options are constant; it panics if the library refuses them.
+// must returns mode, and panics if the library rejected the options, which are constant.
 func must[T any](mode T, err error) T {
 	if err != nil {
 		panic(err)
@@ -65,7 +67,7 @@
 	return mode
 }
 
-// Encode gives a value in CBOR.
+// Encode returns the CBOR encoding of a value.
 func Encode(value any) ([]byte, error) {
 	encoded, err := encodeMode.Marshal(value)
 	if err != nil {
@@ -74,7 +76,7 @@
 	return encoded, nil
 }
 
-// MustEncode encodes a value of a type that is known to encode, and panics if it does not.
+// MustEncode is like Encode but panics on an error. It is for values of types that can always be encoded.
 func MustEncode(value any) RawValue {
 	encoded, err := Encode(value)
 	if err != nil {
@@ -83,7 +85,7 @@
 	return encoded
 }
 
-// Decode reads an encoded value into target, a pointer. Trailing bytes are an error.
+// Decode decodes a CBOR value into target, which must be a pointer. Trailing bytes are an error.
 func Decode(encoded []byte, target any) error {
 	if err := decodeMode.Unmarshal(encoded, target); err != nil {
 		return fmt.Errorf("decode: %w", err)
@@ -91,8 +93,9 @@
 	return nil
 }
 
-// JSONSize is the size in bytes of an encoded value in JSON, by which the key-value store limits
-// values. A value that has no such form counts as too large for any limit.
+// JSONSize returns the size in bytes of the JSON form of a CBOR value. The key-value store measures
+// its value limit in JSON. For a value that can't be converted to JSON, JSONSize returns
+// math.MaxInt32, which exceeds any limit.
 func JSONSize(encoded []byte) int {
 	canonical, err := canonicalJSON(encoded)
 	if err != nil {
@@ -101,8 +104,8 @@
 	return len(canonical)
 }
 
-// EqualValues reports whether two encoded values are the same value. Their bytes may differ, as the
-// key-value store keeps values and not bytes.
+// EqualValues reports whether two CBOR encodings represent the same value. The bytes may differ,
+// because the key-value store stores values and may encode them differently.
 func EqualValues(a, b []byte) bool {
 	if bytes.Equal(a, b) {
 		return true
@@ -112,7 +115,7 @@
 	return errA == nil && errB == nil && bytes.Equal(canonicalA, canonicalB)
 }
 
-// canonicalJSON gives an encoded value in JSON, with the keys of maps in order.
+// canonicalJSON converts a CBOR value to JSON with sorted map keys.
 func canonicalJSON(encoded []byte) ([]byte, error) {
 	var value any
 	if err := genericDecodeMode.Unmarshal(encoded, &value); err != nil {
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,11 +1,11 @@
-// Package wire holds the messages that a controller exchanges with agents, users, the key-value
-// store and the cloud, with their CBOR encoding and the strict decoding of users' submissions.
+// Package wire defines the messages that a controller exchanges with agents, users, the key-value
+// store and the cloud, their CBOR encoding, and the strict decoding of submissions from users.
 //
-// It owns the mapping between the protocol's field names, which stand in the struct tags here and
-// nowhere else, and the names of the code. It holds no state, starts no requests and knows nothing
-// of what a message leads to: whether a well-formed submission can run is decided by package
-// admission, and what may be acknowledged by those who write the records.
+// The struct tags of this package map the field names of the protocol to the names in the code; no
+// other package contains names of the protocol's fields. Package wire has no state, sends no requests
+// and implements no effect of a message: package admission decides whether a well-formed submission
+// can run, and the packages that write the records decide when a request may be acknowledged.
 //
-// Files are named after the counterpart: agent.go, user.go with submission.go, kvstore.go and
-// cloud.go; codec.go and http.go hold what all of them share.
+// Files are named after the communication partner: agent.go, user.go with submission.go, kvstore.go
+// and cloud.go. Files codec.go and http.go contain the code that all of them share.
 package wire
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -5,25 +5,24 @@
 	"fmt"
 )
 
-// ErrNotAMap is the error of a submission that is not an encoded map.
+// ErrNotAMap is returned for a submission that is not an encoded map.
 var ErrNotAMap = errors.New("not a map")
 
-// FieldError says what is wrong with a field of a submission. Its text is part of the answer to
-// the user.
+// FieldError reports an invalid field of a submission. Its text is part of the response to the user.
 type FieldError struct {
-	Field   string // as the protocol names it
+	Field   string // name of the field in the protocol
 	Problem string
 }
 
-// Error names the field and what is wrong with it.
+// Error returns the name of the field and the problem.
 func (e *FieldError) Error() string { return fmt.Sprintf("field %s: %s", e.Field, e.Problem) }
 
-// BodyTooLargeError is the error of a body that is longer than its reader accepts.
+// BodyTooLargeError is returned for a message body that exceeds the size limit of its reader.
 type BodyTooLargeError struct {
 	LimitBytes int64
 }
 
-// Error gives the limit in bytes.
+// Error returns a text with the limit in bytes.
 func (e *BodyTooLargeError) Error() string {
 	return fmt.Sprintf("read body: over %d bytes", e.LimitBytes)
 }
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -10,10 +10,10 @@
 	"sableusher/internal/tuning"
 )
 
-// ContentType is the media type of every body of the protocol.
+// ContentType is the media type of all request and response bodies of the protocol.
 const ContentType = "application/cbor"
 
-// ReadBody reads a body of at most limit bytes; a longer one is a BodyTooLargeError.
+// ReadBody reads a body of at most limit bytes. For a longer one it returns a BodyTooLargeError.
 func ReadBody(r io.Reader, limit int64) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
@@ -25,8 +25,8 @@
 	return body, nil
 }
 
-// WriteResponse writes an encoded value with an HTTP status. A nil value writes no body; a value
-// that can't be encoded becomes an internal server error.
+// WriteResponse writes an HTTP response with the status and the encoded value as its body. If value
+// is nil, the response has no body. If value can't be encoded, the status is 500 (internal server error).
 func WriteResponse(w http.ResponseWriter, status int, value any) {
 	if value == nil {
 		w.WriteHeader(status)
@@ -39,11 +39,11 @@
 	}
 	w.Header().Set("Content-Type", ContentType)
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // the client may be gone: there is nobody to report an error to
+	_, _ = w.Write(body) // on an error the client has disconnected, so it can't be told
 }
 
-// NewTransport makes the transport of requests to one kind of counterpart. dialTimeout bounds
-// dialling, maxIdlePerHost and maxIdle the idle connections that are kept for one host and for all.
+// NewTransport returns an HTTP transport. dialTimeout bounds the time to establish a connection;
+// maxIdlePerHost and maxIdle bound the number of idle connections per host and in total.
 func NewTransport(dialTimeout time.Duration, maxIdlePerHost, maxIdle int) http.RoundTripper {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
--- a/internal/wire/kvstore.go
+++ b/internal/wire/kvstore.go
@@ -4,33 +4,34 @@
 type KeyValue struct {
 	Key         string   `cbor:"path"`
 	Value       RawValue `cbor:"value"`
-	ModRevision uint64   `cbor:"stamp"`  // store revision of the last change of the key
-	LeaseID     uint64   `cbor:"permit"` // the lease that the key is attached to; 0: none
-	Revision    uint64   `cbor:"ledger"` // store revision as of which it was read
+	ModRevision uint64   `cbor:"stamp"`  // store revision at which the key was last changed
+	LeaseID     uint64   `cbor:"permit"` // lease that the key is attached to; 0 means none
+	Revision    uint64   `cbor:"ledger"` // store revision at which the key was read
 }
 
-// RangeResponse is one page of the keys under a prefix.
+// RangeResponse is one page of a listing of the keys under a prefix.
 type RangeResponse struct {
 	KeyValues []KeyValue `cbor:"rows"`
 	HasMore   bool       `cbor:"more"`
 	Revision  uint64     `cbor:"ledger"`
 }
 
-// Condition holds if a key was last changed at a revision; at 0, if the key does not exist.
+// Condition is a precondition of a transaction: the key was last changed at ModRevision or, if ModRevision is 0, the
+// key does not exist.
 type Condition struct {
 	Key         string `cbor:"path"`
 	ModRevision uint64 `cbor:"stamp"`
 }
 
-// Op is one change of a transaction: it puts Value under PutKey or deletes DeleteKey.
+// Op is one operation of a transaction: it stores Value under PutKey, or deletes DeleteKey.
 type Op struct {
 	PutKey    string   `cbor:"set,omitempty"`
 	Value     RawValue `cbor:"value,omitempty"`
-	LeaseID   uint64   `cbor:"permit,omitempty"` // the lease to attach the key to; 0: none
+	LeaseID   uint64   `cbor:"permit,omitempty"` // lease to attach the key to; 0 means none
 	DeleteKey string   `cbor:"drop,omitempty"`
 }
 
-// Key is the key that the operation changes.
+// Key returns the key that the operation changes.
 func (op Op) Key() string {
 	if op.PutKey != "" {
 		return op.PutKey
@@ -38,20 +39,20 @@
 	return op.DeleteKey
 }
 
-// TxnRequest is a compare-and-swap: all operations are applied at once if all conditions hold, else
-// none is.
+// TxnRequest is an atomic compare-and-swap: if all conditions hold, all operations are applied at
+// once, otherwise none of them.
 type TxnRequest struct {
 	Conditions []Condition `cbor:"guards"`
 	Ops        []Op        `cbor:"apply,omitempty"`
 }
 
-// TxnResponse answers a transaction. It was applied if no condition failed.
+// TxnResponse is the response to a transaction. The transaction was applied if FailedKeys is empty.
 type TxnResponse struct {
-	FailedKeys []string `cbor:"failed"` // the keys of the conditions that don't hold
+	FailedKeys []string `cbor:"failed"` // keys whose conditions did not hold
 	Revision   uint64   `cbor:"ledger"`
 }
 
-// Event is one change that a watch delivers: a key that was put or one that was deleted.
+// Event is one change reported by a watch: a key that was put (PutKey) or deleted (DeleteKey).
 type Event struct {
 	PutKey      string   `cbor:"set"`
 	Value       RawValue `cbor:"value"`
@@ -59,18 +60,18 @@
 	ModRevision uint64   `cbor:"stamp"`
 }
 
-// WatchResponse answers a watch with the changes up to a revision, in order.
+// WatchResponse is the response to a watch: the changes up to Revision, in order.
 type WatchResponse struct {
 	Revision uint64  `cbor:"ledger"`
 	Events   []Event `cbor:"news"`
 }
 
-// LeaseRequest asks for a lease: keys attached to it are deleted when it expires.
+// LeaseRequest requests a lease. The keys attached to a lease are deleted when it expires.
 type LeaseRequest struct {
-	TTLMs int64 `cbor:"ttl_ms"` // time to live after each renewal, in milliseconds
+	TTLMs int64 `cbor:"ttl_ms"` // time to live, counted from the grant and from each renewal
 }
 
-// LeaseResponse names the lease that was granted.
+// LeaseResponse identifies the lease that was granted.
 type LeaseResponse struct {
 	LeaseID uint64 `cbor:"permit"`
 }
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -9,18 +9,20 @@
 	"sableusher/internal/tuning"
 )
 
-// The first byte of an encoded map: its upper three bits are the major type.
+// CBOR encodes the major type of a value in the upper three bits of its first byte.
 const (
 	majorTypeShift = 5
 	majorTypeMap   = 5
 )
 
+// maxMachineTypes is the maximum number of allowed machine types that a submission may list.
 const maxMachineTypes = 64
 
 var jobIDPattern = regexp.MustCompile(`^run-[0-9]{1,20}$`)
 
-// submission is a job as its user sends it. Every field is a pointer, to distinguish a missing field
-// from zero. Errors of the codec, which users receive, name this type and the types of its fields.
+// submission is a job description as received from a user. Every field is a pointer, to distinguish a
+// missing field from a zero value. Decoding errors contain the names of this type and of the types of
+// its fields, and are sent to users, so these names must not change.
 type submission struct {
 	ID           *string   `cbor:"id"`
 	Class        *string   `cbor:"lot"`
@@ -44,7 +46,7 @@
 	Dependencies *[]string `cbor:"awaits"`
 }
 
-// submissionTiming is the JobTiming of a submission.
+// submissionTiming holds the fields of a submission that become the JobTiming.
 type submissionTiming struct {
 	RuntimeEstimateSeconds    *float64 `cbor:"reckon_s"`
 	CheckpointIntervalSeconds *float64 `cbor:"landfall_s"`
@@ -52,11 +54,11 @@
 	DeadlineSeconds           *float64 `cbor:"cutoff_s"`
 }
 
-// IsValidJobID reports whether id has the form of job ids.
+// IsValidJobID reports whether id is a well-formed job ID: "run-" and 1 to 20 digits.
 func IsValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
-// DecodeSubmission reads a submission strictly: every fault of form is an error, fields that are
-// unknown are passed over. Whether the job can run is not looked at.
+// DecodeSubmission decodes and validates a submission. A missing, malformed or out-of-range field is an error;
+// unknown fields are ignored. It does not check whether the job can run.
 func DecodeSubmission(body []byte) (*JobSpec, error) {
 	if len(body) == 0 || body[0]>>majorTypeShift != majorTypeMap {
 		return nil, ErrNotAMap
@@ -77,11 +79,12 @@
 	return spec, nil
 }
 
-// fieldChecker converts the fields of a submission and keeps the first fault.
+// fieldChecker converts the fields of a submission and records the first invalid one.
 type fieldChecker struct {
-	err error
+	err error // FieldError of the first invalid field; nil if there is none
 }
 
+// requiredFields returns a JobSpec with the fields that a submission must have.
 func (c *fieldChecker) requiredFields(in *submission) *JobSpec {
 	spec := &JobSpec{
 		ID:       c.text("id", in.ID),
@@ -112,6 +115,7 @@
 	return spec
 }
 
+// optionalFields adds the fields that a submission may omit to spec.
 func (c *fieldChecker) optionalFields(in *submission, spec *JobSpec) {
 	if in.MachineTypes != nil {
 		spec.MachineTypes = c.machineTypes("hulls", *in.MachineTypes)
@@ -127,13 +131,14 @@
 	}
 }
 
-// reject keeps a fault unless there was one before it.
+// reject records a problem with a field, unless one was recorded before.
 func (c *fieldChecker) reject(field, problem string) {
 	if c.err == nil {
 		c.err = &FieldError{Field: field, Problem: problem}
 	}
 }
 
+// text returns a text that must not be empty nor longer than tuning.MaxNameBytes.
 func (c *fieldChecker) text(field string, value *string) string {
 	if value == nil {
 		c.reject(field, "missing")
@@ -145,6 +150,7 @@
 	return *value
 }
 
+// amount returns a number that must be between 0 and tuning.MaxAmount.
 func (c *fieldChecker) amount(field string, value *float64) float64 {
 	if value == nil {
 		c.reject(field, "missing")
@@ -198,7 +204,7 @@
 	return ids
 }
 
-// oneOf gives a text as the one of the allowed values that it is.
+// oneOf converts a text to type T and rejects it unless it is one of the allowed values.
 func oneOf[T ~string](c *fieldChecker, field string, value *string, allowed ...T) T {
 	text := T(c.text(field, value))
 	if !slices.Contains(allowed, text) {
@@ -207,9 +213,9 @@
 	return text
 }
 
-// DecodeMaxRetries reads how many retries a submission asks for; nil if it doesn't. It is called
-// only where operators limit retries: elsewhere the field is one of the unknown ones, which are
-// passed over.
+// DecodeMaxRetries returns the maximum number of retries that a submission requests, or nil if it has
+// no such field. It is called only if operators limit retries; otherwise the field is ignored like any
+// unknown field.
 func DecodeMaxRetries(body []byte) (*int, error) {
 	var in struct {
 		Repeats *int64 `cbor:"repeats"`
--- a/internal/wire/submission_test.go
+++ b/internal/wire/submission_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// validSubmission is a submission with every field but those of later versions.
+// validSubmission returns a valid submission with all fields of the first version of the protocol.
 func validSubmission() map[string]any {
 	return map[string]any{
 		"id": "run-000412", "lot": "train", "crew": "vision", "rig": "group", "precedence": "urgent", "hauls": 16,
@@ -18,16 +18,16 @@
 	}
 }
 
-// submissionFields are the fields of validSubmission in a fixed order.
+// submissionFields lists the fields of validSubmission in a fixed order, for reproducible draws.
 var submissionFields = []string{
 	"id", "lot", "crew", "rig", "precedence", "hauls", "vcpus", "cards", "memory_gb", "tackle", "size_gb",
 	"hulls", "harbor", "same_place", "spread", "standby", "reckon_s", "landfall_s", "stow_s", "cutoff_s",
 }
 
-// optionalFields may be left out or null.
+// optionalFields lists the fields that may be missing or null.
 var optionalFields = []string{"hulls", "harbor", "cutoff_s"}
 
-// TestDecodeValidSubmission: fields of later versions are passed over, optional ones may be missing.
+// TestDecodeValidSubmission checks that unknown fields are ignored and that optional fields may be missing.
 func TestDecodeValidSubmission(t *testing.T) {
 	fields := validSubmission()
 	fields["of_later_versions"] = map[string]any{"x": []int{1}}
@@ -42,13 +42,13 @@
 		fields := validSubmission()
 		delete(fields, field)
 		if _, err := DecodeSubmission(MustEncode(fields)); err != nil {
-			t.Errorf("without %s, which may be null: %v", field, err)
+			t.Errorf("submission without the optional field %s was rejected: %v", field, err)
 		}
 	}
 }
 
-// invalidValues are values that a field must not have, by the type that it should have; some names among them
-// are valid in fields that take any name.
+// invalidValues returns values that are invalid for a field, chosen by the type of its valid value. Some of the texts
+// are valid in fields that accept any short name; see isValidName.
 func invalidValues(field string) []any {
 	values := []any{map[string]any{}, []byte{1}, []any{[]any{}}}
 	switch validSubmission()[field].(type) {
@@ -66,14 +66,15 @@
 	return values
 }
 
-// isValidName reports whether a value is valid in a field that takes any short name.
+// isValidName reports whether the field accepts any short name and the value is one.
 func isValidName(field string, value any) bool {
-	takesAnyName := slices.Contains([]string{"lot", "crew", "tackle", "harbor"}, field)
+	acceptsAnyName := slices.Contains([]string{"lot", "crew", "tackle", "harbor"}, field)
 	name, ok := value.(string)
-	return takesAnyName && ok && name != "" && len(name) < 100
+	return acceptsAnyName && ok && name != "" && len(name) < 100
 }
 
-// TestDecodeRejectsInvalidFields spoils one field at a time: each must be refused, none may crash.
+// TestDecodeRejectsInvalidFields makes one field invalid or removes it: DecodeSubmission must return an error and must
+// not panic.
 func TestDecodeRejectsInvalidFields(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fields := validSubmission()
@@ -93,13 +94,14 @@
 	})
 }
 
-// TestDecodeArbitraryBytes feeds arbitrary and truncated bodies: an error, never a crash.
+// TestDecodeArbitraryBytes decodes arbitrary and truncated bodies, bodies with trailing bytes, and deeply nested ones:
+// DecodeSubmission must return an error and must not panic.
 func TestDecodeArbitraryBytes(t *testing.T) {
 	valid := MustEncode(validSubmission())
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.SliceOfN(rapid.Byte(), 0, 200).Draw(t, "bytes")
 		if _, err := DecodeSubmission(body); err == nil {
-			t.Fatalf("%x accepted", body)
+			t.Fatalf("the arbitrary body %x was accepted", body)
 		}
 		cut := rapid.IntRange(0, len(valid)-1).Draw(t, "cut")
 		if _, err := DecodeSubmission(valid[:cut]); err == nil {
--- a/internal/wire/user.go
+++ b/internal/wire/user.go
@@ -1,16 +1,16 @@
 package wire
 
-// JobKind is how the tasks of a job belong together.
+// JobKind defines how the tasks of a job depend on each other.
 type JobKind string
 
 // Kinds of jobs.
 const (
 	KindArray   JobKind = "batch"  // independent tasks, started in any order
-	KindGang    JobKind = "group"  // tasks that start and run together or not at all
+	KindGang    JobKind = "group"  // tasks that start and run together, or not at all
 	KindService JobKind = "daemon" // replicas that run until the job is cancelled
 )
 
-// String gives the kind as the protocol names it.
+// String returns the kind's name in the protocol.
 func (k JobKind) String() string { return string(k) }
 
 // Priority is the urgency that a user gives a job.
@@ -27,7 +27,8 @@
 // PriorityCount is the number of priorities.
 const PriorityCount = 4
 
-// Rank orders priorities: 0 is the highest. An unknown priority has the lowest rank.
+// Rank returns the position of the priority in the order of urgency: 0 for the highest, PriorityCount-1 for the lowest
+// and for an unknown one.
 func (p Priority) Rank() int {
 	switch p {
 	case PriorityProduction:
@@ -40,14 +41,14 @@
 	return PriorityCount - 1
 }
 
-// String gives the priority as the protocol names it.
+// String returns the priority's name in the protocol.
 func (p Priority) String() string { return string(p) }
 
-// JobState is the state of a job as its user sees it.
+// JobState is the state of a job that is reported to its user.
 type JobState string
 
-// States of a job. JobFailed is the end of a job with a task that has failed more often than its
-// class, or its user, allows; it occurs only where operators limit retries.
+// States of a job. JobFailed means that a task of the job failed more often than the class of the job, or its user,
+// allows. It occurs only if operators limit retries.
 const (
 	JobPending   JobState = "pending"
 	JobRunning   JobState = "running"
@@ -56,16 +57,16 @@
 	JobFailed    JobState = "failed"
 )
 
-// String gives the state as the protocol names it.
+// String returns the state's name in the protocol.
 func (s JobState) String() string { return string(s) }
 
-// IsFinal reports whether a job in this state never leaves it.
+// IsFinal reports whether the state is final: a job never leaves it.
 func (s JobState) IsFinal() bool {
 	return s == JobDone || s == JobCancelled || s == JobFailed
 }
 
-// JobSpec is a job as its user described it, checked by DecodeSubmission. It is stored as it is in
-// the job's record, so a new field belongs to a schema version. Resources are for each task.
+// JobSpec is the description of a job by its user, validated by DecodeSubmission. It is stored unchanged in the job's
+// record, so every new field requires a new schema version. CPUs, GPUs and MemoryGB are the resources of each task.
 type JobSpec struct {
 	ID           string   `cbor:"id"`
 	Class        string   `cbor:"lot"`
@@ -78,37 +79,37 @@
 	MemoryGB     float64  `cbor:"memory_gb"`
 	Image        string   `cbor:"tackle"`
 	ImageSizeGB  float64  `cbor:"size_gb"`
-	MachineTypes []string `cbor:"hulls,omitempty"`  // the allowed ones; none: any
-	Zone         string   `cbor:"harbor,omitempty"` // the only one allowed; empty: any
-	SameZone     bool     `cbor:"same_place"`       // all tasks in one zone
-	Spread       bool     `cbor:"spread"`           // tasks in more than one zone
+	MachineTypes []string `cbor:"hulls,omitempty"`  // allowed machine types; empty means any
+	Zone         string   `cbor:"harbor,omitempty"` // only allowed zone; empty means any
+	SameZone     bool     `cbor:"same_place"`       // all tasks must be in one zone
+	Spread       bool     `cbor:"spread"`           // tasks must be in more than one zone
 	AllowSpot    bool     `cbor:"standby"`
 
 	JobTiming
 
-	// Dependencies names the jobs that must be done before any task of this one starts. From
-	// tuning.SchemaVersionDependencies on: an older version would lose it.
+	// Dependencies are the IDs of the jobs that must be done before any task of this one starts. The field exists
+	// from tuning.SchemaVersionDependencies on; a node with an older version would drop it.
 	Dependencies []string `cbor:"awaits,omitempty"`
-	// MaxRetries is how often a task may start again after a failure of its own; nil: without
-	// limit. It is fixed when the job is accepted, from tuning.SchemaVersionRetries on.
+	// MaxRetries is how often a task may be restarted after it failed by itself; nil means without limit. It is
+	// fixed when the job is accepted. The field exists from tuning.SchemaVersionRetries on.
 	MaxRetries *int `cbor:"repeats,omitempty"`
 }
 
-// JobTiming is what a user says of the time that a job takes. It is encoded as part of its JobSpec.
+// JobTiming is the part of a JobSpec that describes its timing. Its fields are encoded as fields of the JobSpec.
 type JobTiming struct {
-	RuntimeEstimateSeconds    float64 `cbor:"reckon_s"`           // of each task
-	CheckpointIntervalSeconds float64 `cbor:"landfall_s"`         // 0: no checkpoints
-	CheckpointSaveSeconds     float64 `cbor:"stow_s"`             // how long a task takes to save its progress
-	DeadlineSeconds           float64 `cbor:"cutoff_s,omitempty"` // after submission; 0: none
+	RuntimeEstimateSeconds    float64 `cbor:"reckon_s"`           // expected runtime of each task
+	CheckpointIntervalSeconds float64 `cbor:"landfall_s"`         // 0 means no checkpoints
+	CheckpointSaveSeconds     float64 `cbor:"stow_s"`             // time that a task needs to save a checkpoint
+	DeadlineSeconds           float64 `cbor:"cutoff_s,omitempty"` // counted from submission; 0 means none
 }
 
-// JobResponse answers a submission or a cancellation.
+// JobResponse is the response to a submission or a cancellation.
 type JobResponse struct {
 	ID    string   `cbor:"id"`
 	State JobState `cbor:"status"`
 }
 
-// JobStatus answers a question about a job.
+// JobStatus is the response to a query of a job's status.
 type JobStatus struct {
 	ID           string   `cbor:"id"`
 	State        JobState `cbor:"status"`
@@ -116,7 +117,7 @@
 	TasksRunning int      `cbor:"running"`
 }
 
-// ErrorResponse explains to a client why its request was refused.
+// ErrorResponse tells a client why its request was refused.
 type ErrorResponse struct {
 	Message string `cbor:"error"`
 }
