--- a/internal/kvstore/batch.go
+++ b/internal/kvstore/batch.go
@@ -7,19 +7,21 @@
 	"sableusher/internal/wire"
 )
 
-// batch gathers transactions that can be sent as one: it keeps within the
-// limits, demands one revision of each key, and changes no key twice.
+// batch collects transactions that can be sent as one transaction: together they
+// stay within the limits, their conditions don't contradict each other, and no
+// key is changed twice.
 type batch struct {
-	maxOps        int // by the budget
+	maxOps        int // bounded by the write budget and by the store
 	maxConditions int
 	transactions  []*pendingTransaction
-	modRevisions  map[string]uint64 // that the conditions demand, by key
-	keys          map[string]bool   // changed here, or by an earlier transaction that has to wait
+	modRevisions  map[string]uint64 // revisions required by the conditions, by key
+	keys          map[string]bool   // keys changed by the batch or by a skipped transaction ahead in the queue
 	ops           int
 	bytes         int
 }
 
-// newBatch makes an empty batch for a budget of writes and a limit of operations.
+// newBatch returns an empty batch for a write budget and the maximum number of
+// operations of a transaction.
 func newBatch(writes, maxTransactionOps int) *batch {
 	return &batch{
 		maxOps:        min(writes, maxTransactionOps),
@@ -29,11 +31,12 @@
 	}
 }
 
-// full reports whether the budget of writes is used up.
+// full reports whether the batch uses up the write budget.
 func (b *batch) full() bool { return len(b.transactions) > 0 && b.ops >= b.maxOps }
 
-// fits reports whether a transaction can join the batch. The first one always
-// fits the limits, or it would wait for ever.
+// fits reports whether a transaction can be added to the batch. The limits don't
+// apply to the first transaction of a batch: one that exceeds them would
+// otherwise never be sent.
 func (b *batch) fits(p *pendingTransaction) bool {
 	withinLimits := len(b.transactions) == 0 ||
 		b.ops+len(p.Ops) <= b.maxOps &&
@@ -50,7 +53,7 @@
 	return !slices.ContainsFunc(p.Ops, func(op wire.Op) bool { return b.keys[op.Key()] })
 }
 
-// add takes a transaction in.
+// add adds a transaction to the batch.
 func (b *batch) add(p *pendingTransaction) {
 	b.transactions = append(b.transactions, p)
 	b.ops += len(p.Ops)
@@ -61,16 +64,18 @@
 	b.reserveKeys(p)
 }
 
-// reserveKeys keeps transactions that come later and change the same keys out
-// of the batch, so that changes of one key keep their order.
+// reserveKeys reserves the keys that a transaction changes: transactions further
+// back in the queue that change one of them no longer fit the batch. This keeps
+// the changes of a key in order.
 func (b *batch) reserveKeys(p *pendingTransaction) {
 	for _, op := range p.Ops {
 		b.keys[op.Key()] = true
 	}
 }
 
-// takeBatch removes the next transactions from the queue that can be sent as
-// one and write no more than the budget allows, but one transaction at least.
+// takeBatch removes from the queue the next transactions that can be sent as one
+// and that change at most writes keys. It takes at least one transaction, unless
+// the queue is empty.
 func (c *Committer) takeBatch(writes int) []*pendingTransaction {
 	next := newBatch(writes, c.client.MaxTransactionOps())
 	c.mu.Lock()
@@ -92,10 +97,10 @@
 	return next.transactions
 }
 
-// mergeBatch makes one request of the transactions of a batch. It is urgent if
-// one of them is.
+// mergeBatch merges the transactions of a batch into one request. The request is
+// urgent if at least one transaction is.
 func mergeBatch(transactions []*pendingTransaction) (wire.TxnRequest, RequestPriority) {
-	// An empty list, not a missing one, is what the store takes for no conditions.
+	// The store requires a list of conditions, even if there are none.
 	merged := wire.TxnRequest{Conditions: []wire.Condition{}}
 	priority := OrdinaryRequest
 	conditionKeys := map[string]bool{}
@@ -114,8 +119,8 @@
 	return merged, priority
 }
 
-// rejectAbandoned answers the transactions whose callers no longer wait, and
-// returns the others.
+// rejectAbandoned completes the transactions whose callers no longer wait with
+// ErrUnavailable, and returns the others.
 func rejectAbandoned(transactions []*pendingTransaction) []*pendingTransaction {
 	return slices.DeleteFunc(transactions, func(p *pendingTransaction) bool {
 		if !p.abandoned() {
@@ -126,8 +131,8 @@
 	})
 }
 
-// rejectFailed answers the transactions with a condition on one of the failed
-// keys, and returns the others.
+// rejectFailed completes the transactions that have a condition on one of the
+// failed keys with ErrConditionFailed, and returns the others.
 func rejectFailed(transactions []*pendingTransaction, failedKeys []string) []*pendingTransaction {
 	return slices.DeleteFunc(transactions, func(p *pendingTransaction) bool {
 		failed := slices.ContainsFunc(p.Conditions, func(condition wire.Condition) bool {
@@ -140,7 +145,7 @@
 	})
 }
 
-// finishBatch answers all transactions of a batch alike.
+// finishBatch completes all transactions of a batch with the same result.
 func finishBatch(transactions []*pendingTransaction, revision uint64, err error) {
 	for _, p := range transactions {
 		p.finish(revision, err)
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -11,35 +11,35 @@
 	"sableusher/internal/tuning"
 )
 
-// bytesPerKiB is the unit of the store's value limit.
+// bytesPerKiB converts the store's value limit from KiB to bytes.
 const bytesPerKiB = 1024
 
 // Limits are the rates and sizes that the store accepts.
 type Limits struct {
 	// BudgetShare is the fraction of the rates that this node uses until
-	// SetBudgetShare; 0 stands for the whole.
+	// SetBudgetShare is called; 0 means 1.
 	BudgetShare       float64
 	RequestsPerSecond float64
-	// WritesPerSecond counts changed keys.
+	// WritesPerSecond is the rate of changed keys.
 	WritesPerSecond float64
-	// MaxValueKiB bounds a value, measured in its JSON form.
+	// MaxValueKiB bounds the size of a value in its JSON form.
 	MaxValueKiB float64
-	// MaxTransactionOps bounds the operations of one transaction.
+	// MaxTransactionOps is the maximum number of operations of a transaction.
 	MaxTransactionOps int
 }
 
-// RequestPriority says which part of the request budget a request may use.
+// RequestPriority determines which part of the request budget a request may use.
 type RequestPriority int
 
 const (
-	// OrdinaryRequest uses the part that all requests share.
+	// OrdinaryRequest may use the part that all requests share.
 	OrdinaryRequest RequestPriority = iota
 	// UrgentRequest may also use the part that is reserved for sessions,
 	// ownership, acceptance, cancellation and read barriers.
 	UrgentRequest
 )
 
-// String names the priority.
+// String returns the name of the priority.
 func (p RequestPriority) String() string {
 	switch p {
 	case OrdinaryRequest:
@@ -50,18 +50,18 @@
 	return fmt.Sprintf("RequestPriority(%d)", int(p))
 }
 
-// budget paces a node's requests and writes within its share of the store's
-// limits. It is safe for concurrent use; the limiters lock themselves.
+// budget limits the rates of this node's requests and writes to its share of the
+// store's limits. It is safe for concurrent use.
 type budget struct {
 	requestLimiter *rate.Limiter
 	urgentLimiter  *rate.Limiter
 	writeLimiter   *rate.Limiter
 
-	mu               sync.Mutex // guards the fields below
-	limits           Limits     // in force
-	upcomingLimits   Limits     // at most as large as limits
-	share            float64    // of the whole budget
-	backoffFactor    float64    // of the share of writes: lowered by rejections, back to 1 in time
+	mu               sync.Mutex // guards the fields below; the limiters have locks of their own
+	limits           Limits     // limits in force
+	upcomingLimits   Limits     // never larger than limits
+	share            float64    // fraction of the store's rates that this node uses
+	backoffFactor    float64    // of the write rate: lowered by rejections, recovers to 1 over time
 	backoffChangedAt time.Time
 }
 
@@ -81,10 +81,11 @@
 	return b
 }
 
-// SetUpcomingLimits announces the limits that the store will have from some
-// moment on, none of them above those of today. Transactions keep to their new
-// size at once, since any store takes small ones and any version reads them;
-// records and rates follow with ApplyUpcomingLimits.
+// SetUpcomingLimits sets the limits that the store has announced for a later
+// time, none of them above the current ones. The new maximum size of transactions
+// applies at once, since every store accepts small transactions and every version
+// reads their records; the limits of records and rates apply from
+// ApplyUpcomingLimits on.
 func (b *budget) SetUpcomingLimits(upcoming Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -93,7 +94,7 @@
 	b.limits.MaxTransactionOps = upcoming.MaxTransactionOps
 }
 
-// ApplyUpcomingLimits puts the announced limits in force.
+// ApplyUpcomingLimits puts the limits of SetUpcomingLimits in force.
 func (b *budget) ApplyUpcomingLimits() {
 	b.mu.Lock()
 	b.limits = b.upcomingLimits
@@ -102,22 +103,22 @@
 	b.SetBudgetShare(share)
 }
 
-// MaxTransactionOps is the most operations that a transaction may have.
+// MaxTransactionOps returns the maximum number of operations of a transaction.
 func (b *budget) MaxTransactionOps() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.limits.MaxTransactionOps
 }
 
-// MaxRecordBytes is the largest record to write, in bytes of its JSON form.
+// MaxRecordBytes returns the maximum size of a record, in bytes of its JSON form.
 func (b *budget) MaxRecordBytes() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.limits.maxRecordBytes()
 }
 
-// UpcomingMaxRecordBytes is MaxRecordBytes under the announced limits: what is
-// accepted today must be storable then too.
+// UpcomingMaxRecordBytes returns the value of MaxRecordBytes under the upcoming
+// limits. Jobs accepted now must also be storable once these limits apply.
 func (b *budget) UpcomingMaxRecordBytes() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -128,7 +129,8 @@
 	return int(l.MaxValueKiB * bytesPerKiB * tuning.JSONShareOfValueLimit)
 }
 
-// initialRequestRate is this node's share of the request rate at first, a second.
+// initialRequestRate returns this node's initial share of the request rate, in
+// requests per second.
 func (b *budget) initialRequestRate() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -148,17 +150,18 @@
 	setLimiter(b.writeLimiter, writes, max(int(writes), b.limits.MaxTransactionOps))
 }
 
-// recoverWriteRate gives back a step of the write rate once there was no
-// rejection for a while. The caller holds mu.
+// recoverWriteRate raises the write rate by one step, if it was lowered and not
+// changed for tuning.WriteRateAdjustInterval. The caller must hold mu.
 func (b *budget) recoverWriteRate() {
 	if b.backoffFactor < 1 && time.Since(b.backoffChangedAt) > tuning.WriteRateAdjustInterval {
 		b.backoffFactor, b.backoffChangedAt = min(1, b.backoffFactor+tuning.WriteRateRecoveryStep), time.Now()
 	}
 }
 
-// reduceWriteRate backs off after a 429; each node that gets one does. The rate
-// recovers by itself, so that a store that only had a bad second is used whole
-// again.
+// reduceWriteRate lowers the write rate after a response with status 429, at most
+// once per tuning.WriteRateAdjustInterval. Each node that receives a 429 does so on
+// its own. Calls of SetBudgetShare raise the rate again, so that the node returns
+// to its full rate after a short overload of the store.
 func (b *budget) reduceWriteRate() {
 	b.mu.Lock()
 	now := time.Now()
@@ -172,6 +175,7 @@
 	b.SetBudgetShare(share)
 }
 
+// setLimiter sets the rate and the burst of a limiter, unless it has the rate already.
 func setLimiter(limiter *rate.Limiter, perSecond float64, burst int) {
 	if limiter.Limit() != rate.Limit(perSecond) {
 		limiter.SetLimit(rate.Limit(perSecond))
@@ -179,8 +183,9 @@
 	}
 }
 
-// waitForWriteBudget waits until the budget allows a write and returns how many
-// it allows.
+// waitForWriteBudget waits until the budget allows at least one write, and
+// returns the number of writes that it allows. It does not consume them. It
+// returns ctx's error if ctx ends first.
 func (b *budget) waitForWriteBudget(ctx context.Context) (int, error) {
 	for {
 		tokens := b.writeLimiter.Tokens()
@@ -194,11 +199,12 @@
 	}
 }
 
-// spendWriteBudget takes writes off the budget.
+// spendWriteBudget consumes write budget. The budget may become negative; later
+// writes then wait longer.
 func (b *budget) spendWriteBudget(writes int) { b.writeLimiter.ReserveN(time.Now(), writes) }
 
-// waitForRequestBudget waits until the budget allows a request. It fails with
-// ErrUnavailable if ctx ends first.
+// waitForRequestBudget waits until the budget allows a request and consumes it.
+// It returns ErrUnavailable if ctx ends first.
 func (b *budget) waitForRequestBudget(ctx context.Context, priority RequestPriority) error {
 	if priority == UrgentRequest && b.urgentLimiter.Allow() {
 		return nil
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -16,8 +16,8 @@
 	"sableusher/internal/wire"
 )
 
-// Client sends requests to the key-value store within a budget. It is safe for
-// concurrent use.
+// Client sends requests to the key-value store and limits their rate to this
+// node's budget. It is safe for concurrent use.
 type Client struct {
 	*budget
 
@@ -25,8 +25,8 @@
 	httpClient *http.Client
 }
 
-// NewClient returns a client of the store at address. A nil transport stands
-// for the network.
+// NewClient returns a client of the store at address. If transport is nil, it
+// creates a network transport.
 func NewClient(address string, limits Limits, transport http.RoundTripper) *Client {
 	if transport == nil {
 		transport = wire.NewTransport(tuning.KVRequestTimeout, tuning.MaxIdleConnsPerHost, tuning.MaxIdleConnsPerHost)
@@ -38,13 +38,13 @@
 	}
 }
 
-// Reader reads single records.
+// Reader reads single keys.
 type Reader interface {
 	Get(ctx context.Context, key string) (wire.KeyValue, error)
 }
 
-// ReadRecord reads and decodes one record. Only ErrNotFound proves that it does
-// not exist.
+// ReadRecord reads one key and decodes its value. Only ErrNotFound proves that
+// the key does not exist.
 func ReadRecord[T any](ctx context.Context, reader Reader, key string) (T, error) {
 	var record T
 	entry, err := reader.Get(ctx, key)
@@ -54,7 +54,7 @@
 	return record, err
 }
 
-// Get reads one key. It fails with ErrNotFound if the key does not exist.
+// Get reads one key. It returns ErrNotFound if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (wire.KeyValue, error) {
 	if err := c.waitForRequestBudget(ctx, OrdinaryRequest); err != nil {
 		return wire.KeyValue{}, err
@@ -72,7 +72,8 @@
 	return entry, err
 }
 
-// List reads one page of the keys under prefix that follow afterKey.
+// List reads one page of the keys under prefix that follow afterKey. An empty
+// afterKey selects the first page.
 func (c *Client) List(ctx context.Context, prefix, afterKey string) (wire.RangeResponse, error) {
 	if err := c.waitForRequestBudget(ctx, OrdinaryRequest); err != nil {
 		return wire.RangeResponse{}, err
@@ -91,16 +92,16 @@
 	return page, err
 }
 
-// WatchRequest asks for the changes under a prefix after a revision.
+// WatchRequest requests the changes of the keys under Prefix after AfterRevision.
 type WatchRequest struct {
 	Prefix        string
 	AfterRevision uint64
-	MaxWait       time.Duration // for a change; 0 asks for those that there are
+	MaxWait       time.Duration // time to wait for a change; 0 returns the present ones at once
 	Priority      RequestPriority
 }
 
-// Watch waits for changes. It fails with ErrCompacted if the store no longer
-// keeps those after the revision.
+// Watch waits for changes and returns them. It returns ErrCompacted if the store
+// has compacted changes after watch.AfterRevision.
 func (c *Client) Watch(ctx context.Context, watch WatchRequest) (wire.WatchResponse, error) {
 	if err := c.waitForRequestBudget(ctx, watch.Priority); err != nil {
 		return wire.WatchResponse{}, err
@@ -123,9 +124,9 @@
 	return changes, err
 }
 
-// ExecuteTransaction sends one transaction; the caller keeps to the budget of
-// writes. With ErrConditionFailed the result names the keys whose conditions
-// failed.
+// ExecuteTransaction sends one transaction. It applies the request budget; the
+// caller is responsible for the write budget. If it returns ErrConditionFailed,
+// the result contains the keys whose conditions failed.
 func (c *Client) ExecuteTransaction(
 	ctx context.Context, transaction wire.TxnRequest, priority RequestPriority,
 ) (wire.TxnResponse, error) {
@@ -154,17 +155,17 @@
 type request struct {
 	method  string
 	path    string
-	body    any // nil: none
+	body    any // encoded as CBOR; nil for none
 	timeout time.Duration
 }
 
-// response is an answer that is neither 429 nor 503.
+// response is an HTTP response with a status other than 429 and 503.
 type response struct {
 	status int
 	body   []byte
 }
 
-// rejection is the error of an answer whose status is not 200.
+// rejection returns a RejectedError, or nil if the status is 200.
 func (r response) rejection(operation string) error {
 	if r.status == http.StatusOK {
 		return nil
@@ -172,9 +173,9 @@
 	return &RejectedError{Operation: operation, Status: r.status}
 }
 
-// roundTrip sends one request and decodes the body of a 200 into out, if out is
-// not nil. It fails with ErrUnavailable if the request was certainly not
-// executed, and with ErrOutcomeUnknown if no answer tells.
+// roundTrip sends one request and, if the status is 200 and out is not nil,
+// decodes the body into out. It returns ErrUnavailable if the request was
+// certainly not executed, and ErrOutcomeUnknown if there is no usable response.
 func (c *Client) roundTrip(ctx context.Context, r request, out any) (response, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.timeout)
 	defer cancel()
@@ -186,7 +187,7 @@
 	if err != nil {
 		return response{}, transportError(err)
 	}
-	defer func() { _ = httpResponse.Body.Close() }() // the body was read, or the answer is given up
+	defer func() { _ = httpResponse.Body.Close() }() // an error is irrelevant: the body was read, or reading it failed
 	body, err := wire.ReadBody(httpResponse.Body, tuning.KVResponseMaxBytes)
 	if err != nil {
 		return response{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
@@ -226,8 +227,9 @@
 	return httpRequest, nil
 }
 
-// transportError tells a request that never left, because no connection was
-// made, from one that may have been executed.
+// transportError returns ErrUnavailable for a request that was never sent because
+// no connection could be established, and ErrOutcomeUnknown for any other
+// transport error, after which the request may have been executed.
 func transportError(err error) error {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
--- a/internal/kvstore/lease.go
+++ b/internal/kvstore/lease.go
@@ -10,8 +10,8 @@
 	"sableusher/internal/wire"
 )
 
-// GrantLease grants a lease and returns its identity. Keys attached to it are
-// deleted when it expires.
+// GrantLease requests a new lease and returns its ID. The store deletes the keys
+// attached to the lease when it expires.
 func (c *Client) GrantLease(ctx context.Context, timeToLive time.Duration) (uint64, error) {
 	if err := c.waitForRequestBudget(ctx, UrgentRequest); err != nil {
 		return 0, err
@@ -27,8 +27,8 @@
 	return granted.LeaseID, err
 }
 
-// RenewLease extends a lease by its time to live. It fails with ErrNotFound if
-// the lease has expired.
+// RenewLease renews a lease for its time to live. It returns ErrNotFound if the
+// lease has expired.
 func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
 	if err := c.waitForRequestBudget(ctx, UrgentRequest); err != nil {
 		return err
@@ -45,8 +45,8 @@
 	return reply.rejection("renew lease")
 }
 
-// RevokeLease ends a lease and deletes the keys attached to it. It neither
-// waits for the budget nor minds a lease that has expired before.
+// RevokeLease ends a lease and deletes the keys attached to it. It is not subject
+// to the request budget, and revoking an expired lease is not an error.
 func (c *Client) RevokeLease(ctx context.Context, leaseID uint64) error {
 	_, err := c.roundTrip(ctx, request{
 		method: http.MethodDelete, path: fmt.Sprintf("/holds/%d", leaseID), timeout: tuning.KVRequestTimeout,
--- a/internal/kvstore/metrics.go
+++ b/internal/kvstore/metrics.go
@@ -10,7 +10,7 @@
 	Help: "Requests that the key-value store rejected: for their rate, or a transaction for its form or size.",
 }, []string{"why"})
 
-// Values of the label of rejectedRequests.
+// Values of the label "why" of rejectedRequests.
 const (
 	rejectedForRate = "rate"
 	rejectedForForm = "form"
