--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -97,7 +97,7 @@
 		return wire.Decode(body, output)
 	case status == http.StatusBadRequest:
 		return fmt.Errorf("%s %s: %w", method, path, ErrMalformedRequest)
-	case status == http.StatusServiceUnavailable && saysNoCapacity(body):
+	case status == http.StatusServiceUnavailable && isNoCapacity(body):
 		return ErrNoCapacity
 	default:
 		return &StatusError{Method: method, Path: path, Status: status}
@@ -133,8 +133,8 @@
 	return resp.StatusCode, body, err
 }
 
-// saysNoCapacity reports whether an error response has the noCapacityMessage.
-func saysNoCapacity(body []byte) bool {
+// isNoCapacity reports whether an error response has the noCapacityMessage.
+func isNoCapacity(body []byte) bool {
 	var response wire.ErrorResponse
 	return wire.Decode(body, &response) == nil && response.Message == noCapacityMessage
 }
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -81,8 +81,8 @@
 	return b
 }
 
-// SetUpcomingLimits sets the limits that the store has announced for a later
-// time, none of them above the current ones. The new maximum size of transactions
+// SetUpcomingLimits sets the limits that the store will have from a later time
+// on, none of them above the current ones. The new maximum size of transactions
 // applies at once, since every store accepts small transactions and every version
 // reads their records; the limits of records and rates apply from
 // ApplyUpcomingLimits on.
@@ -145,8 +145,8 @@
 	b.recoverWriteRate()
 	requests := b.limits.RequestsPerSecond * share
 	writes := b.limits.WritesPerSecond * share * b.backoffFactor
-	setLimiter(b.requestLimiter, requests*(1-tuning.KVUrgentExtraShare), max(int(requests/2), 4))
-	setLimiter(b.urgentLimiter, requests*tuning.KVUrgentExtraShare, max(int(requests*tuning.KVUrgentExtraShare), 4))
+	setLimiter(b.requestLimiter, requests*(1-tuning.KVUrgentReservedShare), max(int(requests/2), 4))
+	setLimiter(b.urgentLimiter, requests*tuning.KVUrgentReservedShare, max(int(requests*tuning.KVUrgentReservedShare), 4))
 	setLimiter(b.writeLimiter, writes, max(int(writes), b.limits.MaxTransactionOps))
 }
 
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -41,10 +41,10 @@
 	"renew lease": func(ctx context.Context, c *Client) error { return c.RenewLease(ctx, 1) },
 }
 
-// TestErrorsSayWhatIsProven: a refused connection, a 429 and a 503 prove that
+// TestErrorsDistinguishNotExecutedFromUnknown: a refused connection, a 429 and a 503 prove that
 // nothing was executed; an answer that is lost or can't be read proves nothing.
 // A status has a meaning of its own only for the operations that define it.
-func TestErrorsSayWhatIsProven(t *testing.T) {
+func TestErrorsDistinguishNotExecutedFromUnknown(t *testing.T) {
 	dialError := &net.OpError{Op: "dial", Err: errors.New("refused")}
 	readError := &net.OpError{Op: "read", Err: errors.New("reset")}
 	for name, c := range map[string]struct {
--- a/internal/kvstore/committer.go
+++ b/internal/kvstore/committer.go
@@ -11,38 +11,42 @@
 	"sableusher/internal/wire"
 )
 
-// WatchObserver is what a committer learns from a watch cache beside the
-// store's answers.
+// WatchObserver is the committer's view of a watch cache. The watch cache shows
+// changes of keys and outcomes of transactions independently of the responses to
+// the transactions.
 type WatchObserver interface {
-	// IsOutdated reports whether a condition can't hold any more.
+	// IsOutdated reports whether a condition can no longer hold.
 	IsOutdated(condition wire.Condition) bool
-	// TrackInFlight notes operations that are about to be sent. It returns a
-	// revision below any at which they can be applied.
+	// TrackInFlight starts to record the changes of the keys of operations that
+	// are about to be sent. It returns a revision that is lower than any at which
+	// the operations can be applied.
 	TrackInFlight(ops []wire.Op) (before uint64)
-	// UntrackInFlight ends what TrackInFlight began.
+	// UntrackInFlight ends the recording that TrackInFlight started.
 	UntrackInFlight(ops []wire.Op)
-	// FindApplied reports whether the operations were applied together after a
-	// revision, and at which.
+	// FindApplied reports whether the operations were applied together after the
+	// revision after, and at which revision.
 	FindApplied(ops []wire.Op, after uint64) (revision uint64, ok bool)
 }
 
-// Committer groups transactions and sends them to the store. It is safe for
-// concurrent use. Run owns all its goroutines.
+// Committer queues transactions, merges them into batches within the write budget
+// and sends these to the store. It is safe for concurrent use. All its goroutines
+// are started by Run and end before Run returns.
 type Committer struct {
 	client    *Client
 	onApplied func(ops []wire.Op, revision uint64)
-	observer  WatchObserver // set before Run; nil: none
+	observer  WatchObserver // set before Run; nil if there is none
 
-	workerWake chan struct{}  // of capacity 1
-	budgetGate chan struct{}  // of capacity 1: filled by the worker that waits for the budget
-	requests   sync.WaitGroup // sent to the store, also those that are no longer waited for
+	workerWake chan struct{}  // of capacity 1; signals that transactions are queued
+	budgetGate chan struct{}  // of capacity 1; held by the worker that assembles the next batch
+	requests   sync.WaitGroup // requests in flight, including those that no worker waits for
 
 	mu    sync.Mutex // guards queue
 	queue []*pendingTransaction
 }
 
-// NewCommitter returns a committer. It calls onApplied with what was applied
-// before the callers of Commit learn of it.
+// NewCommitter returns a committer that sends transactions by client. The
+// committer calls onApplied with the operations and the revision of each batch
+// that was applied, before the calls of Commit return.
 func NewCommitter(client *Client, onApplied func(ops []wire.Op, revision uint64)) *Committer {
 	return &Committer{
 		client:     client,
@@ -52,27 +56,29 @@
 	}
 }
 
-// SetObserver sets the watch cache to learn from. It must be called before Run.
+// SetObserver sets the watch cache to use. It must be called before Run.
 func (c *Committer) SetObserver(observer WatchObserver) { c.observer = observer }
 
-// MaxTransactionOps is the most operations that a transaction may have.
+// MaxTransactionOps returns the maximum number of operations of a transaction.
 func (c *Committer) MaxTransactionOps() int { return c.client.MaxTransactionOps() }
 
-// MaxRecordBytes is the largest record to write, in bytes of its JSON form.
+// MaxRecordBytes returns the maximum size of a record, in bytes of its JSON form.
 func (c *Committer) MaxRecordBytes() int { return c.client.MaxRecordBytes() }
 
-// UpcomingMaxRecordBytes is MaxRecordBytes under the announced limits.
+// UpcomingMaxRecordBytes returns the value of MaxRecordBytes under the upcoming
+// limits; see SetUpcomingLimits.
 func (c *Committer) UpcomingMaxRecordBytes() int { return c.client.UpcomingMaxRecordBytes() }
 
-// QueueLength is the number of transactions that wait for the budget.
+// QueueLength returns the number of queued transactions, which are not yet part of
+// a batch.
 func (c *Committer) QueueLength() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.queue)
 }
 
-// Run sends transactions until ctx ends, and returns once no request is on its
-// way.
+// Run sends transactions until ctx ends, and returns when no request is in flight
+// any more.
 func (c *Committer) Run(ctx context.Context) error {
 	var workers sync.WaitGroup
 	for range tuning.CommitWorkers {
@@ -84,9 +90,10 @@
 }
 
 // Commit commits one transaction and returns the revision at which it was
-// applied. ErrConditionFailed and ErrUnavailable prove that it was not applied;
-// ErrOutcomeUnknown means that it may have been or may yet be; ErrRejected means
-// that the store answered with a status of another kind, as to a malformed one.
+// applied. ErrConditionFailed and ErrUnavailable prove that the transaction was
+// not applied. ErrOutcomeUnknown means that it may have been applied or may still
+// be applied. ErrRejected means that the store responded with an unexpected
+// status, for example because the transaction is malformed.
 func (c *Committer) Commit(ctx context.Context, transaction Transaction) (uint64, error) {
 	p := &pendingTransaction{
 		Transaction: transaction,
@@ -103,12 +110,13 @@
 		return result.revision, result.err
 	case <-ctx.Done():
 	}
-	// Only its removal from the queue proves that it isn't on its way.
+	// Only if it was still queued is it certain that it was not sent.
 	if c.dequeue(p) {
 		return 0, ErrUnavailable
 	}
-	// Its transaction answers soon as a rule. An unknown outcome is dear: the
-	// shard is fenced for it, and all its other changes on their way fail.
+	// The transaction is in flight, and its result usually arrives soon. It is
+	// worth waiting for, since an unknown outcome makes the node fence the shard,
+	// which fails all other changes of the shard that are in flight.
 	select {
 	case result := <-p.result:
 		return result.revision, result.err
@@ -117,8 +125,9 @@
 	}
 }
 
-// enqueue puts a transaction behind those of its priority. It reports whether
-// the queue had space.
+// enqueue inserts a transaction into the queue, which is ordered by effective
+// priority, behind those of the same priority. It reports false if the queue is
+// full.
 func (c *Committer) enqueue(p *pendingTransaction) bool {
 	now := p.enqueuedAt
 	c.mu.Lock()
@@ -148,6 +157,7 @@
 	return true
 }
 
+// wakeWorker wakes one worker, or does nothing if a wake-up is already pending.
 func (c *Committer) wakeWorker() {
 	select {
 	case c.workerWake <- struct{}{}:
@@ -155,7 +165,7 @@
 	}
 }
 
-// runWorker sends batches, one after the other, until ctx ends.
+// runWorker sends one batch after another until ctx ends.
 func (c *Committer) runWorker(ctx context.Context) {
 	for {
 		select {
@@ -174,9 +184,11 @@
 	}
 }
 
-// nextBatch takes the next batch once the budget allows to write it. Urgent
-// transactions must not wait behind a batch that was put together before they
-// came, so only one worker at a time waits for the budget.
+// nextBatch waits for the write budget, then removes the next batch from the queue
+// and returns it. It returns an empty batch if the queue is empty or ctx ends.
+// Only one worker at a time waits for the budget, and it assembles its batch after
+// the wait, so that an urgent transaction never waits behind a batch assembled
+// before it was enqueued.
 func (c *Committer) nextBatch(ctx context.Context) []*pendingTransaction {
 	c.budgetGate <- struct{}{}
 	defer func() { <-c.budgetGate }()
@@ -199,10 +211,11 @@
 	return transactions
 }
 
-// rejectOutdated answers the transactions with a condition that can't hold any
-// more, and returns the others. The store counts a transaction that fails like
-// one that changes something: without this, all that waited under an earlier
-// record of a shard would use up the budget for seconds, only to be refused.
+// rejectOutdated completes the transactions that have a condition that can no
+// longer hold with ErrConditionFailed, and returns the others. The store charges
+// a failed transaction against the write rate like a successful one. Without this
+// check, the transactions queued with a condition on an earlier revision of a
+// shard's record would use up the budget for seconds, only to fail.
 func (c *Committer) rejectOutdated(transactions []*pendingTransaction) []*pendingTransaction {
 	if c.observer == nil {
 		return transactions
@@ -216,9 +229,9 @@
 	})
 }
 
-// commitBatch sends a batch until each of its transactions has a result. A
-// condition that fails fails only the transactions that have it; the others are
-// sent again without them.
+// commitBatch sends a batch, repeatedly if necessary, until each of its
+// transactions has a result. If a condition fails, only the transactions with
+// that condition fail; the others are sent again without them.
 func (c *Committer) commitBatch(ctx context.Context, transactions []*pendingTransaction) {
 	for isRetry := false; ; isRetry = true {
 		transactions = rejectAbandoned(transactions)
@@ -227,7 +240,7 @@
 		}
 		merged, priority := mergeBatch(transactions)
 		if isRetry {
-			c.client.spendWriteBudget(len(merged.Ops)) // nextBatch did so for the first attempt
+			c.client.spendWriteBudget(len(merged.Ops)) // nextBatch did this for the first attempt
 		}
 		result, err := c.executeTransaction(ctx, merged, priority)
 		switch {
@@ -237,7 +250,7 @@
 			return
 		case errors.Is(err, ErrConditionFailed):
 			remaining := rejectFailed(transactions, result.FailedKeys)
-			if len(remaining) == len(transactions) { // none of ours is named: not executed
+			if len(remaining) == len(transactions) { // no failed key belongs to the batch; it was not executed
 				finishBatch(transactions, 0, ErrConditionFailed)
 				return
 			}
@@ -248,7 +261,7 @@
 				return
 			}
 		case errors.Is(err, ErrRejected) && len(transactions) > 1:
-			// One of them is at fault (an expired lease, an oversized value).
+			// One of the transactions is invalid (expired lease, oversized value); send each on its own.
 			for _, p := range transactions {
 				c.commitBatch(ctx, []*pendingTransaction{p})
 			}
@@ -260,10 +273,10 @@
 	}
 }
 
-// executeTransaction sends a transaction and waits for its outcome, from the
-// store's answer or, where that is late or lost, from the watch cache: a lost
-// answer to what was applied is no reason to take the outcome for unknown and
-// to fence a shard.
+// executeTransaction sends a transaction and waits for its outcome. If the response
+// is late or lost, it looks for the outcome in the watch cache. Otherwise a lost
+// response to an applied transaction would be an unknown outcome, for which the
+// node fences a shard.
 func (c *Committer) executeTransaction(
 	ctx context.Context, transaction wire.TxnRequest, priority RequestPriority,
 ) (wire.TxnResponse, error) {
@@ -274,43 +287,44 @@
 	defer cancel()
 	before := c.observer.TrackInFlight(transaction.Ops)
 	defer c.observer.UntrackInFlight(transaction.Ops)
-	answers := c.sendTransaction(ctx, transaction, priority)
-	checkTimer := time.NewTimer(tuning.TxnAnswerLateAfter)
+	results := c.sendTransaction(ctx, transaction, priority)
+	checkTimer := time.NewTimer(tuning.TxnOutcomePollDelay)
 	defer checkTimer.Stop()
 	for {
-		var answer transactionAnswer
+		var outcome transactionResult
 		select {
-		case answer = <-answers:
-			if !errors.Is(answer.err, ErrOutcomeUnknown) {
-				return answer.result, answer.err
+		case outcome = <-results:
+			if !errors.Is(outcome.err, ErrOutcomeUnknown) {
+				return outcome.result, outcome.err
 			}
 		case <-checkTimer.C:
 			checkTimer.Reset(tuning.TxnOutcomePollInterval)
 		}
 		if revision, ok := c.observer.FindApplied(transaction.Ops, before); ok {
-			outcomesLearnedFromWatch.Inc()
+			outcomesFoundByWatch.Inc()
 			return wire.TxnResponse{Revision: revision}, nil
 		}
-		if answer.err != nil {
-			return answer.result, answer.err
+		if outcome.err != nil {
+			return outcome.result, outcome.err
 		}
 	}
 }
 
-// transactionAnswer is the client's answer to a transaction.
-type transactionAnswer struct {
+// transactionResult is the result of Client.ExecuteTransaction.
+type transactionResult struct {
 	result wire.TxnResponse
 	err    error
 }
 
-// sendTransaction sends a transaction in the background; Run waits for its end.
+// sendTransaction sends a transaction in a new goroutine, for which Run waits. The
+// result is sent to the returned channel, which has capacity 1.
 func (c *Committer) sendTransaction(
 	ctx context.Context, transaction wire.TxnRequest, priority RequestPriority,
-) <-chan transactionAnswer {
-	answers := make(chan transactionAnswer, 1)
+) <-chan transactionResult {
+	results := make(chan transactionResult, 1)
 	c.requests.Go(func() {
 		result, err := c.client.ExecuteTransaction(ctx, transaction, priority)
-		answers <- transactionAnswer{result: result, err: err}
+		results <- transactionResult{result: result, err: err}
 	})
-	return answers
+	return results
 }
--- a/internal/kvstore/committer_test.go
+++ b/internal/kvstore/committer_test.go
@@ -150,14 +150,14 @@
 	Z []string       `cbor:"z"`
 }
 
-// unansweringTransport applies transactions to a cache and answers none.
-type unansweringTransport struct {
+// lostResponseTransport applies transactions to a cache and answers none.
+type lostResponseTransport struct {
 	cache      *WatchCache
 	revision   uint64
 	watchDelay time.Duration // until the watch shows them; 0: they are not applied
 }
 
-func (u *unansweringTransport) RoundTrip(httpRequest *http.Request) (*http.Response, error) {
+func (u *lostResponseTransport) RoundTrip(httpRequest *http.Request) (*http.Response, error) {
 	if u.watchDelay > 0 {
 		if err := u.applyLate(httpRequest.Body); err != nil {
 			return nil, err
@@ -167,7 +167,7 @@
 	return nil, httpRequest.Context().Err()
 }
 
-func (u *unansweringTransport) applyLate(body io.Reader) error {
+func (u *lostResponseTransport) applyLate(body io.Reader) error {
 	encoded, err := io.ReadAll(body)
 	if err != nil {
 		return err
@@ -208,16 +208,16 @@
 	}), nil
 }
 
-// TestLostResponseIsLearnedFromTheWatch: a transaction that was applied and whose
+// TestLostResponseIsResolvedByWatch: a transaction that was applied and whose
 // answer is lost is known as soon as the watch shows it; one of which nothing
 // shows stays unknown, neither done nor failed.
-func TestLostResponseIsLearnedFromTheWatch(t *testing.T) {
+func TestLostResponseIsResolvedByWatch(t *testing.T) {
 	for name, c := range map[string]struct {
 		watchDelay, least, most time.Duration
 		want                    error
 	}{
-		"shown at once": {10 * time.Millisecond, tuning.TxnAnswerLateAfter,
-			tuning.TxnAnswerLateAfter + tuning.TxnOutcomePollInterval, nil},
+		"shown at once": {10 * time.Millisecond, tuning.TxnOutcomePollDelay,
+			tuning.TxnOutcomePollDelay + tuning.TxnOutcomePollInterval, nil},
 		"shown later": {600 * time.Millisecond, 600 * time.Millisecond,
 			600*time.Millisecond + 2*tuning.TxnOutcomePollInterval, nil},
 		"not applied": {0, tuning.KVRequestTimeout, tuning.KVRequestTimeout + time.Second, ErrOutcomeUnknown},
@@ -225,7 +225,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				transport := &unansweringTransport{watchDelay: c.watchDelay}
+				transport := &lostResponseTransport{watchDelay: c.watchDelay}
 				client, cache := newTestCache(transport, Limits{
 					RequestsPerSecond: 100, WritesPerSecond: 100, MaxTransactionOps: 8,
 				}, mapSink{})
--- a/internal/kvstore/inflight.go
+++ b/internal/kvstore/inflight.go
@@ -8,25 +8,26 @@
 	"sableusher/internal/wire"
 )
 
-// inFlightKey is what became of a key while transactions of this node that
-// change it were on their way.
+// inFlightKey records the changes of a key while transactions of this node that
+// change the key are in flight.
 type inFlightKey struct {
-	transactions int                      // on their way
-	changes      map[uint64]wire.RawValue // by revision; nil: the key was deleted
+	transactions int                      // number of such transactions in flight
+	changes      map[uint64]wire.RawValue // values by revision; nil if the key was deleted
 }
 
-// recordChange keeps a change that the cache has taken in; a nil value stands
-// for a delete. A nil receiver keeps nothing.
+// recordChange records a change that was applied to the cache. A nil value means
+// that the key was deleted. With a nil receiver, recordChange does nothing.
 func (k *inFlightKey) recordChange(revision uint64, value wire.RawValue) {
 	if k != nil && len(k.changes) < tuning.InFlightKeyMaxChanges {
 		k.changes[revision] = value
 	}
 }
 
-// TrackInFlight notes operations that are about to be sent, until
-// UntrackInFlight. It returns a revision below any at which they can be applied:
-// the cache's own, and those of this node's own changes of the same keys, which
-// run ahead of it.
+// TrackInFlight starts to record the changes of the keys of operations that are
+// about to be sent; UntrackInFlight ends the recording. TrackInFlight returns a
+// revision that is lower than any at which the operations can be applied: the
+// highest of the cache's revision and the revisions of this node's own changes of
+// these keys, which may be ahead of the watch.
 func (c *WatchCache) TrackInFlight(ops []wire.Op) (before uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,7 +43,7 @@
 	return before
 }
 
-// UntrackInFlight ends what TrackInFlight began.
+// UntrackInFlight ends the recording that TrackInFlight started for the operations.
 func (c *WatchCache) UntrackInFlight(ops []wire.Op) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,11 +56,12 @@
 	}
 }
 
-// FindApplied reports whether the cache has shown, since TrackInFlight, that
-// all the operations were applied together after a revision, and at which: all
-// keys that they put changed at it, to these values, and those that they delete
-// went at it. Keys that have changed again since count too. Operations that put
-// no cached key, or delete one that does not exist, can't be told.
+// FindApplied reports whether the cache has seen, since TrackInFlight, that all
+// the operations were applied together after the revision after, and at which
+// revision: at that revision all keys that they put changed to their values, and
+// all keys that they delete were deleted. Later changes of these keys don't
+// matter. FindApplied can't find operations that put no cached key, or that
+// delete a cached key that does not exist.
 func (c *WatchCache) FindApplied(ops []wire.Op, after uint64) (revision uint64, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,15 +77,15 @@
 	return 0, false
 }
 
-// allAppliedAt reports whether the cache has shown all operations applied at a
-// revision. The caller holds mu.
+// allAppliedAt reports whether the cache has seen all operations applied at a
+// revision. The caller must hold mu.
 func (c *WatchCache) allAppliedAt(ops []wire.Op, revision uint64) bool {
 	return !slices.ContainsFunc(ops, func(op wire.Op) bool { return !c.wasAppliedAt(op, revision) })
 }
 
-// wasAppliedAt reports whether an operation was applied at a revision, as far as
-// the cache shows; keys that are not cached change with the others. The caller
-// holds mu.
+// wasAppliedAt reports whether the cache has seen an operation applied at a
+// revision. For keys outside the cached prefix it returns true, since they change
+// in the same transaction as the cached keys. The caller must hold mu.
 func (c *WatchCache) wasAppliedAt(op wire.Op, revision uint64) bool {
 	if !strings.HasPrefix(op.Key(), c.prefix) {
 		return true
--- a/internal/kvstore/inflight_test.go
+++ b/internal/kvstore/inflight_test.go
@@ -26,12 +26,12 @@
 	exists      map[string]bool // keys, as of the last transaction
 }
 
-// TestFindAppliedNeverGuesses: a cache of a generated history says that
+// TestFindAppliedReportsOnlyAppliedTransactions: a cache of a generated history says that
 // operations were applied together only if some transaction applied them all,
 // with these values, that this node did not know of when it sent them, be it in
 // its cache or as a change of its own that ran ahead; and it says so of each as
 // it comes.
-func TestFindAppliedNeverGuesses(t *testing.T) {
+func TestFindAppliedReportsOnlyAppliedTransactions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		_, cache := newTestCache(nil, minimalLimits, mapSink{})
 		run := &trackedRun{
@@ -72,7 +72,7 @@
 	if rapid.IntRange(0, 2).Draw(t, "the watch lags") == 0 && revision < lastTestRevision {
 		return
 	}
-	r.showUpTo(revision)
+	r.deliverWatchUpTo(revision)
 	if revision <= r.sentAfter {
 		return
 	}
@@ -97,8 +97,8 @@
 	return putsCached && !deletesAbsent
 }
 
-// showUpTo answers a watch with all changes up to a revision.
-func (r *trackedRun) showUpTo(revision uint64) {
+// deliverWatchUpTo answers a watch with all changes up to a revision.
+func (r *trackedRun) deliverWatchUpTo(revision uint64) {
 	answer := wire.WatchResponse{Revision: revision}
 	for at := r.cache.revision + 1; at <= revision; at++ {
 		for _, op := range r.history[at-1] {
--- a/internal/kvstore/metrics.go
+++ b/internal/kvstore/metrics.go
@@ -16,7 +16,7 @@
 	rejectedForForm = "form"
 )
 
-var outcomesLearnedFromWatch = promauto.NewCounter(prometheus.CounterOpts{
+var outcomesFoundByWatch = promauto.NewCounter(prometheus.CounterOpts{
 	Name: "sableusher_state_answers_missed_total",
 	Help: "Transactions that the watch cache showed as applied before any answer came.",
 })
--- a/internal/kvstore/readbarrier.go
+++ b/internal/kvstore/readbarrier.go
@@ -7,24 +7,26 @@
 	"golang.org/x/time/rate"
 )
 
-// readBarrier is one request for the store's present revision, shared by all
-// who came before it was sent.
+// readBarrier is one request that brings the cache up to the store's current
+// revision. It is shared by all callers that joined before it was sent.
 type readBarrier struct {
-	done chan struct{} // closed once err is set
-	err  error
+	done chan struct{} // closed after err is set
+	err  error         // result of the request
 }
 
 func newReadBarrier() *readBarrier { return &readBarrier{done: make(chan struct{})} }
 
-// barrierQueue gathers the callers of the read barrier to come.
+// barrierQueue collects the callers that share the next read barrier. It is safe for
+// concurrent use.
 type barrierQueue struct {
 	limiter *rate.Limiter
-	wake    chan struct{} // of capacity 1: somebody waits for the next barrier
+	wake    chan struct{} // of capacity 1; signals that the next barrier has callers
 
 	mu   sync.Mutex // guards next
 	next *readBarrier
 }
 
+// newBarrierQueue returns a queue that sends at most perSecond barriers a second.
 func newBarrierQueue(perSecond rate.Limit) *barrierQueue {
 	return &barrierQueue{
 		limiter: rate.NewLimiter(perSecond, watchBurst),
@@ -33,7 +35,7 @@
 	}
 }
 
-// join asks for a read barrier and returns the one that comes next.
+// join requests a read barrier and returns the next one to be sent.
 func (q *barrierQueue) join() *readBarrier {
 	q.mu.Lock()
 	joined := q.next
@@ -45,8 +47,8 @@
 	return joined
 }
 
-// take returns the barrier that is about to be sent; who joins later waits for
-// another.
+// take returns the barrier that is about to be sent and starts a new one for later
+// callers.
 func (q *barrierQueue) take() *readBarrier {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -55,9 +57,9 @@
 	return taken
 }
 
-// WaitForReadBarrier returns once the cache holds everything that was applied
-// before the call. All callers that wait share one request. It fails with
-// ErrUnavailable if ctx ends first, and otherwise with the request's error.
+// WaitForReadBarrier waits until the cache contains all changes that the store
+// applied before the call. Concurrent callers share one request. It returns
+// ErrUnavailable if ctx ends first, otherwise the error of the request.
 func (c *WatchCache) WaitForReadBarrier(ctx context.Context) error {
 	barrier := c.barriers.join()
 	select {
@@ -68,11 +70,11 @@
 	}
 }
 
-// RequestReadBarrier makes the cache catch up without waiting for it.
+// RequestReadBarrier requests a read barrier without waiting for it.
 func (c *WatchCache) RequestReadBarrier() { c.barriers.join() }
 
-// runBarriers sends the read barriers that are asked for until ctx ends, and
-// waits for those on their way.
+// runBarriers sends the requested read barriers until ctx ends, then waits for
+// those in flight.
 func (c *WatchCache) runBarriers(ctx context.Context) {
 	var requests sync.WaitGroup
 	defer requests.Wait()
@@ -93,7 +95,8 @@
 	}
 }
 
-// catchUp takes in every change that the store has at present.
+// catchUp applies all changes up to the store's current revision to the cache. It
+// returns ErrUnavailable before the first response to a watch.
 func (c *WatchCache) catchUp(ctx context.Context) error {
 	revision, synced := c.progress()
 	if !synced {
--- a/internal/kvstore/transaction.go
+++ b/internal/kvstore/transaction.go
@@ -8,27 +8,29 @@
 	"sableusher/internal/wire"
 )
 
-// Bytes that the encoding adds to the keys and values of a transaction.
+// Estimated number of bytes that the encoding adds to the keys and values of a
+// transaction, per condition and per operation.
 const (
 	conditionOverheadBytes = 24
 	opOverheadBytes        = 32
 )
 
-// Priority orders transactions that wait for the write budget.
+// Priority determines the order of the transactions that wait for the write budget.
 type Priority int
 
 const (
-	// PriorityBackground is for what nothing waits for.
+	// PriorityBackground is for transactions that nothing waits for.
 	PriorityBackground Priority = iota - 1
 	// PriorityNormal is the default.
 	PriorityNormal
-	// PriorityHigh is for the work of jobs of high priority.
+	// PriorityHigh is for changes of jobs with high priority.
 	PriorityHigh
-	// PriorityUrgent is for sessions, ownership, acceptance and cancellation.
+	// PriorityUrgent is for sessions, ownership, acceptance and cancellation of
+	// jobs, and for urgent scheduling decisions such as those for production jobs.
 	PriorityUrgent
 )
 
-// String names the priority.
+// String returns the name of the priority.
 func (p Priority) String() string {
 	switch p {
 	case PriorityBackground:
@@ -43,14 +45,15 @@
 	return fmt.Sprintf("Priority(%d)", int(p))
 }
 
-// Transaction is a compare-and-swap: its operations are applied together, and
-// only if all its conditions hold.
+// Transaction is an atomic compare-and-swap: its operations are applied together,
+// and only if all its conditions hold.
 type Transaction struct {
 	Conditions []wire.Condition
 	Ops        []wire.Op
 	Priority   Priority
 }
 
+// encodedSize returns an estimate of the size of the encoded transaction in bytes.
 func (t *Transaction) encodedSize() int {
 	size := 0
 	for _, condition := range t.Conditions {
@@ -62,33 +65,34 @@
 	return size
 }
 
-// PutOp is an operation that writes a value, which must be of a type that
-// encodes.
+// PutOp returns an operation that puts a value under a key. It panics if the value
+// can't be encoded.
 func PutOp(key string, value any) wire.Op {
 	return wire.Op{PutKey: key, Value: wire.MustEncode(value)}
 }
 
-// DeleteOp is an operation that deletes a key.
+// DeleteOp returns an operation that deletes a key.
 func DeleteOp(key string) wire.Op { return wire.Op{DeleteKey: key} }
 
-// pendingTransaction is a transaction that has been handed to a Committer and
-// has no result yet.
+// pendingTransaction is a transaction that was passed to a Committer and has no
+// result yet.
 type pendingTransaction struct {
 	Transaction
 
-	callerDone <-chan struct{} // closed once the caller no longer waits
+	callerDone <-chan struct{} // closed when the caller stops waiting
 	enqueuedAt time.Time
 	result     chan commitResult // of capacity 1
 }
 
-// commitResult is what became of a transaction.
+// commitResult is the result of a transaction.
 type commitResult struct {
-	revision uint64 // at which it was applied
+	revision uint64 // revision at which it was applied; 0 with an error
 	err      error
 }
 
-// effectivePriority is the priority by which a transaction is queued. What has
-// waited for long counts one class higher, or it would never have its turn.
+// effectivePriority returns the priority by which a transaction is ordered in the
+// queue. A transaction that has waited for long is raised by one level, to avoid
+// starvation.
 func (p *pendingTransaction) effectivePriority(now time.Time) Priority {
 	waited := now.Sub(p.enqueuedAt)
 	switch {
@@ -100,7 +104,7 @@
 	return p.Priority
 }
 
-// abandoned reports whether the caller no longer waits.
+// abandoned reports whether the caller has stopped waiting.
 func (p *pendingTransaction) abandoned() bool {
 	select {
 	case <-p.callerDone:
@@ -110,7 +114,7 @@
 	}
 }
 
-// finish hands the result to the caller.
+// finish delivers the result to the caller. It must be called once per transaction.
 func (p *pendingTransaction) finish(revision uint64, err error) {
 	p.result <- commitResult{revision: revision, err: err}
 }
--- a/internal/kvstore/watchcache.go
+++ b/internal/kvstore/watchcache.go
@@ -15,11 +15,11 @@
 	"sableusher/internal/wire"
 )
 
-// watchBurst is how many watches, or read barriers, may start at once.
+// watchBurst is the burst size of the rate limiters of watches and of read barriers.
 const watchBurst = 2
 
-// Sink receives the changes of the cached keys. Those between BeginUpdate and
-// EndUpdate are one group: its readers see all of them or none.
+// Sink receives the changes of the cached keys. The changes between BeginUpdate and
+// EndUpdate form one group: readers of the sink see either all of them or none.
 type Sink interface {
 	BeginUpdate()
 	Put(key string, value wire.RawValue, modRevision uint64)
@@ -27,14 +27,14 @@
 	EndUpdate()
 }
 
-// WatchCache keeps a Sink at the state of all keys under a prefix, by list and
-// watch. This node's own transactions may run ahead of the watch (ApplyOwn). It
-// is safe for concurrent use.
+// WatchCache keeps a Sink up to date with all keys under a prefix, by a list
+// followed by watches. Applied transactions of this node may be added before the
+// watch shows them (ApplyOwn). WatchCache is safe for concurrent use.
 //
-// Its lock is taken before that of the sink. What readers ask while they hold
-// the sink's lock (Revision, CompleteAsOf) must not wait for mu, whose holder
-// may be waiting for that lock; both are atomic and change only within a group
-// of the sink.
+// Lock order: mu is locked before the lock of the sink. Revision and CompleteAsOf
+// are called by readers that hold the sink's lock, so they must not lock mu, whose
+// holder may be waiting for the sink's lock. They read atomic variables that
+// change only between BeginUpdate and EndUpdate.
 type WatchCache struct {
 	client       *Client
 	prefix       string
@@ -43,18 +43,18 @@
 	watchLimiter *rate.Limiter
 	barriers     *barrierQueue
 
-	mu           sync.Mutex // guards the fields below, and the order of the sink's groups
-	synced       bool       // a watch has answered since the first list
-	revision     uint64     // up to which every change is held
-	modRevisions map[string]uint64
-	inFlight     map[string]*inFlightKey // keys of this node's transactions on their way
-	ownDeletes   map[string]uint64       // revisions of our deletes that the watch has not shown yet
+	mu           sync.Mutex              // guards the fields below, and the order of the sink's groups
+	synced       bool                    // there was a response to a watch since the first list
+	revision     uint64                  // every change up to this revision has been applied
+	modRevisions map[string]uint64       // revision of the last change, by existing key
+	inFlight     map[string]*inFlightKey // keys of this node's transactions in flight
+	ownDeletes   map[string]uint64       // revisions of this node's deletes that the watch has not shown yet
 
 	publishedRevision atomic.Uint64
 	completeAsOf      atomic.Pointer[time.Time]
 }
 
-// NewWatchCache returns a cache of the keys under prefix.
+// NewWatchCache returns a cache of the keys under prefix. It is empty until Run is called.
 func NewWatchCache(client *Client, prefix string, sink Sink, logger *slog.Logger) *WatchCache {
 	requestRate := client.initialRequestRate()
 	return &WatchCache{
@@ -70,8 +70,9 @@
 	}
 }
 
-// CompleteAsOf is the time as of which the cache is known to hold every change;
-// zero before the first answer to a watch.
+// CompleteAsOf returns a time such that the cache contains every change that the
+// store applied before it. It returns the zero time before the first response to a
+// watch.
 func (c *WatchCache) CompleteAsOf() time.Time {
 	if completeAsOf := c.completeAsOf.Load(); completeAsOf != nil {
 		return *completeAsOf
@@ -79,12 +80,13 @@
 	return time.Time{}
 }
 
-// Revision is the revision up to which the cache holds every change.
+// Revision returns the revision up to which the cache contains every change.
 func (c *WatchCache) Revision() uint64 { return c.publishedRevision.Load() }
 
-// IsOutdated reports whether a condition can't hold any more, because its key
-// is known to have changed since. One that demands that a key does not exist is
-// never outdated: the key may have been deleted beyond what the cache holds.
+// IsOutdated reports whether a condition can no longer hold, because the cache
+// holds a newer revision of its key. A condition that the key does not exist is
+// never outdated: the key may have been deleted at a revision that the cache has
+// not reached.
 func (c *WatchCache) IsOutdated(condition wire.Condition) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -92,7 +94,7 @@
 	return ok && condition.ModRevision != 0 && modRevision > condition.ModRevision
 }
 
-// Run follows the keys until ctx ends.
+// Run keeps the cache up to date until ctx ends. It returns ctx's error.
 func (c *WatchCache) Run(ctx context.Context) error {
 	var barriers sync.WaitGroup
 	defer barriers.Wait()
@@ -100,7 +102,7 @@
 	for ctx.Err() == nil {
 		if err := c.listAll(ctx); err != nil {
 			c.logger.Info("key listing failed", "err", err)
-			_ = pause(ctx, tuning.KVRetryPause) // the loop sees whether ctx has ended
+			_ = pause(ctx, tuning.KVRetryPause) // the loop condition checks ctx
 			continue
 		}
 		c.followWatch(ctx)
@@ -108,8 +110,8 @@
 	return ctx.Err()
 }
 
-// followWatch takes in changes until ctx ends or the store no longer keeps those
-// after the cache's revision.
+// followWatch applies changes by repeated watches until ctx ends or the store has
+// compacted changes after the cache's revision.
 func (c *WatchCache) followWatch(ctx context.Context) {
 	for ctx.Err() == nil {
 		if c.watchLimiter.Wait(ctx) != nil {
@@ -125,19 +127,20 @@
 		}
 		if err != nil && ctx.Err() == nil {
 			c.logger.Debug("watch failed", "err", err)
-			_ = pause(ctx, tuning.KVRetryPause) // the loop sees whether ctx has ended
+			_ = pause(ctx, tuning.KVRetryPause) // the loop condition checks ctx
 		}
 	}
 }
 
-// progress gives the revision that the cache has reached, and whether a watch
-// has answered yet.
+// progress returns the revision of the cache, and whether there was a response to a
+// watch yet.
 func (c *WatchCache) progress() (revision uint64, synced bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.revision, c.synced
 }
 
+// watchOnce sends one watch request and applies the response.
 func (c *WatchCache) watchOnce(ctx context.Context, watch WatchRequest) error {
 	askedAt := time.Now()
 	changes, err := c.client.Watch(ctx, watch)
@@ -148,11 +151,13 @@
 	return nil
 }
 
-// applyWatch takes in all changes after a revision that the cache has already
-// reached. Answers overlap and may come out of order: what lies at or below the
-// cache's own revision was taken in before, and taking it in again would bring
-// back keys deleted since. Above it, each key's own modRevision decides, since
-// our own transactions run ahead.
+// applyWatch applies the response to a watch that was requested at askedAt and
+// lists all changes after afterRevision. It ignores the response if the cache has
+// not reached afterRevision. Responses overlap and may arrive out of order: changes
+// at or below the cache's revision have been applied before, and applying them
+// again would restore keys deleted since. Changes above the cache's revision are
+// compared with the modRevision of their key, since this node's own transactions
+// may be ahead of the watch.
 func (c *WatchCache) applyWatch(afterRevision uint64, changes wire.WatchResponse, askedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,7 +178,7 @@
 	}
 	if changes.Revision > c.revision {
 		c.revision = changes.Revision
-		c.forgetShownDeletes()
+		c.pruneOwnDeletes()
 	}
 	c.synced = true
 	c.publishedRevision.Store(c.revision)
@@ -182,8 +187,8 @@
 	}
 }
 
-// ApplyOwn takes in a transaction of this node that was applied at a revision,
-// unless the watch was faster.
+// ApplyOwn applies the operations of a transaction of this node, which the store
+// applied at revision, unless the watch has reached that revision before.
 func (c *WatchCache) ApplyOwn(ops []wire.Op, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -206,8 +211,8 @@
 	}
 }
 
-// putKey takes in a value unless the cache knows of a newer change of the key.
-// The caller holds mu and has begun a group of the sink.
+// putKey applies a put, unless the cache has seen the same or a newer change of the
+// key. The caller must hold mu and have called the sink's BeginUpdate.
 func (c *WatchCache) putKey(key string, value wire.RawValue, modRevision uint64) {
 	if modRevision <= c.modRevisions[key] || modRevision <= c.ownDeletes[key] {
 		return
@@ -217,8 +222,9 @@
 	c.sink.Put(key, value, modRevision)
 }
 
-// deleteKey takes in a delete unless the cache knows of a newer change of the
-// key. The caller holds mu and has begun a group of the sink.
+// deleteKey applies a delete, unless the key is absent or the cache has seen the
+// same or a newer change of it. The caller must hold mu and have called the sink's
+// BeginUpdate.
 func (c *WatchCache) deleteKey(key string, revision uint64) {
 	if modRevision, ok := c.modRevisions[key]; !ok || revision <= modRevision {
 		return
@@ -228,9 +234,9 @@
 	c.sink.Delete(key)
 }
 
-// forgetShownDeletes forgets our own deletes that the watch has shown. The
-// caller holds mu.
-func (c *WatchCache) forgetShownDeletes() {
+// pruneOwnDeletes removes this node's deletes that the watch has shown from
+// ownDeletes. The caller must hold mu.
+func (c *WatchCache) pruneOwnDeletes() {
 	for key, revision := range c.ownDeletes {
 		if revision <= c.revision {
 			delete(c.ownDeletes, key)
@@ -238,8 +244,8 @@
 	}
 }
 
-// listAll reads all keys under the prefix, page by page. The cache is then at
-// the first page's revision; changes after it are shown by the watch from there.
+// listAll reads all keys under the prefix, page by page. Afterwards the cache is at
+// least at the revision of the first page; the watch delivers the changes after it.
 func (c *WatchCache) listAll(ctx context.Context) error {
 	listed := map[string]bool{}
 	lastKey, firstRevision := "", uint64(0)
@@ -273,7 +279,7 @@
 	return nil
 }
 
-// applyPage takes in one page of a listing.
+// applyPage applies one page of a listing.
 func (c *WatchCache) applyPage(page wire.RangeResponse) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -284,8 +290,9 @@
 	}
 }
 
-// deleteUnlisted deletes the keys that a listing from a revision on did not
-// have. The caller holds mu and has begun a group of the sink.
+// deleteUnlisted deletes the keys that are missing in a listing, unless they were
+// changed after firstRevision, the revision of its first page. The caller must hold
+// mu and have called the sink's BeginUpdate.
 func (c *WatchCache) deleteUnlisted(listed map[string]bool, firstRevision uint64) {
 	for key, modRevision := range c.modRevisions {
 		if !listed[key] && modRevision <= firstRevision {
--- a/internal/tuning/kvstore.go
+++ b/internal/tuning/kvstore.go
@@ -10,9 +10,9 @@
 	// KVEvenBudgetShare is the fraction of KVBudgetShare that is divided evenly among the live nodes, for user
 	// requests and sessions. The rest is divided in proportion to the number of shards that each node owns.
 	KVEvenBudgetShare = 0.35
-	// KVUrgentExtraShare is the fraction of a node's request budget that is reserved for urgent requests
+	// KVUrgentReservedShare is the fraction of a node's request budget that is reserved for urgent requests
 	// (sessions, ownership, acceptance, cancellations, read barriers).
-	KVUrgentExtraShare = 0.15
+	KVUrgentReservedShare = 0.15
 	// TxnMaxBytes bounds the encoded size of one transaction in CBOR. The store accepts up to 64 KiB measured as
 	// JSON, and CBOR is up to a third smaller than JSON.
 	TxnMaxBytes = 36 << 10
@@ -44,9 +44,9 @@
 	// KVRequestTimeout is the timeout of a request to the key-value store. Most responses arrive within 10 ms, a few
 	// take some hundred milliseconds.
 	KVRequestTimeout = 1500 * time.Millisecond
-	// TxnAnswerLateAfter is how long the committer waits for the response to a transaction before it starts to
+	// TxnOutcomePollDelay is how long the committer waits for the response to a transaction before it starts to
 	// check the watch cache for the outcome, every TxnOutcomePollInterval. It is far above the usual response time.
-	TxnAnswerLateAfter     = 150 * time.Millisecond
+	TxnOutcomePollDelay     = 150 * time.Millisecond
 	TxnOutcomePollInterval = 50 * time.Millisecond
 	// InFlightKeyMaxChanges is the maximum number of changes that are kept of one key while a transaction that
 	// changes it is in flight.
