--- a/internal/kvstore/batch_test.go
+++ b/internal/kvstore/batch_test.go
@@ -8,8 +8,9 @@
 	"sableusher/internal/wire"
 )
 
-// TestBatchNeverChangesAKeyTwice checks that one batch never changes a key twice
-// and stays within the limits, whatever is queued.
+// TestBatchNeverChangesAKeyTwice checks for arbitrary queues that a batch never
+// changes a key twice, stays within the maximum number of operations and has no
+// contradicting conditions, and that no transaction is lost.
 func TestBatchNeverChangesAKeyTwice(t *testing.T) {
 	const maxOps = 8
 	keys := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j", "k", "l"} // more than maxOps
@@ -31,7 +32,7 @@
 		for len(committer.queue) > 0 {
 			transactions := committer.takeBatch(maxOps)
 			if len(transactions) == 0 {
-				t.Fatal("an empty batch would stall the queue")
+				t.Fatal("takeBatch returned an empty batch though the queue is not empty")
 			}
 			taken += len(transactions)
 			checkBatch(t, transactions, maxOps)
@@ -42,13 +43,13 @@
 	})
 }
 
-// checkBatch checks that transactions can be sent as one.
+// checkBatch checks that the transactions of a batch can be sent as one.
 func checkBatch(t *rapid.T, transactions []*pendingTransaction, maxOps int) {
 	changed, ops, modRevisions := map[string]bool{}, 0, map[string]uint64{}
 	for _, p := range transactions {
 		for _, op := range p.Ops {
 			if changed[op.Key()] {
-				t.Fatalf("key %s twice in one batch", op.Key())
+				t.Fatalf("key %s is changed twice in one batch", op.Key())
 			}
 			changed[op.Key()] = true
 			ops++
@@ -61,6 +62,6 @@
 		}
 	}
 	if ops > maxOps {
-		t.Fatalf("%d ops", ops)
+		t.Fatalf("batch of %d operations exceeds the maximum", ops)
 	}
 }
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -146,7 +146,8 @@
 	requests := b.limits.RequestsPerSecond * share
 	writes := b.limits.WritesPerSecond * share * b.backoffFactor
 	setLimiter(b.requestLimiter, requests*(1-tuning.KVUrgentReservedShare), max(int(requests/2), 4))
-	setLimiter(b.urgentLimiter, requests*tuning.KVUrgentReservedShare, max(int(requests*tuning.KVUrgentReservedShare), 4))
+	setLimiter(b.urgentLimiter, requests*tuning.KVUrgentReservedShare,
+		max(int(requests*tuning.KVUrgentReservedShare), 4))
 	setLimiter(b.writeLimiter, writes, max(int(writes), b.limits.MaxTransactionOps))
 }
 
--- a/internal/kvstore/budget_test.go
+++ b/internal/kvstore/budget_test.go
@@ -11,16 +11,17 @@
 	"sableusher/internal/wire"
 )
 
-// statusTransport answers every request with one status.
+// statusTransport is an http.RoundTripper that answers every request with this status.
 type statusTransport int
 
 func (s statusTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: int(s), Body: http.NoBody}, nil
 }
 
-// TestRejectionsReduceTheWriteRate: a store whose limit has fallen without notice
-// rejects what is beyond; nodes that kept their rate would be rejected for ever.
-// The rate has a floor and recovers, and transactions are small from the start.
+// TestRejectionsReduceTheWriteRate guards against nodes that are rejected forever:
+// if the store's limit drops without notice, it rejects all requests above it, so a
+// node must lower its write rate. The rate has a lower bound and recovers. The test
+// also checks that of the upcoming limits the transaction size applies at once.
 func TestRejectionsReduceTheWriteRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		client := NewClient(testAddress, Limits{
@@ -31,33 +32,33 @@
 		})
 		if client.MaxTransactionOps() != 10 || client.writeLimiter.Limit() != 100 ||
 			client.MaxRecordBytes() <= client.UpcomingMaxRecordBytes() {
-			t.Errorf("before: %d ops, %v writes a second, records of %d bytes",
+			t.Errorf("before ApplyUpcomingLimits: %d operations, %v writes a second, records of %d bytes",
 				client.MaxTransactionOps(), client.writeLimiter.Limit(), client.MaxRecordBytes())
 		}
 		client.ApplyUpcomingLimits()
 		if client.writeLimiter.Limit() != 60 || client.MaxRecordBytes() != client.UpcomingMaxRecordBytes() {
-			t.Errorf("lowered: %v writes a second, records of %d bytes",
+			t.Errorf("after ApplyUpcomingLimits: %v writes a second, records of %d bytes",
 				client.writeLimiter.Limit(), client.MaxRecordBytes())
 		}
 		for range 100 {
 			_, _ = client.ExecuteTransaction(t.Context(), wire.TxnRequest{}, OrdinaryRequest)
 		}
 		if got := client.writeLimiter.Limit(); got != 60*tuning.WriteRateCutFactor {
-			t.Errorf("one bad moment lowered the rate to %v", got)
+			t.Errorf("rejections at one moment lowered the write rate to %v", got)
 		}
 		for range 30 {
 			time.Sleep(tuning.WriteRateAdjustInterval)
 			_, _ = client.ExecuteTransaction(t.Context(), wire.TxnRequest{}, OrdinaryRequest)
 		}
 		if got := float64(client.writeLimiter.Limit()); math.Abs(got-60*tuning.WriteRateMinFactor) > 1e-9 {
-			t.Errorf("lasting rejections left %v", got)
+			t.Errorf("lasting rejections lowered the write rate to %v", got)
 		}
 		for range 60 {
 			time.Sleep(2 * tuning.WriteRateAdjustInterval)
 			client.SetBudgetShare(1)
 		}
 		if got := client.writeLimiter.Limit(); got != 60 {
-			t.Errorf("the rate recovered to %v", got)
+			t.Errorf("the write rate recovered to %v", got)
 		}
 	})
 }
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -11,12 +11,12 @@
 	"sableusher/internal/wire"
 )
 
-// failingTransport fails every request.
+// failingTransport is an http.RoundTripper that fails every request with err.
 type failingTransport struct{ err error }
 
 func (f failingTransport) RoundTrip(*http.Request) (*http.Response, error) { return nil, f.err }
 
-// operations are the client's requests by name.
+// operations are calls of the client's methods, by the operation's name in a RejectedError.
 var operations = map[string]func(context.Context, *Client) error{
 	"get": func(ctx context.Context, c *Client) error {
 		_, err := c.Get(ctx, "s/a")
@@ -41,16 +41,17 @@
 	"renew lease": func(ctx context.Context, c *Client) error { return c.RenewLease(ctx, 1) },
 }
 
-// TestErrorsDistinguishNotExecutedFromUnknown: a refused connection, a 429 and a 503 prove that
-// nothing was executed; an answer that is lost or can't be read proves nothing.
-// A status has a meaning of its own only for the operations that define it.
+// TestErrorsDistinguishNotExecutedFromUnknown checks the error of each operation
+// for each kind of failure. A refused connection, a 429 and a 503 prove that the
+// request was not executed; a response that is lost or can't be decoded proves
+// nothing. Other statuses have a meaning only for the operations that define it.
 func TestErrorsDistinguishNotExecutedFromUnknown(t *testing.T) {
 	dialError := &net.OpError{Op: "dial", Err: errors.New("refused")}
 	readError := &net.OpError{Op: "read", Err: errors.New("reset")}
 	for name, c := range map[string]struct {
 		transport http.RoundTripper
 		want      error
-		except    map[string]error // operations for which a status has a meaning
+		except    map[string]error // errors of the operations for which the failure has another meaning
 	}{
 		"connection refused": {failingTransport{dialError}, ErrUnavailable, nil},
 		"connection reset":   {failingTransport{readError}, ErrOutcomeUnknown, nil},
@@ -80,7 +81,7 @@
 					if isRejected := errors.As(err, &rejected); isRejected != errors.Is(want, ErrRejected) {
 						t.Errorf("error %v is a RejectedError: %v", err, isRejected)
 					} else if isRejected && rejected.Operation != operation {
-						t.Errorf("the error names %q", rejected.Operation)
+						t.Errorf("the error names the wrong operation %q", rejected.Operation)
 					}
 				})
 			})
--- a/internal/kvstore/committer_test.go
+++ b/internal/kvstore/committer_test.go
@@ -18,7 +18,7 @@
 	"sableusher/internal/wire"
 )
 
-// delayedTransport answers every transaction after a while.
+// delayedTransport is an http.RoundTripper that answers every transaction after this delay, at revision 7.
 type delayedTransport time.Duration
 
 func (d delayedTransport) RoundTrip(*http.Request) (*http.Response, error) {
@@ -27,10 +27,10 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(bytes.NewReader(body))}, nil
 }
 
-// TestCommitWaitsForTransactionInFlight: a change whose time runs out while its
-// transaction is on its way is not unknown yet. Each unknown outcome makes a node
-// fence its shard, which fails all its other changes: one node once did so two
-// hundred times in two minutes.
+// TestCommitWaitsForTransactionInFlight checks that Commit returns the result of a
+// transaction whose context ends while it is in flight, not ErrOutcomeUnknown. Each
+// unknown outcome makes the node fence the shard, which fails all its other
+// changes; a node did so 200 times in two minutes.
 func TestCommitWaitsForTransactionInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -45,15 +45,16 @@
 		})
 		stopShort()
 		if revision != 7 || err != nil {
-			t.Errorf("revision %d, %v", revision, err)
+			t.Errorf("revision %d, error %v, want revision 7", revision, err)
 		}
 		cancel()
 	})
 }
 
-// TestHighPriorityTransactionsGoFirst: while the budget is the bottleneck a
-// change waits for seconds, and a DAG has several in a row; but what has waited
-// long must not wait for ever behind what keeps coming.
+// TestHighPriorityTransactionsGoFirst checks the order of the queue. While the
+// write budget is the bottleneck, a change waits for seconds, and a DAG needs
+// several changes in a row, so those of high priority go first. A transaction that
+// has waited for long is raised, so that new ones don't delay it forever.
 func TestHighPriorityTransactionsGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		committer := NewCommitter(NewClient(testAddress, minimalLimits, nil), ignoreApplied)
@@ -80,8 +81,8 @@
 	})
 }
 
-// outdatedBelow is an observer for which all conditions below a revision are
-// outdated; it shows nothing of what is sent.
+// outdatedBelow is a WatchObserver for which all conditions below this revision are
+// outdated. It never finds an applied transaction.
 type outdatedBelow uint64
 
 func (o outdatedBelow) IsOutdated(condition wire.Condition) bool {
@@ -91,9 +92,9 @@
 func (o outdatedBelow) TrackInFlight([]wire.Op) uint64               { return 0 }
 func (o outdatedBelow) UntrackInFlight([]wire.Op)                    {}
 
-// TestOutdatedTransactionsAreNotSent: changes with conditions that are known to
-// be outdated are refused by the committer, the others are sent, and those that
-// wait behind them don't wait for the budget that they would have taken.
+// TestOutdatedTransactionsAreNotSent checks that the committer itself fails the
+// transactions with outdated conditions and sends the others, and that the outdated
+// ones use no write budget, which would delay the others.
 func TestOutdatedTransactionsAreNotSent(t *testing.T) {
 	const firstCurrent = 5
 	type result struct {
@@ -131,30 +132,31 @@
 			for range modRevisions {
 				r := <-results
 				if r.outdated != errors.Is(r.err, ErrConditionFailed) || !r.outdated && r.err != nil {
-					rt.Errorf("outdated %v: %v", r.outdated, r.err)
+					rt.Errorf("transaction with outdated condition %v: error %v", r.outdated, r.err)
 				}
 				longest = max(longest, r.duration)
 			}
 			if most := time.Duration(current+2) * 500 * time.Millisecond; longest > most {
-				rt.Errorf("%d of %d changes took %v", current, len(modRevisions), longest)
+				rt.Errorf("%d of %d transactions are not outdated; the slowest took too long: %v", current, len(modRevisions), longest)
 			}
 			cancel()
 		})
 	})
 }
 
-// testRecord is a value whose encoding differs between writers.
+// testRecord is a value that has several encodings; see reencode.
 type testRecord struct {
 	A int            `cbor:"a"`
 	M map[string]int `cbor:"m"`
 	Z []string       `cbor:"z"`
 }
 
-// lostResponseTransport applies transactions to a cache and answers none.
+// lostResponseTransport applies transactions, shows them to a cache as a watch
+// would, and never responds.
 type lostResponseTransport struct {
 	cache      *WatchCache
 	revision   uint64
-	watchDelay time.Duration // until the watch shows them; 0: they are not applied
+	watchDelay time.Duration // until the watch shows a transaction; 0: it is not applied
 }
 
 func (u *lostResponseTransport) RoundTrip(httpRequest *http.Request) (*http.Response, error) {
@@ -192,8 +194,8 @@
 	return nil
 }
 
-// reencode gives the value of a put in other bytes: the store keeps values, not
-// encodings.
+// reencode returns the value of a put in another encoding, since the store keeps
+// values and may encode them differently.
 func reencode(op wire.Op) (wire.RawValue, error) {
 	if op.PutKey == "" {
 		return op.Value, nil
@@ -208,9 +210,9 @@
 	}), nil
 }
 
-// TestLostResponseIsResolvedByWatch: a transaction that was applied and whose
-// answer is lost is known as soon as the watch shows it; one of which nothing
-// shows stays unknown, neither done nor failed.
+// TestLostResponseIsResolvedByWatch checks transactions whose response is lost. One
+// that was applied succeeds as soon as the watch shows it; the outcome of one that
+// the watch doesn't show is unknown, neither success nor failure.
 func TestLostResponseIsResolvedByWatch(t *testing.T) {
 	for name, c := range map[string]struct {
 		watchDelay, least, most time.Duration
@@ -247,10 +249,10 @@
 					},
 				})
 				if took := time.Since(startedAt); !errors.Is(err, c.want) || took < c.least || took > c.most {
-					t.Errorf("%v after %v", err, took)
+					t.Errorf("unexpected error %v or duration %v", err, took)
 				}
 				if err == nil && (revision != 2 || appliedAt != 2) {
-					t.Errorf("revision %d, applied at %d", revision, appliedAt)
+					t.Errorf("Commit returned revision %d, onApplied received %d, want 2", revision, appliedAt)
 				}
 				cancel()
 			})
--- a/internal/kvstore/helpers_test.go
+++ b/internal/kvstore/helpers_test.go
@@ -10,21 +10,22 @@
 	"sableusher/internal/wire"
 )
 
-// testAddress is an address that nothing answers.
+// testAddress is an address at which no server listens.
 const testAddress = "127.0.0.1:1"
 
-// cachedPrefix is the prefix of the keys that the caches of the tests follow.
+// cachedPrefix is the key prefix of the watch caches in tests.
 const cachedPrefix = "s/"
 
 // cachedKeys are the keys under cachedPrefix that the tests use.
 var cachedKeys = []string{"s/a", "s/b", "s/c"}
 
-// minimalLimits are those of tests that send nothing.
+// minimalLimits are the limits for tests in which the rates don't matter.
 var minimalLimits = Limits{RequestsPerSecond: 1, WritesPerSecond: 1, MaxTransactionOps: 1}
 
+// ignoreApplied is an onApplied callback of a Committer that does nothing.
 func ignoreApplied([]wire.Op, uint64) {}
 
-// mapSink keeps the values that a cache hands it.
+// mapSink is a Sink that stores the values by key.
 type mapSink map[string]string
 
 func (m mapSink) BeginUpdate()                                  {}
@@ -32,12 +33,13 @@
 func (m mapSink) Put(key string, value wire.RawValue, _ uint64) { m[key] = string(value) }
 func (m mapSink) Delete(key string)                             { delete(m, key) }
 
+// newTestCache returns a client with the transport, and a cache of cachedPrefix that uses it.
 func newTestCache(transport http.RoundTripper, limits Limits, sink Sink) (*Client, *WatchCache) {
 	client := NewClient(testAddress, limits, transport)
 	return client, NewWatchCache(client, cachedPrefix, sink, slog.New(slog.DiscardHandler))
 }
 
-// drawOps draws one to three operations on different keys.
+// drawOps draws one to three operations on different keys, of which at most one is outside cachedPrefix.
 func drawOps(t *rapid.T, label string) []wire.Op {
 	var ops []wire.Op
 	keys := append(slices.Clone(cachedKeys), "f/d")
--- a/internal/kvstore/inflight_test.go
+++ b/internal/kvstore/inflight_test.go
@@ -11,26 +11,28 @@
 	"sableusher/internal/wire"
 )
 
-// lastTestRevision is the number of transactions of a generated history.
+// lastTestRevision is the number of transactions, and the last revision, of a generated history.
 const lastTestRevision = 12
 
-// trackedRun is a history in which one set of operations is sent at some moment
-// and may be applied at any later one.
+// trackedRun is a generated history of transactions. One set of operations is sent
+// after some revision; transactions with the same operations may be applied before
+// and after that.
 type trackedRun struct {
 	cache       *WatchCache
 	sent        []wire.Op
-	sentAfter   uint64 // the revision after which they are sent
-	before      uint64 // what TrackInFlight returned
-	history     [][]wire.Op
-	knownBefore map[uint64]bool // revisions that the node knew of when it sent
-	exists      map[string]bool // keys, as of the last transaction
+	sentAfter   uint64          // the revision after which sent is sent
+	before      uint64          // the revision returned by TrackInFlight
+	history     [][]wire.Op     // transactions; the first one has revision 1
+	knownBefore map[uint64]bool // revisions whose changes the node knew of when it sent the operations
+	exists      map[string]bool // whether a key exists after the last transaction
 }
 
-// TestFindAppliedReportsOnlyAppliedTransactions: a cache of a generated history says that
-// operations were applied together only if some transaction applied them all,
-// with these values, that this node did not know of when it sent them, be it in
-// its cache or as a change of its own that ran ahead; and it says so of each as
-// it comes.
+// TestFindAppliedReportsOnlyAppliedTransactions checks FindApplied on generated
+// histories. It must report operations as applied only if one transaction applied
+// them all with the same values, and this node did not know of that transaction
+// when it sent the operations, neither by the watch nor as a change of its own
+// ahead of the watch. It must report each such transaction as soon as the watch
+// shows it.
 func TestFindAppliedReportsOnlyAppliedTransactions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		_, cache := newTestCache(nil, minimalLimits, mapSink{})
@@ -47,7 +49,7 @@
 	})
 }
 
-// step applies one transaction and checks what the cache says of it.
+// step applies one transaction and checks the result of FindApplied.
 func (r *trackedRun) step(t *rapid.T, revision uint64) {
 	transaction := drawOps(t, "transaction")
 	isSent := rapid.IntRange(0, 2).Draw(t, "is the one sent") == 0
@@ -78,15 +80,16 @@
 	}
 	appliedAt, ok := r.cache.FindApplied(r.sent, r.before)
 	if ok && (r.knownBefore[appliedAt] || !containsPuts(r.history[appliedAt-1], r.sent)) {
-		t.Fatalf("at %d: said to be applied at %d, by %v", revision, appliedAt, r.history[appliedAt-1])
+		t.Fatalf("at revision %d: FindApplied wrongly returned revision %d of transaction %v",
+			revision, appliedAt, r.history[appliedAt-1])
 	}
 	if isSent && detectable && !ok {
-		t.Fatalf("at %d: was just applied, and is not found (%d, %v)", revision, appliedAt, ok)
+		t.Fatalf("at revision %d: FindApplied did not find the transaction just applied (%d, %v)", revision, appliedAt, ok)
 	}
 }
 
-// detectable reports whether the cache can tell that the operations are applied:
-// they put a cached key, and delete none that does not exist.
+// detectable reports whether FindApplied can find the operations: they put a cached
+// key, and delete no cached key that does not exist.
 func (r *trackedRun) detectable() bool {
 	putsCached := slices.ContainsFunc(r.sent, func(op wire.Op) bool {
 		return strings.HasPrefix(op.PutKey, cachedPrefix)
@@ -97,7 +100,7 @@
 	return putsCached && !deletesAbsent
 }
 
-// deliverWatchUpTo answers a watch with all changes up to a revision.
+// deliverWatchUpTo applies a response to a watch with all changes up to a revision.
 func (r *trackedRun) deliverWatchUpTo(revision uint64) {
 	answer := wire.WatchResponse{Revision: revision}
 	for at := r.cache.revision + 1; at <= revision; at++ {
@@ -112,8 +115,8 @@
 	r.cache.applyWatch(r.cache.revision, answer, time.Now())
 }
 
-// containsPuts reports whether a transaction has all puts of cached keys of
-// another.
+// containsPuts reports whether a transaction contains all puts of cached keys in
+// wanted, with the same values.
 func containsPuts(transaction, wanted []wire.Op) bool {
 	for _, op := range wanted {
 		found := slices.ContainsFunc(transaction, func(other wire.Op) bool {
@@ -127,8 +130,8 @@
 	return true
 }
 
-// TestFindAppliedIgnoresEarlierTransactions: the same change of an earlier
-// transaction that is still tracked is not taken for a later one's.
+// TestFindAppliedIgnoresEarlierTransactions checks that FindApplied does not mistake
+// an earlier transaction, still tracked, for a later one with the same operations.
 func TestFindAppliedIgnoresEarlierTransactions(t *testing.T) {
 	_, cache := newTestCache(nil, minimalLimits, mapSink{})
 	ops := []wire.Op{PutOp("s/a", 1)}
@@ -136,12 +139,12 @@
 	cache.ApplyOwn(ops, 3)
 	before := cache.TrackInFlight(ops)
 	if revision, ok := cache.FindApplied(ops, before); ok {
-		t.Errorf("sent after %d, found at %d", before, revision)
+		t.Errorf("operations sent after revision %d were found at revision %d", before, revision)
 	}
 	cache.applyWatch(0, wire.WatchResponse{Revision: 5, Events: []wire.Event{
 		{PutKey: "s/a", Value: wire.MustEncode(1), ModRevision: 5},
 	}}, time.Now())
 	if revision, ok := cache.FindApplied(ops, before); !ok || revision != 5 {
-		t.Errorf("found at %d: %v", revision, ok)
+		t.Errorf("FindApplied returned revision %d, %v, want 5, true", revision, ok)
 	}
 }
--- a/internal/kvstore/watchcache_test.go
+++ b/internal/kvstore/watchcache_test.go
@@ -10,12 +10,13 @@
 	"sableusher/internal/wire"
 )
 
-// history is a generated run of changes and the states that they led through.
+// history is a generated sequence of changes and the states between them.
 type history struct {
 	events []wire.Event
-	states []map[string]string // by revision
+	states []map[string]string // values by key, by revision
 }
 
+// drawHistory draws up to 30 changes of cachedKeys.
 func drawHistory(t *rapid.T) *history {
 	h := &history{states: []map[string]string{{}}}
 	for i := range rapid.IntRange(1, 30).Draw(t, "changes") {
@@ -26,7 +27,7 @@
 	return h
 }
 
-// append adds a change; a delete of a key that does not exist changes nothing.
+// append adds a change at the next revision. Deleting an absent key only adds a revision without a change.
 func (h *history) append(key string, isDelete bool, value wire.RawValue) {
 	revision := uint64(len(h.states))
 	next := maps.Clone(h.states[revision-1])
@@ -41,10 +42,10 @@
 	h.states = append(h.states, next)
 }
 
-// lastRevision is the revision of the last change.
+// lastRevision returns the revision of the last change.
 func (h *history) lastRevision() uint64 { return uint64(len(h.states) - 1) }
 
-// between is a watch's answer with the changes after one revision up to another.
+// between returns the response to a watch with the changes after one revision up to another.
 func (h *history) between(after, upTo uint64) wire.WatchResponse {
 	answer := wire.WatchResponse{Revision: upTo}
 	for _, event := range h.events {
@@ -55,19 +56,19 @@
 	return answer
 }
 
-// cacheRun is a cache that takes in a history.
+// cacheRun is a cache to which parts of a history are applied.
 type cacheRun struct {
 	*history
 
 	cache        *WatchCache
 	sink         mapSink
-	ownRevisions []uint64 // of the changes that were taken in as the node's own
+	ownRevisions []uint64 // revisions that were applied by ApplyOwn
 }
 
-// TestWatchCacheFollowsHistory applies overlapping watch answers and the node's
-// own writes in generated orders. The cache must never show a key that was
-// deleted at or below its revision: a late answer once brought a finished job
-// back to life.
+// TestWatchCacheFollowsHistory applies overlapping watch responses and the node's
+// own changes in generated orders. The cache must never show a key that was deleted
+// at or below its revision: a late watch response has restored the deleted record
+// of a finished job.
 func TestWatchCacheFollowsHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		run := &cacheRun{history: drawHistory(t), sink: mapSink{}}
@@ -80,7 +81,7 @@
 	})
 }
 
-// step takes in one change of the node's own, or one answer to a watch.
+// step applies one of the node's own changes, or one response to a watch.
 func (r *cacheRun) step(t *rapid.T) {
 	if rapid.Bool().Draw(t, "own") && len(r.events) > 0 {
 		event := rapid.SampledFrom(r.events).Draw(t, "write")
@@ -94,8 +95,8 @@
 	r.cache.applyWatch(after, r.between(after, upTo), time.Now())
 }
 
-// checkOutdatedConditions checks that a condition that counts as outdated holds
-// in no state from the one on that the cache knows.
+// checkOutdatedConditions checks that IsOutdated reports no condition that holds at
+// the latest revision known to the cache or at a later one.
 func (r *cacheRun) checkOutdatedConditions(t *rapid.T) {
 	known := r.cache.revision
 	for _, revision := range r.ownRevisions {
@@ -112,15 +113,15 @@
 			}
 			condition := wire.Condition{Key: key, ModRevision: modRevision}
 			if event.ModRevision >= known && r.cache.IsOutdated(condition) {
-				t.Fatalf("revision %d: a condition of %s at %d counts as outdated at %d",
+				t.Fatalf("cache at revision %d: condition on %s at %d is reported as outdated, but holds at revision %d",
 					r.cache.revision, key, modRevision, event.ModRevision)
 			}
 		}
 	}
 }
 
-// checkState checks that the keys on which no write of the node's own runs ahead
-// show the state at the cache's revision.
+// checkState checks that the sink has the state at the cache's revision, except for
+// the keys with an own change ahead of that revision.
 func (r *cacheRun) checkState(t *rapid.T) {
 	ahead := map[string]bool{}
 	for _, event := range r.events {
@@ -132,13 +133,13 @@
 	}
 	for _, key := range cachedKeys {
 		if want := r.states[r.cache.revision][key]; !ahead[key] && r.sink[key] != want {
-			t.Fatalf("revision %d: %s is %q, want %q", r.cache.revision, key, r.sink[key], want)
+			t.Fatalf("cache at revision %d: key %s has value %q, want %q", r.cache.revision, key, r.sink[key], want)
 		}
 	}
 }
 
-// TestLateWatchDoesNotUndoOwnDelete: a watch's answer that ends before a delete
-// of the node's own must not bring the key back.
+// TestLateWatchDoesNotUndoOwnDelete checks that a watch response that ends at a
+// revision before one of the node's own deletes does not restore the deleted key.
 func TestLateWatchDoesNotUndoOwnDelete(t *testing.T) {
 	sink := mapSink{}
 	_, cache := newTestCache(nil, minimalLimits, sink)
@@ -151,10 +152,10 @@
 	cache.ApplyOwn([]wire.Op{DeleteOp("s/a")}, 5)
 	cache.applyWatch(1, put(3), time.Now())
 	if value, ok := sink["s/a"]; ok {
-		t.Errorf("the deleted key is back with %q", value)
+		t.Errorf("the deleted key was restored with value %q", value)
 	}
 	cache.applyWatch(3, put(7), time.Now())
 	if sink["s/a"] != string(wire.MustEncode(7)) {
-		t.Errorf("the key that was put again is %q", sink["s/a"])
+		t.Errorf("the key put after the delete has value %q", sink["s/a"])
 	}
 }
