--- a/internal/kvstore/batch.go
+++ b/internal/kvstore/batch.go
@@ -74,8 +74,8 @@
 }
 
 // takeBatch removes from the queue the next transactions that can be sent as one
-// and that change at most writes keys. It takes at least one transaction, unless
-// the queue is empty.
+// and that change at most writes keys. It takes at least one transaction, even if
+// that one exceeds the limits, unless the queue is empty.
 func (c *Committer) takeBatch(writes int) []*pendingTransaction {
 	next := newBatch(writes, c.client.MaxTransactionOps())
 	c.mu.Lock()
--- a/internal/kvstore/committer.go
+++ b/internal/kvstore/committer.go
@@ -114,9 +114,9 @@
 	if c.dequeue(p) {
 		return 0, ErrUnavailable
 	}
-	// The transaction is in flight, and its result usually arrives soon. It is
-	// worth waiting for, since an unknown outcome makes the node fence the shard,
-	// which fails all other changes of the shard that are in flight.
+	// A worker has taken the transaction, and its result usually arrives soon. It
+	// is worth waiting for, since an unknown outcome makes the node fence the
+	// shard, which fails all other changes of the shard that are in flight.
 	select {
 	case result := <-p.result:
 		return result.revision, result.err
--- a/internal/kvstore/committer_test.go
+++ b/internal/kvstore/committer_test.go
@@ -53,8 +53,9 @@
 
 // TestHighPriorityTransactionsGoFirst checks the order of the queue. While the
 // write budget is the bottleneck, a change waits for seconds, and a DAG needs
-// several changes in a row, so those of high priority go first. A transaction that
-// has waited for long is raised, so that new ones don't delay it forever.
+// several changes in a row, so changes of high priority are sent first. A change
+// that has waited for long is raised to a higher priority, so that new ones don't
+// delay it forever.
 func TestHighPriorityTransactionsGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		committer := NewCommitter(NewClient(testAddress, minimalLimits, nil), ignoreApplied)
