--- a/internal/kvstore/committer_test.go
+++ b/internal/kvstore/committer_test.go
@@ -138,7 +138,7 @@
 				longest = max(longest, r.duration)
 			}
 			if most := time.Duration(current+2) * 500 * time.Millisecond; longest > most {
-				rt.Errorf("%d of %d transactions are not outdated; the slowest took too long: %v", current, len(modRevisions), longest)
+				rt.Errorf("%d of %d transactions are not outdated; the slowest took %v", current, len(modRevisions), longest)
 			}
 			cancel()
 		})
--- a/internal/tuning/kvstore.go
+++ b/internal/tuning/kvstore.go
@@ -46,7 +46,7 @@
 	KVRequestTimeout = 1500 * time.Millisecond
 	// TxnOutcomePollDelay is how long the committer waits for the response to a transaction before it starts to
 	// check the watch cache for the outcome, every TxnOutcomePollInterval. It is far above the usual response time.
-	TxnOutcomePollDelay     = 150 * time.Millisecond
+	TxnOutcomePollDelay    = 150 * time.Millisecond
 	TxnOutcomePollInterval = 50 * time.Millisecond
 	// InFlightKeyMaxChanges is the maximum number of changes that are kept of one key while a transaction that
 	// changes it is in flight.
