--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -19,7 +19,7 @@
 	"sableusher/internal/wire"
 )
 
-// Options are the parts of a controller that an Autoscaler works with.
+// Options holds the settings and the parts of a controller that an Autoscaler uses.
 type Options struct {
 	Settings  *config.Settings
 	Operator  *config.Operator
@@ -31,8 +31,8 @@
 	Log       *slog.Logger
 }
 
-// Autoscaler is one controller's autoscaler; see Run. Apart from the rental tracker, its state belongs
-// to the goroutine that resizes.
+// Autoscaler is the autoscaler of one controller; Run starts its goroutines. The fields from
+// lastScaleOut on belong to the goroutine that calls resize; rentals has its own lock.
 type Autoscaler struct {
 	settings  *config.Settings
 	operator  *config.Operator
@@ -44,10 +44,10 @@
 	log       *slog.Logger
 
 	rentals          rentalTracker
-	lastScaleOut     time.Time            // when machines were last rented
-	unavailableZones []string             // machines rented there could not send heartbeats
-	idleSince        map[string]time.Time // by machine
-	arrivals         map[string]arrival   // by job
+	lastScaleOut     time.Time            // end of the last requests for planned machines
+	unavailableZones []string             // zones whose machines could not send heartbeats to a controller
+	idleSince        map[string]time.Time // by machine name
+	arrivals         map[string]arrival   // by job ID
 	listing          listingTracker
 	sizing           sizingDecision
 }
@@ -70,8 +70,8 @@
 	}
 }
 
-// Run returns machines to the cloud, resizes and refreshes the catalog until ctx ends. It returns
-// the context's error.
+// Run returns machines to the cloud, resizes the deployment and refreshes the catalog, each every
+// tuning.AutoscalerInterval, until ctx is done. It returns the context's error.
 func (a *Autoscaler) Run(ctx context.Context) error {
 	catalog := catalogRefresher{autoscaler: a}
 	group, ctx := errgroup.WithContext(ctx)
@@ -81,7 +81,8 @@
 	return group.Wait()
 }
 
-// runEvery calls work at once and then at an interval until ctx ends.
+// runEvery calls work immediately and then at each interval until ctx is done. It returns the context's
+// error.
 func runEvery(ctx context.Context, interval time.Duration, work func(context.Context)) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -95,7 +96,8 @@
 	}
 }
 
-// resize brings the number of machines closer to demand, on the leader.
+// resize adjusts the number of machines to the demand. It does nothing on a controller that is not the
+// leader, or if the operator has fixed the number of machines.
 func (a *Autoscaler) resize(ctx context.Context) {
 	if a.operator.FixedFleet {
 		return
@@ -110,7 +112,7 @@
 	}
 	a.countMachines()
 	a.reconcileListing(ctx, leader)
-	if isAnyOpen := a.resumeRentals(ctx, leader); isAnyOpen {
+	if hasPending := a.resumeRentals(ctx, leader); hasPending {
 		return
 	}
 	demand := a.scheduler.Demand()
@@ -128,22 +130,23 @@
 	a.scaleIn(ctx, leader, demand, planned)
 }
 
-// leadership reports whether this controller is the leader, with the condition that a leader's
-// changes depend on. Callers hold the state's lock.
+// leadership reports whether this controller is the leader. It also returns the condition that each
+// transaction of a leader must contain, so that it fails once another controller is the leader. Callers
+// hold the state's lock.
 func (a *Autoscaler) leadership() (condition wire.Condition, isLeader bool) {
 	ownership, isLeader := a.members.Ownership(record.LeaderShard)
 	key := record.ShardKey(record.LeaderShard)
 	return wire.Condition{Key: key, ModRevision: ownership.ModRevision}, isLeader
 }
 
-// commit makes a transaction and returns its revision.
+// commit commits a transaction within tuning.CommitTimeout and returns its revision.
 func (a *Autoscaler) commit(ctx context.Context, transaction kvstore.Transaction) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
 	defer cancel()
 	return a.committer.Commit(ctx, transaction)
 }
 
-// transactionPurpose says in the log what a transaction is for.
+// transactionPurpose is the purpose of a transaction, for the log.
 type transactionPurpose string
 
 const (
@@ -152,8 +155,9 @@
 	recordMachine      transactionPurpose = "record machine"
 )
 
-// commitAll makes independent transactions at once, so that the committer groups them, and waits
-// for them. One that fails is decided anew by the next resize.
+// commitAll commits independent transactions concurrently, so that the committer can batch them, and
+// waits for all of them. A failed transaction is only logged: the next resize computes it again if it
+// is still needed.
 func (a *Autoscaler) commitAll(ctx context.Context, transactions []kvstore.Transaction, purpose transactionPurpose) {
 	var group sync.WaitGroup
 	for _, transaction := range transactions {
@@ -166,8 +170,8 @@
 	group.Wait()
 }
 
-// putMachine is the leader's change of a machine's record, which must not have changed since
-// modRevision; 0 for a machine without a record.
+// putMachine returns the transaction in which the leader writes a machine's record. It fails if the
+// record has changed since modRevision; 0 means that the machine must have no record yet.
 func putMachine(
 	leader wire.Condition, machine string, modRevision uint64, machineRecord record.Machine,
 ) kvstore.Transaction {
--- a/internal/autoscaler/autoscaler_test.go
+++ b/internal/autoscaler/autoscaler_test.go
@@ -11,7 +11,8 @@
 
 var testZones = []string{"east", "west"}
 
-// newTestAutoscaler returns an autoscaler that can only plan, with one machine type.
+// newTestAutoscaler returns an autoscaler with one machine type in testZones. It can plan, but not call the
+// cloud or commit.
 func newTestAutoscaler(tb testing.TB) *Autoscaler {
 	log := slog.New(slog.DiscardHandler)
 	state := clusterstate.New(3, log)
@@ -26,7 +27,7 @@
 	return New(Options{Settings: &config.Settings{}, Operator: operator, State: state, Log: log})
 }
 
-// newTestGang returns a gang that must be in one zone, of tasks that take a machine each.
+// newTestGang returns a gang that must run in one zone; each of its tasks needs a whole machine.
 func newTestGang(tasks int) *wire.JobSpec {
 	return &wire.JobSpec{
 		ID: "run-1", Kind: wire.KindGang, Priority: wire.PriorityHigh, TaskCount: tasks,
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -11,19 +11,19 @@
 	"sableusher/internal/wire"
 )
 
-// catalogRetryInterval is how long a controller that is not the leader waits before it reads the
-// catalog again while none is known.
+// catalogRetryInterval is the interval at which a controller that is not the leader reads the catalog
+// from the cloud while no catalog is known.
 const catalogRetryInterval = 5 * time.Second
 
-// catalogRefresher keeps the machine types in the key-value store, so that a controller that starts
-// while the cloud is away knows them.
+// catalogRefresher copies the cloud's catalog of machine types into the key-value store, so that a
+// controller that starts while the cloud is unavailable has the machine types.
 type catalogRefresher struct {
 	autoscaler *Autoscaler
 	lastRead   time.Time
 }
 
-// refresh reads the catalog if it is due and records it. Any controller does so while no catalog is
-// known, and the leader from time to time.
+// refresh reads the catalog from the cloud and records it, if a read is due. While no catalog is known,
+// any controller reads it; after that, only the leader does, every tuning.CatalogInterval.
 func (r *catalogRefresher) refresh(ctx context.Context) {
 	a := r.autoscaler
 	a.state.RLock()
@@ -36,7 +36,7 @@
 	r.lastRead = time.Now()
 	catalog, err := a.cloud.Catalog(ctx)
 	if err != nil || len(catalog.Types) == 0 {
-		a.log.Info("catalog not read", "err", err)
+		a.log.Info("reading the machine catalog failed or returned no types", "err", err)
 		return
 	}
 	conditions := []wire.Condition{{Key: record.CatalogKey, ModRevision: modRevision}}
@@ -45,7 +45,7 @@
 	}
 	for _, ops := range a.catalogOps(catalog) {
 		if _, err := a.commit(ctx, kvstore.Transaction{Conditions: conditions, Ops: ops}); err != nil {
-			a.log.Debug("catalog not written", "err", err)
+			a.log.Debug("recording the machine catalog failed", "err", err)
 		}
 	}
 }
@@ -62,9 +62,10 @@
 	}
 }
 
-// catalogOps returns the operations that record a catalog, by transaction: one record, or where
-// that would be too long, one for each type. Once it is kept by type it stays so, as those records
-// take precedence.
+// catalogOps returns the operations that record a catalog, grouped by transaction. The catalog is one
+// record, or one record for each machine type if a single record would be too long. Once records by
+// type exist, the catalog is always written by type, because these records take precedence over the
+// single one.
 func (a *Autoscaler) catalogOps(catalog wire.Catalog) [][]wire.Op {
 	whole := kvstore.PutOp(record.CatalogKey, catalog)
 	a.state.RLock()
--- a/internal/autoscaler/cheapestkind.go
+++ b/internal/autoscaler/cheapestkind.go
@@ -10,23 +10,25 @@
 	"sableusher/internal/wire"
 )
 
-// kindQuery says which kinds of machines cheapestKind chooses from.
+// kindQuery restricts the kinds of machines that cheapestKind chooses from.
 type kindQuery struct {
 	spec           *wire.JobSpec
-	zone           string // empty for any
+	zone           string // empty for any zone
 	machinesInZone map[string]int
 	now            time.Time
 	allowed        func(machineKind) bool
 }
 
-// acceptsType reports whether a task fits on an empty machine of a type and may use it.
+// acceptsType reports whether a task of the job fits on an empty machine of a type and the job allows
+// that type.
 func (q *kindQuery) acceptsType(name string, machineType *wire.MachineType) bool {
 	isAllowed := len(q.spec.MachineTypes) == 0 || slices.Contains(q.spec.MachineTypes, name)
 	return isAllowed && record.TaskResources(q.spec).FitsIn(record.Capacity(machineType))
 }
 
-// cheapestKind returns the cheapest kind of machine for a task, of equal ones that in the zone with
-// the fewest machines. It leaves out zones that are unavailable and kinds that were refused lately.
+// cheapestKind returns the cheapest kind of machine for a task; among kinds of the same price, the one
+// in the zone with the fewest machines. It skips unavailable zones and kinds whose refusal has not
+// expired. It returns false if no kind is left.
 func (a *Autoscaler) cheapestKind(query kindQuery) (machineKind, bool) {
 	var cheapest machineKind
 	lowestPrice, found := 0.0, false
@@ -46,8 +48,8 @@
 	return cheapest, found
 }
 
-// kindsToRent yields the kinds of a type that can be rented for a query, in the order of the type's
-// zones, spot machines first.
+// kindsToRent yields the kinds of a machine type that can be rented for a query, in the order of zones;
+// within a zone the spot kind comes first.
 func (a *Autoscaler) kindsToRent(query *kindQuery, machineType string, zones []string) iter.Seq[machineKind] {
 	return func(yield func(machineKind) bool) {
 		for _, zone := range zones {
--- a/internal/autoscaler/deletion.go
+++ b/internal/autoscaler/deletion.go
@@ -2,17 +2,18 @@
 
 import "context"
 
-// returnMachines returns the machines of this controller's shards that are being deleted. Those
-// whose tasks wait for it go at once, the others only if that leaves a call over: of few calls a
-// second the return of one idle machine after the other once took all, and a dead machine's
-// replicas waited for 3 s in the median.
+// returnMachines returns the machines of this controller's shards that are being deleted to the cloud.
+// If tasks are still bound to one of them, it calls the cloud at once, because these tasks start on
+// another machine only after the deletion. Otherwise it calls the cloud only if a call is left for
+// urgent requests: the cloud allows few calls per second, and when returns of single idle machines used
+// them all up, the replicas of a dead machine waited 3 s in the median.
 func (a *Autoscaler) returnMachines(ctx context.Context) {
 	machines, tasksWait := a.scheduler.MachinesToDelete()
 	if len(machines) == 0 || !tasksWait && !a.cloud.HasSpareCall() {
 		return
 	}
 	if err := a.cloud.Return(ctx, machines); err != nil {
-		a.log.Info("machines not returned", "count", len(machines), "err", err)
+		a.log.Info("returning machines to the cloud failed", "count", len(machines), "err", err)
 		return
 	}
 	a.log.Info("machines returned", "machines", machines)
--- a/internal/autoscaler/equivalents.go
+++ b/internal/autoscaler/equivalents.go
@@ -7,7 +7,8 @@
 	"sableusher/internal/wire"
 )
 
-// machineEquivalents returns what a job takes, in machines of the type of which it takes least.
+// machineEquivalents returns the capacity that a job takes, in machines of the type of which it takes
+// the smallest fraction. It returns 0 if no machine type is known.
 func (a *Autoscaler) machineEquivalents(spec *wire.JobSpec) float64 {
 	need := record.TaskResources(spec)
 	perTask := math.Inf(1)
@@ -20,8 +21,8 @@
 	return perTask * float64(spec.TaskCount)
 }
 
-// machineFraction returns the fraction of a machine that a need takes, by the resource of which it
-// takes most.
+// machineFraction returns the fraction of a machine that a task takes: the largest fraction over CPUs,
+// GPUs and memory.
 func machineFraction(need, capacity record.Resources) float64 {
 	fraction := 0.0
 	for _, resource := range [...]struct{ need, capacity float64 }{
--- a/internal/autoscaler/gangzone.go
+++ b/internal/autoscaler/gangzone.go
@@ -7,17 +7,25 @@
 	"sableusher/internal/scheduler"
 )
 
-// rentalTarget says in which zone machines are rented for a job, and for how many of its tasks.
+// rentalTarget is the zone in which machines are rented for a job, and the number of its tasks that they
+// are rented for.
 type rentalTarget struct {
-	zone  string // empty for any
+	zone  string // empty for any zone
 	tasks int
 }
 
-// chooseGangZone chooses where machines are rented for a gang that must be in one zone: for its
-// remaining tasks where some of them fit; for all of them elsewhere while that zone refuses, if
-// another is not known to have less than the whole. No task is planned if every zone has too little:
-// asking one after the other would get a machine here and one there, return each as idle, and never
-// make up a gang.
+// chooseGangZone chooses where machines are rented for a gang whose tasks must run in one zone. The
+// first rule that applies decides:
+//   - If part of the gang fits in group.Zone and more machines can be rented there, machines are rented
+//     for the remaining tasks in that zone.
+//   - If some zone is not known to have fewer machines than a gang needs, machines are rented for the
+//     whole gang in that zone.
+//   - If part of the gang fits in group.Zone and the zone is available, nothing is rented until the
+//     refusal of that zone expires.
+//   - Otherwise machines are rented for the remaining tasks in any zone.
+//
+// The third rule prevents requests to one zone after another: each would yield a few machines, which
+// would be returned as idle, and no zone would ever hold a whole gang.
 func (a *Autoscaler) chooseGangZone(
 	group scheduler.UnplacedGroup, machinesInZone map[string]int, now time.Time,
 ) rentalTarget {
@@ -30,17 +38,17 @@
 		}
 		query.zone = ""
 	}
-	ample := query
-	ample.allowed = func(kind machineKind) bool { return a.rentals.isAmple(kind, now) }
-	if kind, ok := a.cheapestKind(ample); ok {
+	gangQuery := query
+	gangQuery.allowed = func(kind machineKind) bool { return a.rentals.mayFitGang(kind, now) }
+	if kind, ok := a.cheapestKind(gangQuery); ok {
 		if cheapest, _ := a.cheapestKind(query); cheapest == kind {
-			// Any zone, as for any job, so that machines rented for others are shared.
+			// The zone is left open as for other jobs, so that the gang can share machines planned for them.
 			return rentalTarget{tasks: spec.TaskCount}
 		}
 		return rentalTarget{zone: kind.zone, tasks: spec.TaskCount}
 	}
 	if group.Zone != "" && !slices.Contains(a.unavailableZones, group.Zone) {
-		return rentalTarget{} // more is asked for in its zone once the refusal ends
+		return rentalTarget{} // the rest is requested in group.Zone once the refusal expires
 	}
 	return rentalTarget{tasks: group.Count}
 }
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -8,25 +8,26 @@
 	"sableusher/internal/wire"
 )
 
-// arrival is a job that arrived lately and the capacity it takes.
+// arrival is a job that became ready to run within tuning.ArrivalWindow, with the capacity it takes.
 type arrival struct {
 	arrivedAt     time.Time
-	machines      float64 // in machines of the type that fits it best
+	machines      float64 // capacity, in machines of the type that fits it best
 	spot          bool
-	fillsMachines bool // each of its tasks takes most of a machine
+	fillsMachines bool // each of its tasks takes more than tuning.WholeMachineShare of a machine
 }
 
-// headroom is the capacity to keep free above what is booked, in machines.
+// headroom is the capacity to keep free beyond the allocated capacity, in machines.
 type headroom struct {
 	onDemand       float64
-	unusedMachines float64 // of these, in machines that nothing uses
+	unusedMachines float64 // the part of onDemand that must be whole machines that no task uses
 	spot           float64
 }
 
-// headroomTarget returns what arrives in one boot time more than usually: its standard deviation,
-// seen over a window of past arrivals. Work that may use spot machines, work that may not, and
-// tasks that take a machine each are counted apart, as none can use the capacity kept for another.
-// Callers hold the state's lock.
+// headroomTarget returns the headroom to keep free: tuning.HeadroomDeviations standard deviations of the
+// capacity that arrives within the longest boot time of a machine, estimated from the arrivals within
+// tuning.ArrivalWindow. Spot work, on-demand work, and on-demand tasks that need a whole machine have
+// separate targets, because the capacity kept for one of them is of no use to the others. Callers hold
+// the state's lock.
 func (a *Autoscaler) headroomTarget(now time.Time) headroom {
 	a.recordArrivals(now)
 	var onDemand, fillsMachines, spot float64 // sums of squares
@@ -55,7 +56,8 @@
 	}
 }
 
-// recordArrivals remembers the jobs that have become ready to run within the window.
+// recordArrivals records the jobs that became ready to run within tuning.ArrivalWindow. Callers hold the
+// state's lock.
 func (a *Autoscaler) recordArrivals(now time.Time) {
 	for jobID, job := range a.state.Jobs {
 		if _, isRecorded := a.arrivals[jobID]; isRecorded || !job.HasRecord || job.HasUnmetDependencies() {
@@ -83,8 +85,8 @@
 	return longest
 }
 
-// fitsBesideGPUWork reports whether a job uses no GPU though all machines have them: as a rule it
-// fits beside other work, and no machine is kept for it.
+// fitsBesideGPUWork reports whether a job uses no GPU although all machine types have GPUs. Such a job
+// usually fits next to GPU tasks, so no headroom is kept for it.
 func (a *Autoscaler) fitsBesideGPUWork(spec *wire.JobSpec) bool {
 	for _, machineType := range a.state.Catalog.Types {
 		if machineType.GPUs == 0 {
--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -13,19 +13,20 @@
 	"sableusher/internal/wire"
 )
 
-// listingTracker is what is kept between two of the cloud's lists.
+// listingTracker is the state that reconcileListing keeps between two listings of the cloud's machines.
 type listingTracker struct {
 	listedAt       time.Time
-	unknownSince   map[string]time.Time // by machine without a machineRecord
-	missedListings map[string]int       // lists in a row that lacked a machine which should be listed
+	unknownSince   map[string]time.Time // by name of a listed machine without a record
+	missedListings map[string]int       // consecutive listings without a machine that should be listed, by its name
 }
 
 func newListingTracker() listingTracker {
 	return listingTracker{unknownSince: map[string]time.Time{}, missedListings: map[string]int{}}
 }
 
-// reconcileListing compares the cloud's list with the records: machines that failed, or that are
-// not listed any more, are deleted; machines without a record are adopted, to be used or returned.
+// reconcileListing compares the cloud's list of machines with the machine records, every
+// tuning.CloudListInterval. It marks machines that failed or are no longer listed as being deleted, and
+// adopts listed machines without a record, so that they are used or returned.
 func (a *Autoscaler) reconcileListing(ctx context.Context, leader wire.Condition) {
 	if time.Since(a.listing.listedAt) < tuning.CloudListInterval {
 		return
@@ -33,7 +34,7 @@
 	a.listing.listedAt = time.Now()
 	listed, err := a.cloud.List(ctx)
 	if err != nil {
-		a.log.Info("machines not listed", "err", err)
+		a.log.Info("listing the cloud's machines failed", "err", err)
 		return
 	}
 	now := time.Now()
@@ -44,7 +45,8 @@
 	a.commitAll(ctx, transactions, recordMachine)
 }
 
-// reconcileListed deletes the listed machines that failed and adopts those without a record.
+// reconcileListed returns the transactions that delete the listed machines that failed, and adopt those
+// without a record.
 // Callers hold the state's lock.
 func (a *Autoscaler) reconcileListed(
 	leader wire.Condition, listed []wire.CloudMachine, now time.Time,
@@ -57,7 +59,7 @@
 		switch {
 		case machine == nil:
 			isUnknown[listedMachine.ID] = true
-			if a.isToBeAdopted(listedMachine.ID, now) {
+			if a.shouldAdopt(listedMachine.ID, now) {
 				a.log.Info("machine adopted", "machine", listedMachine.ID)
 				transactions = append(transactions, adopt(leader, listedMachine, now))
 			}
@@ -70,9 +72,9 @@
 	return transactions
 }
 
-// isToBeAdopted reports whether a machine has been unknown for so long that a lagging list does not
-// explain it.
-func (a *Autoscaler) isToBeAdopted(machine string, now time.Time) bool {
+// shouldAdopt reports whether a machine has been listed without a record for longer than the lag of the
+// cloud's list can explain.
+func (a *Autoscaler) shouldAdopt(machine string, now time.Time) bool {
 	since, ok := a.listing.unknownSince[machine]
 	if !ok {
 		since = now
@@ -81,12 +83,12 @@
 	return now.Sub(since) > a.maxListLag()+tuning.CloudListInterval
 }
 
-// maxListLag is how far the cloud's list may lag behind, with a margin.
+// maxListLag returns the longest assumed lag of the cloud's list: twice the configured one, as a margin.
 func (a *Autoscaler) maxListLag() time.Duration {
 	return config.ToDuration(2 * a.settings.Deployment.Cloud.ListLagS)
 }
 
-// adopt records a machine that has no record.
+// adopt returns the transaction that creates the record of a listed machine that has none.
 func adopt(leader wire.Condition, listed *wire.CloudMachine, now time.Time) kvstore.Transaction {
 	return putMachine(leader, listed.ID, 0, record.Machine{
 		Type:        listed.MachineType,
@@ -98,18 +100,18 @@
 	})
 }
 
-// deleteMachine marks a machine as being deleted. That it is gone is proved by the cloud's answer
-// to its return, as ever.
+// deleteMachine returns the transaction that marks a machine as being deleted. The machine counts as gone
+// only once the cloud has confirmed its return.
 func deleteMachine(leader wire.Condition, machine *clusterstate.Machine) kvstore.Transaction {
 	machineRecord := machine.Machine
 	machineRecord.Deleting = true
 	return putMachine(leader, machine.Name, machine.ModRevision, machineRecord)
 }
 
-// deleteUnlisted deletes machines that the cloud has ceased to list: once listed, a machine stays
-// listed until it is gone. Missing heartbeats alone can't tell the loss of all machines at once
-// from this controller's own partition, and would delete none for ever. Callers hold the state's
-// lock.
+// deleteUnlisted returns the transactions that delete machines missing from
+// tuning.CloudListMissesForDeleted consecutive listings. The cloud lists a machine until it is gone.
+// Missing heartbeats can't replace this check: a controller can't tell the loss of all machines at once
+// from its own network partition, and would never delete these machines. Callers hold the state's lock.
 func (a *Autoscaler) deleteUnlisted(
 	leader wire.Condition, listed []wire.CloudMachine, now time.Time,
 ) []kvstore.Transaction {
@@ -117,11 +119,11 @@
 	for i := range listed {
 		isListed[listed[i].ID] = true
 	}
-	listedFromAge := a.maxListLag() + tuning.CloudListMissesForDeleted*tuning.CloudListInterval
+	minListedAge := a.maxListLag() + tuning.CloudListMissesForDeleted*tuning.CloudListInterval
 	missed := a.listing.missedListings
 	var transactions []kvstore.Transaction
 	for name, machine := range a.state.Machines {
-		isTooNew := now.Sub(time.UnixMilli(machine.CreatedAtMs)) < listedFromAge
+		isTooNew := now.Sub(time.UnixMilli(machine.CreatedAtMs)) < minListedAge
 		if isListed[name] || machine.Deleting || machine.ModRevision == 0 || isTooNew {
 			delete(missed, name)
 			continue
@@ -130,7 +132,7 @@
 		if missed[name] < tuning.CloudListMissesForDeleted {
 			continue
 		}
-		a.log.Info("machine is not listed any more", "machine", name, "tasks", len(machine.Bindings))
+		a.log.Info("deleting a machine that the cloud no longer lists", "machine", name, "tasks", len(machine.Bindings))
 		transactions = append(transactions, deleteMachine(leader, machine))
 	}
 	maps.DeleteFunc(missed, func(name string, _ int) bool { return a.state.Machines[name] == nil })
--- a/internal/autoscaler/rental.go
+++ b/internal/autoscaler/rental.go
@@ -17,8 +17,8 @@
 	"sableusher/internal/wire"
 )
 
-// rentAll rents the planned machines, several rentals at once, the most needed kinds first. It
-// returns once all have been answered or have failed.
+// rentAll rents the planned machines, up to tuning.RentalConcurrency rentals at a time, the most needed
+// kinds first. It returns once each rental has been answered or has failed.
 func (a *Autoscaler) rentAll(ctx context.Context, leader wire.Condition, planned []plannedMachine) {
 	countByKind := map[machineKind]int{}
 	var kinds []machineKind // in order of need
@@ -32,18 +32,18 @@
 	group.SetLimit(tuning.RentalConcurrency)
 	for _, kind := range kinds {
 		limit := a.maxMachinesPerRental()
-		for left := countByKind[kind]; left > 0; left -= limit {
+		for remaining := countByKind[kind]; remaining > 0; remaining -= limit {
 			group.Go(func() error {
-				a.rent(ctx, leader, kind, min(left, limit))
+				a.rent(ctx, leader, kind, min(remaining, limit))
 				return nil
 			})
 		}
 	}
-	_ = group.Wait() // the functions return no errors: a rental that fails is resumed later
+	_ = group.Wait() // never fails: resumeRentals retries failed rentals
 }
 
-// maxMachinesPerRental returns how many machines one rental may ask for: their names go into its
-// record.
+// maxMachinesPerRental returns the largest number of machines that one rental may request. The names of
+// the machines must fit in the rental's record.
 func (a *Autoscaler) maxMachinesPerRental() int {
 	a.state.RLock()
 	defer a.state.RUnlock()
@@ -51,11 +51,12 @@
 	return max(1, min(tuning.RentalMaxMachines, (a.committer.MaxRecordBytes()-tuning.RentalRecordBaseBytes)/nameBytes))
 }
 
-// rent makes a rental's name durable, asks the cloud, and records the machines.
+// rent writes a rental's record, so that its name is durable, then requests the machines from the cloud and
+// records them.
 func (a *Autoscaler) rent(ctx context.Context, leader wire.Condition, kind machineKind, count int) {
 	name, ok := a.rentals.nextName(a.members.NodeName, a.members.Incarnation, kind)
 	if !ok {
-		return // refused meanwhile
+		return // the kind was refused after the plan was made
 	}
 	rentalRecord := record.Rental{
 		Type:          kind.machineType,
@@ -70,36 +71,36 @@
 		Ops:        []wire.Op{kvstore.PutOp(key, rentalRecord)},
 	})
 	if err != nil {
-		a.log.Info("rental not recorded", "err", err)
+		a.log.Info("recording a rental failed", "err", err)
 		return
 	}
-	// A rental without an answer is resumed later.
+	// resumeRentals retries a rental without an answer.
 	_ = a.requestMachines(ctx, name, clusterstate.Rental{Rental: rentalRecord, ModRevision: modRevision})
 }
 
-// resumeRentals asks again for the rentals without a known answer, and deletes the records of those
-// whose machines all have records of their own. It reports whether there were any of the former.
-func (a *Autoscaler) resumeRentals(ctx context.Context, leader wire.Condition) (isAnyOpen bool) {
-	open, recorded := a.sortRentals(leader)
+// resumeRentals repeats the requests of pending rentals, which have no recorded answer, and deletes the
+// records of rentals whose machines all have machine records. It reports whether any rental was pending.
+func (a *Autoscaler) resumeRentals(ctx context.Context, leader wire.Condition) (hasPending bool) {
+	pending, recorded := a.classifyRentals(leader)
 	a.commitAll(ctx, recorded, deleteRentalRecord)
-	for _, name := range slices.Sorted(maps.Keys(open)) {
-		if err := a.requestMachines(ctx, name, open[name]); err != nil {
-			break // the cloud is unavailable: the others wait as well
+	for _, name := range slices.Sorted(maps.Keys(pending)) {
+		if err := a.requestMachines(ctx, name, pending[name]); err != nil {
+			break // the cloud is unavailable: the other requests would fail too
 		}
 	}
-	return len(open) > 0
+	return len(pending) > 0
 }
 
-// sortRentals returns the rentals without a known answer, by name, and the transactions that delete
-// those whose machines all have records of their own.
-func (a *Autoscaler) sortRentals(leader wire.Condition) (map[string]clusterstate.Rental, []kvstore.Transaction) {
+// classifyRentals returns the pending rentals by name, and the transactions that delete the records of
+// rentals whose machines all have machine records.
+func (a *Autoscaler) classifyRentals(leader wire.Condition) (map[string]clusterstate.Rental, []kvstore.Transaction) {
 	a.state.RLock()
 	defer a.state.RUnlock()
-	open := map[string]clusterstate.Rental{}
+	pending := map[string]clusterstate.Rental{}
 	var deletions []kvstore.Transaction
 	for name, rental := range a.state.Rentals {
 		if len(rental.Machines) == 0 {
-			open[name] = rental
+			pending[name] = rental
 			continue
 		}
 		if slices.ContainsFunc(rental.Machines, a.lacksRecord) {
@@ -111,18 +112,19 @@
 			Ops:        []wire.Op{kvstore.DeleteOp(key)},
 		})
 	}
-	return open, deletions
+	return pending, deletions
 }
 
-// lacksRecord reports whether a machine is known only from a rental.
+// lacksRecord reports whether a machine is known only from a rental's record. Callers hold the state's lock.
 func (a *Autoscaler) lacksRecord(name string) bool {
 	machine := a.state.Machines[name]
 	return machine != nil && machine.ModRevision == 0
 }
 
-// requestMachines asks the cloud for a rental's machines and records the answer, or deletes the
-// record if there are none. It fails if the cloud gives no answer; the rental then stays open. If
-// the answer can't be recorded, the rental is resumed later: the same name gives the same machines.
+// requestMachines requests a rental's machines from the cloud and records their names in the rental's
+// record, or deletes the record if the cloud refused. It returns an error if the cloud gave no answer;
+// the rental then stays pending. The rental also stays pending if the answer can't be recorded: a
+// repeated request with the same name returns the same machines.
 func (a *Autoscaler) requestMachines(ctx context.Context, name string, rental clusterstate.Rental) error {
 	machines, err := a.cloud.Rent(ctx, wire.RentalRequest{
 		Name:        name,
@@ -138,7 +140,7 @@
 		log.Info("rental refused", "err", err)
 		a.rentals.recordRefusal(kind)
 	case err != nil:
-		a.log.Info("rental not answered", "rental", name, "err", err)
+		a.log.Info("rental request failed; it will be repeated under the same name", "rental", name, "err", err)
 		return err
 	default:
 		log.Info("machines rented", "machines", machines)
@@ -155,7 +157,7 @@
 	}
 	conditions := []wire.Condition{{Key: key, ModRevision: rental.ModRevision}}
 	if _, err := a.commit(ctx, kvstore.Transaction{Conditions: conditions, Ops: []wire.Op{op}}); err != nil {
-		a.log.Debug("rental answer not recorded", "rental", name, "err", err)
+		a.log.Debug("recording the answer to a rental failed", "rental", name, "err", err)
 	}
 	return nil
 }
--- a/internal/autoscaler/rentaltracker.go
+++ b/internal/autoscaler/rentaltracker.go
@@ -9,7 +9,7 @@
 	"sableusher/internal/tuning"
 )
 
-// machineKind is what a rental asks for.
+// machineKind is a kind of machine that can be rented: a machine type in a zone, on demand or spot.
 type machineKind struct {
 	machineType string
 	zone        string
@@ -19,22 +19,22 @@
 // anyKind accepts every kind.
 func anyKind(machineKind) bool { return true }
 
-// refusal is what is remembered of a kind of which the cloud had none, or too few.
+// refusal records that the cloud provided no machines of a kind, or fewer than requested.
 type refusal struct {
-	until        time.Time // when it may be asked for again
+	until        time.Time // when the kind may be requested again
 	backoff      time.Duration
-	machinesHeld int // machines of the kind that the deployment had before
+	machinesHeld int // the deployment's machines of the kind at the refusal
 }
 
-// rentalTracker names the rentals and remembers what the cloud has refused.
+// rentalTracker names rentals and records the kinds of machines that the cloud has refused.
 type rentalTracker struct {
-	// mu guards the fields below while rentals are requested at once. Otherwise the goroutine that
-	// resizes is the only one to use them, and reads without it.
+	// mu guards the fields below while rentAll requests rentals concurrently. At other times only the
+	// goroutine that calls resize uses the fields, and reads them without the lock.
 	mu                sync.Mutex
 	serial            int
 	refusals          map[machineKind]refusal
-	machineCounts     map[machineKind]int       // of the deployment's machines, as last counted
-	insufficientUntil map[machineKind]time.Time // until when a kind is believed to have less than a gang needs
+	machineCounts     map[machineKind]int       // the deployment's machines by kind, as last counted
+	insufficientUntil map[machineKind]time.Time // until when the cloud is assumed to have too few for a gang
 }
 
 func newRentalTracker() rentalTracker {
@@ -44,8 +44,8 @@
 	}
 }
 
-// nextName returns a new rental's name, made of a controller's name and incarnation. It returns
-// false if the kind has been refused meanwhile.
+// nextName returns a unique name for a new rental, made of the controller's name, its incarnation and a
+// serial number. It returns false if the kind is refused at present.
 func (t *rentalTracker) nextName(controller string, incarnation uint64, kind machineKind) (name string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,34 +54,36 @@
 	return fmt.Sprintf("r-%s-%x-%d", controller, incarnation, t.serial), !isRefused
 }
 
-// recordRefusal remembers that the cloud has none of a kind, or too few. The backoff grows with each
-// refusal in a row: where all kinds are refused, as after the loss of a zone, asking for each of
-// them every few seconds took the calls that the lost machines' deletions waited for.
+// recordRefusal records that the cloud provided no machines of a kind, or fewer than requested. The
+// backoff doubles with each consecutive refusal, up to tuning.RentalRefusalBackoffMax. After the loss of
+// a zone all kinds may be refused; requests for each of them every few seconds then used up the cloud
+// calls that the deletion of the lost machines needed.
 func (t *rentalTracker) recordRefusal(kind machineKind) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now, last := time.Now(), t.refusals[kind]
 	backoff := tuning.RentalRefusalBackoff
-	if isInRow := now.Sub(last.until) < tuning.RentalRefusalBackoff; isInRow {
+	if isConsecutive := now.Sub(last.until) < tuning.RentalRefusalBackoff; isConsecutive {
 		backoff = min(2*last.backoff, tuning.RentalRefusalBackoffMax)
 	}
 	t.refusals[kind] = refusal{until: now.Add(backoff), backoff: backoff, machinesHeld: t.machineCounts[kind]}
 	t.insufficientUntil[kind] = now.Add(tuning.InsufficientCapacityHold)
 }
 
-// isRefused reports whether a kind was refused lately.
+// isRefused reports whether a kind was refused and its backoff has not ended.
 func (t *rentalTracker) isRefused(kind machineKind, now time.Time) bool {
 	return now.Before(t.refusals[kind].until)
 }
 
-// isAmple reports whether a kind is not known to have less than a gang needs.
-func (t *rentalTracker) isAmple(kind machineKind, now time.Time) bool {
+// mayFitGang reports whether the cloud may have enough machines of a kind for a whole gang: no refusal of
+// the kind was recorded within tuning.InsufficientCapacityHold.
+func (t *rentalTracker) mayFitGang(kind machineKind, now time.Time) bool {
 	return !now.Before(t.insufficientUntil[kind])
 }
 
-// setMachineCounts takes in how many machines of each kind the deployment has. It forgets the
-// refusals of kinds of which there are fewer than when they were refused: what has been given back
-// is to be had.
+// setMachineCounts records the number of the deployment's machines of each kind. It removes the refusals
+// of kinds of which the deployment has fewer machines than at the refusal, because the returned machines
+// can be rented again.
 func (t *rentalTracker) setMachineCounts(counts map[machineKind]int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,7 +91,8 @@
 	maps.DeleteFunc(t.refusals, func(kind machineKind, r refusal) bool { return counts[kind] < r.machinesHeld })
 }
 
-// countMachines counts the deployment's machines by kind.
+// countMachines updates the rental tracker with the deployment's machines by kind, without those that are
+// being deleted.
 func (a *Autoscaler) countMachines() {
 	counts := map[machineKind]int{}
 	a.state.RLock()
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -15,8 +15,8 @@
 	"sableusher/internal/wire"
 )
 
-// scaleIn drains machines that have been idle for the configured time, beyond the headroom, the
-// zone reserve and the minimum size.
+// scaleIn drains machines that have been idle for the configured time, longest idle first. It keeps the
+// headroom, the zone reserve and the minimum number of machines.
 func (a *Autoscaler) scaleIn(
 	ctx context.Context, leader wire.Condition, demand scheduler.UnmetDemand, planned []plannedMachine,
 ) {
@@ -36,7 +36,7 @@
 		if machine == nil || !plan.canDrain(machine) {
 			continue
 		}
-		plan.drain(machine)
+		plan.countDrained(machine)
 		machineRecord := machine.Machine
 		machineRecord.Draining = true
 		transactions = append(transactions, putMachine(leader, name, machine.ModRevision, machineRecord))
@@ -45,7 +45,7 @@
 	a.commitAll(ctx, transactions, drainMachine)
 }
 
-// trackIdleMachines remembers since when each machine has been idle without a break.
+// trackIdleMachines records since when each machine has been continuously idle.
 func (a *Autoscaler) trackIdleMachines(idle []string, now time.Time) {
 	isIdle := make(map[string]bool, len(idle))
 	for _, name := range idle {
@@ -57,22 +57,23 @@
 	maps.DeleteFunc(a.idleSince, func(name string, _ time.Time) bool { return !isIdle[name] })
 }
 
-// scaleInPlan is what may still be drained.
+// scaleInPlan is the capacity that may still be drained, reduced with each drained machine.
 type scaleInPlan struct {
 	autoscaler    *Autoscaler
 	now           time.Time
 	commonTask    record.Resources
 	isBeingRented map[machineKind]bool
-	machinesLeft  int
-	// surplusOnDemand and surplusSpot are the spare machines beyond the headroom.
+	machinesLeft  int // the machines that are neither being deleted nor draining
+	// surplusOnDemand and surplusSpot are the spare capacity beyond the headroom, in machines.
 	surplusOnDemand float64
 	surplusSpot     float64
-	// zoneReserve and spareInZone are in on-demand machines, by zone.
+	// zoneReserve and spareInZone are the capacity to keep free and the spare capacity of each zone, in
+	// on-demand machines.
 	zoneReserve map[string]float64
 	spareInZone map[string]float64
 }
 
-// newScaleInPlan computes what may be drained. Callers hold the state's lock.
+// newScaleInPlan computes the capacity that may be drained. Callers hold the state's lock.
 func (a *Autoscaler) newScaleInPlan(
 	now time.Time, demand scheduler.UnmetDemand, planned []plannedMachine,
 ) *scaleInPlan {
@@ -102,7 +103,7 @@
 	return plan
 }
 
-// surplus returns the spare machines beyond the headroom among those of a machine's price.
+// surplus returns the surplus that a machine belongs to: that of spot or of on-demand machines.
 func (p *scaleInPlan) surplus(machine *clusterstate.Machine) *float64 {
 	if machine.Spot {
 		return &p.surplusSpot
@@ -110,8 +111,8 @@
 	return &p.surplusOnDemand
 }
 
-// canDrain reports whether an idle machine is not needed. A small machine is kept while common
-// tasks that don't fit on it wait: small tasks on it leave them theirs.
+// canDrain reports whether an idle machine may be drained. A machine with fewer CPUs than a common task
+// needs is kept while such tasks wait: small tasks that run on it leave the large machines to them.
 func (p *scaleInPlan) canDrain(machine *clusterstate.Machine) bool {
 	a := p.autoscaler
 	kind := machineKind{machineType: machine.Type, zone: machine.Zone, spot: machine.Spot}
@@ -127,14 +128,14 @@
 	}
 }
 
-// isReserved reports whether a machine is part of its zone's reserve.
+// isReserved reports whether draining a machine would leave its zone with less than the reserve.
 func (p *scaleInPlan) isReserved(machine *clusterstate.Machine) bool {
 	reserve := p.zoneReserve[machine.Zone]
 	return !machine.Spot && reserve > 0 && p.spareInZone[machine.Zone]-1 < reserve
 }
 
-// drain counts a machine as drained.
-func (p *scaleInPlan) drain(machine *clusterstate.Machine) {
+// countDrained subtracts a drained machine from the plan's capacity.
+func (p *scaleInPlan) countDrained(machine *clusterstate.Machine) {
 	*p.surplus(machine)--
 	if !machine.Spot {
 		p.spareInZone[machine.Zone]--
--- a/internal/autoscaler/scaleoutplan.go
+++ b/internal/autoscaler/scaleoutplan.go
@@ -12,23 +12,25 @@
 	"sableusher/internal/wire"
 )
 
-// plannedMachine is a machine to be rented.
+// plannedMachine is a machine to be rented, with the capacity that the planned tasks leave free on it.
 type plannedMachine struct {
 	machineKind
 	free record.Resources
-	// required is set for work of high priority, work that has waited long, and the minimum size.
+	// required is set for work of high priority, for work that has waited longer than
+	// tuning.ScaleOutOverrideAfter, and for the minimum number of machines. The learner can't leave these out.
 	required bool
 }
 
-// machineRequest says what a machine to be rented must fit.
+// machineRequest states the requirements for a machine to be rented.
 type machineRequest struct {
 	spec     *wire.JobSpec
-	zone     string // empty for any
+	zone     string // empty for any zone
 	allowed  func(machineKind) bool
 	required bool
 }
 
-// accepts reports whether the task may run on a kind of machine, whatever its size.
+// accepts reports whether the request allows a kind of machine. It doesn't compare the task with the
+// machine's size.
 func (r *machineRequest) accepts(kind machineKind) bool {
 	return (r.zone == "" || kind.zone == r.zone) &&
 		(r.spec.AllowSpot || !kind.spot) &&
@@ -36,16 +38,16 @@
 		r.allowed(kind)
 }
 
-// scaleOutPlan packs tasks that did not fit into machines to be rented.
+// scaleOutPlan packs the tasks that did not fit into machines to be rented.
 type scaleOutPlan struct {
 	autoscaler     *Autoscaler
 	now            time.Time
-	machinesInZone map[string]int // the deployment's and the planned ones
+	machinesInZone map[string]int // existing and planned machines by zone
 	machines       []plannedMachine
 }
 
-// planScaleOut returns the machines to be rented, in order of need: for the work that did not fit,
-// for the minimum size and the headroom.
+// planScaleOut returns the machines to be rented, in order of need: first for the work that did not fit,
+// then for the minimum number of machines, the headroom and the zone reserve.
 func (a *Autoscaler) planScaleOut(demand scheduler.UnmetDemand) []plannedMachine {
 	a.state.RLock()
 	defer a.state.RUnlock()
@@ -64,9 +66,9 @@
 	return plan.machines
 }
 
-// open adds a machine of the cheapest kind that a request accepts. It returns nil if there is none;
-// the pointer is valid until the next call.
-func (p *scaleOutPlan) open(request machineRequest) *plannedMachine {
+// addMachine adds a machine of the cheapest kind that a request accepts. It returns nil if no kind can be
+// rented. The pointer is valid until the next call.
+func (p *scaleOutPlan) addMachine(request machineRequest) *plannedMachine {
 	kind, ok := p.autoscaler.cheapestKind(kindQuery{
 		spec:           request.spec,
 		zone:           request.zone,
@@ -87,7 +89,8 @@
 	return &p.machines[len(p.machines)-1]
 }
 
-// addGroup plans machines for the tasks of a job that did not fit.
+// addGroup plans machines for the tasks of a group that did not fit. The tasks of a spread job are divided
+// so that no zone gets more than half of them, rounded up.
 func (p *scaleOutPlan) addGroup(group scheduler.UnplacedGroup) {
 	spec := group.Spec
 	target := rentalTarget{zone: spec.Zone, tasks: group.Count}
@@ -123,15 +126,15 @@
 	request     machineRequest
 	need        record.Resources
 	tasksByZone map[string]int
-	next        int // the planned machines before it fit none of the tasks, which are alike
+	next        int // index of the first planned machine to try; the group's identical tasks fit on none before it
 }
 
-// placeTask places a task on a planned machine, or on a further one. It returns false if none can
-// be rented.
+// placeTask places a task on a planned machine, or plans a further machine for it. It returns false if no
+// suitable machine can be rented.
 func (g *groupPacking) placeTask() bool {
 	machine := g.findPlanned()
 	if machine == nil {
-		machine = g.plan.open(g.request)
+		machine = g.plan.addMachine(g.request)
 	}
 	if machine == nil {
 		return false
@@ -144,7 +147,7 @@
 	return true
 }
 
-// findPlanned returns the first planned machine that a task fits on; nil if there is none.
+// findPlanned returns the first planned machine that a task fits on, or nil if there is none.
 func (g *groupPacking) findPlanned() *plannedMachine {
 	for ; g.next < len(g.plan.machines); g.next++ {
 		machine := &g.plan.machines[g.next]
@@ -155,11 +158,12 @@
 	return nil
 }
 
-// headroomRounding is the part of a machine by which headroom may be missed.
+// headroomRounding is the shortfall of headroom, in machines, that is accepted without renting another
+// machine.
 const headroomRounding = 0.5
 
-// addHeadroom plans machines for the minimum size, the headroom and the zone reserve, beyond the
-// machines that are present and what is spare on them.
+// addHeadroom plans the machines that are missing for the minimum number of machines, the headroom and
+// the zone reserve. present is the number of existing machines that are not being deleted.
 func (p *scaleOutPlan) addHeadroom(demand scheduler.UnmetDemand, present int) {
 	a := p.autoscaler
 	target := a.headroomTarget(p.now)
@@ -172,23 +176,23 @@
 	)
 	for i := range count {
 		request := machineRequest{spec: &wire.JobSpec{}, allowed: anyKind, required: i < belowMinimum}
-		if p.open(request) == nil {
+		if p.addMachine(request) == nil {
 			break
 		}
 	}
 	reserve := a.zoneReserve()
 	for _, zone := range slices.Sorted(maps.Keys(reserve)) {
 		missing := int(math.Ceil(reserve[zone] - spare.MachinesByZone[zone]))
-		p.openUpTo(missing, machineRequest{spec: &wire.JobSpec{}, zone: zone, allowed: anyKind})
+		p.addMachines(missing, machineRequest{spec: &wire.JobSpec{}, zone: zone, allowed: anyKind})
 	}
 	missingSpot := int(math.Ceil(target.spot - demand.SpareSpot.Machines - headroomRounding))
-	p.openUpTo(missingSpot, machineRequest{spec: &wire.JobSpec{AllowSpot: true}, allowed: anyKind})
+	p.addMachines(missingSpot, machineRequest{spec: &wire.JobSpec{AllowSpot: true}, allowed: anyKind})
 }
 
-// openUpTo adds a number of machines, or as many as there are kinds for.
-func (p *scaleOutPlan) openUpTo(count int, request machineRequest) {
+// addMachines adds up to count machines. It stops when no kind that the request accepts can be rented.
+func (p *scaleOutPlan) addMachines(count int, request machineRequest) {
 	for range count {
-		if p.open(request) == nil {
+		if p.addMachine(request) == nil {
 			return
 		}
 	}
--- a/internal/autoscaler/scaleoutplan_test.go
+++ b/internal/autoscaler/scaleoutplan_test.go
@@ -14,10 +14,10 @@
 	"sableusher/internal/wire"
 )
 
-// gpusPerMachine is the number of GPUs of the test's machine type.
+// gpusPerMachine is the number of GPUs of newTestAutoscaler's machine type.
 const gpusPerMachine = 4
 
-// drawSpec draws an array that may use spot machines, a spread service, or a gang in one zone.
+// drawSpec draws an array that may use spot machines, a spread service, or a gang that must run in one zone.
 func drawSpec(t *rapid.T, i int) *wire.JobSpec {
 	spec := &wire.JobSpec{
 		ID: fmt.Sprintf("run-%d", i), Priority: wire.PriorityNormal, CPUs: 6, GPUs: 1, MemoryGB: 40,
@@ -34,8 +34,9 @@
 	return spec
 }
 
-// TestPlannedMachinesFitUnplacedWork: the planned machines have capacity for everything that did
-// not fit, on demand for jobs that may not use spot machines; and not twice as many as are needed.
+// TestPlannedMachinesFitUnplacedWork checks that the planned machines have capacity for all work that did
+// not fit, and on-demand capacity for jobs that may not use spot machines. The planned capacity must not
+// exceed twice the need, plus 4 GPUs for each group and 8 GPUs for headroom.
 func TestPlannedMachinesFitUnplacedWork(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := newTestAutoscaler(nil)
@@ -73,27 +74,27 @@
 	})
 }
 
-// TestGangMovesFromRefusedZone: where a gang's zone has no more machines, capacity for all of it is
-// rented in another, not only for the rest of it.
+// TestGangMovesFromRefusedZone checks that capacity for a whole gang is rented in another zone if the
+// cloud refuses further machines in the gang's zone.
 func TestGangMovesFromRefusedZone(t *testing.T) {
 	a := newTestAutoscaler(t)
 	a.rentals.refusals[machineKind{"m", "west", false}] = refusal{until: time.Now().Add(tuning.RentalRefusalBackoff)}
-	demand := demandOfGang(scheduler.UnplacedGroup{
+	demand := gangDemand(scheduler.UnplacedGroup{
 		Spec: newTestGang(8), Count: 2, Zone: "west", SubmittedAt: time.Now(),
 	})
 	planned := a.planScaleOut(demand)
 	for _, machine := range planned {
 		if machine.zone != "east" {
-			t.Errorf("a machine in %s", machine.zone)
+			t.Errorf("machine planned in zone %s, want east", machine.zone)
 		}
 	}
 	if len(planned) != 8 {
-		t.Errorf("%d machines, want 8", len(planned))
+		t.Errorf("%d machines planned, want 8", len(planned))
 	}
 }
 
-// demandOfGang is the demand for some groups beside enough headroom.
-func demandOfGang(groups ...scheduler.UnplacedGroup) scheduler.UnmetDemand {
+// gangDemand returns the demand for the groups, with so much spare capacity that no headroom is rented.
+func gangDemand(groups ...scheduler.UnplacedGroup) scheduler.UnmetDemand {
 	return scheduler.UnmetDemand{
 		Groups:        groups,
 		SpareOnDemand: binpack.SpareCapacity{Machines: 9, UnusedMachines: 9},
@@ -101,15 +102,15 @@
 	}
 }
 
-// gangRenter rents machines for a gang of four that has one machine in its zone, while both zones
-// have refused further ones.
+// gangRenter simulates the rental of machines for a gang of gangTasks tasks. The gang starts with one
+// machine in its zone, and both zones have just refused further machines.
 type gangRenter struct {
 	autoscaler *Autoscaler
 	zone       string
 	startedAt  time.Time
-	machines   int // that the gang has
-	available  int // that the cloud has
-	requests   int
+	machines   int // machines that the gang has
+	available  int // machines that the cloud can provide
+	requests   int // requests to the cloud so far
 }
 
 const gangTasks = 4
@@ -123,9 +124,9 @@
 	return &gangRenter{autoscaler: a, zone: zone, startedAt: time.Now(), machines: 1}
 }
 
-// plan counts the planned machines by kind.
+// plan returns the number of planned machines by kind.
 func (r *gangRenter) plan() map[machineKind]int {
-	demand := demandOfGang()
+	demand := gangDemand()
 	if r.machines < gangTasks {
 		demand.Groups = []scheduler.UnplacedGroup{{
 			Spec: newTestGang(gangTasks), Count: gangTasks - r.machines, Zone: r.zone, SubmittedAt: r.startedAt,
@@ -138,12 +139,13 @@
 	return count
 }
 
-// rent requests what is planned, and checks that it is the rest of the gang in its zone.
+// rent requests the planned machines, and checks that they are for the rest of the gang in its zone.
 func (r *gangRenter) rent(t *testing.T, second int) {
 	for kind, count := range r.plan() {
 		r.requests++
 		if kind.zone != r.zone || count != gangTasks-r.machines {
-			t.Errorf("second %d, %d in %s: %d machines asked for in %s", second, r.machines, r.zone, count, kind.zone)
+			t.Errorf("second %d, gang has %d machines in %s: %d machines requested in %s",
+				second, r.machines, r.zone, count, kind.zone)
 		}
 		rented := min(r.available, count)
 		r.available -= rented
@@ -154,15 +156,15 @@
 	}
 }
 
-// TestGangIsCollectedInOneZone: once every zone has shown to have less than a gang needs, only the
-// rest of it is asked for, where some of it fits, as often as a refusal allows. The autoscaler once
-// asked one zone after the other for the whole gang, got a machine here and one there, and returned
-// each as idle (inc-c6d1). After a while the others may have more, and are asked for the whole
-// again.
-func TestGangIsCollectedInOneZone(t *testing.T) {
+// TestGangMachinesAreRentedInOneZone checks that, once every zone has refused machines for a whole gang,
+// only the rest of the gang is requested, in the zone where part of it fits, whenever the refusal's backoff
+// has ended. It guards against requests for the whole gang in one zone after another, which got a few
+// machines in each zone and returned them as idle (inc-c6d1). After tuning.InsufficientCapacityHold the
+// other zones may have more machines, and are requested again for the whole gang.
+func TestGangMachinesAreRentedInOneZone(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		zone := rapid.SampledFrom(testZones).Draw(rt, "zone")
-		becomeAvailable := map[int]int{} // machines by second
+		becomeAvailable := map[int]int{} // number of machines by second
 		for range rapid.IntRange(0, 3).Draw(rt, "available machines") {
 			becomeAvailable[rapid.IntRange(0, 40).Draw(rt, "second")]++
 		}
@@ -175,10 +177,10 @@
 			}
 			isIncomplete := renter.machines < gangTasks
 			if left := renter.plan(); isIncomplete && (renter.requests < 5 || len(left) == 0) {
-				t.Errorf("asked %d times, then for %v", renter.requests, left)
+				t.Errorf("%d requests; planned after the hold: %v", renter.requests, left)
 			}
 			if isIncomplete && renter.available > 0 {
-				t.Errorf("%d machines are available, the gang has %d", renter.available, renter.machines)
+				t.Errorf("%d machines are available but not rented; the gang has %d", renter.available, renter.machines)
 			}
 		})
 	})
--- a/internal/autoscaler/sizing.go
+++ b/internal/autoscaler/sizing.go
@@ -9,18 +9,20 @@
 	"sableusher/internal/tuning"
 )
 
-// sizingDecision is the learner's last choice of a size; its reward follows from what it leads to.
+// sizingDecision is the learner's last choice of a number of machines. It is rewarded when the next choice
+// is made.
 type sizingDecision struct {
-	pendingReward int64 // the learner's ID of the decision; 0 for none
-	decidedAt     time.Time
-	fraction      float64 // of the planned machines that are not required
+	decisionID int64 // ID of the decision in the learner; 0 before the first decision
+	decidedAt  time.Time
+	fraction   float64 // share of the optional planned machines to rent, 0 to 1
 }
 
-// limitByLearner lets the learner choose how many of the planned machines are rented: at least
-// those that are required, at most all. A choice holds for the configured time.
+// limitByLearner lets the learner choose how many of the planned machines are rented: at least the
+// required ones, at most all. A choice is kept for the operator's idle hold time. Without a warmed-up
+// learner all planned machines are rented.
 func (a *Autoscaler) limitByLearner(planned []plannedMachine) []plannedMachine {
-	sizes := a.scheduler.Learner()
-	if !a.operator.LearningEnabled || !sizes.Warm() {
+	sizeLearner := a.scheduler.Learner()
+	if !a.operator.LearningEnabled || !sizeLearner.Warm() {
 		return planned
 	}
 	required := countRequired(planned)
@@ -29,14 +31,14 @@
 	}
 	now := time.Now()
 	if now.Sub(a.sizing.decidedAt) >= config.ToDuration(a.operator.IdleHoldSeconds) {
-		a.decideSize(sizes, now, required, len(planned))
+		a.decideSize(sizeLearner, now, required, len(planned))
 	}
 	optional := int(math.Ceil(a.sizing.fraction * float64(len(planned)-required)))
 	return planned[:required+optional]
 }
 
-// countRequired returns how many of the machines, which are in order of need, must be rented: all
-// up to the last required one.
+// countRequired returns the number of planned machines that must be rented: all machines, in order of
+// need, up to and including the last required one.
 func countRequired(planned []plannedMachine) int {
 	count := 0
 	for i, machine := range planned {
@@ -47,10 +49,10 @@
 	return count
 }
 
-// decideSize gives the last decision its reward and makes the next one.
-func (a *Autoscaler) decideSize(sizes *learner.Learner, now time.Time, required, planned int) {
-	if a.sizing.pendingReward != 0 {
-		sizes.Reward(a.sizing.pendingReward, a.scheduler.ProvisioningReward())
+// decideSize rewards the last decision and makes the next one. required and planned are numbers of machines.
+func (a *Autoscaler) decideSize(sizeLearner *learner.Learner, now time.Time, required, planned int) {
+	if a.sizing.decisionID != 0 {
+		sizeLearner.Reward(a.sizing.decisionID, a.scheduler.ProvisioningReward())
 	}
 	a.state.RLock()
 	present := len(a.state.Machines)
@@ -61,19 +63,19 @@
 	for i, fraction := range tuning.ScaleOutFractions {
 		machines := float64(present+required) + fraction*float64(planned-required)
 		action := &learner.Action{IsScaling: true, ScaleFraction: fraction, Machines: machines}
-		choices = append(choices, sizes.Score(&state, action))
+		choices = append(choices, sizeLearner.Score(&state, action))
 		if choices[i].Value >= choices[best].Value {
 			best = i
 		}
 	}
-	if explored, ok := sizes.Explore(len(choices)); ok {
+	if explored, ok := sizeLearner.Explore(len(choices)); ok {
 		best = explored
 	}
 	a.sizing = sizingDecision{
-		pendingReward: sizes.TakeAction(choices[best]),
-		decidedAt:     now,
-		fraction:      tuning.ScaleOutFractions[best],
+		decisionID: sizeLearner.TakeAction(choices[best]),
+		decidedAt:  now,
+		fraction:   tuning.ScaleOutFractions[best],
 	}
-	a.log.Debug("size decided", "machines", present, "required", required, "planned", planned,
+	a.log.Debug("number of machines to rent decided", "machines", present, "required", required, "planned", planned,
 		"fraction", a.sizing.fraction, "value", choices[best].Value)
 }
--- a/internal/autoscaler/zonereserve.go
+++ b/internal/autoscaler/zonereserve.go
@@ -2,10 +2,10 @@
 
 import "sableusher/internal/wire"
 
-// zoneReserve returns the capacity to keep free in each zone for the loss of another, in machines:
-// so much that the configured share of what the zone with the most services holds of them fits in
-// the other zones together. While a zone is unavailable nothing is kept: the reserve is there to be
-// used. Callers hold the state's lock.
+// zoneReserve returns the capacity to keep free in each zone for the loss of another zone, in machines.
+// After the loss of the zone with the most services, the configured share of these services fits in the
+// reserves of the other zones together. While a zone is unavailable the reserve is empty, so that its
+// capacity can be used. Callers hold the state's lock.
 func (a *Autoscaler) zoneReserve() map[string]float64 {
 	reserve := map[string]float64{}
 	if a.operator.ZoneReserve == 0 || len(a.unavailableZones) > 0 {
@@ -23,8 +23,8 @@
 	return reserve
 }
 
-// largestServiceShare returns what services that may run in any zone take in the zone with the most
-// of them, in machines.
+// largestServiceShare returns the capacity, in machines, that services take in the zone where they take
+// most. It counts only services that may run in any zone. Callers hold the state's lock.
 func (a *Autoscaler) largestServiceShare() float64 {
 	byZone, largest := map[string]float64{}, 0.0
 	for _, machine := range a.state.Machines {
--- a/internal/autoscaler/zonereserve_test.go
+++ b/internal/autoscaler/zonereserve_test.go
@@ -13,8 +13,8 @@
 	"sableusher/internal/wire"
 )
 
-// drawServiceMachines adds machines with replicas that take a quarter of a machine each. It returns
-// what they take by zone, in machines.
+// drawServiceMachines adds machines that run service replicas, each of which takes a quarter of a machine.
+// It returns the capacity that the replicas take in each zone, in machines.
 func drawServiceMachines(t *rapid.T, state *clusterstate.State) map[string]float64 {
 	usedByZone := map[string]float64{}
 	job := &clusterstate.Job{Job: record.Job{Spec: wire.JobSpec{
@@ -37,9 +37,9 @@
 	return usedByZone
 }
 
-// TestReserveCoversALostZone: with a reserve set, what is free once all that waits fits covers the
-// configured share of the services of any zone in the zones that are left, wherever they are; while
-// a zone is unavailable nothing is kept.
+// TestReserveCoversALostZone checks that with a zone reserve set, the capacity planned beyond the waiting
+// work covers, for the loss of any zone, the configured share of that zone's services in the other zones.
+// It also checks that no reserve is kept while a zone is unavailable.
 func TestReserveCoversALostZone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := newTestAutoscaler(nil)
@@ -54,13 +54,13 @@
 		for _, zone := range testZones {
 			elsewhere := spareByZone["east"] + spareByZone["west"] - spareByZone[zone]
 			if elsewhere+1 < share*usedByZone[zone] {
-				t.Errorf("%v machines are free outside of %s, which holds services for %v and may lose %.2f of them",
+				t.Errorf("%v spare machines outside of zone %s, whose services take %v machines; the reserve share is %.2f",
 					elsewhere, zone, usedByZone[zone], share)
 			}
 		}
 		a.unavailableZones = []string{"east"}
 		if kept := len(a.planScaleOut(scheduler.UnmetDemand{ComputedAt: time.Now()})); kept > 0 {
-			t.Errorf("%d machines are kept while a zone is unavailable", kept)
+			t.Errorf("%d machines planned while a zone is unavailable", kept)
 		}
 	})
 }
