--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -109,7 +109,7 @@
 }
 
 // deleteUnlisted returns the transactions that delete machines missing from
-// tuning.CloudListMissesForDeleted consecutive listings. The cloud lists a machine until it is gone.
+// tuning.CloudListMissesBeforeDeletion consecutive listings. The cloud lists a machine until it is gone.
 // Missing heartbeats can't replace this check: a controller can't tell the loss of all machines at once
 // from its own network partition, and would never delete these machines. Callers hold the state's lock.
 func (a *Autoscaler) deleteUnlisted(
@@ -119,7 +119,7 @@
 	for i := range listed {
 		isListed[listed[i].ID] = true
 	}
-	minListedAge := a.maxListLag() + tuning.CloudListMissesForDeleted*tuning.CloudListInterval
+	minListedAge := a.maxListLag() + tuning.CloudListMissesBeforeDeletion*tuning.CloudListInterval
 	missed := a.listing.missedListings
 	var transactions []kvstore.Transaction
 	for name, machine := range a.state.Machines {
@@ -129,7 +129,7 @@
 			continue
 		}
 		missed[name]++
-		if missed[name] < tuning.CloudListMissesForDeleted {
+		if missed[name] < tuning.CloudListMissesBeforeDeletion {
 			continue
 		}
 		a.log.Info("deleting a machine that the cloud no longer lists", "machine", name, "tasks", len(machine.Bindings))
--- a/internal/learner/checkpoint.go
+++ b/internal/learner/checkpoint.go
@@ -10,26 +10,27 @@
 	"sableusher/internal/wire"
 )
 
-// Checkpoint is the durable form of what was learned.
+// Checkpoint is the saved state of a Learner and of RunTimeEstimates, or one piece of it.
 type Checkpoint struct {
 	Version        int                  `cbor:"f"`
 	Weights        []float64            `cbor:"w"`
 	RewardCount    int                  `cbor:"p"`
 	Runs           map[string][]float64 `cbor:"r"` // completed run times in seconds by class, newest last
-	EstimateRatios map[string][]float64 `cbor:"q"` // run time over its owner's estimate, by class
-	// PieceCount and WrittenAtMs are set where the checkpoint is kept in pieces: all have the same.
+	EstimateRatios map[string][]float64 `cbor:"q"` // actual over estimated run time by class, newest last
+	// PieceCount and WrittenAtMs are set if the checkpoint is saved in pieces. They are the same in all
+	// pieces of a checkpoint.
 	PieceCount  int   `cbor:"n,omitempty"`
 	WrittenAtMs int64 `cbor:"t,omitempty"` // Unix time
 }
 
-// Split returns the checkpoint in pieces of at most maxBytes of JSON, to be written together. Figures
-// are cut to six digits: they are advice, and shorter so.
+// Split returns the checkpoint in pieces of at most maxBytes of JSON each, to be written together. Numbers
+// are rounded to six significant digits to save space; that is precise enough to rank actions.
 func (c Checkpoint) Split(maxBytes int, writtenAtMs int64) []Checkpoint {
 	splitter := newCheckpointSplitter(Checkpoint{
 		Version:     c.Version,
 		RewardCount: c.RewardCount,
 		WrittenAtMs: writtenAtMs,
-		PieceCount:  tuning.EstimateMaxClasses, // the widest it can be; the real count is set at the end
+		PieceCount:  tuning.EstimateMaxClasses, // placeholder with at least as many digits; replaced below
 	}, maxBytes)
 	for _, weight := range c.Weights {
 		weight = roundToSixDigits(weight)
@@ -44,12 +45,12 @@
 	return splitter.pieces
 }
 
-// checkpointSplitter fills pieces up to a size, one after the other.
+// checkpointSplitter distributes entries to pieces of at most maxBytes of JSON, filling one after the other.
 type checkpointSplitter struct {
-	empty     Checkpoint // what each piece begins with
+	empty     Checkpoint // initial value of each piece
 	maxBytes  int
 	pieces    []Checkpoint
-	freeBytes int // in the last piece
+	freeBytes int // bytes of JSON left in the last piece
 }
 
 func newCheckpointSplitter(empty Checkpoint, maxBytes int) *checkpointSplitter {
@@ -63,7 +64,8 @@
 	s.freeBytes = s.maxBytes - encodedJSONSize(s.empty)
 }
 
-// pieceFor returns the last piece if it has size bytes left, else a new one, and takes them.
+// pieceFor reserves size bytes of JSON in the last piece, or in a new one if they don't fit, and returns that
+// piece.
 func (s *checkpointSplitter) pieceFor(size int) *Checkpoint {
 	if s.freeBytes < size {
 		s.addPiece()
@@ -72,7 +74,7 @@
 	return &s.pieces[len(s.pieces)-1]
 }
 
-// addLists puts each class's list into a piece's map of them.
+// addLists adds the list of each class to the map that field selects in a piece.
 func (s *checkpointSplitter) addLists(lists map[string][]float64, field func(*Checkpoint) *map[string][]float64) {
 	for _, class := range slices.Sorted(maps.Keys(lists)) {
 		rounded := slices.Clone(lists[class])
@@ -94,7 +96,8 @@
 	return rounded
 }
 
-// Append adds the next piece. The error is ErrPieceMismatch if it was not written with the others.
+// Append adds the next piece. It returns ErrPieceMismatch if the piece was not written together with the
+// others.
 func (c *Checkpoint) Append(piece Checkpoint) error {
 	if piece.WrittenAtMs != c.WrittenAtMs || piece.PieceCount != c.PieceCount || piece.Version != c.Version {
 		return ErrPieceMismatch
@@ -105,7 +108,7 @@
 	return nil
 }
 
-// mergeLists copies lists into a map that may not be made yet.
+// mergeLists copies the lists of from into *to, and allocates *to if it is nil.
 func mergeLists(to *map[string][]float64, from map[string][]float64) {
 	if *to == nil {
 		*to = map[string][]float64{}
@@ -113,7 +116,7 @@
 	maps.Copy(*to, from)
 }
 
-// Save returns the learner's durable form, without run times.
+// Save returns a checkpoint of the learner, without run times.
 func (l *Learner) Save() Checkpoint {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,9 +127,9 @@
 	}
 }
 
-// Restore continues from a checkpoint. One of another version or width is refused with
-// *CheckpointFormError, one with a weight that is no finite number with ErrWeightNotFinite; the
-// learner stays as it was then.
+// Restore replaces the learner's weights and reward count by those of a checkpoint. It returns a
+// *CheckpointFormError for a checkpoint of another form, and ErrWeightNotFinite for one with a weight
+// that is infinite or NaN. On error the learner is unchanged.
 func (l *Learner) Restore(checkpoint Checkpoint) error {
 	if checkpoint.Version != tuning.LearnerCheckpointVersion || len(checkpoint.Weights) != featureWidth ||
 		checkpoint.RewardCount < 0 {
--- a/internal/learner/doc.go
+++ b/internal/learner/doc.go
@@ -1,11 +1,11 @@
-// Package learner values the choices of the scheduler and of the autoscaler: a SARSA learner whose
-// action value Q(s, a) is the linear readout of an echo state network (sections 3 and 4 of the paper
-// that docs/design.md names). It also estimates run times from completed runs.
+// Package learner estimates the values of the scheduler's and the autoscaler's actions. It implements a
+// SARSA learner whose action value Q(s, a) is the linear readout of an echo state network (sections 3
+// and 4 of the paper that docs/design.md names). It also estimates run times from completed runs.
 //
-// It owns the reservoir, the readout's weights, the decisions that wait for their reward, the
-// training samples, and the run times by class. It never decides: callers score actions, take one, and
-// report its reward. A value only orders what the scheduler may start anyway, so no safety invariant
-// rests on it. What it learned can be lost with the process; checkpoints spare learning it again.
+// The package owns the reservoir, the readout's weights, the decisions without a reward, the training
+// samples, and the run times by class. It makes no decisions: callers score actions, take one of them,
+// and report its reward. Values only rank actions that are already allowed, so no safety invariant
+// depends on them. The learned state may be lost with the process; a checkpoint saves relearning it.
 //
 // Learner and RunTimeEstimates are safe for concurrent use.
 package learner
--- a/internal/learner/errors.go
+++ b/internal/learner/errors.go
@@ -7,24 +7,25 @@
 
 // Errors of refits and checkpoints.
 var (
-	// ErrSingular is returned when the regression's matrix can't be factorized.
-	ErrSingular = errors.New("singular")
-	// ErrFitNotFinite is returned when a fitted weight is infinite or not a number.
-	ErrFitNotFinite = errors.New("not finite")
-	// ErrWeightNotFinite is returned for a checkpoint with such a weight.
-	ErrWeightNotFinite = errors.New("a weight is not finite")
-	// ErrPieceMismatch is returned for pieces of a checkpoint that were not written together.
-	ErrPieceMismatch = errors.New("pieces of different times")
+	// ErrSingular is returned if the regression's matrix has no Cholesky factorization.
+	ErrSingular = errors.New("regression matrix is singular")
+	// ErrFitNotFinite is returned if a fitted weight is infinite or NaN.
+	ErrFitNotFinite = errors.New("fitted weight is not finite")
+	// ErrWeightNotFinite is returned for a checkpoint with a weight that is infinite or NaN.
+	ErrWeightNotFinite = errors.New("checkpoint has a weight that is not finite")
+	// ErrPieceMismatch is returned for a checkpoint whose pieces were not written together.
+	ErrPieceMismatch = errors.New("checkpoint pieces were not written together")
 )
 
-// CheckpointFormError is returned for a checkpoint of another version or width than this learner's.
+// CheckpointFormError is returned for a checkpoint whose version or number of weights differs from this
+// learner's, or whose number of rewards is negative.
 type CheckpointFormError struct {
 	Version, Weights         int // of the checkpoint
 	WantVersion, WantWeights int
 }
 
-// Error names both forms.
+// Error returns the versions and numbers of weights of the checkpoint and of this learner.
 func (e *CheckpointFormError) Error() string {
-	return fmt.Sprintf("form %d with %d weights, not form %d with %d",
+	return fmt.Sprintf("checkpoint has version %d and %d weights, want version %d and %d weights",
 		e.Version, e.Weights, e.WantVersion, e.WantWeights)
 }
--- a/internal/learner/input.go
+++ b/internal/learner/input.go
@@ -7,26 +7,28 @@
 	"sableusher/internal/tuning"
 )
 
-// State is the state s that an action is chosen in (paper, section 3.1).
+// State is the state s in which an action is chosen (paper, section 3.1).
 type State struct {
-	RunningWorkSeconds float64            // work left of running tasks, in machine seconds
-	NextFreeSeconds    float64            // until a machine is expected to become free
+	RunningWorkSeconds float64            // remaining work of running tasks, in machine seconds
+	NextFreeSeconds    float64            // time until a machine is expected to become free
 	BacklogSeconds     float64            // work of waiting tasks, in machine seconds
-	IdleMachines       float64            // how many are idle
-	TeamShares         map[string]float64 // of each team in the queue, 0 to 1
+	IdleMachines       float64            // number of idle machines
+	TeamShares         map[string]float64 // share of each team in the queue, 0 to 1
 }
 
-// Action is an action a: a waiting job that starts, or a number of machines to rent.
+// Action is an action a: the start of a task of a waiting job, or, if IsScaling is set, a number of machines
+// to rent.
 type Action struct {
 	Class, Team   string
-	RunSeconds    float64 // expected, of a task
+	RunSeconds    float64 // expected run time of a task
 	Interactive   bool
-	IsScaling     bool    // the action is a number of machines; only the fields below count
-	ScaleFraction float64 // of the way from the smallest to the largest number, 0 to 1
-	Machines      float64
+	IsScaling     bool    // the action is a number of machines; the fields above are ignored
+	ScaleFraction float64 // position between the smallest and the largest number of machines, 0 to 1
+	Machines      float64 // number of machines after the action
 }
 
-// Widths of the encoding, which don't depend on the number of teams and classes.
+// Numbers of entries of the encoding and its parts. Teams and classes are hashed into buckets, so these numbers
+// don't depend on how many there are.
 const (
 	bucketCount  = tuning.LearnerHashBuckets
 	stateScalars = 4
@@ -41,7 +43,7 @@
 	return int(hash.Sum32() % bucketCount)
 }
 
-// saturate maps amounts of any size into 0 to 1; scale becomes one half.
+// saturate maps an amount to the range 0 to 1: scale maps to one half; negative amounts and NaN map to 0.
 func saturate(amount, scale float64) float64 {
 	if math.IsNaN(amount) || amount <= 0 {
 		return 0
@@ -51,9 +53,9 @@
 
 func clamp01(value float64) float64 { return max(0, min(1, value)) }
 
-// encodeInput returns the reservoir's input for an action in a state; each entry lies within 0 and 1.
-// Its parts are the state's scalars, the teams' shares, the action's class, its team, what else is
-// known of a job, and what is known of a number of machines.
+// encodeInput returns the reservoir's input for an action in a state. Each entry lies between 0 and 1.
+// The parts are, in order: the state's scalars, the shares of the teams, the class of the action's job
+// and its team (both one-hot), the job's scalars, and the scalars of a number of machines.
 func encodeInput(state *State, action *Action) []float64 {
 	input := make([]float64, inputWidth)
 	input[0] = saturate(state.RunningWorkSeconds, tuning.LearnerWorkScaleSeconds)
--- a/internal/learner/learner.go
+++ b/internal/learner/learner.go
@@ -11,48 +11,48 @@
 	"sableusher/internal/tuning"
 )
 
-// Config sets up a Learner.
+// Config holds the parameters of a Learner.
 type Config struct {
 	LearningRate    float64 // SARSA's alpha, 0 to 1
 	Discount        float64 // SARSA's gamma, 0 to 1
 	ExplorationRate float64 // probability of a random action
-	WarmUpRewards   int     // rewards before the values may order jobs
-	Seed            uint64  // of the random picks
+	WarmUpRewards   int     // number of rewards before the values may order jobs
+	Seed            uint64  // seed of the exploration's random numbers
 	Logger          *slog.Logger
 }
 
-// ScoredAction is an action with its value; scoring leaves no trace in the learner.
+// ScoredAction is an action with its value. Scoring doesn't change the learner; see TakeAction.
 type ScoredAction struct {
 	Value          float64
-	reservoirState []float64 // that follows if the action is taken
+	reservoirState []float64 // reservoir state after the action is taken
 	features       []float64
 }
 
-// pendingDecision is an action that was taken and waits for its reward and its successor.
+// pendingDecision is an action that was taken and whose reward or next decision is not known yet.
 type pendingDecision struct {
 	features     []float64
-	nextFeatures []float64 // of the decision that followed
+	nextFeatures []float64 // features of the next decision; nil until it is taken
 	reward       float64
 	rewarded     bool
 }
 
-// Learner is a SARSA learner with an echo state value function.
+// Learner is a SARSA learner whose value function is an echo state network. It is safe for concurrent use.
 type Learner struct {
 	config    Config
 	reservoir *reservoir
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	random         *rand.Rand
 	reservoirState []float64
 	weights        []float64
-	pending        map[int64]*pendingDecision // by number
-	lastDecision   int64
+	pending        map[int64]*pendingDecision // by decision ID
+	lastDecisionID int64
 	rewardCount    int
-	samples        []trainingSample // a ring of tuning.LearnerMaxSamples
+	samples        []trainingSample // ring buffer of up to tuning.LearnerMaxSamples
 	nextSample     int
 }
 
-// New returns a learner that knows nothing yet: all values are 0.
+// New returns an untrained learner: all its values are 0.
 func New(config Config) *Learner {
 	return &Learner{
 		config:         config,
@@ -64,14 +64,15 @@
 	}
 }
 
-// Warm reports whether enough rewards came for the values to order jobs.
+// Warm reports whether the learner has received enough rewards for its values to order jobs.
 func (l *Learner) Warm() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rewardCount >= l.config.WarmUpRewards
 }
 
-// Explore draws whether the next pick among count actions is to be random, and if so which it is.
+// Explore reports whether the next of count actions is to be picked at random, and if so returns the index of
+// the picked action. It does so with the probability Config.ExplorationRate.
 func (l *Learner) Explore(count int) (pick int, explore bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +83,7 @@
 	return l.random.IntN(count), true
 }
 
-// Score returns the value of an action in a state, without taking it.
+// Score returns the value of an action in a state. It doesn't change the learner.
 func (l *Learner) Score(state *State, action *Action) ScoredAction {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,46 +96,47 @@
 	return ScoredAction{Value: dot(l.weights, features), reservoirState: next, features: features}
 }
 
-// TakeAction makes a scored action the one that was chosen; only this moves the reservoir on. The
-// number that it returns names the decision when its reward comes.
+// TakeAction records that a scored action was taken, and updates the reservoir's state, which no other
+// method changes. It returns the decision's ID, with which its reward is reported.
 func (l *Learner) TakeAction(action ScoredAction) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	chosenValueGauge.Set(action.Value)
 	l.reservoirState = action.reservoirState
-	if previous := l.pending[l.lastDecision]; previous != nil {
+	if previous := l.pending[l.lastDecisionID]; previous != nil {
 		previous.nextFeatures = action.features
-		l.addSample(l.lastDecision, previous)
+		l.addSample(l.lastDecisionID, previous)
 	}
-	l.lastDecision++
-	l.pending[l.lastDecision] = &pendingDecision{features: action.features}
-	if old := l.lastDecision - tuning.LearnerPendingDecisions; l.pending[old] != nil {
-		delete(l.pending, old) // its reward never came
+	l.lastDecisionID++
+	l.pending[l.lastDecisionID] = &pendingDecision{features: action.features}
+	if old := l.lastDecisionID - tuning.LearnerMaxPendingDecisions; l.pending[old] != nil {
+		delete(l.pending, old) // its reward was never reported
 	}
-	return l.lastDecision
+	return l.lastDecisionID
 }
 
-// Reward gives a decision its reward, often minutes after it was taken. A decision that is not
-// known any more, a second reward, and one that is not finite are ignored.
-func (l *Learner) Reward(decision int64, reward float64) {
+// Reward records the reward of a decision, often minutes after it was taken. It ignores unknown and
+// discarded decisions, a second reward for a decision, and a reward that is infinite or NaN.
+func (l *Learner) Reward(decisionID int64, reward float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	pending := l.pending[decision]
+	pending := l.pending[decisionID]
 	if pending == nil || pending.rewarded || math.IsNaN(reward) || math.IsInf(reward, 0) {
 		return
 	}
 	pending.rewarded, pending.reward = true, reward
 	l.rewardCount++
 	rewardHistogram.Observe(reward)
-	l.addSample(decision, pending)
+	l.addSample(decisionID, pending)
 }
 
-// addSample turns a decision that has its reward and its successor into a training sample.
-func (l *Learner) addSample(number int64, decision *pendingDecision) {
+// addSample turns a pending decision into a training sample, once both its reward and the next decision are
+// known. Callers hold the lock.
+func (l *Learner) addSample(decisionID int64, decision *pendingDecision) {
 	if !decision.rewarded || decision.nextFeatures == nil {
 		return
 	}
-	delete(l.pending, number)
+	delete(l.pending, decisionID)
 	value := dot(l.weights, decision.features)
 	nextValue := dot(l.weights, decision.nextFeatures)
 	target := value + l.config.LearningRate*(decision.reward+l.config.Discount*nextValue-value)
@@ -147,8 +149,8 @@
 	l.nextSample = (l.nextSample + 1) % tuning.LearnerMaxSamples
 }
 
-// Refit fits the readout to the samples. An error leaves the last good weights; too few samples are
-// no error.
+// Refit fits the readout's weights to the samples. With fewer than tuning.LearnerMinSamples samples it does
+// nothing and returns nil. On error the weights are unchanged.
 func (l *Learner) Refit() error {
 	l.mu.Lock()
 	samples := slices.Clone(l.samples)
--- a/internal/learner/learner_test.go
+++ b/internal/learner/learner_test.go
@@ -11,7 +11,7 @@
 	"sableusher/internal/wire"
 )
 
-// newTestLearner returns a learner with the paper's rates.
+// newTestLearner returns a learner with the paper's learning rate and discount.
 func newTestLearner(explorationRate float64, warmUpRewards int) *Learner {
 	return New(Config{LearningRate: 0.2, Discount: 0.8, ExplorationRate: explorationRate,
 		WarmUpRewards: warmUpRewards, Seed: 1, Logger: slog.New(slog.DiscardHandler)})
@@ -38,13 +38,13 @@
 	return state, action
 }
 
-// TestInputsAreBounded: whatever is observed, the encoding has its width and
-// every entry lies within 0 and 1.
+// TestInputsAreBounded checks that for any state and action the encoding has inputWidth entries, each between
+// 0 and 1.
 func TestInputsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		u := encodeInput(drawStateAndAction(t))
 		if len(u) != inputWidth {
-			t.Fatalf("width %d", len(u))
+			t.Fatalf("input has %d entries", len(u))
 		}
 		for i, v := range u {
 			if !(v >= 0 && v <= 1) {
@@ -54,7 +54,7 @@
 	})
 }
 
-// TestReservoirForgets: two memories under the same inputs become the same.
+// TestReservoirForgetsItsInitialState checks that two reservoir states converge under the same inputs.
 func TestReservoirForgetsItsInitialState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newReservoir(rapid.Uint64().Draw(t, "seed"))
@@ -69,13 +69,14 @@
 		}
 		for i := range a {
 			if math.Abs(a[i]-b[i]) > 1e-3 {
-				t.Fatalf("unit %d still remembers: %v and %v", i, a[i], b[i])
+				t.Fatalf("unit %d still depends on the initial state: %v and %v", i, a[i], b[i])
 			}
 		}
 	})
 }
 
-// TestScoringLeavesNoTrace: only the action that is taken moves the memory.
+// TestScoringDoesNotChangeTheReservoir checks that the reservoir's state changes when an action is taken, and
+// not when it is scored.
 func TestScoringDoesNotChangeTheReservoir(t *testing.T) {
 	l := newTestLearner(0, 0)
 	s, a := &State{IdleMachines: 3}, &Action{Class: "x", RunSeconds: 10}
@@ -83,7 +84,7 @@
 	c := l.Score(s, a)
 	for i := range before {
 		if l.reservoirState[i] != before[i] {
-			t.Fatal("scoring moved the memory")
+			t.Fatal("scoring changed the reservoir's state")
 		}
 	}
 	l.TakeAction(c)
@@ -92,11 +93,12 @@
 		moved = moved || l.reservoirState[i] != before[i]
 	}
 	if !moved {
-		t.Fatal("taking did not move the memory")
+		t.Fatal("taking an action did not change the reservoir's state")
 	}
 }
 
-// TestLearnsWhatPays: of two classes the one that pays gets the higher value.
+// TestHigherRewardGetsHigherValue checks that of two classes the one with the higher reward gets the higher
+// value.
 func TestHigherRewardGetsHigherValue(t *testing.T) {
 	l := newTestLearner(0.05, 10)
 	s := &State{}
@@ -118,7 +120,8 @@
 	}
 }
 
-// TestBadFitsKeepWeights: a sample that is not finite must not spoil the values.
+// TestFailedFitKeepsWeights checks that a refit with a sample that is not finite fails and leaves the values
+// unchanged.
 func TestFailedFitKeepsWeights(t *testing.T) {
 	l := newTestLearner(0, 0)
 	for range 100 {
@@ -130,21 +133,22 @@
 	want := l.Score(&State{}, &Action{Class: "a"}).Value
 	l.samples[0].target = math.NaN()
 	if err := l.Refit(); err == nil {
-		t.Fatal("a fit to NaN was taken")
+		t.Fatal("a refit with a NaN target succeeded")
 	}
 	if got := l.Score(&State{}, &Action{Class: "a"}).Value; got != want {
 		t.Fatalf("value %v became %v", want, got)
 	}
 }
 
-// TestSavedForms: another form, width or a figure that is not finite is refused.
+// TestInvalidCheckpointsAreRefused checks that Restore refuses a checkpoint of another version or width, with a
+// weight that is not finite, or with a negative number of rewards.
 func TestInvalidCheckpointsAreRefused(t *testing.T) {
 	l := newTestLearner(0, 0)
 	good := l.Save()
 	if err := l.Restore(good); err != nil {
 		t.Fatal(err)
 	}
-	for name, spoil := range map[string]func(*Checkpoint){
+	for name, corrupt := range map[string]func(*Checkpoint){
 		"form":   func(s *Checkpoint) { s.Version++ },
 		"width":  func(s *Checkpoint) { s.Weights = s.Weights[1:] },
 		"nan":    func(s *Checkpoint) { s.Weights = append([]float64{math.NaN()}, s.Weights[1:]...) },
@@ -152,23 +156,24 @@
 		"absent": func(s *Checkpoint) { *s = Checkpoint{} },
 	} {
 		s := good
-		spoil(&s)
+		corrupt(&s)
 		if l.Restore(s) == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: invalid checkpoint was restored", name)
 		}
 	}
 }
 
-// TestMedianOfCompletedRuns: the owner's estimate holds until enough runs were
-// seen, corrected by the class's bias; then the median does.
+// TestRunTimeIsMedianOfCompletedRuns checks that the expected run time is the owner's estimate, corrected by
+// the class's bias, until tuning.EstimateMinRuns runs are recorded, and then the median. Run times that are not
+// positive and finite are ignored.
 func TestRunTimeIsMedianOfCompletedRuns(t *testing.T) {
 	e := NewRunTimeEstimates()
 	if got := e.ExpectedRunSeconds("a", 100); got != 100 {
-		t.Fatalf("without runs: %v", got)
+		t.Fatalf("expected run time without runs is %v, want 100", got)
 	}
 	e.RecordRun("a", 50, 100)
 	if got := e.ExpectedRunSeconds("a", 200); got != 100 {
-		t.Fatalf("with one run of half its estimate: %v", got)
+		t.Fatalf("expected run time after one run of half its estimate is %v, want 100", got)
 	}
 	for _, r := range []float64{math.NaN(), -1, 0, math.Inf(1)} {
 		e.RecordRun("a", r, 100)
@@ -177,26 +182,29 @@
 		e.RecordRun("a", 300, 100)
 	}
 	if got := e.ExpectedRunSeconds("a", 1); got != 300 {
-		t.Fatalf("median: %v", got)
+		t.Fatalf("expected run time is %v, want the median 300", got)
 	}
 }
 
-// TestSavedInPieces: whatever was learned is kept in pieces that stay within a
-// limit, and goes together again; a piece of another time is refused.
+// TestCheckpointInPieces checks that the pieces of a split checkpoint stay within the size limit and can be
+// joined again, and that a piece that was written at another time is refused.
 func TestCheckpointInPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		figures := rapid.SliceOfN(rapid.Float64Range(-1e6, 1e6), 0, 8)
-		in := Checkpoint{Version: tuning.LearnerCheckpointVersion, RewardCount: rapid.IntRange(0, 1e6).Draw(t, "paid"),
+		values := rapid.SliceOfN(rapid.Float64Range(-1e6, 1e6), 0, 8)
+		in := Checkpoint{
+			Version:        tuning.LearnerCheckpointVersion,
+			RewardCount:    rapid.IntRange(0, 1e6).Draw(t, "reward count"),
 			Weights:        rapid.SliceOfN(rapid.Float64Range(-1e6, 1e6), 1, 200).Draw(t, "weights"),
-			Runs:           rapid.MapOfN(rapid.StringMatching("[a-z]{1,40}"), figures, 0, 20).Draw(t, "runs"),
-			EstimateRatios: rapid.MapOfN(rapid.StringMatching("[a-z]{1,40}"), figures, 0, 20).Draw(t, "ratios")}
-		room := rapid.IntRange(600, 4000).Draw(t, "room")
-		pieces := in.Split(room, 5)
+			Runs:           rapid.MapOfN(rapid.StringMatching("[a-z]{1,40}"), values, 0, 20).Draw(t, "runs"),
+			EstimateRatios: rapid.MapOfN(rapid.StringMatching("[a-z]{1,40}"), values, 0, 20).Draw(t, "ratios"),
+		}
+		maxBytes := rapid.IntRange(600, 4000).Draw(t, "max bytes")
+		pieces := in.Split(maxBytes, 5)
 		var out Checkpoint
 		for i, p := range pieces {
 			b := wire.MustEncode(p)
-			if n := wire.JSONSize(b); n > room {
-				t.Fatalf("a piece takes %d of %d bytes", n, room)
+			if n := wire.JSONSize(b); n > maxBytes {
+				t.Fatalf("a piece takes %d bytes, the limit is %d", n, maxBytes)
 			}
 			var read Checkpoint
 			if err := wire.Decode(b, &read); err != nil {
@@ -211,7 +219,7 @@
 		if out.PieceCount != len(pieces) || out.RewardCount != in.RewardCount ||
 			len(out.Weights) != len(in.Weights) || len(out.Runs) != len(in.Runs) ||
 			len(out.EstimateRatios) != len(in.EstimateRatios) {
-			t.Fatalf("%+v became %+v", in, out)
+			t.Fatalf("checkpoint %+v became %+v", in, out)
 		}
 		for i, w := range in.Weights {
 			if math.Abs(out.Weights[i]-w) > 1e-5*math.Abs(w) {
@@ -221,7 +229,7 @@
 		other := pieces[0]
 		other.WrittenAtMs++
 		if out.Append(other) == nil {
-			t.Fatal("a piece of another time was taken")
+			t.Fatal("a piece written at another time was appended")
 		}
 	})
 }
--- a/internal/learner/metrics.go
+++ b/internal/learner/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Outcomes of a refit, as the metric's label says them.
+// Values of the label outcome of the metric that counts refits.
 const (
 	refitGood   = "good"
 	refitFailed = "failed"
--- a/internal/learner/readout.go
+++ b/internal/learner/readout.go
@@ -8,16 +8,17 @@
 	"sableusher/internal/tuning"
 )
 
-// featureWidth is the number of features: the reservoir's units, the input and a constant.
+// featureWidth is the number of features: the reservoir's units, the input, and a constant 1 for the bias.
 const featureWidth = tuning.ReservoirUnits + inputWidth + 1
 
-// trainingSample is a decision's features with the value that SARSA would give it.
+// trainingSample holds the features of a decision and its SARSA target value.
 type trainingSample struct {
 	features []float64
 	target   float64
 }
 
-// ridgeRegression fits weights to samples, regularized by tuning.Ridge.
+// ridgeRegression returns the weights that fit the samples best, with L2 regularization of weight
+// tuning.RidgeWeight. It returns ErrSingular, ErrFitNotFinite, or an error of the linear solver.
 func ridgeRegression(samples []trainingSample) ([]float64, error) {
 	features := mat.NewDense(len(samples), featureWidth, nil)
 	targets := mat.NewVecDense(len(samples), nil)
@@ -50,12 +51,12 @@
 	return weights, nil
 }
 
-// rootMeanSquareError measures how far weights miss the samples' targets.
+// rootMeanSquareError returns the root mean square error of the weights' predictions for the samples.
 func rootMeanSquareError(weights []float64, samples []trainingSample) float64 {
 	sum := 0.0
 	for _, sample := range samples {
-		miss := dot(weights, sample.features) - sample.target
-		sum += miss * miss
+		residual := dot(weights, sample.features) - sample.target
+		sum += residual * residual
 	}
 	return math.Sqrt(sum / float64(len(samples)))
 }
--- a/internal/learner/reservoir.go
+++ b/internal/learner/reservoir.go
@@ -7,17 +7,17 @@
 	"sableusher/internal/tuning"
 )
 
-// connection is a weighted edge into a unit.
+// connection is a weighted connection into a unit.
 type connection struct {
-	from   int
+	from   int // index of the unit or of the input's entry that it comes from
 	weight float64
 }
 
-// reservoir is a fixed random recurrent layer (paper, section 4). It is seeded by a constant, so that a
-// readout that was saved fits it after a restart.
+// reservoir is a recurrent layer with fixed random weights (paper, section 4). Its seed must not change
+// between restarts: the saved weights of a readout belong to one reservoir.
 type reservoir struct {
-	recurrent [][]connection // by unit, from other units
-	input     [][]connection // by unit, from the input
+	recurrent [][]connection // connections from units, by target unit
+	input     [][]connection // connections from the input, by target unit
 }
 
 func newReservoir(seed uint64) *reservoir {
@@ -41,8 +41,9 @@
 		}
 		largestRowSum = max(largestRowSum, rowSum)
 	}
-	// A sigmoid's slope is at most 1/4: with row sums of at most 4 times the contraction, two states
-	// come closer at every step, so the initial state is forgotten.
+	// The slope of the sigmoid is at most 1/4. With row sums of at most 4*ReservoirContraction, the
+	// largest difference between two states under the same input shrinks by at least that factor in each
+	// step, so the influence of the initial state vanishes (echo state property).
 	for unit := range r.recurrent {
 		for i := range r.recurrent[unit] {
 			r.recurrent[unit][i].weight *= 4 * tuning.ReservoirContraction / largestRowSum
@@ -51,7 +52,7 @@
 	return r
 }
 
-// nextState returns the state that follows a state under an input; neither argument is changed.
+// nextState returns the state that follows state for an input. It doesn't modify its arguments.
 func (r *reservoir) nextState(state, input []float64) []float64 {
 	next := make([]float64, len(state))
 	for unit := range next {
--- a/internal/learner/runtime.go
+++ b/internal/learner/runtime.go
@@ -10,18 +10,19 @@
 	"sableusher/internal/tuning"
 )
 
-// RunTimeEstimates learns how long the tasks of a class run. Only runs that began afresh and completed
-// may be recorded: failures, refusals, resumed and cancelled tasks would shrink the median, so that
-// long jobs look short.
+// RunTimeEstimates estimates the run times of tasks by class. It is safe for concurrent use. Only runs that
+// started from the beginning and completed may be recorded: failed, refused, resumed and cancelled tasks
+// would lower the median, so that long jobs would be taken for short ones.
 type RunTimeEstimates struct {
-	mu             sync.Mutex           // guards what follows
-	runs           map[string][]float64 // seconds by class, newest last
-	estimateRatios map[string][]float64 // run time over its owner's estimate, by class, newest last
-	// The medians of both, kept until their list changes: they are read far more often.
+	mu             sync.Mutex           // guards the fields below
+	runs           map[string][]float64 // run times in seconds by class, newest last
+	estimateRatios map[string][]float64 // actual over estimated run time by class, newest last
+	// medianRun and medianRatio cache the medians of the lists until a list changes, because medians are
+	// read far more often than runs are recorded.
 	medianRun, medianRatio map[string]float64
 }
 
-// NewRunTimeEstimates returns estimates without any run.
+// NewRunTimeEstimates returns estimates without any recorded run.
 func NewRunTimeEstimates() *RunTimeEstimates {
 	return &RunTimeEstimates{
 		runs:           map[string][]float64{},
@@ -31,7 +32,9 @@
 	}
 }
 
-// RecordRun takes in a whole run, in seconds, and what its owner had estimated (0: nothing).
+// RecordRun records the run time of a complete run and its owner's estimate, 0 if there is none. It ignores
+// run times that are not positive or exceed tuning.MaxAmount, and new classes beyond
+// tuning.EstimateMaxClasses.
 func (e *RunTimeEstimates) RecordRun(class string, runSeconds, estimateSeconds float64) {
 	if math.IsNaN(runSeconds) || runSeconds <= 0 || runSeconds > tuning.MaxAmount {
 		return
@@ -57,18 +60,19 @@
 	return list
 }
 
-// cachedMedian returns the median of a class's list, computed if it is not known.
-func cachedMedian(known map[string]float64, class string, list []float64) float64 {
-	median, ok := known[class]
+// cachedMedian returns the median of a class's list. It computes and caches the median if it isn't cached.
+func cachedMedian(cache map[string]float64, class string, list []float64) float64 {
+	median, ok := cache[class]
 	if !ok {
 		median = stat.Quantile(0.5, stat.Empirical, slices.Sorted(slices.Values(list)), nil)
-		known[class] = median
+		cache[class] = median
 	}
 	return median
 }
 
-// ExpectedRunSeconds estimates a task's run time: the median of its class once enough runs were seen,
-// before that its owner's estimate, corrected by the class's bias.
+// ExpectedRunSeconds returns the expected run time of a task: the median of its class once
+// tuning.EstimateMinRuns runs have been recorded; before that, the owner's estimate, multiplied by the
+// class's median ratio of actual to estimated run time.
 func (e *RunTimeEstimates) ExpectedRunSeconds(class string, estimateSeconds float64) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -81,7 +85,7 @@
 	return estimateSeconds
 }
 
-// Save adds the newest runs to a checkpoint.
+// Save sets the newest run times and ratios of each class in a checkpoint.
 func (e *RunTimeEstimates) Save(checkpoint *Checkpoint) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,7 +93,7 @@
 	checkpoint.EstimateRatios = newestOfEach(e.estimateRatios)
 }
 
-// newestOfEach copies the end of each list, as much as a median needs.
+// newestOfEach returns copies of the last tuning.EstimateMinRuns entries of each list.
 func newestOfEach(lists map[string][]float64) map[string][]float64 {
 	newest := make(map[string][]float64, len(lists))
 	for class, list := range lists {
@@ -98,7 +102,7 @@
 	return newest
 }
 
-// Restore takes in the runs of a checkpoint; figures that make no sense are left out.
+// Restore records the run times and ratios of a checkpoint. It skips values that are out of range.
 func (e *RunTimeEstimates) Restore(checkpoint Checkpoint) {
 	for class, runs := range checkpoint.Runs {
 		for _, run := range runs {
--- a/internal/tuning/autoscaler.go
+++ b/internal/tuning/autoscaler.go
@@ -4,58 +4,66 @@
 
 // Autoscaler.
 const (
-	// AutoscalerInterval is the interval at which the fleet's size is reviewed.
+	// AutoscalerInterval is the interval at which the autoscaler compares the number of machines with the demand.
 	AutoscalerInterval = 500 * time.Millisecond
-	// ScaleOutOverrideAfter is how long work may wait before machines for it are rented whatever the learner
-	// prefers.
+	// ScaleOutOverrideAfter is how long work may wait before machines for it are rented regardless of the
+	// learner's choice. A gang that its team's limit holds back for longer blocks the team's later work, as
+	// narrower jobs would otherwise delay it indefinitely.
 	ScaleOutOverrideAfter = 30 * time.Second
-	// ArrivalWindow is the past over which arrivals are watched for the headroom.
+	// ArrivalWindow is the period of past job arrivals from which the headroom is computed.
 	ArrivalWindow = 3 * time.Minute
-	// HeadroomDeviations is how many standard deviations of the arrivals of one boot time the headroom covers.
+	// HeadroomDeviations is the number of standard deviations of the capacity that arrives within one boot time that
+	// the headroom covers.
 	HeadroomDeviations = 1.0
-	// RentalMaxMachines is the most machines one request may ask for.
+	// RentalMaxMachines is the largest number of machines in one rental request.
 	RentalMaxMachines = 50
-	// MachineNameMinBytes is the length that a machine's name is expected to have at least, and
-	// RentalRecordBaseBytes what a rental's record takes without names, with the longest type and zone.
+	// MachineNameMinBytes is the length in bytes that is assumed for machine names until a longer name is known.
+	// RentalRecordBaseBytes is the size of a rental's record without machine names, but with the longest machine
+	// type and zone. Both limit the number of machines of a rental, whose names must fit in its record.
 	MachineNameMinBytes   = 12
 	RentalRecordBaseBytes = 400
-	// RentalConcurrency is how many rental requests are on their way at once.
+	// RentalConcurrency is the largest number of concurrent rental requests.
 	RentalConcurrency = 4
-	// WholeMachineShare is the share of a machine above which a task needs one of its own.
+	// WholeMachineShare is the fraction of a machine above which a task counts as needing a whole machine.
 	WholeMachineShare = 0.5
-	// DemandMaxAge is the age past which the scheduler's demand is not acted on.
+	// DemandMaxAge is the age beyond which the autoscaler ignores the scheduler's computed demand.
 	DemandMaxAge = 2 * time.Second
-	// RentalRefusalBackoff is the pause after a type, zone and kind was refused; it doubles with further refusals
-	// in a row up to RentalRefusalBackoffMax, within which others' returns are noticed.
+	// RentalRefusalBackoff is how long a kind of machine (type, zone, spot or on demand) is not requested after a
+	// refusal. It doubles with each consecutive refusal, up to RentalRefusalBackoffMax. The maximum also bounds the
+	// time until the autoscaler notices machines that other users of the cloud have returned.
 	RentalRefusalBackoff    = 6 * time.Second
 	RentalRefusalBackoffMax = 12 * time.Second
-	// InsufficientCapacityHold is how long a kind that gave fewer machines than were asked for is believed to have
-	// less than a whole gang needs: some boot times, in which others return what they no longer use.
+	// InsufficientCapacityHold is how long the cloud is assumed to have too few machines of a kind for a whole gang,
+	// after it provided fewer than requested. It spans several boot times, in which other users of the cloud return
+	// machines that they no longer need.
 	InsufficientCapacityHold = time.Minute
-	// BootStuckFactor is how many nominal boot times a machine may take before it is replaced.
+	// BootStuckFactor is the number of nominal boot times after which a machine that has not come up is replaced.
 	BootStuckFactor = 3.5
-	// MinBootStuck is the least such wait.
+	// MinBootStuck is the shortest time after which a machine that has not come up is replaced.
 	MinBootStuck = 20 * time.Second
-	// CloudListInterval is the interval of machine listings.
+	// CloudListInterval is the interval at which the cloud's machines are listed.
 	CloudListInterval = 5 * time.Second
-	// CloudListMissesForDeleted is how many lists in a row must lack a machine that has long been there for it to
-	// count as gone.
-	CloudListMissesForDeleted = 3
-	// CloudTimeout bounds a call to the cloud.
+	// CloudListMissesBeforeDeletion is the number of consecutive listings without a machine after which the machine is
+	// deleted. Listings during the list lag after the machine's creation don't count.
+	CloudListMissesBeforeDeletion = 3
+	// CloudTimeout is the timeout of a call to the cloud.
 	CloudTimeout = 5 * time.Second
-	// CloudBudgetShare is the fraction of the cloud's rate that all nodes plan to use.
+	// CloudBudgetShare is the fraction of the cloud's allowed request rate that all nodes together use.
 	CloudBudgetShare = 0.85
-	// CloudLeaderShare is the leader's share of that; the others share the rest. At 0.6 of four calls a second each
-	// of four others had one in three seconds, while the leader's were refused.
+	// CloudLeaderShare is the leader's fraction of the rate that all nodes together use; the other nodes share the
+	// rest equally. At 0.6, with four calls per second allowed, each of four other nodes could make only one call in
+	// three seconds, while the leader's calls were refused.
 	CloudLeaderShare = 0.45
-	// CloudCallBurst is how many calls a node may make at once after a pause: one that can wait leaves one for what
-	// can't. The cloud allows bursts of two seconds' worth.
+	// CloudCallBurst is the number of calls that a node may make at once after a pause. A call that can wait is made
+	// only while the whole burst is available, so that one call is left for urgent requests. The cloud allows bursts
+	// of the calls of two seconds.
 	CloudCallBurst = 2
-	// CatalogInterval is the interval at which the catalog is read again.
+	// CatalogInterval is the interval at which the leader reads the catalog of machine types from the cloud.
 	CatalogInterval = 60 * time.Second
-	// ReturnMaxMachines is the most machines one return may name.
+	// ReturnMaxMachines is the largest number of machines in one return request.
 	ReturnMaxMachines = 100
 )
 
-// ScaleOutFractions are the sizes the learner chooses among, from the least to the most that the guards allow.
+// ScaleOutFractions are the fractions of the optional planned machines that the learner chooses from: 0 rents only
+// the required machines, 1 rents all planned machines.
 var ScaleOutFractions = [...]float64{0, 0.25, 0.5, 0.75, 1}
