--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -45,7 +45,7 @@
 
 	rentals          rentalTracker
 	lastScaleOut     time.Time            // end of the last requests for planned machines
-	unavailableZones []string             // zones whose machines could not send heartbeats to a controller
+	unavailableZones []string             // zones in which rented machines could not send heartbeats
 	idleSince        map[string]time.Time // by machine name
 	arrivals         map[string]arrival   // by job ID
 	listing          listingTracker
--- a/internal/autoscaler/cheapestkind.go
+++ b/internal/autoscaler/cheapestkind.go
@@ -48,8 +48,8 @@
 	return cheapest, found
 }
 
-// kindsToRent yields the kinds of a machine type that can be rented for a query, in the order of zones;
-// within a zone the spot kind comes first.
+// kindsToRent yields the kinds of a machine type that can be rented for a query, in the order of the type's
+// zones; within a zone the spot kind comes first.
 func (a *Autoscaler) kindsToRent(query *kindQuery, machineType string, zones []string) iter.Seq[machineKind] {
 	return func(yield func(machineKind) bool) {
 		for _, zone := range zones {
--- a/internal/autoscaler/gangzone.go
+++ b/internal/autoscaler/gangzone.go
@@ -18,8 +18,8 @@
 // first rule that applies decides:
 //   - If part of the gang fits in group.Zone and more machines can be rented there, machines are rented
 //     for the remaining tasks in that zone.
-//   - If some zone is not known to have fewer machines than a gang needs, machines are rented for the
-//     whole gang in that zone.
+//   - If some kind of machine is not known to be too scarce for a whole gang, machines are rented for the
+//     whole gang in the zone of the cheapest such kind, or in any zone if it is the cheapest kind of all.
 //   - If part of the gang fits in group.Zone and the zone is available, nothing is rented until the
 //     refusal of that zone expires.
 //   - Otherwise machines are rented for the remaining tasks in any zone.
--- a/internal/autoscaler/rental.go
+++ b/internal/autoscaler/rental.go
@@ -122,8 +122,8 @@
 }
 
 // requestMachines requests a rental's machines from the cloud and records their names in the rental's
-// record, or deletes the record if the cloud refused. It returns an error if the cloud gave no answer;
-// the rental then stays pending. The rental also stays pending if the answer can't be recorded: a
+// record, or deletes the record if the cloud provides none. It returns an error if the cloud gave no
+// answer; the rental then stays pending. The rental also stays pending if the answer can't be recorded: a
 // repeated request with the same name returns the same machines.
 func (a *Autoscaler) requestMachines(ctx context.Context, name string, rental clusterstate.Rental) error {
 	machines, err := a.cloud.Rent(ctx, wire.RentalRequest{
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -57,7 +57,7 @@
 	maps.DeleteFunc(a.idleSince, func(name string, _ time.Time) bool { return !isIdle[name] })
 }
 
-// scaleInPlan is the capacity that may still be drained, reduced with each drained machine.
+// scaleInPlan is the capacity that may still be drained; countDrained reduces it.
 type scaleInPlan struct {
 	autoscaler    *Autoscaler
 	now           time.Time
--- a/internal/tuning/learner.go
+++ b/internal/tuning/learner.go
@@ -54,9 +54,9 @@
 	UtilizationHalfLife = 10 * time.Minute
 	// ServiceRewardAfter is the run time after which the start of a service's task is rewarded.
 	ServiceRewardAfter = 60 * time.Second
-	// DeadlineSlackShare is the slack, as a fraction of the expected run time, below which a job is ordered by its
-	// deadline instead of its learned value.
+	// DeadlineSlackShare is the slack, as a fraction of the expected run time, below which a job's deadline takes
+	// precedence over its learned value.
 	DeadlineSlackShare = 0.5
-	// MinDeadlineSlack is the smallest slack below which a job is ordered by its deadline, for short run times.
+	// MinDeadlineSlack is the lower bound of that slack; it applies to jobs with short run times.
 	MinDeadlineSlack = 10 * time.Second
 )
