--- a/internal/tuning/federation.go
+++ b/internal/tuning/federation.go
@@ -2,41 +2,46 @@
 
 import "time"
 
-// Cells.
+// Limits and timing of the exchange of jobs between cells.
 const (
-	// MaxCells bounds the other cells of the operators' file, MaxCellNameBytes their names, in bytes.
-	MaxCells         = 64
+	// MaxCells is the maximum number of other cells in the operators' settings.
+	MaxCells = 64
+	// MaxCellNameBytes is the maximum length of a cell's name.
 	MaxCellNameBytes = 32
-	// CellExchangeInterval is the interval at which a leader exchanges messages with each other cell,
-	// CellExchangeTimeout how long that may take, CellTransfersPerMessage how many transfers one message is about:
-	// some 50 KiB.
-	CellExchangeInterval    = time.Second
-	CellExchangeTimeout     = 3 * time.Second
+	// CellExchangeInterval is the interval at which a leader exchanges messages with each other cell.
+	CellExchangeInterval = time.Second
+	// CellExchangeTimeout bounds one exchange with one cell.
+	CellExchangeTimeout = 3 * time.Second
+	// CellTransfersPerMessage is the maximum number of transfers that one message has requests for. Such a message
+	// is about 50 KiB long.
 	CellTransfersPerMessage = 48
-	// OffloadsPerReview bounds the jobs that one review offloads, OffloadMinWait is how long a job stays first:
-	// most start within it.
+	// OffloadsPerReview is the maximum number of jobs that one review of the waiting jobs offloads.
 	OffloadsPerReview = 16
-	OffloadMinWait    = 3 * time.Second
-	// DigestImageHolderDivisor is the reciprocal of the share of machines that must hold an image for it to count
-	// as held in a cell.
+	// OffloadMinWait is how long a job must have been ready to start before it may be offloaded. Most jobs start
+	// within this time.
+	OffloadMinWait = 3 * time.Second
+	// DigestImageHolderDivisor defines which images a digest lists: those that at least one in this many machines
+	// of the cell holds.
 	DigestImageHolderDivisor = 4
-	// CellSuspectedAfter is for how long a cell may not be heard before nothing new is offloaded to it: a few
-	// digests, and longer than a leader takes to be replaced.
+	// CellSuspectedAfter is how long a cell may be silent before no new jobs are offered to it. It spans a few
+	// digests and is longer than the replacement of a leader takes.
 	CellSuspectedAfter = 10 * time.Second
-	// CellLostAfter is for how long it may not be heard before what was about to be offloaded to it goes elsewhere:
-	// all controllers may have been restarted meanwhile.
+	// CellLostAfter is how long a cell may be silent before it counts as lost. It is long enough for the cell to
+	// restart all its controllers.
 	CellLostAfter = time.Minute
-	// CellProbation is how long a cell that returned is watched first.
+	// CellProbation is how long a cell that returned must stay reachable before jobs are offered to it. It doubles
+	// with each further return.
 	CellProbation = 30 * time.Second
-	// DigestMaxAge is how old a digest may be to be chosen by.
+	// DigestMaxAge is the age above which a digest is not used to choose a cell.
 	DigestMaxAge = 6 * time.Second
-	// DigestMaxShapes bounds the shapes of free capacity that a digest lists, of which each takes some 60 bytes.
+	// DigestMaxShapes is the maximum number of shapes of free capacity in a digest. Each takes about 60 bytes.
 	DigestMaxShapes = 24
-	// OffloadGainShare is how much sooner a job must be expected to start elsewhere, all costs counted, to be
-	// offloaded: a share of its wait here, and never less than MinOffloadGain.
+	// OffloadGainShare is the minimum gain of an offload, as a share of the job's expected wait in this cell: the
+	// job must be expected to start that much sooner in the other cell, all delays of the transfer included.
 	OffloadGainShare = 0.25
-	MinOffloadGain   = 5 * time.Second
-	// OffloadInFlightShare bounds the tasks that are offered to one cell and not yet answered, as a share of the
-	// capacity that its digest lists.
+	// MinOffloadGain is the minimum gain of an offload, however short the expected wait in this cell is.
+	MinOffloadGain = 5 * time.Second
+	// OffloadInFlightShare is the maximum share of a cell's free capacity, as listed in its digest, that offered
+	// tasks which the digest does not include yet may take.
 	OffloadInFlightShare = 0.5
 )
--- a/internal/zonehealth/doc.go
+++ b/internal/zonehealth/doc.go
@@ -1,26 +1,34 @@
-// Package zonehealth follows the health of each zone as one controller sees it: whether heartbeats
-// arrive from its machines, for how long they did not, and how the zone comes back.
+// Package zonehealth tracks the health of each zone as one controller observes it, by the share of
+// the zone's machines whose heartbeats arrive and by how long heartbeats have been missing.
 //
-// The package is one pure state machine: counted heartbeats and the time go in, states come out. It
-// owns no record and uses no clock and no network. A state is one controller's opinion and a hint
-// (safety invariant 15): it decides where work goes, in which order and at which pace, and never
-// whether a task has ended, which takes the proofs of invariant 4. Every state but serving ends by
-// itself or names what it waits for (invariant 25; Tracker.WaitingFor).
+// The package is a pure state machine: its input is heartbeat counts and the time, its output is the
+// state of each zone. It stores no records and uses no clock and no network. A state is the estimate
+// of one controller and only a hint (safety invariant 15). It decides where work is placed, and the
+// order and pace of deletions. It never proves that a task has ended; that takes the proofs of
+// invariant 4. Every state other than serving ends after a bounded time or names the event that it
+// waits for (invariant 25; Tracker.WaitingFor).
 //
-// The states' names are those of the metric label, the log and the operators' pages:
+// The names below are the values of the metric label and appear in the log and in the operators'
+// documentation. Heartbeats are counted over one heartbeat interval:
 //
-//	state      from        when
-//	serving    (first)     until something is wrong
-//	doubted    serving     heartbeats came from fewer than half of the machines within one
-//	                       heartbeat interval, but from more than a quarter
-//	cut        any         heartbeats came from fewer than a quarter: the links are down, or the
-//	                       zone is
-//	lost       cut         the leases of its agents must have expired, or, where a controller in
-//	                       the zone renews them, for as long as is worth waiting for
-//	returning  cut, lost   heartbeats arrive again: until its probation is over
-//	serving    doubted     heartbeats came from at least half
-//	           returning   heartbeats came from at least half and the probation is over
+//	state      entered from       when
+//	serving    (initial state)
+//	           doubted            heartbeats arrived from at least half of the machines
+//	           returning          heartbeats arrived from at least half of the machines and the
+//	                              probation is over
+//	doubted    serving            heartbeats arrived from at least a quarter of the machines, but
+//	                              from fewer than half
+//	cut        serving, doubted,  heartbeats arrived from fewer than a quarter of the machines:
+//	           returning          the links to the zone or the zone itself failed
+//	lost       cut                the zone has been cut for the duration of an agent's lease, or,
+//	                              where a controller in the zone renews the leases, for
+//	                              tuning.PartitionedZoneControllerGrace
+//	returning  cut, lost          heartbeats arrive again from at least a quarter of the machines,
+//	                              or a lost zone has no machines left
 //
-// A zone that returns again and again is on probation for longer each time, up to a bound; it is
-// forgiven one return for each tuning.ZoneProbationForgiveAfter that it then serves without a break.
+// A zone with fewer than tuning.PartitionMinMachines expected machines never becomes doubted or cut.
+//
+// Each further return of a flapping zone doubles its probation, up to a bound. One return is
+// forgiven (no longer counted) for each tuning.ZoneProbationForgiveAfter that the zone then serves
+// without interruption.
 package zonehealth
--- a/internal/zonehealth/history.go
+++ b/internal/zonehealth/history.go
@@ -6,26 +6,27 @@
 	"sableusher/internal/tuning"
 )
 
-// Timing holds the times of a deployment that the states depend on.
+// Timing holds the durations of a deployment that the transitions depend on.
 type Timing struct {
-	// LeaseDuration is how long the tasks of a machine without contact run on.
+	// LeaseDuration is how long an agent keeps its tasks running without contact to a controller.
 	LeaseDuration time.Duration
-	// ReconnectTime is how long the agents of a zone that returns need to find a controller.
+	// ReconnectTime is how long the agents of a returning zone need to connect to a controller.
 	ReconnectTime time.Duration
 }
 
-// history is the state of one zone and what of its past decides the next one.
+// history is the state of one zone and the part of its past that decides its next transitions.
 type history struct {
 	state             State
 	stateSince        time.Time
-	unforgivenReturns int
-	servingSince      time.Time // moved forward by each return that was forgiven
+	unforgivenReturns int       // returns that still lengthen the probation
+	servingSince      time.Time // moved forward by tuning.ZoneProbationForgiveAfter per forgiven return
 }
 
-// advance makes the zone's next transition, if any; the package comment has the table.
+// advance makes the zone's next transition, if one is due. The package comment lists the
+// transitions.
 func (h *history) advance(now time.Time, count HeartbeatCount, timing *Timing) {
 	switch h.state {
-	case Serving, Doubted, Returning:
+	case Serving, Suspected, Returning:
 		h.advanceConnected(now, count, timing)
 	case Cut, Lost:
 		h.advanceDisconnected(now, count, timing)
@@ -35,26 +36,26 @@
 	}
 }
 
-// advanceConnected makes the transitions of a zone from which heartbeats arrive.
+// advanceConnected makes the transitions of a zone that is neither cut off nor lost.
 func (h *history) advanceConnected(now time.Time, count HeartbeatCount, timing *Timing) {
-	isDoubtful := count.isBelow(tuning.ZoneSuspectedHeardShare)
+	isSuspected := count.isBelow(tuning.ZoneSuspectedHeardShare)
 	switch {
 	case count.isBelow(tuning.PartitionHeardShare):
 		h.enter(Cut, now)
 	case h.state == Returning:
-		if !isDoubtful && now.Sub(h.stateSince) >= h.probation(timing) {
+		if !isSuspected && now.Sub(h.stateSince) >= h.probation(timing) {
 			h.servingSince = now
 			h.enter(Serving, now)
 		}
-	case h.state == Serving && isDoubtful:
-		h.enter(Doubted, now)
-	case h.state == Doubted && !isDoubtful:
+	case h.state == Serving && isSuspected:
+		h.enter(Suspected, now)
+	case h.state == Suspected && !isSuspected:
 		h.enter(Serving, now)
 	}
 }
 
-// advanceDisconnected makes the transitions of a zone that is cut off or lost. A lost zone of which
-// every machine has been given up returns as well: what is rented there next is observed afresh.
+// advanceDisconnected makes the transitions of a zone that is cut off or lost. A lost zone returns
+// also when all its machines have been deleted, so that new machines can be rented there.
 func (h *history) advanceDisconnected(now time.Time, count HeartbeatCount, timing *Timing) {
 	isEmptied := h.state == Lost && count.Expected == 0
 	switch {
@@ -66,7 +67,7 @@
 	}
 }
 
-// forgive takes one return back once the zone has served for long enough.
+// forgive removes one return from the count if the zone has served for long enough.
 func (h *history) forgive(now time.Time) {
 	if h.unforgivenReturns > 0 && now.Sub(h.servingSince) >= tuning.ZoneProbationForgiveAfter {
 		h.unforgivenReturns--
@@ -78,14 +79,14 @@
 	h.state, h.stateSince = state, now
 }
 
-// probation is how long a zone must return before it serves: the time in which its agents
-// reconnect, doubled for each earlier return that is not forgiven.
+// probation returns how long a zone stays in the state Returning before it serves: the time that its
+// agents need to reconnect, doubled for each earlier return that is not forgiven.
 func (h *history) probation(timing *Timing) time.Duration {
 	return timing.ReconnectTime << max(h.unforgivenReturns-1, 0)
 }
 
-// gracePeriod is how long a zone may be cut off before it is lost: while its tasks run on. Without
-// a controller in the zone that is one lease.
+// gracePeriod returns how long a zone may be cut off before it is lost. Without a controller in the
+// zone, which would renew the leases, its tasks keep running for the duration of one lease.
 func gracePeriod(count HeartbeatCount, timing *Timing) time.Duration {
 	if count.ControllerInZone {
 		return tuning.PartitionedZoneControllerGrace
--- a/internal/zonehealth/roster.go
+++ b/internal/zonehealth/roster.go
@@ -1,22 +1,22 @@
 package zonehealth
 
-// Roster is the agent session of each machine in a zone, by the machine's name.
+// Roster maps the name of each machine in a zone to the session of its agent.
 type Roster map[string]uint64
 
-// ReturnSummary counts what became of a zone's machines while it was cut off.
+// ReturnSummary counts the machines of a zone by what happened to them while the zone was cut off.
 type ReturnSummary struct {
-	// Continued is the number of machines with the same session: their tasks live on.
+	// Continued is the number of machines with the same session: their tasks kept running.
 	Continued int
-	// Restarted is the number of machines with a newer session: their tasks ended with their lease
-	// or with the machine's power.
+	// Restarted is the number of machines with a newer session: their tasks ended when the lease
+	// expired or when the machine restarted.
 	Restarted int
-	// Deleted is the number of machines that were given up meanwhile, here or by the cloud.
+	// Deleted is the number of machines that were deleted by this deployment or by the cloud.
 	Deleted int
-	// Added is the number of machines that were not there before.
+	// Added is the number of machines that were not in the zone before.
 	Added int
 }
 
-// CompareAfterReturn compares the roster of a zone that was cut off with its present one.
+// CompareAfterReturn compares the roster from before the zone was cut off with its present roster.
 func (r Roster) CompareAfterReturn(present Roster) ReturnSummary {
 	summary := ReturnSummary{Added: len(present)}
 	for machine, session := range r {
--- a/internal/zonehealth/state.go
+++ b/internal/zonehealth/state.go
@@ -2,27 +2,27 @@
 
 import "fmt"
 
-// State is the health of a zone as one controller sees it.
+// State is the health of a zone as one controller observes it.
 type State int
 
-// The states, in the order in which a loss passes through them.
+// The states, in the order in which a zone passes through them during an outage.
 const (
-	Serving State = iota
-	Doubted
-	Cut
-	Lost
-	Returning
+	Serving   State = iota // no known problem
+	Suspected              // heartbeats are missing from more than half of the machines
+	Cut                    // heartbeats are missing from more than three quarters of the machines
+	Lost                   // cut off for longer than its grace period
+	Returning              // heartbeats arrive again; the zone is on probation
 )
 
 // States lists all states.
-var States = []State{Serving, Doubted, Cut, Lost, Returning}
+var States = []State{Serving, Suspected, Cut, Lost, Returning}
 
-// String returns the state's name in logs, metric labels and the operators' pages.
+// String returns the state's name as used in logs, metric labels and the operators' documentation.
 func (s State) String() string {
 	switch s {
 	case Serving:
 		return "serving"
-	case Doubted:
+	case Suspected:
 		return "doubted"
 	case Cut:
 		return "cut"
--- a/internal/zonehealth/tracker.go
+++ b/internal/zonehealth/tracker.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Tracker follows all zones of a deployment. The zero value with Timing set is ready for use; it is
-// not safe for concurrent use.
+// Tracker tracks the states of all zones of a deployment. A Tracker with Timing set is ready for
+// use. It is not safe for concurrent use.
 type Tracker struct {
 	Timing    Timing
 	histories map[string]*history // by zone
@@ -21,13 +21,14 @@
 	To   State
 	// TimeInFormerState is how long the zone was in the state From.
 	TimeInFormerState time.Duration
-	// WaitingFor says what the new state waits for; empty if it waits for nothing.
+	// WaitingFor describes what the new state waits for. It is empty for Serving.
 	WaitingFor string
 }
 
-// Observe takes in the heartbeats of the zones at a time and returns the transitions, ordered by
-// zone. In a zone without a count only time passes: one whose machines are all deleted is lost in
-// the end, and serves again when heartbeats arrive from there.
+// Observe applies the heartbeat counts of the zones at the time now and returns the transitions,
+// ordered by zone. A known zone without a count is treated as one with no expected machines, so only
+// time-based transitions apply: one that was cut off when its machines were deleted becomes lost,
+// then returning, and then serves again.
 func (t *Tracker) Observe(now time.Time, counts map[string]HeartbeatCount) []Transition {
 	if t.histories == nil {
 		t.histories = map[string]*history{}
@@ -56,7 +57,7 @@
 	return transitions
 }
 
-// history returns a zone's history; an unknown zone has the zero one.
+// history returns a zone's history. It returns a new, empty one for an unknown zone.
 func (t *Tracker) history(zone string) *history {
 	if h := t.histories[zone]; h != nil {
 		return h
@@ -64,10 +65,11 @@
 	return &history{}
 }
 
-// State returns a zone's state; an unknown zone is serving.
+// State returns a zone's state. It returns Serving for an unknown zone.
 func (t *Tracker) State(zone string) State { return t.history(zone).state }
 
-// Unavailable reports whether a zone is cut off or lost: nothing is placed or rented there.
+// Unavailable reports whether a zone is cut off or lost. No tasks are placed and no machines are
+// rented in such a zone.
 func (t *Tracker) Unavailable(zone string) bool {
 	state := t.State(zone)
 	return state == Cut || state == Lost
@@ -85,15 +87,16 @@
 	return zones
 }
 
-// ServedSince reports whether a zone has been serving without a break since before a time.
+// ServedSince reports whether a zone has been serving without interruption since before a time.
 func (t *Tracker) ServedSince(zone string, since time.Time) bool {
 	h := t.history(zone)
 	return h.state == Serving && h.stateSince.Before(since)
 }
 
-// Trusted reports whether work that must not be lost again soon may be placed in a zone. It may not
-// in one that is unavailable or has returned more than once lately; a zone's first return is
-// trusted, since its tasks live on and its capacity is needed.
+// Trusted reports whether work that must not be interrupted again soon may be placed in a zone. It
+// is false for a zone that is unavailable, and for one that is returning and has returned before
+// without being forgiven. A zone on its first return is trusted, since its tasks may still run and
+// its capacity is needed.
 func (t *Tracker) Trusted(zone string) bool {
 	h := t.history(zone)
 	returnsRepeatedly := h.state == Returning && h.unforgivenReturns > 1
@@ -101,8 +104,8 @@
 }
 
 // ReturningSince returns when heartbeats began to arrive again from a returning zone, and the zero
-// time for a zone in another state. The silence of its machines counts from then on, as they
-// reconnect one by one.
+// time for a zone in another state. The silence of the zone's machines is measured from that time,
+// as they reconnect one by one.
 func (t *Tracker) ReturningSince(zone string) time.Time {
 	if h := t.history(zone); h.state == Returning {
 		return h.stateSince
@@ -110,17 +113,17 @@
 	return time.Time{}
 }
 
-// WaitingFor says what a zone that is not serving waits for, and until when at the latest. It is
-// empty for a serving zone.
+// WaitingFor describes what a zone that is not serving waits for, and how long at most if that is
+// bounded. It returns "" for a serving zone.
 func (t *Tracker) WaitingFor(now time.Time, zone string) string {
 	h := t.history(zone)
 	switch h.state {
-	case Doubted:
+	case Suspected:
 		return "heartbeats from half of its machines, or from fewer than a quarter"
 	case Cut:
-		return "heartbeats; its machines are given up as their leases expire"
+		return "heartbeats; its machines are deleted as their leases expire"
 	case Lost:
-		return "heartbeats, or the return of all its machines to the cloud"
+		return "heartbeats, or the deletion of all its machines"
 	case Returning:
 		left := max(h.stateSince.Add(h.probation(&t.Timing)).Sub(now), 0)
 		return fmt.Sprintf("the end of its probation in %v", left.Round(time.Second))
--- a/internal/zonehealth/tracker_test.go
+++ b/internal/zonehealth/tracker_test.go
@@ -10,10 +10,10 @@
 	"sableusher/internal/tuning"
 )
 
-// transitions is the table of the package comment.
+// transitions lists the permitted transitions, as in the table of the package comment.
 var transitions = map[State][]State{
-	Serving:   {Doubted, Cut},
-	Doubted:   {Serving, Cut},
+	Serving:   {Suspected, Cut},
+	Suspected: {Serving, Cut},
 	Cut:       {Lost, Returning},
 	Lost:      {Returning},
 	Returning: {Serving, Cut},
@@ -33,21 +33,21 @@
 	}
 }
 
-// transitionModel follows what a tracker says of its transitions.
+// transitionModel holds the state of each zone as derived from the reported transitions.
 type transitionModel struct {
 	since  map[string]time.Time
 	states map[string]State
 }
 
-// apply checks a transition against the table and the one before it.
+// apply checks a transition against the table and against the previous transition of the zone.
 func (m *transitionModel) apply(t *rapid.T, now time.Time, change Transition) {
 	former := m.states[change.Zone]
 	if !slices.Contains(transitions[change.From], change.To) || change.From != former ||
 		change.TimeInFormerState != now.Sub(m.since[change.Zone]) {
-		t.Fatalf("%+v from %v since %v", change, former, m.since[change.Zone])
+		t.Fatalf("invalid transition %+v of a zone that is %v since %v", change, former, m.since[change.Zone])
 	}
 	if (change.WaitingFor == "") != (change.To == Serving) {
-		t.Fatalf("%+v", change)
+		t.Fatalf("WaitingFor must be empty for serving alone: %+v", change)
 	}
 	m.states[change.Zone], m.since[change.Zone] = change.To, now
 }
@@ -55,19 +55,20 @@
 // checkZone checks a zone's state against the model and against the heartbeats just counted.
 func (m *transitionModel) checkZone(t *rapid.T, tracker *Tracker, zone string, count HeartbeatCount) {
 	if tracker.State(zone) != m.states[zone] {
-		t.Fatalf("%s is %v, its transitions lead to %v", zone, tracker.State(zone), m.states[zone])
+		t.Fatalf("%s is %v, the transitions reported so far lead to %v", zone, tracker.State(zone), m.states[zone])
 	}
 	if tracker.Unavailable(zone) && count.hasRecovered() {
-		t.Fatalf("%s is unavailable with %+v", zone, count)
+		t.Fatalf("%s is unavailable at the heartbeat count %+v", zone, count)
 	}
 	if !tracker.Unavailable(zone) && count.isBelow(tuning.PartitionHeardShare) {
-		t.Fatalf("%s is used with %+v", zone, count)
+		t.Fatalf("%s is available at the heartbeat count %+v", zone, count)
 	}
 }
 
-// TestTransitionsFollowTheTable: over any history of two zones each transition is one of the table,
-// is returned once with the time in the former state, and says what the new state waits for; a
-// zone never depends on the other; one is unavailable only while hardly any heartbeat arrives.
+// TestTransitionsFollowTheTable observes random heartbeat counts of two zones. Each transition must
+// be in the table, be returned once with the time spent in the former state, and describe what the
+// new state waits for. The state of one zone must not depend on the other, and a zone must be
+// unavailable only while heartbeats are missing from most of its machines.
 func TestTransitionsFollowTheTable(t *testing.T) {
 	zones := []string{"east", "west"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -103,15 +104,15 @@
 			available := func(zone string) bool { return !both.Unavailable(zone) }
 			unavailable := slices.DeleteFunc(slices.Clone(zones), available)
 			if !slices.Equal(both.UnavailableZones(), unavailable) {
-				t.Fatalf("%v unavailable", both.UnavailableZones())
+				t.Fatalf("UnavailableZones returns %v, want %v", both.UnavailableZones(), unavailable)
 			}
 		}
 	})
 }
 
-// TestEveryStateEnds: from wherever a history has led, a zone whose heartbeats arrive serves within
-// its longest probation, a silent one is lost within its grace period, and one whose machines are
-// all deleted serves again after both.
+// TestEveryStateEnds checks that no state lasts forever, whatever a zone went through before. A zone
+// whose heartbeats all arrive must serve within the longest probation, a silent zone must be lost
+// within its grace period, and a zone whose machines are all deleted must serve after both.
 func TestEveryStateEnds(t *testing.T) {
 	longestProbation := testTiming.ReconnectTime << (tuning.ZoneProbationMaxDoublings - 1)
 	for name, c := range map[string]struct {
@@ -119,8 +120,8 @@
 		within time.Duration
 		want   State
 	}{
-		"heard":  {HeartbeatCount{Expected: 10, Received: 10}, longestProbation, Serving},
-		"silent": {HeartbeatCount{Expected: 10}, testTiming.LeaseDuration, Lost},
+		"reporting": {HeartbeatCount{Expected: 10, Received: 10}, longestProbation, Serving},
+		"silent":    {HeartbeatCount{Expected: 10}, testTiming.LeaseDuration, Lost},
 		"controller in zone": {
 			HeartbeatCount{Expected: 10, ControllerInZone: true},
 			max(testTiming.LeaseDuration, tuning.PartitionedZoneControllerGrace), Lost,
@@ -138,14 +139,14 @@
 					tracker.Observe(now, map[string]HeartbeatCount{"east": c.count})
 				}
 				if got := tracker.State("east"); got != c.want {
-					t.Fatalf("%v, not %v: waits for %s", got, c.want, tracker.WaitingFor(now, "east"))
+					t.Fatalf("state is %v, want %v; it waits for %s", got, c.want, tracker.WaitingFor(now, "east"))
 				}
 			})
 		})
 	}
 }
 
-// flappingZone is a zone that is observed every second while its heartbeats come and go.
+// flappingZone is a zone whose heartbeats stop and resume, and which is observed every second.
 type flappingZone struct {
 	tracker Tracker
 	now     time.Time
@@ -158,12 +159,12 @@
 	}
 }
 
-// loseAndReturn loses the zone, lets it return and measures its probation.
+// loseAndReturn stops the heartbeats, resumes them and returns how long the zone is on probation.
 func (z *flappingZone) loseAndReturn(t *testing.T) time.Duration {
 	z.observe(0, 10*time.Second)
 	isReturning := z.tracker.ReturningSince("east") != (time.Time{})
 	if !z.tracker.Unavailable("east") || z.tracker.Trusted("east") || isReturning {
-		t.Fatalf("%v after 10 s of silence", z.tracker.State("east"))
+		t.Fatalf("zone is %v after 10 s of silence", z.tracker.State("east"))
 	}
 	from := z.now
 	z.observe(10, time.Second)
@@ -173,9 +174,10 @@
 	return z.now.Sub(from)
 }
 
-// TestFlappingIsDamped: the probation of a zone that comes and goes is at least as long as the one
-// before and no longer than the bound; from the second return on the zone is not trusted until it
-// serves; and each ProbationForgive of service takes one return back.
+// TestFlappingIsDamped checks the probation of a zone that flaps. Each probation must be at least as
+// long as the previous one and no longer than the bound. From the second return on, the zone must
+// not be trusted until it serves. After it has served for long enough, all returns are forgiven and
+// the probation has its original length.
 func TestFlappingIsDamped(t *testing.T) {
 	zone := &flappingZone{tracker: Tracker{Timing: testTiming}, now: testStart}
 	longestProbation := testTiming.ReconnectTime << (tuning.ZoneProbationMaxDoublings - 1)
@@ -186,22 +188,22 @@
 		zone.observe(10, time.Second)
 		trusted := zone.tracker.Trusted("east")
 		if trusted != (i == 0) || zone.tracker.ReturningSince("east").IsZero() {
-			t.Fatalf("return %d: trusted is %v", i+1, trusted)
+			t.Fatalf("return %d: Trusted is %v, or the zone is not returning", i+1, trusted)
 		}
 		probation := zone.loseAndReturn(t)
 		if probation < former || probation > longestProbation+2*time.Second {
-			t.Fatalf("return %d is on probation for %v, the one before for %v", i+1, probation, former)
+			t.Fatalf("return %d: probation of %v, the previous one took %v", i+1, probation, former)
 		}
 		former = probation
 	}
 	zone.observe(10, tuning.ZoneProbationMaxDoublings*tuning.ZoneProbationForgiveAfter)
 	if probation := zone.loseAndReturn(t); probation > testTiming.ReconnectTime+2*time.Second {
-		t.Fatalf("forgiven, and on probation for %v", probation)
+		t.Fatalf("probation of %v after all returns were forgiven", probation)
 	}
 }
 
-// TestReturnsAreForgivenOneByOne: while a zone serves, each ProbationForgive takes one of its
-// returns back and no more.
+// TestReturnsAreForgivenOneByOne checks that each tuning.ZoneProbationForgiveAfter that a zone
+// serves forgives exactly one of its returns.
 func TestReturnsAreForgivenOneByOne(t *testing.T) {
 	zone := &flappingZone{tracker: Tracker{Timing: testTiming}, now: testStart}
 	zone.observe(10, time.Second)
@@ -211,11 +213,11 @@
 	history := zone.tracker.history("east")
 	for want := tuning.ZoneProbationMaxDoublings; want > 0; want-- {
 		if history.state != Serving || history.unforgivenReturns != want {
-			t.Fatalf("%v with %d returns, want %d", history.state, history.unforgivenReturns, want)
+			t.Fatalf("zone is %v with %d returns, want serving with %d", history.state, history.unforgivenReturns, want)
 		}
 		zone.observe(10, tuning.ZoneProbationForgiveAfter)
 	}
 	if history.unforgivenReturns != 0 {
-		t.Fatalf("%d returns are not forgiven", history.unforgivenReturns)
+		t.Fatalf("%d returns are still not forgiven", history.unforgivenReturns)
 	}
 }
