--- a/internal/evacuation/doc.go
+++ b/internal/evacuation/doc.go
@@ -1,20 +1,24 @@
-// Package evacuation plans in which order lost machines are given up.
+// Package evacuation plans the order in which lost machines are deleted.
 //
-// A machine is given up whole, and only then can its tasks start elsewhere. Deletions are paced and
-// capacity may be short, so the order decides who notices the loss. A plan is a list of Steps that
-// can be printed: the tests, the log and the driver read the same value.
+// The tasks of a lost machine can start elsewhere only after the whole machine has been deleted.
+// Deletions are rate-limited and capacity may be short, so the order decides which jobs are
+// interrupted for longest. A plan is a printable list of Steps, which the tests, the log and the
+// failure detector all use.
 //
-// The package is pure and keeps no state: a plan is made anew from what is known each time it is
-// needed, so that it follows every change. It deletes nothing itself and never says that a task has
-// ended (safety invariants 4 and 15): a task leaves its machine by the cloud's deletion, whatever
-// the order.
+// The package is pure and keeps no state. A plan is computed from the current records whenever it is
+// needed, so that it reflects every change. The package deletes no machines and never declares that
+// a task has ended (safety invariants 4 and 15). Whatever the order, a task leaves its machine only
+// through the machine's deletion by the cloud.
 //
-// The order:
+// Machines are ordered by the first of these groups that applies to them:
 //
-//	services  the machine with a replica of the service that has the fewest left, counting what
-//	          the steps before restore: one replica of each service before the second of any
-//	gangs     gang by gang, as one can start again only once all its machines are given up: the
-//	          higher priority first, then the one on fewer machines, then the one with more tasks
-//	arrays    by priority, then by the number of tasks on the machine
-//	nothing   machines without tasks, last
+//	services  machines with replicas of services. The machine whose service has the fewest replicas
+//	          left comes first. Replicas that earlier steps restore are counted as left, so one
+//	          replica of each service is restored before the second of any.
+//	gangs     machines with tasks of gangs, ordered gang by gang, as a gang can start again only
+//	          after all its machines are deleted. The order of gangs is: higher priority, fewer
+//	          machines, more tasks.
+//	arrays    machines with other tasks, ordered by priority and then by the number of tasks, the
+//	          most first
+//	nothing   machines without tasks
 package evacuation
--- a/internal/evacuation/gangs.go
+++ b/internal/evacuation/gangs.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// appendGangs appends the steps for machines with tasks of gangs, gang by gang.
+// appendGangs appends the steps for machines with tasks of gangs, gang by gang. A machine with tasks
+// of several gangs is planned with the first of them.
 func appendGangs(steps []Step, machines []*Machine) []Step {
 	gangs := collectGangs(machines)
 	slices.SortFunc(gangs, compareGangs)
@@ -22,7 +23,7 @@
 	return steps
 }
 
-// lostGang is a gang together with the lost machines that its tasks are on.
+// lostGang is a gang and the lost machines that run its tasks.
 type lostGang struct {
 	jobID        string
 	priorityRank int
@@ -51,7 +52,8 @@
 	return gangs
 }
 
-// addTask counts a task; the tasks of one machine are added one after the other.
+// addTask counts a task on a machine. The tasks of one machine must be added consecutively, so that
+// the machine is listed once.
 func (g *lostGang) addTask(machine *Machine) {
 	g.tasks++
 	if count := len(g.machines); count == 0 || g.machines[count-1] != machine {
--- a/internal/evacuation/plan.go
+++ b/internal/evacuation/plan.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// Plan returns one step for each machine, in the order in which they are given up. The order of
-// machines and the order of their tasks do not matter. It costs n log n for n tasks.
+// Plan returns one step for each machine, in the order in which the machines should be deleted. The
+// result does not depend on the order of machines or of their tasks. The time is O(n log n) for n
+// tasks.
 func Plan(machines []Machine) []Step {
 	remaining := make([]*Machine, 0, len(machines))
 	for i := range machines {
@@ -18,7 +19,7 @@
 	return appendRemaining(steps, remaining)
 }
 
-// partition separates the machines that have a task of a kind from the others.
+// partition separates the machines that have a task of the given kind from the others.
 func partition(machines []*Machine, kind WorkloadKind) (having, others []*Machine) {
 	for _, machine := range machines {
 		if slices.ContainsFunc(machine.Tasks, func(task Task) bool { return task.Kind == kind }) {
--- a/internal/evacuation/plan_test.go
+++ b/internal/evacuation/plan_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawLostMachines draws machines with tasks; a job's kind, rank and replicas follow from its
-// number.
+// drawLostMachines draws machines with tasks. The number in a job's ID determines the job's kind and
+// priority rank.
 func drawLostMachines(t *rapid.T) []Machine {
 	var machines []Machine
 	lostTasks := map[string]int{}
@@ -35,11 +35,11 @@
 	return machines
 }
 
-// planChecker follows a plan step by step.
+// planChecker checks a plan step by step.
 type planChecker struct {
 	pending      map[string]Machine // by name
 	replicasLeft map[string]int     // by service
-	gangs        []string           // jobs, in the order in which they were restored
+	gangs        []string           // job IDs, in the order of their first step
 }
 
 func newPlanChecker(machines []Machine) *planChecker {
@@ -66,28 +66,29 @@
 	}
 }
 
-// checkService checks that no pending service has fewer replicas left than the one of the step.
+// checkService checks the step's count of replicas left, and that no pending service has fewer left
+// than the service of the step.
 func (c *planChecker) checkService(t *rapid.T, step Step, machine Machine) {
 	if left := c.replicasLeft[step.JobID]; left != step.ReplicasLeft {
-		t.Fatalf("%s has %d left, not %d", step.JobID, left, step.ReplicasLeft)
+		t.Fatalf("%s has %d replicas left, the step says %d", step.JobID, left, step.ReplicasLeft)
 	}
 	for _, other := range c.pending {
 		for _, task := range other.Tasks {
 			if left := c.replicasLeft[task.JobID]; task.Kind == Service && left < step.ReplicasLeft {
-				t.Fatalf("%s with %d left waits behind %s with %d", task.JobID, left, step.JobID, step.ReplicasLeft)
+				t.Fatalf("%s with %d left is planned after %s with %d", task.JobID, left, step.JobID, step.ReplicasLeft)
 			}
 		}
 	}
 	c.addReplicas(machine, 1)
 }
 
-// checkGang checks that a gang's machines stand together.
+// checkGang checks that the steps of a gang are consecutive.
 func (c *planChecker) checkGang(t *rapid.T, step Step) {
 	if count := len(c.gangs); count > 0 && c.gangs[count-1] == step.JobID {
 		return
 	}
 	if slices.Contains(c.gangs, step.JobID) {
-		t.Fatalf("%s is split: %v", step.JobID, c.gangs)
+		t.Fatalf("the steps of %s are not consecutive: %v", step.JobID, c.gangs)
 	}
 	c.gangs = append(c.gangs, step.JobID)
 }
@@ -100,7 +101,7 @@
 		}
 		delete(c.pending, step.Machine)
 		if i > 0 && step.Kind < steps[i-1].Kind {
-			t.Fatalf("%v after %v", step.Kind, steps[i-1].Kind)
+			t.Fatalf("a step for %v comes after one for %v", step.Kind, steps[i-1].Kind)
 		}
 		switch step.Kind {
 		case Service:
@@ -110,14 +111,14 @@
 		}
 	}
 	if len(c.pending) > 0 {
-		t.Fatalf("left out: %v", c.pending)
+		t.Fatalf("machines without a step: %v", c.pending)
 	}
 	if !slices.IsSortedFunc(c.gangs, func(a, b string) int { return rankOf(t, a) - rankOf(t, b) }) {
-		t.Fatalf("gangs in the order %v", c.gangs)
+		t.Fatalf("gangs are not ordered by priority: %v", c.gangs)
 	}
 }
 
-// rankOf returns the priority rank that drawLostMachines gives to a job.
+// rankOf returns the priority rank that drawLostMachines assigns to a job.
 func rankOf(t *rapid.T, jobID string) int {
 	number := 0
 	if _, err := fmt.Sscanf(jobID, "run-%d", &number); err != nil {
@@ -126,9 +127,10 @@
 	return number % 2
 }
 
-// TestPlan: a plan has every machine once, services before gangs before arrays before nothing; at
-// each step no pending service has fewer replicas than the one that is restored; a gang's machines
-// stand together, higher priorities first; and the plan does not depend on the machines' order.
+// TestPlan checks plans for random machines. A plan must contain every machine once, ordered by
+// kind. At each step no pending service may have fewer replicas left than the service of the step.
+// The steps of a gang must be consecutive, with gangs of higher priority first. The plan must not
+// depend on the order of the machines.
 func TestPlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines := drawLostMachines(t)
@@ -137,14 +139,15 @@
 		rnd := rand.New(rand.NewPCG(1, uint64(len(shuffled))))
 		rnd.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
 		if other := Plan(shuffled); !slices.Equal(other, steps) {
-			t.Fatalf("%v, from another order of machines %v", steps, other)
+			t.Fatalf("the plan is %v, for the machines in their original order %v", steps, other)
 		}
 		newPlanChecker(machines).check(t, steps)
 	})
 }
 
-// TestPlanRestoresOneReplicaOfEachServiceFirst: of two services without a replica each has one
-// before either has its second, and both before one that has three.
+// TestPlanRestoresOneReplicaOfEachServiceFirst checks that two services that have lost both their
+// replicas get one replica each before either gets its second, and that both come before a service
+// with three replicas left.
 func TestPlanRestoresOneReplicaOfEachServiceFirst(t *testing.T) {
 	replicaOf := func(jobID string, placed int) []Task {
 		return []Task{{JobID: jobID, Kind: Service, PlacedReplicas: placed}}
@@ -161,11 +164,11 @@
 		got = append(got, step.Machine)
 	}
 	if want := []string{"a", "c", "b", "d", "e"}; !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("order of machines is %v, want %v", got, want)
 	}
 }
 
-// BenchmarkPlan plans the loss of a quarter of the machines.
+// BenchmarkPlan measures a plan for the loss of a quarter of the machines.
 func BenchmarkPlan(b *testing.B) {
 	for _, total := range []int{1500, 5000, 15000} {
 		rnd := rand.New(rand.NewPCG(1, 2))
--- a/internal/evacuation/remaining.go
+++ b/internal/evacuation/remaining.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// appendRemaining appends the steps for machines with tasks of arrays, and then for those without
-// tasks. It sorts machines in place.
+// appendRemaining appends the steps for machines with tasks of arrays, followed by the steps for
+// machines without tasks. It sorts machines in place.
 func appendRemaining(steps []Step, machines []*Machine) []Step {
 	slices.SortFunc(machines, compareRemaining)
 	for _, machine := range machines {
--- a/internal/evacuation/services.go
+++ b/internal/evacuation/services.go
@@ -17,11 +17,11 @@
 	return steps
 }
 
-// servicePlanner orders machines by the replicas left of their services. Restoring a machine only
-// raises these numbers, and so only moves other machines back: a position is computed anew when the
-// machine's turn comes, and not before.
+// servicePlanner orders machines by the number of replicas that their services have left. A step
+// only raises these numbers and so can only move other machines to later positions. A position is
+// therefore recomputed lazily, when its machine reaches the top of the heap.
 type servicePlanner struct {
-	replicasLeft map[string]int // by job, replicas on machines that are not lost or were restored
+	replicasLeft map[string]int // by job ID; replicas on machines that are not lost, and restored ones
 	pending      serviceHeap
 }
 
@@ -38,7 +38,7 @@
 	return p
 }
 
-// countLost takes a machine's replicas off those that its services have left.
+// countLost subtracts a lost machine's replicas from those that its services have left.
 func (p *servicePlanner) countLost(machine *Machine) {
 	for i := range machine.Tasks {
 		task := &machine.Tasks[i]
@@ -52,7 +52,7 @@
 	}
 }
 
-// updatePosition finds the service on the machine that has the fewest replicas left.
+// updatePosition recomputes which service on the machine has the fewest replicas left.
 func (p *servicePlanner) updatePosition(candidate *serviceMachine) {
 	candidate.replicas = 0
 	for i := range candidate.machine.Tasks {
@@ -70,8 +70,8 @@
 	}
 }
 
-// next removes the first pending machine and restores its replicas. It returns false, and removes
-// nothing, if the first machine's position was out of date and has been corrected.
+// next removes the first pending machine, counts its replicas as restored and returns its step. If
+// the first machine's position is out of date, next corrects it, removes nothing and returns false.
 func (p *servicePlanner) next() (Step, bool) {
 	candidate := p.pending[0]
 	if p.replicasLeft[candidate.jobID] != candidate.replicasLeft {
@@ -93,7 +93,7 @@
 	}, true
 }
 
-// serviceMachine is a machine with replicas, and its position as last computed.
+// serviceMachine is a machine with replicas of services, and its position as last computed.
 type serviceMachine struct {
 	machine      *Machine
 	jobID        string // the service with the fewest replicas left
@@ -101,7 +101,7 @@
 	replicas     int    // of all services on the machine
 }
 
-// serviceHeap holds the machines that are not planned yet, the next on top.
+// serviceHeap is a heap of the machines that are not planned yet, with the next one on top.
 type serviceHeap []*serviceMachine
 
 // Len implements heap.Interface.
--- a/internal/evacuation/types.go
+++ b/internal/evacuation/types.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// WorkloadKind is the kind of job that a machine is evacuated for. The kinds are in the order of
-// evacuation.
+// WorkloadKind is the kind of job that decides a machine's position in the plan. The kinds are
+// listed in the order of evacuation.
 type WorkloadKind int
 
 // The kinds of workloads.
@@ -36,8 +36,9 @@
 	Kind  WorkloadKind
 	// PriorityRank is the rank of the job's priority; 0 is the highest.
 	PriorityRank int
-	// PlacedReplicas is the number of a service's replicas that are on machines, lost ones counted:
-	// a replica out of reach may live on and counts until its end is proven (safety invariant 16).
+	// PlacedReplicas is the number of the service's replicas that are bound to machines, including
+	// lost machines. A replica on an unreachable machine may still run and counts until its end is
+	// proven (safety invariant 16). It is used for services only.
 	PlacedReplicas int
 }
 
@@ -47,22 +48,22 @@
 	Tasks []Task
 }
 
-// Step gives up one machine.
+// Step is the deletion of one machine.
 type Step struct {
 	Machine string
 	Kind    WorkloadKind
 	// JobID is the job that decided the machine's position; empty if the machine has no tasks.
 	JobID string
-	// ReplicasLeft is how many replicas of the service run before this step, those that earlier
-	// steps restore counted; 0 for other kinds.
+	// ReplicasLeft is the number of replicas that the service has left before this step, including
+	// those that earlier steps restore. It is 0 for other kinds.
 	ReplicasLeft int
 }
 
-// Reason says in a few words why the machine has its position, for logs.
+// Reason describes for the log why the machine has its position in the plan.
 func (s Step) Reason() string {
 	switch s.Kind {
 	case Service:
-		return fmt.Sprintf("service %s has %d left", s.JobID, s.ReplicasLeft)
+		return fmt.Sprintf("service %s has %d replicas left", s.JobID, s.ReplicasLeft)
 	case NoTasks:
 		return "holds nothing"
 	default:
