--- a/internal/offload/answer.go
+++ b/internal/offload/answer.go
@@ -13,14 +13,14 @@
 	"sableusher/internal/tuning"
 )
 
-// hostView is what this cell holds of the jobs of another one.
+// hostView is this cell's records of the jobs that another cell has offloaded to it.
 type hostView struct {
 	transfers federation.HostTransfers
-	jobs      map[uint64]*clusterstate.Job // those that have not ended, by the number of the transfer
-	outcomes  map[uint64]clusterstate.GuestOutcome
+	jobs      map[uint64]*clusterstate.Job         // jobs that have not ended, by transfer number
+	outcomes  map[uint64]clusterstate.GuestOutcome // of jobs that have ended, by transfer number
 }
 
-// hostViewOf returns what is held of a cell's jobs. Callers hold the lock of the cluster state.
+// hostViewOf returns the records of the jobs from a cell. Callers hold the lock of the cluster state.
 func (o *Offloader) hostViewOf(cell string) hostView {
 	view := hostView{
 		transfers: federation.HostTransfers{HighestNumber: o.cellRecord(cell).LastReceivedTransfer},
@@ -45,7 +45,7 @@
 	return view
 }
 
-// hostTransfer returns a job of another cell as the host's state machine sees it.
+// hostTransfer converts a job from another cell to the host's state machine.
 func hostTransfer(job *clusterstate.Job) federation.HostTransfer {
 	return federation.HostTransfer{
 		Number:    job.OffloadedFrom.Number,
@@ -56,7 +56,7 @@
 	}
 }
 
-// status returns what the records say of a transfer.
+// status returns the status of a transfer by the records.
 func (v *hostView) status(number uint64) Status {
 	status := Status{Number: number, Status: int(v.transfers.Status(number).Status)}
 	if job := v.jobs[number]; job != nil {
@@ -68,7 +68,7 @@
 	return status
 }
 
-// inventory returns all that is held of the other cell's jobs.
+// inventory returns the inventory of the other cell's jobs, held and ended.
 func (v *hostView) inventory() *Inventory {
 	inventory := &Inventory{HighestNumber: v.transfers.HighestNumber}
 	for _, transfer := range v.transfers.Transfers {
@@ -86,9 +86,9 @@
 	return inventory
 }
 
-// Answer applies a message of another cell's leader and returns the answer, all of which is durable. After an
-// error nothing may be answered: it is an *UnknownCellError, ErrNotLeader, an *EarlierEpochError, or that of a
-// commit or of ctx.
+// Answer applies a message from another cell's leader and returns the answer. Everything that the answer reports is
+// durable. If Answer returns an error no answer may be sent. The error is an *UnknownCellError, ErrNotLeader, an
+// *EarlierEpochError, the error of a commit, or ctx.Err().
 func (o *Offloader) Answer(ctx context.Context, message Message) (Message, error) {
 	named := func(cell config.Cell) bool { return cell.Name == message.Cell }
 	if !slices.ContainsFunc(o.operator.Cells, named) {
@@ -100,8 +100,8 @@
 	case <-ctx.Done():
 		return Message{}, ctx.Err()
 	}
-	answer, counts, err := o.acceptEpoch(ctx, &message)
-	if err != nil || !counts {
+	answer, valid, err := o.acceptEpoch(ctx, &message)
+	if err != nil || !valid {
 		return answer, err
 	}
 	if err := o.dropEarlierEpochs(ctx, message.Cell); err != nil {
@@ -119,9 +119,9 @@
 	return answer, nil
 }
 
-// acceptEpoch records the epoch that a message names of its sender. It returns an answer that names the epochs
-// of both cells, and tells whether the message counts.
-func (o *Offloader) acceptEpoch(ctx context.Context, message *Message) (answer Message, counts bool, err error) {
+// acceptEpoch records the sender's epoch as named by a message. It returns an answer that names the epochs of both
+// cells, and reports whether the message may be applied.
+func (o *Offloader) acceptEpoch(ctx context.Context, message *Message) (answer Message, valid bool, err error) {
 	o.clusterState.RLock()
 	stored := o.cellRecord(message.Cell)
 	change, isLeader := o.newChange(message.Cell)
@@ -131,9 +131,9 @@
 		return Message{}, false, ErrNotLeader
 	}
 	epochs := federation.EpochPair{Own: o.operator.CellEpoch, Peer: stored.PeerEpoch}
-	epochs, counts = epochs.Accept(message.envelope())
+	epochs, valid = epochs.Accept(message.envelope())
 	if epochs.Peer != stored.PeerEpoch {
-		// Durable before the answer: a late message of an earlier epoch must not count any more.
+		// This must be durable before the answer: a delayed message of an earlier epoch must not be applied afterwards.
 		next := o.underOwnEpoch(stored)
 		next.PeerEpoch = epochs.Peer
 		change.ops = append(change.ops, kvstore.PutOp(record.CellKey(message.Cell), next))
@@ -147,11 +147,12 @@
 		ToEpoch:   epochs.Peer,
 		Draining:  o.operator.CellDraining,
 	}
-	return answer, counts && message.FromEpoch > stored.FencedEpoch, nil
+	return answer, valid && message.FromEpoch > stored.FencedEpoch, nil
 }
 
-// dropEarlierEpochs deletes the jobs of a cell that were accepted under an earlier epoch of this one: none of
-// their tasks runs, as the new epoch says. It returns an *EarlierEpochError while some are left.
+// dropEarlierEpochs deletes the jobs from a cell that were accepted under an earlier epoch of this cell. None of
+// their tasks runs any more, which is a precondition for the new epoch. It returns an *EarlierEpochError while
+// some are left.
 func (o *Offloader) dropEarlierEpochs(ctx context.Context, cell string) error {
 	o.clusterState.RLock()
 	view := o.hostViewOf(cell)
@@ -176,12 +177,13 @@
 	return nil
 }
 
-// fillAnswer puts into an answer what the records say. Callers hold the lock of the cluster state.
+// fillAnswer adds the statuses, this cell's digest and, if requested, the inventory to an answer. Callers hold the
+// lock of the cluster state.
 func (o *Offloader) fillAnswer(answer, message *Message) {
 	view := o.hostViewOf(message.Cell)
 	reported := map[uint64]bool{}
 	for _, request := range message.Requests {
-		// Nothing is known yet of an offer that was not reached.
+		// An offer above the highest number has not been processed, as the transaction was full.
 		if request.Number <= view.transfers.HighestNumber {
 			answer.Statuses = append(answer.Statuses, view.status(request.Number))
 			reported[request.Number] = true
--- a/internal/offload/digest.go
+++ b/internal/offload/digest.go
@@ -12,29 +12,29 @@
 	"sableusher/internal/wire"
 )
 
-// Steps to which free resources are rounded down, as a digest need not be exact: machines that then look alike
-// share an entry.
+// Free resources in a digest are rounded down to multiples of these steps, so that machines with similar free
+// resources share an entry.
 const (
 	digestCPUStep      = 4
 	digestMemoryStepGB = 16
 )
 
-// machineShape is what machines of one entry of a digest have in common.
+// machineShape holds the properties that all machines of one entry of a digest share.
 type machineShape struct {
 	machineType, zone string
 	spot              bool
 	free              record.Resources
 }
 
-// machineSummary is what a digest says of the machines that are up.
+// machineSummary summarizes the machines that tasks may be bound to.
 type machineSummary struct {
 	count             int
 	countByShape      map[machineShape]int
-	countByImage      map[string]int // machines that run tasks of the image
-	fetchSecondsPerGB float64        // of the slowest type
+	countByImage      map[string]int // number of machines that run tasks of the image
+	fetchSecondsPerGB float64        // of the machine with the slowest image fetch
 }
 
-// digest returns what this cell reports of itself. Callers hold the lock of the cluster state.
+// digest returns the digest of this cell. Callers hold the lock of the cluster state.
 func (o *Offloader) digest() *federation.Digest {
 	summary := o.summarizeMachines()
 	digest := &federation.Digest{
@@ -82,7 +82,7 @@
 	}
 }
 
-// roundedDown returns free resources in the steps of a digest.
+// roundedDown returns free resources rounded down to the steps of a digest.
 func roundedDown(free record.Resources) record.Resources {
 	return record.Resources{
 		CPUs:     float64(int(free.CPUs/digestCPUStep)) * digestCPUStep,
@@ -91,7 +91,7 @@
 	}
 }
 
-// capacities returns the free capacities of the machines, by type, zone and what is free.
+// capacities returns the free capacities of the machines, ordered by type, zone and free resources.
 func (s *machineSummary) capacities() []federation.FreeCapacity {
 	var capacities []federation.FreeCapacity
 	for shape, count := range s.countByShape {
@@ -111,7 +111,8 @@
 	return capacities
 }
 
-// commonImages returns the images that many of the machines hold, by name, at most tuning.DigestMaxShapes.
+// commonImages returns the images that at least one in tuning.DigestImageHolderDivisor machines holds, ordered by
+// name. It returns at most tuning.DigestMaxShapes of them.
 func (s *machineSummary) commonImages() []string {
 	var common []string
 	for _, image := range slices.Sorted(maps.Keys(s.countByImage)) {
@@ -122,9 +123,9 @@
 	return common
 }
 
-// expectedWaitSeconds is how long a job of a rank without free capacity is expected to wait here: the work that
-// waits of its rank and above, over the number of tasks that run of those. Callers hold the lock of the cluster
-// state.
+// expectedWaitSeconds returns the expected wait in this cell for a job of a priority rank, if no capacity is free:
+// the estimated run time of all pending tasks of this and higher priorities, divided by the number of running tasks
+// of these priorities. Services are left out. Callers hold the lock of the cluster state.
 func (o *Offloader) expectedWaitSeconds(rank int) float64 {
 	waitingSeconds, runningTasks := 0.0, 0.0
 	for _, job := range o.clusterState.Jobs {
--- a/internal/offload/driver_test.go
+++ b/internal/offload/driver_test.go
@@ -11,9 +11,9 @@
 	"sableusher/internal/record"
 )
 
-const propertySeeds = 40
+const propertySeeds = 40 // number of simulation runs, each with a seed of its own
 
-// runSeed plays one run and returns the first violation of a rule, or "".
+// runSeed simulates one run and returns the first violation of a rule, or "" if there is none.
 func runSeed(t *testing.T, seed uint64, ignoredConditions string, seen *events) (violation string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -22,10 +22,11 @@
 	return violation
 }
 
-// TestOneCellStartsAJob: two drivers exchange jobs while messages are lost, doubled and late, transactions are
-// carried out without an answer or much later, cluster states lag, drivers forget what they know and leaders
-// change. At any time at most one cell holds the right to start a job, no job runs in two cells or after its
-// end, each ends once, as done only if it ran, and when the troubles are over all end and nothing is left.
+// TestOneCellStartsAJob simulates two Offloaders that exchange jobs under faults: messages are lost, duplicated and
+// delayed, transactions are executed without an answer or much later, cluster states lag, Offloaders restart and
+// leaders change. At any time at most one cell may hold the right to start a job. No job may run in two cells or
+// start after its end, and each must end once, as done only if it ran. When the faults stop all jobs must end, and
+// no record but their final ones may be left. Each kind of fault and event must occur in at least one run.
 func TestOneCellStartsAJob(t *testing.T) {
 	seen := &events{}
 	for seed := range uint64(propertySeeds) {
@@ -37,13 +38,13 @@
 	counts := reflect.ValueOf(*seen)
 	for i := range counts.NumField() {
 		if counts.Field(i).Int() == 0 {
-			t.Errorf("no %s", counts.Type().Field(i).Name)
+			t.Errorf("%s: did not occur in any run", counts.Type().Field(i).Name)
 		}
 	}
 }
 
-// TestMissingConditionsAreFound: the property fails if the drivers' transactions lack the conditions on the
-// records of jobs, or on those of cells.
+// TestMissingConditionsAreFound checks that the rules of TestOneCellStartsAJob are violated if the Offloaders'
+// transactions lack the conditions on the records of jobs, or on those of cells.
 func TestMissingConditionsAreFound(t *testing.T) {
 	for name, prefix := range map[string]string{"job": record.JobPrefix, "cell": record.CellPrefix} {
 		t.Run(name, func(t *testing.T) {
@@ -53,13 +54,13 @@
 					return
 				}
 			}
-			t.Errorf("no violation in %d seeds", propertySeeds)
+			t.Errorf("no rule was violated in runs of %d seeds", propertySeeds)
 		})
 	}
 }
 
-// deposedLeaderChanges lets a leader that another one has succeeded, and that has not learned of it, offer a job.
-// It returns the keys that it changes.
+// deposedLeaderChanges offers a job from a deposed leader, whose cluster state does not have the election yet. It
+// returns the keys that the leader changes.
 func deposedLeaderChanges(t *testing.T, ignoredConditions string) []string {
 	t.Helper()
 	world := newTestWorld(1, ignoredConditions, &events{})
@@ -69,34 +70,34 @@
 	}
 	world.addJob(cell)
 	cell.store.refresh(cell.state)
-	time.Sleep(10 * time.Second) // the job has waited for long enough to be offered
+	time.Sleep(10 * time.Second) // longer than tuning.OffloadMinWait, so that the job may be offered
 	if err := cell.offloader.exchange(t.Context(), cell.operator.Cells[0]); err != nil {
-		t.Fatal(err) // without a recent digest there is no offer
+		t.Fatal(err) // an offer requires a recent digest
 	}
 	cell.elect()
 	before := maps.Clone(cell.store.values)
 	err := cell.offloader.offerJobs(t.Context())
 	changed := changedKeys(before, cell.store.values)
 	if (err == nil) != (len(changed) > 0) {
-		t.Errorf("the offer ends with %v and changes %v", err, changed)
+		t.Errorf("the offer returned the error %v and changed %v", err, changed)
 	}
 	return changed
 }
 
-// TestDeposedLeaderChangesNothing: the transactions of a deposed leader are refused, and it is the condition on
-// the leader's record that refuses them.
+// TestDeposedLeaderChangesNothing checks that the transactions of a deposed leader are refused, and that the
+// condition on the leader's record is what refuses them.
 func TestDeposedLeaderChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		if changed := deposedLeaderChanges(t, ""); len(changed) > 0 {
-			t.Errorf("a deposed leader changes %v", changed)
+			t.Errorf("a deposed leader changed %v", changed)
 		}
 		if changed := deposedLeaderChanges(t, record.ShardPrefix); len(changed) == 0 {
-			t.Error("without the condition on the leader's record nothing is offered either")
+			t.Error("nothing is offered, even without the condition on the leader's record")
 		}
 	})
 }
 
-// changedKeys lists the keys whose values differ.
+// changedKeys returns the keys in after that were written since before, sorted.
 func changedKeys(before, after map[string]storedValue) []string {
 	var changed []string
 	for key, value := range after {
--- a/internal/offload/errors.go
+++ b/internal/offload/errors.go
@@ -5,27 +5,30 @@
 	"fmt"
 )
 
-// ErrNotLeader reports that another node of this cell is the leader, which alone exchanges jobs.
+// ErrNotLeader reports that this node does not lead its cell, or that the cell's nodes can't all read records about
+// cells yet. Only a leader exchanges jobs.
 var ErrNotLeader = errors.New("not the leader")
 
-// UnknownCellError reports a message of a cell that the operators' list does not name.
+// UnknownCellError reports a message from a cell that the operators' settings do not name.
 type UnknownCellError struct {
 	Cell string
 }
 
-func (e *UnknownCellError) Error() string { return fmt.Sprintf("cell %q is not named here", e.Cell) }
+func (e *UnknownCellError) Error() string {
+	return fmt.Sprintf("cell %q is not named here", e.Cell)
+}
 
-// WrongCellError reports that an answer came from another cell than the one asked.
+// WrongCellError reports that an answer came from a cell other than the one that was asked.
 type WrongCellError struct {
 	Answering string
 }
 
-func (e *WrongCellError) Error() string { return fmt.Sprintf("%q answers", e.Answering) }
+func (e *WrongCellError) Error() string { return fmt.Sprintf("answer came from cell %q", e.Answering) }
 
-// EarlierEpochError reports that jobs accepted under earlier epochs of this cell are still recorded; nothing is
-// answered until all are deleted.
+// EarlierEpochError reports that records remain of jobs that were accepted under earlier epochs of this cell. The
+// cell does not answer the sender until all are deleted.
 type EarlierEpochError struct {
-	Remaining int
+	Remaining int // number of such jobs
 }
 
 func (e *EarlierEpochError) Error() string {
--- a/internal/offload/exchange.go
+++ b/internal/offload/exchange.go
@@ -13,7 +13,7 @@
 	"sableusher/internal/tuning"
 )
 
-// homeTransfer returns a job as home's state machine sees it.
+// homeTransfer converts a job to home's state machine.
 func homeTransfer(job *clusterstate.Job) federation.HomeTransfer {
 	transfer := federation.HomeTransfer{Cancelled: job.Cancelled()}
 	if away := job.OffloadedTo; away != nil {
@@ -22,8 +22,8 @@
 	return transfer
 }
 
-// offloadedJobs returns the jobs that are offloaded to a cell, by the number of the transfer. Callers hold the
-// lock of the cluster state.
+// offloadedJobs returns the jobs that are offloaded to a cell, by transfer number. Callers hold the lock of the
+// cluster state.
 func (o *Offloader) offloadedJobs(cell string) map[uint64]*clusterstate.Job {
 	jobs := map[uint64]*clusterstate.Job{}
 	for _, job := range o.clusterState.Jobs {
@@ -34,7 +34,7 @@
 	return jobs
 }
 
-// exchange sends requests about the jobs that are offloaded to a cell, and applies the answer.
+// exchange sends a message to a cell with requests about the jobs that are offloaded to it, and applies the answer.
 func (o *Offloader) exchange(ctx context.Context, cell config.Cell) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CellExchangeTimeout)
 	defer cancel()
@@ -49,7 +49,8 @@
 	return o.applyAnswer(ctx, cell.Name, &message, &answer)
 }
 
-// newRequestMessage returns the next message to a cell. While its inventory is missing there are no requests.
+// newRequestMessage returns the next message to a cell. It contains no requests until the cell's inventory has been
+// received.
 func (o *Offloader) newRequestMessage(cell string) Message {
 	o.mu.Lock()
 	peer := o.peers[cell]
@@ -83,8 +84,9 @@
 	return message
 }
 
-// nextRequests returns the transfers that the next message asks about, in order: first the lowest of those not
-// known to be held, as the receiver refuses numbers below the highest that it received, then the others in turn.
+// nextRequests returns the transfers for which the next message has requests, in ascending order. Transfers that the
+// receiver is not known to hold take precedence, the lowest first, as the receiver refuses numbers below the
+// highest that it has received. The remaining room goes to the held transfers, in rotation over the messages.
 func (o *Offloader) nextRequests(peer *peerState, jobs map[uint64]*clusterstate.Job) []uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -105,17 +107,17 @@
 	return next
 }
 
-// applyAnswer applies the answer to a message. The statuses come before the cell's own record, so that a record
-// that says that inventories are exchanged rests on durable ones.
+// applyAnswer applies the answer to a message. It applies statuses and the inventory before it updates the cell's
+// record, so that the record says that inventories are exchanged only after the inventory is durable.
 func (o *Offloader) applyAnswer(ctx context.Context, cell string, message, answer *Message) error {
 	epochs := federation.EpochPair{Own: message.FromEpoch, Peer: message.ToEpoch}
-	epochs, counts := epochs.Accept(answer.envelope())
+	epochs, valid := epochs.Accept(answer.envelope())
 	o.clusterState.RLock()
-	counts = counts && answer.FromEpoch > o.cellRecord(cell).FencedEpoch
+	valid = valid && answer.FromEpoch > o.cellRecord(cell).FencedEpoch
 	o.clusterState.RUnlock()
-	o.noteAnswer(cell, message, answer, counts)
+	o.recordAnswer(cell, message, answer, valid)
 	evidence := standingEvidence{peerEpoch: epochs.Peer}
-	if counts {
+	if valid {
 		applied, err := o.applyReports(ctx, cell, answer)
 		if err != nil {
 			return err
@@ -125,9 +127,9 @@
 	return o.updateStanding(ctx, cell, evidence)
 }
 
-// noteAnswer remembers what an answer says of its cell. The transfers that the message acknowledged need no
-// further acknowledgement; the digest is kept only if the answer counts.
-func (o *Offloader) noteAnswer(cell string, message, answer *Message, counts bool) {
+// recordAnswer stores in memory what an answer reports about its cell. It removes the transfers that the message
+// acknowledged from those to acknowledge, and stores the digest only if the answer is valid.
+func (o *Offloader) recordAnswer(cell string, message, answer *Message, valid bool) {
 	now := time.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -136,18 +138,18 @@
 	peer.endedTransfers = slices.DeleteFunc(peer.endedTransfers, func(number uint64) bool {
 		return slices.Contains(message.EndedTransfers, number)
 	})
-	if counts && answer.Digest != nil {
+	if valid && answer.Digest != nil {
 		peer.digest = *answer.Digest
 		peer.digest.ReceivedAt = now
 	}
 }
 
-// applyReports applies the statuses and the inventory of an answer that counts. It returns the inventory if all
-// of it is durable, and nil otherwise.
+// applyReports applies the statuses and the inventory of a valid answer. It returns the inventory if all of it is
+// durable, and nil otherwise.
 func (o *Offloader) applyReports(ctx context.Context, cell string, answer *Message) (*Inventory, error) {
 	for _, status := range answer.Statuses {
 		if status.hostStatus() == federation.HostHolds {
-			o.noteHeld(cell, status.Number)
+			o.recordHeld(cell, status.Number)
 		}
 		if err := o.applyStatus(ctx, cell, status); err != nil {
 			return nil, err
@@ -163,7 +165,8 @@
 	return answer.Inventory, nil
 }
 
-func (o *Offloader) noteHeld(cell string, number uint64) {
+// recordHeld stores in memory that a cell holds a transfer.
+func (o *Offloader) recordHeld(cell string, number uint64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.peers[cell].heldTransfers[number] = true
--- a/internal/offload/inventory.go
+++ b/internal/offload/inventory.go
@@ -8,17 +8,17 @@
 	"sableusher/internal/wire"
 )
 
-// heldJobAction is what becomes of the record of a job that another cell's inventory names.
+// heldJobAction is the action on this cell's record of a job that another cell's inventory lists as held.
 type heldJobAction int
 
 const (
-	keepRecord  heldJobAction = iota // it says already that the job is offloaded there
-	awaitTasks                       // tasks are bound here, or it is offloaded to yet another cell: later
-	writeRecord                      // it is written
+	keepRecord  heldJobAction = iota // the record already says that the job is offloaded to the other cell
+	awaitTasks                       // retry later: tasks are bound here, or the job is offloaded to a third cell
+	writeRecord                      // write that the job is offloaded to the other cell
 )
 
-// applyInventory records as offloaded what another cell holds of this cell's jobs. complete tells whether all of
-// it is durable.
+// applyInventory records the jobs that another cell's inventory lists as held as offloaded to that cell. complete
+// reports whether all of them are durably recorded.
 func (o *Offloader) applyInventory(
 	ctx context.Context, cell string, inventory *Inventory,
 ) (complete bool, err error) {
@@ -42,7 +42,7 @@
 	return complete, nil
 }
 
-// planHeldJob decides what becomes of the record of a job that another cell holds.
+// planHeldJob returns the action for a job that another cell holds, and the change if the record is to be written.
 func (o *Offloader) planHeldJob(cell string, held Request) (recordChange, heldJobAction, error) {
 	o.clusterState.RLock()
 	defer o.clusterState.RUnlock()
@@ -61,19 +61,20 @@
 	case away != nil && away.Number == held.Number && away.Cell == cell:
 		return recordChange{}, keepRecord, nil
 	case job.BoundCount > 0, away != nil && away.Cell != cell:
-		// Its tasks end first: their machines are gone, as this cell's epoch says.
+		// Tasks bound here must be released first; this cell's new epoch implies that their machines are gone.
 		return recordChange{}, awaitTasks, nil
 	}
 	change.addJobRewrite(job, func(stored *record.Job) { stored.OffloadedTo = transfer })
 	return change, writeRecord, nil
 }
 
-// addLostJob adds the record of a job that was accepted here in writes that are lost. Callers hold the lock of
-// the cluster state.
+// addLostJob adds the creation of the record of a job that this cell accepted in a write that it has lost since.
+// Callers hold the lock of the cluster state.
 func (o *Offloader) addLostJob(change *recordChange, held Request, transfer *record.Transfer) {
 	lost := record.Job{Spec: held.Spec, SubmittedAtMs: held.SubmittedAtMs, OffloadedTo: transfer}
 	if err := o.chooseLayout(&lost); err != nil {
-		o.logger.Error("inventory job exceeds record size", "job_id", held.Spec.ID, "err", err)
+		o.logger.Error("record of a job from another cell's inventory exceeds the size limit",
+			"job_id", held.Spec.ID, "err", err)
 	}
 	jobKey := record.JobKey(held.Spec.ID)
 	change.conditions = append(change.conditions,
--- a/internal/offload/message.go
+++ b/internal/offload/message.go
@@ -5,31 +5,35 @@
 	"sableusher/internal/wire"
 )
 
-// Message is what the leader of one cell sends to another's, and the answer: one a second for each other cell.
-// It carries requests about the sender's own jobs, and what the receiver needs to answer. All of it reports
-// records, and may be lost, doubled or late.
+// Message is a message between the leaders of two cells, or the answer to one. A leader sends one to each other
+// cell every tuning.CellExchangeInterval, with requests about the jobs that it has offloaded to that cell. A message
+// only reports the contents of records. It may be lost, duplicated or delayed.
 type Message struct {
-	Cell      string `cbor:"c"` // the sender
-	FromEpoch uint64 `cbor:"f"` // the sender's
-	ToEpoch   uint64 `cbor:"t"` // the receiver's, as the sender knows it
-	Draining  bool   `cbor:"d,omitempty"`
-	// Of a request: transfers of the sender's own jobs, those whose result it has, and whether it wants the
-	// inventory of all that the receiver holds of its own.
-	Requests       []Request `cbor:"a,omitempty"`
-	EndedTransfers []uint64  `cbor:"h,omitempty"`
-	WantsInventory bool      `cbor:"w,omitempty"`
-	// Of an answer.
+	Cell      string `cbor:"c"`           // name of the sending cell
+	FromEpoch uint64 `cbor:"f"`           // epoch of the sender
+	ToEpoch   uint64 `cbor:"t"`           // epoch of the receiver, as the sender knows it
+	Draining  bool   `cbor:"d,omitempty"` // the operators of the sender drain it
+
+	// Requests is about transfers of the sender's own jobs. This field and the next two are set in messages only,
+	// not in answers.
+	Requests []Request `cbor:"a,omitempty"`
+	// EndedTransfers are the transfers whose result the sender has received.
+	EndedTransfers []uint64 `cbor:"h,omitempty"`
+	// WantsInventory asks for the inventory of the sender's jobs at the receiver.
+	WantsInventory bool `cbor:"w,omitempty"`
+
+	// Statuses are the statuses of the other cell's transfers. This field and the next two are set in answers only.
 	Statuses  []Status           `cbor:"o,omitempty"`
 	Inventory *Inventory         `cbor:"l,omitempty"`
 	Digest    *federation.Digest `cbor:"g,omitempty"`
 }
 
-// envelope returns the epochs that the message names.
+// envelope returns the epochs of both cells that the message names.
 func (m *Message) envelope() federation.Envelope {
 	return federation.Envelope{From: m.FromEpoch, To: m.ToEpoch}
 }
 
-// Request is about one transfer; the first one offers the job.
+// Request is a request about one transfer. The first request about a transfer offers the job.
 type Request struct {
 	Number        uint64       `cbor:"n"`
 	Cancelled     bool         `cbor:"x,omitempty"`
@@ -38,23 +42,23 @@
 	Spec          wire.JobSpec `cbor:"s"`
 }
 
-// transferRequest returns the request as the state machine takes it.
+// transferRequest converts the request to the state machine of package federation.
 func (r *Request) transferRequest() federation.TransferRequest {
 	return federation.TransferRequest{Number: r.Number, Cancelled: r.Cancelled, Recalled: r.Recalled}
 }
 
-// Status is what the receiver's records say of one transfer.
+// Status is the status of one transfer by the records of the host, the cell that received the offer.
 type Status struct {
 	Number     uint64        `cbor:"n"`
 	Status     int           `cbor:"s"`           // a federation.HostStatus
-	FinalState wire.JobState `cbor:"f,omitempty"` // if the job has ended
-	DoneCount  int           `cbor:"d,omitempty"` // tasks done
+	FinalState wire.JobState `cbor:"f,omitempty"` // empty if the job has not ended
+	DoneCount  int           `cbor:"d,omitempty"` // number of tasks that are done
 }
 
 // hostStatus returns the status of the transfer at its host.
 func (s *Status) hostStatus() federation.HostStatus { return federation.HostStatus(s.Status) }
 
-// transferStatus returns the status as the state machine takes it.
+// transferStatus converts the status to the state machine of package federation.
 func (s *Status) transferStatus() federation.TransferStatus {
 	result := federation.ResultDone
 	if s.FinalState != wire.JobDone {
@@ -63,9 +67,9 @@
 	return federation.TransferStatus{Number: s.Number, Status: s.hostStatus(), Result: result}
 }
 
-// Inventory is all that the receiver holds of the sender's jobs.
+// Inventory lists all jobs of one cell that another cell has records of.
 type Inventory struct {
-	HighestNumber uint64    `cbor:"h"`
-	Held          []Request `cbor:"l,omitempty"` // those that have not ended, with what is needed to record them again
-	Ended         []Status  `cbor:"o,omitempty"`
+	HighestNumber uint64    `cbor:"h"`           // highest transfer number received
+	Held          []Request `cbor:"l,omitempty"` // jobs that have not ended, with all that home needs to record them
+	Ended         []Status  `cbor:"o,omitempty"` // jobs that have ended
 }
--- a/internal/offload/metrics.go
+++ b/internal/offload/metrics.go
@@ -12,7 +12,7 @@
 	Help: "1 for the standing of each other cell, once it has changed while this node led.",
 }, []string{"cell", "standing"})
 
-// setStandingGauge sets the standing of a cell to 1 and all others to 0.
+// setStandingGauge sets the gauge of a cell to 1 for its present standing and to 0 for all others.
 func setStandingGauge(cell string, present federation.Standing) {
 	for _, standing := range federation.AllStandings {
 		value := 0.0
--- a/internal/offload/offer.go
+++ b/internal/offload/offer.go
@@ -16,27 +16,27 @@
 	"sableusher/internal/wire"
 )
 
-// offer is a job that is to be offloaded to a cell.
+// offer is a job that is chosen to be offloaded to a cell.
 type offer struct {
 	job  *clusterstate.Job
 	cell string
 }
 
-// offeredJob is a job whose record says that it is offloaded, once the change is committed.
+// offeredJob identifies a job that is offloaded when the change of its cellOffers is committed.
 type offeredJob struct {
 	id     string
-	number uint64 // of the transfer
+	number uint64 // number of the transfer
 }
 
-// cellOffers are the offers to one cell, as one change of records.
+// cellOffers holds the offers to one cell, which are committed as one change.
 type cellOffers struct {
 	change recordChange
-	stored record.Cell // of the cell, with the numbers that the offers take
+	stored record.Cell // the cell's record, updated by the transfer numbers of the offers
 	jobs   []offeredJob
 }
 
-// offerJobs offloads jobs that are expected to start sooner elsewhere. The offers are sent with the requests of
-// the next exchange, once they are durable.
+// offerJobs records jobs as offloaded that are expected to start sooner in another cell. The next exchange sends the
+// offers, which are then durable.
 func (o *Offloader) offerJobs(ctx context.Context) error {
 	var errs []error
 	for cell, offers := range o.planOffers(time.Now()) {
@@ -55,7 +55,7 @@
 	return errors.Join(errs...)
 }
 
-// planOffers chooses what is offloaded now, and puts together the change for each cell.
+// planOffers chooses the jobs to offload and returns the offers to each cell, by its name.
 func (o *Offloader) planOffers(now time.Time) map[string]*cellOffers {
 	o.clusterState.RLock()
 	defer o.clusterState.RUnlock()
@@ -76,7 +76,7 @@
 	return offersByCell
 }
 
-// addOffer adds a job to the offers to a cell, unless it can't leave or the transaction is full. Callers hold
+// addOffer adds a job to the offers to a cell, unless it can't be offloaded or the transaction is full. Callers hold
 // the lock of the cluster state.
 func (o *Offloader) addOffer(offers *cellOffers, offer offer, now time.Time) {
 	number := offers.stored.LastSentTransfer + 1
@@ -108,15 +108,16 @@
 	return targets
 }
 
-// lastDigest returns the last digest of a cell.
+// lastDigest returns the last digest received from a cell, or the zero value if there is none.
 func (o *Offloader) lastDigest(cell string) federation.Digest {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.peers[cell].digest
 }
 
-// countInFlight counts the tasks that were offloaded to each of some cells since its digest. Callers hold the
-// lock of the cluster state.
+// countInFlight returns, for each target cell, the number of tasks that were offloaded to it since its digest was
+// taken, which may be one tuning.CellExchangeInterval before the digest arrived. Callers hold the lock of the
+// cluster state.
 func (o *Offloader) countInFlight(targets []federation.TargetCell) map[string]int {
 	digestTakenAt := map[string]time.Time{}
 	for _, target := range targets {
@@ -135,8 +136,8 @@
 	return inFlight
 }
 
-// chooseOffers chooses the jobs to offload, and where each goes; at most tuning.OffloadsPerReview, in the order
-// of their names. Callers hold the lock of the cluster state.
+// chooseOffers chooses the jobs to offload and a cell for each. It considers jobs in the order of their IDs and
+// chooses at most tuning.OffloadsPerReview. Callers hold the lock of the cluster state.
 func (o *Offloader) chooseOffers(now time.Time, targets []federation.TargetCell) []offer {
 	inFlight := o.countInFlight(targets)
 	waitByRank := map[int]float64{}
@@ -163,7 +164,7 @@
 	return offers
 }
 
-// candidateOf returns a job as the choice of a cell takes it.
+// candidateOf converts a job to a candidate for federation.ChooseCell.
 func candidateOf(job *clusterstate.Job, localWaitSeconds float64) *federation.OffloadCandidate {
 	return &federation.OffloadCandidate{
 		JobID:            job.Spec.ID,
@@ -180,24 +181,25 @@
 	}
 }
 
-// canBeOffloaded tells whether a job is one that may leave: its team has neither limit nor guarantee, nothing of
-// it has started, it depends on nothing here, its own record says all of it, and it has waited for a while.
-// Callers hold the lock of the cluster state.
+// canBeOffloaded reports whether a job may be offloaded: its team has neither a limit nor a guarantee, none of its
+// tasks has started, nothing in its specification ties it to this cell, it is stored in a single record, and it has
+// been ready for longer than tuning.OffloadMinWait. Callers hold the lock of the cluster state.
 func (o *Offloader) canBeOffloaded(job *clusterstate.Job) bool {
 	team, known := o.teamsByName[job.Spec.Team]
 	hasLimit := team.GPUsMax != 0 || team.CPUsMax != 0
 	hasGuarantee := team.GPUs != 0 || team.CPUs != 0
-	return known && !hasLimit && !hasGuarantee && isUntouched(job) && specMayLeave(&job.Spec) &&
+	return known && !hasLimit && !hasGuarantee && isUnstarted(job) && isPortable(&job.Spec) &&
 		time.Since(job.ReadySince()) > tuning.OffloadMinWait
 }
 
-// isUntouched tells whether no task of a job has started, here or elsewhere, and its own record says all of it.
-func isUntouched(job *clusterstate.Job) bool {
+// isUnstarted reports whether a job belongs to this cell and is not offloaded, has no bound or done tasks, and is
+// stored in a single record.
+func isUnstarted(job *clusterstate.Job) bool {
 	return job.OffloadedFrom == nil && job.OffloadedTo == nil && job.BoundCount == 0 && job.DoneCount == 0 &&
 		job.ChunkCount() == 1 && len(job.FurtherChunkKeys()) == 0
 }
 
-// specMayLeave tells whether nothing in a job's specification ties it to this cell.
-func specMayLeave(spec *wire.JobSpec) bool {
+// isPortable reports whether nothing in a job's specification ties it to this cell.
+func isPortable(spec *wire.JobSpec) bool {
 	return spec.Kind != wire.KindService && len(spec.Dependencies) == 0 && spec.Zone == "" && spec.MaxRetries == nil
 }
--- a/internal/offload/offloader.go
+++ b/internal/offload/offloader.go
@@ -20,7 +20,8 @@
 
 // Transport carries messages to other cells.
 type Transport interface {
-	// Exchange sends a message to a cell's leader, whichever of its nodes that is, and returns the answer.
+	// Exchange sends a message to the leader of a cell and returns the answer. It finds out which of the cell's nodes
+	// is the leader.
 	Exchange(ctx context.Context, to config.Cell, message Message) (Message, error)
 }
 
@@ -31,12 +32,12 @@
 	UpcomingMaxRecordBytes() int
 }
 
-// Owner tells which shards this node owns. Callers hold the lock of the cluster state.
+// Owner reports which shards this node owns. Callers of its methods hold the lock of the cluster state.
 type Owner interface {
 	Ownership(shard int) (membership.Ownership, bool)
 }
 
-// Config is what an Offloader works with.
+// Config holds the settings and dependencies of an Offloader.
 type Config struct {
 	Operator     *config.Operator
 	Teams        []config.Team
@@ -47,7 +48,7 @@
 	Logger       *slog.Logger
 }
 
-// Offloader is one node's part in the exchange of jobs. Its methods are safe for concurrent use.
+// Offloader exchanges jobs with other cells on behalf of one node. Its methods are safe for concurrent use.
 type Offloader struct {
 	operator     *config.Operator
 	clusterState *clusterstate.State
@@ -57,13 +58,15 @@
 	teamsByName  map[string]config.Team
 	logger       *slog.Logger
 
-	peers map[string]*peerState // by the name of the cell; the map never changes
-	mu    sync.Mutex            // guards the values of peers; it may be taken under the cluster state's lock
+	peers map[string]*peerState // by cell name; the map itself never changes
+	mu    sync.Mutex            // guards the values of peers; may be acquired while the cluster state is locked
 
-	answerSlot chan struct{} // of capacity 1, filled by the one answer at a time: their changes would conflict
+	// answerSlot has capacity 1 and is filled while Answer runs. Answers are computed one at a time, as their changes
+	// would conflict.
+	answerSlot chan struct{}
 }
 
-// New returns an Offloader. Without cells in the operators' settings it does nothing.
+// New returns an Offloader. It does nothing if the operators' settings name no other cells.
 func New(c Config) *Offloader {
 	o := &Offloader{
 		operator:     c.Operator,
@@ -85,7 +88,7 @@
 	return o
 }
 
-// Run exchanges jobs with the other cells while this node is the leader, until ctx ends; it returns its error.
+// Run exchanges jobs with the other cells while this node is the leader. It returns ctx.Err() after ctx is done.
 func (o *Offloader) Run(ctx context.Context) error {
 	if len(o.operator.Cells) == 0 {
 		<-ctx.Done()
@@ -105,26 +108,27 @@
 	}
 }
 
-// isActive tells whether this node is the leader and records about cells may be written.
+// isActive reports whether this node is the leader and records about cells may be written.
 func (o *Offloader) isActive() bool {
 	o.clusterState.RLock()
 	defer o.clusterState.RUnlock()
 	return o.isLeader() && o.recordsEnabled()
 }
 
-// isLeader tells whether this node is the leader. Callers hold the lock of the cluster state.
+// isLeader reports whether this node is the leader. Callers hold the lock of the cluster state.
 func (o *Offloader) isLeader() bool {
 	_, leads := o.ownership.Ownership(record.LeaderShard)
 	return leads
 }
 
-// recordsEnabled tells whether all nodes can read records about cells. Callers hold the lock of the cluster
-// state.
+// recordsEnabled reports whether all nodes can read records about cells, by the active schema version. Callers hold
+// the lock of the cluster state.
 func (o *Offloader) recordsEnabled() bool {
 	return o.clusterState.SchemaVersion >= tuning.SchemaVersionOffload
 }
 
-// runOnce exchanges messages with all cells, then forgets those that the operators name, then offers jobs.
+// runOnce exchanges messages with all cells, then forgets the cells that the operators declared as gone, then offers
+// jobs.
 func (o *Offloader) runOnce(ctx context.Context) {
 	var group errgroup.Group
 	for _, cell := range o.operator.Cells {
@@ -144,8 +148,8 @@
 	}
 }
 
-// exchangeOrSuspect exchanges messages with a cell. If that fails its standing is brought up to date all the
-// same: a silent cell becomes suspected and then lost by time alone.
+// exchangeOrSuspect exchanges messages with a cell. If the exchange fails it still updates the cell's standing, since
+// a silent cell becomes suspected and then lost by the passage of time.
 func (o *Offloader) exchangeOrSuspect(ctx context.Context, cell config.Cell) {
 	err := o.exchange(ctx, cell)
 	if err == nil {
@@ -155,13 +159,13 @@
 	o.logger.Debug("cell exchange failed", "cell", cell.Name, "err", err)
 }
 
-// peerState is what this process knows of another cell beside its record.
+// peerState is the in-memory state of another cell, in addition to its record. It is lost when the process ends.
 type peerState struct {
-	lastContact     time.Time
-	epoch           uint64
-	draining        bool
+	lastContact     time.Time // when the last answer arrived
+	epoch           uint64    // as named by the last answer
+	draining        bool      // as reported by the last answer
 	digest          federation.Digest
-	endedTransfers  []uint64        // its transfers whose result is known here, to be acknowledged
+	endedTransfers  []uint64        // its transfers whose result is recorded here, to be acknowledged
 	heldTransfers   map[uint64]bool // transfers that it is known to hold
-	nextHeldRequest int             // where the requests about those of the next message begin
+	nextHeldRequest int             // start of the next rotation through the held transfers
 }
--- a/internal/offload/recordchange.go
+++ b/internal/offload/recordchange.go
@@ -10,7 +10,7 @@
 	"sableusher/internal/wire"
 )
 
-// recordChange is a compare-and-swap of records that is being put together.
+// recordChange is a transaction under construction: operations on records, and the conditions of the transaction.
 type recordChange struct {
 	conditions []wire.Condition
 	ops        []wire.Op
@@ -21,26 +21,26 @@
 	c.conditions, c.ops = append(c.conditions, condition), append(c.ops, op)
 }
 
-// addJobRewrite adds that a job's own record is written with an edit, if it has not changed.
+// addJobRewrite adds a write of a job's own record as changed by edit, on condition that it has not changed since.
 func (c *recordChange) addJobRewrite(job *clusterstate.Job, edit func(*record.Job)) {
 	edited := *job
 	edit(&edited.Job)
 	c.add(jobCondition(job), edited.EncodeChunk(0, nil))
 }
 
-// addReturn adds that the right to start an offloaded job is here again.
+// addReturn adds a write that returns the right to start an offloaded job to this cell.
 func (c *recordChange) addReturn(job *clusterstate.Job) {
 	c.addJobRewrite(job, func(stored *record.Job) { stored.OffloadedTo = nil })
 }
 
-// jobCondition is the condition that a job's own record has not changed.
+// jobCondition returns the condition that a job's own record has not changed since it was read.
 func jobCondition(job *clusterstate.Job) wire.Condition {
 	return wire.Condition{Key: record.JobKey(job.Spec.ID), ModRevision: job.ModRevision}
 }
 
-// newChange returns a change about another cell, with the conditions that this node is still the leader and that
-// the cell's record has not changed, and tells whether this node is the leader now. Callers hold the lock of
-// the cluster state.
+// newChange returns a change that concerns another cell. It has the conditions that this node is still the leader
+// and that the cell's record has not changed. isLeader reports whether this node is the leader now. Callers hold the
+// lock of the cluster state.
 func (o *Offloader) newChange(cell string) (change recordChange, isLeader bool) {
 	ownership, isLeader := o.ownership.Ownership(record.LeaderShard)
 	change.conditions = []wire.Condition{
@@ -53,7 +53,7 @@
 	return change, isLeader
 }
 
-// commit commits a change.
+// commit commits a change. It waits for at most tuning.CommitTimeout.
 func (o *Offloader) commit(ctx context.Context, change recordChange) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CommitTimeout)
 	defer cancel()
@@ -65,8 +65,8 @@
 	return err
 }
 
-// cellRecord returns what is recorded of another cell, the zero record if there is none. Callers hold the lock
-// of the cluster state.
+// cellRecord returns the record of another cell, or the zero record if there is none. Callers hold the lock of the
+// cluster state.
 func (o *Offloader) cellRecord(cell string) record.Cell {
 	if known := o.clusterState.Cells[cell]; known != nil {
 		return known.Cell
@@ -74,13 +74,13 @@
 	return record.Cell{}
 }
 
-// inventoryReceived tells whether the inventory of a cell was received under this cell's present epoch.
+// inventoryReceived reports whether the inventory of a cell was received under this cell's present epoch.
 func (o *Offloader) inventoryReceived(stored record.Cell) bool {
 	return stored.OwnEpoch == o.operator.CellEpoch && stored.InventoryReceived
 }
 
-// underOwnEpoch returns a cell's record as it counts under this cell's present epoch: an inventory received
-// under an earlier one does not.
+// underOwnEpoch returns a cell's record updated to this cell's present epoch: an inventory that was received under
+// an earlier epoch is marked as not received.
 func (o *Offloader) underOwnEpoch(stored record.Cell) record.Cell {
 	if stored.OwnEpoch != o.operator.CellEpoch {
 		stored.OwnEpoch, stored.InventoryReceived = o.operator.CellEpoch, false
@@ -88,7 +88,7 @@
 	return stored
 }
 
-// chooseLayout chooses how the tasks of a new job are spread over records. Callers hold the lock of the cluster
+// chooseLayout chooses how the tasks of a new job are distributed over records. Callers hold the lock of the cluster
 // state.
 func (o *Offloader) chooseLayout(job *record.Job) error {
 	limits := o.clusterState.SizeLimits(o.committer.UpcomingMaxRecordBytes())
--- a/internal/offload/requests.go
+++ b/internal/offload/requests.go
@@ -12,21 +12,22 @@
 	"sableusher/internal/wire"
 )
 
-// requestBatch is the change of records that the requests of one message lead to.
+// requestBatch is the change of records that results from the requests of one message.
 type requestBatch struct {
 	*Offloader
 	message   *Message
-	view      hostView // its transfers follow the requests that were applied
+	view      hostView // its transfers reflect the requests applied so far
 	change    recordChange
-	stored    record.Cell // of the sender, with the highest number received
-	maxOps    int         // operations besides that on the cell's record
-	freeTasks int         // tasks that may still be accepted
+	stored    record.Cell // the sender's record, updated by the highest transfer number received
+	maxOps    int         // limit on operations other than the one on the sender's record
+	freeTasks int         // number of tasks that may still be accepted
 	accepted  []*Request
 	released  []*Request
 }
 
-// applyRequests applies the requests of another cell: it accepts offers in their order, records cancellations
-// and recalls, releases jobs that are to return, and deletes the outcomes that the other cell has.
+// applyRequests applies the requests of another cell's message: it accepts offers in their order, records
+// cancellations and recalls, and releases jobs that are to be returned. It also deletes the outcomes that the other
+// cell has acknowledged.
 func (o *Offloader) applyRequests(ctx context.Context, message *Message) error {
 	batch, changed := o.planRequests(message)
 	if !changed {
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// planRequests puts the change of a message together and tells whether there is any.
+// planRequests returns the change that results from a message. changed reports whether there is anything to write.
 func (o *Offloader) planRequests(message *Message) (batch *requestBatch, changed bool) {
 	o.clusterState.RLock()
 	defer o.clusterState.RUnlock()
@@ -73,9 +74,10 @@
 	return batch, len(batch.change.ops) > 0
 }
 
+// isFull reports whether the transaction has no room for another operation.
 func (b *requestBatch) isFull() bool { return len(b.change.ops) >= b.maxOps }
 
-// apply applies one request.
+// apply applies one request to the view of the transfers and adds the resulting operations to the change.
 func (b *requestBatch) apply(request *Request) {
 	job := b.view.jobs[request.Number]
 	fits := job == nil && b.freeTasks >= request.Spec.TaskCount && b.mayAccept(&request.Spec)
@@ -97,8 +99,8 @@
 	}
 }
 
-// accept adds the record of a job that was offered. A job that can't be recorded is refused: the number received
-// fences it.
+// accept adds the creation of the record of an offered job. A job that can't be recorded is refused. The transfer
+// number received, which is recorded, prevents that a later copy of the request is accepted.
 func (b *requestBatch) accept(request *Request) {
 	accepted := record.Job{
 		Spec:          request.Spec,
@@ -117,14 +119,14 @@
 	b.accepted = append(b.accepted, request)
 }
 
-// mayRelease tells whether a job is to return to its home now: it is recalled or this cell drains, and no task
-// of it has started.
+// mayRelease reports whether a job is to be returned to its home: home recalls it or this cell is draining, and the
+// job is not cancelled and has no bound or done tasks.
 func (b *requestBatch) mayRelease(request *Request, job *clusterstate.Job) bool {
 	return (request.Recalled || b.operator.CellDraining) && !job.Cancelled() && job.BoundCount == 0 &&
 		job.DoneCount == 0
 }
 
-// release adds that the records of a job are deleted, which returns it to its home.
+// release adds the deletion of a job's records, which returns the job to its home.
 func (b *requestBatch) release(request *Request, job *clusterstate.Job) {
 	if _, ok := b.view.transfers.Release(request.Number, job.BoundCount); !ok {
 		return
@@ -135,19 +137,19 @@
 	b.released = append(b.released, request)
 }
 
-// cancelNow records that home's user has cancelled a job.
+// cancelNow marks a job as cancelled by its user at the current time.
 func cancelNow(stored *record.Job) {
 	stored.MarkCancelled(time.Now().UnixMilli(), true)
 }
 
-// recall records that home wants a job back. The transfer is copied, as the cluster state keeps the former one.
+// recall marks a job as recalled by its home. It copies the transfer, as the cluster state shares the previous one.
 func recall(stored *record.Job) {
 	recalled := *stored.OffloadedFrom
 	recalled.Recalled = true
 	stored.OffloadedFrom = &recalled
 }
 
-// deleteOutcomes adds that the outcomes that the other cell has are deleted.
+// deleteOutcomes adds the deletion of the outcomes that the other cell has acknowledged.
 func (b *requestBatch) deleteOutcomes() {
 	for _, number := range b.message.EndedTransfers {
 		outcome, ok := b.view.outcomes[number]
@@ -159,8 +161,8 @@
 	}
 }
 
-// mayAccept tells whether a job of another cell may run here at all. Jobs of teams with a limit may not, as the
-// limit is kept in their home. Callers hold the lock of the cluster state.
+// mayAccept reports whether a job from another cell may run in this cell, regardless of capacity. Jobs of teams with
+// a limit may not, as only their home enforces the limit. Callers hold the lock of the cluster state.
 func (o *Offloader) mayAccept(spec *wire.JobSpec) bool {
 	team := o.teamsByName[spec.Team]
 	if team.GPUsMax != 0 || team.CPUsMax != 0 || spec.Kind == wire.KindService || len(spec.Dependencies) > 0 {
@@ -170,8 +172,8 @@
 		o.clusterState.Jobs[spec.ID] == nil
 }
 
-// remainingTasks is how many more tasks of other cells may be accepted. Callers hold the lock of the cluster
-// state.
+// remainingTasks returns the number of further tasks from other cells that this cell may accept. Callers hold the
+// lock of the cluster state.
 func (o *Offloader) remainingTasks() int {
 	if o.operator.CellDraining {
 		return 0
--- a/internal/offload/standing.go
+++ b/internal/offload/standing.go
@@ -11,7 +11,7 @@
 	"sableusher/internal/record"
 )
 
-// memberOf returns a cell's record as the state machine of members sees it.
+// memberOf converts a cell's record to the state machine of package federation.
 func memberOf(cell string, stored record.Cell) federation.Member {
 	return federation.Member{
 		Name:               cell,
@@ -24,14 +24,14 @@
 	}
 }
 
-// standingEvidence is what an exchange with a cell has shown; the zero value is that of a failed one.
+// standingEvidence is the information about a cell from one exchange. It is the zero value for a failed exchange.
 type standingEvidence struct {
-	peerEpoch uint64     // the highest epoch received of the cell
-	inventory *Inventory // its inventory if it was received and all of it is durable
+	peerEpoch uint64     // the highest epoch received from the cell
+	inventory *Inventory // its inventory if one was received and all of it is durable; else nil
 }
 
-// updateStanding brings the record of another cell up to date. It returns ErrNotLeader if this node is not the
-// leader.
+// updateStanding updates the record of another cell by the current time and the evidence of an exchange. It returns
+// ErrNotLeader if this node is not the leader.
 func (o *Offloader) updateStanding(ctx context.Context, cell string, evidence standingEvidence) error {
 	observed := o.observe(cell)
 	observed.InventoryExchanged = evidence.inventory != nil
@@ -64,7 +64,7 @@
 	return o.commit(ctx, change)
 }
 
-// observe returns what this process knows of a cell that the operators' list names.
+// observe returns this process's observation of a cell that the operators' settings name.
 func (o *Offloader) observe(cell string) federation.Observation {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -77,14 +77,14 @@
 	}
 }
 
-// returnedJob is a job of this cell that is owned here again.
+// returnedJob identifies a job of this cell that is owned by this cell again.
 type returnedJob struct {
 	id     string
-	number uint64 // of the transfer that ended
+	number uint64 // number of the transfer that ended
 }
 
-// forgetCell carries out the operators' statement that a cell is gone for good. The cell's record says so first;
-// the jobs that were offloaded there return in later calls, a transaction at a time.
+// forgetCell applies the operators' statement that a cell is permanently gone. The first call fences the cell's epoch
+// in its record. Later calls return the jobs that were offloaded to the cell, as many as fit in one transaction.
 func (o *Offloader) forgetCell(ctx context.Context, forgotten config.ForgottenCell) error {
 	o.clusterState.RLock()
 	stored := o.cellRecord(forgotten.Name)
@@ -114,19 +114,19 @@
 	return nil
 }
 
-// fenceCell returns the record of a cell that is forgotten.
+// fenceCell returns the record of a cell after it is forgotten, with its epoch fenced.
 func fenceCell(stored record.Cell, forgotten config.ForgottenCell) (record.Cell, error) {
 	member, err := memberOf(forgotten.Name, stored).Forget(forgotten.Epoch, time.Now())
 	if err != nil {
-		return stored, fmt.Errorf("not forgotten: %w", err)
+		return stored, fmt.Errorf("forget cell: %w", err)
 	}
 	stored.FencedEpoch, stored.Standing = member.FencedEpoch, int(member.Standing)
 	stored.StandingSinceMs, stored.InventoryReceived = member.Since.UnixMilli(), member.InventoryExchanged
 	return stored, nil
 }
 
-// addReturns adds that jobs offloaded to a cell are owned here again, as many as fit in a transaction. Callers
-// hold the lock of the cluster state.
+// addReturns adds writes that return jobs offloaded to a cell, as many as fit in a transaction. It returns these jobs.
+// Callers hold the lock of the cluster state.
 func (o *Offloader) addReturns(change *recordChange, cell string) []returnedJob {
 	var returned []returnedJob
 	for number, job := range o.offloadedJobs(cell) {
--- a/internal/offload/status.go
+++ b/internal/offload/status.go
@@ -11,7 +11,7 @@
 	"sableusher/internal/tuning"
 )
 
-// applyStatus applies what another cell reports of one transfer.
+// applyStatus applies another cell's status report of one transfer to the record of the job.
 func (o *Offloader) applyStatus(ctx context.Context, cell string, status Status) error {
 	o.clusterState.RLock()
 	change, isLeader := o.newChange(cell)
@@ -46,8 +46,9 @@
 	return nil
 }
 
-// acknowledgeEnd lets the next messages say that the result of a transfer is known here: the job has ended or is
-// owned again. A cell that still lacks the inventory does not know that, and acknowledges nothing.
+// acknowledgeEnd schedules the acknowledgement of the result of a transfer in the next messages. Callers have checked
+// that no job is offloaded under its number, so the job has ended or is owned again. That is not certain before this
+// cell has received the other cell's inventory, and until then nothing is acknowledged.
 func (o *Offloader) acknowledgeEnd(cell string, stored record.Cell, status Status) {
 	if status.hostStatus() != federation.HostEnded || !o.inventoryReceived(stored) {
 		return
@@ -61,11 +62,11 @@
 	}
 }
 
-// addFinal adds that a job ends as its host reports. Callers hold the lock of the cluster state.
+// addFinal adds the end of a job as its host reports it. Callers hold the lock of the cluster state.
 func (o *Offloader) addFinal(change *recordChange, job *clusterstate.Job, status Status) {
 	finalState := status.FinalState
 	if finalState == "" {
-		finalState = job.CancelledStatus() // refused or returned after its user had cancelled it
+		finalState = job.CancelledStatus() // the host refused or returned it after its user had cancelled it
 	}
 	change.conditions = append(change.conditions, jobCondition(job))
 	change.ops = job.FinalizeOps(finalState, status.DoneCount, time.Now().UnixMilli())
--- a/internal/offload/testcell_test.go
+++ b/internal/offload/testcell_test.go
@@ -23,14 +23,14 @@
 	testMachineType = "large"
 )
 
-// testWrite is a transaction, with what it means for the tasks of the test.
+// testWrite is a transaction with a callback for when it is applied.
 type testWrite struct {
 	kvstore.Transaction
 	onApplied func()
 }
 
-// testCell is a cell with one node, which is its leader: a key-value store, the cluster state that follows it
-// with a delay, the driver under test, and a scheduler that starts and ends tasks by the cluster state.
+// testCell is a cell with one node, which is its leader. It has a key-value store, a cluster state that lags behind
+// the store, the Offloader under test, and a scheduler that starts and ends tasks by the cluster state.
 type testCell struct {
 	name      string
 	world     *testWorld
@@ -38,7 +38,7 @@
 	store     testStore
 	state     *clusterstate.State
 	offloader *Offloader
-	delayed   []testWrite // sent, not answered, to be executed later
+	delayed   []testWrite // transactions without an answer that are executed later
 }
 
 func newTestCell(world *testWorld, name, other string) *testCell {
@@ -67,7 +67,7 @@
 	return cell
 }
 
-// put writes a record without a condition.
+// put writes a record unconditionally.
 func (c *testCell) put(key string, value any) {
 	c.mustExecute(kvstore.Transaction{Ops: []wire.Op{kvstore.PutOp(key, value)}})
 }
@@ -78,12 +78,12 @@
 	}
 }
 
-// elect writes the leader's record, as an election does.
+// elect writes a new leader's record, as an election does.
 func (c *testCell) elect() {
 	c.put(record.ShardKey(record.LeaderShard), record.Shard{Owner: c.name, FencingToken: c.store.revision + 1})
 }
 
-// restart replaces the driver by one that remembers nothing.
+// restart replaces the Offloader by a new one, which loses the in-memory state.
 func (c *testCell) restart() {
 	c.offloader = New(Config{
 		Operator:     c.operator,
@@ -96,7 +96,7 @@
 	})
 }
 
-// Ownership implements Owner: the node leads under the leader's record that it has seen.
+// Ownership implements Owner. The node is always leader, under the leader's record that its cluster state has.
 func (c *testCell) Ownership(shard int) (membership.Ownership, bool) {
 	seen := c.state.Shards[shard]
 	return membership.Ownership{FencingToken: seen.FencingToken, ModRevision: seen.ModRevision}, true
@@ -108,7 +108,8 @@
 // UpcomingMaxRecordBytes implements Committer.
 func (c *testCell) UpcomingMaxRecordBytes() int { return 1 << 16 }
 
-// Commit implements Committer for the driver. A planted defect takes conditions out.
+// Commit implements Committer for the Offloader. It removes the conditions that the test world's injected defect
+// ignores.
 func (c *testCell) Commit(_ context.Context, transaction kvstore.Transaction) (uint64, error) {
 	ignored := c.world.ignoredConditions
 	isIgnored := func(condition wire.Condition) bool {
@@ -118,20 +119,20 @@
 	return c.store.revision, c.submit(testWrite{Transaction: transaction})
 }
 
-// submit executes a write now, now without an answer, or later without an answer.
+// submit executes a write. If faults are enabled, it may leave out the answer or delay the write without an answer.
 func (c *testCell) submit(write testWrite) error {
 	switch {
-	case c.world.trouble(&c.world.seen.delayedCommits, 0.05):
+	case c.world.injectFault(&c.world.seen.delayedCommits, 0.05):
 		c.delayed = append(c.delayed, write)
 		return kvstore.ErrOutcomeUnknown
-	case c.world.trouble(&c.world.seen.unansweredCommits, 0.05):
+	case c.world.injectFault(&c.world.seen.unansweredCommits, 0.05):
 		_ = c.execute(write)
 		return kvstore.ErrOutcomeUnknown
 	}
 	return c.execute(write)
 }
 
-// execute executes a write and holds what it changed to the rules.
+// execute executes a write and checks the written records.
 func (c *testCell) execute(write testWrite) error {
 	before := map[string]record.Job{}
 	for _, op := range write.Ops {
@@ -154,7 +155,7 @@
 	return nil
 }
 
-// executeDelayed executes the writes that were delayed.
+// executeDelayed executes the delayed writes.
 func (c *testCell) executeDelayed() {
 	writes := c.delayed
 	c.delayed = nil
@@ -163,7 +164,7 @@
 	}
 }
 
-// storedJob decodes the record of a job as it is stored now.
+// storedJob returns the stored record of a job. It returns false if the key does not exist or is not of a job.
 func (c *testCell) storedJob(key string) (record.Job, bool) {
 	stored, ok := c.store.values[key]
 	if !ok || !strings.HasPrefix(key, record.JobPrefix) {
@@ -176,7 +177,7 @@
 	return job, true
 }
 
-// submitJob records a job of one task, as accepted from a user.
+// submitJob writes the record of a job with one task, as for a submission by a user.
 func (c *testCell) submitJob(id string) {
 	job := record.Job{
 		Spec: wire.JobSpec{
@@ -191,7 +192,8 @@
 	c.put(record.JobKey(id), job)
 }
 
-// runScheduler lets every job that the cluster state knows go on.
+// runScheduler advances every job in the cluster state by at most one step. startLocally is the probability that a job
+// of this cell starts; jobs from the other cell start with a probability of 0.2.
 func (c *testCell) runScheduler(random *rand.Rand, startLocally float64) {
 	for _, id := range c.world.jobIDs {
 		job := c.state.Jobs[id]
@@ -217,7 +219,7 @@
 	}
 }
 
-// writeTask writes the state of a job's task, and starts or ends it.
+// writeTask writes the state of a job's task, and records the start or end of the task once the write is applied.
 func (c *testCell) writeTask(job *clusterstate.Job, state record.TaskState) {
 	task := job.Task(0)
 	task.State = state
@@ -230,11 +232,11 @@
 			Conditions: job.ChunkConditions(0),
 			Ops:        []wire.Op{job.EncodeChunk(0, map[int]record.Task{0: task})},
 		},
-		onApplied: func() { c.world.noteTask(c.name, id, state) },
+		onApplied: func() { c.world.recordTaskState(c.name, id, state) },
 	})
 }
 
-// endJob replaces the record of a job by its end, as the scheduler does.
+// endJob replaces the record of a job by its final record or its outcome, as the scheduler does.
 func (c *testCell) endJob(job *clusterstate.Job, state wire.JobState) {
 	change := recordChange{conditions: []wire.Condition{jobCondition(job)}}
 	if guest := job.OffloadedFrom; guest != nil {
@@ -249,14 +251,14 @@
 	_ = c.submit(testWrite{Transaction: kvstore.Transaction{Conditions: change.conditions, Ops: change.ops}})
 }
 
-// edit rewrites a job's own record, as far as the cluster state knows it.
+// edit writes a job's own record as changed by edit, on condition that the cluster state has its current version.
 func (c *testCell) edit(job *clusterstate.Job, edit func(*record.Job)) {
 	var change recordChange
 	change.addJobRewrite(job, edit)
 	_ = c.submit(testWrite{Transaction: kvstore.Transaction{Conditions: change.conditions, Ops: change.ops}})
 }
 
-// recallOffloaded records that a job that is offloaded is wanted back.
+// recallOffloaded marks an offloaded job as recalled.
 func recallOffloaded(stored *record.Job) {
 	recalled := *stored.OffloadedTo
 	recalled.Recalled = true
--- a/internal/offload/teststore_test.go
+++ b/internal/offload/teststore_test.go
@@ -6,13 +6,13 @@
 	"sableusher/internal/wire"
 )
 
-// storedValue is the value of a key; the zero value is that of a key that does not exist.
+// storedValue is the value of a key. A key that does not exist has the zero storedValue.
 type storedValue struct {
 	value       wire.RawValue
 	modRevision uint64
 }
 
-// storeEvent is a key that was written, or deleted if deleted.
+// storeEvent is a write of a key, or its deletion if deleted is set.
 type storeEvent struct {
 	storedValue
 	key     string
@@ -23,7 +23,7 @@
 type testStore struct {
 	values   map[string]storedValue
 	revision uint64
-	unseen   []storeEvent // not applied to the cluster state yet
+	unseen   []storeEvent // events not applied to the cluster state yet
 }
 
 // execute applies a transaction if all its conditions hold, and returns kvstore.ErrConditionFailed otherwise.
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// refresh applies to a cluster state what it has not seen.
+// refresh applies the unseen events to a cluster state.
 func (s *testStore) refresh(state *clusterstate.State) {
 	state.BeginUpdate()
 	for _, event := range s.unseen {
--- a/internal/offload/testworld_test.go
+++ b/internal/offload/testworld_test.go
@@ -19,45 +19,45 @@
 
 // Lengths of the phases of a run.
 const (
-	joinSeconds    = 45 // until the cells offer jobs to each other
-	troubleSeconds = 120
-	jobsPerRun     = 12
-	quietSeconds   = 300 // at most, until all jobs have ended
-	cleanupSeconds = 30  // until nothing is left of them in the other cell
+	joinSeconds    = 45  // without jobs, for the cells to join each other
+	faultSeconds   = 120 // with jobs and faults
+	jobsPerRun     = 12  // jobs submitted in that phase at most
+	quietSeconds   = 300 // without faults, until all jobs have ended; an upper bound
+	cleanupSeconds = 30  // for both cells to delete the remaining records of the jobs
 )
 
-// events counts what happened in runs.
+// events counts the faults and job events of all runs.
 type events struct {
-	lostRequests, lostAnswers, doubledRequests, lateRequests, lateAnswers int
-	delayedCommits, unansweredCommits, restarts, elections                int
-	accepted, returned, endedElsewhere, cancelled                         int
+	lostRequests, lostAnswers, duplicatedRequests, lateRequests, lateAnswers int
+	delayedCommits, unansweredCommits, restarts, elections                   int
+	accepted, returned, endedElsewhere, cancelled                            int
 }
 
-// jobTruth is what really happened to a job.
+// jobTruth is the actual history of a job, independent of the records of the cells.
 type jobTruth struct {
-	runningIn map[string]bool // cells
-	ran       bool            // to its end
-	finals    []wire.JobState // as written at its home
+	runningIn map[string]bool // names of the cells that run its task
+	ran       bool            // its task has run to its end
+	finals    []wire.JobState // states of the final records written at its home
 }
 
-// sentMessage is a request that may arrive again.
+// sentMessage is a message that was sent and may arrive again.
 type sentMessage struct {
 	to      string
 	message Message
 }
 
-// testWorld is two cells, the messages between them, and what really happens to their jobs. Its network loses,
-// doubles and delays messages both ways.
+// testWorld simulates two cells, the messages between them and the actual history of their jobs. Its network loses
+// and delays messages and answers, and duplicates messages.
 type testWorld struct {
 	cells             []*testCell
 	random            *rand.Rand
-	troubled          bool
-	ignoredConditions string // prefix of the keys whose conditions the drivers' transactions lack
+	faultsEnabled     bool
+	ignoredConditions string // prefix of the keys whose conditions are removed from the Offloaders' transactions
 	jobIDs            []string
 	truth             map[string]*jobTruth
 	requests          []sentMessage
-	answers           map[string]Message // the last one of each cell
-	violation         string             // the first
+	answers           map[string]Message // last answer of each cell
+	violation         string             // the first violation of a rule
 	seen              *events
 }
 
@@ -73,9 +73,10 @@
 	return w
 }
 
-// trouble draws whether a trouble of some probability happens now, and counts it.
-func (w *testWorld) trouble(count *int, probability float64) bool {
-	if !w.troubled || w.random.Float64() >= probability {
+// injectFault reports whether a fault happens now, by its probability, and counts it. It returns false while faults
+// are disabled.
+func (w *testWorld) injectFault(count *int, probability float64) bool {
+	if !w.faultsEnabled || w.random.Float64() >= probability {
 		return false
 	}
 	*count++
@@ -91,31 +92,31 @@
 
 // Exchange implements Transport.
 func (w *testWorld) Exchange(ctx context.Context, to config.Cell, message Message) (Message, error) {
-	if w.troubled {
+	if w.faultsEnabled {
 		w.requests = append(w.requests, sentMessage{to: to.Name, message: message})
 	}
-	if w.trouble(&w.seen.lostRequests, 0.15) {
+	if w.injectFault(&w.seen.lostRequests, 0.15) {
 		return Message{}, errMessageLost
 	}
-	if w.trouble(&w.seen.doubledRequests, 0.1) {
+	if w.injectFault(&w.seen.duplicatedRequests, 0.1) {
 		_, _ = w.deliver(ctx, to.Name, message)
 	}
 	answer, err := w.deliver(ctx, to.Name, message)
 	if err != nil {
 		return Message{}, err
 	}
-	if w.trouble(&w.seen.lostAnswers, 0.15) {
+	if w.injectFault(&w.seen.lostAnswers, 0.15) {
 		return Message{}, errMessageLost
 	}
 	earlier, known := w.answers[to.Name]
 	w.answers[to.Name] = answer
-	if known && w.trouble(&w.seen.lateAnswers, 0.1) {
+	if known && w.injectFault(&w.seen.lateAnswers, 0.1) {
 		return earlier, nil
 	}
 	return answer, nil
 }
 
-// deliver carries a message to a cell and its answer back.
+// deliver delivers a message to a cell and returns the answer. Both are encoded and decoded on the way.
 func (w *testWorld) deliver(ctx context.Context, to string, message Message) (Message, error) {
 	var received, returned Message
 	if err := wire.Decode(wire.MustEncode(message), &received); err != nil {
@@ -129,33 +130,33 @@
 	return returned, err
 }
 
-// step lets a second pass.
+// step advances the simulation by one second.
 func (w *testWorld) step(ctx context.Context, startLocally float64) {
 	time.Sleep(time.Second)
 	for _, cell := range w.cells {
-		if !w.troubled || w.random.Float64() < 0.7 {
+		if !w.faultsEnabled || w.random.Float64() < 0.7 {
 			cell.store.refresh(cell.state)
 		}
-		if !w.troubled || w.random.Float64() < 0.3 {
+		if !w.faultsEnabled || w.random.Float64() < 0.3 {
 			cell.executeDelayed()
 		}
-		if w.trouble(&w.seen.restarts, 0.02) {
+		if w.injectFault(&w.seen.restarts, 0.02) {
 			cell.restart()
 		}
-		if w.trouble(&w.seen.elections, 0.02) {
+		if w.injectFault(&w.seen.elections, 0.02) {
 			cell.elect()
 		}
 		cell.offloader.runOnce(ctx)
 		cell.runScheduler(w.random, startLocally)
 	}
-	if len(w.requests) > 0 && w.trouble(&w.seen.lateRequests, 0.3) {
+	if len(w.requests) > 0 && w.injectFault(&w.seen.lateRequests, 0.3) {
 		late := w.requests[w.random.IntN(len(w.requests))]
 		_, _ = w.deliver(ctx, late.to, late.message)
 	}
 	w.checkRights()
 }
 
-// actAsUsers submits a job to a cell, or cancels or recalls one.
+// actAsUsers randomly submits a job to a cell, and cancels or recalls a job.
 func (w *testWorld) actAsUsers() {
 	cell := w.cells[w.random.IntN(len(w.cells))]
 	if len(w.jobIDs) < jobsPerRun && w.random.IntN(3) == 0 {
@@ -184,15 +185,15 @@
 	cell.submitJob(id)
 }
 
-// violate notes the first violation of a rule.
-func (w *testWorld) violate(format string, args ...any) {
+// recordViolation records a violation of a rule if it is the first one.
+func (w *testWorld) recordViolation(format string, args ...any) {
 	if w.violation == "" {
 		w.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// noteTask notes that a job's task was started or ended in a cell.
-func (w *testWorld) noteTask(cell, id string, state record.TaskState) {
+// recordTaskState records that a job's task was started or ended in a cell, and checks the start.
+func (w *testWorld) recordTaskState(cell, id string, state record.TaskState) {
 	truth := w.truth[id]
 	if state != record.TaskBound {
 		delete(truth.runningIn, cell)
@@ -201,15 +202,15 @@
 	}
 	truth.runningIn[cell] = true
 	if len(truth.runningIn) > 1 {
-		w.violate("%s runs in two cells", id)
+		w.recordViolation("%s runs in two cells", id)
 	}
 	if truth.ran || len(truth.finals) > 0 {
-		w.violate("%s starts after its end", id)
+		w.recordViolation("%s starts after it has ended", id)
 	}
 }
 
-// checkWritten holds a record that was written to the rules; before are the records of jobs that the transaction
-// replaced or deleted, by key.
+// checkWritten checks a written record and counts the event that it reflects. before holds the records of jobs that
+// the transaction replaced or deleted, by key.
 func (w *testWorld) checkWritten(cell *testCell, key string, before map[string]record.Job) {
 	if job, ok := cell.storedJob(key); ok {
 		previous, known := before[key]
@@ -231,7 +232,7 @@
 	}
 }
 
-// checkFinal holds the end of a job, as its home has it now, to the rules.
+// checkFinal checks the final record of a job, which its home has just written.
 func (w *testWorld) checkFinal(cell *testCell, key, id string) {
 	var final record.Final
 	if err := wire.Decode(cell.store.values[key].value, &final); err != nil {
@@ -241,18 +242,19 @@
 	truth.finals = append(truth.finals, final.Status)
 	switch {
 	case len(truth.finals) > 1:
-		w.violate("%s ended twice: %v", id, truth.finals)
+		w.recordViolation("%s ended twice: %v", id, truth.finals)
 	case len(truth.runningIn) > 0:
-		w.violate("%s ended as %v while it runs in %v", id, final.Status, truth.runningIn)
+		w.recordViolation("%s ended as %v while it still runs in %v", id, final.Status, truth.runningIn)
 	case final.Status == wire.JobDone && !truth.ran:
-		w.violate("%s ended as done and did not run", id)
+		w.recordViolation("%s ended as done without having run", id)
 	}
 	if final.Status == wire.JobCancelled {
 		w.seen.cancelled++
 	}
 }
 
-// checkRights checks that at most one cell holds the right to start each job, by the records as they are stored.
+// checkRights checks, by the stored records, that at most one cell holds the right to start each job, and none after
+// the job has ended.
 func (w *testWorld) checkRights() {
 	for _, id := range w.jobIDs {
 		holders := 0
@@ -262,12 +264,12 @@
 			}
 		}
 		if holders > 1 || holders > 0 && len(w.truth[id].finals) > 0 {
-			w.violate("%s may be started by %d cells, its ends: %v", id, holders, w.truth[id].finals)
+			w.recordViolation("%s may be started by %d cells; its final states are %v", id, holders, w.truth[id].finals)
 		}
 	}
 }
 
-// allEnded tells whether every job has ended.
+// allEnded reports whether every job has ended.
 func (w *testWorld) allEnded() bool {
 	for _, truth := range w.truth {
 		if len(truth.finals) == 0 {
@@ -277,29 +279,30 @@
 	return true
 }
 
-// checkJoined checks that both cells accept offers.
+// checkJoined checks that each cell has the other one as joined.
 func (w *testWorld) checkJoined() {
 	for _, cell := range w.cells {
 		for name, other := range cell.state.Cells {
 			if federation.Standing(other.Standing) != federation.StandingJoined {
-				w.violate("%s is %v to %s", name, federation.Standing(other.Standing), cell.name)
+				w.recordViolation("standing of cell %s is %v in cell %s",
+					name, federation.Standing(other.Standing), cell.name)
 			}
 		}
 	}
 }
 
-// checkNothingLeft checks that no record of a job is left but its final one.
+// checkNothingLeft checks that no records of jobs are left other than final ones.
 func (w *testWorld) checkNothingLeft() {
 	for _, cell := range w.cells {
 		for key := range cell.store.values {
 			if strings.HasPrefix(key, record.JobPrefix) || strings.HasPrefix(key, record.GuestOutcomePrefix) {
-				w.violate("%s is left in %s", key, cell.name)
+				w.recordViolation("record %s is left in cell %s", key, cell.name)
 			}
 		}
 	}
 }
 
-// run plays all phases and returns the first violation, or "".
+// run simulates all phases and returns the first violation of a rule, or "" if there is none.
 func (w *testWorld) run(t *testing.T) string {
 	t.Helper()
 	ctx := t.Context()
@@ -307,12 +310,12 @@
 		w.step(ctx, 0)
 	}
 	w.checkJoined()
-	w.troubled = true
-	for range troubleSeconds {
+	w.faultsEnabled = true
+	for range faultSeconds {
 		w.actAsUsers()
 		w.step(ctx, 0.02)
 	}
-	w.troubled = false
+	w.faultsEnabled = false
 	for range quietSeconds {
 		if w.allEnded() {
 			break
@@ -320,7 +323,7 @@
 		w.step(ctx, 0.1)
 	}
 	if !w.allEnded() {
-		w.violate("not all jobs have ended after %d s without trouble", quietSeconds)
+		w.recordViolation("not all jobs have ended after %d s without faults", quietSeconds)
 	}
 	for range cleanupSeconds {
 		w.step(ctx, 0.1)
