--- a/internal/federation/handovermodel_test.go
+++ b/internal/federation/handovermodel_test.go
@@ -202,7 +202,7 @@
 			s.add("recall", func(next *model) { next.cells[homeCell].home.Recalled = true })
 		}
 		if s.injected == homeReclaimsOnSilence {
-			s.add("reclaim", func(next *model) { next.cells[homeCell].home.State = HomeOwned })
+			s.add("take back", func(next *model) { next.cells[homeCell].home.State = HomeOwned })
 		}
 	}
 	if !home.inventoryReceived && home.clean {
--- a/internal/offload/exchange.go
+++ b/internal/offload/exchange.go
@@ -16,8 +16,8 @@
 // homeTransfer converts a job to home's state machine.
 func homeTransfer(job *clusterstate.Job) federation.HomeTransfer {
 	transfer := federation.HomeTransfer{Cancelled: job.Cancelled()}
-	if away := job.OffloadedTo; away != nil {
-		transfer.State, transfer.Number, transfer.Recalled = federation.HomeOffloaded, away.Number, away.Recalled
+	if offloadedTo := job.OffloadedTo; offloadedTo != nil {
+		transfer.State, transfer.Number, transfer.Recalled = federation.HomeOffloaded, offloadedTo.Number, offloadedTo.Recalled
 	}
 	return transfer
 }
--- a/internal/offload/inventory.go
+++ b/internal/offload/inventory.go
@@ -56,11 +56,11 @@
 		o.addLostJob(&change, held, transfer)
 		return change, writeRecord, nil
 	}
-	away := job.OffloadedTo
+	offloadedTo := job.OffloadedTo
 	switch {
-	case away != nil && away.Number == held.Number && away.Cell == cell:
+	case offloadedTo != nil && offloadedTo.Number == held.Number && offloadedTo.Cell == cell:
 		return recordChange{}, keepRecord, nil
-	case job.BoundCount > 0, away != nil && away.Cell != cell:
+	case job.BoundCount > 0, offloadedTo != nil && offloadedTo.Cell != cell:
 		// Tasks bound here must be released first; this cell's new epoch implies that their machines are gone.
 		return recordChange{}, awaitTasks, nil
 	}
--- a/internal/offload/offer.go
+++ b/internal/offload/offer.go
@@ -144,7 +144,7 @@
 	var offers []offer
 	for _, id := range slices.Sorted(maps.Keys(o.clusterState.Jobs)) {
 		job := o.clusterState.Jobs[id]
-		if len(offers) >= tuning.OffloadsPerReview || !job.CanStart() || !o.canBeOffloaded(job) {
+		if len(offers) >= tuning.MaxOffloadsPerExchange || !job.CanStart() || !o.canBeOffloaded(job) {
 			continue
 		}
 		rank := job.Spec.Priority.Rank()
--- a/internal/offload/requests.go
+++ b/internal/offload/requests.go
@@ -93,9 +93,9 @@
 	case b.mayRelease(request, job):
 		b.release(request, job)
 	case request.Cancelled && !job.Cancelled():
-		b.change.addJobRewrite(job, cancelNow)
+		b.change.addJobRewrite(job, markCancelled)
 	case request.Recalled && !job.OffloadedFrom.Recalled:
-		b.change.addJobRewrite(job, recall)
+		b.change.addJobRewrite(job, markRecalled)
 	}
 }
 
@@ -137,13 +137,13 @@
 	b.released = append(b.released, request)
 }
 
-// cancelNow marks a job as cancelled by its user at the current time.
-func cancelNow(stored *record.Job) {
+// markCancelled marks a job as cancelled by its user at the current time.
+func markCancelled(stored *record.Job) {
 	stored.MarkCancelled(time.Now().UnixMilli(), true)
 }
 
-// recall marks a job as recalled by its home. It copies the transfer, as the cluster state shares the previous one.
-func recall(stored *record.Job) {
+// markRecalled marks a job as recalled by its home. It copies the transfer, as the cluster state shares the previous one.
+func markRecalled(stored *record.Job) {
 	recalled := *stored.OffloadedFrom
 	recalled.Recalled = true
 	stored.OffloadedFrom = &recalled
--- a/internal/offload/testworld_test.go
+++ b/internal/offload/testworld_test.go
@@ -171,7 +171,7 @@
 	}
 	switch {
 	case !job.Cancelled() && w.random.IntN(15) == 0:
-		cell.edit(job, cancelNow)
+		cell.edit(job, markCancelled)
 	case job.OffloadedTo != nil && w.random.IntN(5) == 0:
 		cell.edit(job, recallOffloaded)
 	}
--- a/internal/tuning/federation.go
+++ b/internal/tuning/federation.go
@@ -15,8 +15,8 @@
 	// CellTransfersPerMessage is the maximum number of transfers that one message has requests for. Such a message
 	// is about 50 KiB long.
 	CellTransfersPerMessage = 48
-	// OffloadsPerReview is the maximum number of jobs that one review of the waiting jobs offloads.
-	OffloadsPerReview = 16
+	// MaxOffloadsPerExchange is the maximum number of jobs that are offloaded after one exchange of messages.
+	MaxOffloadsPerExchange = 16
 	// OffloadMinWait is how long a job must have been ready to start before it may be offloaded. Most jobs start
 	// within this time.
 	OffloadMinWait = 3 * time.Second
--- a/internal/zonehealth/tracker_test.go
+++ b/internal/zonehealth/tracker_test.go
@@ -104,7 +104,7 @@
 			available := func(zone string) bool { return !both.Unavailable(zone) }
 			unavailable := slices.DeleteFunc(slices.Clone(zones), available)
 			if !slices.Equal(both.UnavailableZones(), unavailable) {
-				t.Fatalf("UnavailableZones returns %v, want %v", both.UnavailableZones(), unavailable)
+				t.Fatalf("UnavailableZones returns %v", both.UnavailableZones())
 			}
 		}
 	})
