--- a/internal/api/backend_test.go
+++ b/internal/api/backend_test.go
@@ -16,25 +16,25 @@
 	"sableusher/internal/wire"
 )
 
-// Ids of jobs in tests.
+// Job ids used in tests.
 const (
 	testJobID  = "run-000001"
 	otherJobID = "run-000002"
 )
 
-// initialRevision is the revision of everything that a test puts into the cluster state.
+// initialRevision is the revision of the records that tests put into the cluster state, except with putAt.
 const initialRevision = 7
 
-// fakeBackend stands in for the key-value store, the cluster state's freshness and the agents.
+// fakeBackend implements Reader, Committer, ReadBarrier and AgentRegistry on a cluster state without a store.
 type fakeBackend struct {
 	state        *clusterstate.State
 	finalRecords map[string]record.Final
 	barrierErr   error
 	commitErr    error
-	onBarrier    func() // what the barrier brings into the cluster state
+	onBarrier    func() // called by each read barrier, to update the cluster state; may be nil
 	barriers     int
 	committed    []kvstore.Transaction
-	onCommit     func() // what a transaction brings into the cluster state
+	onCommit     func() // called by each commit that succeeds, to update the cluster state; may be nil
 	revision     uint64
 }
 
@@ -75,7 +75,7 @@
 	}
 }
 
-// put brings a record into the cluster state.
+// put puts a record into the cluster state at initialRevision.
 func (b *fakeBackend) put(key string, value any) { b.putAt(key, value, initialRevision) }
 
 func (b *fakeBackend) putAt(key string, value any, modRevision uint64) {
@@ -96,7 +96,7 @@
 	b.finalRecords[record.FinalKey(id)] = record.Final{Status: state}
 }
 
-// testSpec describes a job that the test servers accept.
+// testSpec returns the description of a job that the test servers accept.
 func testSpec() wire.JobSpec {
 	return wire.JobSpec{
 		ID: testJobID, Class: "c", Team: "t", Kind: wire.KindArray, Priority: wire.PriorityNormal, TaskCount: 2,
@@ -104,13 +104,13 @@
 	}
 }
 
-// testServer is a server with the backend behind it.
+// testServer is the handler of a server and its fake backend.
 type testServer struct {
 	*fakeBackend
 	handler http.Handler
 }
 
-// newTestServer makes a server that knows the machine types and limits no retries.
+// newTestServer returns a server that knows the machine types and has no retry limits.
 func newTestServer() *testServer {
 	server := newServerWithoutCatalog(&config.Operator{})
 	server.putCatalog()
@@ -139,15 +139,15 @@
 	}})
 }
 
-// statusWithoutRetryAfter stands for an answer 503 that lacks its Retry-After.
+// statusWithoutRetryAfter is returned by send for a 503 response without a Retry-After header.
 const statusWithoutRetryAfter = -1
 
-// send serves one request and gives the HTTP status and the job's state.
+// send serves one request and returns the HTTP status and the job state of the response, if it has one.
 func (s *testServer) send(method, path string, body []byte) (int, wire.JobState) {
 	recorder := httptest.NewRecorder()
 	s.handler.ServeHTTP(recorder, httptest.NewRequest(method, path, bytes.NewReader(body)))
 	var answer wire.JobStatus
-	_ = wire.Decode(recorder.Body.Bytes(), &answer) // other answers have no state
+	_ = wire.Decode(recorder.Body.Bytes(), &answer) // other responses have no state
 	if recorder.Code == http.StatusServiceUnavailable && recorder.Header().Get("Retry-After") == "" {
 		return statusWithoutRetryAfter, answer.State
 	}
--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -13,15 +13,16 @@
 	"sableusher/internal/wire"
 )
 
-// cancellation is the change that marks a job as cancelled, or that requests it.
+// cancellation is a transaction that marks a job as cancelled or requests its cancellation.
 type cancellation struct {
 	transaction kvstore.Transaction
-	// outcome is what the change comes to once it is durable.
+	// outcome is the result of the cancellation once the transaction has been applied.
 	outcome markOutcome
 }
 
-// cancelJob cancels a job and gives its final state once that may be confirmed: until no task of it is
-// on a machine the answer is errTasksStopping. A job that is over stays as it is.
+// cancelJob cancels a job and returns its final state once that state may be confirmed to the user. It returns
+// errTasksStopping if a task of the job is still bound to a machine when the wait for its release is over. A job
+// that has ended is not changed; its final state is returned.
 func (s *Server) cancelJob(ctx context.Context, id string) (wire.JobState, error) {
 	for ctx.Err() == nil {
 		status, err := s.jobStatus(ctx, id)
@@ -49,25 +50,25 @@
 	return "", errStoreUnavailable
 }
 
-// markOutcome is what marking a job as cancelled has come to.
+// markOutcome is the result of marking a job as cancelled.
 type markOutcome int
 
 const (
-	nothingToMark         markOutcome = iota // it is not live, or is stopping or complete already
-	cancellationRequested                    // its tasks are to be released before it is marked
-	cancellationMarked                       // its tasks are to be released before that is reported
-	cancellationConfirmed                    // it may be confirmed to the user at once
+	nothingToMark         markOutcome = iota // the job is not live, or is already stopping or complete
+	cancellationRequested                    // the job may be marked only once its tasks are released
+	cancellationMarked                       // the job is marked; confirmed only once its tasks are released
+	cancellationConfirmed                    // the cancellation may be confirmed to the user at once
 )
 
-// String names the outcome.
+// String returns the outcome as it is logged.
 func (o markOutcome) String() string {
 	return [...]string{"nothing to mark", "requested", "marked", "confirmed"}[o]
 }
 
-// markCancelled marks a live job as cancelled, or requests that. kvstore.ErrConditionFailed proves that it was not,
-// as does errOwnersUnsettled; any other error leaves that open.
+// markCancelled marks a live job as cancelled or requests its cancellation. After kvstore.ErrConditionFailed or
+// errOwnersUnsettled nothing has been written; after any other error the write may or may not have been applied.
 func (s *Server) markCancelled(ctx context.Context, id string) (markOutcome, error) {
-	change, err := s.cancellationOf(id)
+	change, err := s.newCancellation(id)
 	if err != nil || change.outcome == nothingToMark {
 		return nothingToMark, err
 	}
@@ -78,10 +79,10 @@
 	return change.outcome, nil
 }
 
-// cancellationOf gives the change that marks a live job as cancelled; its outcome is nothingToMark if there is
-// none. The condition on the job's record ensures that no task can be bound by a later transaction that still rests
-// on the record before it.
-func (s *Server) cancellationOf(id string) (cancellation, error) {
+// newCancellation returns the transaction that cancels a live job; its outcome is nothingToMark if the job needs no
+// cancellation. The transaction is conditional on the revision of the job's record. Because it writes that record, a
+// later transaction that is conditional on the old revision can bind no task.
+func (s *Server) newCancellation(id string) (cancellation, error) {
 	s.clusterState.RLock()
 	defer s.clusterState.RUnlock()
 	job := s.clusterState.Jobs[id]
@@ -89,29 +90,31 @@
 		return cancellation{}, nil
 	}
 	if s.clusterState.SchemaVersion < tuning.SchemaVersionConfirmedCancel {
-		return s.cancellationAmongOlderVersions(job)
+		return s.newCancellationWithOlderNodes(job)
 	}
 	marked := *job
 	marked.MarkCancelled(time.Now().UnixMilli(), true)
 	outcome := cancellationMarked
-	if job.FullyReleased() && job.ChunkCount() == 1 { // no task is bound in another record
+	if job.FullyReleased() && job.ChunkCount() == 1 { // no other record of the job can hold a bound task
 		outcome = cancellationConfirmed
 	}
 	return cancellation{s.encodeMarked(job, &marked, nil), outcome}, nil
 }
 
-// cancellationAmongOlderVersions gives the change while some node may be of a version that reports a mark as soon
-// as it reads it: until then a start that was sent may still be on its way, or its machine fetch the image. So the
-// mark is written only once no task is bound; before that the change requests it, which older versions do not see.
-// Where an owner ignores such requests nothing but the mark makes it stop the tasks: it is written and confirmed at
-// once, as that owner would, and leases end in time by themselves. That the schema version still is the one decided
-// on is a condition. Callers hold the lock of the cluster state.
-func (s *Server) cancellationAmongOlderVersions(job *clusterstate.Job) (cancellation, error) {
+// newCancellationWithOlderNodes is newCancellation for schema versions before tuning.SchemaVersionConfirmedCancel:
+// some node may still report a job as cancelled as soon as it reads the mark. At that moment a start command may still
+// be on its way to a machine, or the machine may be fetching the image. The mark is therefore written only once no
+// task is bound; until then the transaction writes a cancellation request, which older versions ignore. If the owner
+// of a shard ignores such requests, only the mark makes it stop the tasks: the mark is then written and confirmed at
+// once, as that owner would do, and the leases of the tasks expire in time. The transaction is conditional on the
+// schema version not having changed. The caller must hold the cluster state's lock.
+func (s *Server) newCancellationWithOlderNodes(job *clusterstate.Job) (cancellation, error) {
 	support, conditions := s.clusterState.CancelRequestSupport()
-	// A task bound in a further record does not collide with the mark: none may come after the request.
-	allReleased := job.CancelRequested() && support == clusterstate.CancelRequestsHonored &&
+	// Binding a task in another record of the job does not conflict with the mark. Once all owners honor the request
+	// and the cluster state is as new as the request, no such binding can be missing from it or follow.
+	noUnseenBindings := job.CancelRequested() && support == clusterstate.CancelRequestsHonored &&
 		s.barrier.Revision() >= job.ModRevision
-	released := job.FullyReleased() && (job.ChunkCount() == 1 || allReleased)
+	released := job.FullyReleased() && (job.ChunkCount() == 1 || noUnseenBindings)
 	marked, outcome, now := *job, cancellationConfirmed, time.Now().UnixMilli()
 	switch {
 	case released, support == clusterstate.CancelRequestsIgnored:
@@ -130,15 +133,15 @@
 	return cancellation{s.encodeMarked(job, &marked, append(conditions, versionUnchanged)), outcome}, nil
 }
 
-// encodeMarked gives the transaction that writes the marked record of a job, under further conditions. A
-// record that could become too large to be written again is brought into a finer layout by the same
-// transaction. Callers hold the lock of the cluster state.
-func (s *Server) encodeMarked(job, marked *clusterstate.Job, further []wire.Condition) kvstore.Transaction {
+// encodeMarked returns the transaction that replaces the record of job by that of marked, subject to the extra
+// conditions. If the record could grow too large to be written again, the same transaction splits it into a finer
+// layout. The caller must hold the cluster state's lock.
+func (s *Server) encodeMarked(job, marked *clusterstate.Job, extraConditions []wire.Condition) kvstore.Transaction {
 	limits := s.clusterState.SizeLimits(s.committer.MaxRecordBytes())
 	if s.clusterState.SchemaVersion >= tuning.SchemaVersionDependencies && job.NeedsMigration(limits) {
 		if migration, ok := marked.MigrateChunk(limits, 0); ok {
 			return kvstore.Transaction{
-				Conditions: append(migration.Conditions, further...),
+				Conditions: append(migration.Conditions, extraConditions...),
 				Ops:        migration.Ops,
 				Priority:   kvstore.PriorityUrgent,
 			}
@@ -147,15 +150,15 @@
 	op := marked.EncodeChunk(0, nil)
 	unchanged := []wire.Condition{{Key: op.PutKey, ModRevision: job.ModRevision}}
 	return kvstore.Transaction{
-		Conditions: slices.Concat(further, unchanged),
+		Conditions: slices.Concat(extraConditions, unchanged),
 		Ops:        []wire.Op{op},
 		Priority:   kvstore.PriorityUrgent,
 	}
 }
 
-// waitUntilReleased waits until no task of a stopping job is bound, as far as this cluster state goes, for
-// as long as a cancellation may take; it returns false if that takes longer. Only a bounded number
-// of requests waits at once: many jobs on machines that can't be reached must not keep submissions out.
+// waitUntilReleased waits until the cluster state shows no bound task of a stopping job. It returns false if that
+// takes longer than tuning.CancelWaitTimeout, or at once if tuning.MaxWaitingCancels requests are waiting already:
+// cancellations of many jobs on unreachable machines must not take the request slots that submissions need.
 func (s *Server) waitUntilReleased(ctx context.Context, id string) bool {
 	select {
 	case s.cancellationSlots <- struct{}{}:
@@ -177,7 +180,8 @@
 	return true
 }
 
-// isReleased reports whether no task of a stopping job is bound.
+// isReleased reports whether a stopping job has no bound task. It is also true for a job that is not live or not
+// stopping.
 func (s *Server) isReleased(id string) bool {
 	s.clusterState.RLock()
 	defer s.clusterState.RUnlock()
--- a/internal/api/cancel_test.go
+++ b/internal/api/cancel_test.go
@@ -12,13 +12,13 @@
 	"sableusher/internal/wire"
 )
 
-// boundTasks are the tasks of a job with one of them on a machine.
+// boundTasks returns the recorded tasks of a job that has one task bound to a machine.
 func boundTasks() []record.Task {
 	return []record.Task{{State: record.TaskBound, Attempt: 1, Machine: "vm-000001", Session: 1}}
 }
 
-// TestCancellations: a cancellation of a live job is committed under the condition that its record has not
-// changed; a job that is over stays so, and one that never was is 404.
+// TestCancellations: the cancellation of a live job is committed on the condition that its record has not changed. A
+// job that has ended keeps its final state, and an unknown job is answered with 404.
 func TestCancellations(t *testing.T) {
 	server := newTestServer()
 	if status, _ := server.cancel("run-000009"); status != http.StatusNotFound {
@@ -39,13 +39,13 @@
 	}
 	server.commitErr = kvstore.ErrOutcomeUnknown
 	if status, _ := server.cancel(testJobID); status != http.StatusServiceUnavailable {
-		t.Errorf("no answer: %d", status)
+		t.Errorf("unknown outcome of the commit: %d", status)
 	}
 }
 
-// TestCancellationIsConfirmedAfterRelease: while a task of the job may be on a machine, or the cluster state
-// may lack a binding from just before the cancellation, neither the request nor a poll says `cancelled`: a
-// controller behind a partition might be renewing its lease.
+// TestCancellationIsConfirmedAfterRelease: neither the request nor a poll is answered with `cancelled` while a task of
+// the job may be bound, or while the cluster state may lack a binding from just before the cancellation. A controller
+// on the other side of a network partition might still be renewing the lease of that task.
 func TestCancellationIsConfirmedAfterRelease(t *testing.T) {
 	cancelled := record.Job{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true}
 	cancelledWithTask := cancelled
@@ -62,13 +62,13 @@
 			server.onCommit = func() { server.putJob(cancelledWithTask) }
 			const unavailable = http.StatusServiceUnavailable
 			if status, _ := server.cancel(testJobID); status != unavailable || len(server.committed) != 1 {
-				t.Errorf("a task is on a machine: %d, %d writes", status, len(server.committed))
+				t.Errorf("a task is bound: %d, %d writes", status, len(server.committed))
 			}
 			if _, state := server.poll(testJobID); state != wire.JobRunning {
-				t.Errorf("a task is on a machine: %q", state)
+				t.Errorf("a task is bound: poll returned %q", state)
 			}
 			if status, _ := server.cancel(testJobID); status != unavailable || len(server.committed) != 1 {
-				t.Errorf("asked again: %d, %d writes", status, len(server.committed))
+				t.Errorf("repeated request: %d, %d writes", status, len(server.committed))
 			}
 			server.putJob(cancelled)
 			server.revision = initialRevision - 1
@@ -77,10 +77,10 @@
 			}
 			server.revision = initialRevision
 			if status, state := server.cancel(testJobID); status != http.StatusOK || state != wire.JobCancelled {
-				t.Errorf("no task is left: %d %q", status, state)
+				t.Errorf("no task is bound: %d %q", status, state)
 			}
 			if _, state := server.poll(testJobID); state != wire.JobCancelled {
-				t.Errorf("no task is left: %q to a poll", state)
+				t.Errorf("no task is bound: poll returned %q", state)
 			}
 		})
 	})
@@ -95,7 +95,8 @@
 	})
 }
 
-// completingJob is a job with two records: all tasks of the first are done, and all but one of the second.
+// completingJob is a job whose tasks are spread over two records. All tasks of the first record are done, and all but
+// one of the second.
 type completingJob struct {
 	spec  wire.JobSpec
 	first []record.Task
@@ -133,63 +134,64 @@
 	s.putJob(record.Job{Spec: j.spec, Tasks: j.first, CancelledAtMs: 5, CancelAfterRelease: true})
 }
 
-// TestCancellationAtCompletion: the last task of a job with several records ends in a change of a further one,
-// with which a cancellation at that moment does not collide. Such a job is done, for every node and every
-// question, since users may have had that answer before it was marked; what depends on it may start. Once it was
-// called cancelled, and done when the leader had ended it.
+// TestCancellationAtCompletion: the last task of a job with several records may complete in a record other than the
+// one that the cancellation writes, so the two writes do not conflict. Such a job must be reported as done by every
+// node and for every request, because users may have received that answer before the job was marked, and jobs that
+// depend on it may start. It guards against a job that is first reported as cancelled, and as done after the leader
+// has written its final record.
 func TestCancellationAtCompletion(t *testing.T) {
-	const whileMarked = "while it is marked"
+	const whileMarked = "completed while it is marked"
 	job := newCompletingJob()
 	for name, prepare := range map[string]func(*testServer){
-		"before it is marked": func(s *testServer) { job.putComplete(s); job.putCancelled(s) },
+		"completed before it is marked": func(s *testServer) { job.putComplete(s); job.putCancelled(s) },
 		whileMarked: func(s *testServer) {
 			s.onCommit = func() { job.putComplete(s); job.putCancelled(s) }
 		},
-		"complete, not yet over": job.putComplete,
+		"completed without a final record": job.putComplete,
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newTestServer()
 			server.putSchemaVersion(tuning.SchemaVersionConfirmedCancel)
 			job.putLive(server)
 			prepare(server)
-			for i, ask := range []func(string) (int, wire.JobState){server.cancel, server.poll, server.cancel} {
-				if status, state := ask(job.spec.ID); status != http.StatusOK || state != wire.JobDone {
-					t.Errorf("question %d: %d %q, want done", i, status, state)
+			for i, request := range []func(string) (int, wire.JobState){server.cancel, server.poll, server.cancel} {
+				if status, state := request(job.spec.ID); status != http.StatusOK || state != wire.JobDone {
+					t.Errorf("request %d: %d %q, want done", i, status, state)
 				}
 			}
 			if want := name == whileMarked; want != (len(server.committed) == 1) {
-				t.Errorf("%d changes", len(server.committed))
+				t.Errorf("%d transactions", len(server.committed))
 			}
 		})
 	}
 }
 
-// TestCancellationWithOlderVersions: nodes of an older version confirm cancellations at once. Until all nodes
-// confirm them after release the new ones do as they do, or a poll would call a job running that was called
-// cancelled, as it did on days with an upgrade; the schema version is a condition of such a cancellation.
-// What was confirmed before stays confirmed; of what may be the late change of a process that has ended
-// neither is answered.
+// TestCancellationWithOlderVersions: nodes of an older version confirm cancellations at once. Until all nodes confirm
+// them only after release, newer nodes confirm at once too; during upgrades, polls reported a job as running
+// that had been reported as cancelled. Such a cancellation is conditional on the schema version. A cancellation that
+// was confirmed before the activation stays confirmed. One that may be the delayed write of a process that has ended
+// since is neither confirmed nor denied.
 func TestCancellationWithOlderVersions(t *testing.T) {
 	confirmedAtOnce := record.Job{Spec: testSpec(), Tasks: boundTasks(), CancelledAtMs: 5}
 	server := newTestServer()
 	server.putJob(record.Job{Spec: testSpec(), Tasks: boundTasks()})
 	if status, state := server.cancel(testJobID); status != http.StatusOK || state != wire.JobCancelled {
-		t.Fatalf("not all nodes confirm late: %d %q", status, state)
+		t.Fatalf("older schema version: %d %q", status, state)
 	}
 	versionUnchanged := wire.Condition{Key: record.SchemaVersionKey}
 	if conditions := server.committed[0].Conditions; !slices.Contains(conditions, versionUnchanged) {
-		t.Errorf("the schema version is no condition: %+v", conditions)
+		t.Errorf("the transaction is not conditional on the schema version: %+v", conditions)
 	}
 	server.putJob(confirmedAtOnce)
 	if status, state := server.poll(testJobID); status != http.StatusOK || state != wire.JobCancelled {
 		t.Errorf("confirmed by another node: %d %q", status, state)
 	}
-	server.putSchemaVersion(tuning.SchemaVersionConfirmedCancel) // at the same revision: not before it
+	server.putSchemaVersion(tuning.SchemaVersionConfirmedCancel) // at the same revision as the cancellation
 	if status, state := server.poll(testJobID); status != http.StatusOK || state != wire.JobCancelled {
-		t.Errorf("confirmed before the version: %d %q", status, state)
+		t.Errorf("confirmed before the activation: %d %q", status, state)
 	}
 	server.putAt(record.JobKey(testJobID), confirmedAtOnce, initialRevision+1)
 	if status, state := server.poll(testJobID); status != http.StatusServiceUnavailable {
-		t.Errorf("written after the version without its mark: %d %q", status, state)
+		t.Errorf("written after the activation without CancelAfterRelease: %d %q", status, state)
 	}
 }
--- a/internal/api/cancelrequests_test.go
+++ b/internal/api/cancelrequests_test.go
@@ -13,21 +13,21 @@
 
 const testShardCount = 3
 
-// putOwners gives each shard to a node of its own, all of which honor requests to cancel jobs, but for one of the
-// nodes, which is as given; nil: that node has no session.
-func (s *testServer) putOwners(exception *record.Node) {
+// putOwners assigns each shard to a node of its own. The record of the first node is firstOwner; if that is nil, the
+// node has no session. All other nodes honor cancellation requests.
+func (s *testServer) putOwners(firstOwner *record.Node) {
 	for shard := range testShardCount {
 		name := []string{"node-0", "node-1", "node-2"}[shard]
 		s.put(record.ShardKey(shard), record.Shard{Owner: name, OwnerIncarnation: 1, FencingToken: 1})
 		if shard > 0 {
 			s.put(record.NodeKey(name), record.Node{Incarnation: 1, HonorsCancelRequests: true})
-		} else if exception != nil {
-			s.put(record.NodeKey(name), *exception)
+		} else if firstOwner != nil {
+			s.put(record.NodeKey(name), *firstOwner)
 		}
 	}
 }
 
-// lastJobWritten is the job's record as the last transaction writes it.
+// lastJobWritten returns the job's record that the last transaction writes.
 func (s *testServer) lastJobWritten(t *testing.T) (job record.Job) {
 	t.Helper()
 	if len(s.committed) == 0 {
@@ -39,8 +39,8 @@
 	return job
 }
 
-// checkRequested fails unless the last transaction requests that the job be cancelled, under the conditions that the
-// owners of all shards and the schema version are as they were.
+// checkRequested fails the test unless the last transaction requests the cancellation of the job and is conditional
+// on the owners of all shards and the schema version being unchanged.
 func (s *testServer) checkRequested(t *testing.T) {
 	t.Helper()
 	written := s.lastJobWritten(t)
@@ -54,17 +54,17 @@
 	}
 	for _, condition := range unchanged {
 		if !slices.Contains(conditions, condition) {
-			t.Errorf("%+v is no condition: %+v", condition, conditions)
+			t.Errorf("condition %+v is missing in %+v", condition, conditions)
 		}
 	}
 }
 
 func runningJob() record.Job { return record.Job{Spec: testSpec(), Tasks: boundTasks()} }
 
-// TestCancellationIsRequestedFirst: below tuning.SchemaVersionConfirmedCancel a user was told that a job is cancelled
-// while a machine still fetched the image of a task: it started afterwards. A node of an older version reports the
-// mark as soon as it reads it, so nothing is marked while a task is bound: the request stands in the record, the
-// user gets 503, and the mark follows once nothing is bound.
+// TestCancellationIsRequestedFirst: before tuning.SchemaVersionConfirmedCancel a job was reported as cancelled while a
+// machine was still fetching the image of a task, and the task started afterwards. A node of an older version reports
+// the job as cancelled as soon as it reads the mark. The mark is therefore not written while a task is bound: the
+// request is written to the record, the user receives 503, and the mark is written once no task is bound.
 func TestCancellationIsRequestedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer()
@@ -78,27 +78,27 @@
 		}
 		server.checkRequested(t)
 		if status, state := server.poll(testJobID); status != http.StatusOK || state != wire.JobRunning {
-			t.Errorf("a poll meanwhile: %d %q", status, state)
+			t.Errorf("poll while a task is bound: %d %q", status, state)
 		}
 		status, _ := server.cancel(testJobID)
 		if status != http.StatusServiceUnavailable || len(server.committed) != 1 {
-			t.Errorf("asked again: %d, %d writes", status, len(server.committed))
+			t.Errorf("repeated request: %d, %d writes", status, len(server.committed))
 		}
 		requested.Tasks = nil
 		server.putJob(requested)
 		server.onCommit = nil
 		if status, state := server.cancel(testJobID); status != http.StatusOK || state != wire.JobCancelled {
-			t.Errorf("nothing is bound: %d %q", status, state)
+			t.Errorf("no task is bound: %d %q", status, state)
 		}
 		written := server.lastJobWritten(t)
 		if written.CancelledAtMs == 0 || written.CancelAfterRelease || written.CancelRequestedAtMs != 0 {
-			t.Errorf("nothing is bound: wrote %+v", written)
+			t.Errorf("no task is bound: wrote %+v", written)
 		}
 	})
 }
 
-// TestCancelRequestOfSeveralRecords: a task of a further record may have been bound just before the request, which
-// does not collide with that. So the mark follows only once the cluster state is as new as the request.
+// TestCancelRequestOfSeveralRecords: a task in another record of the job may have been bound just before the request;
+// the two writes do not conflict. The mark is therefore written only once the cluster state is as new as the request.
 func TestCancelRequestOfSeveralRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer()
@@ -111,7 +111,7 @@
 		server.onCommit = func() {
 			server.putJob(job)
 			server.revision = initialRevision - 2
-			server.onBarrier = func() { server.revision++ } // a binding may still be missing after the first one
+			server.onBarrier = func() { server.revision++ } // a binding may still be missing after the first barrier
 			server.onCommit = func() { markedAt = server.revision }
 		}
 		if status, state := server.cancel(testJobID); status != http.StatusOK || state != wire.JobCancelled {
@@ -126,8 +126,9 @@
 	})
 }
 
-// TestMarkOfSeveralRecordsNeedsAllOwners: while an owner has no session it may be of a version that binds tasks of the
-// job all the same, in a further record, with which the mark does not collide: nothing is written.
+// TestMarkOfSeveralRecordsNeedsAllOwners: while the owner of a shard has no session, its version is unknown. It may
+// ignore the request and bind tasks in another record of the job, which does not conflict with the mark. Nothing is
+// written until the owner has a session.
 func TestMarkOfSeveralRecordsNeedsAllOwners(t *testing.T) {
 	server := newTestServer()
 	server.putOwners(nil)
@@ -140,15 +141,16 @@
 	}
 }
 
-// TestCancelRequestsNeedAllOwners: a request has no effect on an owner of a version that does not know of it: the
-// job is marked and confirmed at once, as that owner would. While an owner has no session nothing is written.
+// TestCancelRequestsNeedAllOwners: an owner of an older version ignores cancellation requests. If a shard has such an
+// owner, the job is marked and confirmed at once, as that owner would do. While an owner has no session nothing is
+// written.
 func TestCancelRequestsNeedAllOwners(t *testing.T) {
 	for name, test := range map[string]struct {
 		owner      *record.Node
 		wantStatus int
 		wantWrites int
 	}{
-		"owner of a version before": {&record.Node{Incarnation: 1}, http.StatusOK, 1},
+		"owner of an older version": {&record.Node{Incarnation: 1}, http.StatusOK, 1},
 		"owner without a session":   {nil, http.StatusServiceUnavailable, 0},
 		"owner is a process that has ended": {
 			&record.Node{Incarnation: 2, HonorsCancelRequests: true}, http.StatusServiceUnavailable, 0,
@@ -166,8 +168,8 @@
 	}
 }
 
-// TestActivationAfterCancelRequest: from tuning.SchemaVersionConfirmedCancel on a request that still stands is
-// replaced by the mark of that version, and confirmed only once nothing is bound.
+// TestActivationAfterCancelRequest: once tuning.SchemaVersionConfirmedCancel is active, a pending cancellation request
+// is replaced by a mark with CancelAfterRelease, which is confirmed only once no task is bound.
 func TestActivationAfterCancelRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer()
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -14,32 +14,33 @@
 	return len(a) == len(b) && slices.Equal(slices.Sorted(slices.Values(a)), slices.Sorted(slices.Values(b)))
 }
 
-// checkDependencies checks the jobs that a submission depends on: each must have been accepted, by any
-// node of any version, and must be of a kind that is ever done.
+// checkDependencies checks the jobs that a submission depends on: each must have been accepted, by a node of any
+// version, and must not be a service, because a service never completes.
 func (s *Server) checkDependencies(ctx context.Context, spec *wire.JobSpec, schemaVersion int) error {
 	if schemaVersion < tuning.SchemaVersionDependencies {
-		// A node of an older version would lose the field and start the job.
+		// A node of an older version would drop the field from the record and start the job.
 		return errDependenciesInactive
 	}
 	if slices.Contains(spec.Dependencies, spec.ID) {
 		return &rejectedError{Reason: "awaits itself"}
 	}
-	missing, err := s.dependenciesNotLive(spec)
+	missing, err := s.nonLiveDependencies(spec)
 	if err != nil || len(missing) == 0 {
-		return err // a job that was accepted once stays so: no barrier is needed
+		return err // an accepted job is never un-accepted, so no read barrier is needed
 	}
-	// Jobs that this cluster state does not hold may be newer than it, or over.
+	// A missing job may have ended, or may have been accepted after the last update of the cluster state.
 	if s.barrier.WaitForReadBarrier(ctx) != nil {
 		return errStoreUnavailable
 	}
-	if missing, err = s.dependenciesNotLive(spec); err != nil {
+	if missing, err = s.nonLiveDependencies(spec); err != nil {
 		return err
 	}
-	return s.checkOver(ctx, missing)
+	return s.checkFinalRecords(ctx, missing)
 }
 
-// dependenciesNotLive gives the dependencies that are not live here. A service is rejected.
-func (s *Server) dependenciesNotLive(spec *wire.JobSpec) ([]string, error) {
+// nonLiveDependencies returns the dependencies of a submission that are not live jobs in the cluster state, or a
+// rejectedError if one of them is a service.
+func (s *Server) nonLiveDependencies(spec *wire.JobSpec) ([]string, error) {
 	s.clusterState.RLock()
 	defer s.clusterState.RUnlock()
 	var missing []string
@@ -54,8 +55,8 @@
 	return missing, nil
 }
 
-// checkOver checks that each of some jobs has a final record.
-func (s *Server) checkOver(ctx context.Context, ids []string) error {
+// checkFinalRecords checks that each of the jobs has a final record; a job without one was never accepted.
+func (s *Server) checkFinalRecords(ctx context.Context, ids []string) error {
 	for _, id := range ids {
 		_, err := s.finalRecords.read(ctx, id)
 		if errors.Is(err, errNoSuchJob) {
--- a/internal/api/dependencies_test.go
+++ b/internal/api/dependencies_test.go
@@ -11,21 +11,21 @@
 	"sableusher/internal/wire"
 )
 
-// thirdJobID is a further job that is depended on.
+// thirdJobID is the id of a second job that submissions depend on, beside otherJobID.
 const thirdJobID = "run-000003"
 
 func submissionWithDependencies(ids ...string) []byte {
 	return encodeSpec(func(s *wire.JobSpec) { s.Dependencies = ids })
 }
 
-// putLiveJob makes a job live that others may depend on.
+// putLiveJob puts a live job of a kind into the cluster state.
 func (b *fakeBackend) putLiveJob(id string, kind wire.JobKind) {
 	spec := testSpec()
 	spec.ID, spec.Kind = id, kind
 	b.putJob(record.Job{Spec: spec, SubmittedAtMs: 1})
 }
 
-// dependencyCase is a submission with dependencies and what becomes of it.
+// dependencyCase is a submission with dependencies and the expected HTTP status.
 type dependencyCase struct {
 	name    string
 	body    []byte
@@ -34,7 +34,7 @@
 	want    int
 }
 
-// manyDependencies are more than a job's record may hold.
+// manyDependencies returns more dependencies than a job's record can hold.
 func manyDependencies() []string {
 	var ids []string
 	for i := range 200 {
@@ -49,18 +49,18 @@
 	liveArray := func(s *testServer) { s.putLiveJob(otherJobID, wire.KindArray) }
 	return []dependencyCase{
 		{"none", submissionWithDependencies(), version, nil, http.StatusCreated},
-		{"none, before all nodes know of dependencies", submissionWithDependencies(), 0, nil, http.StatusCreated},
+		{"none, older schema version", submissionWithDependencies(), 0, nil, http.StatusCreated},
 		{"live", dependent, version, liveArray, http.StatusCreated},
 		{"live after the barrier", dependent, version, func(s *testServer) {
 			s.onBarrier = func() { s.putLiveJob(otherJobID, wire.KindGang) }
 		}, http.StatusCreated},
-		{"over", dependent, version, func(s *testServer) {
+		{"ended", dependent, version, func(s *testServer) {
 			s.putFinalRecord(otherJobID, wire.JobDone)
 		}, http.StatusCreated},
-		{"over by cancellation", dependent, version, func(s *testServer) {
+		{"cancelled", dependent, version, func(s *testServer) {
 			s.putFinalRecord(otherJobID, wire.JobCancelled)
 		}, http.StatusCreated},
-		{"repeated, other order", submissionWithDependencies(thirdJobID, otherJobID), version, func(s *testServer) {
+		{"repeated in another order", submissionWithDependencies(thirdJobID, otherJobID), version, func(s *testServer) {
 			s.putLiveJob(otherJobID, wire.KindArray)
 			s.putLiveJob(thirdJobID, wire.KindArray)
 			spec := testSpec()
@@ -75,11 +75,11 @@
 	dependent := submissionWithDependencies(otherJobID)
 	liveArray := func(s *testServer) { s.putLiveJob(otherJobID, wire.KindArray) }
 	return []dependencyCase{
-		{"too soon", dependent, 0, liveArray, http.StatusServiceUnavailable},
+		{"older schema version", dependent, 0, liveArray, http.StatusServiceUnavailable},
 		{"never accepted", dependent, version, nil, http.StatusUnprocessableEntity},
 		{"one never accepted", submissionWithDependencies(otherJobID, thirdJobID), version, liveArray,
 			http.StatusUnprocessableEntity},
-		{"uncertain", dependent, version, func(s *testServer) {
+		{"read barrier fails", dependent, version, func(s *testServer) {
 			s.barrierErr = kvstore.ErrUnavailable
 		}, http.StatusServiceUnavailable},
 		{"service", dependent, version, func(s *testServer) {
@@ -87,18 +87,19 @@
 		}, http.StatusUnprocessableEntity},
 		{"itself", submissionWithDependencies(testJobID), version, nil, http.StatusUnprocessableEntity},
 		{"twice", submissionWithDependencies(otherJobID, otherJobID), version, nil, http.StatusBadRequest},
-		{"no id", submissionWithDependencies("x"), version, nil, http.StatusBadRequest},
+		{"malformed id", submissionWithDependencies("x"), version, nil, http.StatusBadRequest},
 		{"too many", submissionWithDependencies(manyDependencies()...), version, nil, http.StatusUnprocessableEntity},
-		// The id is taken by a job without dependencies: this is not its repetition.
-		{"another's id", dependent, version, func(s *testServer) {
+		// A live job without dependencies has the id, so this submission does not repeat that job's.
+		{"id of another job", dependent, version, func(s *testServer) {
 			s.putLiveJob(otherJobID, wire.KindArray)
 			s.putLiveJob(testJobID, wire.KindArray)
 		}, http.StatusUnprocessableEntity},
 	}
 }
 
-// TestDependencies: what a submission depends on must have been accepted, by live or final record after a
-// barrier; what is uncertain is 503, never 422. Before all nodes know of dependencies none is accepted.
+// TestDependencies: each job that a submission depends on must have a live or final record after a read barrier. If
+// that is uncertain the answer is 503, never 422. Until the schema version has dependencies, submissions with
+// dependencies are not accepted.
 func TestDependencies(t *testing.T) {
 	for _, c := range append(acceptedDependencyCases(), refusedDependencyCases()...) {
 		t.Run(c.name, func(t *testing.T) {
@@ -109,7 +110,7 @@
 			}
 			status, _ := server.submit(c.body)
 			if status != c.want || (status == http.StatusCreated) != (len(server.committed) == 1) {
-				t.Errorf("status %d with %d changes, want %d", status, len(server.committed), c.want)
+				t.Errorf("status %d with %d transactions, want %d", status, len(server.committed), c.want)
 			}
 		})
 	}
--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -9,42 +9,43 @@
 	"sableusher/internal/wire"
 )
 
-// Errors of a question about a job. Users receive the text of errNoSuchJob, and that of
-// errStoreUnavailable for the others.
+// Errors of status requests. Users receive the text of errNoSuchJob; for the other errors they receive the text of
+// errStoreUnavailable.
 var (
 	errNoSuchJob = errors.New("no such job")
-	// errDependencyUndecided: the job is cancelled with one that it depends on, or may be; until its
-	// own record says so it must not be called pending.
+	// errDependencyUndecided is returned while a job may be about to be cancelled because a job that it depends on
+	// was cancelled, or while a cancellation can be neither confirmed nor denied. Its state must not be reported
+	// until its own record settles it; in particular, the job must not be called pending.
 	errDependencyUndecided = errors.New("the outcome of a dependency is undecided")
-	// errOwnedByOtherCell: the job was offloaded from another cell, which alone answers its user.
+	// errOwnedByOtherCell is returned for a job that was offloaded from another cell: only that cell answers users.
 	errOwnedByOtherCell = errors.New("another cell answers for the job")
 )
 
-// invalidRequestError is a request that can't be decoded.
+// invalidRequestError reports a request that can't be decoded.
 type invalidRequestError struct {
 	Err error
 }
 
-// Error gives the fault of form.
+// Error returns the decoder's message, which is sent to the client.
 func (e *invalidRequestError) Error() string { return e.Err.Error() }
 
-// Unwrap gives the decoder's error.
+// Unwrap returns the decoder's error.
 func (e *invalidRequestError) Unwrap() error { return e.Err }
 
-// rejectedError is a job that can't be accepted, now or later.
+// rejectedError reports a job that can't be accepted, now or later.
 type rejectedError struct {
 	Reason string
 }
 
-// Error gives the reason, which is sent to the user.
+// Error returns the reason, which is sent to the user.
 func (e *rejectedError) Error() string { return e.Reason }
 
-// unavailableError is a request that can't be answered now; the client is asked to repeat it.
+// unavailableError reports a request that can't be answered now; the client is asked to retry it.
 type unavailableError struct {
 	Reason string
 }
 
-// Error gives the reason, which is sent to the client.
+// Error returns the reason, which is sent to the client.
 func (e *unavailableError) Error() string { return e.Reason }
 
 // Reasons for which a request can't be answered now.
--- a/internal/api/errors_test.go
+++ b/internal/api/errors_test.go
@@ -10,7 +10,7 @@
 	"sableusher/internal/wire"
 )
 
-// TestWriteError: each kind of error has its status and message; only what may be repeated has Retry-After.
+// TestWriteError: each kind of error has its status and message; only 503 responses have a Retry-After header.
 func TestWriteError(t *testing.T) {
 	for _, c := range []struct {
 		err     error
--- a/internal/api/finalrecords.go
+++ b/internal/api/finalrecords.go
@@ -10,12 +10,12 @@
 	"sableusher/internal/tuning"
 )
 
-// finalRecordCache reads the final records of jobs that are over, which never change, and keeps the ones
-// read last.
+// finalRecordCache reads the final records of ended jobs from the store and caches the tuning.FinalRecordCacheSize
+// records read last. Final records never change, so cached ones are never stale. It is safe for concurrent use.
 type finalRecordCache struct {
 	reader kvstore.Reader
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	records map[string]record.Final
 	order   []string // the ids of records, oldest first
 }
@@ -24,7 +24,7 @@
 	return &finalRecordCache{reader: reader, records: map[string]record.Final{}}
 }
 
-// cached gives a job's final record if it was read before.
+// cached returns a job's final record if it is cached.
 func (c *finalRecordCache) cached(id string) (record.Final, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -32,7 +32,7 @@
 	return final, ok
 }
 
-// read gives a job's final record, from the store if it is not cached; errNoSuchJob if there is none.
+// read returns a job's final record, from the store if it is not cached. It returns errNoSuchJob if there is none.
 func (c *finalRecordCache) read(ctx context.Context, id string) (record.Final, error) {
 	if final, ok := c.cached(id); ok {
 		return final, nil
@@ -47,7 +47,7 @@
 	return final, err
 }
 
-// add keeps a record and forgets the oldest one beyond the cache's size.
+// add caches a record and evicts the one added first if the cache exceeds its size.
 func (c *finalRecordCache) add(id string, final record.Final) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -11,7 +11,7 @@
 	"sableusher/internal/wire"
 )
 
-// handleReady answers health checks: a node is ready while its cluster state is recent.
+// handleReady answers health checks: a node is ready while its cluster state is at most tuning.ReadyMaxStateAge old.
 func (s *Server) handleReady(w http.ResponseWriter, _ *http.Request) {
 	completeAsOf := s.barrier.CompleteAsOf()
 	if completeAsOf.IsZero() || time.Since(completeAsOf) > tuning.ReadyMaxStateAge {
@@ -24,7 +24,7 @@
 func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	heartbeat, err := decodeHeartbeat(r)
 	if err != nil || heartbeat.Machine == "" || heartbeat.Session == 0 {
-		s.logger.Info("unreadable heartbeat", "err", err)
+		s.logger.Info("heartbeat rejected: malformed, or without machine or session", "err", err)
 		writeMessage(w, http.StatusBadRequest, "unreadable report")
 		return
 	}
@@ -50,7 +50,7 @@
 	defer cancel()
 	request, err := s.decodeSubmission(r)
 	if err != nil {
-		s.logger.Debug("malformed submission", "err", err)
+		s.logger.Debug("submission rejected: malformed", "err", err)
 		writeError(w, err)
 		return
 	}
@@ -66,7 +66,8 @@
 	wire.WriteResponse(w, status, wire.JobResponse{ID: request.spec.ID, State: accepted.state})
 }
 
-// decodeSubmission reads a submission; where no class limits retries the field for them is not looked at.
+// decodeSubmission reads a submission. The requested number of retries is decoded only if some class limits retries;
+// otherwise the field is ignored, even if malformed.
 func (s *Server) decodeSubmission(r *http.Request) (submission, error) {
 	body, err := wire.ReadBody(r.Body, tuning.RequestBodyMaxBytes)
 	if err != nil {
--- a/internal/api/handlers_test.go
+++ b/internal/api/handlers_test.go
@@ -9,8 +9,8 @@
 	"sableusher/internal/wire"
 )
 
-// TestHeartbeats: a heartbeat is answered by the registry of agents; one that can't be decoded, or names no
-// machine or session, is refused.
+// TestHeartbeats: a valid heartbeat is passed to the agent registry. A heartbeat that can't be decoded, or that names
+// no machine or no session, is answered with 400.
 func TestHeartbeats(t *testing.T) {
 	for name, c := range map[string]struct {
 		body []byte
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestConcurrencyLimit: beyond the limit requests are refused at once, and served again when others are done.
+// TestConcurrencyLimit: requests beyond the limit are refused at once; requests are served again when a slot is free.
 func TestConcurrencyLimit(t *testing.T) {
 	server := &Server{requestSlots: make(chan struct{}, 1)}
 	status := func() int {
@@ -39,7 +39,7 @@
 		server.limitConcurrency(served).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/", nil))
 		return recorder.Code
 	}
-	server.requestSlots <- struct{}{} // another request is being served
+	server.requestSlots <- struct{}{} // simulates another request that is being served
 	if got := status(); got != http.StatusServiceUnavailable {
 		t.Errorf("%d beyond the limit", got)
 	}
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -20,32 +20,33 @@
 
 // Committer commits transactions to the key-value store.
 type Committer interface {
-	// Commit gives the revision at which a transaction was applied. kvstore.ErrConditionFailed proves
-	// that it was not; any other error leaves that open.
+	// Commit returns the revision at which a transaction was applied. kvstore.ErrConditionFailed means that it was
+	// not applied; after any other error it may or may not have been applied.
 	Commit(ctx context.Context, transaction kvstore.Transaction) (uint64, error)
-	// MaxRecordBytes is the most that a record may take, as JSON.
+	// MaxRecordBytes returns the largest allowed size of a record encoded as JSON, in bytes.
 	MaxRecordBytes() int
-	// UpcomingMaxRecordBytes is the same under the limits that are known to come.
+	// UpcomingMaxRecordBytes is MaxRecordBytes under the limits that the store is known to get later.
 	UpcomingMaxRecordBytes() int
 }
 
-// ReadBarrier is how recent the cluster state is.
+// ReadBarrier reports how recent the cluster state is.
 type ReadBarrier interface {
 	// WaitForReadBarrier returns once the cluster state holds every change made before the call.
 	WaitForReadBarrier(ctx context.Context) error
-	// CompleteAsOf is the time as of which the cluster state held every change; zero if it never did.
+	// CompleteAsOf returns the latest time as of which the cluster state is known to hold every change; zero if there
+	// is none yet.
 	CompleteAsOf() time.Time
-	// Revision is the one up to which the cluster state holds every change; this node's own changes run
-	// ahead of it.
+	// Revision returns the revision up to which the cluster state holds every change. Changes by this node are
+	// applied at once, so the cluster state may hold some with a later revision.
 	Revision() uint64
 }
 
-// AgentRegistry answers heartbeats.
+// AgentRegistry handles agents' heartbeats.
 type AgentRegistry interface {
 	HandleHeartbeat(heartbeat *wire.Heartbeat) agent.HeartbeatResult
 }
 
-// Config is what a server is made of.
+// Config holds the dependencies of a Server.
 type Config struct {
 	Settings     *config.Settings
 	Operator     *config.Operator
@@ -57,7 +58,7 @@
 	Logger       *slog.Logger
 }
 
-// Server answers users, agents and health checks. It is safe for concurrent use.
+// Server serves users, agents and health checks. It is safe for concurrent use.
 type Server struct {
 	clusterState  *clusterstate.State
 	committer     Committer
@@ -68,11 +69,11 @@
 	retryPolicies retry.Policies
 	logger        *slog.Logger
 
-	requestSlots      chan struct{} // bounds the requests of users that are served at once
-	cancellationSlots chan struct{} // bounds the cancellations that wait for tasks to be released
+	requestSlots      chan struct{} // bounds the user requests that are served concurrently
+	cancellationSlots chan struct{} // bounds the cancellations that wait for the release of tasks
 }
 
-// New makes a server; it starts nothing.
+// New returns a server; it starts no goroutine.
 func New(c Config) *Server {
 	teamsByName := map[string]config.Team{}
 	for _, team := range c.Settings.Deployment.Teams {
@@ -92,7 +93,7 @@
 	}
 }
 
-// Handler routes the requests.
+// Handler returns the handler that routes all requests.
 func (s *Server) Handler() http.Handler {
 	router := chi.NewRouter()
 	router.Get("/ready", s.handleReady)
@@ -107,7 +108,7 @@
 	return router
 }
 
-// limitConcurrency answers at once while too many requests are being served.
+// limitConcurrency answers errBusy without waiting while tuning.MaxConcurrentRequests requests are being served.
 func (s *Server) limitConcurrency(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -10,8 +10,8 @@
 	"sableusher/internal/wire"
 )
 
-// jobStatus gives a job's state as of after the call, or errNoSuchJob if it was never accepted; any other
-// error means that neither is certain.
+// jobStatus returns a job's status, no older than the start of the call. It returns errNoSuchJob if the job was never
+// accepted; any other error means that it is not certain whether the job exists or what its state is.
 func (s *Server) jobStatus(ctx context.Context, id string) (wire.JobStatus, error) {
 	if !wire.IsValidJobID(id) {
 		return wire.JobStatus{}, errNoSuchJob
@@ -19,8 +19,8 @@
 	if final, ok := s.finalRecords.cached(id); ok {
 		return finalStatus(id, final), nil
 	}
-	// Another node may have answered from a newer cluster state than this one: wait for a revision that
-	// was fetched after the request came.
+	// Another node may already have answered from a newer cluster state than this node's: wait for a revision that
+	// was fetched after this request arrived.
 	if err := s.barrier.WaitForReadBarrier(ctx); err != nil {
 		return wire.JobStatus{}, fmt.Errorf("read barrier: %w", err)
 	}
@@ -28,7 +28,7 @@
 	if isLive {
 		return status, err
 	}
-	// Not live after the barrier: it is over, or was never accepted before it.
+	// The job is not live after the barrier: it has ended, or was not accepted before the barrier.
 	final, err := s.finalRecords.read(ctx, id)
 	if err != nil {
 		return wire.JobStatus{}, err
@@ -36,7 +36,7 @@
 	return finalStatus(id, final), nil
 }
 
-// liveStatus gives the state of a live job; isLive is false for any other.
+// liveStatus returns the status of a live job; isLive is false if the job is not live.
 func (s *Server) liveStatus(id string) (status wire.JobStatus, isLive bool, err error) {
 	s.clusterState.RLock()
 	defer s.clusterState.RUnlock()
@@ -55,7 +55,7 @@
 	return wire.JobStatus{ID: id, State: state, TasksDone: job.DoneCount, TasksRunning: job.BoundCount}, true, nil
 }
 
-// liveState gives the state of a live job. Callers hold the lock of the cluster state.
+// liveState returns the state of a live job. The caller must hold the cluster state's lock.
 func (s *Server) liveState(job *clusterstate.Job) wire.JobState {
 	switch {
 	case job.Complete():
@@ -68,11 +68,11 @@
 	return wire.JobPending
 }
 
-// isCancellationConfirmed reports whether a job is cancelled and may be called so. A cancellation that is
-// confirmed after release is so once no task is left, never before: nothing that renews a lease behind
-// a partition can then keep one beyond its time. A binding in a further chunk may have been committed
-// just before the cancellation, so the cluster state must be as new as that. Callers hold the lock of the
-// cluster state.
+// isCancellationConfirmed reports whether a job is cancelled and may be reported as cancelled. With
+// CancelAfterRelease that is the case only once none of its tasks is bound: a controller on the other side of a
+// network partition may still be renewing the lease of a bound task. A task in another chunk may have been bound just
+// before the cancellation, so the cluster state must also be at least as new as the cancellation. The caller must
+// hold the cluster state's lock.
 func (s *Server) isCancellationConfirmed(job *clusterstate.Job) bool {
 	if !job.Cancelled() {
 		return false
@@ -80,9 +80,10 @@
 	return !job.CancelAfterRelease || job.FullyReleased() && s.barrier.Revision() >= job.ModRevision
 }
 
-// isCancellationUncertain reports whether a cancellation may be neither confirmed nor denied: a node of a
-// version before tuning.SchemaVersionConfirmedCancel may have confirmed it at once, or it may be the late change of one
-// that has ended. That passes with the last task. Callers hold the lock of the cluster state.
+// isCancellationUncertain reports whether a cancellation can be neither confirmed nor denied: a node of a version
+// before tuning.SchemaVersionConfirmedCancel may have confirmed it at once, or it may be the delayed write of a
+// process that has ended since. The uncertainty ends once no task of the job is bound. The caller must hold the
+// cluster state's lock.
 func (s *Server) isCancellationUncertain(job *clusterstate.Job) bool {
 	if !job.Cancelled() || job.CancelAfterRelease || job.BoundCount == 0 {
 		return false
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -12,32 +12,33 @@
 	"sableusher/internal/wire"
 )
 
-// submission is a job that a user asks for.
+// submission is a decoded request to run a job.
 type submission struct {
 	spec             *wire.JobSpec
-	requestedRetries *int // nil: not asked for, or not looked at
+	requestedRetries *int // nil if not requested, or ignored because no class limits retries
 }
 
-// acceptance answers a submission.
+// acceptance is the result of an accepted submission.
 type acceptance struct {
 	state wire.JobState
-	isNew bool // accepted by this request, not by an earlier one
+	isNew bool // whether this request, not an earlier one, created the job
 }
 
-// assessment is what the cluster state says of a submission at one moment.
+// assessment holds what a submission depends on, read from one version of the cluster state.
 type assessment struct {
-	known                   bool // the job is live already
-	hasOtherDependencies    bool // it is, and depends on other jobs than the submission says
+	known                   bool // a live job has the submission's id
+	hasOtherDependencies    bool // that job exists and its dependencies differ from the submission's
 	machineTypesKnown       bool
 	schemaVersion           int
 	sizeLimits              record.SizeLimits
 	maxRetries              *int
-	rejection               error // why the job can never run; nil if it can
-	retryLimitsNotSupported bool  // retries were asked for that not all nodes would count
+	rejection               error // reason why the job can never run; nil if it can
+	retryLimitsNotSupported bool  // retries were requested, but not all nodes count them yet
 }
 
-// submitJob accepts a job, or gives the state of the one that has its id. A repeated request is answered
-// for the job that was accepted, whatever it says now.
+// submitJob accepts a job, or returns the state of an accepted job with the same id. A repeated request is answered
+// with the state of the accepted job even if its description now differs, unless its dependencies differ from those
+// of the live job: then it is rejected.
 func (s *Server) submitJob(ctx context.Context, request submission) (acceptance, error) {
 	assessed := s.assess(request)
 	if assessed.hasOtherDependencies {
@@ -56,7 +57,7 @@
 	return acceptance{state: status.State}, nil
 }
 
-// assess looks at the cluster state once for all that a submission depends on.
+// assess reads everything that a submission depends on under a single lock of the cluster state.
 func (s *Server) assess(request submission) assessment {
 	spec := request.spec
 	s.clusterState.RLock()
@@ -81,15 +82,15 @@
 	}
 }
 
-// acceptNewJob writes the record of a job that is not live; kvstore.ErrConditionFailed means that the
-// job exists all the same.
+// acceptNewJob writes the record of a job that the cluster state does not hold. It returns
+// kvstore.ErrConditionFailed if the store holds a live or final record of the job all the same.
 func (s *Server) acceptNewJob(ctx context.Context, request submission, assessed assessment) (acceptance, error) {
 	spec := request.spec
 	if assessed.schemaVersion >= tuning.SchemaVersionRetries {
 		spec.MaxRetries = assessed.maxRetries
 	}
 	if assessed.retryLimitsNotSupported && assessed.rejection == nil {
-		// A node of an older version would lose the count.
+		// A node of an older version would drop the count of failures from the record.
 		return acceptance{}, errRetryLimitsInactive
 	}
 	job := record.Job{Spec: *spec, SubmittedAtMs: time.Now().UnixMilli()}
@@ -111,8 +112,8 @@
 	return s.commitNewJob(ctx, job)
 }
 
-// rejectUnlessAccepted rejects a job that can never run, unless one with its id was accepted before: that
-// one stands, whatever the repeated request says.
+// rejectUnlessAccepted rejects a job that can never run, unless a job with its id was accepted before. In that case
+// it returns the state of the accepted job.
 func (s *Server) rejectUnlessAccepted(ctx context.Context, id string, rejection error) (acceptance, error) {
 	status, err := s.jobStatus(ctx, id)
 	switch {
@@ -125,7 +126,7 @@
 	}
 }
 
-// commitNewJob creates a job's record unless it has one, live or final.
+// commitNewJob creates a job's record unless the job already has a live or final record.
 func (s *Server) commitNewJob(ctx context.Context, job record.Job) (acceptance, error) {
 	spec := &job.Spec
 	key := record.JobKey(spec.ID)
--- a/internal/api/submit_test.go
+++ b/internal/api/submit_test.go
@@ -11,7 +11,7 @@
 	"sableusher/internal/wire"
 )
 
-// encodeSpec encodes the description of a job that the test servers accept, changed.
+// encodeSpec returns the encoded description of a job that the test servers accept, after applying change to it.
 func encodeSpec(change func(*wire.JobSpec)) []byte {
 	spec := testSpec()
 	change(&spec)
@@ -25,7 +25,7 @@
 	}
 }
 
-// TestNewSubmissions: a job that can run is accepted, one that never can is rejected.
+// TestNewSubmissions: a job that can run is accepted; a job that can never run is rejected.
 func TestNewSubmissions(t *testing.T) {
 	unchanged := encodeSpec(func(*wire.JobSpec) {})
 	for name, c := range map[string]struct {
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestSubmissionWithoutTypes: while the machine types are not known nothing is accepted.
-func TestSubmissionWithoutTypes(t *testing.T) {
+// TestSubmissionWithoutMachineTypes: no job is accepted while the machine types are not known.
+func TestSubmissionWithoutMachineTypes(t *testing.T) {
 	server := newServerWithoutCatalog(&config.Operator{})
 	status, state := server.submit(encodeSpec(func(*wire.JobSpec) {}))
 	if status != http.StatusServiceUnavailable || state != "" {
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestRepeatedSubmissions: a repeated submission is answered with the state of the job that was accepted,
-// whatever its body says now, and what is uncertain is answered 503.
+// TestRepeatedSubmissions: a repeated submission is answered with the state of the accepted job, even if its body
+// differs from the first one. If it is uncertain whether the job was accepted the answer is 503.
 func TestRepeatedSubmissions(t *testing.T) {
 	unchanged := encodeSpec(func(*wire.JobSpec) {})
 	neverFits := encodeSpec(func(s *wire.JobSpec) { s.CPUs = 99 })
@@ -91,18 +91,18 @@
 			prepare: func(s *testServer) { s.commitErr = kvstore.ErrUnavailable },
 			want:    http.StatusServiceUnavailable,
 		},
-		"no answer": {
+		"unknown outcome of the commit": {
 			body:    unchanged,
 			prepare: func(s *testServer) { s.commitErr = kvstore.ErrOutcomeUnknown },
 			want:    http.StatusServiceUnavailable,
 		},
-		"repeated later": {
+		"repeated after the job ended": {
 			body:    unchanged,
 			prepare: func(s *testServer) { s.commitErr = kvstore.ErrConditionFailed; finishJob(s) },
 			want:    http.StatusOK, state: wire.JobDone,
 		},
-		"repeated otherwise": {body: neverFits, prepare: finishJob, want: http.StatusOK, state: wire.JobDone},
-		"repeated otherwise, uncertain": {
+		"repeated with another body": {body: neverFits, prepare: finishJob, want: http.StatusOK, state: wire.JobDone},
+		"repeated with another body, read barrier fails": {
 			body:    neverFits,
 			prepare: func(s *testServer) { s.barrierErr = kvstore.ErrUnavailable },
 			want:    http.StatusServiceUnavailable,
@@ -118,10 +118,10 @@
 	}
 }
 
-// noLimit stands for a record without a limit of retries.
+// noLimit is the expected limit of a record without a limit of retries.
 const noLimit = -1
 
-// submissionWithRetries encodes a submission that asks for retries; nil: it doesn't.
+// submissionWithRetries returns an encoded submission that requests retries, or that lacks the field if retries is nil.
 func submissionWithRetries(t *testing.T, class string, retries any) []byte {
 	t.Helper()
 	var fields map[string]any
@@ -135,9 +135,9 @@
 	return wire.MustEncode(fields)
 }
 
-// TestRetryLimits: a job may ask for as many retries as its class allows or fewer; more is rejected as any
-// job that can never run. Nothing is accepted with a limit before all nodes count failures, and where no
-// class limits retries the field means nothing.
+// TestRetryLimits: a job may request at most as many retries as its class allows; a request for more is rejected like
+// a job that can never run. Before all nodes count failures no job with a requested limit is accepted. If no class
+// limits retries the field is ignored.
 func TestRetryLimits(t *testing.T) {
 	limiting := &config.Operator{Classes: []config.Class{{Name: "c", MaxRetries: 3}}}
 	const counted, notCounted = tuning.SchemaVersionRetries, tuning.SchemaVersionRetries - 1
@@ -149,19 +149,19 @@
 		want     int
 		limit    int
 	}{
-		"its class's":          {limiting, counted, "c", nil, http.StatusCreated, 3},
-		"fewer":                {limiting, counted, "c", 1, http.StatusCreated, 1},
-		"none":                 {limiting, counted, "c", 0, http.StatusCreated, 0},
-		"more":                 {limiting, counted, "c", 4, http.StatusUnprocessableEntity, noLimit},
-		"absurd":               {limiting, counted, "c", -1, http.StatusBadRequest, noLimit},
-		"no number":            {limiting, counted, "c", "3", http.StatusBadRequest, noLimit},
-		"a class without":      {limiting, counted, "d", nil, http.StatusCreated, noLimit},
-		"asked, class without": {limiting, counted, "d", 9, http.StatusCreated, 9},
-		"before all count":     {limiting, notCounted, "c", nil, http.StatusCreated, noLimit},
-		"asked before":         {limiting, notCounted, "c", 1, http.StatusServiceUnavailable, noLimit},
-		"more, before":         {limiting, notCounted, "c", 4, http.StatusUnprocessableEntity, noLimit},
-		"off":                  {&config.Operator{}, counted, "c", 4, http.StatusCreated, noLimit},
-		"off, no number":       {&config.Operator{}, counted, "c", "3", http.StatusCreated, noLimit},
+		"limit of its class":              {limiting, counted, "c", nil, http.StatusCreated, 3},
+		"fewer":                           {limiting, counted, "c", 1, http.StatusCreated, 1},
+		"none":                            {limiting, counted, "c", 0, http.StatusCreated, 0},
+		"more than its class":             {limiting, counted, "c", 4, http.StatusUnprocessableEntity, noLimit},
+		"negative":                        {limiting, counted, "c", -1, http.StatusBadRequest, noLimit},
+		"not a number":                    {limiting, counted, "c", "3", http.StatusBadRequest, noLimit},
+		"class without limit":             {limiting, counted, "d", nil, http.StatusCreated, noLimit},
+		"requested, without class limit":  {limiting, counted, "d", 9, http.StatusCreated, 9},
+		"older schema version":            {limiting, notCounted, "c", nil, http.StatusCreated, noLimit},
+		"requested, older schema version": {limiting, notCounted, "c", 1, http.StatusServiceUnavailable, noLimit},
+		"more, older schema version":      {limiting, notCounted, "c", 4, http.StatusUnprocessableEntity, noLimit},
+		"no limits":                       {&config.Operator{}, counted, "c", 4, http.StatusCreated, noLimit},
+		"no limits, not a number":         {&config.Operator{}, counted, "c", "3", http.StatusCreated, noLimit},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newServerWithoutCatalog(c.operator)
@@ -181,7 +181,7 @@
 	}
 }
 
-// committedRetryLimit is the limit in the first record that was committed.
+// committedRetryLimit returns the retry limit in the first committed record.
 func (b *fakeBackend) committedRetryLimit(t *testing.T) int {
 	t.Helper()
 	var job record.Job
--- a/internal/tuning/api.go
+++ b/internal/tuning/api.go
@@ -2,32 +2,34 @@
 
 import "time"
 
-// Users' API.
+// Constants of the users' API.
 const (
-	// RequestBodyMaxBytes is the protocol's bound on a request body, in bytes.
+	// RequestBodyMaxBytes is the largest request body that the protocol allows, in bytes.
 	RequestBodyMaxBytes = 64 << 10
-	// SubmitTimeout is how long a submission may wait for its durable record; users give up after 5 s.
+	// SubmitTimeout bounds the handling of a submission or a cancellation. Users time out after 5 s.
 	SubmitTimeout = 3500 * time.Millisecond
-	// StatusTimeout is how long a status request may wait for its read barrier; users wait 2 s.
+	// StatusTimeout bounds the handling of a status request, including its read barrier. Users time out after 2 s.
 	StatusTimeout = 1600 * time.Millisecond
-	// CancelWaitTimeout is how long a cancellation may wait for the job's tasks to leave their machines; longer
-	// ones are asked again. Most leave within a second.
+	// CancelWaitTimeout bounds the wait of a cancellation for the release of the job's tasks. Most tasks are released
+	// within a second; if it takes longer, the user is asked to retry.
 	CancelWaitTimeout = 2 * time.Second
-	// MaxWaitingCancels bounds the cancellations that wait for it at once, a quarter of the requests being served.
+	// MaxWaitingCancels bounds the cancellations that wait concurrently for the release of tasks, so that they occupy
+	// at most a quarter of the request slots.
 	MaxWaitingCancels = MaxConcurrentRequests / 4
-	// CancelPollInterval is how often a waiting cancellation checks whether they have.
+	// CancelPollInterval is the interval at which a waiting cancellation checks whether the tasks are released.
 	CancelPollInterval = 50 * time.Millisecond
-	// RetryAfterSeconds is the Retry-After of a request that was shed, in seconds.
+	// RetryAfterSeconds is the Retry-After value of a user request or health check answered with 503, in seconds.
 	RetryAfterSeconds = 1
-	// HTTPReadTimeout bounds the reading of one request, so that slow clients hold no sockets.
+	// HTTPReadTimeout bounds the reading of one request, so that slow clients don't occupy sockets.
 	HTTPReadTimeout = 10 * time.Second
-	// HTTPIdleTimeout closes connections that carry nothing.
+	// HTTPIdleTimeout is the time after which an idle keep-alive connection is closed.
 	HTTPIdleTimeout = 90 * time.Second
-	// ListenerSocketShare of the socket limit is what the listener accepts; the rest is for our own connections.
+	// ListenerSocketShare is the share of the socket limit available to accepted connections; the rest is for the
+	// node's outgoing connections.
 	ListenerSocketShare = 0.8
-	// MaxConcurrentRequests bounds the users' requests being served at once.
+	// MaxConcurrentRequests bounds the user requests that are served concurrently.
 	MaxConcurrentRequests = 256
-	// ReadyMaxStateAge is the age of the cluster state past which a node calls itself not ready. Longer than an
-	// ordinary hiccup, shorter than users' patience.
+	// ReadyMaxStateAge is the age of the cluster state beyond which a node reports itself as not ready. It is longer
+	// than an ordinary delay of the key-value store and shorter than the time after which users time out.
 	ReadyMaxStateAge = 4 * time.Second
 )
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Peers.
+// Constants of the calls between controller nodes.
 const (
-	// PeerTimeout bounds a query to another node: it is a hint, not worth waiting for.
+	// PeerTimeout bounds a call to another node. Answers are only hints, so a longer wait is not worthwhile.
 	PeerTimeout = 800 * time.Millisecond
-	// PeerQueryMaxMachines bounds the machines in one query.
+	// PeerQueryMaxMachines bounds the machines that are answered for in one query.
 	PeerQueryMaxMachines = 1000
-	// PeerMessageMaxBytes bounds a message, in bytes.
+	// PeerMessageMaxBytes bounds a received message, in bytes.
 	PeerMessageMaxBytes = 512 << 10
-	// RemoteImagesInterval is the interval at which the others' images are asked for: some 30 KiB an answer at
-	// hundreds of machines.
+	// RemoteImagesInterval is the interval of the queries for the images on other nodes' machines. An answer takes
+	// about 30 KiB at hundreds of machines.
 	RemoteImagesInterval = 3 * time.Second
-	// PeerMaxStreams bounds the queries served at once.
+	// PeerMaxStreams bounds the concurrent calls on one connection from another node.
 	PeerMaxStreams = 32
-	// PeerQueryInterval is the shortest time between two queries.
+	// PeerQueryInterval is the shortest interval between two queries about agents' heartbeats.
 	PeerQueryInterval = 1500 * time.Millisecond
-	// HandOffHold is how long a shard stays away from a home node that handed it off for want of its agents'
-	// heartbeats.
+	// HandOffHold is how long a shard is not returned to its home node after that node handed it off because it did
+	// not receive the heartbeats of the shard's agents.
 	HandOffHold = 40 * time.Second
 )
--- a/internal/tuning/process.go
+++ b/internal/tuning/process.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Process.
+// Constants of the process.
 const (
-	// GoHeapMemoryShare of the memory limit is given to Go's heap limit; the rest is stacks, code and the C
-	// library.
+	// GoHeapMemoryShare is the share of the machine's memory limit that is set as the Go runtime's memory limit. The
+	// rest is for stacks, code and the C library.
 	GoHeapMemoryShare = 0.7
-	// GCPercent lets the heap grow to this much above what is live before it is collected; the live heap is a small
-	// part of the memory limit, which still holds.
+	// GCPercent is the growth of the heap over the live heap at which a garbage collection starts, in percent. The
+	// live heap is a small part of the memory limit, which still applies.
 	GCPercent = 300
-	// ShutdownGrace is how long an orderly shutdown may take.
+	// ShutdownGrace bounds the duration of an orderly shutdown.
 	ShutdownGrace = 2 * time.Second
 )
