--- a/internal/config/bounds.go
+++ b/internal/config/bounds.go
@@ -2,8 +2,8 @@
 
 import "sableusher/internal/tuning"
 
-// Bounds of the platform's settings. They lie far beyond what regions have, and refuse
-// mistakes such as a value in another unit; where more rests on a bound, its comment says so.
+// Bounds of the platform's settings. They lie far beyond the values of real regions and exist to detect mistakes, such
+// as a value in another unit, unless their comment gives a further reason.
 const (
 	maxNodes       = 1000
 	maxTimeBoundMs = 1e6
@@ -17,8 +17,8 @@
 	minGangPeerSeconds = 0.1
 	maxGangPeerSeconds = 3600
 	maxCancelSeconds   = 86400
-	// cancelAfterLeaseSeconds is how much longer a cancellation has at least than a lease: a
-	// task whose agent hears nothing is stopped when its lease ends.
+	// cancelAfterLeaseSeconds is the least difference between the cancel deadline and the lease duration: a task
+	// whose agent receives no command is stopped only when its lease expires.
 	cancelAfterLeaseSeconds = 1
 
 	minStoreRPS     = 1
@@ -39,10 +39,10 @@
 	maxSockets  = 1e7
 )
 
-// Bounds of the operators' settings, beside those in package tuning.
+// Bounds of the operators' settings; package tuning holds further ones.
 const (
-	maxWeight          = 1     // of weights, shares, rates and probabilities
-	maxDiscount        = 0.999 // at 1 the value of an action has no bound
+	maxWeight          = 1     // for weights, shares, rates and probabilities
+	maxDiscount        = 0.999 // with a discount of 1 the values of actions would be unbounded
 	maxWarmUpRewards   = 1e6
 	maxMinMachines     = 10000
 	maxHeadroom        = 1000 // machines
@@ -50,5 +50,5 @@
 	minRefitSeconds    = 0.5
 	maxRefitSeconds    = 3600
 	maxTransferSeconds = 3600
-	maxOffloadedTasks  = tuning.MaxTasksPerJob // as many as one job may have
+	maxOffloadedTasks  = tuning.MaxTasksPerJob
 )
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,8 +1,8 @@
-// Package config reads and validates the platform's settings (TOML) and the operators' own
-// (XML). It owns their form, their bounds and the texts of what is wrong with them; it keeps
-// no state and never writes a file.
+// Package config reads and validates the platform's settings (TOML) and the operators'
+// settings (XML). It defines their format, their bounds and the messages about invalid values;
+// it keeps no state and never writes a file.
 //
-// The timing of agents rests on it: a lease is at least as long as the interval of
-// heartbeats, and a cancelled job has more time than a lease, so that a lease that nobody
-// renews has ended before the cancellation is due.
+// Its checks guarantee two relations that the handling of agents relies on: the lease duration
+// is at least the heartbeat interval, and the cancel deadline is longer than the lease duration,
+// so that a lease that is no longer renewed expires before the deadline.
 package config
--- a/internal/config/errors.go
+++ b/internal/config/errors.go
@@ -7,19 +7,19 @@
 )
 
 var (
-	// ErrNoRootElement reports operators' settings without their root element.
+	// ErrNoRootElement is returned for operators' settings without the root element.
 	ErrNoRootElement = errors.New("no <sableusher> element")
-	// ErrCellIdentity reports settings of a federation that don't say which cell this is.
+	// ErrCellIdentity is returned for settings of several cells that lack a valid name and epoch of this cell.
 	ErrCellIdentity = errors.New("<cell-name> and <cell-epoch>: both are needed, " +
 		"a name of letters, digits and dashes and a number from 1")
 )
 
-// ValidationError holds every fault that was found in settings.
+// ValidationError reports all faults found in a settings file.
 type ValidationError struct {
 	Faults []error
 }
 
-// Error gives all faults in one line, so that a node that can't start logs a single line.
+// Error returns all faults in one line, so that a node that can't start logs a single line.
 func (e *ValidationError) Error() string {
 	texts := make([]string, len(e.Faults))
 	for i, fault := range e.Faults {
@@ -28,10 +28,10 @@
 	return strings.Join(texts, "; ")
 }
 
-// Unwrap gives the faults to errors.Is and errors.As.
+// Unwrap returns the faults, for errors.Is and errors.As.
 func (e *ValidationError) Unwrap() []error { return e.Faults }
 
-// SettingError is a fault of a setting in the platform's file.
+// SettingError reports a fault of a setting in the platform's file.
 type SettingError struct {
 	Setting string // path of the setting, such as deployment.teams[0].name
 	Problem string
@@ -39,20 +39,20 @@
 
 func (e *SettingError) Error() string { return e.Setting + ": " + e.Problem }
 
-// RangeError is a number outside its bounds, in either file.
+// RangeError reports a number outside its bounds, in either file.
 type RangeError struct {
 	Setting  string // path of the setting, or its element in angle brackets
 	Value    float64
-	Min, Max float64 // both allowed
+	Min, Max float64 // inclusive
 }
 
 func (e *RangeError) Error() string {
 	return fmt.Sprintf("%s: %v is not within %v to %v", e.Setting, e.Value, e.Min, e.Max)
 }
 
-// ElementError is a fault of an element in the operators' file.
+// ElementError reports a fault of an element in the operators' file.
 type ElementError struct {
-	Element string // name of the element, with the attribute that tells it from others
+	Element string // name of the element, with its identifying attribute if it is an item of a list
 	Problem string
 }
 
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,67 +14,70 @@
 //go:embed operator.xml
 var defaultOperator []byte
 
-// Operator holds the operators' own settings. Element names and attributes are part of the
-// file's form; see operator.xml for the defaults.
+// Operator holds the operators' settings. The names of elements and attributes are part of the
+// file format; operator.xml holds the defaults.
 type Operator struct {
 	XMLName              xml.Name `xml:"sableusher"`
-	ResponsivenessWeight float64  `xml:"lambda"`       // weight of responsiveness in rewards, from 0 to 1
+	ResponsivenessWeight float64  `xml:"lambda"`       // weight of responsiveness against utilization, 0 to 1
 	Exploration          float64  `xml:"exploration"`  // probability of a random action, 0 to 1
-	LearningRate         float64  `xml:"learn-rate"`   // step towards newly fitted weights, 0 to 1
-	Discount             float64  `xml:"discount"`     // of the next decision's value, below 1
-	WarmUpRewards        int      `xml:"cold-payoffs"` // rewards before the learner's choices are used
-	MinMachines          int      `xml:"pool-minimum"` // machines that are always rented
-	MinHeadroom          int      `xml:"pool-step"`    // least headroom, in machines
-	IdleHoldSeconds      float64  `xml:"pool-hold-s"`  // seconds that an idle machine is kept
-	RefitIntervalSeconds float64  `xml:"refit-s"`      // seconds between fits of the learner
+	LearningRate         float64  `xml:"learn-rate"`   // SARSA's learning rate, 0 to 1
+	Discount             float64  `xml:"discount"`     // SARSA's discount of the next decision's value, below 1
+	WarmUpRewards        int      `xml:"cold-payoffs"` // rewards to collect before learned values are used
+	MinMachines          int      `xml:"pool-minimum"` // least number of machines
+	MinHeadroom          int      `xml:"pool-step"`    // least headroom above the booked machines, in machines
+	IdleHoldSeconds      float64  `xml:"pool-hold-s"`  // time before an idle machine may be returned, in seconds
+	RefitIntervalSeconds float64  `xml:"refit-s"`      // interval between fits of the learner, in seconds
 	LearningEnabled      bool     `xml:"learn"`
-	FixedFleet           bool     `xml:"owned-fleet"` // machines are neither rented nor returned
-	// ZoneReserve is the share of the services of the zone with most of them for which
-	// capacity is kept free in the other zones, from 0 to 1.
+	FixedFleet           bool     `xml:"owned-fleet"` // the machines are owned: none are rented or returned
+	// ZoneReserve is the capacity kept free in the other zones for the loss of the zone with the
+	// most services, as a share of the capacity that its services use, 0 to 1.
 	ZoneReserve float64 `xml:"zone-reserve"`
-	// SpreadServices puts the replicas of services that don't ask for it into several zones
-	// too, at most half of them in one as long as another has capacity.
+	// SpreadServices also spreads the replicas of services that don't request it over several
+	// zones: at most half of them run in one zone as long as another has capacity.
 	SpreadServices bool `xml:"spread-services"`
-	// Classes are the classes of jobs whose tasks have a limit of retries; none by default.
+	// Classes are the classes of jobs with limited retries of tasks; empty by default.
 	Classes []Class `xml:"classes>class"`
-	// CellName is this deployment's name among its operator's cells. CellEpoch counts from 1
-	// how often its key-value store has lost writes. Both are empty without other cells.
-	CellName  string `xml:"cell-name"`
+	// CellName is this deployment's name among the operator's cells; empty without other cells.
+	CellName string `xml:"cell-name"`
+	// CellEpoch starts at 1 and is increased by the operator whenever the cell's key-value store
+	// has lost writes; 0 without other cells.
 	CellEpoch uint64 `xml:"cell-epoch"`
-	// MaxOffloadedTasks is how many tasks of jobs offloaded by other cells may be here at once.
+	// MaxOffloadedTasks bounds the tasks that jobs offloaded by other cells have in this cell at
+	// any time.
 	MaxOffloadedTasks int `xml:"cell-guests"`
-	// CellDraining makes this cell accept no offloaded jobs and return those not yet started.
+	// CellDraining makes this cell reject offloaded jobs and return those not yet started.
 	CellDraining bool `xml:"cell-drain"`
 	// Cells are the other cells.
 	Cells []Cell `xml:"cells>cell"`
-	// ForgottenCells are those of Cells that are lost for good: jobs that were offloaded to them
-	// may start here again.
+	// ForgottenCells are those of Cells that are permanently lost: jobs that were offloaded to
+	// them may start in this cell again.
 	ForgottenCells []ForgottenCell `xml:"cells-forgotten>cell"`
 }
 
-// ForgottenCell is an operator's statement that a cell, under an epoch, is lost for good.
+// ForgottenCell states that another cell is permanently lost in an epoch.
 type ForgottenCell struct {
 	Name  string `xml:"name,attr"`
 	Epoch uint64 `xml:"epoch,attr"` // as logged when the cell was found lost
 }
 
-// Cell is another deployment that jobs are exchanged with.
+// Cell is another deployment with which this one exchanges jobs.
 type Cell struct {
 	Name            string  `xml:"name,attr"`
-	Nodes           string  `xml:"nodes,attr"`      // back addresses of its controller nodes, separated by spaces
+	Nodes           string  `xml:"nodes,attr"`      // peer addresses of its controller nodes, separated by spaces
 	TransferSeconds float64 `xml:"transfer-s,attr"` // cost of offloading a job to it, in seconds
 }
 
-// Class limits the retries of the tasks of a class.
+// Class limits the retries of the tasks of jobs in a class.
 type Class struct {
 	Name                 string  `xml:"name,attr"`
-	MaxRetries           int     `xml:"repeats,attr"`     // most retries after failures of a task's own
-	RetryPauseSeconds    float64 `xml:"pause-s,attr"`     // seconds before the first retry, doubled for each next
+	MaxRetries           int     `xml:"repeats,attr"`     // limit of retries after failures of the task itself
+	RetryPauseSeconds    float64 `xml:"pause-s,attr"`     // seconds before the first retry; doubled for each next
 	MaxRetryPauseSeconds float64 `xml:"pause-max-s,attr"` // longest such pause, in seconds
 }
 
-// LoadOperator reads the operators' file over the embedded defaults, as ParseOperator does;
-// an empty path gives the defaults.
+// LoadOperator reads the operators' file; settings that the file lacks have the embedded
+// defaults. An empty path returns the defaults. Errors are those of ParseOperator and of reading
+// the file.
 func LoadOperator(path string) (*Operator, error) {
 	defaults, err := ParseOperator(defaultOperator, nil)
 	if err != nil {
@@ -90,14 +93,15 @@
 	return ParseOperator(content, defaults)
 }
 
-// ParseOperator reads content over base, which stays unchanged and may be nil. Unknown or
-// repeated elements and attributes give an ElementError; values that can't be used give a
-// ValidationError with every fault.
+// ParseOperator parses and validates operators' settings. Settings that content lacks are taken
+// from base, which is not changed and may be nil; the lists of base are never taken. It returns an
+// ElementError for unknown or repeated elements and attributes, and a ValidationError with all
+// faults for invalid values.
 func ParseOperator(content []byte, base *Operator) (*Operator, error) {
 	operator := Operator{}
 	if base != nil {
 		operator = *base
-		// Lists in content replace those of base; they are not added to them.
+		// Decoding appends to lists: without this the items of content would be added to those of base.
 		operator.Classes, operator.Cells, operator.ForgottenCells = nil, nil, nil
 	}
 	if err := checkElements(content); err != nil {
@@ -112,7 +116,7 @@
 	return &operator, nil
 }
 
-// validate checks all values; it returns nil or a ValidationError.
+// validate checks all values. It returns nil or a ValidationError.
 func (op *Operator) validate() error {
 	var faults faultCollector
 	op.checkLearner(&faults)
@@ -131,7 +135,7 @@
 	faults.checkElementRange("cold-payoffs", float64(op.WarmUpRewards), 0, maxWarmUpRewards)
 }
 
-// checkMachines checks what the number of machines and their free capacity follow from.
+// checkMachines checks the settings of the number of machines, their free capacity, and the interval of fits.
 func (op *Operator) checkMachines(faults *faultCollector) {
 	faults.checkElementRange("pool-minimum", float64(op.MinMachines), 0, maxMinMachines)
 	faults.checkElementRange("pool-step", float64(op.MinHeadroom), 0, maxHeadroom)
@@ -158,8 +162,8 @@
 	}
 }
 
-// checkOwnCell checks what is said of this cell. Its name and epoch are needed as soon as
-// one of them or another cell is given.
+// checkOwnCell checks the settings of this cell. Name and epoch are both required if one of them
+// or another cell is set.
 func (op *Operator) checkOwnCell(faults *faultCollector) {
 	if len(op.Cells) > tuning.MaxCells {
 		faults.addElement("cells", "more than %d", tuning.MaxCells)
@@ -173,7 +177,7 @@
 	}
 }
 
-// checkCells checks the other cells, and that those to forget are among them.
+// checkCells checks the other cells, and that each forgotten cell is one of them and has an epoch.
 func (op *Operator) checkCells(faults *faultCollector) {
 	names := map[string]bool{op.CellName: true}
 	for _, cell := range op.Cells {
@@ -185,7 +189,7 @@
 		if len(strings.Fields(cell.Nodes)) == 0 {
 			faults.addElement(element, "nodes names no controller")
 		}
-		if outside(cell.TransferSeconds, 0, maxTransferSeconds) {
+		if isOutOfRange(cell.TransferSeconds, 0, maxTransferSeconds) {
 			faults.addElement(element, "transfer-s %v is not within 0 to %d", cell.TransferSeconds, maxTransferSeconds)
 		}
 	}
@@ -197,7 +201,8 @@
 	}
 }
 
-// isCellName reports whether a name consists of what the keys of records allow.
+// isCellName reports whether a name can be a cell's: not empty, not too long, and only of characters that are allowed
+// in the keys of records.
 func isCellName(name string) bool {
 	for _, char := range name {
 		if !isCellNameChar(char) {
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -17,10 +17,10 @@
 	}
 }
 
-// inRoot puts elements into the root element.
+// inRoot returns a document with the elements inside the root element.
 func inRoot(elements string) string { return "<sableusher>" + elements + "</sableusher>" }
 
-// invalidOperatorDocuments are files that ParseOperator refuses.
+// invalidOperatorDocuments are documents that ParseOperator rejects.
 var invalidOperatorDocuments = []struct {
 	document string
 	want     string // part of the error's text
@@ -137,8 +137,8 @@
 	},
 }
 
-// TestInvalidOperatorSettings: elements and attributes that are unknown, repeated or missing
-// and values out of bounds are refused, and the error names them.
+// TestInvalidOperatorSettings: unknown, repeated or missing elements and attributes and values
+// out of range are rejected, and the error names them.
 func TestInvalidOperatorSettings(t *testing.T) {
 	defaults, err := LoadOperator("")
 	if err != nil {
@@ -152,7 +152,7 @@
 	}
 }
 
-// TestOperatorErrorTypes: callers can tell the faults of operators' settings apart.
+// TestOperatorErrorTypes: callers can distinguish the faults of operators' settings by type.
 func TestOperatorErrorTypes(t *testing.T) {
 	if _, err := ParseOperator(nil, nil); !errors.Is(err, ErrNoRootElement) {
 		t.Errorf("an empty file: %v", err)
@@ -167,8 +167,8 @@
 	}
 }
 
-// TestDeployedFiles: the files that enable the zone reserve and cells are valid; without
-// them both are off.
+// TestDeployedFiles: the deployed files that enable the zone reserve and cells are valid. By
+// default both are disabled.
 func TestDeployedFiles(t *testing.T) {
 	zones, err := LoadOperator("../../deploy/zones.xml")
 	if err != nil || zones.ZoneReserve != 0.5 || !zones.SpreadServices || len(zones.Cells) != 0 {
@@ -183,15 +183,15 @@
 	}
 	defaults, err := LoadOperator("")
 	if err != nil || defaults.ZoneReserve != 0 || defaults.SpreadServices {
-		t.Errorf("on by default: %+v, %v", defaults, err)
+		t.Errorf("zone reserve enabled by default: %+v, %v", defaults, err)
 	}
 	if defaults.CellName != "" || len(defaults.Cells) != 0 {
-		t.Errorf("cells by default: %+v", defaults)
+		t.Errorf("cells enabled by default: %+v", defaults)
 	}
 }
 
-// TestClassesFile: the file that limits the retries of classes is valid; without it no class
-// has a limit.
+// TestClassesFile: the deployed file that limits the retries of classes is valid. By default no
+// class has a limit.
 func TestClassesFile(t *testing.T) {
 	operator, err := LoadOperator("../../deploy/classes.xml")
 	if err != nil || len(operator.Classes) == 0 || operator.MinMachines != 2 {
@@ -203,6 +203,6 @@
 		}
 	}
 	if defaults, err := LoadOperator(""); err != nil || len(defaults.Classes) != 0 {
-		t.Errorf("on by default: %+v, %v", defaults.Classes, err)
+		t.Errorf("classes with limits by default: %+v, %v", defaults.Classes, err)
 	}
 }
--- a/internal/config/operator_xml.go
+++ b/internal/config/operator_xml.go
@@ -11,10 +11,10 @@
 	"strings"
 )
 
-// rootElement is the element that all operators' settings stand in.
+// rootElement is the root element of the operators' file.
 const rootElement = "sableusher"
 
-// Depth of elements in the operators' file, counted by the elements that enclose one.
+// Depths of elements in the operators' file: the number of enclosing elements.
 const (
 	rootDepth = iota
 	settingDepth
@@ -27,7 +27,7 @@
 	itemType reflect.Type // struct whose fields are the item's attributes
 }
 
-// elementNames are the elements that an operators' file may have.
+// elementNames holds the elements that are allowed in the operators' file.
 type elementNames struct {
 	known map[string]bool
 	lists map[string]listElement
@@ -46,17 +46,17 @@
 	return names
 }
 
-// elementChecker walks over a file's elements. Package encoding/xml would ignore those that
-// are unknown and take the last of several.
+// elementChecker rejects unknown and repeated elements of a file. Package encoding/xml would
+// ignore unknown elements and use the last one of repeated elements.
 type elementChecker struct {
 	names   elementNames
 	seen    map[string]bool
 	depth   int
-	current string // latest element that is not an item of a list
+	current string // last opened element that is not an item of a list
 }
 
-// checkElements refuses unknown and repeated elements, and attributes that don't belong to
-// their element.
+// checkElements returns an error for unknown and repeated elements, and for missing, unknown and
+// repeated attributes.
 func checkElements(content []byte) error {
 	checker := elementChecker{names: operatorElements(), seen: map[string]bool{}}
 	decoder := xml.NewDecoder(bytes.NewReader(content))
@@ -80,7 +80,7 @@
 	}
 }
 
-// start checks an element as it opens.
+// start checks the start tag of an element.
 func (c *elementChecker) start(element xml.StartElement) error {
 	name := element.Name.Local
 	list := c.names.lists[c.current]
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// finish checks what can be told only at the end of the file.
+// finish checks, at the end of the file, that there was a root element.
 func (c *elementChecker) finish() error {
 	if !c.seen[rootElement] {
 		return ErrNoRootElement
@@ -110,9 +110,9 @@
 	return nil
 }
 
-// checkAttributes refuses an item of a list that lacks an attribute, has an unknown one, or
-// one twice. There are no defaults: an attribute that was left out, such as a pause, must
-// not count as 0.
+// checkAttributes returns an ElementError for an item of a list that has missing, unknown or
+// repeated attributes. Attributes have no defaults: a missing one, such as a pause, must not be
+// read as 0.
 func checkAttributes(element xml.StartElement, itemType reflect.Type) error {
 	var missing []string
 	for field := range itemType.Fields() {
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,12 +10,12 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings is what the platform hands to a controller node.
+// Settings holds the settings that the platform passes to a controller node.
 type Settings struct {
 	Node       string `toml:"node_name"`
 	Zone       string `toml:"area"`
-	Listen     string `toml:"listen"`   // address for users and agents
-	BackListen string `toml:"back"`     // address for the other controller nodes
+	Listen     string `toml:"listen"`   // address on which users and agents are served
+	PeerListen string `toml:"back"`     // address on which the other controller nodes are served
 	Peers      []Peer `toml:"siblings"` // all controller nodes but this one
 	Outside    struct {
 		Cloud string `toml:"cloud"`
@@ -28,11 +28,11 @@
 type Peer struct {
 	Node     string `toml:"node_name"`
 	Zone     string `toml:"area"`
-	Endpoint string `toml:"endpoint"` // the other node's Back address
+	Endpoint string `toml:"endpoint"` // the other node's PeerListen
 }
 
 // Deployment describes the region: its nodes, zones, teams, and the limits of the services
-// that nodes use. Every node has the same.
+// that nodes use. It is identical on all nodes.
 type Deployment struct {
 	NodeCount   int         `toml:"size"`
 	Zones       []string    `toml:"zones"`
@@ -51,8 +51,8 @@
 		WriteRPS float64 `toml:"write_rps"`
 		ValueKB  float64 `toml:"value_kb"`
 		TxnOps   int     `toml:"txn_ops"`
-		// Next holds limits that the key-value store will have from some moment on,
-		// without notice; nil if none are known.
+		// Next holds the limits that the key-value store will switch to at an unknown
+		// time, without notice; nil if no change is planned.
 		Next *KVLimits `toml:"next"`
 	} `toml:"state"`
 	Cloud struct {
@@ -66,8 +66,8 @@
 	} `toml:"machine_limits"`
 }
 
-// KVLimits are limits of the key-value store. In settings of limits to come, 0 means
-// that one stays as it is.
+// KVLimits are limits of the key-value store. In Deployment.State.Next, 0 means that the limit
+// does not change.
 type KVLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -75,8 +75,8 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// Team has a guarantee and a limit (Max) of CPUs and of GPUs over all its running tasks; 0
-// means none.
+// Team has a guaranteed number and a limit (Max) of CPUs and of GPUs for all its running tasks
+// together; 0 means no guarantee or no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -94,7 +94,7 @@
 	Times   float64 `toml:"times"`
 }
 
-// Load reads and validates the platform's file as Parse does.
+// Load reads the platform's file and parses it with Parse.
 func Load(path string) (*Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -103,8 +103,8 @@
 	return Parse(content)
 }
 
-// Parse reads and validates settings; unknown fields are ignored. Settings that can't be
-// used give a ValidationError with every fault.
+// Parse parses and validates the platform's settings; unknown fields are ignored. It returns a
+// ValidationError with all faults for invalid settings.
 func Parse(content []byte) (*Settings, error) {
 	var settings Settings
 	if err := toml.Unmarshal(content, &settings); err != nil {
@@ -116,8 +116,8 @@
 	return &settings, nil
 }
 
-// UpcomingKVLimits returns the limits of the key-value store that writes have to keep to: the
-// smaller of each limit of today and the one that is known to come.
+// UpcomingKVLimits returns the limits of the key-value store that writes must respect to stay
+// valid: for each limit, the smaller of the current and the planned value.
 func (s *Settings) UpcomingKVLimits() KVLimits {
 	state := &s.Deployment.State
 	limits := KVLimits{
@@ -135,18 +135,18 @@
 	return limits
 }
 
-// lowerTo lowers limit to bound; a bound of 0 is not set.
+// lowerTo lowers limit to bound if limit is greater; a bound of 0 means none.
 func lowerTo[T int | float64](limit *T, bound T) {
 	if bound != 0 {
 		*limit = min(*limit, bound)
 	}
 }
 
-// NodeNames returns the names of all nodes in an order that is the same on every node.
+// NodeNames returns the names of all nodes, sorted.
 func (s *Settings) NodeNames() []string {
 	names := []string{s.Node}
-	for _, sibling := range s.Peers {
-		names = append(names, sibling.Node)
+	for _, peer := range s.Peers {
+		names = append(names, peer.Node)
 	}
 	slices.SortFunc(names, cmp.Compare)
 	return names
@@ -157,11 +157,11 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// LeaseDuration is how long an agent keeps its tasks without an answer to its heartbeats.
+// LeaseDuration returns how long an agent keeps its tasks running without a response to its heartbeats.
 func (s *Settings) LeaseDuration() time.Duration { return ToDuration(s.Deployment.Workers.LeaseS) }
 
-// CancelDeadline is the time within which a cancelled job's tasks have to be stopped.
+// CancelDeadline returns the time within which the tasks of a cancelled job must be stopped.
 func (s *Settings) CancelDeadline() time.Duration { return ToDuration(s.Deployment.Workers.CancelS) }
 
-// HeartbeatInterval is the interval of agents' heartbeats.
+// HeartbeatInterval returns the interval of agents' heartbeats.
 func (s *Settings) HeartbeatInterval() time.Duration { return ToDuration(s.Deployment.Workers.ReportS) }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// validSettings is a file that Parse takes as it is.
+// validSettings is a file that Parse accepts.
 const validSettings = `
 node_name = "n0"
 area = "a"
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestMissingSettings: a file without one of its lines is refused, and the error names what
-// is missing.
+// TestMissingSettings: a file that lacks a required setting is rejected, and the error names the
+// setting.
 func TestMissingSettings(t *testing.T) {
 	for _, test := range []struct {
 		line string
@@ -80,7 +80,7 @@
 	}
 }
 
-// TestManyFaultsInOneLine: all faults of a file are reported at once, in a text of one line.
+// TestManyFaultsInOneLine: all faults of a file are reported together, in a message of one line.
 func TestManyFaultsInOneLine(t *testing.T) {
 	_, err := Parse([]byte(`node_name = "a"`))
 	if err == nil || strings.Contains(err.Error(), "\n") {
@@ -96,29 +96,29 @@
 	}
 }
 
-// TestInvalidSettings: a value out of bounds or a repeated name is refused, and the error
-// names the setting.
+// TestInvalidSettings: a value out of range or a repeated name is rejected, and the error names
+// the setting.
 func TestInvalidSettings(t *testing.T) {
 	for _, test := range []struct {
-		line    string
-		becomes string
-		want    string
+		line        string
+		replacement string
+		want        string
 	}{
-		{line: "cancel_s = 44.0", becomes: "cancel_s = 20.0", want: "cancel_s"},
-		{line: "write_rps = 80.0", becomes: "write_rps = nan", want: "write_rps"},
-		{line: "value_kb = 16.0", becomes: "value_kb = 4.0", want: "value_kb"},
-		{line: "txn_ops = 32", becomes: "txn_ops = 3", want: "txn_ops"},
-		{line: `node_name = "n1"`, becomes: `node_name = "n0"`, want: "node_name"},
+		{line: "cancel_s = 44.0", replacement: "cancel_s = 20.0", want: "cancel_s"},
+		{line: "write_rps = 80.0", replacement: "write_rps = nan", want: "write_rps"},
+		{line: "value_kb = 16.0", replacement: "value_kb = 4.0", want: "value_kb"},
+		{line: "txn_ops = 32", replacement: "txn_ops = 3", want: "txn_ops"},
+		{line: `node_name = "n1"`, replacement: `node_name = "n0"`, want: "node_name"},
 	} {
-		_, err := Parse([]byte(strings.Replace(validSettings, test.line, test.becomes, 1)))
+		_, err := Parse([]byte(strings.Replace(validSettings, test.line, test.replacement, 1)))
 		if err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s was taken: %v", test.becomes, err)
+			t.Errorf("%s was accepted: %v", test.replacement, err)
 		}
 	}
 }
 
-// TestUpcomingLimits: limits that the key-value store will have are optional, may lie below
-// the least that those of today must be, and are checked.
+// TestUpcomingLimits: planned limits of the key-value store are optional, may be lower than the
+// minimum of the current limits, and are validated.
 func TestUpcomingLimits(t *testing.T) {
 	with := func(next string) (*Settings, error) {
 		return Parse([]byte(strings.Replace(validSettings, "[deployment.cloud]", next+"\n[deployment.cloud]", 1)))
@@ -129,16 +129,16 @@
 		want KVLimits
 	}{
 		{
-			name: "without",
+			name: "no planned limits",
 			want: KVLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 32},
 		},
 		{
-			name: "with lower ones",
+			name: "lower planned limits",
 			next: "[deployment.state.next]\nwrite_rps = 56.0\nvalue_kb = 2.0\ntxn_ops = 10",
 			want: KVLimits{RPS: 200, WriteRPS: 56, ValueKB: 2, TxnOps: 10},
 		},
 		{
-			name: "with a higher one",
+			name: "higher planned limit",
 			next: "[deployment.state.next]\nvalue_kb = 64.0",
 			want: KVLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 32},
 		},
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -8,7 +8,7 @@
 	"sableusher/internal/tuning"
 )
 
-// faultCollector gathers the faults of settings, so that all are reported at once.
+// faultCollector collects the faults of settings, so that all of them are reported together.
 type faultCollector struct {
 	faults []error
 }
@@ -25,16 +25,16 @@
 	c.add(&ElementError{Element: element, Problem: fmt.Sprintf(format, args...)})
 }
 
-// checkAddress adds a fault unless address is one of TCP over IPv4.
+// checkAddress adds a fault unless address is a TCP address for IPv4.
 func (c *faultCollector) checkAddress(setting, address string) {
 	if _, err := net.ResolveTCPAddr("tcp4", address); err != nil || address == "" {
 		c.addSetting(setting, "%q is not an address", address)
 	}
 }
 
-// checkRange adds a fault unless value is from low to high; NaN is not.
+// checkRange adds a fault unless value is between low and high, both inclusive; NaN is a fault.
 func (c *faultCollector) checkRange(setting string, value, low, high float64) {
-	if outside(value, low, high) {
+	if isOutOfRange(value, low, high) {
 		c.add(&RangeError{Setting: setting, Value: value, Min: low, Max: high})
 	}
 }
@@ -44,7 +44,7 @@
 	c.checkRange("<"+element+">", value, low, high)
 }
 
-// checkUnique adds a fault if name is empty or already among names, and adds it to them.
+// checkUnique adds a fault if name is empty or already in names, and adds it to names.
 func (c *faultCollector) checkUnique(setting, name string, names map[string]bool) {
 	if name == "" || names[name] {
 		c.addSetting(setting, "%q is missing or twice", name)
@@ -60,11 +60,11 @@
 	return &ValidationError{Faults: c.faults}
 }
 
-func outside(value, low, high float64) bool {
+func isOutOfRange(value, low, high float64) bool {
 	return math.IsNaN(value) || value < low || value > high
 }
 
-// validate validates all sections; it returns nil or a ValidationError.
+// validate checks all settings. It returns nil or a ValidationError.
 func (s *Settings) validate() error {
 	var faults faultCollector
 	s.checkNodes(&faults)
@@ -78,28 +78,28 @@
 	return faults.err()
 }
 
-// checkNodes checks the names and addresses of the nodes and of the services they use.
+// checkNodes checks the names and addresses of the nodes, and the addresses of the services they use.
 func (s *Settings) checkNodes(faults *faultCollector) {
 	if s.Node == "" {
 		faults.addSetting("node_name", "missing")
 	}
 	faults.checkAddress("listen", s.Listen)
-	faults.checkAddress("back", s.BackListen)
+	faults.checkAddress("back", s.PeerListen)
 	faults.checkAddress("outside.cloud", s.Outside.Cloud)
 	faults.checkAddress("outside.state", s.Outside.State)
 	names := map[string]bool{s.Node: true}
-	for i, sibling := range s.Peers {
+	for i, peer := range s.Peers {
 		setting := fmt.Sprintf("siblings[%d]", i)
-		faults.checkUnique(setting+".node_name", sibling.Node, names)
-		faults.checkAddress(setting+".endpoint", sibling.Endpoint)
+		faults.checkUnique(setting+".node_name", peer.Node, names)
+		faults.checkAddress(setting+".endpoint", peer.Endpoint)
 	}
 }
 
-// checkSize checks the number of nodes against the siblings of this one.
-func (d *Deployment) checkSize(siblings int, faults *faultCollector) {
+// checkSize checks that the number of nodes is in its bounds and matches the number of peers.
+func (d *Deployment) checkSize(peerCount int, faults *faultCollector) {
 	faults.checkRange("deployment.size", float64(d.NodeCount), 1, maxNodes)
-	if d.NodeCount != siblings+1 {
-		faults.addSetting("deployment.size", "%d, but there are %d siblings", d.NodeCount, siblings)
+	if d.NodeCount != peerCount+1 {
+		faults.addSetting("deployment.size", "%d, but there are %d siblings", d.NodeCount, peerCount)
 	}
 }
 
@@ -115,12 +115,12 @@
 		}
 	}
 	checkNodeZone("area", s.Zone)
-	for i, sibling := range s.Peers {
-		checkNodeZone(fmt.Sprintf("siblings[%d].area", i), sibling.Zone)
+	for i, peer := range s.Peers {
+		checkNodeZone(fmt.Sprintf("siblings[%d].area", i), peer.Zone)
 	}
 }
 
-// checkTeams checks the time bound of scheduling and the teams' names and amounts.
+// checkTeams checks the time bound of scheduling, and the names and amounts of teams.
 func (d *Deployment) checkTeams(faults *faultCollector) {
 	faults.checkRange("deployment.time_bound_ms", d.TimeBoundMs, 0, maxTimeBoundMs)
 	names := map[string]bool{}
@@ -133,7 +133,7 @@
 	}
 }
 
-// checkWorkers checks the timing of agents, all in seconds.
+// checkWorkers checks the durations of agents' timing, all in seconds.
 func (d *Deployment) checkWorkers(faults *faultCollector) {
 	const section = "deployment.workers."
 	workers := &d.Workers
@@ -145,7 +145,7 @@
 		workers.LeaseS+cancelAfterLeaseSeconds, maxCancelSeconds)
 }
 
-// checkState checks the limits of the key-value store, those of today and those to come.
+// checkState checks the current and the planned limits of the key-value store.
 func (d *Deployment) checkState(faults *faultCollector) {
 	const section = "deployment.state."
 	state := &d.State
@@ -158,7 +158,7 @@
 	}
 }
 
-// validate checks limits to come; those that stay as they are have none to keep to.
+// validate checks planned limits; a limit of 0 does not change and is not checked.
 func (l *KVLimits) validate(faults *faultCollector) {
 	checkIfSet := func(name string, value, low, high float64) {
 		if value != 0 {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,8 +1,8 @@
-// Package controller puts the parts of one controller process together.
+// Package controller assembles the components of a controller process and runs them.
 //
-// It makes each part with what it depends on and runs their loops side by side; it decides nothing itself
-// and holds no state. A part that fails ends the whole process: the others could not keep the safety
-// invariants without it, and a new process rebuilds everything from records and heartbeats (invariant 3).
+// It creates each component with its dependencies and runs the components' loops concurrently; it makes no
+// scheduling decisions and holds no state. If one component fails the whole process ends: the others could not keep
+// the safety invariants without it, and a new process rebuilds its state from records and heartbeats (invariant 3).
 package controller
 
 import (
@@ -20,31 +20,31 @@
 	"sableusher/internal/scheduler"
 )
 
-// PeerTransport connects a controller with the other nodes and with other cells.
+// PeerTransport exchanges messages with the other controller nodes and with other cells.
 type PeerTransport interface {
 	scheduler.Peers
 	offload.Transport
-	// LastAnswered tells when a node last answered this one; zero if it never did.
+	// LastAnswered returns the time of the last answer from a node; zero if it has never answered.
 	LastAnswered(node string) time.Time
-	// SetCellHandler sets what answers other cells. It is called before Run, if at all.
+	// SetCellHandler sets the handler of messages from other cells. It must be called before Run.
 	SetCellHandler(handler peerrpc.CellHandler)
-	// Run answers other nodes until ctx ends.
+	// Run serves calls of other nodes until ctx is done.
 	Run(ctx context.Context) error
 }
 
-// ConnectPeers makes the connections to other nodes; agents is what they may ask this one about.
+// ConnectPeers creates the transport to the other nodes. Calls of other nodes are answered from agents.
 type ConnectPeers func(agents peerrpc.AgentRegistry) (PeerTransport, error)
 
-// Config is what a controller is made of.
+// Config holds the settings and dependencies of a Controller.
 type Config struct {
 	Settings *config.Settings
 	Operator *config.Operator
-	// Incarnation distinguishes this process from all others under the node's name.
+	// Incarnation distinguishes this process from earlier and later processes of the same node.
 	Incarnation uint64
-	// SchemaVersion is the newest one whose records this process reads: tuning.Level, except in tests of
-	// upgrades.
+	// SchemaVersion is the newest schema version whose records this process reads: tuning.SchemaVersion, except in
+	// tests of upgrades.
 	SchemaVersion int
-	// Transport carries the requests to the store, the cloud and agents; nil: the network.
+	// Transport carries the HTTP requests to the store, the cloud and agents; nil means each client's default.
 	Transport    http.RoundTripper
 	ConnectPeers ConnectPeers
 	Logger       *slog.Logger
@@ -56,8 +56,8 @@
 	loops   []func(context.Context) error
 }
 
-// New makes a controller; nothing runs and nothing is sent before Run. The only error is that of
-// ConnectPeers.
+// New creates a controller; it starts no loops and sends nothing before Run. It returns an error only if ConnectPeers
+// does.
 func New(c Config) (*Controller, error) {
 	settings, operator, logger := c.Settings, c.Operator, c.Logger
 	store := newStore(&c)
@@ -104,10 +104,11 @@
 	}}, nil
 }
 
-// Handler serves users, agents and health checks.
+// Handler returns the HTTP handler for users, agents and health checks.
 func (c *Controller) Handler() http.Handler { return c.handler }
 
-// Run runs all loops until ctx ends or one of them fails, and waits for the others; it gives the first error.
+// Run runs all loops until ctx is done or one of them fails, waits for all of them to end, and returns the first
+// error.
 func (c *Controller) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, loop := range c.loops {
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -15,8 +15,8 @@
 	"sableusher/internal/wire"
 )
 
-// store is what the parts of a controller share: the client of the key-value store, the cluster state that the
-// cache keeps up to date, and the committer of changes.
+// store holds what the components of a controller share: the client of the key-value store, the cluster state, the
+// watch cache that keeps it up to date, and the committer of transactions.
 type store struct {
 	client    *kvstore.Client
 	state     *clusterstate.State
@@ -33,7 +33,7 @@
 	return &store{client: client, state: state, cache: cache, committer: committer}
 }
 
-// newStoreClient makes the client of the key-value store with this node's share of its limits.
+// newStoreClient creates the client of the key-value store, limited to this node's share of the store's request rate.
 func newStoreClient(c *Config) *kvstore.Client {
 	limits := &c.Settings.Deployment.State
 	client := kvstore.NewClient(c.Settings.Outside.State, kvstore.Limits{
--- a/internal/peerrpc/cells.go
+++ b/internal/peerrpc/cells.go
@@ -16,9 +16,9 @@
 	"sableusher/internal/wire"
 )
 
-// Exchange sends a message to another cell's leader and gives its reply. Which node leads is not known: the one
-// that replied last is tried first, then the others in their order. If none replies, the error joins
-// those of all nodes.
+// Exchange sends a message to another cell's leader and returns the reply. Which node of that cell is the leader is
+// not known: the node that replied last is tried first, then the others in the order of the settings. If no node
+// replies, Exchange returns the joined errors of all nodes.
 func (t *Transport) Exchange(
 	ctx context.Context, cell config.Cell, message offload.Message,
 ) (offload.Message, error) {
@@ -31,7 +31,7 @@
 	for _, node := range t.nodesByPreference(cell) {
 		reply, err := t.exchangeWith(ctx, node, request)
 		if err == nil {
-			t.noteAnsweringNode(cell.Name, node)
+			t.recordAnsweringNode(cell.Name, node)
 			return reply, nil
 		}
 		errs = append(errs, fmt.Errorf("%s: %w", node, err))
@@ -39,7 +39,7 @@
 	return offload.Message{}, errors.Join(errs...)
 }
 
-// nodesByPreference gives the endpoints of a cell's nodes, the one that replied last first.
+// nodesByPreference returns the endpoints of a cell's nodes, with the node that replied last in front.
 func (t *Transport) nodesByPreference(cell config.Cell) []string {
 	t.mu.Lock()
 	last := t.lastAnsweringNode[cell.Name]
@@ -55,7 +55,7 @@
 	return nodes
 }
 
-func (t *Transport) noteAnsweringNode(cellName, node string) {
+func (t *Transport) recordAnsweringNode(cellName, node string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lastAnsweringNode[cellName] = node
@@ -81,7 +81,7 @@
 	return message, nil
 }
 
-// cellConnection gives the connection to a node of another cell, made on its first use.
+// cellConnection returns the connection to a node of another cell, which it creates on first use.
 func (t *Transport) cellConnection(node string) (*grpc.ClientConn, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/peerrpc/cells_test.go
+++ b/internal/peerrpc/cells_test.go
@@ -11,8 +11,8 @@
 	"sableusher/internal/wire"
 )
 
-// TestExchangeFindsTheCellLeader: of a cell's nodes one can't be reached, one does not lead and one names no
-// cells; the leader's reply comes through whole, and it is asked first the next time.
+// TestExchangeFindsTheCellLeader: Exchange returns the unchanged reply of a cell's leader if the cell's other nodes
+// are unreachable, not the leader, or without a cell handler. The next Exchange calls the leader first.
 func TestExchangeFindsTheCellLeader(t *testing.T) {
 	question := offload.Message{Cell: "a", FromEpoch: 2, ToEpoch: 3, Requests: []offload.Request{
 		{Number: 7, Spec: wire.JobSpec{ID: "run-1", TaskCount: 4}},
@@ -41,10 +41,10 @@
 		}
 	}
 	if notLeaderCalls != 1 {
-		t.Errorf("a node that does not lead was asked %d times", notLeaderCalls)
+		t.Errorf("the node that is not the leader was called %d times, want 1", notLeaderCalls)
 	}
 	unreachable := config.Cell{Name: "c", Nodes: unreachableEndpoint}
 	if _, err := transport.Exchange(t.Context(), unreachable, offload.Message{}); err == nil {
-		t.Error("a cell without a node answers")
+		t.Error("Exchange with a cell whose only node is unreachable succeeded")
 	}
 }
--- a/internal/peerrpc/doc.go
+++ b/internal/peerrpc/doc.go
@@ -1,7 +1,7 @@
 // Package peerrpc carries messages between controllers over gRPC: hints between the nodes of a cell, and the
 // exchange of jobs between the leaders of cells.
 //
-// Nothing here is durable and nothing is proof: a lost, late or repeated answer costs time, never safety.
-// What a hint says about an agent counts only if the answering node's cluster state is recent; what cells
-// report to each other is checked against records by package offload.
+// Messages are not durable, and safety does not depend on them: a lost, late or repeated answer only costs time.
+// A hint about an agent is used only if the cluster state of the answering node is recent. Package offload checks
+// the messages of other cells against records.
 package peerrpc
--- a/internal/peerrpc/peers.go
+++ b/internal/peerrpc/peers.go
@@ -8,8 +8,9 @@
 	"sableusher/internal/peerrpc/peerpb"
 )
 
-// QueryRecentlyHeard asks all other nodes which agents they have heard from lately. It gives, by machine, the
-// name of a node that has; a node without a recent cluster state does not count.
+// QueryRecentlyHeard asks all other nodes which of the machines' agents have sent them a heartbeat recently. It
+// returns, by machine, the name of a node that received one. Answers of nodes whose cluster state is not recent are
+// ignored.
 func (t *Transport) QueryRecentlyHeard(ctx context.Context, machines []string) map[string]string {
 	nodeByMachine := map[string]string{}
 	call := func(ctx context.Context, client peerpb.PeerClient) (*peerpb.HeardReply, error) {
@@ -26,8 +27,8 @@
 	return nodeByMachine
 }
 
-// QueryImages asks all other nodes which images their machines are believed to hold. It gives the machines
-// by image.
+// QueryImages asks all other nodes which images their machines are likely to hold. It returns the set of machines by
+// image.
 func (t *Transport) QueryImages(ctx context.Context) map[string]map[string]bool {
 	machinesByImage := map[string]map[string]bool{}
 	call := func(ctx context.Context, client peerpb.PeerClient) (*peerpb.ImagesReply, error) {
@@ -48,28 +49,28 @@
 	return machinesByImage
 }
 
-// LastAnswered tells when a node last answered this one; zero if it never did.
+// LastAnswered returns the time of the last answer from a node; zero if it has never answered.
 func (t *Transport) LastAnswered(node string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lastAnsweredAt[node]
 }
 
-func (t *Transport) noteAnswered(node string) {
+func (t *Transport) recordAnswer(node string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lastAnsweredAt[node] = time.Now()
 }
 
-// callAll calls all other nodes at once and waits until each has answered or the time for calls is over. It
-// hands the replies to collect one at a time.
+// callAll calls all other nodes concurrently and waits until each has answered or failed, for at most the call
+// timeout. It passes the replies to collect, one at a time. Failed calls are only logged.
 func callAll[Reply any](ctx context.Context, t *Transport,
 	call func(context.Context, peerpb.PeerClient) (Reply, error), collect func(node string, reply Reply),
 ) {
 	ctx, cancel := context.WithTimeout(ctx, t.callTimeout)
 	defer cancel()
 	var (
-		collecting sync.Mutex // held while collect runs
+		collecting sync.Mutex // serializes the calls of collect
 		calls      sync.WaitGroup
 	)
 	for node, client := range t.peerClients {
@@ -80,7 +81,7 @@
 				t.logger.Debug("peer call failed", "node", node, "err", err, "duration", time.Since(start))
 				return
 			}
-			t.noteAnswered(node)
+			t.recordAnswer(node)
 			collecting.Lock()
 			defer collecting.Unlock()
 			collect(node, reply)
--- a/internal/peerrpc/serve_test.go
+++ b/internal/peerrpc/serve_test.go
@@ -13,46 +13,46 @@
 	"sableusher/internal/peerrpc/peerpb"
 )
 
-// unreachableEndpoint is one that nobody listens at.
+// unreachableEndpoint is an endpoint without a listener.
 const unreachableEndpoint = "127.0.0.1:1"
 
-// fakeRegistry is a node that has heard from some agents.
+// fakeRegistry is an AgentRegistry with fixed answers.
 type fakeRegistry struct {
-	recentlyHeard   []string
-	hasFreshState   bool
-	machinesByImage map[string][]string
+	machinesWithHeartbeats []string
+	hasFreshState          bool
+	machinesByImage        map[string][]string
 }
 
 func (r fakeRegistry) HasFreshState() bool                  { return r.hasFreshState }
 func (r fakeRegistry) MachinesByImage() map[string][]string { return r.machinesByImage }
 
 func (r fakeRegistry) RecentlyHeard(machines []string) []string {
-	notHeard := func(machine string) bool { return !slices.Contains(r.recentlyHeard, machine) }
-	return slices.DeleteFunc(slices.Clone(machines), notHeard)
+	lacksHeartbeat := func(machine string) bool { return !slices.Contains(r.machinesWithHeartbeats, machine) }
+	return slices.DeleteFunc(slices.Clone(machines), lacksHeartbeat)
 }
 
-// serve answers calls at an endpoint of its own, which it gives.
-func serve(t *testing.T, calls *service) string {
+// serve serves peerService on a local port for the duration of the test and returns the endpoint.
+func serve(t *testing.T, peerService *service) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	grpcServer := grpc.NewServer()
-	peerpb.RegisterPeerServer(grpcServer, calls)
-	peerpb.RegisterCellsServer(grpcServer, calls)
+	peerpb.RegisterPeerServer(grpcServer, peerService)
+	peerpb.RegisterCellsServer(grpcServer, peerService)
 	go func() { _ = grpcServer.Serve(listener) }()
 	t.Cleanup(grpcServer.Stop)
 	return listener.Addr().String()
 }
 
-// serveCells answers other cells with a handler, at an endpoint of its own.
+// serveCells serves other cells' messages with handler on a local port and returns the endpoint.
 func serveCells(t *testing.T, handler CellHandler) string {
 	t.Helper()
 	return serve(t, &service{cellHandler: func() CellHandler { return handler }})
 }
 
-// newTestTransport makes a transport whose calls have time enough on a busy machine.
+// newTestTransport returns a transport whose call timeout is long enough for a busy machine.
 func newTestTransport(t *testing.T, settings *config.Settings) *Transport {
 	t.Helper()
 	transport, err := New(settings, fakeRegistry{}, slog.New(slog.DiscardHandler))
--- a/internal/peerrpc/service.go
+++ b/internal/peerrpc/service.go
@@ -12,29 +12,29 @@
 	"sableusher/internal/wire"
 )
 
-// AgentRegistry knows which agents a node has heard from.
+// AgentRegistry holds which agents have sent heartbeats to a node, and which images their machines hold.
 type AgentRegistry interface {
-	// RecentlyHeard gives those of the machines whose agents the node has heard from lately.
+	// RecentlyHeard returns those of the machines whose agents have sent the node a heartbeat recently.
 	RecentlyHeard(machines []string) []string
 	// HasFreshState reports whether the node's cluster state is recent.
 	HasFreshState() bool
-	// MachinesByImage gives the machines that are believed to hold an image, by its name.
+	// MachinesByImage returns the machines that are likely to hold an image, by the image's name.
 	MachinesByImage() map[string][]string
 }
 
-// CellHandler answers another cell's message with one of this cell's.
+// CellHandler handles a message of another cell and returns this cell's reply.
 type CellHandler func(ctx context.Context, message offload.Message) (offload.Message, error)
 
-// service answers the calls of other nodes and other cells.
+// service implements the gRPC services that other nodes and other cells call.
 type service struct {
 	peerpb.UnimplementedPeerServer
 	peerpb.UnimplementedCellsServer
 	registry AgentRegistry
-	// cellHandler gives the handler that is set; nil if no cells are named here.
+	// cellHandler returns the current handler of cells' messages; nil if the settings name no other cells.
 	cellHandler func() CellHandler
 }
 
-// Exchange answers another cell's message.
+// Exchange passes another cell's message to the cell handler and returns its reply.
 func (s *service) Exchange(ctx context.Context, request *peerpb.CellMessage) (*peerpb.CellMessage, error) {
 	handler := s.cellHandler()
 	if handler == nil {
@@ -55,7 +55,8 @@
 	return &peerpb.CellMessage{Cell: reply.Cell, Body: body}, nil
 }
 
-// Heard answers which agents this node has heard from; of too many machines the first ones count.
+// Heard returns which of the machines' agents have sent this node a heartbeat recently. Machines beyond
+// tuning.PeerQueryMaxMachines are ignored.
 func (s *service) Heard(_ context.Context, request *peerpb.HeardRequest) (*peerpb.HeardReply, error) {
 	machines := request.GetMachines()
 	if len(machines) > tuning.PeerQueryMaxMachines {
@@ -64,7 +65,7 @@
 	return &peerpb.HeardReply{Heard: s.registry.RecentlyHeard(machines), Fresh: s.registry.HasFreshState()}, nil
 }
 
-// Images answers which machines of this node are believed to hold which images.
+// Images returns the images that this node's machines are likely to hold, each with its machines.
 func (s *service) Images(context.Context, *peerpb.ImagesRequest) (*peerpb.ImagesReply, error) {
 	reply := &peerpb.ImagesReply{}
 	for name, machines := range s.registry.MachinesByImage() {
--- a/internal/peerrpc/transport.go
+++ b/internal/peerrpc/transport.go
@@ -16,7 +16,7 @@
 	"sableusher/internal/tuning"
 )
 
-// Transport connects a node with its peers and with other cells. It is safe for concurrent use.
+// Transport exchanges messages with a node's peers and with other cells. It is safe for concurrent use.
 type Transport struct {
 	nodeName      string
 	listenAddress string
@@ -25,19 +25,19 @@
 	callTimeout   time.Duration
 	logger        *slog.Logger
 
-	mu                sync.Mutex // guards what follows
+	mu                sync.Mutex // guards the fields below
 	connections       []*grpc.ClientConn
 	lastAnsweredAt    map[string]time.Time // by node
 	cellHandler       CellHandler
 	cellConnections   map[string]*grpc.ClientConn // by endpoint
-	lastAnsweringNode map[string]string           // the endpoint of each other cell that answered last
+	lastAnsweringNode map[string]string           // by cell: the endpoint that answered last
 }
 
-// New makes the connections to a node's peers; nothing is sent before the first call.
+// New creates the clients for a node's peers; nothing is sent before the first call.
 func New(settings *config.Settings, registry AgentRegistry, logger *slog.Logger) (*Transport, error) {
 	transport := &Transport{
 		nodeName:          settings.Node,
-		listenAddress:     settings.BackListen,
+		listenAddress:     settings.PeerListen,
 		registry:          registry,
 		peerClients:       map[string]peerpb.PeerClient{},
 		callTimeout:       tuning.PeerTimeout,
@@ -46,13 +46,13 @@
 		cellConnections:   map[string]*grpc.ClientConn{},
 		lastAnsweringNode: map[string]string{},
 	}
-	for _, sibling := range settings.Peers {
-		connection, err := dial(sibling.Endpoint)
+	for _, peer := range settings.Peers {
+		connection, err := dial(peer.Endpoint)
 		if err != nil {
-			return nil, fmt.Errorf("connect to %s: %w", sibling.Node, err)
+			return nil, fmt.Errorf("connect to %s: %w", peer.Node, err)
 		}
 		transport.connections = append(transport.connections, connection)
-		transport.peerClients[sibling.Node] = peerpb.NewPeerClient(connection)
+		transport.peerClients[peer.Node] = peerpb.NewPeerClient(connection)
 	}
 	return transport, nil
 }
@@ -63,7 +63,8 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(tuning.PeerMessageMaxBytes)))
 }
 
-// SetCellHandler sets what answers other cells. It is called before Run, if at all.
+// SetCellHandler sets the handler of messages from other cells. It must be called before Run. Without a handler such
+// messages are answered as unavailable.
 func (t *Transport) SetCellHandler(handler CellHandler) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,8 +77,8 @@
 	return t.cellHandler
 }
 
-// Run answers other nodes and cells until ctx ends, and closes all connections then. It returns the error of
-// ctx, or why it can't answer.
+// Run serves calls of other nodes and cells until ctx is done, and then closes all connections. It returns the error
+// of ctx, or the error that kept it from serving.
 func (t *Transport) Run(ctx context.Context) error {
 	listener, err := net.Listen("tcp4", t.listenAddress)
 	if err != nil {
@@ -85,9 +86,9 @@
 	}
 	grpcServer := grpc.NewServer(grpc.MaxRecvMsgSize(tuning.PeerMessageMaxBytes),
 		grpc.MaxConcurrentStreams(tuning.PeerMaxStreams))
-	calls := &service{registry: t.registry, cellHandler: t.currentCellHandler}
-	peerpb.RegisterPeerServer(grpcServer, calls)
-	peerpb.RegisterCellsServer(grpcServer, calls)
+	peerService := &service{registry: t.registry, cellHandler: t.currentCellHandler}
+	peerpb.RegisterPeerServer(grpcServer, peerService)
+	peerpb.RegisterCellsServer(grpcServer, peerService)
 
 	ctx, cancel := context.WithCancel(ctx)
 	var stopping sync.WaitGroup
