--- a/cmd/sableusher/graph.go
+++ b/cmd/sableusher/graph.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// graphCheckOptions are the flags of graph check.
+// graphCheckOptions holds the flags of the command "graph check".
 type graphCheckOptions struct {
 	paths   settingsPaths // both may be empty
 	runDate string
@@ -71,7 +71,7 @@
 	return cmd
 }
 
-// checkGraphs checks files, prints a report on each, and fails if any has faults.
+// checkGraphs checks the files, prints a report on each, and returns an error if any file has faults.
 func checkGraphs(cmd *cobra.Command, options *graphCheckOptions, files []string) error {
 	format, err := parseOutputFormat(options.output)
 	if err != nil {
@@ -101,7 +101,7 @@
 	return nil
 }
 
-// newGraphChecker reads what graphs are checked against.
+// newGraphChecker returns a checker for the settings files and the run that the options name.
 func newGraphChecker(options *graphCheckOptions) (*graphChecker, error) {
 	checker := &graphChecker{runDate: options.runDate, runID: options.runID}
 	if options.paths.platform != "" {
@@ -130,7 +130,7 @@
 	return byName
 }
 
-// parseParams reads name=value pairs; the values are YAML.
+// parseParams parses name=value pairs, whose values are YAML.
 func parseParams(pairs []string) (map[string]any, error) {
 	params := map[string]any{}
 	for _, pair := range pairs {
--- a/cmd/sableusher/graph_check.go
+++ b/cmd/sableusher/graph_check.go
@@ -13,14 +13,14 @@
 
 // graphChecker compiles one run of graph files without submitting it.
 type graphChecker struct {
-	runDate string // empty for the graph's start date, or the present
+	runDate string // if empty, the graph's start date is used, or else the current time
 	runID   string
 	params  map[string]any
 	rules   graph.Rules
 }
 
-// check reads a file and reports its faults, or the jobs of the run if it has none. Errors
-// are those of reading the file and of the run's date.
+// check reads a file and returns a report of its faults, or of the run's jobs if it has none. It
+// returns an error only if the file can't be read or the run's date is invalid.
 func (c *graphChecker) check(file string) (graphReport, error) {
 	content, err := readGraphFile(file)
 	if err != nil {
@@ -45,8 +45,8 @@
 	return report, nil
 }
 
-// logicalDate is the run date that was asked for, else the graph's start date, else the
-// present.
+// logicalDate returns the requested run date; if there is none, the graph's start date; if there
+// is none either, the current time.
 func (c *graphChecker) logicalDate(parsed *graph.Graph) (time.Time, error) {
 	date := time.Now()
 	for _, text := range []string{parsed.StartDate, c.runDate} {
@@ -64,8 +64,8 @@
 	return date, nil
 }
 
-// readGraphFile reads at most one byte more than a graph may have: enough for the parser to
-// refuse it as too long.
+// readGraphFile reads a file up to one byte more than the largest allowed graph file, so that
+// the parser can reject a file that is too large.
 func readGraphFile(path string) (content []byte, err error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/cmd/sableusher/graph_report.go
+++ b/cmd/sableusher/graph_report.go
@@ -10,7 +10,7 @@
 	"sableusher/internal/graph"
 )
 
-// outputFormat is how reports are printed.
+// outputFormat is the format in which reports are printed.
 type outputFormat string
 
 const (
@@ -33,10 +33,10 @@
 	Jobs   []plannedJob  `json:"jobs,omitempty"`
 }
 
-// Values of plannedJob.ReleasedBy: what starts a job once its upstream has ended.
+// Values of plannedJob.ReleasedBy: what releases a job once its upstream jobs have ended.
 const (
-	releasedByRecords = "records" // the scheduler, by the job's dependencies
-	releasedByRun     = "run"     // the owner of the run, by submitting it
+	releasedByRecords = "records" // the scheduler, from the dependencies in the job's record
+	releasedByRun     = "run"     // the owner of the run, by submitting the job
 )
 
 // plannedJob is a job of a run as a report prints it.
@@ -54,7 +54,8 @@
 	ReleasedBy  string   `json:"released_by"`
 }
 
-// planJobs describes the jobs of a run; the upstream of each is given by position in jobs.
+// planJobs returns the jobs of a run as a report prints them. Upstream jobs, which graph.Job identifies by their
+// position in jobs, are listed by id.
 func planJobs(jobs []graph.Job) []plannedJob {
 	var plan []plannedJob
 	for _, job := range jobs {
@@ -84,7 +85,7 @@
 	return plan
 }
 
-// reportPrinter prints reports; with tables, faults go to a stream of their own.
+// reportPrinter prints reports. In the table format faults are printed to a separate writer.
 type reportPrinter struct {
 	out    io.Writer
 	faults io.Writer
@@ -129,7 +130,7 @@
 	return table.Flush()
 }
 
-// row is a line of the table, its cells separated by tabs.
+// row returns the job's line of the table, with cells separated by tabs.
 func (j *plannedJob) row() string {
 	task, retries := j.TaskID, "any"
 	if j.MapIndex != nil {
--- a/cmd/sableusher/graph_test.go
+++ b/cmd/sableusher/graph_test.go
@@ -11,15 +11,15 @@
 	"testing"
 )
 
-// errFullDisk is what fullDisk fails with.
+// errFullDisk is the error of fullDisk.
 var errFullDisk = errors.New("full disk")
 
-// fullDisk is a writer that takes nothing.
+// fullDisk is a writer whose writes fail with errFullDisk.
 type fullDisk struct{}
 
 func (fullDisk) Write([]byte) (int, error) { return 0, errFullDisk }
 
-// runCommand runs a command line with its output to out, and returns what it writes to
+// runCommand runs the command with args and writes its standard output to out. It returns its
 // standard error.
 func runCommand(out io.Writer, args ...string) (string, error) {
 	var stderr bytes.Buffer
@@ -31,7 +31,7 @@
 	return stderr.String(), err
 }
 
-// writeGraph writes a graph of one task, with further fields of the task, to a file.
+// writeGraph writes a graph with one task to a file and returns the path. The fields are appended to the task's.
 func writeGraph(t *testing.T, fields string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "graph.yaml")
@@ -42,8 +42,7 @@
 	return path
 }
 
-// TestGraphCheckPrintsJobs: the jobs of a graph without faults are printed as a table and as
-// JSON.
+// TestGraphCheckPrintsJobs: graph check prints the jobs of a valid graph as a table or as JSON.
 func TestGraphCheckPrintsJobs(t *testing.T) {
 	path := writeGraph(t, ", expand: [x, y]")
 	var table bytes.Buffer
@@ -68,7 +67,7 @@
 	}
 }
 
-// TestGraphCheckFailsOnFaults: faults go to standard error and make the command fail.
+// TestGraphCheckFailsOnFaults: graph check prints faults to standard error and fails.
 func TestGraphCheckFailsOnFaults(t *testing.T) {
 	path := writeGraph(t, ", colour: red")
 	var out bytes.Buffer
@@ -81,7 +80,7 @@
 	}
 }
 
-// TestWriteErrorsAreReturned: a command whose output can't be written fails.
+// TestWriteErrorsAreReturned: a command fails if its output can't be written.
 func TestWriteErrorsAreReturned(t *testing.T) {
 	path := writeGraph(t, "")
 	for _, args := range [][]string{
--- a/cmd/sableusher/serve.go
+++ b/cmd/sableusher/serve.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	// maxIncarnation is the largest incarnation of a node: every whole number up to it is
-	// exact as a JSON number too.
+	// maxIncarnation is the largest incarnation of a node. Every integer up to it is represented
+	// exactly by a JSON number (a double).
 	maxIncarnation = 1 << 52
-	// minConnections is the least number of connections that are served at once, however
-	// few sockets the machine allows.
+	// minConnections is the least limit of concurrent connections, even if the machine's limit of
+	// sockets is lower.
 	minConnections = 16
 	bytesPerMiB    = 1 << 20
 )
@@ -53,7 +53,7 @@
 	return cmd
 }
 
-// serve runs a node until ctx ends or a signal asks it to stop.
+// serve runs a node until ctx is done or the process receives SIGINT or SIGTERM.
 func serve(ctx context.Context, settings *config.Settings, operator *config.Operator) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -78,15 +78,15 @@
 		return shutdown(groupCtx, server)
 	})
 	logger.Info("serving", "listen", settings.Listen, "shards", settings.Deployment.NodeCount)
-	if err := group.Wait(); err != nil && !endsOrderly(err) {
+	if err := group.Wait(); err != nil && !isOrderlyShutdown(err) {
 		return err
 	}
 	logger.Info("stopped")
 	return nil
 }
 
-// newLogger returns a logger to standard error at the level that LOG_LEVEL names: error,
-// debug, or info for anything else.
+// newLogger returns a logger to standard error. Its level is that of the environment variable
+// LOG_LEVEL, error or debug; any other value means info.
 func newLogger() *slog.Logger {
 	level := slog.LevelInfo
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
@@ -98,8 +98,8 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 }
 
-// applyMachineLimits sets the Go runtime's processors, garbage collection and memory limit
-// to the share of the machine that the platform grants.
+// applyMachineLimits sets the Go runtime's number of processors, garbage collection target and
+// memory limit for the share of the machine that the platform assigns to this node.
 func applyMachineLimits(deployment *config.Deployment) {
 	limits := &deployment.Limits
 	runtime.GOMAXPROCS(max(1, int(limits.CPUShare+0.5)))
@@ -107,8 +107,8 @@
 	debug.SetMemoryLimit(int64(limits.MemMB * tuning.GoHeapMemoryShare * bytesPerMiB))
 }
 
-// newNode builds the controller node, with an incarnation of its own, and its transport to
-// the other nodes.
+// newNode creates the controller with a random incarnation, and its transport to the other
+// nodes.
 func newNode(
 	settings *config.Settings, operator *config.Operator, logger *slog.Logger,
 ) (*controller.Controller, error) {
@@ -124,7 +124,8 @@
 	})
 }
 
-// listen opens the listener for users and agents, bounded by the node's share of sockets.
+// listen opens the listener for users and agents. It limits the concurrent connections to a share of the machine's
+// limit of sockets.
 func listen(settings *config.Settings) (net.Listener, error) {
 	listener, err := net.Listen("tcp4", settings.Listen)
 	if err != nil {
@@ -143,15 +144,15 @@
 	}
 }
 
-// shutdown waits for the requests in progress. It is called with a context that has ended,
-// so it takes only the values of ctx and bounds the wait itself.
+// shutdown stops the server and waits for the requests in progress, for at most
+// tuning.ShutdownGrace. The caller's ctx is already done, so only its values are used.
 func shutdown(ctx context.Context, server *http.Server) error {
 	graceCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), tuning.ShutdownGrace)
 	defer cancel()
 	return server.Shutdown(graceCtx)
 }
 
-// endsOrderly reports whether err is what a node that was asked to stop returns.
-func endsOrderly(err error) bool {
+// isOrderlyShutdown reports whether err results from an orderly shutdown and not from a failure.
+func isOrderlyShutdown(err error) bool {
 	return errors.Is(err, context.Canceled) || errors.Is(err, http.ErrServerClosed)
 }
--- a/cmd/sableusher/settings.go
+++ b/cmd/sableusher/settings.go
@@ -8,7 +8,7 @@
 	"sableusher/internal/config"
 )
 
-// settingsPaths are the files that a node is configured by.
+// settingsPaths holds the paths of a node's settings files.
 type settingsPaths struct {
 	platform string // TOML
 	operator string // XML; empty for the embedded defaults
--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -21,7 +21,7 @@
 }
 
 // cancelJob cancels a job and returns its final state once that state may be confirmed to the user. It returns
-// errTasksStopping if a task of the job is still bound to a machine when the wait for its release is over. A job
+// errTasksStopping if a task of the job is still bound to a machine when the wait for its release ends. A job
 // that has ended is not changed; its final state is returned.
 func (s *Server) cancelJob(ctx context.Context, id string) (wire.JobState, error) {
 	for ctx.Err() == nil {
--- a/internal/api/handlers_test.go
+++ b/internal/api/handlers_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// TestConcurrencyLimit: requests beyond the limit are refused at once; requests are served again when a slot is free.
+// TestConcurrencyLimit: requests beyond the limit are rejected at once; requests are served again when a slot is free.
 func TestConcurrencyLimit(t *testing.T) {
 	server := &Server{requestSlots: make(chan struct{}, 1)}
 	status := func() int {
