--- a/internal/simulation/celllinks.go
+++ b/internal/simulation/celllinks.go
@@ -10,55 +10,58 @@
 	"sableusher/internal/wire"
 )
 
-// LinkFault is an interruption between two cells; an empty name is any.
+// LinkFault is a fault of the link between two cells. An empty cell name matches any cell.
 type LinkFault struct {
 	From, To    string
-	AnswersOnly bool // only answers are lost: what was asked is carried out
-	DeliverLate bool // messages arrive late, when their senders have given up
+	AnswersOnly bool // only responses are lost: the receiver still handles the messages
+	DeliverLate bool // messages arrive after the fault ends, when their senders have timed out
 	Until       time.Time
 }
 
-func (l *LinkFault) concerns(from, to string) bool {
+// affects reports whether the fault is active and matches messages between two cells.
+func (l *LinkFault) affects(from, to string) bool {
 	return time.Now().Before(l.Until) && (l.From == "" || l.From == from) && (l.To == "" || l.To == to)
 }
 
-// AddLinkFault adds an interruption between cells.
+// AddLinkFault adds a fault of the links between cells.
 func (f *Federation) AddLinkFault(fault LinkFault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.linkFaults = append(f.linkFaults, fault)
 }
 
+// activeLinkFault returns the first active fault that matches messages between two cells.
 func (f *Federation) activeLinkFault(from, to string) (LinkFault, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, fault := range f.linkFaults {
-		if fault.concerns(from, to) {
+		if fault.affects(from, to) {
 			return fault, true
 		}
 	}
 	return LinkFault{}, false
 }
 
-// cellDelivery is how a message travels to another cell.
+// cellDelivery is how the link delivers one message to another cell.
 type cellDelivery struct {
-	delay     time.Duration
-	duplicate bool          // it arrives a second time
-	lateness  time.Duration // of the second time
+	delay          time.Duration
+	duplicate      bool          // the link delivers the message a second time
+	duplicateDelay time.Duration // between the first and the second delivery
 }
 
 func (f *Federation) drawDelivery() cellDelivery {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return cellDelivery{
-		delay:     time.Duration(5+f.random.IntN(40)) * time.Millisecond,
-		duplicate: f.random.IntN(10) == 0,
-		lateness:  milliseconds(f.random, 20_000),
+		delay:          time.Duration(5+f.random.IntN(40)) * time.Millisecond,
+		duplicate:      f.random.IntN(10) == 0,
+		duplicateDelay: milliseconds(f.random, 20_000),
 	}
 }
 
-// exchange carries a message to another cell's controllers, one after the other, and the answer
-// back. One in ten arrives a second time, later.
+// exchange sends a message to another cell, trying its controllers one after the other, and returns the response.
+// One message in ten is delivered a second time, up to 20 s later. If a fault loses the message or the response,
+// exchange blocks until ctx ends.
 func (f *Federation) exchange(ctx context.Context, to string, message offload.Message) (offload.Message, error) {
 	body := wire.MustEncode(message)
 	delivery := f.drawDelivery()
@@ -66,11 +69,11 @@
 	fault, faulty := f.activeLinkFault(message.Cell, to)
 	if delivery.duplicate || faulty && fault.DeliverLate {
 		f.Regions[to].wg.Go(func() {
-			lateness := delivery.lateness
+			duplicateDelay := delivery.duplicateDelay
 			if faulty {
-				lateness += time.Until(fault.Until)
+				duplicateDelay += time.Until(fault.Until)
 			}
-			time.Sleep(lateness)
+			time.Sleep(duplicateDelay)
 			_, _ = f.deliver(context.WithoutCancel(ctx), to, body)
 		})
 	}
@@ -86,7 +89,8 @@
 	return reply, err
 }
 
-// deliver gives a message to the first controller of a cell that answers it.
+// deliver passes a message to the controllers of a cell, one after the other, until one of them handles it without
+// an error, and returns its response.
 func (f *Federation) deliver(ctx context.Context, to string, body []byte) (offload.Message, error) {
 	var message offload.Message
 	if err := wire.Decode(body, &message); err != nil {
@@ -96,9 +100,9 @@
 	var errs []error
 	for _, controller := range region.controllers {
 		region.mu.Lock()
-		handler, answers, process := controller.cellHandler, controller.isAlive(), controller.alive
+		handler, running, process := controller.cellHandler, controller.isAlive(), controller.alive
 		region.mu.Unlock()
-		if handler == nil || !answers {
+		if handler == nil || !running {
 			continue
 		}
 		reply, err := handler(ctx, message)
@@ -106,15 +110,16 @@
 			err = errConnectionReset
 		}
 		if err == nil {
-			return f.carryBack(len(body), reply)
+			return f.returnReply(len(body), reply)
 		}
 		errs = append(errs, err)
 	}
 	return offload.Message{}, fmt.Errorf("cell %s: %w", to, errors.Join(append(errs, errConnectionReset)...))
 }
 
-// carryBack counts a message with its answer, and gives the answer as it arrives.
-func (f *Federation) carryBack(messageBytes int, reply offload.Message) (offload.Message, error) {
+// returnReply counts a message and its response, and returns the response encoded and decoded again, as the sender
+// receives it.
+func (f *Federation) returnReply(messageBytes int, reply offload.Message) (offload.Message, error) {
 	body := wire.MustEncode(reply)
 	f.mu.Lock()
 	f.messages.messages++
--- a/internal/simulation/controllerfaults.go
+++ b/internal/simulation/controllerfaults.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// RestartController kills a controller and starts it again later, unless it is stopped already.
+// RestartController kills a controller and starts it again after a delay. It does nothing if the controller is
+// already stopped.
 func (r *Region) RestartController(ctx context.Context, index int, delay time.Duration) {
 	if !r.controllerIsAlive(index) {
 		return
@@ -14,8 +15,8 @@
 	r.StartControllerAfter(ctx, index, delay)
 }
 
-// IsolateController cuts a controller off from the key-value store and from the other controllers; agents
-// and users still reach it.
+// IsolateController partitions a controller from the key-value store and from the other controllers until a time.
+// Agents and users can still reach it.
 func (r *Region) IsolateController(index int, deliverLate bool, until time.Time) {
 	name := r.ControllerName(index)
 	r.Network.AddPartition(Partition{From: name, To: hostKV, DeliverLate: deliverLate, Until: until})
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -11,24 +11,24 @@
 	"sableusher/internal/tuning"
 )
 
-// Controller is a controller under test, with the process that runs it. Each start is a new process under
-// the same name and address.
+// Controller is a controller under test with its current process. Each start creates a new process under the same
+// name and address.
 type Controller struct {
 	Settings      *config.Settings
 	Address       string
-	SchemaVersion int // of the version that it runs; set before it starts
+	SchemaVersion int // the newest that its software supports; set before it starts
 
-	// The region's lock guards what follows.
+	// The region's lock guards the fields below.
 	stop        context.CancelFunc
 	alive       *atomic.Bool  // nil before the first start
-	exited      chan struct{} // closed when the process has ended
+	exited      chan struct{} // closed when the process has exited
 	registry    peerrpc.AgentRegistry
-	cellHandler peerrpc.CellHandler // answers other cells, if there are some
+	cellHandler peerrpc.CellHandler // handles messages from other cells; nil if there are none
 }
 
 func (c *Controller) isAlive() bool { return c.alive != nil && c.alive.Load() }
 
-// AddController adds a controller of the newest version and starts it.
+// AddController adds a controller of the newest schema version and starts it.
 func (r *Region) AddController(ctx context.Context, settings *config.Settings) {
 	r.AddStoppedController(settings, tuning.SchemaVersion)
 	r.StartController(ctx, len(r.controllers)-1)
@@ -43,8 +43,8 @@
 	})
 }
 
-// StartController runs a controller as a new process, which ends with the context at the latest. It panics
-// if the controller can't be made.
+// StartController starts a controller as a new process, which exits when it is killed or ctx ends. It panics if the
+// controller can't be created.
 func (r *Region) StartController(ctx context.Context, index int) {
 	process := r.controllers[index]
 	ctx, cancel := context.WithCancel(ctx)
@@ -78,12 +78,12 @@
 	r.mu.Unlock()
 	r.Network.Listen(process.Address, &Host{name, node.Handler(), alwaysAlive})
 	r.wg.Go(func() {
-		_ = node.Run(ctx) // ends with its context, as a process that is killed
+		_ = node.Run(ctx) // the error is always that of the context, as the process is killed
 		close(exited)
 	})
 }
 
-// operatorSettings gives the operators' settings as a controller that starts reads them.
+// operatorSettings returns the operators' settings that a starting controller reads.
 func (r *Region) operatorSettings() *config.Operator {
 	operator, err := config.LoadOperator("")
 	if err != nil {
@@ -95,7 +95,7 @@
 	return operator
 }
 
-// KillController ends a controller's process without warning.
+// KillController kills a controller's process without a shutdown, and waits until it has exited.
 func (r *Region) KillController(index int) {
 	process := r.controllers[index]
 	r.mu.Lock()
@@ -113,7 +113,7 @@
 	return r.controllers[index].isAlive()
 }
 
-// KillAllControllers ends the processes of all controllers, one after the other.
+// KillAllControllers kills all controllers, one after the other.
 func (r *Region) KillAllControllers() {
 	for i := range r.controllers {
 		r.KillController(i)
@@ -127,7 +127,7 @@
 	}
 }
 
-// StartControllerAfter starts a controller once a time has passed.
+// StartControllerAfter starts a controller after a delay. It doesn't block.
 func (r *Region) StartControllerAfter(ctx context.Context, index int, delay time.Duration) {
 	r.wg.Go(func() {
 		time.Sleep(delay)
@@ -135,13 +135,13 @@
 	})
 }
 
-// ControllerCount is the number of controllers.
+// ControllerCount returns the number of controllers, those that are stopped included.
 func (r *Region) ControllerCount() int { return len(r.controllers) }
 
-// ControllerName is the name of a controller.
+// ControllerName returns the name of a controller.
 func (r *Region) ControllerName(index int) string { return r.controllers[index].Settings.Node }
 
-// randomController draws a controller.
+// randomController returns a random controller, which may be stopped.
 func (r *Region) randomController() *Controller {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/simulation/fakeagent.go
+++ b/internal/simulation/fakeagent.go
@@ -7,8 +7,8 @@
 	"sableusher/internal/wire"
 )
 
-// fakeAgent is a fake of the agent on one machine: it sends heartbeats, executes commands, runs tasks, and
-// ends them all when its lease expires. The region's lock guards it.
+// fakeAgent is a fake of the agent on one machine. It sends heartbeats, executes commands, runs tasks, and stops
+// all tasks when its lease expires. The region's lock guards it.
 type fakeAgent struct {
 	region      *Region
 	name        string // of the machine
@@ -17,14 +17,14 @@
 	zone        string
 	spot        bool
 
-	session        uint64
+	session        uint64 // starts with 1; a reboot or the expiry of the lease begins the next
 	sequence       uint64 // of the last heartbeat of the session
 	fencingToken   uint64 // highest seen in the session
 	leaseRenewedAt time.Time
 	tasks          map[attempt]*agentTask
 	images         map[string]bool
 
-	controllerIndex int // where heartbeats go
+	controllerIndex int // the controller that receives the next heartbeat
 	lastHeartbeat   time.Time
 	statusChanged   bool // since the last heartbeat
 	removed         bool
@@ -33,7 +33,7 @@
 
 // agentFaults are the faults of one machine.
 type agentFaults struct {
-	reclaimAt         time.Time // when the cloud takes it back; zero: no notice was given
+	reclaimAt         time.Time // when the cloud reclaims the machine; zero: no notice was given
 	hungUntil         time.Time
 	inboundLostUntil  time.Time // heartbeats arrive; answers and commands are lost
 	outboundLostUntil time.Time // heartbeats are lost; commands arrive
@@ -45,8 +45,9 @@
 
 func (f *agentFaults) outboundLost() bool { return time.Now().Before(f.outboundLostUntil) }
 
-// reachable tells whether a machine can be used: no fault concerns it, and it is not about to be taken back.
-func (f *agentFaults) reachable() bool {
+// usable reports whether new tasks can run on the machine: no fault affects it, and the cloud is not about to
+// reclaim it.
+func (f *agentFaults) usable() bool {
 	return !f.hung() && !f.inboundLost() && !f.outboundLost() && f.reclaimAt.IsZero()
 }
 
@@ -70,7 +71,7 @@
 	return Placement{a.name, a.machineType.Name, a.zone, a.spot}
 }
 
-// freeResources gives what no task takes.
+// freeResources returns the machine's capacity less the resources of the tasks that have not exited.
 func (a *fakeAgent) freeResources() record.Resources {
 	free := record.Capacity(&a.machineType)
 	for _, task := range a.tasks {
@@ -81,11 +82,11 @@
 	return free
 }
 
-// overcommitted tells whether the tasks take more than there is.
+// overcommitted reports whether the tasks need more resources than the machine has.
 func (a *fakeAgent) overcommitted() bool { return !record.Resources{}.FitsIn(a.freeResources()) }
 
-// loseTasks lets the checker know that no task is on the machine any more.
-func (a *fakeAgent) loseTasks() {
+// reportTasksLost reports to the checker that all tasks have left the machine.
+func (a *fakeAgent) reportTasksLost() {
 	for _, task := range a.tasks {
 		if task.onMachine {
 			a.region.Checker.TaskLeft(task.attempt.task, a.name)
@@ -93,7 +94,7 @@
 	}
 }
 
-// reboot begins a new session without tasks and images; the machine hangs until a time.
+// reboot begins a new session without tasks and images. The machine hangs until the given time.
 func (a *fakeAgent) reboot(until time.Time) {
 	clear(a.tasks)
 	clear(a.images)
@@ -101,7 +102,7 @@
 	a.sequence, a.fencingToken, a.hungUntil = 0, 0, until
 }
 
-// expireLease ends all tasks and begins a new session.
+// expireLease stops all tasks and begins a new session.
 func (a *fakeAgent) expireLease(now time.Time) {
 	for _, task := range a.tasks {
 		if task.onMachine {
@@ -116,7 +117,7 @@
 	a.statusChanged = true
 }
 
-// status makes a heartbeat.
+// status returns the agent's status as a heartbeat, and advances the sequence number.
 func (a *fakeAgent) status() wire.Heartbeat {
 	a.sequence++
 	heartbeat := wire.Heartbeat{
--- a/internal/simulation/fakeagent_commands.go
+++ b/internal/simulation/fakeagent_commands.go
@@ -11,7 +11,7 @@
 	"sableusher/internal/wire"
 )
 
-// ServeHTTP serves direct commands.
+// ServeHTTP serves requests that controllers send to the agent directly: commands, and queries of its status.
 func (a *fakeAgent) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	a.region.mu.Lock()
@@ -42,7 +42,7 @@
 	wire.WriteResponse(w, http.StatusOK, a.status())
 }
 
-// executeCommands executes commands in their order. Callers hold the region's lock.
+// executeCommands executes commands in order. Callers hold the region's lock.
 func (a *fakeAgent) executeCommands(commands []wire.Command) {
 	for _, command := range commands {
 		ref, ok := record.ParseTaskRef(command.Task)
@@ -54,7 +54,7 @@
 	}
 }
 
-// execute executes one command, which has no effect if it is not about the task's present state.
+// execute executes one command. A command that doesn't apply to the task's current state has no effect.
 func (a *fakeAgent) execute(command wire.Command, attempt attempt) {
 	task := a.tasks[attempt]
 	switch {
@@ -74,7 +74,8 @@
 	}
 }
 
-// stop ends a task, which saves a checkpoint before if it is given the time.
+// stop stops a task. A running task saves a checkpoint first if its job has checkpoints and the grace period is
+// long enough. A task that is already checkpointing goes on unless the grace period is 0.
 func (t *agentTask) stop(graceSeconds float64) {
 	saves := t.spec.CheckpointIntervalSeconds > 0 && graceSeconds >= t.spec.CheckpointSaveSeconds
 	switch {
@@ -87,7 +88,7 @@
 	}
 }
 
-// startTask begins to fetch a task's image; a task that can't run here exits at once.
+// startTask starts fetching a task's image. A task that can't run on the machine exits immediately.
 func (a *fakeAgent) startTask(attempt attempt) {
 	spec, ok := a.region.Checker.JobSpec(attempt.task.JobID)
 	task := &agentTask{
@@ -117,7 +118,7 @@
 	}
 }
 
-// runsOtherAttempt tells whether another attempt of the same task has not exited.
+// runsOtherAttempt reports whether the machine has another attempt of the same task that has not exited.
 func (a *fakeAgent) runsOtherAttempt(attempt attempt) bool {
 	for other, task := range a.tasks {
 		if other != attempt && other.task == attempt.task && task.State != wire.TaskExited {
--- a/internal/simulation/fakeagent_heartbeat.go
+++ b/internal/simulation/fakeagent_heartbeat.go
@@ -14,16 +14,17 @@
 
 const (
 	heartbeatTimeout = 4 * time.Second
-	// statusChangeDelay is how soon after the last heartbeat a change of status is sent.
+	// statusChangeDelay is the minimum time between a heartbeat and the next one if the status has changed.
 	statusChangeDelay = 500 * time.Millisecond
-	// heartbeatRetryDelay passes after a heartbeat without an answer, redirectDelay after a redirect.
+	// heartbeatRetryDelay is the delay before the next heartbeat if a heartbeat failed.
 	heartbeatRetryDelay = time.Second
-	redirectDelay       = 100 * time.Millisecond
+	// redirectDelay is the delay before the next heartbeat after a redirect.
+	redirectDelay = 100 * time.Millisecond
 
 	pathHeartbeat = "/agent/beat"
 )
 
-// sentHeartbeat is a heartbeat on its way.
+// sentHeartbeat is a heartbeat with the agent's state at the time of sending.
 type sentHeartbeat struct {
 	body            []byte
 	sentAt          time.Time
@@ -32,7 +33,7 @@
 	outboundLost    bool
 }
 
-// heartbeatOutcome is what an agent does after a heartbeat.
+// heartbeatOutcome is the result of sending a heartbeat.
 type heartbeatOutcome int
 
 // Outcomes of a heartbeat.
@@ -51,7 +52,7 @@
 			return
 		}
 		if !due {
-			time.Sleep(agentStep)
+			time.Sleep(advanceInterval)
 			continue
 		}
 		switch a.exchangeHeartbeat(ctx, transport) {
@@ -63,7 +64,8 @@
 	}
 }
 
-// heartbeatDue draws the interval at which the next heartbeat is due.
+// heartbeatDue reports whether the machine was removed, and whether the next heartbeat is due. It compares the time
+// since the last heartbeat with a random interval of 0.75 to 1.25 times the configured one.
 func (a *fakeAgent) heartbeatDue() (removed, due bool) {
 	a.region.mu.Lock()
 	defer a.region.mu.Unlock()
@@ -73,8 +75,8 @@
 	return a.removed, due
 }
 
-// exchangeHeartbeat sends a heartbeat and executes the commands in the answer. Without an answer, the next one
-// goes to another controller.
+// exchangeHeartbeat sends a heartbeat and executes the commands in the response. If the heartbeat fails, the next
+// one goes to another controller.
 func (a *fakeAgent) exchangeHeartbeat(ctx context.Context, transport http.RoundTripper) heartbeatOutcome {
 	heartbeat := a.newHeartbeat(ctx)
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
@@ -98,7 +100,7 @@
 	return outcome
 }
 
-// newHeartbeat makes the next heartbeat, and gives it to the faults that keep copies.
+// newHeartbeat creates the next heartbeat, and passes it to the faults that deliver copies of heartbeats.
 func (a *fakeAgent) newHeartbeat(ctx context.Context) sentHeartbeat {
 	a.region.mu.Lock()
 	defer a.region.mu.Unlock()
@@ -119,6 +121,7 @@
 	return heartbeat
 }
 
+// postHeartbeat sends a heartbeat to a controller, and returns the status code and body of the response.
 func postHeartbeat(
 	ctx context.Context, transport http.RoundTripper, address string, body []byte,
 ) (status int, answer []byte, err error) {
@@ -138,7 +141,8 @@
 	return response.StatusCode, answer, err
 }
 
-// tryNextController lets the next heartbeat go to the next controller, at once.
+// tryNextController makes the next heartbeat due immediately, and directs it to the controller after the one that
+// failed.
 func (a *fakeAgent) tryNextController(failedIndex int) heartbeatOutcome {
 	a.region.mu.Lock()
 	defer a.region.mu.Unlock()
@@ -147,7 +151,8 @@
 	return heartbeatFailed
 }
 
-// handleResponse acts on the answer to a heartbeat, unless it is lost on its way or comes too late.
+// handleResponse processes the response to a heartbeat. If the agent can't receive messages, the response is lost; if
+// it hangs or was removed, the response is ignored.
 func (a *fakeAgent) handleResponse(
 	heartbeat sentHeartbeat, status int, body []byte,
 ) (outcome heartbeatOutcome, lost bool) {
@@ -167,8 +172,8 @@
 	return heartbeatFailed, false
 }
 
-// accept renews the lease and executes the commands, unless the answer is about an earlier session or of an
-// owner that was replaced.
+// accept renews the lease and executes the commands of a response. It ignores a response to a heartbeat of an
+// earlier session, and one whose fencing token is that of an owner that was replaced.
 func (a *fakeAgent) accept(heartbeat sentHeartbeat, body []byte) {
 	var response wire.HeartbeatResponse
 	if wire.Decode(body, &response) != nil || heartbeat.session != a.session ||
@@ -181,7 +186,8 @@
 	a.executeCommands(response.Commands)
 }
 
-// redirect lets the next heartbeat go where the answer says; false if that is no other controller.
+// redirect directs the next heartbeat to the controller that a response names. It returns false if that is not a
+// known controller, or the one that sent the response.
 func (a *fakeAgent) redirect(fromIndex int, body []byte) bool {
 	var response wire.HeartbeatRedirect
 	_ = wire.Decode(body, &response)
--- a/internal/simulation/fakeagent_tasks.go
+++ b/internal/simulation/fakeagent_tasks.go
@@ -10,25 +10,26 @@
 	"sableusher/internal/wire"
 )
 
-// attempt tells one start of a task from its others.
+// attempt identifies one start of a task among all its starts.
 type attempt struct {
 	task   record.TaskRef
 	number uint64
 }
 
-// agentTask is one attempt on a machine. Its state goes from fetching its image over running, for gangs after
-// awaiting the others, to exited; a running task that is stopped may checkpoint in between.
+// agentTask is one attempt on a machine. Its states are fetching the image, awaiting the gang (for tasks of gangs),
+// running, checkpointing (for running tasks that are stopped) and exited.
 type agentTask struct {
 	wire.TaskStatus
 	agent            *fakeAgent
 	attempt          attempt
 	spec             wire.JobSpec
-	onMachine        bool
-	readyAt          time.Time // when its image is fetched, its work done or its checkpoint saved
-	peerMissingSince time.Time // for a gang's; zero: all of the gang are there
+	onMachine        bool      // the checker counts the task as running on the machine
+	readyAt          time.Time // when the image is fetched, the gang wait ends, the work is done or the checkpoint is saved
+	peerMissingSince time.Time // for tasks of gangs; zero: no member is missing
 }
 
-// advance advances the tasks, and ends them with the lease. Callers hold the region's lock.
+// advance advances all tasks, and stops them if the lease has expired. A machine that hangs or was removed does
+// nothing. Callers hold the region's lock.
 func (a *fakeAgent) advance(ctx context.Context, now time.Time) {
 	if a.removed || a.hung() {
 		return
@@ -41,6 +42,7 @@
 	}
 }
 
+// advance moves the task to its next state if that is due.
 func (t *agentTask) advance(ctx context.Context, now time.Time) {
 	switch t.State {
 	case wire.TaskFetchingImage:
@@ -50,8 +52,8 @@
 	case wire.TaskAwaitingGang:
 		t.awaitGang(now)
 	case wire.TaskRunning:
-		if t.spec.Kind == wire.KindGang && len(t.gang()) < t.spec.TaskCount {
-			t.missPeers(now)
+		if t.spec.Kind == wire.KindGang && len(t.gangMembers()) < t.spec.TaskCount {
+			t.checkPeerTimeout(now)
 		} else if t.spec.Kind != wire.KindService && !now.Before(t.readyAt) {
 			t.finish(ctx)
 		}
@@ -64,7 +66,8 @@
 	}
 }
 
-// begin runs a task whose image is there, unless it is done already.
+// begin starts a task whose image has been fetched. A task that has already completed exits; a gang's task awaits
+// the other members.
 func (t *agentTask) begin(now time.Time) {
 	region := t.agent.region
 	t.agent.images[t.spec.Image] = true
@@ -83,9 +86,9 @@
 	}
 }
 
-// awaitGang runs the whole gang once all of it are there.
+// awaitGang starts all tasks of the gang once all of them are present, or exits when the wait times out.
 func (t *agentTask) awaitGang(now time.Time) {
-	gang := t.gang()
+	gang := t.gangMembers()
 	if len(gang) != t.spec.TaskCount {
 		if now.After(t.readyAt) {
 			t.exit(wire.ExitCauseGangIncomplete)
@@ -100,8 +103,8 @@
 	}
 }
 
-// missPeers ends a gang's task that has missed others for too long.
-func (t *agentTask) missPeers(now time.Time) {
+// checkPeerTimeout exits a gang's task if other members have been missing for too long.
+func (t *agentTask) checkPeerTimeout(now time.Time) {
 	if t.peerMissingSince.IsZero() {
 		t.peerMissingSince = now
 		return
@@ -111,12 +114,13 @@
 	}
 }
 
-// finish completes a task, with all others of its gang, or lets one of them fail that is to fail.
+// finish completes a task together with the other tasks of its gang. If a failure was injected into one of them, that
+// task fails instead and none completes.
 func (t *agentTask) finish(ctx context.Context) {
 	region := t.agent.region
 	finished := []*agentTask{t}
 	if t.spec.Kind == wire.KindGang {
-		finished = t.gang()
+		finished = t.gangMembers()
 	}
 	failing := slices.IndexFunc(finished, func(member *agentTask) bool {
 		return region.workload.failures[member.attempt.task] > 0
@@ -135,7 +139,7 @@
 	region.taskCompleted(ctx, t.attempt.task.JobID)
 }
 
-// exit ends a task, with an empty cause when its lease expired.
+// exit moves the task to the exited state. The cause is empty if the agent's lease expired.
 func (t *agentTask) exit(cause wire.ExitCause) {
 	if t.onMachine {
 		t.agent.region.Checker.TaskLeft(t.attempt.task, t.agent.name)
@@ -145,15 +149,15 @@
 	t.agent.statusChanged = true
 }
 
-// gang gives the tasks of the same attempt of a gang that have come together.
-func (t *agentTask) gang() []*agentTask {
+// gangMembers returns the tasks of the same attempt of a gang that are present, on machines that don't hang.
+func (t *agentTask) gangMembers() []*agentTask {
 	var out []*agentTask
 	for _, agent := range t.agent.region.agents {
 		if agent.hung() {
 			continue
 		}
 		for other, task := range agent.tasks {
-			if other.task.JobID == t.attempt.task.JobID && other.number == t.attempt.number && task.joinsGang() {
+			if other.task.JobID == t.attempt.task.JobID && other.number == t.attempt.number && task.isPresentInGang() {
 				out = append(out, task)
 			}
 		}
@@ -161,6 +165,7 @@
 	return out
 }
 
-func (t *agentTask) joinsGang() bool {
+// isPresentInGang reports whether the other members of the gang can reach the task.
+func (t *agentTask) isPresentInGang() bool {
 	return t.State == wire.TaskAwaitingGang || t.State == wire.TaskRunning || t.State == wire.TaskCheckpointing
 }
--- a/internal/simulation/fakecloud.go
+++ b/internal/simulation/fakecloud.go
@@ -15,45 +15,45 @@
 const (
 	maxMachinesPerRental = 50
 	maxMachinesPerReturn = 100
-	// namesPerRental keeps the machines' names of two rentals apart.
+	// namesPerRental is the number of machine names reserved for each rental, so that no two rentals share a name.
 	namesPerRental = 100
-	// oneInNeverBoots: of so many rented machines one never comes up, on average.
-	oneInNeverBoots = 20
-	// maxListings is how many listings the cloud keeps to answer with.
+	// machinesPerBootFailure is the average number of rented machines of which one never boots.
+	machinesPerBootFailure = 20
+	// maxListings is the number of past listings that the cloud keeps, as it answers with outdated ones.
 	maxListings = 60
 )
 
-// fakeCloud is a fake of the cloud that rents machines: it lists them late, runs out of capacity, and takes
-// machines back. The region's lock guards it.
+// fakeCloud is a fake of the cloud that rents out machines. It returns outdated listings, runs out of capacity, and
+// reclaims machines. The region's lock guards it.
 type fakeCloud struct {
-	region          *Region
-	machineTypes    []wire.MachineType
-	machinePrefix   string
-	capacity        map[machineKind]int // machines left to be had
-	machines        []*cloudMachine
-	rentals         map[string][]string // machines by the name of their rental
-	listings        []cloudListing      // oldest first
-	outageUntil     time.Time
-	zoneClosedUntil map[string]time.Time // nothing is rented in a zone until then
-	fastBootUntil   time.Time            // machines rented until then are up within two seconds
+	region               *Region
+	machineTypes         []wire.MachineType
+	machinePrefix        string
+	capacity             map[machineKind]int // machines that can still be rented
+	machines             []*cloudMachine
+	rentals              map[string][]string // machine names by the name of their rental
+	listings             []cloudListing      // oldest first
+	outageUntil          time.Time
+	zoneUnavailableUntil map[string]time.Time // by zone: no machine can be rented before this time
+	fastBootUntil        time.Time            // machines rented before this time boot within two seconds
 }
 
-// machineKind is what capacity is counted by.
+// machineKind is a group of machines with a capacity of its own.
 type machineKind struct {
 	machineType, zone string
 	spot              bool
 }
 
-// cloudMachine is a rented machine as the cloud knows it.
+// cloudMachine is a rented machine in the cloud's records.
 type cloudMachine struct {
 	wire.CloudMachine
 	rental   string
 	kind     machineKind
 	rentedAt time.Time
-	bootedAt time.Time // zero: it never comes up
+	bootedAt time.Time // zero: it never boots
 }
 
-// cloudListing is all machines at one time.
+// cloudListing is the list of all machines at one time.
 type cloudListing struct {
 	takenAt  time.Time
 	machines []wire.CloudMachine
@@ -61,12 +61,12 @@
 
 func newFakeCloud(region *Region, options RegionOptions) *fakeCloud {
 	cloud := &fakeCloud{
-		region:          region,
-		machineTypes:    options.MachineTypes,
-		machinePrefix:   options.MachinePrefix,
-		capacity:        map[machineKind]int{},
-		rentals:         map[string][]string{},
-		zoneClosedUntil: map[string]time.Time{},
+		region:               region,
+		machineTypes:         options.MachineTypes,
+		machinePrefix:        options.MachinePrefix,
+		capacity:             map[machineKind]int{},
+		rentals:              map[string][]string{},
+		zoneUnavailableUntil: map[string]time.Time{},
 	}
 	for _, machineType := range options.MachineTypes {
 		for _, zone := range machineType.Zones {
@@ -77,13 +77,13 @@
 	return cloud
 }
 
-// ServeHTTP serves the cloud's protocol.
+// ServeHTTP serves the cloud's HTTP API.
 func (c *fakeCloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	c.region.mu.Lock()
 	defer c.region.mu.Unlock()
 	if time.Now().Before(c.outageUntil) {
-		wire.WriteResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Message: "trouble"})
+		wire.WriteResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Message: "cloud outage"})
 		return
 	}
 	switch {
@@ -112,7 +112,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// serveListing answers with the newest listing that is older than a drawn lag.
+// serveListing answers with the newest listing that is older than a random lag of 0.5 to 2 times the configured one.
 func (c *fakeCloud) serveListing(w http.ResponseWriter, after string) {
 	now := time.Now()
 	lag := config.ToDuration(c.region.Settings.Deployment.Cloud.ListLagS * (0.5 + c.region.random.Float64()*1.5))
@@ -145,7 +145,7 @@
 	}
 	kind := machineKind{request.MachineType, request.Zone, request.Spot}
 	count := min(request.Count, c.capacity[kind])
-	if count <= 0 || time.Now().Before(c.zoneClosedUntil[request.Zone]) {
+	if count <= 0 || time.Now().Before(c.zoneUnavailableUntil[request.Zone]) {
 		wire.WriteResponse(w, http.StatusServiceUnavailable, wire.ErrorResponse{Message: "no capacity"})
 		return
 	}
@@ -160,7 +160,7 @@
 	wire.WriteResponse(w, http.StatusOK, wire.MachineNames{Names: names})
 }
 
-// checkRepeatedRental looks whether a rental's name is used for another rental.
+// checkRepeatedRental records a violation if the name of an earlier rental is used for another machine type or zone.
 func (c *fakeCloud) checkRepeatedRental(request *wire.RentalRequest) {
 	for _, machine := range c.machines {
 		if machine.rental == request.Name &&
@@ -170,7 +170,8 @@
 	}
 }
 
-// newMachine draws when a rented machine comes up.
+// newMachine creates a rented machine with a random boot time: 3 to 8 s, or 0.2 to 1.9 s while the fast boot fault is
+// active. Some machines never boot.
 func (c *fakeCloud) newMachine(name, rental string, kind machineKind) *cloudMachine {
 	now := time.Now()
 	machine := &cloudMachine{
@@ -187,7 +188,7 @@
 		rentedAt: now,
 	}
 	random := c.region.random
-	if random.IntN(oneInNeverBoots) == 0 {
+	if random.IntN(machinesPerBootFailure) == 0 {
 		return machine
 	}
 	machine.bootedAt = now.Add(config.ToDuration(5 * (0.6 + random.Float64())))
@@ -197,7 +198,7 @@
 	return machine
 }
 
-// takeListing keeps all machines as they are now.
+// takeListing stores a listing of all machines in their current state.
 func (c *fakeCloud) takeListing(now time.Time) {
 	listing := cloudListing{takenAt: now}
 	for _, machine := range c.machines {
@@ -211,7 +212,7 @@
 	}
 }
 
-// remove takes a machine off the list.
+// remove removes a machine from the list and frees its capacity.
 func (c *fakeCloud) remove(name string) {
 	c.machines = slices.DeleteFunc(c.machines, func(machine *cloudMachine) bool {
 		if machine.ID != name {
@@ -222,7 +223,7 @@
 	})
 }
 
-// markFailed keeps a machine on the list as one that has failed.
+// markFailed marks a machine as failed in the list.
 func (c *fakeCloud) markFailed(name string) {
 	for _, machine := range c.machines {
 		if machine.ID == name {
--- a/internal/simulation/fakekv.go
+++ b/internal/simulation/fakekv.go
@@ -11,17 +11,17 @@
 	"sableusher/internal/wire"
 )
 
-// kvMaxEvents is how many events the store keeps for watches.
+// kvMaxEvents is the number of events that the store keeps for watches.
 const kvMaxEvents = 600
 
-// FakeKV is a fake of the key-value store: one linear history of revisions, compare-and-swap
-// transactions, watches, and leases that delete their keys when they expire. It is safe for concurrent use.
+// FakeKV is a fake of the key-value store. It has one linear history of revisions, compare-and-swap transactions,
+// watches, and leases that delete their keys when they expire. It is safe for concurrent use.
 type FakeKV struct {
-	// OnWrite, unless nil, is called with each value that is about to be written. It is set before the
-	// first request, and runs while the store is locked.
+	// OnWrite, unless nil, is called with each value before it is written. It must be set before the first
+	// request, and runs while the store is locked.
 	OnWrite func(key string, value wire.RawValue)
 
-	mu sync.Mutex // guards everything below; the exported fields are read once the day is over
+	mu sync.Mutex // guards the fields below; the exported ones are read after the simulation run
 	KVStatistics
 	limits      kvLimits
 	faults      kvFaults
@@ -30,30 +30,31 @@
 	leases      map[uint64]*kvLease
 	lastLeaseID uint64
 	events      []wire.Event
-	eventAdded  chan struct{} // closed with each event, and replaced
+	eventAdded  chan struct{} // closed and replaced with each event
 }
 
-// KVStatistics counts what a day's requests met.
+// KVStatistics counts the faults and limits that requests met in a simulation run.
 type KVStatistics struct {
-	// Violations lists requests over the limits that their sender knew.
+	// Violations describes the requests over limits that their senders knew.
 	Violations []string
-	// RateLimited counts the requests that were refused for their rate.
+	// RateLimited counts the requests that were refused by the rate limits.
 	RateLimited int
-	// OversizeRequests counts the requests that were over the limits since those were lowered.
+	// OversizeRequests counts the requests over the size limits after these were lowered.
 	OversizeRequests int
-	// LostAnswersRead counts how often another controller read what a transaction wrote whose answer was lost.
+	// LostAnswersRead counts how often a watch of another controller returned a write of a transaction whose
+	// response was lost.
 	LostAnswersRead int
-	// LateWritesApplied counts the transactions that were carried out late.
+	// LateWritesApplied counts the transactions that were delayed by a fault.
 	LateWritesApplied int
 }
 
-// kvLease keeps keys alive until it expires.
+// kvLease is a lease. The keys attached to it are deleted when it expires.
 type kvLease struct {
 	ttl    time.Duration
 	expiry time.Time
 }
 
-// NewFakeKV makes an empty store with limits.
+// NewFakeKV returns an empty store with the given limits.
 func NewFakeKV(limits config.KVLimits) *FakeKV {
 	return &FakeKV{
 		limits:     newKVLimits(limits),
@@ -64,7 +65,7 @@
 	}
 }
 
-// LargestValue gives the size in bytes, as JSON, of the largest value under a prefix, and its key.
+// LargestValue returns the size in bytes, as JSON, of the largest value under a prefix, and its key.
 func (kv *FakeKV) LargestValue(prefix string) (size int, key string) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
@@ -76,22 +77,22 @@
 	return size, key
 }
 
-// Snapshot gives a copy of all rows.
+// Snapshot returns a copy of all rows.
 func (kv *FakeKV) Snapshot() map[string]wire.KeyValue {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	return maps.Clone(kv.rows)
 }
 
-// Row gives the row of a key; the zero value if there is none.
+// Row returns the row of a key, or the zero value if there is none.
 func (kv *FakeKV) Row(key string) wire.KeyValue {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	return kv.rows[key]
 }
 
-// Restore puts the rows of a snapshot back, as after a loss of writes; rows with a lease are gone. Nobody
-// may be using the store meanwhile.
+// Restore replaces all rows by those of a snapshot that have no lease, and drops all leases and events. This
+// simulates the loss of all writes since the snapshot. The store must not be in use during the call.
 func (kv *FakeKV) Restore(rows map[string]wire.KeyValue) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
@@ -104,7 +105,7 @@
 	}
 }
 
-// expireLeases revokes the leases that have run out. None runs out in an outage.
+// expireLeases revokes the leases that have expired. During an outage of the store no lease expires.
 func (kv *FakeKV) expireLeases() {
 	now := time.Now()
 	if now.Before(kv.faults.outageUntil) {
@@ -117,7 +118,7 @@
 	}
 }
 
-// revokeLease deletes a lease and its keys, each under a revision of its own.
+// revokeLease deletes a lease and its keys. Each deletion of a key has a revision of its own.
 func (kv *FakeKV) revokeLease(id uint64) {
 	delete(kv.leases, id)
 	var keys []string
@@ -143,7 +144,7 @@
 	kv.eventAdded = make(chan struct{})
 }
 
-// sleepUnlocked sleeps without the lock. Callers hold it.
+// sleepUnlocked releases the lock, sleeps and acquires the lock again. Callers hold the lock.
 func (kv *FakeKV) sleepUnlocked(duration time.Duration) {
 	kv.mu.Unlock()
 	time.Sleep(duration)
--- a/internal/simulation/fakekv_faults.go
+++ b/internal/simulation/fakekv_faults.go
@@ -10,18 +10,18 @@
 	outageUntil  time.Time
 	refusedUntil map[string]time.Time // by controller
 	slowRequests faultRate
-	// lateWrites are transactions that get no answer and are carried out later.
+	// lateWrites selects transactions that are executed after a delay and get no response.
 	lateWrites faultRate
-	// lostAnswers are transactions that are carried out at once and get no answer.
+	// lostAnswers selects transactions that are executed immediately and get no response.
 	lostAnswers       faultRate
-	lostAnswerWriters map[uint64]string // who wrote a revision whose answer was lost
+	lostAnswerWriters map[uint64]string // by revision: the controller whose response was lost
 }
 
 func newKVFaults() kvFaults {
 	return kvFaults{refusedUntil: map[string]time.Time{}, lostAnswerWriters: map[uint64]string{}}
 }
 
-// StartOutage refuses all requests until a time. Then every lease has its full time again.
+// StartOutage makes the store refuse all requests until a time. From then on every lease has its full TTL again.
 func (kv *FakeKV) StartOutage(until time.Time) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
@@ -31,43 +31,45 @@
 	}
 }
 
-// RefuseNode refuses one controller's requests until a time, while its leases run out.
+// RefuseNode makes the store refuse one controller's requests until a time. The controller's leases expire
+// meanwhile.
 func (kv *FakeKV) RefuseNode(node string, until time.Time) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	kv.faults.refusedUntil[node] = until
 }
 
-// DelayWrites leaves a share of the transactions without an answer until a time: they are carried
-// out 2 to 12 s later, after newer ones of the same controller.
+// DelayWrites delays a share of the transactions until a time. They are executed 2 to 12 s later, after newer
+// transactions of the same controller, and get no response.
 func (kv *FakeKV) DelayWrites(share float64, until time.Time, seed uint64) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	kv.faults.lateWrites = newFaultRate(share, until, seed, streamDelayedWrites)
 }
 
-// LoseAnswers carries a share of the transactions out at once and loses their answers, until a time.
+// LoseAnswers drops the responses to a share of the transactions until a time. The transactions are executed
+// immediately.
 func (kv *FakeKV) LoseAnswers(share float64, until time.Time, seed uint64) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	kv.faults.lostAnswers = newFaultRate(share, until, seed, streamLostAnswers)
 }
 
-// SlowRequests lets a share of the requests take up to 2 s until a time, most of them less than a
-// controller waits.
+// SlowRequests delays a share of the requests by up to 2 s until a time. Most of the delays are shorter than a
+// controller's timeout.
 func (kv *FakeKV) SlowRequests(share float64, until time.Time, seed uint64) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	kv.faults.slowRequests = newFaultRate(share, until, seed, streamSlowRequests)
 }
 
-// refuses tells whether a controller's requests are refused now.
+// refuses reports whether the store currently refuses a controller's requests.
 func (f *kvFaults) refuses(node string) bool {
 	now := time.Now()
 	return now.Before(f.outageUntil) || now.Before(f.refusedUntil[node])
 }
 
-// delayRequest holds a request up if a fault concerns it.
+// delayRequest delays a request if a fault selects it. Callers hold the lock, which is released meanwhile.
 func (kv *FakeKV) delayRequest(w http.ResponseWriter, r *http.Request) {
 	if kv.faults.slowRequests.occurs() {
 		kv.sleepUnlocked(kv.faults.slowRequests.duration(50*time.Millisecond, 2*time.Second))
--- a/internal/simulation/fakekv_limits.go
+++ b/internal/simulation/fakekv_limits.go
@@ -6,7 +6,7 @@
 	"sableusher/internal/config"
 )
 
-// maxRequestBytes is the largest body of a transaction.
+// maxRequestBytes is the maximum size of a transaction's request body.
 const maxRequestBytes = 64 << 10
 
 // kvLimits are the limits of the key-value store.
@@ -15,7 +15,7 @@
 	writes     tokenBucket
 	maxTxnOps  int
 	maxValueKB float64
-	lowered    bool // since the day began, without a notice to the controllers
+	lowered    bool // during the simulation run, without a notice to the controllers
 }
 
 func newKVLimits(limits config.KVLimits) kvLimits {
@@ -28,7 +28,7 @@
 	}
 }
 
-// LowerLimits lowers the limits on writes, values and transactions without a notice.
+// LowerLimits lowers the limits on writes, values and transactions without a notice to the controllers.
 func (kv *FakeKV) LowerLimits(limits config.KVLimits) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
@@ -38,14 +38,14 @@
 	kv.limits.lowered = true
 }
 
-// tokenBucket limits a rate; it holds at most what one second brings.
+// tokenBucket limits a rate. It holds at most the tokens of one second.
 type tokenBucket struct {
 	rate       float64 // per second
 	available  float64
 	refilledAt time.Time
 }
 
-// take takes so many tokens, or none if there are fewer.
+// take removes count tokens and returns true, or removes none and returns false if there are fewer.
 func (b *tokenBucket) take(count float64) bool {
 	now := time.Now()
 	b.available = min(b.rate, b.available+b.rate*now.Sub(b.refilledAt).Seconds())
--- a/internal/simulation/fakekv_server.go
+++ b/internal/simulation/fakekv_server.go
@@ -17,17 +17,17 @@
 	pathRange       = "/store"
 	pathTransaction = "/multi"
 	pathLeases      = "/holds"
-	pathLease       = "/holds/" // then its number
+	pathLease       = "/holds/" // followed by the lease ID
 )
 
 // Bounds of requests to the key-value store.
 const (
 	minLeaseTTLMs = 100
 	maxLeaseTTLMs = 600_000
-	maxRangePage  = 1000 // rows
+	maxRangePage  = 1000 // rows per response
 )
 
-// ServeHTTP serves the store's protocol.
+// ServeHTTP serves the store's HTTP API.
 func (kv *FakeKV) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	kv.mu.Lock()
--- a/internal/simulation/fakekv_transaction.go
+++ b/internal/simulation/fakekv_transaction.go
@@ -7,7 +7,7 @@
 	"sableusher/internal/wire"
 )
 
-// serveTransaction carries a transaction out, and loses its answer if a fault concerns it.
+// serveTransaction executes a transaction, and drops the response if a fault selects it.
 func (kv *FakeKV) serveTransaction(w http.ResponseWriter, r *http.Request, body []byte) {
 	before := kv.revision
 	kv.commit(w, body)
@@ -20,7 +20,8 @@
 	}
 }
 
-// commit applies all changes of a transaction under one revision if all its conditions hold.
+// commit applies all operations of a transaction under one revision if all its conditions hold, and writes the
+// response.
 func (kv *FakeKV) commit(w http.ResponseWriter, body []byte) {
 	var txn wire.TxnRequest
 	if err := wire.Decode(body, &txn); err != nil || len(txn.Ops) > kv.limits.maxTxnOps ||
@@ -49,7 +50,8 @@
 	wire.WriteResponse(w, http.StatusOK, wire.TxnResponse{Revision: kv.revision})
 }
 
-// acceptOps tells whether all changes are well formed and within their limits; else it has answered.
+// acceptOps reports whether all operations are well formed and within the limits. If not, it writes the error
+// response.
 func (kv *FakeKV) acceptOps(w http.ResponseWriter, ops []wire.Op) bool {
 	for _, op := range ops {
 		oversize := op.PutKey != "" && float64(wire.JSONSize(op.Value)) > kv.limits.maxValueKB*1024
@@ -65,8 +67,8 @@
 	return true
 }
 
-// rejectOversize refuses a request over the limits. Once those were lowered, some are in order: the
-// controllers can't know.
+// rejectOversize refuses a request over the limits and records a violation. After the limits were lowered it counts
+// the request instead, as the controllers don't know the new limits.
 func (kv *FakeKV) rejectOversize(w http.ResponseWriter, what string) {
 	if kv.limits.lowered {
 		kv.OversizeRequests++
@@ -76,6 +78,7 @@
 	wire.WriteResponse(w, http.StatusBadRequest, nil)
 }
 
+// failedKeys returns the keys of the conditions that don't hold.
 func (kv *FakeKV) failedKeys(conditions []wire.Condition) []string {
 	var failed []string
 	for _, condition := range conditions {
@@ -86,7 +89,7 @@
 	return failed
 }
 
-// apply makes one change under the present revision.
+// apply applies one operation under the current revision.
 func (kv *FakeKV) apply(op wire.Op) {
 	if op.PutKey == "" {
 		if _, ok := kv.rows[op.DeleteKey]; ok {
--- a/internal/simulation/fakekv_watch.go
+++ b/internal/simulation/fakekv_watch.go
@@ -10,7 +10,7 @@
 	"sableusher/internal/wire"
 )
 
-// kvPollInterval is how often a watch looks whether a lease has expired or an outage is over.
+// kvPollInterval is the interval at which a watch checks whether a lease has expired or an outage has ended.
 const kvPollInterval = 50 * time.Millisecond
 
 // kvWatch is one open watch.
@@ -18,7 +18,7 @@
 	prefix   string
 	after    uint64 // revision
 	deadline time.Time
-	source   string // the controller that watches
+	source   string // the controller that opened the watch
 }
 
 func newKVWatch(r *http.Request) kvWatch {
@@ -33,15 +33,15 @@
 	}
 }
 
-// matches tells whether a watch is about an event.
+// matches reports whether the watch covers an event: a newer revision of a key under its prefix.
 func (watch *kvWatch) matches(event wire.Event) bool {
 	return event.ModRevision > watch.after &&
 		(strings.HasPrefix(event.PutKey, watch.prefix) && event.PutKey != "" ||
 			strings.HasPrefix(event.DeleteKey, watch.prefix) && event.DeleteKey != "")
 }
 
-// serveWatch answers with the events since a revision as soon as there are some, or with none at the
-// watch's deadline.
+// serveWatch answers with the matching events as soon as there are any, or with none at the watch's deadline. If
+// events after the watch's revision may have been discarded, it answers with status 410 (Gone).
 func (kv *FakeKV) serveWatch(w http.ResponseWriter, r *http.Request) {
 	watch := newKVWatch(r)
 	for {
@@ -60,6 +60,7 @@
 	}
 }
 
+// eventsOf returns the events that a watch covers.
 func (kv *FakeKV) eventsOf(watch *kvWatch) []wire.Event {
 	events := []wire.Event{}
 	for _, event := range kv.events {
@@ -74,8 +75,8 @@
 	return events
 }
 
-// waitForEvent waits without the lock until there may be something to answer; a watch remains open during
-// an outage. False if its sender has given up.
+// waitForEvent releases the lock and waits until there may be an event for the watch. The watch stays open during an
+// outage. It returns false if the request was cancelled by its sender. Callers hold the lock.
 func (kv *FakeKV) waitForEvent(ctx context.Context, watch *kvWatch) bool {
 	eventAdded := kv.eventAdded
 	kv.mu.Unlock()
--- a/internal/simulation/machinefaults.go
+++ b/internal/simulation/machinefaults.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// FailMachine stops a machine; it stays in the cloud's list as failed.
+// FailMachine stops a machine and marks it as failed in the cloud's list.
 func (r *Region) FailMachine(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failMachine(name)
 }
 
-// RemoveAllMachines takes all machines away at once, without a trace in the cloud's list.
+// RemoveAllMachines stops all running machines at once and removes them from the cloud's list.
 func (r *Region) RemoveAllMachines() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -22,7 +22,7 @@
 	}
 }
 
-// ReclaimMachine lets the cloud take a spot machine back, with a notice or, if that is 0, without.
+// ReclaimMachine makes the cloud reclaim a spot machine after a notice, or immediately if notice is 0.
 func (r *Region) ReclaimMachine(name string, notice time.Duration) {
 	r.mu.Lock()
 	if agent := r.agents[name]; agent != nil && notice > 0 {
@@ -38,17 +38,17 @@
 	})
 }
 
-// HangMachine stops a machine's processor for a while.
+// HangMachine makes a machine hang for a duration.
 func (r *Region) HangMachine(name string, duration time.Duration) {
 	r.withAgent(name, func(agent *fakeAgent) { agent.hungUntil = time.Now().Add(duration) })
 }
 
-// LoseInbound loses all messages to a machine until a time, while its heartbeats arrive.
+// LoseInbound drops all messages to a machine until a time. Its heartbeats still arrive.
 func (r *Region) LoseInbound(name string, until time.Time) {
 	r.withAgent(name, func(agent *fakeAgent) { agent.inboundLostUntil = until })
 }
 
-// LoseOutbound lets a machine reach no controller until a time, while direct commands reach it.
+// LoseOutbound drops a machine's heartbeats until a time. Direct commands still reach the machine.
 func (r *Region) LoseOutbound(name string, until time.Time) {
 	r.withAgent(name, func(agent *fakeAgent) { agent.outboundLostUntil = until })
 }
--- a/internal/simulation/machines.go
+++ b/internal/simulation/machines.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// fastBoot is the time within which a machine counts as booted fast.
+// fastBoot is the boot time below which a machine counts as booted fast.
 const fastBoot = 2 * time.Second
 
-// bootAgent starts the agent of a machine that has come up. Callers hold the lock.
+// bootAgent starts the agent of a machine that has booted. Callers hold the lock.
 func (r *Region) bootAgent(ctx context.Context, machine *cloudMachine) {
 	if time.Since(machine.rentedAt) < fastBoot {
 		r.Checker.Observe(ObservedFastBoot, 1)
@@ -24,36 +24,36 @@
 	r.wg.Go(func() { agent.heartbeatLoop(ctx) })
 }
 
-// stopAgent ends an agent with all that is on its machine. Callers hold the lock.
+// stopAgent stops the agent and all tasks of a machine. Callers hold the lock.
 func (r *Region) stopAgent(name string) {
 	agent := r.agents[name]
 	if agent == nil {
 		return
 	}
 	agent.removed = true
-	agent.loseTasks()
+	agent.reportTasksLost()
 	r.Network.Listen(agent.address, nil)
 	delete(r.agents, name)
 }
 
-// removeMachine takes a machine away, also from the cloud's list. Callers hold the lock.
+// removeMachine stops a machine and removes it from the cloud's list. Callers hold the lock.
 func (r *Region) removeMachine(name string) {
 	r.stopAgent(name)
 	r.cloud.remove(name)
 }
 
-// failMachine stops a machine, which stays in the cloud's list as failed. Callers hold the lock.
+// failMachine stops a machine and marks it as failed in the cloud's list. Callers hold the lock.
 func (r *Region) failMachine(name string) {
 	r.stopAgent(name)
 	r.cloud.markFailed(name)
 }
 
-// Machines lists the machines that are up.
+// Machines returns the machines whose agents run.
 func (r *Region) Machines() []string {
 	return r.machinesWhere(func(*cloudMachine) bool { return true })
 }
 
-// SpotMachines lists the spot machines that are up.
+// SpotMachines returns the spot machines whose agents run.
 func (r *Region) SpotMachines() []string {
 	return r.machinesWhere(func(machine *cloudMachine) bool { return machine.Spot })
 }
@@ -70,7 +70,7 @@
 	return out
 }
 
-// AgentSessions gives the sessions of the machines of some zones, by machine.
+// AgentSessions returns the agents' sessions in some zones, by machine.
 func (r *Region) AgentSessions(zones ...string) map[string]uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -83,7 +83,7 @@
 	return out
 }
 
-// ReturnMachines takes machines away, one after the other, as if they had been returned.
+// ReturnMachines removes machines, one after the other, as if a controller had returned them to the cloud.
 func (r *Region) ReturnMachines(names []string) {
 	for _, name := range names {
 		r.mu.Lock()
--- a/internal/simulation/region.go
+++ b/internal/simulation/region.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// agentStep is the interval at which machines and tasks advance.
-	agentStep = 100 * time.Millisecond
-	// stepsPerListing is how many of them lie between two listings of the cloud.
+	// advanceInterval is the interval at which machines and tasks advance.
+	advanceInterval = 100 * time.Millisecond
+	// stepsPerListing is the number of advance steps between two listings of the cloud's machines.
 	stepsPerListing = 10
 )
 
-// Region is one deployment: real controllers with fakes around them.
+// Region is one deployment: real controllers, and fakes of the systems around them.
 type Region struct {
 	Settings *config.Settings
 	Network  *FakeNetwork
 	KV       *FakeKV
 	Checker  *InvariantChecker
 	Log      *slog.Logger
-	// ConfirmsCancellationsEarly plants a defect: users are told of cancellations that are recorded and
-	// not yet confirmed.
+	// ConfirmsCancellationsEarly simulates a defect: users receive the confirmation of a cancellation that is
+	// recorded but not yet confirmed.
 	ConfirmsCancellationsEarly bool
 
 	configureOperator func(*config.Operator)
-	federation        *Federation // nil for a region without other cells
+	federation        *Federation // nil if the region is not a cell of a federation
 	wg                sync.WaitGroup
 	controllers       []*Controller
 
-	mu         sync.Mutex // guards all that follows, and the state of cloud and agents
+	mu         sync.Mutex // guards the fields below, and the state of the cloud and the agents
 	random     *rand.Rand
 	cloud      *fakeCloud
 	agents     map[string]*fakeAgent // by machine
@@ -44,29 +44,29 @@
 	users      userFaults
 }
 
-// workload is what the jobs' programs do, whatever the controllers decide.
+// workload is the behavior of the jobs' programs, which doesn't depend on the controllers.
 type workload struct {
 	runSeconds   map[string]float64      // by job
-	checkpointed map[record.TaskRef]bool // tasks that go on from a checkpoint
-	failures     map[record.TaskRef]int  // failures that tasks still have before them
+	checkpointed map[record.TaskRef]bool // tasks that resume from a checkpoint
+	failures     map[record.TaskRef]int  // how many more times each task will fail
 }
 
-// RegionOptions are what a region is made of.
+// RegionOptions configure a region.
 type RegionOptions struct {
 	Settings        *config.Settings // of any of its controllers
 	MachineTypes    []wire.MachineType
-	CapacityPerKind int // machines to be had of each type, in each zone, spot and on demand
+	CapacityPerKind int // machines that can be rented per machine type and zone, for each of spot and on demand
 	Random          *rand.Rand
 	Log             *slog.Logger
-	// MachinePrefix begins the names of its machines.
+	// MachinePrefix is the prefix of the names of its machines.
 	MachinePrefix string
-	// ConfigureOperator, unless nil, changes the operators' settings as each controller reads them that starts.
+	// ConfigureOperator, unless nil, changes the operators' settings that each controller reads when it starts.
 	ConfigureOperator func(*config.Operator)
-	// Checker may watch other regions too; nil: one of its own.
+	// Checker may be shared with other regions. If it is nil, NewRegion creates one.
 	Checker *InvariantChecker
 }
 
-// NewRegion starts a region without controllers. Its goroutines end with the context; Wait waits for them.
+// NewRegion starts a region without controllers. Its goroutines exit when ctx ends; Wait waits for them.
 func NewRegion(ctx context.Context, options RegionOptions) *Region {
 	settings := options.Settings
 	r := &Region{
@@ -95,7 +95,7 @@
 	return r
 }
 
-// storeLimits are the limits of a deployment's key-value store as the day begins.
+// storeLimits returns the limits of a deployment's key-value store at the start of a simulation run.
 func storeLimits(settings *config.Settings) config.KVLimits {
 	state := &settings.Deployment.State
 	return config.KVLimits{
@@ -106,7 +106,7 @@
 	}
 }
 
-// Wait returns once all goroutines of the region have ended.
+// Wait blocks until all goroutines of the region have exited.
 func (r *Region) Wait() { r.wg.Wait() }
 
 // SetRunTime sets how long a job's tasks run.
@@ -116,14 +116,14 @@
 	r.workload.runSeconds[jobID] = seconds
 }
 
-// InjectTaskFailures lets a task fail by itself so many times before it can complete.
+// InjectTaskFailures makes a task's program fail a number of times before it can complete.
 func (r *Region) InjectTaskFailures(task record.TaskRef, times int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.workload.failures[task] = times
 }
 
-// remaining gives how long a task runs; half of the job's time from a checkpoint on.
+// remaining returns how long a task runs: the job's run time, or half of it if the task resumes from a checkpoint.
 func (l *workload) remaining(task record.TaskRef) time.Duration {
 	seconds := l.runSeconds[task.JobID]
 	if l.checkpointed[task] {
@@ -132,10 +132,10 @@
 	return config.ToDuration(seconds)
 }
 
-// advanceLoop advances machines and tasks, and lets the checker look at what only time can break.
+// advanceLoop advances machines and tasks until ctx ends, and runs the checks that depend on the time alone.
 func (r *Region) advanceLoop(ctx context.Context) {
 	for step := 0; ctx.Err() == nil; step++ {
-		time.Sleep(agentStep)
+		time.Sleep(advanceInterval)
 		takesListing := step%stepsPerListing == 0
 		capacities := r.advance(ctx, takesListing)
 		r.Checker.CheckDeadlines()
@@ -145,7 +145,8 @@
 	}
 }
 
-// advance makes one step; with a listing of the cloud, it gives what is free then.
+// advance executes one step: machines that have booted start their agents, and tasks advance. If takesListing is
+// true, it also takes a listing of the cloud's machines and returns the free capacity.
 func (r *Region) advance(ctx context.Context, takesListing bool) []FreeCapacity {
 	now := time.Now()
 	r.mu.Lock()
@@ -169,11 +170,11 @@
 	return capacities
 }
 
-// freeCapacities gives what is free on the machines that can be reached. Callers hold the lock.
+// freeCapacities returns the free capacity of the usable machines. Callers hold the lock.
 func (r *Region) freeCapacities() []FreeCapacity {
 	var out []FreeCapacity
 	for _, agent := range r.agents {
-		if agent.reachable() {
+		if agent.usable() {
 			out = append(out, FreeCapacity{agent.placement(), agent.freeResources()})
 		}
 	}
--- a/internal/simulation/zonefaults.go
+++ b/internal/simulation/zonefaults.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// PartitionZone cuts a zone off from everything: its machines and the controllers in it.
+// PartitionZone partitions a zone, that is its machines and the controllers in it, from all other hosts until a
+// time.
 func (r *Region) PartitionZone(zone string, deliverLate bool, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -25,12 +26,12 @@
 	r.Network.AddPartition(Partition{IsolatedHosts: inside, DeliverLate: deliverLate, Until: until})
 }
 
-// FailZonePower takes the power from a zone until a time: what is on its machines is lost, its
-// controllers end, nothing is rented there. Then its controllers start again, and of its
-// machines all but every loseEvery-th come back, with new sessions and without images; those that
-// don't are listed as failed. With loseEvery 0 all come back.
-func (r *Region) FailZonePower(ctx context.Context, zone string, until time.Time, loseEvery int) {
-	r.failZoneMachines(zone, until, loseEvery)
+// FailZonePower cuts the power of a zone until a time: its machines lose their tasks and images, its controllers
+// are killed, and the cloud rents out no machines there. When the power returns, the controllers start again, and
+// the machines reboot with new sessions. Every failEvery-th machine fails for good at once, and the cloud lists it
+// as failed; with failEvery 0 all machines reboot.
+func (r *Region) FailZonePower(ctx context.Context, zone string, until time.Time, failEvery int) {
+	r.failZoneMachines(zone, until, failEvery)
 	for i, controller := range r.controllers {
 		if controller.Settings.Zone == zone {
 			r.KillController(i)
@@ -39,10 +40,10 @@
 	}
 }
 
-func (r *Region) failZoneMachines(zone string, until time.Time, loseEvery int) {
+func (r *Region) failZoneMachines(zone string, until time.Time, failEvery int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cloud.zoneClosedUntil[zone] = until
+	r.cloud.zoneUnavailableUntil[zone] = until
 	count := 0
 	for _, name := range slices.Sorted(maps.Keys(r.agents)) {
 		agent := r.agents[name]
@@ -50,11 +51,11 @@
 			continue
 		}
 		count++
-		if loseEvery > 0 && count%loseEvery == 0 {
+		if failEvery > 0 && count%failEvery == 0 {
 			r.failMachine(name)
 			continue
 		}
-		agent.loseTasks()
+		agent.reportTasksLost()
 		agent.reboot(until)
 	}
 }
