--- a/internal/simulation/fakeagent_commands.go
+++ b/internal/simulation/fakeagent_commands.go
@@ -47,7 +47,7 @@
 	for _, command := range commands {
 		ref, ok := record.ParseTaskRef(command.Task)
 		if !ok {
-			a.region.Checker.AddViolation(RuleProtocol, "format: task "+command.Task)
+			a.region.Checker.AddViolation(RuleProtocol, "malformed task reference: "+command.Task)
 			continue
 		}
 		a.execute(command, attempt{ref, command.Attempt})
--- a/internal/simulation/fakenetwork.go
+++ b/internal/simulation/fakenetwork.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-// anyHost in a partition stands for every host.
+// anyHost matches every host in a partition.
 const anyHost = "*"
 
-// Names of the hosts that are no machine and no controller.
+// Names of the hosts that are neither machines nor controllers.
 const (
 	hostKV    = "state"
 	hostCloud = "cloud"
 	hostUsers = "users"
 )
 
-// Partition interrupts what passes between two hosts, or between some hosts, such as those of a zone, and
-// all others.
+// Partition blocks the messages between two hosts in both directions, or between a set of hosts, such as those of a
+// zone, and all others.
 type Partition struct {
-	From, To      string // names of hosts; anyHost matches any
+	From, To      string // names of hosts, or anyHost; empty matches none
 	IsolatedHosts map[string]bool
-	DeliverLate   bool // messages arrive once the partition ends; otherwise connections are reset
+	DeliverLate   bool // messages are delivered when the partition ends; otherwise connections are reset
 	Until         time.Time
 }
 
-// separates tells whether messages between two hosts are interrupted.
+// separates reports whether the partition is active and blocks messages between two hosts.
 func (p *Partition) separates(source, destination string) bool {
 	return time.Now().Before(p.Until) && (p.connects(source, destination) || p.connects(destination, source) ||
 		p.IsolatedHosts[source] != p.IsolatedHosts[destination])
 }
 
+// connects reports whether From and To match two hosts in this order.
 func (p *Partition) connects(from, to string) bool {
 	return matchesHost(p.From, from) && matchesHost(p.To, to)
 }
@@ -42,7 +43,7 @@
 
 // FakeNetwork carries requests between hosts by calling their handlers. It is safe for concurrent use.
 type FakeNetwork struct {
-	mu                sync.Mutex // guards all that follows
+	mu                sync.Mutex // guards the fields below
 	random            *rand.Rand
 	hosts             map[string]*Host // by address
 	partitions        []Partition
@@ -50,19 +51,19 @@
 	extraLatencyUntil time.Time
 }
 
-// Host is what listens at one address.
+// Host is a server that listens at one address.
 type Host struct {
 	Name       string
 	Handler    http.Handler
-	Responsive func() bool // false while it hangs: nothing is answered, and connections are not reset
+	Responsive func() bool // false while the host hangs: requests wait, and connections are not reset
 }
 
-// NewFakeNetwork makes a network without hosts.
+// NewFakeNetwork returns a network without hosts.
 func NewFakeNetwork(random *rand.Rand) *FakeNetwork {
 	return &FakeNetwork{random: random, hosts: map[string]*Host{}}
 }
 
-// Listen puts a host at an address; nil takes it away, so that connections are refused.
+// Listen registers the host that listens at an address. If host is nil, connections to the address are refused.
 func (n *FakeNetwork) Listen(address string, host *Host) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -73,28 +74,28 @@
 	}
 }
 
-// AddPartition adds a partition to those there are.
+// AddPartition adds a partition to the existing ones.
 func (n *FakeNetwork) AddPartition(partition Partition) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.partitions = append(n.partitions, partition)
 }
 
-// AddLatency lets every packet take up to so much longer until a time.
+// AddLatency adds a random latency below a maximum to every message until a time.
 func (n *FakeNetwork) AddLatency(maximum time.Duration, until time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.maxExtraLatency, n.extraLatencyUntil = maximum, until
 }
 
-// host gives what listens at an address, nil if nothing does.
+// host returns the host that listens at an address, or nil if there is none.
 func (n *FakeNetwork) host(address string) *Host {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.hosts[address]
 }
 
-// activePartition gives the first partition that separates two hosts now.
+// activePartition returns the first active partition that separates two hosts.
 func (n *FakeNetwork) activePartition(source, destination string) (Partition, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -106,7 +107,7 @@
 	return Partition{}, false
 }
 
-// latency draws how long a packet takes.
+// latency returns the random latency of one message: 1 to 5 ms, and 200 ms more for one message in a hundred.
 func (n *FakeNetwork) latency() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -120,8 +121,8 @@
 	return latency
 }
 
-// transmit lets a packet travel between two hosts, and wait while a partition holds it
-// back; false if a partition resets its connection.
+// transmit waits for the latency of a message between two hosts, and for the end of a partition that delivers late. It
+// returns false if a partition resets the connection.
 func (n *FakeNetwork) transmit(source, destination string) bool {
 	time.Sleep(n.latency())
 	partition, ok := n.activePartition(source, destination)
--- a/internal/simulation/fakepeers.go
+++ b/internal/simulation/fakepeers.go
@@ -9,21 +9,21 @@
 	"sableusher/internal/peerrpc"
 )
 
-// fakePeers is a fake of the RPCs between controllers, and between cells: direct calls, where the network
-// lets them pass.
+// fakePeers is a fake of the RPCs between controllers and between cells. It calls the other controllers directly,
+// unless a partition of the network separates them.
 type fakePeers struct {
 	region *Region
 	self   *Controller
 }
 
-// SetCellHandler sets what answers other cells.
+// SetCellHandler sets the handler of messages from other cells.
 func (p fakePeers) SetCellHandler(handler peerrpc.CellHandler) {
 	p.region.mu.Lock()
 	defer p.region.mu.Unlock()
 	p.self.cellHandler = handler
 }
 
-// Exchange asks another cell, over the links between them.
+// Exchange sends a message to another cell over the federation's links and returns the response.
 func (p fakePeers) Exchange(ctx context.Context, to config.Cell, message offload.Message) (offload.Message, error) {
 	if p.region.federation == nil {
 		return offload.Message{}, errConnectionReset
@@ -31,13 +31,13 @@
 	return p.region.federation.exchange(ctx, to.Name, message)
 }
 
-// Run returns when the context ends: there is nothing to serve.
+// Run blocks until ctx ends, as there is nothing to serve.
 func (p fakePeers) Run(ctx context.Context) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// LastAnswered is now for a controller that can be reached; else zero.
+// LastAnswered returns the current time for a controller that can be reached, and the zero time for others.
 func (p fakePeers) LastAnswered(node string) time.Time {
 	if _, ok := p.reachableRegistries()[node]; ok {
 		return time.Now()
@@ -45,7 +45,8 @@
 	return time.Time{}
 }
 
-// QueryRecentlyHeard gives, of some machines, those that other controllers have heard of lately, with who did.
+// QueryRecentlyHeard returns those of the given machines whose agents have recently sent a heartbeat to another
+// controller, with the name of that controller. Controllers without a fresh state are not asked.
 func (p fakePeers) QueryRecentlyHeard(_ context.Context, machines []string) map[string]string {
 	out := map[string]string{}
 	for node, registry := range p.reachableRegistries() {
@@ -59,7 +60,7 @@
 	return out
 }
 
-// QueryImages gives the machines that hold an image, by image, as other controllers know them.
+// QueryImages returns the machines that hold an image, by image, as reported by the other controllers.
 func (p fakePeers) QueryImages(context.Context) map[string]map[string]bool {
 	out := map[string]map[string]bool{}
 	for _, registry := range p.reachableRegistries() {
@@ -75,7 +76,7 @@
 	return out
 }
 
-// reachableRegistries gives the registries of the other controllers that can be reached, by their names.
+// reachableRegistries returns the agent registries of the other controllers that can be reached, by controller name.
 func (p fakePeers) reachableRegistries() map[string]peerrpc.AgentRegistry {
 	p.region.mu.Lock()
 	defer p.region.mu.Unlock()
@@ -84,7 +85,7 @@
 		if other == p.self || !other.isAlive() {
 			continue
 		}
-		if _, cut := p.region.Network.activePartition(p.self.Settings.Node, other.Settings.Node); !cut {
+		if _, partitioned := p.region.Network.activePartition(p.self.Settings.Node, other.Settings.Node); !partitioned {
 			out[other.Settings.Node] = other.registry
 		}
 	}
--- a/internal/simulation/faketransport.go
+++ b/internal/simulation/faketransport.go
@@ -10,40 +10,42 @@
 	"time"
 )
 
-// Headers by which the network and the fakes know more of a message than its receiver.
+// Headers that the network and the fakes exchange. They are not part of any protocol.
 const (
 	sourceHeader       = "Simulation-Source"        // the host that sent a request
-	responseLostHeader = "Simulation-Response-Lost" // the answer never arrives
+	responseLostHeader = "Simulation-Response-Lost" // the response never arrives
 )
 
-// hangPollInterval is how often a request to a host that hangs looks whether it goes on.
+// hangPollInterval is the interval at which a request to a host that hangs checks whether the host is responsive.
 const hangPollInterval = 100 * time.Millisecond
 
-// loseResponse lets the answer never arrive: its sender waits until it gives up.
+// loseResponse marks a response as lost: it never arrives, and the sender of the request waits until it times out.
 func loseResponse(w http.ResponseWriter) { w.Header().Set(responseLostHeader, "1") }
 
 func alwaysAlive() bool { return true }
 
-// hostTransport is one host's way into the network.
+// hostTransport sends the requests of one host over the network.
 type hostTransport struct {
 	network *FakeNetwork
 	source  string
 	alive   func() bool
 }
 
-// Transport gives a host's way into the network; alive tells whether the process that uses it still runs.
+// Transport returns the transport of a host. The function alive reports whether the process that uses the transport
+// still runs.
 func (n *FakeNetwork) Transport(host string, alive func() bool) http.RoundTripper {
 	return hostTransport{n, host, alive}
 }
 
-// exchangeResult is what became of a request.
+// exchangeResult is the result of a request: a response or an error.
 type exchangeResult struct {
 	recorder *httptest.ResponseRecorder
 	err      error
 }
 
-// RoundTrip carries one request. It may be executed though its sender has given up: its goroutine then ends
-// by itself, at the latest when the host at its address changes.
+// RoundTrip executes one request. If the request's context ends, RoundTrip returns, but the receiver may still execute
+// the request. The goroutine that carries it then exits on its own; if the receiver hangs, it exits at the latest when
+// the host at that address changes.
 func (t hostTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	body, err := readBody(request)
 	if err != nil {
@@ -84,7 +86,8 @@
 	return body, err
 }
 
-// exchange carries a request to a host and the answer back. It gives no result if nothing ever arrives.
+// exchange sends a request to a host and the response back. It sends no result if the response is lost or the host
+// is replaced while it hangs.
 func (t hostTransport) exchange(request *http.Request, body []byte, host *Host, results chan<- exchangeResult) {
 	address := request.URL.Host
 	if !t.network.transmit(t.source, host.Name) {
@@ -101,7 +104,7 @@
 	if recorder.Header().Get(responseLostHeader) != "" {
 		return
 	}
-	// A process that ended before it could answer has reset its connections.
+	// A process that exited before it could respond has reset its connections.
 	if t.network.host(address) != host || !t.network.transmit(t.source, host.Name) {
 		results <- exchangeResult{err: errConnectionReset}
 		return
@@ -109,7 +112,7 @@
 	results <- exchangeResult{recorder: recorder}
 }
 
-// serve lets a host's handler execute a request. Only a watch ends with the context of its sender.
+// serve executes a request with the host's handler. Only a watch is cancelled with the context of its sender.
 func (t hostTransport) serve(request *http.Request, body []byte, host *Host) *httptest.ResponseRecorder {
 	ctx := request.Context()
 	if request.URL.Path != pathWatch {
--- a/internal/simulation/fakeuser.go
+++ b/internal/simulation/fakeuser.go
@@ -19,14 +19,14 @@
 	pollTimeout   = 2 * time.Second
 	cancelTimeout = 5 * time.Second
 
-	// submitPatience is how long a user tries to submit a job.
-	submitPatience = 60 * time.Second
-	pollInterval   = 5 * time.Second
-	// firstResubmission is when a user first repeats a submission that was accepted, resubmissionInterval
-	// how long after that again.
-	firstResubmission    = 20 * time.Second
+	// maxSubmitDuration is how long a user retries the submission of a job.
+	maxSubmitDuration = 60 * time.Second
+	pollInterval      = 5 * time.Second
+	// firstResubmission is the delay after which a user first repeats a submission that was accepted.
+	firstResubmission = 20 * time.Second
+	// resubmissionInterval is the minimum time between two later repetitions.
 	resubmissionInterval = 40 * time.Second
-	// unknownJobInterval passes between two questions about jobs that nobody submitted.
+	// unknownJobInterval is the interval between two queries about jobs that were never submitted.
 	unknownJobInterval = 7 * time.Second
 )
 
@@ -51,21 +51,21 @@
 	return userRequest{jobID, http.MethodPost, pathJobs + "/" + jobID + "/abort", nil, cancelTimeout}
 }
 
-// userAnswer is the answer to it. The status is 0 if none came.
+// userAnswer is the response to a user's request. The status is 0 if there was no response.
 type userAnswer struct {
 	status int
 	state  wire.JobState
 }
 
-// userJob is a job with what its program and its user do.
+// userJob is a job, with the run time of its program and the cancellation by its user.
 type userJob struct {
 	spec       wire.JobSpec
 	runSeconds float64
-	// cancelAfter is when its user asks to cancel it, counted from the submission; 0: never.
+	// cancelAfter is the time from the start of the submission to the user's request to cancel; 0: never.
 	cancelAfter time.Duration
 }
 
-// send sends a user's request to a controller.
+// send sends a user's request to a controller and returns the answer.
 func (r *Region) send(ctx context.Context, to *Controller, request userRequest) userAnswer {
 	ctx, cancel := context.WithTimeout(ctx, request.timeout)
 	defer cancel()
@@ -85,7 +85,7 @@
 	return userAnswer{response.StatusCode, status.State}
 }
 
-// ask sends a user's request to a controller, and lets the checker know the answer.
+// ask sends a user's request to a controller, and reports the answer to the checker.
 func (r *Region) ask(ctx context.Context, to *Controller, request userRequest) userAnswer {
 	sentAt := time.Now()
 	answer := r.send(ctx, to, request)
@@ -93,13 +93,13 @@
 	return answer
 }
 
-// askAny sends a user's request to a controller that is drawn.
+// askAny sends a user's request to a random controller, and reports the answer to the checker.
 func (r *Region) askAny(ctx context.Context, request userRequest) userAnswer {
 	return r.ask(ctx, r.randomController(), request)
 }
 
-// SimulateUser plays one job's user until the context ends: submits the job, polls it, cancels it if that is
-// to be, and repeats the submission now and then.
+// SimulateUser simulates the user of one job until ctx ends. The user submits the job, polls its state, repeats the
+// submission from time to time, and cancels the job if the job says so.
 func (r *Region) SimulateUser(ctx context.Context, job userJob) {
 	r.SetRunTime(job.spec.ID, job.runSeconds)
 	r.Checker.JobSubmitted(job.spec)
@@ -130,7 +130,7 @@
 	}
 }
 
-// SimulateUserAfter plays one job's user once a time has passed.
+// SimulateUserAfter simulates the user of one job after a delay. It doesn't block.
 func (r *Region) SimulateUserAfter(ctx context.Context, delay time.Duration, job userJob) {
 	r.wg.Go(func() {
 		time.Sleep(delay)
@@ -138,18 +138,19 @@
 	})
 }
 
+// submitUntilAccepted submits a job each second and reports whether it was accepted within maxSubmitDuration.
 func (r *Region) submitUntilAccepted(ctx context.Context, jobID string, body []byte) bool {
 	start := time.Now()
 	for !accepts(r.askAny(ctx, submitRequest(jobID, body)).status) {
 		time.Sleep(time.Second)
-		if ctx.Err() != nil || time.Since(start) > submitPatience {
+		if ctx.Err() != nil || time.Since(start) > maxSubmitDuration {
 			return false
 		}
 	}
 	return true
 }
 
-// CancelJob asks once for a job to be cancelled, and tells whether its user was told a final state.
+// CancelJob requests the cancellation of a job once, and reports whether the request succeeded (status 200).
 func (r *Region) CancelJob(ctx context.Context, jobID string) bool {
 	r.Checker.CancelRequested(jobID)
 	sentAt := time.Now()
@@ -162,14 +163,14 @@
 	return answer.status == http.StatusOK
 }
 
-// cancelRecorded tells whether a job's record says that it is cancelled.
+// cancelRecorded reports whether the job's record in the store is marked as cancelled.
 func (r *Region) cancelRecorded(jobID string) bool {
 	var job record.Job
 	err := wire.Decode(r.KV.Row(record.JobKey(jobID)).Value, &job)
 	return err == nil && job.CancelledAtMs != 0
 }
 
-// QueryUnknownJobs asks about jobs that nobody submitted until the context ends.
+// QueryUnknownJobs queries jobs that were never submitted, until ctx ends.
 func (r *Region) QueryUnknownJobs(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		time.Sleep(unknownJobInterval)
--- a/internal/simulation/federation.go
+++ b/internal/simulation/federation.go
@@ -14,47 +14,47 @@
 // controllersPerCell is how many controllers each cell of a federation has.
 const controllersPerCell = 3
 
-// controllerRestartGap passes between a controller's end and its start where all of a cell restart in turn.
+// controllerRestartGap is the time between a controller's kill and its start in a rolling restart of a cell.
 const controllerRestartGap = time.Second
 
-// Federation is several regions, as cells, under one clock and one checker, with links between their leaders.
+// Federation is a set of regions that form cells. They share one clock and one checker, and links connect them.
 type Federation struct {
 	Checker *InvariantChecker
 	Regions map[string]*Region // by cell
 
 	guestLimit int
-	mu         sync.Mutex // guards all that follows
+	mu         sync.Mutex // guards the fields below
 	random     *rand.Rand
 	linkFaults []LinkFault
 	cells      map[string]*cellState
-	removed    []config.ForgottenCell // cells that the operators of all others have removed
+	removed    []config.ForgottenCell // cells that the operators of the other cells have removed
 	messages   messageCount
 }
 
-// cellState is what the operators of a cell have set.
+// cellState holds the settings of a cell that its operators change.
 type cellState struct {
 	epoch    uint64
 	draining bool
 }
 
-// messageCount counts the messages between cells that were answered.
+// messageCount counts the messages between cells that got a response.
 type messageCount struct {
 	messages int
-	bytes    int // with their answers
+	bytes    int // of the messages and their responses
 }
 
-// FederationOptions are what a federation is made of.
+// FederationOptions configure a federation.
 type FederationOptions struct {
 	Cells           []string
 	Settings        func(cell string, index int) *config.Settings // of a cell's controllers
 	MachineTypes    []wire.MachineType
-	CapacityPerKind int // machines to be had in each cell
-	GuestLimit      int // tasks of others that each cell takes
+	CapacityPerKind int // machines that can be rented in each cell; see RegionOptions
+	GuestLimit      int // maximum number of tasks of other cells that each cell runs
 	Random          *rand.Rand
 	Log             *slog.Logger
 }
 
-// NewFederation starts cells of three controllers each.
+// NewFederation starts all cells with controllersPerCell controllers each.
 func NewFederation(ctx context.Context, options FederationOptions) *Federation {
 	f := &Federation{
 		Checker:    NewInvariantChecker(options.Settings(options.Cells[0], 0)),
@@ -86,7 +86,7 @@
 	return f
 }
 
-// configureOperator sets what the operators of a cell say of it and of the others.
+// configureOperator sets the operators' settings of a cell that concern the cell itself and the other cells.
 func (f *Federation) configureOperator(operator *config.Operator, cell string, cells []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,7 +107,7 @@
 	}
 }
 
-// SimulateUser plays one job's user in a cell.
+// SimulateUser simulates the user of one job in a cell until ctx ends. The job's tasks may run in any cell.
 func (f *Federation) SimulateUser(ctx context.Context, cell string, job userJob) {
 	for _, region := range f.Regions {
 		region.SetRunTime(job.spec.ID, job.runSeconds)
@@ -115,7 +115,7 @@
 	f.Regions[cell].SimulateUser(ctx, job)
 }
 
-// SimulateUserAfter plays one job's user in a cell once a time has passed.
+// SimulateUserAfter simulates the user of one job in a cell after a delay. It doesn't block.
 func (f *Federation) SimulateUserAfter(ctx context.Context, cell string, delay time.Duration, job userJob) {
 	f.Regions[cell].wg.Go(func() {
 		time.Sleep(delay)
@@ -123,7 +123,7 @@
 	})
 }
 
-// SetDraining changes whether a cell takes work of others, and restarts its controllers one by one.
+// SetDraining sets whether a cell refuses the work of other cells, and restarts its controllers one by one.
 func (f *Federation) SetDraining(ctx context.Context, cell string, draining bool) {
 	f.mu.Lock()
 	f.cells[cell].draining = draining
@@ -131,8 +131,8 @@
 	f.restartControllers(ctx, cell)
 }
 
-// RemoveCell takes a cell away for good, with its machines, and after a while the operators of another
-// one say so.
+// RemoveCell removes a cell with its machines for good. After a delay, the operators add it to the list of removed
+// cells, and the controllers of the notified cell restart with that list. It blocks until then.
 func (f *Federation) RemoveCell(ctx context.Context, cell string, delay time.Duration, notified string) {
 	region := f.Regions[cell]
 	region.KillAllControllers()
@@ -144,6 +144,7 @@
 	f.restartControllers(ctx, notified)
 }
 
+// restartControllers restarts the controllers of a cell one by one.
 func (f *Federation) restartControllers(ctx context.Context, cell string) {
 	region := f.Regions[cell]
 	for i := range region.ControllerCount() {
@@ -153,7 +154,7 @@
 	}
 }
 
-// StopCell ends all of a cell's controllers for a while.
+// StopCell kills all controllers of a cell and starts them again after a duration.
 func (f *Federation) StopCell(ctx context.Context, cell string, duration time.Duration) {
 	region := f.Regions[cell]
 	region.KillAllControllers()
@@ -163,8 +164,9 @@
 	})
 }
 
-// RestoreSnapshot lets a cell's key-value store lose what was written since a snapshot: its controllers end,
-// all its machines are returned, the snapshot is put back, and they start under the next epoch.
+// RestoreSnapshot simulates that a cell's key-value store loses all writes since a snapshot. It kills the cell's
+// controllers. After a duration it returns all of the cell's machines, restores the snapshot, and starts the
+// controllers with the next epoch.
 func (f *Federation) RestoreSnapshot(
 	ctx context.Context, cell string, rows map[string]wire.KeyValue, duration time.Duration,
 ) {
@@ -181,7 +183,7 @@
 	})
 }
 
-// Wait returns once all goroutines of all regions have ended.
+// Wait blocks until all goroutines of all regions have exited.
 func (f *Federation) Wait() {
 	for _, region := range f.Regions {
 		region.Wait()
--- a/internal/simulation/heartbeatfaults.go
+++ b/internal/simulation/heartbeatfaults.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// leaderPollInterval is how often a fault looks whether another process leads.
+// leaderPollInterval is the interval at which a fault checks whether another process has become the leader.
 const leaderPollInterval = 20 * time.Millisecond
 
-// heartbeatFaults are the faults by which heartbeats arrive again.
+// heartbeatFaults are the faults that deliver heartbeats more than once.
 type heartbeatFaults struct {
-	duplicates faultRate                    // heartbeats of which a copy arrives later
-	capture    faultRate                    // heartbeats of which a copy is kept for the next leader
-	captured   map[string]capturedHeartbeat // the last one kept, by machine
-	copies     int                          // copies that were sent so far
+	duplicates faultRate                    // selects heartbeats that are delivered again later
+	capture    faultRate                    // selects heartbeats that are kept for the next leader
+	captured   map[string]capturedHeartbeat // the last captured heartbeat, by machine
+	copies     int                          // number of copies sent or scheduled so far
 }
 
-// capturedHeartbeat is a heartbeat that the network delivers again to a new leader.
+// capturedHeartbeat is a heartbeat that the network delivers again when the leader changes.
 type capturedHeartbeat struct {
 	body   []byte
 	sentAt time.Time
 }
 
-// DuplicateHeartbeats lets a copy of a share of the heartbeats arrive again, from 2 s to more than two leases
-// later, until a time.
+// DuplicateHeartbeats delivers copies of a share of the heartbeats until a time. A copy is sent between 2 s and two and
+// a half lease durations after the original.
 func (r *Region) DuplicateHeartbeats(share float64, until time.Time, seed uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.heartbeats.duplicates = newFaultRate(share, until, seed, streamDuplicates)
 }
 
-// redeliverLater sends a heartbeat again later. Callers hold the lock.
+// redeliverLater sends a copy of a heartbeat after a random delay. Callers hold the lock.
 func (r *Region) redeliverLater(ctx context.Context, machine, address string, body []byte) {
 	delay := r.heartbeats.duplicates.duration(2*time.Second, 5*r.Settings.LeaseDuration()/2)
 	r.heartbeats.copies++
@@ -44,20 +44,20 @@
 	})
 }
 
-// redeliver lets a heartbeat arrive once more; nobody sees the answer.
+// redeliver sends a copy of a heartbeat and discards the response.
 func (r *Region) redeliver(ctx context.Context, machine, address string, body []byte) {
 	_, _, _ = postHeartbeat(ctx, r.Network.Transport(machine, alwaysAlive), address, body)
 }
 
-// captureHeartbeat keeps a copy of a share of the heartbeats for the next leader. Callers hold the lock.
+// captureHeartbeat keeps a copy of a heartbeat for the next leader if the fault selects it. Callers hold the lock.
 func (r *Region) captureHeartbeat(machine string, body []byte) {
 	if r.heartbeats.capture.occurs() {
 		r.heartbeats.captured[machine] = capturedHeartbeat{body, time.Now()}
 	}
 }
 
-// ReplayToNextLeader keeps copies of a share of the heartbeats until a time, and delivers them to every
-// controller at the moment at which another process leads.
+// ReplayToNextLeader captures a share of the heartbeats until a time. When another process becomes the leader, it sends
+// the captured heartbeats to all controllers.
 func (r *Region) ReplayToNextLeader(ctx context.Context, share float64, until time.Time, seed uint64) {
 	r.mu.Lock()
 	r.heartbeats.capture = newFaultRate(share, until, seed, streamHeartbeatCapture)
@@ -68,6 +68,7 @@
 	})
 }
 
+// replayCaptured sends the captured heartbeats to all controllers.
 func (r *Region) replayCaptured(ctx context.Context) {
 	for machine, heartbeat := range r.takeCaptured() {
 		for _, controller := range r.controllers {
@@ -76,8 +77,8 @@
 	}
 }
 
-// takeCaptured gives the copies that are kept, and counts those that are the first that the new owners hear
-// of their machine: nothing was sent since.
+// takeCaptured removes and returns the captured heartbeats. It counts those of machines that have sent no newer
+// heartbeat since: the new owners receive the copy before any live heartbeat.
 func (r *Region) takeCaptured() map[string]capturedHeartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -11,27 +11,27 @@
 	"sableusher/internal/wire"
 )
 
-// InvariantChecker watches agents and users from outside and records each violation of a rule. It is safe
-// for concurrent use; its exported fields are read once the day is over.
+// InvariantChecker observes agents and users from outside and records each violation of a rule. Its methods are safe
+// for concurrent use. Its exported fields may only be read after the simulation run.
 type InvariantChecker struct {
-	// RetryLimits holds the retries that classes allow; set before the first job.
+	// RetryLimits is the maximum number of retries per class. It must be set before the first job is submitted.
 	RetryLimits map[string]int
 
-	mu       sync.Mutex // guards all that follows
+	mu       sync.Mutex // guards the fields below
 	settings *config.Settings
-	// Violations are those found so far.
+	// Violations are the violations found so far.
 	Violations Violations
-	// Observed counts how often a fault met the state that it is meant to meet.
+	// Observed counts how often a fault occurred in the state that it is meant to test.
 	Observed map[Observation]int
-	// TaskStarts counts the tasks that began to run.
+	// TaskStarts counts the starts of tasks on machines.
 	TaskStarts    int
 	jobs          map[string]*jobHistory
-	placements    map[record.TaskRef]map[string]Placement // where tasks are, by machine
+	placements    map[record.TaskRef]map[string]Placement // by task and machine
 	recentQueries []query                                 // oldest first
-	faultsEndedAt time.Time                               // zero: there are still faults
+	faultsEndedAt time.Time                               // zero: faults may still occur
 }
 
-// NewInvariantChecker makes a checker of a deployment.
+// NewInvariantChecker returns a checker for a deployment with the given settings.
 func NewInvariantChecker(settings *config.Settings) *InvariantChecker {
 	return &InvariantChecker{
 		settings:   settings,
@@ -46,35 +46,35 @@
 	c.Violations = append(c.Violations, Violation{rule, fmt.Sprintf(format, arguments...)})
 }
 
-// AddViolation records a violation that was found outside.
+// AddViolation records a violation that the caller found.
 func (c *InvariantChecker) AddViolation(rule Rule, detail string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.violation(rule, "%s", detail)
 }
 
-// Observe records that a fault has met so many times what it is meant to meet.
+// Observe adds a count to an observation.
 func (c *InvariantChecker) Observe(observation Observation, count int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.Observed[observation] += count
 }
 
-// FaultsEnded records that there are no faults from now on.
+// FaultsEnded records that no fault occurs from now on.
 func (c *InvariantChecker) FaultsEnded() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faultsEndedAt = time.Now()
 }
 
-// JobSubmitted records a job that a user is about to submit.
+// JobSubmitted records a job before its user submits it.
 func (c *InvariantChecker) JobSubmitted(spec wire.JobSpec) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.jobs[spec.ID] = newJobHistory(spec)
 }
 
-// InvalidJobSubmitted records a submission that must not be accepted, and why.
+// InvalidJobSubmitted records a job that the deployment must reject, before its user submits it, and the reason.
 func (c *InvariantChecker) InvalidJobSubmitted(spec wire.JobSpec, reason string) {
 	c.JobSubmitted(spec)
 	c.mu.Lock()
@@ -82,7 +82,7 @@
 	c.jobs[spec.ID].mustRejectReason = reason
 }
 
-// JobSpec gives a job's description as its user submitted it.
+// JobSpec returns the spec of a submitted job; ok is false if the job is unknown.
 func (c *InvariantChecker) JobSpec(jobID string) (spec wire.JobSpec, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,28 +93,28 @@
 	return job.spec, true
 }
 
-// JobCompleted tells whether all tasks of a job have completed.
+// JobCompleted reports whether all tasks of a job have completed. The job must have been submitted.
 func (c *InvariantChecker) JobCompleted(jobID string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.jobs[jobID].complete()
 }
 
-// OpenJobs lists the accepted jobs whose users were told no final state yet, in order.
+// OpenJobs returns the IDs of the accepted jobs whose users have not received a final state yet, in order.
 func (c *InvariantChecker) OpenJobs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.jobsWhere((*jobHistory).open)
 }
 
-// DoneJobs lists the jobs whose users were told that they are done, in order.
+// DoneJobs returns the IDs of the jobs whose users received the state done, in order.
 func (c *InvariantChecker) DoneJobs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.jobsWhere(func(job *jobHistory) bool { return job.finalState == wire.JobDone })
 }
 
-// RunningJobs lists the open jobs with a task on a machine that nobody has asked to cancel, in order.
+// RunningJobs returns the IDs of the open jobs that have a task on a machine and no request to cancel, in order.
 func (c *InvariantChecker) RunningJobs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,7 +129,7 @@
 	})
 }
 
-// AllAccepted tells whether all these jobs were accepted.
+// AllAccepted reports whether all given jobs were accepted.
 func (c *InvariantChecker) AllAccepted(jobIDs []string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,7 +141,7 @@
 	return true
 }
 
-// UnfinishedJobs describes the open jobs, services aside.
+// UnfinishedJobs returns descriptions of the open jobs, except services.
 func (c *InvariantChecker) UnfinishedJobs() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -155,8 +155,8 @@
 	return out
 }
 
-// EndedJobs counts the jobs by the final state that their users were told, and those of them that were
-// done though a task had failed before.
+// EndedJobs returns the number of jobs by the final state that their users received (empty for jobs without one), and
+// the number of done jobs in which a task had failed before.
 func (c *InvariantChecker) EndedJobs() (byState map[wire.JobState]int, retried int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,7 +170,7 @@
 	return byState, retried
 }
 
-// jobsWhere lists the matching jobs in order. Callers hold the lock.
+// jobsWhere returns the IDs of the matching jobs in order. Callers hold the lock.
 func (c *InvariantChecker) jobsWhere(matches func(*jobHistory) bool) (ids []string) {
 	for id, job := range c.jobs {
 		if matches(job) {
--- a/internal/simulation/invariants_answers.go
+++ b/internal/simulation/invariants_answers.go
@@ -8,36 +8,37 @@
 	"sableusher/internal/wire"
 )
 
-// How long no question about a job may be answered, as the operators' pages say: once all faults are over,
-// whatever others are told, and at any time while most others are answered.
+// Bounds of how long all queries about a job may stay unanswered, as promised in the operators' documentation.
 const (
+	// maxUnansweredAfterFaults holds after all faults have ended.
 	maxUnansweredAfterFaults = 75 * time.Second
-	maxUnansweredAlone       = 90 * time.Second
+	// maxUnansweredWhileOthersAnswered holds at any time while more than half of all recent queries are answered.
+	maxUnansweredWhileOthersAnswered = 90 * time.Second
 )
 
-// query is a question that a user asked.
+// query is the outcome of a user's request about a job.
 type query struct {
 	receivedAt time.Time
 	answered   bool
 }
 
-// accepts tells whether an answer says that a job is accepted.
+// accepts reports whether a response status says that a job is accepted.
 func accepts(status int) bool { return status == http.StatusOK || status == http.StatusCreated }
 
-// denies tells whether an answer says that a job is not known or not accepted.
+// denies reports whether a response status says that a job is unknown or not accepted.
 func denies(status int) bool {
 	return status == http.StatusBadRequest || status == http.StatusNotFound ||
 		status == http.StatusUnprocessableEntity
 }
 
-// AnswerReceived records the answer to a question that came after every other answer.
+// AnswerReceived records the answer to a query that was sent after all earlier answers had arrived.
 func (c *InvariantChecker) AnswerReceived(jobID string, status int, state wire.JobState) {
 	c.AnswerReceivedTo(jobID, time.Now(), status, state)
 }
 
-// AnswerReceivedTo records the answer to a question that was sent at some time: status 201 or 200
-// with a state, 404, 400 or 422. Others say nothing. Over all controllers together, a question that was sent
-// after an answer had arrived must not be answered by anything older.
+// AnswerReceivedTo records the answer to a query that was sent at sentAt. Status 200 or 201 comes with a state; status
+// 400, 404 or 422 says that the job is unknown or not accepted; any other status counts as no answer. A query that was
+// sent after an answer had arrived must not be answered with an older state, by any controller.
 func (c *InvariantChecker) AnswerReceivedTo(jobID string, sentAt time.Time, status int, state wire.JobState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,11 +65,11 @@
 	return state == wire.JobDone || state == wire.JobCancelled || state == wire.JobFailed
 }
 
-// checkState holds a state that a user was told against what is known.
+// checkState checks a state that a user received against the job's history. Callers hold the lock.
 func (c *InvariantChecker) checkState(job *jobHistory, sentAt time.Time, state wire.JobState) {
 	id := job.spec.ID
 	if job.mustRejectReason != "" {
-		c.violation(RuleAccepted, "%s, though %s", id, job.mustRejectReason)
+		c.violation(RuleAccepted, "%s, although %s", id, job.mustRejectReason)
 	}
 	if job.finalState != "" && state != job.finalState && (isFinal(state) || !sentAt.Before(job.finalStateAt)) {
 		c.violation(RuleWentBack, "%s: was %s, then %s", id, job.finalState, state)
@@ -76,7 +77,7 @@
 	c.checkReason(job, state)
 }
 
-// checkReason checks that a job has a reason to be in a state.
+// checkReason checks that the job's history allows a state. Callers hold the lock.
 func (c *InvariantChecker) checkReason(job *jobHistory, state wire.JobState) {
 	id := job.spec.ID
 	switch state {
@@ -90,16 +91,17 @@
 		}
 	case wire.JobCancelled:
 		if !job.cancelRequested && !c.mayBeDependencyCancelled(id) {
-			c.violation(RuleWentBack, "%s: cancelled without its user", id)
+			c.violation(RuleWentBack, "%s: cancelled without a request of its user", id)
 		}
 	case wire.JobPending, wire.JobRunning:
 		if at := c.dependencyCancelledAt(id); !at.IsZero() && time.Since(at) > c.settings.CancelDeadline() {
-			c.violation(RuleOrphaned, "%s: called %s %v after one that it needs was cancelled",
+			c.violation(RuleOrphaned, "%s: reported as %s %v after a dependency was cancelled",
 				id, state, time.Since(at))
 		}
 	}
 }
 
+// recordState updates the job's history with a state that a user received. Callers hold the lock.
 func (c *InvariantChecker) recordState(job *jobHistory, state wire.JobState) {
 	if !job.accepted {
 		job.accepted, job.acceptedAt = true, time.Now()
@@ -112,12 +114,12 @@
 	}
 }
 
-// recordQuery records whether a question about a job was answered, and checks how long none was. A
-// submission that was never accepted need not be remembered.
+// recordQuery records whether a query about a job was answered, and checks how long the job's queries have been
+// unanswered. Jobs that were never accepted are not checked. Callers hold the lock.
 func (c *InvariantChecker) recordQuery(job *jobHistory, answered bool) {
 	now := time.Now()
 	c.recentQueries = append(c.recentQueries, query{now, answered})
-	for now.Sub(c.recentQueries[0].receivedAt) > maxUnansweredAlone {
+	for now.Sub(c.recentQueries[0].receivedAt) > maxUnansweredWhileOthersAnswered {
 		c.recentQueries = c.recentQueries[1:]
 	}
 	if answered {
@@ -133,6 +135,7 @@
 	c.checkUnanswered(job, now)
 }
 
+// checkUnanswered records a violation if a job's queries have been unanswered for too long. Callers hold the lock.
 func (c *InvariantChecker) checkUnanswered(job *jobHistory, now time.Time) {
 	sinceFaults := job.unansweredSince
 	if c.faultsEndedAt.After(sinceFaults) {
@@ -146,15 +149,15 @@
 	}
 	switch {
 	case !c.faultsEndedAt.IsZero() && now.Sub(sinceFaults) > maxUnansweredAfterFaults:
-		c.violation(RuleForgotten, "%s: no question answered for %v, all faults over",
+		c.violation(RuleForgotten, "%s: no query answered for %v after all faults ended",
 			job.spec.ID, now.Sub(sinceFaults))
-	case now.Sub(job.unansweredSince) > maxUnansweredAlone && 2*answered > len(c.recentQueries):
-		c.violation(RuleForgotten, "%s: no question answered for %v, %d of %d others were",
+	case now.Sub(job.unansweredSince) > maxUnansweredWhileOthersAnswered && 2*answered > len(c.recentQueries):
+		c.violation(RuleForgotten, "%s: no query answered for %v, while %d of %d recent queries were",
 			job.spec.ID, now.Sub(job.unansweredSince), answered, len(c.recentQueries))
 	}
 }
 
-// CancelRequested records that a user asks to cancel a job.
+// CancelRequested records that a user requests the cancellation of a job.
 func (c *InvariantChecker) CancelRequested(jobID string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,8 +168,8 @@
 	job.cancelRequested = true
 }
 
-// CancellationDurations gives how long users waited from asking until they were told, shortest first,
-// and how many who asked were never told a final state.
+// CancellationDurations returns the times from the request to cancel a job until a user received the state cancelled or
+// failed, shortest first, and the number of jobs with such a request whose users received no final state.
 func (c *InvariantChecker) CancellationDurations() (waited []time.Duration, open int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulation/invariants_capacity.go
+++ b/internal/simulation/invariants_capacity.go
@@ -12,26 +12,28 @@
 )
 
 const (
-	// maxStartableWait is how long a job may wait beside capacity for it, all faults over.
+	// maxStartableWait is how long a job may wait while capacity for it is available, after all faults have ended.
 	maxStartableWait = 90 * time.Second
-	// minServedShare of each class's and team's jobs must be served, and of each class's largest jobs begin
-	// within maxLargestJobDelay; largestJobsShare of a class's jobs count as its largest.
-	minServedShare     = 0.5
+	// minServedShare is the minimum share of the jobs of each class and team that must be served, and of the largest
+	// jobs of each class that must start within maxLargestJobDelay.
+	minServedShare = 0.5
+	// largestJobsShare is the share of a class's jobs that count as its largest.
 	largestJobsShare   = 0.2
 	maxLargestJobDelay = 4 * time.Minute
 
-	// resourceTolerance is what sums of resources may be wrong by.
+	// resourceTolerance is the tolerance for rounding errors in sums of resources.
 	resourceTolerance = 1e-6
 )
 
-// FreeCapacity is what is free on a machine that can be reached.
+// FreeCapacity is the free capacity of a usable machine.
 type FreeCapacity struct {
 	Placement
 	Free record.Resources
 }
 
-// CheckStartableJobs checks, once all faults are over, that no job waits for long though there is capacity
-// for one of its tasks, or for a whole gang, by type, zone, kind, spread and the team's limit.
+// CheckStartableJobs checks that no job waits for longer than maxStartableWait while there is capacity for one of its
+// tasks, or for the whole gang. Capacity counts if machine type, zone, spot, spread and the team's limit allow its use.
+// Before all faults have ended, and for jobs with dependencies or a request to cancel, nothing is checked.
 func (c *InvariantChecker) CheckStartableJobs(capacities []FreeCapacity) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -48,22 +50,24 @@
 			job.startableSince = now
 		}
 		if now.Sub(job.startableSince) > maxStartableWait {
-			c.violation(RuleLeftWaiting, "%s (%s, %d tasks) waits beside capacity for %v",
+			c.violation(RuleLeftWaiting, "%s (%s, %d tasks) has had capacity available but not started for %v",
 				id, job.spec.Kind, job.spec.TaskCount, now.Sub(job.startableSince))
 			job.startableSince = now
 		}
 	}
 }
 
-// waitingTasks are the tasks of a job that could start, and what those that run already demand of them.
+// waitingTasks describes the tasks of a job that wait for a start, and the constraints on where they may start, some of
+// which follow from the tasks that already run.
 type waitingTasks struct {
 	spec       *wire.JobSpec
 	count      int
-	minTasks   int            // that must start together
-	inZone     map[string]int // tasks that run, by zone
-	pinnedZone string         // where all must start; empty: anywhere
+	minTasks   int            // number of tasks that must start together
+	inZone     map[string]int // number of running tasks, by zone
+	pinnedZone string         // the zone in which all tasks must start; empty: any
 }
 
+// waitingTasks returns the waiting tasks of a job. Callers hold the lock.
 func (c *InvariantChecker) waitingTasks(job *jobHistory) waitingTasks {
 	spec := &job.spec
 	waiting := waitingTasks{spec: spec, minTasks: 1, inZone: map[string]int{}, pinnedZone: spec.Zone}
@@ -85,13 +89,13 @@
 	return waiting
 }
 
-// allowedOn tells whether the tasks may start on a machine.
+// allowedOn reports whether the tasks may start on a machine, by its zone, type and price kind (spot or on demand).
 func (t *waitingTasks) allowedOn(machine Placement) bool {
 	return (t.pinnedZone == "" || machine.Zone == t.pinnedZone) && (!machine.Spot || t.spec.AllowSpot) &&
 		(len(t.spec.MachineTypes) == 0 || slices.Contains(t.spec.MachineTypes, machine.MachineType))
 }
 
-// fitting counts the tasks that could start, at most as many as must in each zone.
+// fitting returns the number of tasks that fit the free capacity, by zone. It stops counting in a zone at minTasks.
 func (t *waitingTasks) fitting(capacities []FreeCapacity) map[string]int {
 	need, fits := record.TaskResources(t.spec), map[string]int{}
 	for _, capacity := range capacities {
@@ -110,7 +114,8 @@
 	return fits
 }
 
-// canStart tells whether a job waits and some of it would fit. Callers hold the lock.
+// canStart reports whether a job has waiting tasks and enough of them fit the free capacity and the team's limit.
+// Callers hold the lock.
 func (c *InvariantChecker) canStart(job *jobHistory, capacities []FreeCapacity) bool {
 	waiting := c.waitingTasks(job)
 	if waiting.count == 0 || waiting.count < waiting.minTasks || !c.withinTeamLimit(&job.spec, waiting.minTasks) {
@@ -126,13 +131,13 @@
 	return !job.spec.SameZone && total >= waiting.minTasks
 }
 
-// exceeds tells whether a team's limit is exceeded by what its tasks take.
+// exceeds reports whether a usage of resources exceeds a team's limits.
 func exceeds(team config.Team, usage record.Resources) bool {
 	return team.GPUsMax > 0 && usage.GPUs > team.GPUsMax+resourceTolerance ||
 		team.CPUsMax > 0 && usage.CPUs > team.CPUsMax+resourceTolerance
 }
 
-// withinTeamLimit tells whether a team may run so many more tasks of a job. Callers hold the lock.
+// withinTeamLimit reports whether the team's limits allow a number of additional tasks of a job. Callers hold the lock.
 func (c *InvariantChecker) withinTeamLimit(spec *wire.JobSpec, tasks int) bool {
 	usage := c.teamUsage(spec.Team).PlusTimes(record.TaskResources(spec), float64(tasks))
 	return !slices.ContainsFunc(c.settings.Deployment.Teams, func(team config.Team) bool {
@@ -140,6 +145,7 @@
 	})
 }
 
+// checkTeamLimit checks that a team's running tasks are within its limits. Callers hold the lock.
 func (c *InvariantChecker) checkTeamLimit(name string) {
 	usage := c.teamUsage(name)
 	for _, team := range c.settings.Deployment.Teams {
@@ -149,7 +155,7 @@
 	}
 }
 
-// teamUsage is what a team's tasks take. Callers hold the lock.
+// teamUsage returns the resources that a team's running tasks use. Callers hold the lock.
 func (c *InvariantChecker) teamUsage(team string) record.Resources {
 	var usage record.Resources
 	for task, machines := range c.placements {
@@ -160,7 +166,8 @@
 	return usage
 }
 
-// TeamLimitReached tells whether some task waits that only its team's limit keeps from starting.
+// TeamLimitReached reports whether there is an open, incomplete job without a request to cancel whose team's limits
+// don't allow one more of its tasks.
 func (c *InvariantChecker) TeamLimitReached() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,7 +179,7 @@
 	return false
 }
 
-// servedShares counts the jobs of groups, and those of them that were served.
+// servedShares counts jobs and served jobs by group, such as a class or a team.
 type servedShares map[string]*servedCount
 
 type servedCount struct{ jobs, served int }
@@ -187,8 +194,9 @@
 	}
 }
 
-// CheckServedShares checks that of each class's and team's jobs at least half were served by now, and that
-// of each class's largest jobs at least half began in time. Jobs whose users cancelled them don't count.
+// CheckServedShares checks that at least half of the jobs of each class and team have been served, and that at least
+// half of the largest jobs of each class started in time. Jobs that may have been cancelled by a user, directly or
+// through a dependency, don't count.
 func (c *InvariantChecker) CheckServedShares() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -215,7 +223,7 @@
 	}
 }
 
-// largestJobs gives the jobs with the most tasks, and sorts all by their number.
+// largestJobs returns the largestJobsShare of the jobs that have the most tasks. It sorts jobs by the number of tasks.
 func largestJobs(jobs []*jobHistory) []*jobHistory {
 	slices.SortFunc(jobs, func(a, b *jobHistory) int { return cmp.Compare(b.spec.TaskCount, a.spec.TaskCount) })
 	return jobs[:int(math.Ceil(largestJobsShare*float64(len(jobs))))]
--- a/internal/simulation/invariants_tasks.go
+++ b/internal/simulation/invariants_tasks.go
@@ -9,7 +9,7 @@
 	"sableusher/internal/wire"
 )
 
-// Placement is where a task runs.
+// Placement is the machine on which a task runs.
 type Placement struct {
 	Machine     string
 	MachineType string
@@ -17,13 +17,13 @@
 	Spot        bool
 }
 
-// TaskStarted records that a task is on a machine from now on.
+// TaskStarted records that a task has started on a machine, and checks that it was allowed to.
 func (c *InvariantChecker) TaskStarted(task record.TaskRef, placement Placement) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	job := c.jobs[task.JobID]
 	if job == nil {
-		c.violation(RuleInvented, "%s runs", task)
+		c.violation(RuleInvented, "%s: task of an unknown job started", task)
 		return
 	}
 	c.TaskStarts++
@@ -41,10 +41,12 @@
 	c.checkCancelledTasks()
 }
 
-// checkStart checks that a task may start now.
+// checkStart checks that a task may start now: its job is not cancelled, its dependencies are done, and the task runs
+// on no other machine. Callers hold the lock.
 func (c *InvariantChecker) checkStart(job *jobHistory, task record.TaskRef, machine string) {
 	if !job.cancelledAt.IsZero() {
-		c.violation(RuleRanCancelled, "%s starts %v after its user was told", task, time.Since(job.cancelledAt))
+		c.violation(RuleRanCancelled, "%s started %v after its cancellation was confirmed",
+			task, time.Since(job.cancelledAt))
 	}
 	for _, id := range job.spec.Dependencies {
 		if dependency := c.jobs[id]; dependency == nil || !dependency.complete() {
@@ -58,7 +60,7 @@
 	}
 }
 
-// checkPlacement checks that a machine is one on which a task may run.
+// checkPlacement checks that the job's spec allows its tasks on a machine.
 func (c *InvariantChecker) checkPlacement(spec *wire.JobSpec, task record.TaskRef, placement Placement) {
 	if spec.Zone != "" && spec.Zone != placement.Zone || placement.Spot && !spec.AllowSpot {
 		c.violation(RuleWrongPlace, "%s on %+v", task, placement)
@@ -68,7 +70,7 @@
 	}
 }
 
-// checkZones checks that a job's tasks lie together, or apart, as it says.
+// checkZones checks that a job's tasks are in one zone, or spread over zones, if the job's spec requires that.
 func (c *InvariantChecker) checkZones(spec *wire.JobSpec, placement Placement) {
 	inZone := 0
 	for i := range spec.TaskCount {
@@ -85,20 +87,21 @@
 	}
 }
 
-// maxSpreadPerZone is how many tasks of a job that is spread may be in one zone.
+// maxSpreadPerZone returns how many tasks of a job with spread may run in one zone.
 func maxSpreadPerZone(spec *wire.JobSpec) int { return (spec.TaskCount + 1) / 2 }
 
-// checkCancelledTasks checks that no task runs for too long after its job's cancellation was confirmed.
+// checkCancelledTasks checks that no task runs later than the cancel deadline after the cancellation of its job was
+// confirmed. Callers hold the lock.
 func (c *InvariantChecker) checkCancelledTasks() {
 	for task, machines := range c.placements {
 		cancelledAt := c.jobs[task.JobID].cancelledAt
 		if len(machines) > 0 && !cancelledAt.IsZero() && time.Since(cancelledAt) > c.settings.CancelDeadline() {
-			c.violation(RuleRanCancelled, "%s: %v after", task, time.Since(cancelledAt))
+			c.violation(RuleRanCancelled, "%s: runs %v after confirmation", task, time.Since(cancelledAt))
 		}
 	}
 }
 
-// CheckDeadlines checks what is broken by the passing of time alone.
+// CheckDeadlines checks the rules that are broken when time passes without any event.
 func (c *InvariantChecker) CheckDeadlines() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -119,22 +122,22 @@
 	c.jobs[task.JobID].completedTasks[task.Index] = true
 }
 
-// TaskIsDone tells whether a task has completed.
+// TaskIsDone reports whether a task has completed. Its job must have been submitted.
 func (c *InvariantChecker) TaskIsDone(task record.TaskRef) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.jobs[task.JobID].completedTasks[task.Index]
 }
 
-// TaskFailed records that a task has failed by itself.
+// TaskFailed records that a task's program has failed.
 func (c *InvariantChecker) TaskFailed(task record.TaskRef) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.jobs[task.JobID].failures[task.Index]++
 }
 
-// FailureAcknowledged records that a controller has acknowledged a task's failure: it must have counted
-// a retry.
+// FailureAcknowledged records that a controller has acknowledged a task's failure, and checks that the failures don't
+// exceed the retry limit. A controller must count each failure that it acknowledges.
 func (c *InvariantChecker) FailureAcknowledged(task record.TaskRef) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -146,7 +149,7 @@
 	}
 }
 
-// MachinesOfJob lists the machines that a job's tasks are on, in order.
+// MachinesOfJob returns the machines on which a job's tasks run, in order.
 func (c *InvariantChecker) MachinesOfJob(jobID string) []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulation/jobhistory.go
+++ b/internal/simulation/jobhistory.go
@@ -6,26 +6,26 @@
 	"sableusher/internal/wire"
 )
 
-// jobHistory is what is known of a job from outside the controllers.
+// jobHistory is the history of a job as agents and users observed it.
 type jobHistory struct {
 	spec             wire.JobSpec
-	mustRejectReason string // why it must not be accepted; empty: it may be
+	mustRejectReason string // why the job must be rejected; empty: it may be accepted
 	submittedAt      time.Time
 
 	accepted          bool
-	acceptedAt        time.Time // when the first answer arrived by which it is accepted
+	acceptedAt        time.Time // when the first answer arrived that says so
 	cancelRequested   bool      // by its user
 	cancelRequestedAt time.Time
-	cancelledAt       time.Time     // when a user was first told that it is cancelled or failed
-	finalState        wire.JobState // the first one a user was told; empty: none yet
+	cancelledAt       time.Time     // when a user first received the state cancelled or failed
+	finalState        wire.JobState // the first final state that a user received; empty: none yet
 	finalStateAt      time.Time
 
 	completedTasks       map[int]bool
-	failures             map[int]int // by task: failures of its own
-	acknowledgedFailures map[int]int // by task: those that a controller has acknowledged
+	failures             map[int]int // by task: failures of its program
+	acknowledgedFailures map[int]int // by task: failures that a controller has acknowledged
 	firstStartAt         time.Time
-	unansweredSince      time.Time // zero: the last question about it was answered
-	startableSince       time.Time // since when it waits beside capacity for it; zero: it does not
+	unansweredSince      time.Time // zero: the last query about the job was answered
+	startableSince       time.Time // since when it waits although capacity is available; zero: it doesn't
 }
 
 func newJobHistory(spec wire.JobSpec) *jobHistory {
@@ -38,19 +38,19 @@
 	}
 }
 
-// complete tells whether all its tasks have completed.
+// complete reports whether all tasks of the job have completed.
 func (j *jobHistory) complete() bool { return len(j.completedTasks) == j.spec.TaskCount }
 
-// open tells whether it is accepted and its user was told no final state.
+// open reports whether the job is accepted and its user has received no final state.
 func (j *jobHistory) open() bool { return j.accepted && j.finalState == "" }
 
-// served tells whether it has got what it asked for.
+// served reports whether the job is complete or, for a service, has started at least one task.
 func (j *jobHistory) served() bool {
 	return j.complete() || j.spec.Kind == wire.KindService && !j.firstStartAt.IsZero()
 }
 
-// dependencyCancelledAt is when a user was first told that a job that this one needs, directly
-// or through others, is cancelled, or when this one was submitted after that; zero if never.
+// dependencyCancelledAt returns when a user first received the state cancelled or failed of a direct or indirect
+// dependency of a job, or when the job was submitted if that is later. It returns zero if there was no such answer.
 func (c *InvariantChecker) dependencyCancelledAt(jobID string) time.Time {
 	var first time.Time
 	job := c.jobs[jobID]
@@ -74,7 +74,7 @@
 	return first
 }
 
-// mayBeDependencyCancelled tells whether any job that this one needs may end without being done.
+// mayBeDependencyCancelled reports whether any direct or indirect dependency of a job may end without being done.
 func (c *InvariantChecker) mayBeDependencyCancelled(jobID string) bool {
 	for _, dependencyID := range c.jobs[jobID].spec.Dependencies {
 		dependency := c.jobs[dependencyID]
@@ -88,7 +88,7 @@
 	return false
 }
 
-// retryLimit is how many retries a job's tasks may have; without a limit, ok is false.
+// retryLimit returns the maximum number of retries of each of a job's tasks; ok is false if there is no limit.
 func (c *InvariantChecker) retryLimit(spec *wire.JobSpec) (limit int, ok bool) {
 	if spec.MaxRetries != nil {
 		return *spec.MaxRetries, true
@@ -97,7 +97,7 @@
 	return limit, ok
 }
 
-// mayFail tells whether a task of a job has failed more often than it may be retried.
+// mayFail reports whether a task of a job has failed more often than its retry limit allows.
 func (c *InvariantChecker) mayFail(job *jobHistory) bool {
 	limit, limited := c.retryLimit(&job.spec)
 	if !limited {
--- a/internal/simulation/owners.go
+++ b/internal/simulation/owners.go
@@ -5,7 +5,8 @@
 	"sableusher/internal/wire"
 )
 
-// LeaderIndex gives the leader as the records say; if there is none, the controller that owns most shards.
+// LeaderIndex returns the index of the controller that the store records as the leader. If there is none, it returns
+// the controller that owns the most shards.
 func (r *Region) LeaderIndex() int {
 	owned := map[string]int{}
 	owned[r.shardOwner(record.LeaderShard).Owner] = len(r.controllers) + 1
@@ -21,13 +22,13 @@
 	return index
 }
 
-// LeaderName is the name of the controller that LeaderIndex gives.
+// LeaderName returns the name of the controller at LeaderIndex.
 func (r *Region) LeaderName() string { return r.ControllerName(r.LeaderIndex()) }
 
-// leaderToken gives the leader's fencing token.
+// leaderToken returns the leader's fencing token, or 0 if there is no record of one.
 func (r *Region) leaderToken() uint64 { return r.shardOwner(record.LeaderShard).FencingToken }
 
-// shardTokenSum adds the shards' fencing tokens up: it rises with each of them.
+// shardTokenSum returns the sum of the shards' fencing tokens, which rises when any of them rises.
 func (r *Region) shardTokenSum() (sum uint64) {
 	for shard := range r.Settings.Deployment.NodeCount {
 		sum += r.shardOwner(shard).FencingToken
@@ -35,7 +36,7 @@
 	return sum
 }
 
-// shardOwner gives the record of a shard's owner; the zero value if nobody owns it.
+// shardOwner returns the record of a shard's owner, or the zero value if there is none.
 func (r *Region) shardOwner(shard int) record.Shard {
 	var owner record.Shard
 	_ = wire.Decode(r.KV.Row(record.ShardKey(shard)).Value, &owner)
--- a/internal/simulation/random.go
+++ b/internal/simulation/random.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// randomStream tells the generators that share a seed apart. Its value is part of what a seed gives: a
-// stream keeps its number for ever.
+// randomStream identifies a generator among those that share a seed. The numbers must never change, as a seed would
+// then produce another simulation run.
 type randomStream uint64
 
-// Streams of the fakes and of the faults that draw on their own.
+// Streams of the fakes and of the faults that have a generator of their own.
 const (
 	streamNetwork            randomStream = 1
 	streamCell               randomStream = 2
@@ -29,8 +29,8 @@
 	return rand.New(rand.NewPCG(seed, uint64(stream)))
 }
 
-// faultRate is the share of messages that a fault concerns until a time. It draws from a generator of its
-// own. The zero value concerns none.
+// faultRate selects a random share of messages for a fault until a time. It has a generator of its own. The zero value
+// selects no message.
 type faultRate struct {
 	share  float64 // from 0 to 1
 	until  time.Time
@@ -41,22 +41,22 @@
 	return faultRate{share: share, until: until, random: newRandom(seed, stream)}
 }
 
-// occurs draws whether the next message is concerned.
+// occurs reports whether the fault selects the next message.
 func (f *faultRate) occurs() bool {
 	return time.Now().Before(f.until) && f.random.Float64() < f.share
 }
 
-// duration draws a duration from a range.
+// duration returns a random duration from a range.
 func (f *faultRate) duration(from, to time.Duration) time.Duration {
 	return from + time.Duration(f.random.Float64()*float64(to-from))
 }
 
-// milliseconds draws a duration of whole milliseconds below a bound.
+// milliseconds returns a random duration of whole milliseconds below a bound.
 func milliseconds(random *rand.Rand, below int) time.Duration {
 	return time.Duration(random.IntN(below)) * time.Millisecond
 }
 
-// seconds draws a duration of whole seconds below a bound.
+// seconds returns a random duration of whole seconds below a bound.
 func seconds(random *rand.Rand, below int) time.Duration {
 	return time.Duration(random.IntN(below)) * time.Second
 }
--- a/internal/simulation/requestfaults.go
+++ b/internal/simulation/requestfaults.go
@@ -10,23 +10,24 @@
 	"sableusher/internal/wire"
 )
 
-// firstInvalidJob is the number from which on invalid jobs are named.
+// firstInvalidJob is the number of the first invalid job, so that job IDs don't collide with those of valid jobs.
 const firstInvalidJob = 700_000
 
-// requiredFields are the fields that a submission must have, as they are named on the wire.
+// requiredFields are the required fields of a submission, by their names on the wire.
 var requiredFields = []string{
 	"lot", "crew", "rig", "precedence", "hauls", "vcpus", "cards", "memory_gb", "tackle", "size_gb",
 	"same_place", "spread", "standby", "reckon_s", "landfall_s", "stow_s",
 }
 
-// invalidRequests draws what a user sends that is of no use.
+// invalidRequests generates requests that are invalid or have no effect.
 type invalidRequests struct {
 	region *Region
 	random *rand.Rand
 }
 
-// SendInvalidRequests lets users repeat submissions of unfinished jobs, cancel jobs that are done, and send jobs
-// that fit no machine, name nobody's team, need more than their team may have or lack a field, until a time.
+// SendInvalidRequests makes users send invalid requests until a time. Users repeat submissions of unfinished jobs,
+// cancel jobs that are done, and submit jobs that fit no machine, name an unknown team, need more than their team's
+// limit or lack a required field.
 func (r *Region) SendInvalidRequests(ctx context.Context, until time.Time, seed uint64) {
 	requests := invalidRequests{r, newRandom(seed, streamInvalidRequests)}
 	r.wg.Go(func() {
@@ -37,6 +38,7 @@
 	})
 }
 
+// sendOne sends one random request.
 func (q *invalidRequests) sendOne(ctx context.Context, number int) {
 	checker := q.region.Checker
 	if id := q.pick(checker.OpenJobs()); id != "" && q.random.IntN(3) == 0 {
@@ -52,7 +54,7 @@
 	q.submitInvalidJob(ctx, number)
 }
 
-// pick draws one of some jobs; empty if there are none.
+// pick returns a random job ID, or the empty string if there are none.
 func (q *invalidRequests) pick(ids []string) string {
 	if len(ids) == 0 {
 		return ""
@@ -60,7 +62,8 @@
 	return ids[q.random.IntN(len(ids))]
 }
 
-// submitInvalidJob submits a job that must be refused, and asks for it afterwards.
+// submitInvalidJob submits a job that must be rejected, checks the status of the answer, and queries the job
+// afterwards.
 func (q *invalidRequests) submitInvalidJob(ctx context.Context, number int) {
 	checker := q.region.Checker
 	spec := wire.JobSpec{
@@ -77,7 +80,7 @@
 		ImageSizeGB: 2,
 		JobTiming:   wire.JobTiming{RuntimeEstimateSeconds: 15},
 	}
-	// The fields are changed as they are named on the wire, as some can't be missing from the type.
+	// Change the encoded fields, as wire.JobSpec can't express that a required field is missing.
 	var fields map[string]any
 	if err := wire.Decode(wire.MustEncode(spec), &fields); err != nil {
 		panic(err)
@@ -89,14 +92,16 @@
 	case want:
 		checker.Observe(ObservedInvalidRequestRefused, 1)
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
-		checker.AddViolation(RuleProtocol, fmt.Sprintf("answer: %d where %s", status, reason))
+		checker.AddViolation(RuleProtocol,
+			fmt.Sprintf("submission answered with status %d, although %s", status, reason))
 	}
 	poll := pollRequest(spec.ID)
 	poll.timeout = submitTimeout
 	q.region.askAny(ctx, poll)
 }
 
-// invalidate makes a submission invalid, and gives why and the status that it must be answered with.
+// invalidate makes a submission invalid in a random way. It returns the reason and the status with which the
+// submission must be answered.
 func (q *invalidRequests) invalidate(fields map[string]any) (reason string, status int) {
 	switch q.random.IntN(5) {
 	case 0:
@@ -118,7 +123,8 @@
 	}
 }
 
-// SubmitShortJobs lets jobs of one task come four a second until a time, a quarter of which are cancelled.
+// SubmitShortJobs submits about four jobs of one task per second until a time, numbered from first on. Users cancel a
+// quarter of them.
 func (r *Region) SubmitShortJobs(ctx context.Context, first int, until time.Time, seed uint64) {
 	random := newRandom(seed, streamShortJobs)
 	r.wg.Go(func() {
@@ -131,6 +137,7 @@
 	})
 }
 
+// randomShortJob returns a job of one task that runs for 2 to 9 s.
 func randomShortJob(number int, random *rand.Rand) userJob {
 	spec := wire.JobSpec{
 		ID:          jobID(number),
@@ -153,5 +160,5 @@
 	return userJob{spec: spec, runSeconds: float64(2 + random.IntN(8)), cancelAfter: cancelAfter}
 }
 
-// jobID is the name of a generated job.
+// jobID returns the ID of a generated job.
 func jobID(number int) string { return fmt.Sprintf("run-%06d", number) }
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -7,30 +7,30 @@
 	"sableusher/internal/wire"
 )
 
-// Rule is one rule that the checker holds the deployment to.
+// Rule is a rule that the checker verifies.
 type Rule int
 
-// Rules, with what breaks them.
+// Rules, each with the observation that violates it.
 const (
-	RuleRanTwice     Rule = iota // a task on two machines at once
-	RuleRanCancelled             // a task of a job whose cancellation was confirmed
-	RuleWrongPlace               // a task where its description doesn't allow it
-	RuleTooEarly                 // a task before a dependency is done
-	RuleQuota                    // a team over its limit
-	RuleRetries                  // more failures acknowledged than there are retries
-	RuleInvented                 // a job that nobody submitted
-	RuleAccepted                 // an accepted job that can never run
-	RuleNotDone                  // a job called done before all its tasks completed
-	RuleFailed                   // a job called failed that has retries left
-	RuleWentBack                 // an answer older than an earlier one
-	RuleForgotten                // an accepted job that is unknown, or whose questions get no answer
-	RuleOrphaned                 // a job that outlives a dependency that was cancelled
-	RuleLeftWaiting              // a job that waits beside capacity for it
-	RuleMinimumShare             // a class or team that is served less than half
-	RuleProtocol                 // a message that the protocol doesn't allow
+	RuleRanTwice     Rule = iota // a task runs on two machines at once
+	RuleRanCancelled             // a task runs after the cancellation of its job was confirmed
+	RuleWrongPlace               // a task runs where its job's spec doesn't allow it
+	RuleTooEarly                 // a task starts before a dependency of its job is done
+	RuleQuota                    // a team uses more than its limit
+	RuleRetries                  // controllers acknowledged more failures than the retry limit allows
+	RuleInvented                 // a job that was never submitted is accepted or runs
+	RuleAccepted                 // a job that must be rejected is accepted
+	RuleNotDone                  // a job is reported done before all its tasks have completed
+	RuleFailed                   // a job is reported failed while it has retries left
+	RuleWentBack                 // an answer contradicts an earlier final state, or no user requested the cancellation
+	RuleForgotten                // an accepted job is reported unknown, or its queries get no answer
+	RuleOrphaned                 // a job stays open after a dependency was cancelled
+	RuleLeftWaiting              // a job waits although capacity for it is available
+	RuleMinimumShare             // less than half of the jobs of a class or team are served
+	RuleProtocol                 // a message violates its protocol
 )
 
-// ruleNames are the names of the operators' rules where they have one.
+// ruleNames are the names of the rules. Rules of the operators' documentation have the same names there.
 var ruleNames = [...]string{
 	RuleRanTwice:     "ran_twice",
 	RuleRanCancelled: "ran_cancelled",
@@ -50,22 +50,22 @@
 	RuleProtocol:     "protocol",
 }
 
-// String is the rule's name.
+// String returns the name of the rule.
 func (r Rule) String() string { return ruleNames[r] }
 
-// Violation is one rule that was broken, with what broke it.
+// Violation is the violation of a rule, with a description of the event.
 type Violation struct {
 	Rule   Rule
 	Detail string
 }
 
-// String is the rule and what broke it.
+// String returns the name of the rule and the description.
 func (v Violation) String() string { return v.Rule.String() + ": " + v.Detail }
 
-// Violations are violations in the order in which they were found.
+// Violations is a list of violations in the order of their detection.
 type Violations []Violation
 
-// String has a violation on each line.
+// String returns the violations, one per line.
 func (v Violations) String() string {
 	lines := make([]string, len(v))
 	for i, violation := range v {
@@ -74,7 +74,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Has tells whether a rule is among those that were broken.
+// Has reports whether the list contains a violation of the rule.
 func (v Violations) Has(rule Rule) bool {
 	for _, violation := range v {
 		if violation.Rule == rule {
@@ -84,7 +84,7 @@
 	return false
 }
 
-// Observation is a state that a fault is meant to meet. A test of the fault shows that it did.
+// Observation is a situation that a fault is meant to produce. Tests of the fault check that it occurred.
 type Observation int
 
 // Observations.
@@ -130,10 +130,10 @@
 	ObservedShortJob:                "short job",
 }
 
-// String says what was observed.
+// String returns a description of the observation.
 func (o Observation) String() string { return observationNames[o] }
 
-// leaseExpiryObservation is the observation that a task of a kind of job ended by lease expiry.
+// leaseExpiryObservation returns the observation that a lease expiry stopped a task of a job of the given kind.
 func leaseExpiryObservation(kind wire.JobKind) Observation {
 	switch kind {
 	case wire.KindArray:
--- a/internal/simulation/tokenwatch.go
+++ b/internal/simulation/tokenwatch.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// tokenWatch waits for a fencing token to rise.
+// tokenWatch polls a fencing token for changes.
 type tokenWatch struct {
 	interval time.Duration
 	until    time.Time
 	token    func() uint64 // 0 before there is one
 }
 
-// run calls a function whenever the token has risen, from its first value on.
+// run calls onIncrease each time the token has changed, until ctx ends or the time until is reached. A change
+// from 0 doesn't count.
 func (watch tokenWatch) run(ctx context.Context, onIncrease func()) {
 	before := watch.token()
 	for ctx.Err() == nil && time.Now().Before(watch.until) {
--- a/internal/simulation/userfaults.go
+++ b/internal/simulation/userfaults.go
@@ -10,26 +10,27 @@
 const (
 	cancelRetryInterval = time.Second
 	maxCancelRetries    = 180
-	// ownerPollInterval is how often a fault looks whether a shard has changed its owner.
+	// ownerPollInterval is the interval at which a fault checks whether the owner of a shard has changed.
 	ownerPollInterval = 50 * time.Millisecond
-	// maxUnreachable is how many machines of cancelled jobs get out of reach at once.
+	// maxUnreachable is the maximum number of machines that CancelRunningJobs makes unreachable per call.
 	maxUnreachable = 8
 )
 
-// userFaults are what users do at the worst moments.
+// userFaults are requests that users send at critical moments.
 type userFaults struct {
-	cancelAtCompletion faultRate // jobs that are cancelled as they complete
-	probesUntil        time.Time // users ask all controllers right after an answer until then
+	cancelAtCompletion faultRate // selects jobs that are cancelled at their completion
+	probesUntil        time.Time // until then, users query all controllers right after certain answers
 }
 
-// CancelAtCompletion lets a share of the jobs be cancelled as they complete, until a time.
+// CancelAtCompletion makes users cancel a share of the jobs within 1.5 s of their completion, until a time.
 func (r *Region) CancelAtCompletion(share float64, until time.Time, seed uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.users.cancelAtCompletion = newFaultRate(share, until, seed, streamCancelAtCompletion)
 }
 
-// taskCompleted lets a job be cancelled if it has just completed and the fault occurs. Callers hold the lock.
+// taskCompleted cancels a job after a short delay if all its tasks have completed and the fault selects it. Callers
+// hold the lock.
 func (r *Region) taskCompleted(ctx context.Context, jobID string) {
 	if !r.Checker.JobCompleted(jobID) || !r.users.cancelAtCompletion.occurs() {
 		return
@@ -38,6 +39,7 @@
 	r.cancelAfter(ctx, jobID, r.users.cancelAtCompletion.duration(0, 1500*time.Millisecond))
 }
 
+// cancelAfter cancels a job after a delay. It doesn't block.
 func (r *Region) cancelAfter(ctx context.Context, jobID string, delay time.Duration) {
 	r.wg.Go(func() {
 		time.Sleep(delay)
@@ -45,7 +47,8 @@
 	})
 }
 
-// CancelUntilFinal asks for a job to be cancelled until its user is told a final state, for some minutes at most.
+// CancelUntilFinal requests the cancellation of a job once a second until a request succeeds, at most maxCancelRetries
+// times.
 func (r *Region) CancelUntilFinal(ctx context.Context, jobID string) {
 	for range maxCancelRetries {
 		if ctx.Err() != nil || r.CancelJob(ctx, jobID) {
@@ -55,14 +58,14 @@
 	}
 }
 
-// unreachability is how the machines of cancelled jobs get out of reach. The zero value: they don't.
+// unreachability describes how the machines of cancelled jobs become unreachable. With the zero value they don't.
 type unreachability struct {
-	hang time.Duration // their processors stop
-	cut  time.Duration // else: they are cut off from everything
+	hang time.Duration // how long the machines hang
+	cut  time.Duration // if hang is 0: how long the machines are partitioned from all other hosts
 }
 
-// CancelRunningJobs lets users cancel so many running jobs within a fifth of a second; up to eight of their
-// machines get out of reach.
+// CancelRunningJobs makes users cancel up to count running jobs within 200 ms, and makes up to maxUnreachable of their
+// machines unreachable. It doesn't wait for the cancellations.
 func (r *Region) CancelRunningJobs(ctx context.Context, count int, machines unreachability, random *rand.Rand) {
 	ids := r.Checker.RunningJobs()
 	random.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
@@ -83,6 +86,7 @@
 	r.Checker.Observe(ObservedCancelWhileRunning, len(ids))
 }
 
+// makeUnreachable makes a machine hang, or partitions it from all other hosts.
 func (r *Region) makeUnreachable(machine string, how unreachability, random *rand.Rand) {
 	if how.hang > 0 {
 		r.HangMachine(machine, how.hang)
@@ -96,8 +100,7 @@
 	})
 }
 
-// CancelOnOwnerChange lets users cancel some running jobs whenever a shard has just changed its owner, until
-// a time.
+// CancelOnOwnerChange makes users cancel up to count running jobs each time a shard has a new owner, until a time.
 func (r *Region) CancelOnOwnerChange(ctx context.Context, count int, until time.Time, seed uint64) {
 	random := newRandom(seed, streamCancelOnFailover)
 	watch := tokenWatch{interval: ownerPollInterval, until: until, token: r.shardTokenSum}
@@ -110,14 +113,16 @@
 	})
 }
 
-// ProbeAfterAnswers lets users ask all controllers within milliseconds right after an answer, until a time.
+// ProbeAfterAnswers makes users query all controllers within milliseconds after an acceptance, a cancellation or a
+// final state was reported, until a time.
 func (r *Region) ProbeAfterAnswers(until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.users.probesUntil = until
 }
 
-// probeAllControllers asks every controller about a job, twice within milliseconds, and repeats its submission.
+// probeAllControllers sends two queries about a job and a repeated submission to each controller within 40 ms. It
+// doesn't block, and does nothing unless the fault is active.
 func (r *Region) probeAllControllers(ctx context.Context, jobID string, body []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
