--- a/internal/simulation/fakekv.go
+++ b/internal/simulation/fakekv.go
@@ -33,9 +33,9 @@
 	eventAdded  chan struct{} // closed and replaced with each event
 }
 
-// KVStatistics counts the faults and limits that requests met in a simulation run.
+// KVStatistics counts the requests of a simulation run that exceeded limits or were affected by faults.
 type KVStatistics struct {
-	// Violations describes the requests over limits that their senders knew.
+	// Violations describes the malformed requests, and those over size limits that their senders knew.
 	Violations []string
 	// RateLimited counts the requests that were refused by the rate limits.
 	RateLimited int
--- a/internal/simulation/fakekv_transaction.go
+++ b/internal/simulation/fakekv_transaction.go
@@ -69,11 +69,11 @@
 
 // rejectOversize refuses a request over the limits and records a violation. After the limits were lowered it counts
 // the request instead, as the controllers don't know the new limits.
-func (kv *FakeKV) rejectOversize(w http.ResponseWriter, what string) {
+func (kv *FakeKV) rejectOversize(w http.ResponseWriter, violation string) {
 	if kv.limits.lowered {
 		kv.OversizeRequests++
 	} else {
-		kv.Violations = append(kv.Violations, what)
+		kv.Violations = append(kv.Violations, violation)
 	}
 	wire.WriteResponse(w, http.StatusBadRequest, nil)
 }
--- a/internal/simulation/federation.go
+++ b/internal/simulation/federation.go
@@ -22,13 +22,13 @@
 	Checker *InvariantChecker
 	Regions map[string]*Region // by cell
 
-	guestLimit int
-	mu         sync.Mutex // guards the fields below
-	random     *rand.Rand
-	linkFaults []LinkFault
-	cells      map[string]*cellState
-	removed    []config.ForgottenCell // cells that the operators of the other cells have removed
-	messages   messageCount
+	maxOffloadedTasks int
+	mu                sync.Mutex // guards the fields below
+	random            *rand.Rand
+	linkFaults        []LinkFault
+	cells             map[string]*cellState
+	removed           []config.ForgottenCell // cells that the operators of the other cells have removed
+	messages          messageCount
 }
 
 // cellState holds the settings of a cell that its operators change.
@@ -57,11 +57,11 @@
 // NewFederation starts all cells with controllersPerCell controllers each.
 func NewFederation(ctx context.Context, options FederationOptions) *Federation {
 	f := &Federation{
-		Checker:    NewInvariantChecker(options.Settings(options.Cells[0], 0)),
-		Regions:    map[string]*Region{},
-		guestLimit: options.GuestLimit,
-		random:     newRandom(options.Random.Uint64(), streamCellLinks),
-		cells:      map[string]*cellState{},
+		Checker:           NewInvariantChecker(options.Settings(options.Cells[0], 0)),
+		Regions:           map[string]*Region{},
+		maxOffloadedTasks: options.GuestLimit,
+		random:            newRandom(options.Random.Uint64(), streamCellLinks),
+		cells:             map[string]*cellState{},
 	}
 	for _, cell := range options.Cells {
 		f.cells[cell] = &cellState{epoch: 1}
@@ -92,7 +92,7 @@
 	defer f.mu.Unlock()
 	operator.CellName = cell
 	operator.CellEpoch = f.cells[cell].epoch
-	operator.MaxOffloadedTasks = f.guestLimit
+	operator.MaxOffloadedTasks = f.maxOffloadedTasks
 	operator.CellDraining = f.cells[cell].draining
 	for _, other := range cells {
 		if other == cell {
--- a/internal/simulation/invariants_answers.go
+++ b/internal/simulation/invariants_answers.go
@@ -12,7 +12,7 @@
 const (
 	// maxUnansweredAfterFaults holds after all faults have ended.
 	maxUnansweredAfterFaults = 75 * time.Second
-	// maxUnansweredWhileOthersAnswered holds at any time while more than half of all recent queries are answered.
+	// maxUnansweredWhileOthersAnswered holds at any time if more than half of all queries in this period were answered.
 	maxUnansweredWhileOthersAnswered = 90 * time.Second
 )
 
--- a/internal/simulation/requestfaults.go
+++ b/internal/simulation/requestfaults.go
@@ -41,12 +41,12 @@
 // sendOne sends one random request.
 func (q *invalidRequests) sendOne(ctx context.Context, number int) {
 	checker := q.region.Checker
-	if id := q.pick(checker.OpenJobs()); id != "" && q.random.IntN(3) == 0 {
+	if id := q.randomJobID(checker.OpenJobs()); id != "" && q.random.IntN(3) == 0 {
 		spec, _ := checker.JobSpec(id)
 		q.region.askAny(ctx, submitRequest(id, wire.MustEncode(spec)))
 		return
 	}
-	if id := q.pick(checker.DoneJobs()); id != "" && q.random.IntN(2) == 0 {
+	if id := q.randomJobID(checker.DoneJobs()); id != "" && q.random.IntN(2) == 0 {
 		q.region.askAny(ctx, cancelRequest(id))
 		checker.Observe(ObservedCancelAfterEnd, 1)
 		return
@@ -54,8 +54,8 @@
 	q.submitInvalidJob(ctx, number)
 }
 
-// pick returns a random job ID, or the empty string if there are none.
-func (q *invalidRequests) pick(ids []string) string {
+// randomJobID returns a random job ID, or the empty string if there are none.
+func (q *invalidRequests) randomJobID(ids []string) string {
 	if len(ids) == 0 {
 		return ""
 	}
@@ -85,11 +85,11 @@
 	if err := wire.Decode(wire.MustEncode(spec), &fields); err != nil {
 		panic(err)
 	}
-	reason, want := q.invalidate(fields)
+	reason, wantStatus := q.invalidate(fields)
 	checker.InvalidJobSubmitted(spec, reason)
 	status := q.region.askAny(ctx, submitRequest(spec.ID, wire.MustEncode(fields))).status
 	switch status {
-	case want:
+	case wantStatus:
 		checker.Observe(ObservedInvalidRequestRefused, 1)
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		checker.AddViolation(RuleProtocol,
--- a/internal/simulation/userfaults.go
+++ b/internal/simulation/userfaults.go
@@ -66,19 +66,19 @@
 
 // CancelRunningJobs makes users cancel up to count running jobs within 200 ms, and makes up to maxUnreachable of their
 // machines unreachable. It doesn't wait for the cancellations.
-func (r *Region) CancelRunningJobs(ctx context.Context, count int, machines unreachability, random *rand.Rand) {
+func (r *Region) CancelRunningJobs(ctx context.Context, count int, machineFault unreachability, random *rand.Rand) {
 	ids := r.Checker.RunningJobs()
 	random.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 	ids = ids[:min(count, len(ids))]
 	machinesLeft := maxUnreachable
 	for _, id := range ids {
-		if machines != (unreachability{}) {
+		if machineFault != (unreachability{}) {
 			for _, machine := range r.Checker.MachinesOfJob(id) {
 				if machinesLeft == 0 {
 					break
 				}
 				machinesLeft--
-				r.makeUnreachable(machine, machines, random)
+				r.makeUnreachable(machine, machineFault, random)
 			}
 		}
 		r.cancelAfter(ctx, id, milliseconds(random, 200))
@@ -87,16 +87,16 @@
 }
 
 // makeUnreachable makes a machine hang, or partitions it from all other hosts.
-func (r *Region) makeUnreachable(machine string, how unreachability, random *rand.Rand) {
-	if how.hang > 0 {
-		r.HangMachine(machine, how.hang)
+func (r *Region) makeUnreachable(machine string, machineFault unreachability, random *rand.Rand) {
+	if machineFault.hang > 0 {
+		r.HangMachine(machine, machineFault.hang)
 		return
 	}
 	r.Network.AddPartition(Partition{
 		From:        machine,
 		To:          anyHost,
 		DeliverLate: random.IntN(2) == 0,
-		Until:       time.Now().Add(how.cut),
+		Until:       time.Now().Add(machineFault.cut),
 	})
 }
 
--- a/internal/simulation/zonefaults.go
+++ b/internal/simulation/zonefaults.go
@@ -12,18 +12,18 @@
 func (r *Region) PartitionZone(zone string, deliverLate bool, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	inside := map[string]bool{}
+	isolatedHosts := map[string]bool{}
 	for name, agent := range r.agents {
 		if agent.zone == zone {
-			inside[name] = true
+			isolatedHosts[name] = true
 		}
 	}
 	for _, controller := range r.controllers {
 		if controller.Settings.Zone == zone {
-			inside[controller.Settings.Node] = true
+			isolatedHosts[controller.Settings.Node] = true
 		}
 	}
-	r.Network.AddPartition(Partition{IsolatedHosts: inside, DeliverLate: deliverLate, Until: until})
+	r.Network.AddPartition(Partition{IsolatedHosts: isolatedHosts, DeliverLate: deliverLate, Until: until})
 }
 
 // FailZonePower cuts the power of a zone until a time: its machines lose their tasks and images, its controllers
