--- a/internal/simulation/fakeagent_tasks.go
+++ b/internal/simulation/fakeagent_tasks.go
@@ -24,7 +24,7 @@
 	attempt          attempt
 	spec             wire.JobSpec
 	onMachine        bool      // the checker counts the task as running on the machine
-	readyAt          time.Time // when the image is fetched, the gang wait ends, the work is done or the checkpoint is saved
+	readyAt          time.Time // when the current state ends: image fetched, gang wait over, work done or saved
 	peerMissingSince time.Time // for tasks of gangs; zero: no member is missing
 }
 
--- a/internal/simulation/invariants_capacity.go
+++ b/internal/simulation/invariants_capacity.go
@@ -50,7 +50,7 @@
 			job.startableSince = now
 		}
 		if now.Sub(job.startableSince) > maxStartableWait {
-			c.violation(RuleLeftWaiting, "%s (%s, %d tasks) has had capacity available but not started for %v",
+			c.violation(RuleLeftWaiting, "%s (%s, %d tasks) waits although capacity has been available for %v",
 				id, job.spec.Kind, job.spec.TaskCount, now.Sub(job.startableSince))
 			job.startableSince = now
 		}
