--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -15,7 +15,7 @@
 type commandClient struct{ http *http.Client }
 
 // newCommandClient returns a client that sends through transport. If transport is nil, the client uses the network
-// and keeps at most tuning.AgentSocketShare of maxSockets connections open.
+// and keeps at most tuning.AgentSocketShare of maxSockets idle connections open.
 func newCommandClient(transport http.RoundTripper, maxSockets int) *commandClient {
 	if transport == nil {
 		keptConnections := max(1, int(tuning.AgentSocketShare*float64(maxSockets)))
@@ -65,9 +65,9 @@
 	if response.StatusCode != http.StatusOK && response.StatusCode != http.StatusConflict {
 		return commandResponse{}, &CommandStatusError{Status: response.StatusCode}
 	}
-	answer := commandResponse{status: response.StatusCode}
-	if err := wire.Decode(body, &answer.report); err != nil {
+	decoded := commandResponse{status: response.StatusCode}
+	if err := wire.Decode(body, &decoded.report); err != nil {
 		return commandResponse{}, fmt.Errorf("direct command: %w", err)
 	}
-	return answer, nil
+	return decoded, nil
 }
--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -26,7 +26,8 @@
 	stopRequest func(binding clusterstate.Binding) (stopRequest, bool)
 	// fencingToken is the token of the owner that sends the commands.
 	fencingToken uint64
-	// heartbeatSequence is the sequence number of the heartbeat that the commands answer, or 0 for a direct command.
+	// heartbeatSequence is the sequence number of the heartbeat whose response has the commands, or 0 for a direct
+	// command.
 	heartbeatSequence uint64
 	now               time.Time
 }
@@ -36,7 +37,7 @@
 func (p *commandPlan) commands() []wire.Command {
 	var out []wire.Command
 	for key, task := range p.machine.tasks {
-		if len(out) >= tuning.MaxCommandsPerAnswer {
+		if len(out) >= tuning.MaxCommandsPerResponse {
 			return out
 		}
 		if command, ok := p.commandForReported(key, task); ok {
@@ -44,7 +45,7 @@
 		}
 	}
 	for ref, binding := range p.bindings {
-		if len(out) >= tuning.MaxCommandsPerAnswer {
+		if len(out) >= tuning.MaxCommandsPerResponse {
 			break
 		}
 		if key := (attemptKey{ref, binding.Attempt}); p.missing(key, binding) {
@@ -88,8 +89,9 @@
 	return wire.Command{Kind: wire.CommandForget, Task: task.Task, Attempt: key.attempt}, true
 }
 
-// stopUnbound returns the command that stops a task that is not bound to this machine and session, once it has been
-// reported for tuning.UnknownTaskGrace. The delay is needed because reports may be slightly older than records.
+// stopUnbound returns the command that stops a task that is not bound to this machine and session. It returns none
+// while the records do not show the end of the attempt, or until the task has been reported for
+// tuning.UnknownTaskGrace after that. The delay is needed because reports may be slightly older than records.
 func (p *commandPlan) stopUnbound(key attemptKey, task reportedTask) (wire.Command, bool) {
 	if !p.attemptEnded(key.ref, key.attempt) {
 		return wire.Command{}, false
@@ -131,27 +133,27 @@
 	return wire.Command{Kind: wire.CommandStop, Task: task.Task, Attempt: task.Attempt, GraceSeconds: &graceSeconds}
 }
 
-// cancelledTaskStops answers a heartbeat based on a cluster state that may be outdated: it starts nothing, and it
-// immediately stops those tasks whose cancellation the state shows. recorded is the machine in the cluster state, or
-// nil if it has no record.
+// cancelledTaskStops returns the response to a heartbeat if the cluster state may be outdated. It starts no tasks, and
+// it immediately stops those whose cancellation the state shows. recorded is the machine in the cluster state, or nil
+// if it has no record.
 func cancelledTaskStops(
 	heartbeat *wire.Heartbeat, recorded *clusterstate.Machine, fencingToken uint64,
 ) wire.HeartbeatResponse {
-	answer := emptyResponse(fencingToken)
+	response := emptyResponse(fencingToken)
 	if recorded == nil {
-		return answer
+		return response
 	}
 	for _, task := range heartbeat.Tasks {
-		if len(answer.Commands) >= tuning.MaxCommandsPerAnswer {
+		if len(response.Commands) >= tuning.MaxCommandsPerResponse {
 			break
 		}
 		ref, ok := record.ParseTaskRef(task.Task)
 		binding, bound := recorded.Bindings[ref]
 		if ok && bound && binding.Attempt == task.Attempt && binding.Job.Stopping() && task.State != wire.TaskExited {
-			answer.Commands = append(answer.Commands, stopCommand(task, 0))
+			response.Commands = append(response.Commands, stopCommand(task, 0))
 		}
 	}
-	return answer
+	return response
 }
 
 // emptyResponse returns a response that renews the lease and has no commands. Its command list is empty and not nil,
@@ -161,7 +163,7 @@
 }
 
 // RequestStop requests that a bound task is stopped after a grace period in seconds. An earlier request with a grace
-// period that is not longer remains in effect.
+// period that is not longer remains in effect. Otherwise it also requests a direct command to the machine.
 func (r *Registry) RequestStop(binding clusterstate.Binding, machineName string, graceSeconds float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/agent/dispatch.go
+++ b/internal/agent/dispatch.go
@@ -76,8 +76,8 @@
 	if !ok {
 		return
 	}
-	answer, err := r.client.send(ctx, d.address, &d.command, d.timeout)
-	r.finishDispatch(d, answer, err)
+	response, err := r.client.send(ctx, d.address, &d.command, d.timeout)
+	r.finishDispatch(d, response, err)
 }
 
 // prepareDispatch composes the command for a machine, and reports whether one is to be sent now.
@@ -153,7 +153,7 @@
 }
 
 // finishDispatch processes the response to a direct command, or the error if there was no response.
-func (r *Registry) finishDispatch(d *directDispatch, answer commandResponse, err error) {
+func (r *Registry) finishDispatch(d *directDispatch, response commandResponse, err error) {
 	r.clusterState.RLock()
 	defer r.clusterState.RUnlock()
 	r.mu.Lock()
@@ -172,11 +172,11 @@
 		r.dispatchQueue.add(d.machineName) // the probe was answered, so commands can be sent
 		r.updates.machineChanged(d.machineName)
 	}
-	if answer.report.Machine == d.machineName {
-		r.applyCommandResponse(d, &answer.report, now)
+	if response.report.Machine == d.machineName {
+		r.applyCommandResponse(d, &response.report, now)
 	}
-	if answer.status != http.StatusOK {
-		r.logger.Debug("direct command refused", "machine", d.machineName, "status", answer.status)
+	if response.status != http.StatusOK {
+		r.logger.Debug("direct command refused", "machine", d.machineName, "status", response.status)
 	}
 }
 
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -1,5 +1,7 @@
 // Package agent implements a controller node's side of the protocol with the agents, which run tasks on the machines:
-// it answers their heartbeats, renews their leases and sends them commands.
+// it answers their heartbeats, renews their leases and sends them commands. Commands are sent in the response to a
+// heartbeat, or directly, in an HTTP request to the agent. Each heartbeat, and each response to a direct command, has
+// a report of the machine's tasks.
 //
 // The package owns the last report of each agent, the start commands that may still be carried out, and the requests
 // to stop tasks. It does not decide where a task runs and does not write records. The scheduler does both, based on
--- a/internal/agent/fixture_test.go
+++ b/internal/agent/fixture_test.go
@@ -89,14 +89,14 @@
 	f.state.EndUpdate()
 }
 
-// heartbeat handles a heartbeat of an agent's first session and returns the HTTP status and body of the answer.
+// heartbeat handles a heartbeat of an agent's first session and returns the HTTP status and body of the response.
 func (f *registryFixture) heartbeat(machineName string, sequence, fencingToken uint64) (int, any) {
 	return f.handle(&wire.Heartbeat{
 		Machine: machineName, Address: testAddress, Session: 1, Sequence: sequence, FencingToken: fencingToken,
 	})
 }
 
-// handle handles a heartbeat and returns the HTTP status and body of the answer.
+// handle handles a heartbeat and returns the HTTP status and body of the response.
 func (f *registryFixture) handle(heartbeat *wire.Heartbeat) (int, any) {
 	result := f.HandleHeartbeat(heartbeat)
 	return result.HTTPResponse()
@@ -119,7 +119,7 @@
 	return count
 }
 
-// respondingTransport is a fake transport that answers each direct command with the report it returns.
+// respondingTransport is a fake transport. It answers each direct command with the report that the function returns.
 type respondingTransport func() wire.Heartbeat
 
 func (r respondingTransport) RoundTrip(*http.Request) (*http.Response, error) {
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -29,12 +29,12 @@
 	Redirect wire.HeartbeatRedirect // set for HeartbeatRedirected
 }
 
-// HeartbeatOutcome is the kind of answer to a heartbeat.
+// HeartbeatOutcome is the kind of response to a heartbeat.
 type HeartbeatOutcome int
 
 // Outcomes of heartbeats.
 const (
-	HeartbeatUnanswerable HeartbeatOutcome = iota // no answer can be given; the agent may retry
+	HeartbeatUnanswerable HeartbeatOutcome = iota // neither renewed nor redirected; the agent may retry
 	HeartbeatRenewed                              // the lease is renewed, and the response may have commands
 	HeartbeatRedirected                           // the agent has to contact another node
 )
@@ -44,7 +44,7 @@
 	return [...]string{"unanswerable", "renewed", "redirected"}[o]
 }
 
-// HTTPResponse returns the HTTP status and the body of the answer; a nil body means no body.
+// HTTPResponse returns the HTTP status and the body of the response; a nil body means no body.
 func (r *HeartbeatResult) HTTPResponse() (status int, body any) {
 	switch r.Outcome {
 	case HeartbeatRenewed:
@@ -78,8 +78,8 @@
 // stateAge returns the age of the cluster state.
 func (h *heartbeatRequest) stateAge() time.Duration { return h.now.Sub(h.completeAsOf) }
 
-// HandleHeartbeat applies a heartbeat and returns the answer to it. An answer that renews the lease may have commands
-// for the agent.
+// HandleHeartbeat applies a heartbeat and returns the response to it. A response that renews the lease may have
+// commands for the agent.
 func (r *Registry) HandleHeartbeat(heartbeat *wire.Heartbeat) HeartbeatResult {
 	now := time.Now()
 	r.clusterState.RLock()
@@ -152,17 +152,18 @@
 	if r.recordOutdated(m, h) {
 		r.updates.adopt(h.report)
 	}
-	answer := emptyResponse(h.fencingToken)
+	response := emptyResponse(h.fencingToken)
 	if _, owns := r.membership.Ownership(h.shard); h.recorded != nil && owns {
 		commands := r.commandsFor(m, commandParams{h.recorded, h.fencingToken, h.report.Sequence, h.now})
-		answer.Commands = append(answer.Commands, commands...)
+		response.Commands = append(response.Commands, commands...)
 	}
-	return renewed(answer)
+	return renewed(response)
 }
 
-// confirmsInbound reports whether a heartbeat proves that its agent receives what this node sends. For a machine that
-// was never probed, it is also proof if the agent reports this owner's fencing token, which it can only have from an
-// earlier response.
+// confirmsInbound reports whether a heartbeat proves that its agent receives what this node sends. The sequence of its
+// heartbeats proves it only if there are other nodes, which the agent would have contacted after a lost response. For a
+// machine that was never probed, it is also proof if the agent reports this owner's fencing token, which it can only
+// have from an earlier response.
 func (r *Registry) confirmsInbound(m *machine, h *heartbeatRequest) bool {
 	if len(r.settings.Peers) > 0 && m.session.confirmsResponse(h.report) {
 		return true
--- a/internal/agent/heartbeat_test.go
+++ b/internal/agent/heartbeat_test.go
@@ -15,9 +15,9 @@
 // heartbeatID identifies a heartbeat of an agent.
 type heartbeatID struct{ session, sequence uint64 }
 
-// notNewerThan reports whether s is the same heartbeat as other or an earlier one.
-func (s heartbeatID) notNewerThan(other heartbeatID) bool {
-	return s.session < other.session || s.session == other.session && s.sequence <= other.sequence
+// notNewerThan reports whether id is the same heartbeat as other or an earlier one.
+func (id heartbeatID) notNewerThan(other heartbeatID) bool {
+	return id.session < other.session || id.session == other.session && id.sequence <= other.sequence
 }
 
 // delayedCopies delivers heartbeats of one agent in arbitrary order.
@@ -72,11 +72,11 @@
 	before := d.MachineStatus(d.machineName, d.ownerToken)
 	status, _ := d.handle(heartbeat)
 	if old != (status == http.StatusServiceUnavailable) {
-		t.Fatalf("%v after %v: %d", id, d.newest, status)
+		t.Fatalf("heartbeat %v after %v: status %d", id, d.newest, status)
 	}
 	if old {
 		if after := d.MachineStatus(d.machineName, d.ownerToken); after != before {
-			t.Fatalf("%v after %v changed the status to %+v, before %+v", id, d.newest, after, before)
+			t.Fatalf("heartbeat %v after %v changed the status to %+v, before %+v", id, d.newest, after, before)
 		}
 		return
 	}
@@ -133,10 +133,10 @@
 	f.putMachine(name, record.Machine{Type: "m", Zone: "z", Address: testAddress, Up: true, Session: 4}, 2)
 	status, _ := f.handle(&wire.Heartbeat{Machine: name, Session: 3, Sequence: 90, FencingToken: testToken})
 	if status != http.StatusServiceUnavailable || len(f.RecentlyHeard([]string{name})) > 0 {
-		t.Errorf("a copy from an earlier session was accepted: %d", status)
+		t.Errorf("a heartbeat of an earlier session was accepted: status %d", status)
 	}
 	status, _ = f.handle(&wire.Heartbeat{Machine: name, Session: 4, Sequence: 1, FencingToken: testToken})
 	if status != http.StatusOK {
-		t.Errorf("the recorded session: %d", status)
+		t.Errorf("heartbeat of the recorded session: status %d", status)
 	}
 }
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -8,9 +8,9 @@
 	"sableusher/internal/tuning"
 )
 
-// leaseKeeper decides whether the answer to a heartbeat may renew the agent's lease. Renewing a lease without knowing
-// of a cancellation must not break the deadline of that cancellation (safety invariants 5 and 23). Registry.mu guards
-// it.
+// leaseKeeper decides whether the response to a heartbeat may renew the agent's lease. Renewing a lease without
+// knowing of a cancellation must not break the deadline of that cancellation (safety invariants 5 and 23). Registry.mu
+// guards it.
 type leaseKeeper struct {
 	settings     *config.Settings
 	clusterState *clusterstate.State
@@ -70,10 +70,10 @@
 // at all. That is the case for a process that was started in a partitioned zone to replace one that had renewed the
 // leases there. It treats the missing state like an arbitrarily old one: its response neither starts nor stops tasks.
 //
-// Such a renewal is safe only if cancellations are confirmed late, which the agent's own token shows. It also
-// requires that no other node can be reached, since that node might have a cluster state, and that the agent's token
-// has not risen since its first report: otherwise an owner reaches the agent, and the agent must stay with that
-// owner.
+// Such a renewal is safe only if cancellations are confirmed once no task is left, which the agent's own token shows.
+// It also requires that no other node can be reached, since that node might have a cluster state, and that the agent's
+// token has not risen since its first report: otherwise an owner reaches the agent, and the agent must stay with that
+// owner. A process that was suspended, or that has not yet run for tuning.OwnerUnreachableAfter, renews nothing.
 func (k *leaseKeeper) mayRenewWithoutState(h *heartbeatRequest) bool {
 	k.pauses.recordRunning(h.now)
 	if !h.completeAsOf.IsZero() {
--- a/internal/agent/lease_model_test.go
+++ b/internal/agent/lease_model_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// This file has the model described in docs/zones-design.md. It consists of one task on one agent, node A inside a
-// zone, which owns the task's shard, a node B outside the zone that may take over the shard, the records in the
+// This file has the model described in docs/zones-design.md. The model consists of one task on one agent, node A inside
+// a zone, which owns the task's shard, a node B outside the zone that may take over the shard, the records in the
 // key-value store, and a user who cancels the task. Any link may be down or slow between any two steps, so each step
 // may or may not happen, and time may pass between any two steps. The test visits all reachable states.
 
@@ -131,7 +131,7 @@
 // readRecords updates a node's view from the records.
 func (s *modelState) readRecords(node *nodeView) { node.cancelled, node.stateAge = s.cancelled, 0 }
 
-// answer renews the agent's lease on behalf of a node. The agent ignores an answer with a lower token.
+// answer renews the agent's lease on behalf of a node. The agent ignores a response with a lower token.
 func (s *modelState) answer(node *nodeView, fencingToken int8) {
 	if fencingToken < s.fencingToken {
 		return
--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -14,9 +14,9 @@
 )
 
 // TestLeaseRenewalDuringPartition checks which leases are renewed on a cluster state that may be too old to show
-// cancellations. They are renewed only if every node confirms cancellations late, and without commands. The lease of
-// another owner's agent is renewed only if that owner cannot be reached either, and under the token that the agent
-// has seen.
+// cancellations. They are renewed only if every node confirms cancellations late, that is once no task is left, and
+// without commands. The lease of another owner's agent is renewed only if that owner cannot be reached either, and
+// under that owner's token.
 func TestLeaseRenewalDuringPartition(t *testing.T) {
 	const late = tuning.SchemaVersionConfirmedCancel // cancellations are confirmed late
 	for name, c := range map[string]struct {
@@ -53,17 +53,18 @@
 	}
 }
 
-// expectNoCommands checks that an answer that renews a lease has the token and no commands.
+// expectNoCommands checks that a response that renews a lease has the token and no commands.
 func expectNoCommands(t *testing.T, body any, fencingToken uint64) {
 	t.Helper()
 	response, ok := body.(wire.HeartbeatResponse)
 	if ok && (response.FencingToken != fencingToken || len(response.Commands) > 0) {
-		t.Errorf("%+v", response)
+		t.Errorf("wrong token or commands in response: %+v", response)
 	}
 }
 
-// TestCancelledTasksStopDuringPartition checks that an answer based on an old cluster state starts nothing and stops
-// the tasks whose cancellation the state shows. An earlier version may have confirmed that cancellation at once.
+// TestCancelledTasksStopDuringPartition checks that a response based on an old cluster state starts nothing and
+// stops the tasks whose cancellation the state shows. An earlier version may have confirmed that cancellation at
+// once.
 func TestCancelledTasksStopDuringPartition(t *testing.T) {
 	for _, shard := range []int{ownShard, peerShard} {
 		f := newRegistryFixture(tuning.SchemaVersionConfirmedCancel)
@@ -81,7 +82,7 @@
 		response, _ := body.(wire.HeartbeatResponse)
 		if status != http.StatusOK || len(response.Commands) != 1 ||
 			response.Commands[0].Kind != wire.CommandStop || response.Commands[0].Task != "run-0/0" {
-			t.Errorf("shard %d: %d %+v", shard, status, response)
+			t.Errorf("shard %d: status %d, response %+v", shard, status, response)
 		}
 	}
 }
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -14,7 +14,8 @@
 	link    linkState
 
 	tasks map[attemptKey]reportedTask // as last reported
-	// unboundSince is when a task was first reported that the records do not bind to this machine and session.
+	// unboundSince is when a task was first reported whose attempt is over and is not bound to this machine and
+	// session, according to the records.
 	unboundSince map[attemptKey]time.Time
 	starts       pendingStarts
 	images       imageCache
@@ -58,7 +59,7 @@
 
 // Sources of reports.
 const (
-	fromHeartbeat       reportSource = iota // a heartbeat, which expects an answer
+	fromHeartbeat       reportSource = iota // a heartbeat, which expects a response
 	fromCommandResponse                     // the response to a direct command
 )
 
--- a/internal/agent/starts.go
+++ b/internal/agent/starts.go
@@ -11,8 +11,8 @@
 type pendingStart struct {
 	// fencingToken is the token of the owner that sent the command.
 	fencingToken uint64
-	// heartbeatSequence is the sequence number of the heartbeat whose answer carried the command, or 0 for a direct
-	// command. The agent's next heartbeat resolves a start that was sent in an answer.
+	// heartbeatSequence is the sequence number of the heartbeat whose response has the command, or 0 for a direct
+	// command. The agent's next heartbeat resolves a start that was sent in a response.
 	heartbeatSequence uint64
 	// inFlight is set while the direct command with the start is in flight. If the command gets no response, the
 	// start stays unresolved until the agent reports a higher fencing token or a new session, or its machine is
@@ -48,7 +48,7 @@
 
 // resolveByReport removes the starts that a report resolves. If the agent has reported a higher fencing token, a
 // start that was sent under a lower token is either shown in the report or will be refused. A start that was sent in
-// the answer to a heartbeat is resolved by the next heartbeat.
+// the response to a heartbeat is resolved by the next heartbeat.
 func (p pendingStarts) resolveByReport(session sessionProgress) {
 	for key, starts := range p {
 		p.set(key, slices.DeleteFunc(starts, func(start pendingStart) bool {
--- a/internal/agent/starts_test.go
+++ b/internal/agent/starts_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// TestNextHeartbeatResolvesStarts checks that starts in the answer to a heartbeat are resolved by the agent's next
+// TestNextHeartbeatResolvesStarts checks that starts in the response to a heartbeat are resolved by the agent's next
 // heartbeat and not by the response to a direct command.
 func TestNextHeartbeatResolvesStarts(t *testing.T) {
 	now := time.Unix(100, 0)
@@ -50,7 +50,7 @@
 	bindings, binding := newBinding(1)
 	planCommands(m, bindings, 1, now)
 	m.applyReport(newReport(1, 2, testToken), fromCommandResponse, now)
-	expectPresence(t, m, binding, testToken, PresenceUnknown, "while the start in the answer may still be carried out")
+	expectPresence(t, m, binding, testToken, PresenceUnknown, "while the start in the response is pending")
 	m.applyReport(newReport(1, 3, testToken), fromHeartbeat, now)
 	expectPresence(t, m, binding, testToken, PresenceAbsent, "after the next heartbeat")
 	expectPresence(t, m, binding, testToken+1, PresenceUnknown, "while earlier owners are not fenced")
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -11,9 +11,9 @@
 	ClockDriftFraction = 0.0005
 	// CommandTimeout is the maximum duration of a direct command, including its response.
 	CommandTimeout = 3 * time.Second
-	// MaxCommandsPerAnswer is the maximum number of commands in one response. A command takes up to 100 bytes as
-	// JSON, and a response body may have 64 KiB.
-	MaxCommandsPerAnswer = 400
+	// MaxCommandsPerResponse is the maximum number of commands in one response. A command takes up to 100 bytes, and a
+	// response body may have 64 KiB.
+	MaxCommandsPerResponse = 400
 	// MaxCommandsInFlight is the maximum number of direct commands that a node has in flight. A machine that hangs
 	// occupies one of them for CommandTimeout, and tens of such machines must not delay commands to the others.
 	MaxCommandsInFlight = 96
@@ -22,8 +22,9 @@
 	AgentSocketShare = 0.1
 	// DispatchQueueLength is the maximum number of machines that wait for a direct command.
 	DispatchQueueLength = 4096
-	// UnknownTaskGrace is how long an agent may report a task that is not bound to its machine before the task is
-	// stopped. Heartbeats may be slightly older than records.
+	// UnknownTaskGrace is how long an agent may report a task that is not bound to its machine and session, and whose
+	// attempt is over according to the records, before the task is stopped. Heartbeats may be slightly older than
+	// records.
 	UnknownTaskGrace = 5 * time.Second
 	// SuspectAfterIntervals is the silence, in heartbeat intervals, after which a machine counts as unreachable.
 	SuspectAfterIntervals = 2.2
@@ -81,13 +82,13 @@
 	PauseThreshold     = 3 * time.Second
 	// ConfirmedCancelTokenBase is the lower bound of fencing tokens once cancellations are confirmed only after their
 	// tasks are released. Earlier tokens are smaller, since no shard has had that many owners, and the value is far
-	// below the range of numbers in messages.
+	// below the largest number that a message can carry.
 	ConfirmedCancelTokenBase = 1 << 40
 	// OwnerUnreachableAfter is how long a shard's owner must not have answered this node before this node renews the
 	// leases of the owner's agents during a partition. It is two intervals of the queries for the peers' images.
 	OwnerUnreachableAfter = 2 * RemoteImagesInterval
 	// PartitionedZoneControllerGrace is how long the machines of a partitioned zone are kept if a controller runs in
-	// the zone and renews their leases.
+	// the zone and renews their leases. Machines without tasks are kept as long in any partitioned zone.
 	PartitionedZoneControllerGrace = 2 * time.Minute
 	// PartitionMinMachines is the minimum number of machines in a zone for which the zone can count as partitioned.
 	// With four machines, two late heartbeats do not look like a partition.
@@ -96,15 +97,15 @@
 	// zone counts as partitioned. Normally nearly all of them do; the largest known failures made a third of a zone
 	// silent at the same time.
 	PartitionHeardShare = 0.25
-	// ZoneSuspectedHeardShare is the share of reporting machines below which a zone is in the state doubted. The log
-	// and the metric show this state before it is certain whether machines or links have failed.
+	// ZoneSuspectedHeardShare is the share of reporting machines below which a zone is suspected. The log and the
+	// metric show this state, as "doubted", before it is certain whether machines or links have failed.
 	ZoneSuspectedHeardShare = 0.5
-	// ZoneProbationMaxDoublings is the maximum number of a zone's returns that count for its probation. Each one
-	// after the first doubles the probation, up to eight times the reconnect time of the agents. That is minutes,
-	// long enough to observe whether the zone fails again.
+	// ZoneProbationMaxDoublings is the maximum number of returns that count for the probation of a zone or of a cell of
+	// the federation. Each one after the first doubles the probation, up to eight times the agents' reconnect time for
+	// a zone, and eight times CellProbation for a cell. That is minutes, long enough to observe whether it fails again.
 	ZoneProbationMaxDoublings = 4
-	// ZoneProbationForgiveAfter is how long a zone must serve until one of its returns does not count for its
-	// probation any more.
+	// ZoneProbationForgiveAfter is how long a zone must serve, or a cell must be joined, until one of its returns does
+	// not count for its probation any more.
 	ZoneProbationForgiveAfter = 30 * time.Minute
 	// NodeConnectedReportingShare is the minimum share of all machines that must report for the node to treat the
 	// silent zones, and not itself, as partitioned.
@@ -117,8 +118,10 @@
 	// by one over the rest of the lease. With 0.75, all replicas of a zone restarted at the same time, when its
 	// leases ended.
 	PartitionServiceLeaseShare = 0.4
-	// CancelDeletionShare is the share of the cancellation deadline after which a silent machine with a cancelled
-	// task is deleted, even if there are reasons to wait. The nodes' clocks differ only by milliseconds.
+	// CancelDeletionShare is the share of the cancellation deadline after which a silent machine with a cancelled task
+	// is deleted, even if there are reasons to wait. It applies if the cancellation may have been confirmed at once; if
+	// it is confirmed only after the task is released, the machine is deleted after the whole deadline. The age of a
+	// cancellation is the difference between the clocks of two nodes, which agree to within milliseconds.
 	CancelDeletionShare = 0.5
 	// FenceMinInterval is the minimum time between two increases of a shard's fencing token because of unresolved
 	// starts.
