--- a/internal/failuredetector/deletion.go
+++ b/internal/failuredetector/deletion.go
@@ -55,9 +55,10 @@
 }
 
 // unavailableZoneGracePeriod returns how long a machine of an unavailable zone may be silent before it can be
-// deleted. Such a machine runs its tasks until its lease expires, and a controller in the zone keeps renewing the
-// lease. After that, its tasks have to start again elsewhere. An empty machine has nothing to restart, so it is kept
-// for as long as one with a controller in its zone.
+// deleted. Such a machine runs its tasks until its lease expires; a controller in the zone, if there is one, keeps
+// renewing the lease. After that, its tasks have to start again elsewhere. If a service on it can start elsewhere and
+// no controller renews the lease, it may be deleted earlier, after tuning.PartitionServiceLeaseShare of the lease. An
+// empty machine has nothing to restart, so it is kept for as long as one with a controller in its zone.
 func (d *Detector) unavailableZoneGracePeriod(machine *Machine) time.Duration {
 	switch {
 	case machine.ControllerInZone || machine.BoundTasks == 0:
--- a/internal/failuredetector/doc.go
+++ b/internal/failuredetector/doc.go
@@ -2,7 +2,8 @@
 // heartbeats from them. A machine that has failed has to be replaced soon. A machine that is only partitioned from
 // this node keeps running its tasks, and deleting it loses them. The detector therefore considers what the silent
 // machines have in common: if the heartbeats of a whole zone stop at the same time, it treats the zone as partitioned
-// and does not delete its machines until their leases have expired.
+// and keeps its machines until their leases have expired. Only machines whose services can start elsewhere are deleted
+// earlier, one by one; empty machines, and machines in a zone with a controller, are kept longer.
 //
 // The package owns the peers' answers about suspected machines, the pace of deletions, and the list of machines that
 // were in a zone when it was cut off. Package zonehealth derives the states of the zones from the heartbeat counts
--- a/internal/failuredetector/zones.go
+++ b/internal/failuredetector/zones.go
@@ -21,17 +21,17 @@
 // UnavailableZones returns the names of the zones that are cut off or lost.
 func (d *Detector) UnavailableZones() []string { return d.zones.UnavailableZones() }
 
-// countHeartbeats counts, in total and by zone, the machines from which heartbeats are expected and those from which
-// one arrived within the last heartbeat interval. Machines of recently acquired shards that have not reported to this
-// node yet do not count.
+// countHeartbeats counts, in total and by zone, the machines from which heartbeats are expected and those from which a
+// report arrived within the last heartbeat interval. Machines of recently acquired shards that have not reported to
+// this node yet do not count.
 func (d *Detector) countHeartbeats(
 	now time.Time, machines []Machine,
 ) (all zonehealth.HeartbeatCount, byZone map[string]zonehealth.HeartbeatCount) {
 	byZone = map[string]zonehealth.HeartbeatCount{}
-	ownedLately := scaleDuration(d.Timing.HeartbeatInterval, tuning.PartitionMinOwnedIntervals)
+	minOwned := scaleDuration(d.Timing.HeartbeatInterval, tuning.PartitionMinOwnedIntervals)
 	for i := range machines {
 		machine := &machines[i]
-		if !machine.Up || machine.LastHeard.IsZero() && now.Sub(machine.OwnedSince) < ownedLately {
+		if !machine.Up || machine.LastHeard.IsZero() && now.Sub(machine.OwnedSince) < minOwned {
 			continue
 		}
 		count := byZone[machine.Zone]
--- a/internal/failuredetector/zones_test.go
+++ b/internal/failuredetector/zones_test.go
@@ -12,8 +12,9 @@
 )
 
 // TestPartitionedZoneKeepsItsMachines checks that no machine of a zone that becomes silent is deleted while the
-// leases in it last, whenever the partition begins and however long it lasts. Once heartbeats arrive again, the
-// remaining machines are kept. A dead machine of another zone is deleted meanwhile.
+// leases in it last, whenever the partition begins and however long it lasts. None of the machines has a service that
+// could start elsewhere. Once heartbeats arrive again, the remaining machines are kept. A dead machine of another zone
+// is deleted meanwhile.
 func TestPartitionedZoneKeepsItsMachines(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.IntRange(2, 4).Draw(t, "zones")
