--- a/internal/reconcile/decision.go
+++ b/internal/reconcile/decision.go
@@ -75,7 +75,7 @@
 		return decideDone(task)
 	case wire.ExitCauseError:
 		decision.TaskFailed = true
-		// Counted failures are delayed by the retry policy of the job's class, so they need no backoff here.
+		// The retry policy of the job's class delays the restart after a counted failure, so no backoff is needed.
 		decision.BackOffJob, decision.CountFailure = !task.RetriesLimited, task.RetriesLimited
 		decision.FailJob = task.RetriesLimited && task.RetriesExhausted && !task.JobCancelled
 	case wire.ExitCauseNoCapacity, wire.ExitCauseAlreadyRunning:
--- a/internal/reconcile/decision_test.go
+++ b/internal/reconcile/decision_test.go
@@ -52,12 +52,12 @@
 		proof := exited || task.Presence == agent.PresenceSessionEnded ||
 			task.Presence == agent.PresenceAbsent && task.StopRequested
 		if decision.Release != proof {
-			t.Errorf("%+v: %+v", task, decision)
+			t.Errorf("wrong Release for task %+v: %+v", task, decision)
 		}
 		done := exited && task.Cause == wire.ExitCauseDone && task.JobKind != wire.KindService && !task.JobCancelled
 		if (decision.NextState == record.TaskDone) != done ||
 			decision.WholeGang != (done && task.JobKind == wire.KindGang) {
-			t.Errorf("%+v: %+v", task, decision)
+			t.Errorf("wrong NextState or WholeGang for task %+v: %+v", task, decision)
 		}
 		checkFailure(t, task, decision)
 	}
@@ -73,9 +73,9 @@
 	failsJob := decision.CountFailure && task.RetriesExhausted && !task.JobCancelled
 	if decision.CountFailure != (failed && task.RetriesLimited) || decision.FailJob != failsJob ||
 		decision.CountFailure && decision.BackOffJob {
-		t.Errorf("%+v: %+v", task, decision)
+		t.Errorf("wrong CountFailure, FailJob or BackOffJob for task %+v: %+v", task, decision)
 	}
 	if decision.TaskFailed && task.Cause != wire.ExitCauseError || decision.PlacementRefused && decision.TaskFailed {
-		t.Errorf("%+v: %+v", task, decision)
+		t.Errorf("wrong TaskFailed or PlacementRefused for task %+v: %+v", task, decision)
 	}
 }
--- a/internal/reconcile/gang_test.go
+++ b/internal/reconcile/gang_test.go
@@ -32,7 +32,7 @@
 		case done: // one done task means that all are done; other combinations are never recorded
 		case ended && got != GangBroken, !ended && bound == count && got != GangWhole,
 			!ended && bound < count && got != GangForming:
-			t.Errorf("%v: %v", tasks, got)
+			t.Errorf("tasks %v: unexpected state %v", tasks, got)
 		}
 	})
 }
