--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -32,7 +32,7 @@
 	now               time.Time
 }
 
-// commands returns at most tuning.MaxCommandsPerAnswer commands; the rest follow with the next response. It records
+// commands returns at most tuning.MaxCommandsPerResponse commands; the rest follow with the next response. It records
 // the start commands among them as pending.
 func (p *commandPlan) commands() []wire.Command {
 	var out []wire.Command
