--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -10,11 +10,10 @@
 	"sableusher/internal/wire"
 )
 
-// chargeMachineShard as the charged shard of a binding stands for the shard of its machine.
+// chargeMachineShard, as the charged shard of a binding, stands for the shard of the machine.
 const chargeMachineShard = -1
 
-// bindToOwnMachines binds pending tasks of a job, from a chunk on, to those of the picked machines that this node
-// owns.
+// bindToOwnMachines binds pending tasks of a job, from a chunk on, to those of the picked machines that this node owns.
 func (c *cycle) bindToOwnMachines(queued *queuedJob, chunk int, picks []*binpack.MachineInfo) {
 	picks = slices.DeleteFunc(picks, func(candidate *binpack.MachineInfo) bool { return !candidate.Owned })
 	c.bindTasks(queued, chunk, picks, chargeMachineShard)
--- a/internal/scheduler/cancelrequests_test.go
+++ b/internal/scheduler/cancelrequests_test.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// TestRequestedCancellationBecomesOverdue checks that a machine's cancellation becomes overdue, for which the machine
-// is deleted, once the request to cancel the job of a task on it is older than the cancellation deadline.
+// TestRequestedCancellationBecomesOverdue checks that the cancellation of a task on a machine counts as overdue once
+// the request to cancel its job is older than the cancellation deadline. The machine is then deleted.
 func TestRequestedCancellationBecomesOverdue(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		fixture := newTestCluster(t)
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -49,9 +49,9 @@
 	need         record.Resources
 }
 
-// commitChange commits a change and finishes it once its outcome is known. If the outcome is unknown, the change's
-// shards are fenced first, unless the change is safe to apply late: after the fence the change either is in the
-// cluster state or can never be applied.
+// commitChange commits a change and finishes it. If the outcome is unknown, it fences the change's shards before it
+// finishes the change: after the fence the change either is in the cluster state or can never be applied. A change that
+// is safe to apply late needs no fence.
 func (e *Engine) commitChange(ctx context.Context, id uint64, change *recordChange) {
 	revision, err := e.commitWithin(ctx, tuning.CommitTimeout, change.transaction)
 	rejected := errors.Is(err, kvstore.ErrRejected)
@@ -60,7 +60,8 @@
 		e.log.Error("key-value store rejected a change as malformed", "change", string(change.kind),
 			"subject", change.subject, "err", err)
 	case err != nil && !isNotApplied(err) && !change.safeIfAppliedLate:
-		e.log.Info("outcome of a change is unknown", "change", string(change.kind), "subject", change.subject, "err", err)
+		e.log.Info("outcome of a change is unknown", "change", string(change.kind), "subject", change.subject,
+			"err", err)
 		for _, shard := range change.shards {
 			e.membership.Fence(ctx, shard)
 		}
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -51,7 +51,7 @@
 	return owned
 }
 
-// inFlightUsage is the resources of tasks whose bindings are decided but not yet in the cluster state.
+// inFlightUsage holds the resources of tasks whose bindings are decided but not yet in the cluster state.
 type inFlightUsage struct {
 	byMachine  map[string]record.Resources
 	byTeam     map[int]map[string]record.Resources // by charged shard and team
@@ -109,8 +109,9 @@
 	return c
 }
 
-// recordShardOwnership records who owns a shard. When this node has just become the owner, it dispatches to the shard's
-// machines at once instead of at their next heartbeat.
+// recordShardOwnership records who owns a shard. When this node has just become the owner, it requests a command to
+// each of the shard's machines. The command also asks for a report, so that the new owner knows the state of its
+// machines before their next heartbeats.
 func (c *cycle) recordShardOwnership(shard int) {
 	_, c.shards.live[shard] = c.membership.OwnerOf(shard)
 	ownership, owned := c.membership.Ownership(shard)
@@ -134,7 +135,7 @@
 	c.backgroundCalls = append(c.backgroundCalls, call)
 }
 
-// schedule places waiting tasks: it refreshes the inventory, builds the queue and places its jobs one priority after
+// schedule places pending tasks: it refreshes the inventory, builds the queue and places its jobs one priority after
 // the other. Tasks that remain unplaced are the unmet demand.
 func (c *cycle) schedule() {
 	c.inventory = c.refreshInventory()
@@ -209,8 +210,9 @@
 			c.placeFirstReplica(&queue[i])
 		}
 	}
-	// Among jobs that are not urgent, those whose image is already on a machine with capacity go first: fetching an
-	// image would take up the machine's time.
+	// Jobs whose image is already on a machine with capacity go first, because fetching an image would take up the
+	// machine's time. Jobs of high priority, jobs near their deadline and arrays that miss their objectives are left
+	// out here.
 	for i := range queue {
 		queued := &queue[i]
 		if !isHighPriority(queued.rank) && !queued.nearDeadline && !queued.key.MissesObjectives {
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -17,21 +17,21 @@
 type UnplacedGroup struct {
 	Spec        *wire.JobSpec
 	Count       int
-	Zone        string    // the zone of the job's other tasks, if all its tasks must be in one zone
+	Zone        string    // the zone for the job's tasks, if they must all be in one zone and it is chosen
 	Rank        int       // of the job's priority, or of the higher priority of a job that depends on it
 	SubmittedAt time.Time // when the job could first start
 }
 
-// UnmetDemand is the tasks that a cycle could not place, and the capacity that it left unused.
+// UnmetDemand describes the tasks that a cycle could not place, and the capacity that it left unused.
 type UnmetDemand struct {
 	Groups        []UnplacedGroup
 	IdleMachines  []string              // machines, up or booting, that have no task and are not planned for any
 	SpareOnDemand binpack.SpareCapacity // of on-demand machines
 	SpareSpot     binpack.SpareCapacity // of spot machines
 	ComputedAt    time.Time
-	// CommonTask is the resources of a common task if tasks of at least that size found no capacity, else zero. While
-	// it is set, the autoscaler keeps idle machines that are too small for a common task: small tasks can run there and
-	// leave the larger machines free.
+	// CommonTask holds the resources of a common task if tasks of at least that size found no capacity, else zero.
+	// While it is set, the autoscaler keeps idle machines that are too small for a common task: small tasks can run
+	// there and leave the larger machines free.
 	CommonTask record.Resources
 }
 
@@ -45,7 +45,7 @@
 	lastServiceShortage time.Time
 	// needPerGPU is the CPUs and memory that GPU tasks need for each GPU.
 	needPerGPU record.Resources
-	// commonTask is the resources of a common task, see updateCommonTask. It is zero while any job uses GPUs.
+	// commonTask holds the resources of a common task, see updateCommonTask. It is zero while any job uses GPUs.
 	commonTask   record.Resources
 	commonTaskAt time.Time // when commonTask was last set
 }
@@ -93,7 +93,7 @@
 	d.needPerGPU = most
 }
 
-// jobCores is the resources of one task of a job, and the cores of all its unfinished tasks together.
+// jobCores holds the resources of one task of a job, and the cores of all its unfinished tasks together.
 type jobCores struct {
 	need  record.Resources
 	cores float64
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -233,7 +233,7 @@
 	}
 }
 
-// Demand returns the demand that the last cycle that accounted it could not place.
+// Demand returns the latest unmet demand. It is computed only while this node is the leader.
 func (e *Engine) Demand() UnmetDemand {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -16,13 +16,13 @@
 
 // machineInspection collects what a cycle finds out about the machines of this node's shards.
 type machineInspection struct {
-	reachableZones int // number of zones that are not partitioned from this node
+	reachableZones int // number of zones that are neither partitioned from this node nor lost
 	machines       []failuredetector.Machine
 	outboundLost   []outboundLostMachine
 }
 
 // deleteFailedMachines deletes the failed machines of this node's shards, and applies what the failure detector
-// concludes about those that have not sent heartbeats.
+// concludes about machines without recent heartbeats.
 func (c *cycle) deleteFailedMachines() {
 	inspection := &machineInspection{reachableZones: c.countReachableZones()}
 	for _, name := range slices.Sorted(maps.Keys(c.cluster.Machines)) {
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -32,9 +32,9 @@
 	queued *queuedJob, limit record.Resources, usage map[string]record.Resources,
 ) {
 	job, spec := queued.job, &queued.job.Spec
-	open := limit.Minus(usage[spec.Team])
-	open.MemoryGB = tuning.MaxAmount * tuning.MaxTasksPerJob // limits cover cores and GPUs, not memory
-	allowed := binpack.TasksThatFit(queued.Need, open)
+	available := limit.Minus(usage[spec.Team])
+	available.MemoryGB = tuning.MaxAmount * tuning.MaxTasksPerJob // limits cover cores and GPUs, not memory
+	allowed := binpack.TasksThatFit(queued.Need, available)
 	if allowed >= queued.Remaining {
 		return
 	}
--- a/internal/scheduler/gangattempt_test.go
+++ b/internal/scheduler/gangattempt_test.go
@@ -65,7 +65,8 @@
 			},
 		}
 		fixture.cluster.BeginUpdate()
-		fixture.cluster.Put(record.JobKey(spec.ID), wire.MustEncode(job), 0) // 0 is the state's revision
+		// The record has revision 0, so that the cluster state has reached it.
+		fixture.cluster.Put(record.JobKey(spec.ID), wire.MustEncode(job), 0)
 		fixture.cluster.EndUpdate()
 		c := fixture.inCycle(0, func(c *cycle) {
 			c.finishJobs()
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -10,7 +10,7 @@
 	"sableusher/internal/record"
 )
 
-// guarantees is which jobs lie within their team's guaranteed share, as of the last update. Each update replaces the
+// guarantees holds which jobs lie within their team's guaranteed share, as of the last update. Each update replaces the
 // maps; they are only read in between.
 type guarantees struct {
 	updatedAt time.Time
@@ -75,9 +75,9 @@
 }
 
 // addTeam determines which of one team's jobs lie within its guarantee. Jobs that on arrival fitted into the guarantee,
-// together with the team's earlier unfinished jobs, come first, because their place was promised. Bound tasks of the
-// other jobs follow, earliest job first. The team's waiting jobs share the rest in the given order. If they shared it
-// by arrival alone, one large late job would keep out the later ones until they were late as well.
+// together with the team's earlier unfinished jobs, come first, because they stay guaranteed. Bound tasks of the other
+// jobs follow, earliest job first. The team's waiting jobs share the rest in the given order. If they shared it by
+// arrival alone, one large late job would keep out the later ones until they were late as well.
 func (g *guarantees) addTeam(
 	limit record.Resources, jobs []*clusterstate.Job, earlier map[string]bool, order func(*clusterstate.Job) int,
 ) {
--- a/internal/scheduler/homeshard.go
+++ b/internal/scheduler/homeshard.go
@@ -42,24 +42,26 @@
 	return waiting.since
 }
 
-// prune drops the jobs that are over.
+// prune drops the entries of jobs that have ended.
 func (w ownerWaits) prune(isOver func(job string) bool) {
 	maps.DeleteFunc(w, func(job string, _ ownerWait) bool { return isOver(job) })
 }
 
-// homeShard returns the shard whose owner places a job: the shard with most of its tasks; else the first one whose
-// holders of the job's image have capacity for all of its tasks; else the first one with capacity for all of them.
-// The order of the shards depends on the job. All nodes compute the same shard without messages; if their views
-// differ, the conditions on the records decide. fitsAny reports whether any shard has capacity for at least one task
-// of the job.
+// homeShard returns the shard whose owner places a job. It is the shard with most of the job's bound tasks, if that has
+// capacity for another one. Otherwise it is the first shard in which machines with the job's image have capacity for
+// all tasks that are still to be placed, or else the first shard with capacity for all of them, or else the first shard
+// whose owner is alive. For arrays under a shortage of capacity, it is the shard with most bound tasks or else the
+// first shard whose owner is alive, regardless of capacity. The order of the shards depends on the job's ID. All nodes
+// compute the same shard without messages; if their views differ, the conditions on the records decide. fitsAny reports
+// whether any shard has capacity for at least one task of the job.
 func (c *cycle) homeShard(queued *queuedJob) (home int, fitsAny bool) {
 	first := c.firstLiveShard(queued.job)
 	underShortage := c.isArrayUnderShortage(queued)
 	home = c.shardOfMostTasks(queued, underShortage)
 	switch {
 	case underShortage:
-		// While capacity is short, all shards release a little of it at any time, so the home shard will soon have
-		// some again. Keeping all tasks in one shard gives the job's record a single writer. With tasks in five
+		// While capacity is short, tasks end in each shard several times a second, so the home shard will soon have
+		// capacity again. Keeping all tasks in one shard gives the job's record a single writer. With tasks in five
 		// shards, the changes that end them would fail each other's conditions and need a transaction each.
 		if home == unknownShard {
 			home = first
@@ -99,7 +101,8 @@
 	return c.order.objectives.capacityShort[queued.rank] && queued.job.Spec.Kind == wire.KindArray
 }
 
-// firstLiveShard returns the first shard whose owner is alive, in an order that depends on the job's ID.
+// firstLiveShard returns the first shard whose owner is alive, in an order that depends on the job's ID. If no owner is
+// alive, it returns the first shard in that order.
 func (c *cycle) firstLiveShard(job *clusterstate.Job) int {
 	hashed := record.ShardOf(job.Spec.ID, c.cluster.ShardCount)
 	for offset := range c.cluster.ShardCount {
--- a/internal/scheduler/homeshard_test.go
+++ b/internal/scheduler/homeshard_test.go
@@ -34,9 +34,9 @@
 		}
 	}
 	if waits.prune(func(string) bool { return false }); len(waits) != 1 {
-		t.Error("a live job was dropped")
+		t.Error("a job that has not ended was dropped")
 	}
 	if waits.prune(func(id string) bool { return id == "a" }); len(waits) != 0 {
-		t.Error("a job that is over was kept")
+		t.Error("a job that has ended was kept")
 	}
 }
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -80,7 +80,7 @@
 func (c *cycle) readiness(machine *clusterstate.Machine, owned bool) binpack.Readiness {
 	switch {
 	case c.failureDetector.ZoneUnavailable(machine.Zone):
-		return binpack.Unavailable // no task starts in a zone while it is partitioned from this node
+		return binpack.Unavailable // no task starts in a zone while it is partitioned from this node or lost
 	case owned && c.isSchedulable(machine), !owned && c.isLikelyUp(machine):
 		return binpack.Ready
 	case !machine.Up && c.bootOverdue(machine):
--- a/internal/scheduler/jobend.go
+++ b/internal/scheduler/jobend.go
@@ -54,9 +54,9 @@
 	return kvstore.Transaction{Conditions: conditions, Ops: c.finalOps(job, job.CancelledStatus(), job.DoneCount)}
 }
 
-// finalOps returns the operations that replace a job's records by its final one. For a job accepted from another cell
-// they write its outcome instead: only the home cell answers the user, and the outcome is sent to that cell
-// repeatedly until it has it.
+// finalOps returns the operations that replace a job's records by its final record. For a job accepted from another
+// cell, its home cell, they replace the records by the job's outcome: only the home cell answers the user, and the
+// outcome is kept until that cell has acknowledged it.
 func (c *cycle) finalOps(job *clusterstate.Job, status wire.JobState, done int) []wire.Op {
 	var ops []wire.Op
 	if guest := job.OffloadedFrom; guest != nil {
--- a/internal/scheduler/learner_policy.go
+++ b/internal/scheduler/learner_policy.go
@@ -20,7 +20,7 @@
 	c.explore(queue)
 }
 
-// exploit orders jobs of the same precedence by descending value.
+// exploit orders jobs of the same precedence by descending value. Jobs near their deadline keep their order.
 func (c *cycle) exploit(queue []queuedJob) {
 	for i := range queue {
 		queue[i].value = c.jobValue(queue[i].job)
--- a/internal/scheduler/learner_reward.go
+++ b/internal/scheduler/learner_reward.go
@@ -23,9 +23,9 @@
 func (u *utilization) accrue(now time.Time, machines int) {
 	if !u.accruedAt.IsZero() {
 		elapsed := now.Sub(u.accruedAt).Seconds()
-		fade := math.Pow(0.5, elapsed/tuning.UtilizationHalfLife.Seconds())
-		u.finishedMachineSeconds *= fade
-		u.heldMachineSeconds = u.heldMachineSeconds*fade + float64(machines)*elapsed
+		decay := math.Pow(0.5, elapsed/tuning.UtilizationHalfLife.Seconds())
+		u.finishedMachineSeconds *= decay
+		u.heldMachineSeconds = u.heldMachineSeconds*decay + float64(machines)*elapsed
 	}
 	u.accruedAt = now
 }
--- a/internal/scheduler/learner_reward_test.go
+++ b/internal/scheduler/learner_reward_test.go
@@ -27,7 +27,8 @@
 	}
 	used.accrue(now.Add(tuning.UtilizationHalfLife), 0)
 	if math.Abs(used.finishedMachineSeconds-2) > 1e-3 || math.Abs(used.heldMachineSeconds-5) > 1e-2 {
-		t.Errorf("%v s finished and %v s held after one half-life", used.finishedMachineSeconds, used.heldMachineSeconds)
+		t.Errorf("%v s finished and %v s held after one half-life",
+			used.finishedMachineSeconds, used.heldMachineSeconds)
 	}
 	if used.finishedMachineSeconds = 1000; used.value() != 1 {
 		t.Errorf("utilization is %v, want at most 1", used.value())
--- a/internal/scheduler/objectives_test.go
+++ b/internal/scheduler/objectives_test.go
@@ -15,7 +15,7 @@
 // objectives. In the queue, arrays that can't meet an objective must not precede arrays that can. While capacity is
 // short, an array must not precede one of a smaller size class; otherwise the size must not matter. The test guards
 // against a queue in which the oldest jobs go first although they are past all their objectives: during a burst, such
-// jobs made 0.69 of the others miss their deadlines.
+// jobs made 69% of the others miss their deadlines.
 func TestLateJobsDoNotDelayOthers(t *testing.T) {
 	short, ample := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/scheduler/precedence.go
+++ b/internal/scheduler/precedence.go
@@ -16,15 +16,16 @@
 )
 
 // sizeClass returns the size class of a job, by which jobs of the same priority are ordered, smallest first. While
-// capacity is too short for all waiting arrays to meet their objectives, the class of an array is the power of two of
-// its remaining work. Starting the smallest first minimizes the mean waiting time (Smith, Various optimizers for
-// single-stage production, Naval Research Logistics 3, 1956) and so maximizes the reward's responsiveness: a large
-// array would delay many that end soon. Within a size class the nearness of the deadline and the value decide. The work
-// is computed from the owner's estimate, because it distinguishes the jobs of one class, which the class's median
-// doesn't.
+// capacity is too short for all waiting arrays to meet their objectives, the class of an array is given by the power of
+// two of the run time of its pending tasks. Starting the smallest first minimizes the mean waiting time (Smith, Various
+// optimizers for single-stage production, Naval Research Logistics 3, 1956) and so maximizes the reward's
+// responsiveness: a large array would delay many that end soon. Within a size class the nearness of the deadline and
+// the value decide. The work is computed from the owner's estimate, because it distinguishes the jobs of one class,
+// which the class's median doesn't.
 //
-// While services find no capacity, the class of a service is determined by its number of running replicas, fewest
-// first. In all other cases it is sizeClassNone.
+// An array that is near its last objective or goes first in the current slot as overdue has sizeClassFirst instead.
+// While services find no capacity, the class of a service is determined by its number of bound replicas, fewest first.
+// In all other cases the class is sizeClassNone.
 func (c *cycle) sizeClass(job *clusterstate.Job) int {
 	if job.Spec.Kind == wire.KindService && c.serviceCapacityScarce() {
 		return 1 + job.BoundCount
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -65,11 +65,12 @@
 	return true
 }
 
-// shardRotation returns the number of shards by which the search for an urgent task's shard to free capacity in is
-// shifted: one for each tuning.PreemptShardInterval since the job first found no capacity. Other nodes may take the
-// machines of a shard for ready although its owner knows that they are not available. Without the shift, all nodes
-// would keep waiting for that owner. The intervals start when the job first found no capacity, because intervals of the
-// wall clock could end while tasks are being stopped, and capacity would be freed twice.
+// shardRotation returns by how many shards the search of preemptForTask is shifted for a job of high or production
+// priority: by one for each tuning.PreemptShardInterval since the job first found no capacity. For other jobs it
+// returns 0. The shift is needed because other nodes may consider the machines of a shard ready although its owner
+// knows that they are not; without it, all nodes would wait for that owner indefinitely. The intervals start when the
+// job first found no capacity, because intervals of the wall clock could end while tasks are being stopped, and
+// capacity would be freed twice.
 func (c *cycle) shardRotation(queued *queuedJob) int {
 	since, ok := c.demand.unplacedSince[queued.job.Spec.ID]
 	if !ok || !isHighPriority(queued.rank) {
@@ -78,7 +79,7 @@
 	return int(c.now.Sub(since) / tuning.PreemptShardInterval)
 }
 
-// countReservedZones counts the machines reserved for a job like bound tasks of it, by zone.
+// countReservedZones adds the machines that are reserved for a job to its number of tasks by zone.
 func (c *cycle) countReservedZones(jobID string, zones *binpack.ZoneConstraint) {
 	for name, task := range c.reservations.active(c.now) {
 		if machine := c.cluster.Machines[name]; machine != nil && task.JobID == jobID {
@@ -123,8 +124,9 @@
 	}
 }
 
-// lostMachineSeconds returns the work lost when a task is stopped, in seconds: its run time so far, or at most the
-// interval of its checkpoints, plus one second.
+// lostMachineSeconds returns the work lost when a task is stopped, in seconds: its run time so far, but at most the
+// interval of its checkpoints. It adds one second, so that each stop counts as a loss, also that of a task that has not
+// begun to run: among plans that lose hardly any work, the one that stops the fewest tasks is the cheapest.
 func (c *cycle) lostMachineSeconds(binding clusterstate.Binding, machine *clusterstate.Machine) float64 {
 	task := c.agents.ObserveTask(binding, machine.Name, c.shards.fencingTokens[machine.Shard])
 	ran := 0.0
@@ -137,7 +139,7 @@
 	return 1 + ran
 }
 
-// preempt stops the victims of a plan for a waiting task and reserves their machine for it.
+// preempt stops the victims of a plan for a pending task and reserves their machine for it.
 func (c *cycle) preempt(plan preemption.Plan, queued *queuedJob, task record.TaskRef) {
 	machine := plan.Machine.Machine.Name
 	c.preempting.machines++
--- a/internal/scheduler/prune.go
+++ b/internal/scheduler/prune.go
@@ -1,6 +1,6 @@
 package scheduler
 
-// pruneState drops the state that is kept of jobs that are over, and state that has expired.
+// pruneState drops the state of jobs that have ended, and state that has expired.
 func (c *cycle) pruneState() {
 	jobs := c.cluster.Jobs
 	isOver := func(id string) bool { return jobs[id] == nil }
--- a/internal/scheduler/reservations.go
+++ b/internal/scheduler/reservations.go
@@ -25,8 +25,8 @@
 // release ends a machine's reservation.
 func (t reservationTable) release(machine string) { delete(t, machine) }
 
-// active yields the machines whose reservation has not expired, with the task that each is reserved for, in no
-// particular order.
+// active returns an iterator over the machines whose reservation has not expired, with the task that each is reserved
+// for, in no particular order.
 func (t reservationTable) active(now time.Time) iter.Seq2[string, record.TaskRef] {
 	return func(yield func(string, record.TaskRef) bool) {
 		for machine, reservation := range t {
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -80,16 +80,16 @@
 	queued *queuedJob, set candidateSet,
 ) (candidates []*binpack.MachineInfo, accept machineFilter) {
 	if queued.job.Spec.Kind == wire.KindService {
-		// The owner of one shard places all replicas, on machines of all shards, preferably with the image. Zones
-		// that were lost and have recovered are used only if there is no capacity in trusted zones.
+		// The owner of one shard places all replicas, on machines of all shards, preferably with the image. A zone that
+		// has failed repeatedly and is not trusted yet is used only if there is no capacity in other zones.
 		queued.homeShard = c.firstLiveShard(queued.job)
 		candidates = c.inTrustedZones(c.inventory.FittingMachines(&queued.Request))
 		return candidates, (*binpack.MachineInfo).SessionKnown
 	}
-	home, anywhere := c.homeShard(queued)
+	home, fitsAny := c.homeShard(queued)
 	queued.homeShard = home
 	switch {
-	case !anywhere:
+	case !fitsAny:
 		c.inventory.RecordFailure(&queued.Request)
 		return nil, nil
 	case set == imageHolders:
@@ -132,8 +132,9 @@
 	return append(picks, c.inventory.Allocate(&queued.Request, candidates, zones, accept)...)
 }
 
-// placeInOtherShards searches all shards for capacity for the tasks that a job's home shard had no capacity for, then
-// the pending machines. The tasks that remain are unmet demand. For an urgent job it also preempts other tasks.
+// placeInOtherShards searches the other shards for capacity for the tasks that a job's home shard had no capacity for,
+// then the pending machines. The tasks that remain are unmet demand. If the job may preempt other tasks, it does so for
+// the tasks without capacity on ready machines, including those expected on pending machines.
 func (c *cycle) placeInOtherShards(queued *queuedJob, unmet *UnmetDemand) {
 	job := queued.job
 	if queued.Remaining == 0 {
@@ -159,9 +160,10 @@
 	}
 }
 
-// allocateAnywhere allocates capacity for a job's tasks in all shards. It binds the tasks that fit on this node's
-// machines if the job is urgent or the owner of its home shard has not placed it in time. Other tasks with capacity are
-// only counted.
+// allocateAnywhere allocates capacity for a job's tasks outside its home shard. It binds those tasks that fit on this
+// node's machines if the job has high priority or the owner of its home shard has not placed it in time. Other tasks
+// with capacity are only subtracted from the remaining ones. For a gang it binds nothing, and only keeps capacity in
+// all shards from being used for other jobs.
 func (c *cycle) allocateAnywhere(queued *queuedJob, chunk int, zones *binpack.ZoneConstraint) {
 	job := queued.job
 	candidates := c.inventory.FittingMachines(&queued.Request)
@@ -169,7 +171,7 @@
 		if job.Spec.SameZone && zones.PinnedZone == "" {
 			zones.PinnedZone = c.inventory.RoomiestZone(&queued.Request, candidates)
 		}
-		c.inventory.Allocate(&queued.Request, candidates, zones, nil) // keeps the capacity free for the whole gang
+		c.inventory.Allocate(&queued.Request, candidates, zones, nil) // keeps the capacity for the whole gang
 		return
 	}
 	picks := c.inventory.Allocate(&queued.Request, candidates, zones, func(candidate *binpack.MachineInfo) bool {
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -21,7 +21,7 @@
 	Help: "1 for the state of each zone as this node sees it, once it has changed.",
 }, []string{"zone", "state"})
 
-// UnavailableZones returns the zones that are partitioned from this node.
+// UnavailableZones returns the zones that are partitioned from this node or lost.
 func (e *Engine) UnavailableZones() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -58,8 +58,8 @@
 	}
 	c.zoneHeartbeats.report(c.log, assessment, c.failureDetector.Zones())
 	for zone, summary := range assessment.ZoneReturns {
-		c.log.Info("zone is reachable again", "zone", zone, "continued", summary.Continued, "restarted", summary.Restarted,
-			"deleted", summary.Deleted, "added", summary.Added)
+		c.log.Info("zone is reachable again", "zone", zone, "continued", summary.Continued,
+			"restarted", summary.Restarted, "deleted", summary.Deleted, "added", summary.Added)
 	}
 }
 
@@ -73,7 +73,7 @@
 	return c.settings.Zone == zone || slices.ContainsFunc(c.settings.Peers, inZone)
 }
 
-// countReachableZones returns the number of zones of the catalog that are not partitioned from this node.
+// countReachableZones returns the number of zones of the catalog that are neither partitioned from this node nor lost.
 func (c *cycle) countReachableZones() int {
 	reachable := map[string]bool{}
 	for _, machineType := range c.cluster.Catalog.Types {
@@ -86,8 +86,8 @@
 	return len(reachable)
 }
 
-// serviceCanMove reports whether a machine is in a zone that is partitioned from this node and runs a service that
-// could start in another zone. reachableZones is the number of zones that are not partitioned.
+// serviceCanMove reports whether a machine is in an unreachable zone and runs a service that could start in another
+// zone. reachableZones is the number of reachable zones.
 func (c *cycle) serviceCanMove(machine *clusterstate.Machine, reachableZones int) bool {
 	if !c.failureDetector.ZoneUnavailable(machine.Zone) || reachableZones == 0 {
 		return false
@@ -97,8 +97,8 @@
 		if spec.Kind != wire.KindService || spec.Zone != "" {
 			continue
 		}
-		// A service spread over two zones may have half of its tasks in the only reachable zone and usually has them
-		// there already, so no task can move.
+		// At most half of the tasks of a spread service may be in one zone. If only one zone is reachable, that half
+		// usually runs there already, and none of the other tasks can move there.
 		if reachableZones > 1 || !spec.Spread || spec.TaskCount == 1 {
 			return true
 		}
