--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -4,7 +4,7 @@
 
 // Scheduling cycles.
 const (
-	// CycleMinInterval is the minimum time between two scheduling cycles of a fleet of up to
+	// CycleMinInterval is the minimum pause between two scheduling cycles for a fleet of up to
 	// CycleMinIntervalMachines machines.
 	CycleMinInterval = 80 * time.Millisecond
 	// CycleMinIntervalMachines is the number of machines above which the minimum interval grows in proportion to the
@@ -68,7 +68,7 @@
 	// BootOverdueFactor is the time, as a multiple of the nominal boot time, after which the autoscaler no longer
 	// counts on a machine that has not come up and rents others instead.
 	BootOverdueFactor = 1.8
-	// MinBootOverdue is the lower bound of that time.
+	// MinBootOverdue is the lower bound of the time given by BootOverdueFactor.
 	MinBootOverdue = 15 * time.Second
 	// HomeShardHold is the time for which only the owner of a task's home shard may place the task; after that any
 	// shard's owner may.
@@ -90,7 +90,8 @@
 	// BootLikelyFactor is the time after a machine's rental, as a multiple of the nominal boot time, from which on
 	// another node's machine is assumed to be up although its record does not say so yet.
 	BootLikelyFactor = 1.3
-	// MinJobBackoff and MaxJobBackoff bound the backoff of a job whose tasks fail on several machines.
+	// MinJobBackoff and MaxJobBackoff bound the backoff of a job, which starts when one of its tasks fails and doubles
+	// with each failure. Failures that the retry rules of the job's class limit have the bounds of the class instead.
 	MinJobBackoff = 2 * time.Second
 	MaxJobBackoff = 60 * time.Second
 	// MaxClassRetries is the maximum number of retries that a class may allow: with more, a task that always fails
@@ -101,14 +102,16 @@
 	// MaxOperatorClasses is the maximum number of classes in the operators' file.
 	MaxOperatorClasses = 256
 	// RejectedRecordPause is the time for which a record is not changed again after the key-value store rejected a
-	// change of it as malformed. The store also rejects a change that exceeds a limit that was lowered early.
+	// change of it as malformed. The store also rejects a change that exceeds a limit that was lowered before the
+	// announced time.
 	RejectedRecordPause = 2 * time.Second
-	// PreemptMinRemainingRun is the expected run time below which an array's tasks are not preempted: they end sooner
-	// than a preemption pays off, which costs a checkpoint, a start elsewhere, an image fetch and the work since the
-	// last checkpoint.
+	// PreemptMinRemainingRun is the expected run time below which an array's tasks are not preempted for a job of the
+	// same priority that reclaims its team's guarantee, unless that job was guaranteed on arrival. Such tasks end
+	// sooner than a preemption pays off, which costs a checkpoint, a start elsewhere, an image fetch and the work since
+	// the last checkpoint.
 	PreemptMinRemainingRun = 3 * time.Minute
-	// PreemptShardInterval is the time for which only one shard frees capacity for an urgent task before the next
-	// shard is tried. It is longer than a stop, the heartbeat that reports it and the record change usually take.
+	// PreemptShardInterval is the time for which only one shard frees capacity for a task of high priority before the
+	// next shard is tried. It is longer than a stop, the heartbeat that reports it and the record change usually take.
 	PreemptShardInterval = 4 * time.Second
 	// ReservationTimeout is the time for which capacity freed for a task stays reserved for it.
 	ReservationTimeout = 12 * time.Second
@@ -120,7 +123,7 @@
 	// GangRecordsPerTxn is the maximum number of a gang's records that one transaction changes. With about 6 KiB per
 	// record, it stays below the size limit of a transaction.
 	GangRecordsPerTxn = 4
-	// TasksPerJobPerCycle is the maximum number of a job's waiting tasks that one cycle examines.
+	// TasksPerJobPerCycle is the maximum number of a job's pending tasks that one cycle examines.
 	TasksPerJobPerCycle = 256
 	// DefaultDeadline is the deadline of jobs that have none, counted from when the job could first start.
 	DefaultDeadline = time.Hour
@@ -130,7 +133,7 @@
 	StopMargin = 1 * time.Second
 	// WaitReasonLogInterval is the minimum time between two log lines about why the same job waits.
 	WaitReasonLogInterval = 5 * time.Second
-	// UnknownOutcomePause is the pause between two attempts to fence a shard, as after a write whose outcome is
-	// unknown.
+	// UnknownOutcomePause is the pause between two attempts to fence a shard, which is done when the outcome of a
+	// write is unknown.
 	UnknownOutcomePause = 200 * time.Millisecond
 )
