--- a/internal/scheduler/adoption_test.go
+++ b/internal/scheduler/adoption_test.go
@@ -41,7 +41,7 @@
 		fixture.heartbeat(wire.Heartbeat{Machine: name, Zone: "east", Session: session, Sequence: 2})
 		c := fixture.inCycle(shard, (*cycle).adoptMachines)
 		if len(c.outgoing) != 1 {
-			t.Fatalf("%d records written", len(c.outgoing))
+			t.Fatalf("%d records written, want 1", len(c.outgoing))
 		}
 		return c.outgoing[0].transaction
 	}
--- a/internal/scheduler/backoff.go
+++ b/internal/scheduler/backoff.go
@@ -32,6 +32,6 @@
 }
 
 // prune drops the backoffs of jobs that have ended.
-func (t backoffTable) prune(isOver func(jobID string) bool) {
-	maps.DeleteFunc(t, func(jobID string, _ jobBackoff) bool { return isOver(jobID) })
+func (t backoffTable) prune(hasEnded func(jobID string) bool) {
+	maps.DeleteFunc(t, func(jobID string, _ jobBackoff) bool { return hasEnded(jobID) })
 }
--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -13,14 +13,16 @@
 // chargeMachineShard, as the charged shard of a binding, stands for the shard of the machine.
 const chargeMachineShard = -1
 
-// bindToOwnMachines binds pending tasks of a job, from a chunk on, to those of the picked machines that this node owns.
+// bindToOwnMachines is like bindTasks, but uses only those of the picked machines that this node owns, and charges each
+// binding to the shard of its machine.
 func (c *cycle) bindToOwnMachines(queued *queuedJob, chunk int, picks []*binpack.MachineInfo) {
 	picks = slices.DeleteFunc(picks, func(candidate *binpack.MachineInfo) bool { return !candidate.Owned })
 	c.bindTasks(queued, chunk, picks, chargeMachineShard)
 }
 
-// bindTasks binds pending tasks of a job, from firstChunk on, to the picked machines, one task each. The bindings are
-// charged to the quota grant of the charged shard, or to that of each machine's own shard for chargeMachineShard.
+// bindTasks binds pending tasks of a job to the picked machines, one task each. It binds tasks of firstChunk and of the
+// chunks after it, or only of firstChunk if the tasks of each chunk must be spread over zones. The bindings are charged
+// to the quota grant of the charged shard, or to that of each machine's own shard for chargeMachineShard.
 func (c *cycle) bindTasks(queued *queuedJob, firstChunk int, picks []*binpack.MachineInfo, charged int) {
 	job := queued.job
 	if queued.deferred {
--- a/internal/scheduler/gangattempt_test.go
+++ b/internal/scheduler/gangattempt_test.go
@@ -41,7 +41,7 @@
 		for _, final := range finalRecords(t, c, spec.ID) {
 			ended++
 			if final.Status != wire.JobDone || final.DoneCount != 2 {
-				t.Errorf("%+v", final)
+				t.Errorf("final record %+v, want status done with 2 done tasks", final)
 			}
 		}
 	}
--- a/internal/scheduler/gangformation.go
+++ b/internal/scheduler/gangformation.go
@@ -24,6 +24,6 @@
 }
 
 // prune drops the gangs that have ended.
-func (g gangFormation) prune(isOver func(jobID string) bool) {
-	maps.DeleteFunc(g, func(jobID string, _ time.Time) bool { return isOver(jobID) })
+func (g gangFormation) prune(hasEnded func(jobID string) bool) {
+	maps.DeleteFunc(g, func(jobID string, _ time.Time) bool { return hasEnded(jobID) })
 }
--- a/internal/scheduler/homeshard.go
+++ b/internal/scheduler/homeshard.go
@@ -43,8 +43,8 @@
 }
 
 // prune drops the entries of jobs that have ended.
-func (w ownerWaits) prune(isOver func(job string) bool) {
-	maps.DeleteFunc(w, func(job string, _ ownerWait) bool { return isOver(job) })
+func (w ownerWaits) prune(hasEnded func(job string) bool) {
+	maps.DeleteFunc(w, func(job string, _ ownerWait) bool { return hasEnded(job) })
 }
 
 // homeShard returns the shard whose owner places a job. It is the shard with most of the job's bound tasks, if that has
--- a/internal/scheduler/learner_checkpoint_test.go
+++ b/internal/scheduler/learner_checkpoint_test.go
@@ -64,7 +64,7 @@
 				reader := &recordReader{records: test.records, failures: test.failures}
 				checkpoint, err := learnerCheckpoints{node: "node-0", reader: reader}.load(t.Context())
 				if (err != nil) != test.fails || errors.Is(err, kvstore.ErrNotFound) != test.notFound {
-					t.Fatalf("error %v", err)
+					t.Fatalf("load returned the error %v", err)
 				}
 				if err == nil && checkpoint.RewardCount != test.rewards {
 					t.Errorf("%d rewards, want %d", checkpoint.RewardCount, test.rewards)
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -117,8 +117,8 @@
 }
 
 // prune drops the cached values of jobs that have ended.
-func (l *learning) prune(isOver func(job string) bool) {
-	maps.DeleteFunc(l.values.byJob, func(job string, _ cachedValue) bool { return isOver(job) })
+func (l *learning) prune(hasEnded func(job string) bool) {
+	maps.DeleteFunc(l.values.byJob, func(job string, _ cachedValue) bool { return hasEnded(job) })
 }
 
 // dropStaleAttempts drops the attempts of jobs that have ended and of tasks that are in a later attempt.
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -60,12 +60,12 @@
 			if len(bindings) > 0 {
 				writers++
 				if len(c.outgoing) != 1 {
-					t.Errorf("%d changes", len(c.outgoing))
+					t.Errorf("%d changes, want 1", len(c.outgoing))
 				}
 			}
 			for _, binding := range bindings {
 				if record.ShardOf(binding.machine, testShards) != shard {
-					t.Errorf("node %d binds %s", shard, binding.machine)
+					t.Errorf("node %d binds a task to %s in another shard", shard, binding.machine)
 				}
 			}
 			bound += len(bindings)
--- a/internal/scheduler/waitlog.go
+++ b/internal/scheduler/waitlog.go
@@ -20,6 +20,6 @@
 }
 
 // prune drops the entries of jobs that have ended.
-func (l waitLog) prune(isOver func(jobID string) bool) {
-	maps.DeleteFunc(l, func(jobID string, _ time.Time) bool { return isOver(jobID) })
+func (l waitLog) prune(hasEnded func(jobID string) bool) {
+	maps.DeleteFunc(l, func(jobID string, _ time.Time) bool { return hasEnded(jobID) })
 }
