--- a/internal/scheduler/gangattempt_test.go
+++ b/internal/scheduler/gangattempt_test.go
@@ -41,7 +41,7 @@
 		for _, final := range finalRecords(t, c, spec.ID) {
 			ended++
 			if final.Status != wire.JobDone || final.DoneCount != 2 {
-				t.Errorf("%+v", final)
+				t.Errorf("final record %+v, want status done with 2 done tasks", final)
 			}
 		}
 	}
@@ -65,7 +65,8 @@
 			},
 		}
 		fixture.cluster.BeginUpdate()
-		fixture.cluster.Put(record.JobKey(spec.ID), wire.MustEncode(job), 0) // 0 is the state's revision
+		// The record has revision 0, so that the cluster state has reached it.
+		fixture.cluster.Put(record.JobKey(spec.ID), wire.MustEncode(job), 0)
 		fixture.cluster.EndUpdate()
 		c := fixture.inCycle(0, func(c *cycle) {
 			c.finishJobs()
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -63,7 +63,8 @@
 }
 
 // recordDecision reports the start of a task to the learner. Each task is a decision of its own, as each of the paper's
-// jobs uses one processor. The action is scored again, because the reservoir has changed since the job was valued.
+// jobs uses one processor. The action is scored again, because the learner's reservoir has changed since the job was
+// valued.
 func (c *cycle) recordDecision(queued *queuedJob, binding pendingBinding, attempt uint64) {
 	l := &c.learning
 	if !l.operator.LearningEnabled {
@@ -116,8 +117,8 @@
 }
 
 // prune drops the cached values of jobs that have ended.
-func (l *learning) prune(isOver func(job string) bool) {
-	maps.DeleteFunc(l.values.byJob, func(job string, _ cachedValue) bool { return isOver(job) })
+func (l *learning) prune(hasEnded func(job string) bool) {
+	maps.DeleteFunc(l.values.byJob, func(job string, _ cachedValue) bool { return hasEnded(job) })
 }
 
 // dropStaleAttempts drops the attempts of jobs that have ended and of tasks that are in a later attempt.
