--- a/internal/record/chunk.go
+++ b/internal/record/chunk.go
@@ -61,8 +61,9 @@
 	return append(runs, index, 0)
 }
 
-// expandGroups returns the tasks of groups. It returns an error if the groups have more tasks than a record may hold or
-// indexes that no job can have, so that a corrupt record cannot exhaust the memory.
+// expandGroups returns the tasks of groups. It returns an error if index runs are not in pairs, if a run starts at an
+// index that no job can have, or if the groups have more tasks than a record may hold. A corrupt record can therefore
+// not exhaust the memory.
 func expandGroups(groups []TaskGroup) ([]Task, error) {
 	var tasks []Task
 	for _, group := range groups {
--- a/internal/record/chunk_test.go
+++ b/internal/record/chunk_test.go
@@ -7,8 +7,8 @@
 	"sableusher/internal/tuning"
 )
 
-// TestInvalidTaskGroupsAreRejected checks that groups with unpaired or out-of-range index runs fail to decode and
-// cannot exhaust the memory.
+// TestInvalidTaskGroupsAreRejected checks that groups with unpaired or out-of-range index runs are rejected, so that a
+// corrupt record cannot exhaust the memory.
 func TestInvalidTaskGroupsAreRejected(t *testing.T) {
 	for _, runs := range [][]int{
 		{1}, {-1, 0}, {0, -1}, {0, tuning.FixedChunkTasks}, {tuning.MaxTasksPerJob, 0}, {0, 1 << 40}, {0, 100, 0, 100},
--- a/internal/record/compatibility_test.go
+++ b/internal/record/compatibility_test.go
@@ -144,7 +144,7 @@
 }
 
 // checkRoundTrip decodes an old record into the old and into the current type, encodes the current value and decodes
-// the result into the old type again. Both values of the old type must be equal.
+// the result into the old type again. Both values of the old type must be equal and not zero.
 func checkRoundTrip[Old, New any](t *testing.T, name string, encoded []byte) {
 	t.Helper()
 	var before, after Old
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -13,8 +13,8 @@
 
 	// Since schema version 1. ChunkWidth is the number of tasks in each grouped chunk, whose tasks are in Groups. If
 	// it is 0, the job has fixed chunks of tuning.FixedChunkTasks tasks, which are in Tasks. During the migration
-	// from fixed to grouped chunks, FirstFixedChunk is the number of the first fixed chunk that is left; 0 if none
-	// is left.
+	// from fixed to grouped chunks, FirstFixedChunk is the number of the first fixed chunk that is left, counted as
+	// if all chunks were fixed; 0 if none is left.
 	ChunkWidth      int         `cbor:"w,omitempty"`
 	FirstFixedChunk int         `cbor:"v,omitempty"`
 	Groups          []TaskGroup `cbor:"g,omitempty"` // of a grouped chunk
@@ -29,17 +29,18 @@
 	Failures []int `cbor:"f,omitempty"`
 	Failed   bool  `cbor:"e,omitempty"`
 
-	// Since schema version 4. OffloadedTo is set while another cell has the right to start the job, since
-	// OffloadedAtMs. OffloadedFrom is set if the job is a guest from another cell; only that cell answers the user.
+	// Since schema version 4. OffloadedTo is set while another cell has the right to start the job; OffloadedAtMs is
+	// when the job was offloaded. OffloadedFrom is set if the job is a guest from another cell; only that cell
+	// answers the user.
 	OffloadedTo   *Transfer `cbor:"a,omitempty"`
 	OffloadedAtMs int64     `cbor:"am,omitempty"`
 	OffloadedFrom *Transfer `cbor:"h,omitempty"`
 
-	// CancelRequestedAtMs is when the user asked to cancel the job before schema version 2 while a task could be
-	// bound; 0 if there is no such request. No task of the job starts after that and bound tasks are stopped, but
-	// no node may report the job as cancelled before all tasks are released. Nodes that do not honor the request
-	// (Node.HonorsCancelRequests) drop it when they rewrite the record. The cancellation was not confirmed to the
-	// user, who then has to request it again.
+	// CancelRequestedAtMs is when the user asked to cancel the job while one of its tasks could be bound and a schema
+	// version below 2 was active; 0 if there is no such request. No task of the job starts after that and bound tasks
+	// are stopped, but no node may report the job as cancelled before all tasks are released. Nodes that do not honor
+	// the request (Node.HonorsCancelRequests) drop it when they rewrite the record. The cancellation was not confirmed
+	// to the user, who then has to request it again.
 	CancelRequestedAtMs int64 `cbor:"r,omitempty"`
 }
 
--- a/internal/record/layout.go
+++ b/internal/record/layout.go
@@ -7,11 +7,11 @@
 	"sableusher/internal/wire"
 )
 
-// A job's tasks are split into chunks, which are numbered from 0. Each chunk is stored in one record; chunk 0 is part
-// of the job's own record. In the original layout all chunks are fixed chunks. Since schema version 1 a job may have a
-// ChunkWidth, and then its chunks are grouped chunks. A job that was accepted earlier is migrated one fixed chunk at a
-// time. During the migration its grouped chunks have the lowest numbers, and the fixed chunks that are left, from
-// FirstFixedChunk on, follow them.
+// A job's tasks are split into chunks, which are numbered from 0. Each chunk is stored in one record. Chunk 0 is part
+// of the job's own record; the others are the job's further chunks. In the original layout all chunks are fixed chunks.
+// Since schema version 1 a job may have a ChunkWidth, and then its chunks are grouped chunks. A job that was accepted
+// earlier is migrated one fixed chunk at a time. During the migration its grouped chunks have the lowest numbers, and
+// the fixed chunks that are left, from FirstFixedChunk on, follow them.
 
 // FixedChunkCount returns the number of fixed chunks that hold the given number of tasks.
 func FixedChunkCount(tasks int) int {
--- a/internal/record/layout_test.go
+++ b/internal/record/layout_test.go
@@ -32,7 +32,7 @@
 		for chunk := range job.ChunkCount() {
 			first, end := job.TaskRange(chunk)
 			if first != next || end <= first {
-				t.Fatalf("chunk %d holds tasks %d to %d, want them from %d on", chunk, first, end, next)
+				t.Fatalf("chunk %d has the task range [%d, %d), want it to start at %d", chunk, first, end, next)
 			}
 			for _, task := range []int{first, end - 1} {
 				if got := job.ChunkOf(task); got != chunk {
@@ -41,7 +41,7 @@
 			}
 			if chunk > 0 {
 				if got, ok := job.ChunkIndexOf(job.ChunkKey(chunk)); got != chunk || !ok {
-					t.Fatalf("key %s names chunk %d, %v, want %d", job.ChunkKey(chunk), got, ok, chunk)
+					t.Fatalf("key %s belongs to chunk %d, %v, want %d", job.ChunkKey(chunk), got, ok, chunk)
 				}
 			}
 			next = end
--- a/internal/record/machine.go
+++ b/internal/record/machine.go
@@ -13,8 +13,8 @@
 	Deleting    bool   `cbor:"g,omitempty"` // deletion was requested: no tasks are placed on it and no leases renewed
 }
 
-// Rental is the record of a rental request. It is written before the request is sent. Once the request is answered, it
-// lists the rented machines, which need no records of their own until they are up.
+// Rental is the record of a rental request. It is written before the request is sent. Once the request is answered, the
+// record lists the rented machines, which need no records of their own until they are up.
 type Rental struct {
 	Type          string   `cbor:"h"`
 	Zone          string   `cbor:"z"`
--- a/internal/record/membership.go
+++ b/internal/record/membership.go
@@ -23,8 +23,8 @@
 	Owner            string `cbor:"o"`
 	OwnerIncarnation uint64 `cbor:"i"` // of the owner's process
 	FencingToken     uint64 `cbor:"e"`
-	HandedOff        bool   `cbor:"g,omitempty"` // transferred by an owner that the agents could not reach
-	FenceCount       uint64 `cbor:"c,omitempty"` // number of rewrites that only fence older transactions
+	HandedOff        bool   `cbor:"g,omitempty"` // transferred because most agents reported to another node
+	FenceCount       uint64 `cbor:"c,omitempty"` // number of rewrites by the owner that fence older transactions
 }
 
 // Node is the record of a node's live session. It is attached to the node's lease in the store and disappears with it.
--- a/internal/record/size.go
+++ b/internal/record/size.go
@@ -5,7 +5,7 @@
 	"sableusher/internal/wire"
 )
 
-// The store limits the size of a value in its JSON form. The constants are sizes in bytes of that form, excluding
+// The store limits the size of a value in its JSON form. These constants are sizes in bytes of that form, excluding
 // numbers and names, whose length varies.
 const (
 	chunkBytes        = 8              // {"k":[]}
@@ -19,7 +19,7 @@
 // SizeLimits holds the size limits of job records, in bytes of their JSON form.
 type SizeLimits struct {
 	MaxBytes       int // of one record
-	BoundTaskBytes int // upper bound of one bound task in a record
+	BoundTaskBytes int // upper bound of the size of one bound task in a record
 }
 
 // ChunkWidth returns the number of tasks that a grouped chunk of a job should hold, or 0 if no width fits. baseSize is
@@ -54,9 +54,10 @@
 	return tuning.RetryCountMaxBytes
 }
 
-// EncodedBaseSize returns the maximum size of a job's own record without tasks, in bytes of its JSON form.
+// EncodedBaseSize returns the size of a job's own record without tasks, in bytes of its JSON form. It allows for
+// most fields that may be set later; those of an offload count only if they are set already.
 func EncodedBaseSize(job Job) int {
-	// Allow for the fields that may be set later.
+	// Set the fields that may be set later. CancelledAtMs takes as much as CancelRequestedAtMs, which it replaces.
 	job.MarkCancelled(job.SubmittedAtMs, true)
 	job.PreemptedAttempt = tuning.MaxTasksPerJob
 	job.ChunkWidth, job.FirstFixedChunk = tuning.FixedChunkTasks, tuning.MaxTasksPerJob
--- a/internal/record/size_test.go
+++ b/internal/record/size_test.go
@@ -12,8 +12,8 @@
 
 const submittedAtMs = 1764600000000
 
-// TestLargestFixedChunkFits checks that a fixed chunk full of tasks with long field values stays within the smallest
-// value limit of a store (16 KiB as JSON).
+// TestLargestFixedChunkFits checks that the record of a fixed chunk full of tasks with long field values takes at most
+// tuning.RecordShareOfValueLimit of the smallest value limit of a store (16 KiB as JSON).
 func TestLargestFixedChunkFits(t *testing.T) {
 	job := Job{Spec: wire.JobSpec{ID: "run-00000000000000000001", TaskCount: tuning.MaxTasksPerJob}}
 	var tasks []Task
@@ -22,11 +22,11 @@
 			Machine: "vm-000000231", Session: 1 << 20})
 	}
 	if op := job.EncodeTasks(1, tasks); float64(len(op.Value)) > tuning.RecordShareOfValueLimit*16*1024 {
-		t.Fatalf("%d bytes", len(op.Value))
+		t.Fatalf("fixed chunk takes %d bytes", len(op.Value))
 	}
 }
 
-// longSpecGang returns a gang with the longest description that is expected in practice.
+// longSpecGang returns a gang whose description is as long as any that is expected in practice.
 func longSpecGang(tasks int) wire.JobSpec {
 	return wire.JobSpec{
 		ID: "run-00000000000000000001", Class: "a-class-of-work", Team: "a-team-of-people", Kind: wire.KindGang,
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestGangRecordsFitSmallLimit checks that the records of a gang with a long description and a different machine for
-// each task stay within a value limit of 2 KiB.
+// TestGangRecordsFitSmallLimit checks that the first records of a gang with a long description and a different machine
+// for each task stay within a value limit of 2 KiB.
 func TestGangRecordsFitSmallLimit(t *testing.T) {
 	limit := 2048
 	limits := SizeLimits{MaxBytes: int(float64(limit) * tuning.JSONShareOfValueLimit),
--- a/internal/tuning/membership.go
+++ b/internal/tuning/membership.go
@@ -10,7 +10,7 @@
 	// SessionRenewInterval is the interval at which sessions are renewed, a third of SessionTTL.
 	SessionRenewInterval = 1 * time.Second
 	// FailoverStagger is how much longer a node waits before it takes over a shard without a live owner, for each
-	// shard that it already owns.
+	// shard that it already owns. It keeps the nodes from all trying to take over the same shard.
 	FailoverStagger = 250 * time.Millisecond
 	// HomeNodeGrace is the additional time that other nodes wait before they take over a shard whose home node is
 	// live, or a shard that never had an owner.
--- a/internal/tuning/records.go
+++ b/internal/tuning/records.go
@@ -14,13 +14,13 @@
 	// split to fit within it: it has room for a description of 600 bytes and MinChunkWidth tasks of a gang.
 	MinUpcomingValueLimitKB = 1
 	// MinUpcomingTxnOps is the smallest number of operations per transaction that may be configured as an upcoming
-	// limit. A migration step splits one fixed chunk into FixedChunkTasks/MinChunkWidth records and also writes the
-	// job's own record.
+	// limit. A migration step deletes the record of one fixed chunk and writes FixedChunkTasks/MinChunkWidth grouped
+	// chunks and the job's own record.
 	MinUpcomingTxnOps = 10
 	// JSONShareOfValueLimit is the fraction of a value limit that a record may use if its size is computed in the
 	// JSON form. The state service may write numbers and separators slightly longer than the computation assumes.
 	JSONShareOfValueLimit = 0.85
-	// MinChunkWidth is the smallest number of tasks in a grouped chunk.
+	// MinChunkWidth is the smallest chunk width, in tasks, of a job with grouped chunks.
 	MinChunkWidth = 16
 	// BoundTaskMaxBytes is the maximum size of a bound task in a record, as JSON: state, attempt, machine, session,
 	// charged shard and index, each with more digits than occur in practice, and a machine name of up to
@@ -33,9 +33,11 @@
 	// RetryCountMaxBytes is the maximum size of a task's entry in the failure list of a record, as JSON: the index of
 	// the task and its number of failures.
 	RetryCountMaxBytes = 12
-	// MigrationsPerCycle is the maximum number of records that one scheduling cycle migrates. MigrationInterval is
-	// the minimum time between migrations of records that no change waits for. Together they leave enough of the
-	// request budget for submissions.
+	// MigrationsPerCycle is the maximum number of migration steps in one scheduling cycle, each of which migrates one
+	// record, and of chunks without a record that one step skips. MigrationInterval is the minimum time between two
+	// cycles that migrate records in the background, which are records that no change waits for. A job must be older
+	// than MigrationInterval to be migrated in the background. Together the two leave enough of the request budget
+	// for submissions.
 	MigrationsPerCycle = 4
 	MigrationInterval  = 250 * time.Millisecond
 	// MaxTasksPerJob is the maximum number of tasks in a job that the protocol allows.
--- a/internal/tuning/schemaversion.go
+++ b/internal/tuning/schemaversion.go
@@ -11,7 +11,7 @@
 	// SchemaVersionDependencies is the first schema version with dependencies between jobs and with split records.
 	SchemaVersionDependencies = 1
 	// SchemaVersionConfirmedCancel is the first schema version at which every node confirms a cancellation only once
-	// no task of the job is bound. Because of that, leases may be renewed during a partition.
+	// no task of the job is bound. This allows leases to be renewed during a partition.
 	SchemaVersionConfirmedCancel = 2
 	// SchemaVersionRetries is the first schema version with counts of task failures in job records.
 	SchemaVersionRetries = 3
@@ -22,8 +22,8 @@
 	OutcomeReadRetryPause = 300 * time.Millisecond
 	// OutcomeReadConcurrency is the maximum number of final records that are read concurrently.
 	OutcomeReadConcurrency = 4
-	// DependentCancelOwnerGrace is how long only the owner of a job's shard may cancel the job after one of its
-	// dependencies was cancelled. After that any node may do so.
+	// DependentCancelOwnerGrace is how long only the owner of the first live shard of a job may cancel the job after
+	// one of its dependencies was cancelled. After that any node may do so.
 	DependentCancelOwnerGrace = 3 * time.Second
 	// DependentCancelsPerCycle is the maximum number of jobs that one scheduling cycle cancels because of a cancelled
 	// dependency.
