--- a/internal/membership/failover.go
+++ b/internal/membership/failover.go
@@ -39,8 +39,8 @@
 type ownershipPlan struct {
 	changes []ownershipChange
 	// shardToRaise is one of this node's shards whose fencing token is still below
-	// tuning.ConfirmedCancelTokenBase and has to be raised above it; LeaderShard if
-	// there is none.
+	// tuning.ConfirmedCancelTokenBase and has to be raised to at least that value;
+	// LeaderShard if there is none.
 	shardToRaise int
 }
 
@@ -93,7 +93,7 @@
 		current, known := m.clusterState.Shards[shard]
 		if known && m.ownerIsLive(current) {
 			delete(m.history.orphanedSince, shard)
-			if change, ok := m.handBack(shard, current, now); ok {
+			if change, ok := m.returnShard(shard, current, now); ok {
 				plan.changes = append(plan.changes, change)
 			}
 			continue
@@ -136,7 +136,7 @@
 }
 
 // shardToRaise returns one of this node's shards whose fencing token has to be
-// raised above tuning.ConfirmedCancelTokenBase, or LeaderShard if there is none.
+// raised to at least tuning.ConfirmedCancelTokenBase, or LeaderShard if there is none.
 // The caller must hold the cluster state's lock.
 func (m *Member) shardToRaise() int {
 	found := record.LeaderShard
--- a/internal/membership/failover_test.go
+++ b/internal/membership/failover_test.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestOrphanedShardTakeoverIsStaggered checks that a node without shards takes
-// over a shard whose owner has no session immediately, and a node with shards
-// only after its delay. The takeover is conditional on the absence of the
+// TestOrphanedShardTakeoverIsStaggered checks that, if the owner of a shard has no
+// session, a node without shards takes the shard over immediately and a node with
+// shards only after its delay. The takeover is conditional on the absence of the
 // owner's session. The owner itself does not take the shard over, neither
 // without a session nor after it has opened one again.
 func TestOrphanedShardTakeoverIsStaggered(t *testing.T) {
--- a/internal/membership/fencing.go
+++ b/internal/membership/fencing.go
@@ -116,8 +116,8 @@
 }
 
 // nextFencingToken returns the fencing token that follows the given one. Once the
-// schema version is at least tuning.SchemaVersionConfirmedCancel, tokens are
-// above tuning.ConfirmedCancelTokenBase. The schema version is never lowered, so
+// schema version is at least tuning.SchemaVersionConfirmedCancel, tokens are at
+// least tuning.ConfirmedCancelTokenBase. The schema version is never lowered, so
 // if an agent reports such a token, even a process without cluster state knows
 // that cancellations are confirmed only after all tasks of a job are released.
 func nextFencingToken(fencingToken uint64, schemaVersion int) uint64 {
--- a/internal/membership/fencing_test.go
+++ b/internal/membership/fencing_test.go
@@ -10,10 +10,10 @@
 )
 
 // TestFencingTokensIndicateConfirmedCancellations checks that fencing tokens only
-// increase, and that they are above tuning.ConfirmedCancelTokenBase if and only
-// if the schema version has confirmed cancellations: a process without cluster
-// state renews leases based on that. An owner with lower tokens raises them one
-// shard at a time.
+// increase, and that they are at least tuning.ConfirmedCancelTokenBase if and only
+// if cancellations are confirmed at the schema version, because a process without
+// cluster state renews leases based on that. It also checks that an owner of a
+// shard with a lower token raises that token.
 func TestFencingTokensIndicateConfirmedCancellations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		token, version := rapid.Uint64Range(0, 1000).Draw(t, "token"), 0
--- a/internal/membership/handover.go
+++ b/internal/membership/handover.go
@@ -9,12 +9,12 @@
 	"sableusher/internal/tuning"
 )
 
-// handBack plans the return of a shard to its home node, so that one node doesn't
+// returnShard plans the return of a shard to its home node, so that one node doesn't
 // keep all shards after a crash. The home node must have had a session, and this
 // node must have owned the shard, for tuning.ShardReturnDelay, or for
 // tuning.HandOffHold if the shard was transferred with TransferShard. The caller
 // must hold the cluster state's lock.
-func (m *Member) handBack(shard int, current clusterstate.Shard, now time.Time) (ownershipChange, bool) {
+func (m *Member) returnShard(shard int, current clusterstate.Shard, now time.Time) (ownershipChange, bool) {
 	home := m.homeNode(shard)
 	if shard == record.LeaderShard || !m.ownedBySelf(current) || home == m.NodeName || m.fences.isRunning(shard) {
 		return ownershipChange{}, false
@@ -42,9 +42,10 @@
 	}, true
 }
 
-// TransferShard transfers a shard that this node owns to another node, which
-// receives heartbeats from the shard's agents while this node receives none. It
-// makes one attempt and does nothing while a fence of the shard runs.
+// TransferShard transfers a shard that this node owns to another live node. It is
+// called if the agents of most of the shard's machines report to that node and not
+// to this one. It makes one attempt and does nothing while a fence of the shard
+// runs.
 func (m *Member) TransferShard(ctx context.Context, shard int, to string) {
 	m.clusterState.RLock()
 	current, known := m.clusterState.Shards[shard]
@@ -63,5 +64,6 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*tuning.KVRequestTimeout)
 	defer cancel()
 	_, err := m.committer.Commit(ctx, ownershipTransaction(shard, current, next, sessionCondition(to, target)))
-	m.logger.Info("shard transfer attempted: heartbeats reach another node", "shard", shard, "node", to, "err", err)
+	m.logger.Info("shard transfer attempted, because its agents report to another node",
+		"shard", shard, "node", to, "err", err)
 }
--- a/internal/membership/handover_test.go
+++ b/internal/membership/handover_test.go
@@ -11,8 +11,9 @@
 
 // TestShardReturnsToHomeNode checks that an owner returns a shard to its home node
 // once the home node has had a session, and the owner has had the shard, for the
-// required time. That time is longer if the shard was transferred because no
-// heartbeats reached its owner. A shard is not returned while it is being fenced.
+// required time. That time is longer if the previous owner transferred the shard
+// because its agents reported to another node. A shard is not returned while it is
+// being fenced.
 func TestShardReturnsToHomeNode(t *testing.T) {
 	for name, c := range map[string]struct {
 		handedOff  bool
@@ -35,25 +36,25 @@
 					current.HandedOff = c.handedOff
 					cluster.state.Shards[shard] = current
 				}
-				returnHome := func() { cluster.openSession(home, 6) }
+				openHomeSession := func() { cluster.openSession(home, 6) }
 				cluster.openSession(owner, 5)
-				first, second := returnHome, own
+				first, second := openHomeSession, own
 				if c.ownedFirst {
-					first, second = own, returnHome
+					first, second = own, openHomeSession
 				}
 				first()
 				owner.planOwnership()
 				time.Sleep(time.Second)
 				second()
-				checkHandBack(t, owner, home, shard, c.wait)
+				checkShardReturn(t, owner, home, shard, c.wait)
 			})
 		})
 	}
 }
 
-// checkHandBack checks that an owner returns a shard to its home node after wait
-// and not earlier.
-func checkHandBack(t *testing.T, owner, home *Member, shard int, wait time.Duration) {
+// checkShardReturn checks that an owner returns a shard to its home node after wait,
+// not earlier and not while it fences the shard.
+func checkShardReturn(t *testing.T, owner, home *Member, shard int, wait time.Duration) {
 	owner.planOwnership() // wait starts when the owner observes the state
 	time.Sleep(wait - time.Millisecond)
 	if _, ok := plannedChange(owner, shard); ok {
--- a/internal/membership/ownership.go
+++ b/internal/membership/ownership.go
@@ -25,8 +25,8 @@
 	if !known || !m.ownedBySelf(current) {
 		return Ownership{}, false
 	}
-	claim := Ownership{FencingToken: current.FencingToken, ModRevision: current.ModRevision}
-	return claim, m.cache.Revision() >= current.ModRevision && !m.fences.isRunning(shard)
+	ownership := Ownership{FencingToken: current.FencingToken, ModRevision: current.ModRevision}
+	return ownership, m.cache.Revision() >= current.ModRevision && !m.fences.isRunning(shard)
 }
 
 // MayServeAgents reports whether this node may answer the agents of a shard, and
@@ -82,8 +82,10 @@
 
 // budgetShare returns this node's share of the key-value store's request budget.
 // One part of the budget is divided evenly among the live nodes. The rest is
-// divided by the number of owned shards, because their tasks cause the writes.
-// The shares of all live nodes together do not exceed tuning.KVBudgetShare.
+// divided in proportion to the number of shards that each node owns, because their
+// tasks cause the writes. The shares of all live nodes together do not exceed
+// tuning.KVBudgetShare. A node without a session assumes an equal share for each
+// node of the deployment.
 func (m *Member) budgetShare() float64 {
 	m.clusterState.RLock()
 	defer m.clusterState.RUnlock()
@@ -109,7 +111,7 @@
 }
 
 // sessionCondition returns the condition that a node's session record has the mod
-// revision of the given one. A zero node stands for the absence of a session.
+// revision of node. If node is zero, the condition is that the node has no session.
 func sessionCondition(name string, node clusterstate.Node) wire.Condition {
 	return wire.Condition{Key: record.NodeKey(name), ModRevision: node.ModRevision}
 }
--- a/internal/membership/ownership_test.go
+++ b/internal/membership/ownership_test.go
@@ -34,7 +34,8 @@
 			sum += member.budgetShare()
 		}
 		if sum > tuning.KVBudgetShare+tolerance || liveCount == 1 && sum < tuning.KVBudgetShare-tolerance {
-			t.Errorf("shares add up to %v of %v with %d of %d nodes", sum, tuning.KVBudgetShare, liveCount, nodeCount)
+			t.Errorf("shares add up to %v of %v with %d of %d nodes live",
+				sum, tuning.KVBudgetShare, liveCount, nodeCount)
 		}
 	})
 }
--- a/internal/membership/session.go
+++ b/internal/membership/session.go
@@ -69,7 +69,7 @@
 		return true
 	}
 	if s.registeredAt != 0 && s.isDisplaced() {
-		s.logger.Info("session record deleted or replaced by another registration; registering again")
+		s.logger.Info("session record missing or replaced; registering again")
 		s.registeredAt = 0
 	}
 	if err == nil && s.registeredAt == 0 {
@@ -78,7 +78,7 @@
 		case err == nil:
 			s.logger.Info("session open", "node", s.nodeName, "incarnation", s.record.Incarnation)
 		case errors.Is(err, kvstore.ErrConditionFailed):
-			return true // the registration that was read has changed, for example expired
+			return true // the session record changed after it was read, for example it expired
 		case errors.Is(err, kvstore.ErrRejected):
 			s.leaseID = 0
 		}
@@ -143,6 +143,6 @@
 	ctx, cancel := context.WithTimeout(ctx, tuning.ShutdownGrace/2)
 	defer cancel()
 	if err := s.client.RevokeLease(ctx, s.leaseID); err != nil {
-		s.logger.Info("session lease not revoked; the session ends when the lease expires", "err", err)
+		s.logger.Info("session lease not revoked and left to expire", "err", err)
 	}
 }
--- a/internal/membership/store_test.go
+++ b/internal/membership/store_test.go
@@ -28,9 +28,9 @@
 
 // storeTransport passes requests to a fake store.
 type storeTransport struct {
-	store                   http.Handler
-	isPartitioned           atomic.Bool // requests don't reach the store
-	dropsTransactionReplies atomic.Bool // transactions are applied, but their responses are lost
+	store                http.Handler
+	isPartitioned        atomic.Bool // requests don't reach the store
+	losesCommitResponses atomic.Bool // transactions are applied, but their responses are lost
 }
 
 func (s *storeTransport) RoundTrip(request *http.Request) (*http.Response, error) {
@@ -43,7 +43,7 @@
 	}
 	recorder := httptest.NewRecorder()
 	s.store.ServeHTTP(recorder, inner)
-	if s.dropsTransactionReplies.Load() && request.URL.Path == "/multi" {
+	if s.losesCommitResponses.Load() && request.URL.Path == "/multi" {
 		return nil, errConnectionLost
 	}
 	return recorder.Result(), nil
@@ -140,8 +140,9 @@
 		if !isRegistered() {
 			t.Error("not registered after the lease has expired")
 		}
-		// Replace the registration, as a process of an earlier version does. Such a
-		// process writes without a condition; the committer used here needs one.
+		// Replace the registration, as a process of an earlier version may do. Such a
+		// process writes without a condition; this transaction is conditional on the
+		// current record.
 		key := record.NodeKey(node.name)
 		_, err := node.committer.Commit(t.Context(), kvstore.Transaction{
 			Conditions: []wire.Condition{{Key: key, ModRevision: node.store.Row(key).ModRevision}},
@@ -167,7 +168,7 @@
 // responses to the fence's own transactions are lost. While a fence runs, the
 // node doesn't report that it owns the shard.
 func TestFenceFailsEarlierTransactions(t *testing.T) {
-	for name, dropsTransactionReplies := range map[string]bool{"responses arrive": false, "responses are lost": true} {
+	for name, losesCommitResponses := range map[string]bool{"responses arrive": false, "responses are lost": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				node := startNode(t)
@@ -176,7 +177,7 @@
 				if !owns {
 					t.Fatal("the node doesn't own the shard")
 				}
-				node.transport.dropsTransactionReplies.Store(dropsTransactionReplies)
+				node.transport.losesCommitResponses.Store(losesCommitResponses)
 				node.member.Fence(t.Context(), 0)
 				kept, owns := node.ownership()
 				if !owns || kept.FencingToken != before.FencingToken || kept.ModRevision <= before.ModRevision {
@@ -186,10 +187,11 @@
 				raised, owns := node.ownership()
 				// A fence that is retried because its response was lost raises the token again.
 				raisedBy := raised.FencingToken - before.FencingToken
-				if !owns || raisedBy < 1 || raisedBy > 1 && !dropsTransactionReplies {
-					t.Errorf("ownership after a fence that raises the token is %+v, %v; before it was %+v", raised, owns, before)
+				if !owns || raisedBy < 1 || raisedBy > 1 && !losesCommitResponses {
+					t.Errorf("ownership after a fence that raises the token is %+v, %v; before it was %+v",
+						raised, owns, before)
 				}
-				node.transport.dropsTransactionReplies.Store(false)
+				node.transport.losesCommitResponses.Store(false)
 				for _, earlier := range []membership.Ownership{before, kept} {
 					_, err := node.committer.Commit(t.Context(), kvstore.Transaction{
 						Conditions: []wire.Condition{{Key: record.ShardKey(0), ModRevision: earlier.ModRevision}},
