--- a/internal/clusterstate/bindings.go
+++ b/internal/clusterstate/bindings.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// indexOrphan adds a binding to OrphanBindings, or removes it; no record exists for the machine.
+// indexOrphan adds a binding to OrphanBindings or removes it from them. The machine must not be in Machines.
 func (s *State) indexOrphan(machine string, binding Binding, change indexChange) {
 	if change == taskAdded {
 		if s.OrphanBindings[machine] == nil {
--- a/internal/clusterstate/cancelrequests.go
+++ b/internal/clusterstate/cancelrequests.go
@@ -25,7 +25,7 @@
 }
 
 // CancelRequestSupport returns how the owners of all shards treat a request to cancel a job. The conditions require
-// that no shard has changed its owner: a transaction that includes them fails if the result may no longer hold.
+// that no ownership record has changed: a transaction that includes them fails if the result may no longer hold.
 // Every binding of a task is conditional on the ownership of its shard in the same way. The caller must hold the
 // lock.
 func (s *State) CancelRequestSupport() (support CancelRequestSupport, conditions []wire.Condition) {
--- a/internal/clusterstate/cancelrequests_test.go
+++ b/internal/clusterstate/cancelrequests_test.go
@@ -35,7 +35,7 @@
 			stop(&job)
 			put(3)
 			if _, changed := feed.machines[machine]; !changed || !state.Jobs[job.Spec.ID].Stopping() {
-				t.Errorf("changed machines %v", feed.machines)
+				t.Errorf("stopped job marked only machines %v as changed, or is not stopping", feed.machines)
 			}
 		})
 	}
--- a/internal/clusterstate/dependencies.go
+++ b/internal/clusterstate/dependencies.go
@@ -71,7 +71,7 @@
 // dependencyOutcome returns the known outcome of a job. If the job is done, atMs is when it ended according to its
 // final record, or the current time while only its live record is known.
 func (s *State) dependencyOutcome(id string) (outcome dependencyOutcome, atMs int64) {
-	if final, over := s.dependencies.finals[id]; over {
+	if final, ended := s.dependencies.finals[id]; ended {
 		if final.Status == wire.JobDone {
 			return dependencyMet, final.EndedAtMs
 		}
--- a/internal/clusterstate/dependencies_test.go
+++ b/internal/clusterstate/dependencies_test.go
@@ -208,7 +208,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		model := newDependencyModel()
 		for range rapid.IntRange(5, 60).Draw(t, "steps") {
-			step := rapid.IntRange(0, stepCount-1).Draw(t, "what")
+			step := rapid.IntRange(0, stepCount-1).Draw(t, "step")
 			if step == 0 || len(model.ids) == 0 {
 				model.submit(t)
 			} else {
--- a/internal/clusterstate/jobs.go
+++ b/internal/clusterstate/jobs.go
@@ -23,7 +23,7 @@
 	// PendingRetries holds, by index, the pending tasks that have failures of their own and wait for a retry.
 	PendingRetries map[int]PendingRetry
 
-	metDependencies       map[string]int64 // end times of the dependencies that are done, in Unix milliseconds
+	metDependencies       map[string]int64 // end time of each dependency that is done, in Unix milliseconds, by job ID
 	DependenciesMetAtMs   int64            // when the last of them was done; 0 if none is
 	DependencyCancelled   bool             // a dependency is cancelled, so this job never runs
 	DependencyCancelledAt time.Time        // when this node observed that
--- a/internal/clusterstate/migration_test.go
+++ b/internal/clusterstate/migration_test.go
@@ -231,12 +231,14 @@
 
 // TestMigrationUnderConcurrentWrites changes tasks of jobs of all sizes and layouts while their chunks are migrated.
 // Writers may commit after a delay, when the layout has already changed. The test compares each state with a map of the
-// tasks: no write is lost or applied twice, and no record exceeds the size that was computed for it.
+// tasks: no write is lost or applied twice. A written chunk takes no more than Job.MaxChunkSize, the bound by which the
+// scheduler keeps chunks within the value limit. A step has at most tuning.MinUpcomingTxnOps operations. A migration
+// that has begun can be completed and leaves no chunk of the old layout.
 func TestMigrationUnderConcurrentWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model := newMigrationModel(t)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			switch rapid.IntRange(0, 3).Draw(t, "what") {
+			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
 				model.writeTasks(t)
 			case 2:
--- a/internal/clusterstate/state.go
+++ b/internal/clusterstate/state.go
@@ -8,8 +8,8 @@
 )
 
 // State is a node's cache of the durable records. Its lock guards all fields, including the entries of the maps, which
-// callers that hold the lock may read but must not modify. Updates are made between BeginUpdate and EndUpdate; callers
-// must not use Lock directly.
+// callers that hold the lock may read but must not modify. Updates are made between BeginUpdate and EndUpdate; other
+// packages must not call Lock directly.
 type State struct {
 	sync.RWMutex
 	ShardCount int
--- a/internal/clusterstate/state_test.go
+++ b/internal/clusterstate/state_test.go
@@ -40,10 +40,10 @@
 // changeRecord writes or deletes a random record of a job or machine.
 func changeRecord(t *rapid.T, state *State, modRevision uint64) {
 	id := rapid.SampledFrom(testJobs).Draw(t, "job")
-	machine := rapid.SampledFrom(testMachines).Draw(t, "m")
+	machine := rapid.SampledFrom(testMachines).Draw(t, "changed machine")
 	state.BeginUpdate()
 	defer state.EndUpdate()
-	switch rapid.IntRange(0, 5).Draw(t, "what") {
+	switch rapid.IntRange(0, 5).Draw(t, "change") {
 	case 0:
 		spec := wire.JobSpec{ID: id, Team: "t", TaskCount: tuning.FixedChunkTasks + 3, GPUs: 1}
 		job := record.Job{Spec: spec, Tasks: drawTasks(t, 0, 4)}
@@ -82,7 +82,7 @@
 			}
 		})
 		if bound != job.BoundCount || done != job.DoneCount {
-			t.Fatalf("job counts %d/%d, want %d/%d", job.BoundCount, job.DoneCount, bound, done)
+			t.Fatalf("job counts %d bound and %d done tasks, want %d and %d", job.BoundCount, job.DoneCount, bound, done)
 		}
 	}
 	return byShard, byMachine
@@ -94,7 +94,7 @@
 	if machine := state.Machines[name]; machine != nil {
 		got = len(machine.Bindings)
 		if math.Abs(machine.Used.GPUs-float64(bound)) > 1e-9 {
-			t.Fatalf("%s: used %v, want %d", name, machine.Used.GPUs, bound)
+			t.Fatalf("%s: %v GPUs used, want %d", name, machine.Used.GPUs, bound)
 		}
 		if state.OrphanBindings[name] != nil {
 			t.Fatalf("%s is a known machine and has orphan bindings", name)
