--- a/internal/schemaversion/activator.go
+++ b/internal/schemaversion/activator.go
@@ -136,7 +136,7 @@
 	notBlocked blockReason = iota
 	// blockedByNode: a node has no session, or its process reads only older versions.
 	blockedByNode
-	// blockedByTransactionSize: a transaction may not have a condition for each node.
+	// blockedByTransactionSize: the activation needs more conditions than a transaction may have.
 	blockedByTransactionSize
 )
 
