--- a/internal/clusterstate/state_test.go
+++ b/internal/clusterstate/state_test.go
@@ -82,7 +82,8 @@
 			}
 		})
 		if bound != job.BoundCount || done != job.DoneCount {
-			t.Fatalf("job counts %d bound and %d done tasks, want %d and %d", job.BoundCount, job.DoneCount, bound, done)
+			t.Fatalf("job counts %d bound and %d done tasks, want %d and %d",
+				job.BoundCount, job.DoneCount, bound, done)
 		}
 	}
 	return byShard, byMachine
