--- a/cmd/knownfailures/main.go
+++ b/cmd/knownfailures/main.go
@@ -28,7 +28,7 @@
 	if errors.As(err, &wrongList) || errors.As(err, &wrongRun) {
 		return exitWrongList
 	}
-	return command.ExitWrongUse
+	return command.ExitUsageError
 }
 
 func newCommand() *cobra.Command {
--- a/cmd/regress/main.go
+++ b/cmd/regress/main.go
@@ -28,7 +28,7 @@
 	if errors.Is(err, errRegressed) {
 		return exitRegressed
 	}
-	return command.ExitWrongUse
+	return command.ExitUsageError
 }
 
 // options are the command's flags.
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command runs the repository's tools from the command line: until they end or are interrupted, with an
-// error on standard error and an exit status.
+// Package command runs the root commands of the repository's command-line tools. It cancels a command on SIGINT and
+// SIGTERM, prints its error to standard error, and determines the exit status.
 package command
 
 import (
@@ -12,11 +12,11 @@
 	"github.com/spf13/cobra"
 )
 
-// ExitWrongUse is the exit status of a tool that was called wrongly or could not do its work.
-const ExitWrongUse = 2
+// ExitUsageError is the exit status of a tool that was called with invalid arguments or could not do its work.
+const ExitUsageError = 2
 
-// Run executes a tool's root command and gives the exit status: 0 without an error; otherwise the one that exitStatus
-// has for the error, which is also printed.
+// Run executes the root command of a tool and returns the exit status. This is 0 if the command succeeds. Otherwise
+// Run prints the error to standard error and returns what exitStatus returns for it.
 func Run(root *cobra.Command, exitStatus func(error) int) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -7,28 +7,28 @@
 	"github.com/spf13/cobra"
 )
 
-// TestRun: a tool that ends well has exit status 0, one that fails the status of its error.
+// TestRun checks that the exit status is 0 if a tool succeeds, and the one for its error otherwise.
 func TestRun(t *testing.T) {
 	errFault := errors.New("fault")
 	for name, c := range map[string]struct {
 		result error
 		want   int
 	}{
-		"ends well": {nil, 0},
-		"fails":     {errFault, 1},
-		"misused":   {errors.New("no such flag"), ExitWrongUse},
+		"succeeds": {nil, 0},
+		"fails":    {errFault, 1},
+		"misused":  {errors.New("no such flag"), ExitUsageError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			root := &cobra.Command{
 				Use: "tool", SilenceUsage: true, SilenceErrors: true,
 				RunE: func(*cobra.Command, []string) error { return c.result },
 			}
-			root.SetArgs([]string{}) // nil would be those of the test program
+			root.SetArgs([]string{}) // with nil, cobra would use the arguments of the test program
 			status := Run(root, func(err error) int {
 				if errors.Is(err, errFault) {
 					return 1
 				}
-				return ExitWrongUse
+				return ExitUsageError
 			})
 			if status != c.want {
 				t.Errorf("exit status %d, want %d", status, c.want)
--- a/internal/testrand/testrand.go
+++ b/internal/testrand/testrand.go
@@ -1,5 +1,5 @@
-// Package testrand runs a package's generated tests with a fixed seed, so that every run gives the same
-// verdict. It serves tests only, and draws nothing itself.
+// Package testrand runs a package's property-based tests (package rapid) with a fixed seed, so that every run has the
+// same result. It is used by tests only.
 package testrand
 
 import (
@@ -7,7 +7,7 @@
 	"os"
 	"testing"
 
-	_ "pgregory.net/rapid" // defines the flag
+	_ "pgregory.net/rapid" // registers the flag seedFlag
 )
 
 const (
@@ -15,9 +15,9 @@
 	defaultSeed = "1"
 )
 
-// Main is the TestMain of packages with generated inputs. A seed on the command line replaces the default one.
+// Main implements TestMain for packages with property-based tests. A seed on the command line overrides the default.
 func Main(m *testing.M) {
-	if err := flag.Set(seedFlag, defaultSeed); err != nil { // before the command line is parsed
+	if err := flag.Set(seedFlag, defaultSeed); err != nil { // m.Run parses the command line, which may override it
 		panic(err)
 	}
 	os.Exit(m.Run())
