--- a/cmd/regress/main.go
+++ b/cmd/regress/main.go
@@ -1,6 +1,7 @@
-// Command regress scores the sources as they are on the operators' sites and
-// compares each day with the last score on record. Exit status: 0 nothing regressed; 1
-// a rule broken, a day that failed or a regression; 2 wrong use, or it could not be run.
+// Command regress scores the current sources on the operators' sites and compares each
+// day with the latest score in the journal. The exit status is 0 if nothing regressed, 1 if a
+// rule was broken or a day failed or regressed, and 2 if the arguments are invalid or the run
+// could not be completed.
 package main
 
 import (
@@ -16,11 +17,11 @@
 	"sableusher/internal/regress"
 )
 
-// exitRegressed is the exit status of a run with errRegressed.
+// exitRegressed is the exit status for errRegressed.
 const exitRegressed = 1
 
-// errRegressed is a run that found days that failed or regressed.
-var errRegressed = errors.New("days failed or fell")
+// errRegressed is returned if days failed or regressed.
+var errRegressed = errors.New("days failed or regressed")
 
 func main() { os.Exit(command.Run(newCommand(), exitStatus)) }
 
@@ -31,10 +32,10 @@
 	return command.ExitUsageError
 }
 
-// options are the command's flags.
+// options holds the values of the command's flags.
 type options struct {
 	plan     regress.Plan
-	recorded bool // play nothing
+	recorded bool // only compare scores in the journal, without running the bench
 }
 
 func newCommand() *cobra.Command {
@@ -61,7 +62,7 @@
 	return root
 }
 
-// check completes the plan, and refuses flags that contradict each other.
+// check sets the default path of the bench and returns an error if the flags contradict each other.
 func (o *options) check() error {
 	plan := &o.plan
 	if plan.BenchProgram == "" {
@@ -69,12 +70,13 @@
 	}
 	scores := plan.IncludeFleetSites || plan.AllSites || o.recorded
 	if plan.HuntDays < 0 || plan.HuntDays > 0 && scores {
-		return fmt.Errorf("--hunt takes a number of days, and stands alone: %d", plan.HuntDays)
+		return fmt.Errorf("--hunt takes a number of days and excludes --fleet, --full and --recorded: %d",
+			plan.HuntDays)
 	}
 	return nil
 }
 
-// run plays the plan and prints the comparisons, also those before an error.
+// run carries out the plan and prints the comparisons, including those made before an error.
 func (o *options) run(cmd *cobra.Command, _ []string) error {
 	if err := o.check(); err != nil {
 		return err
--- a/internal/regress/baseline.go
+++ b/internal/regress/baseline.go
@@ -1,19 +1,20 @@
 package regress
 
-// dayKey names a day of a site with its seed.
+// dayKey identifies a day of a site. Its day field is Day.ID, which includes the seed.
 type dayKey struct{ site, day string }
 
-// Baseline is the last score of each day.
+// Baseline holds the latest score of each day.
 type Baseline map[dayKey]MeasuredDay
 
-// MeasuredDay is a day with the entry that it is part of.
+// MeasuredDay is a day with the journal entry that contains it.
 type MeasuredDay struct {
 	Day
 	Entry Entry
 }
 
-// LatestScores gathers the last score of each day; later entries win. Only scores
-// count, as single runs may have been made of anything.
+// LatestScores returns the latest score of each day. The entries must be in order of time. Only
+// entries of the score command count, because single runs may have measured arbitrary sources.
+// Generated days are skipped.
 func LatestScores(entries []Entry) Baseline {
 	baseline := Baseline{}
 	for _, entry := range entries {
@@ -29,8 +30,8 @@
 	return baseline
 }
 
-// SplitLatest gives the last score of each site, and the baseline as it was before it. Scores
-// that were cut off have neither site nor days and don't count.
+// SplitLatest returns the latest score entry of each site, and the baseline from all other entries.
+// Entries of interrupted runs have neither site nor days and don't count.
 func SplitLatest(entries []Entry) (Baseline, []Entry) {
 	lastOfSite := map[string]int{}
 	for i, entry := range entries {
--- a/internal/regress/baseline_test.go
+++ b/internal/regress/baseline_test.go
@@ -12,7 +12,7 @@
 	"sableusher/internal/tuning"
 )
 
-// withScores gives entries with changed scores; those that it was given stay as they are.
+// withScores returns a copy of the entries with changed scores.
 func withScores(entries []Entry, change func(score float64) float64) []Entry {
 	changed := slices.Clone(entries)
 	for i := range changed {
@@ -24,8 +24,9 @@
 	return changed
 }
 
-// TestLatestAgainstEarlierScores: each site's last score is held against the baseline before
-// it, however the sites' scores lie between each other; one that was cut off is skipped.
+// TestLatestAgainstEarlierScores checks that the latest score of each site is compared with the
+// baseline before it, even if the entries of several sites alternate, and that the entry of an
+// interrupted run is skipped.
 func TestLatestAgainstEarlierScores(t *testing.T) {
 	const loss = 0.04
 	entries := scores(recordedEntries(t))
@@ -51,26 +52,26 @@
 	}
 }
 
-// TestBaseline: only whole scores count, the last one wins, and a bench that gave no
-// scores is never taken for one without a regression.
+// TestBaseline checks that only scores of unchanged days count, that the latest one counts, and that a
+// bench run without scores or an unreadable entry is not mistaken for a run without regressions.
 func TestBaseline(t *testing.T) {
 	entries := recordedEntries(t)
 	baseline := LatestScores(entries)
 	later := withScores(entries, func(score float64) float64 { return score / 2 })
-	t.Run("smaller days don't count", func(t *testing.T) {
+	t.Run("days at reduced size don't count", func(t *testing.T) {
 		small := slices.Clone(later)
 		for i := range small {
 			small[i].Arguments = append(slices.Clone(small[i].Arguments), "--small")
 		}
 		sameScore := func(a, b MeasuredDay) bool { return a.Score == b.Score }
 		if got := LatestScores(append(slices.Clone(entries), small...)); !maps.EqualFunc(got, baseline, sameScore) {
-			t.Error("days at a small size count")
+			t.Error("days at reduced size count")
 		}
 	})
-	t.Run("the last score wins", func(t *testing.T) {
+	t.Run("the latest score counts", func(t *testing.T) {
 		for key, day := range LatestScores(append(slices.Clone(entries), later...)) {
 			if day.Score != baseline[key].Score/2 {
-				t.Errorf("%v: %v is not the last score", key, day.Score)
+				t.Errorf("%v: %v is not the latest score", key, day.Score)
 			}
 		}
 	})
--- a/internal/regress/bench.go
+++ b/internal/regress/bench.go
@@ -10,7 +10,7 @@
 	"slices"
 )
 
-// bench is the bench's program in one repository.
+// bench runs the bench's program in one repository.
 type bench struct {
 	program       string
 	repositoryDir string
@@ -21,7 +21,7 @@
 	return &bench{program: p.BenchProgram, repositoryDir: repositoryDir, log: p.Log}
 }
 
-// command makes a command of the bench, which runs in the repository.
+// command returns an unstarted command of the bench with the repository as its working directory.
 func (b *bench) command(ctx context.Context, arguments ...string) (*exec.Cmd, error) {
 	program, err := filepath.Abs(b.program)
 	if err != nil {
@@ -32,8 +32,8 @@
 	return command, nil
 }
 
-// run runs a command of the bench and gives the entries that it left in the journal. A bench that fails after
-// it wrote its entry tells there what failed: that is no error.
+// run runs a command of the bench and returns the entries that it added to the journal. If the bench fails after it
+// wrote an entry, the entry records the failure, and run returns no error.
 func (b *bench) run(ctx context.Context, arguments ...string) ([]Entry, error) {
 	before, err := readJournalOf(b.repositoryDir)
 	if err != nil {
@@ -44,7 +44,7 @@
 		return nil, err
 	}
 	command.Stdout, command.Stderr = b.log, b.log
-	failure := command.Run()
+	runErr := command.Run()
 	after, err := readJournalOf(b.repositoryDir)
 	if err != nil {
 		return nil, err
@@ -53,15 +53,15 @@
 		return slices.ContainsFunc(before, func(earlier Entry) bool { return earlier.ID == entry.ID })
 	})
 	if len(added) == 0 {
-		if failure == nil {
-			failure = ErrNoJournalEntry
+		if runErr == nil {
+			runErr = ErrNoJournalEntry
 		}
-		return nil, fmt.Errorf("bench %s: %w", arguments[0], failure)
+		return nil, fmt.Errorf("bench %s: %w", arguments[0], runErr)
 	}
 	return added, nil
 }
 
-// readJournalOf reads the journal of a repository.
+// readJournalOf reads the journal of the repository in a folder.
 func readJournalOf(repositoryDir string) ([]Entry, error) {
 	return ReadJournal(os.DirFS(filepath.Join(repositoryDir, "journal")))
 }
--- a/internal/regress/compare.go
+++ b/internal/regress/compare.go
@@ -5,52 +5,52 @@
 	"math"
 )
 
-// Verdict is what a comparison found of a day.
+// Verdict is the result of comparing a day with the baseline.
 type Verdict string
 
-// Verdicts, as the table has them.
+// The verdicts, with the texts that the table shows.
 const (
 	VerdictUnchanged Verdict = "as before" // within the noise
 	VerdictBetter    Verdict = "better"
-	VerdictFirst     Verdict = "first"   // nothing to compare with
-	VerdictRegressed Verdict = "fell"    // beyond the noise
-	VerdictFailed    Verdict = "failed"  // a rule is broken, or the day could not be played
-	VerdictNoise     Verdict = "noise"   // regressed once, but not on further seeds
-	VerdictMissing   Verdict = "missing" // the bench gave no score
+	VerdictFirst     Verdict = "first"   // no baseline score
+	VerdictRegressed Verdict = "fell"    // lower by more than the noise
+	VerdictFailed    Verdict = "failed"  // see Day.FailureReason
+	VerdictNoise     Verdict = "noise"   // regressed once, but not over all seeds together
+	VerdictMissing   Verdict = "missing" // the bench returned no scores
 )
 
-// String is the verdict as the table has it.
+// String returns the text that the table shows.
 func (v Verdict) String() string { return string(v) }
 
-// Comparison is one day held against the baseline.
+// Comparison is the comparison of one day with the baseline.
 type Comparison struct {
 	Site, Day     string
 	Seed          *uint64
-	BaselineScore float64 // NaN where there is none
-	Score         float64 // NaN where there is none
-	CPUSeconds    float64 // processor time that the day took to play
-	LeastServed   string  // the group that was served least, with its share
+	BaselineScore float64 // NaN if there is none
+	Score         float64 // NaN if there is none
+	CPUSeconds    float64 // processor time of the simulated day
+	LeastServed   string  // the smallest served share and its group; empty if not measured
 	Verdict       Verdict
-	Reason        string    // the failure, or the objective that lost most
-	SeedRuns      []SeedRun // on further seeds, where the day was repeated
+	Reason        string    // the failure, or the objective whose score dropped most
+	SeedRuns      []SeedRun // on additional seeds, if the day was repeated
 
-	baselineEntry Entry // of the baseline's score
+	baselineEntry Entry // journal entry of BaselineScore
 }
 
-// SeedRun is a day's score on one seed, with the baseline's sources and with those measured.
+// SeedRun holds the scores of a day on one seed, with the baseline's sources and with the current ones.
 type SeedRun struct {
 	Seed          uint64
 	BaselineScore float64
 	Score         float64
 }
 
-// Blocking tells whether a comparison must stop a landing.
+// Blocking reports whether the comparison must prevent the sources from being merged.
 func (c *Comparison) Blocking() bool {
 	return c.Verdict == VerdictRegressed || c.Verdict == VerdictFailed || c.Verdict == VerdictMissing
 }
 
-// Compare holds the days of some entries against the baseline; noise is the largest
-// difference of scores that doesn't count.
+// Compare compares the days of entries with the baseline. noise is the largest difference of
+// scores that doesn't count as a change.
 func Compare(baseline Baseline, measured []Entry, noise float64) []Comparison {
 	var comparisons []Comparison
 	for _, entry := range measured {
@@ -65,14 +65,14 @@
 	return comparisons
 }
 
-// missing is the comparison of an entry without days.
+// missing returns the comparison for an entry that failed or has no days.
 func missing(entry Entry) Comparison {
 	return Comparison{
 		Site:          entry.Site,
 		BaselineScore: math.NaN(),
 		Score:         math.NaN(),
 		Verdict:       VerdictMissing,
-		Reason:        entry.Command + " ended without figures: " + entry.Error,
+		Reason:        entry.Command + " ended without scores: " + entry.Error,
 	}
 }
 
@@ -108,8 +108,8 @@
 	return c
 }
 
-// ConfirmWithSeeds decides a regression by further seeds: it counts only if the day is lower by
-// more than the noise over all its runs, the first one included.
+// ConfirmWithSeeds adds the runs on additional seeds and changes VerdictRegressed to VerdictNoise
+// unless the mean score over all runs, including the first one, is lower by more than the noise.
 func (c *Comparison) ConfirmWithSeeds(runs []SeedRun, noise float64) {
 	c.SeedRuns = runs
 	difference := c.Score - c.BaselineScore
--- a/internal/regress/compare_test.go
+++ b/internal/regress/compare_test.go
@@ -14,7 +14,7 @@
 
 func TestMain(m *testing.M) { testrand.Main(m) }
 
-// recordedEntries reads entries as the bench wrote them.
+// recordedEntries returns journal entries that the bench wrote.
 func recordedEntries(t *testing.T) []Entry {
 	t.Helper()
 	entries, err := ReadJournal(os.DirFS("testdata/journal"))
@@ -24,13 +24,13 @@
 	return entries
 }
 
-// scores gives the entries that are scores.
+// scores returns the entries of the score command.
 func scores(entries []Entry) []Entry {
 	return slices.DeleteFunc(slices.Clone(entries), func(entry Entry) bool { return entry.Command != commandScore })
 }
 
-// TestRecordedScoresAgainstThemselves: the same scores are as before, generated days
-// have nothing to be compared with, hunts are no baseline.
+// TestRecordedScoresAgainstThemselves compares recorded scores with themselves. Days must be
+// unchanged, and generated days must have no baseline. Entries of hunts don't become part of the baseline.
 func TestRecordedScoresAgainstThemselves(t *testing.T) {
 	entries := recordedEntries(t)
 	counts := map[Verdict]int{}
@@ -51,7 +51,7 @@
 	}
 }
 
-// dayChange is a change of a recorded day, with the verdict that it must give and the beginning of the reason.
+// dayChange changes a recorded day and returns the expected prefix of the reason. verdict is the expected verdict.
 type dayChange struct {
 	name    string
 	change  func(t *rapid.T, day *Day) (reason string)
@@ -68,8 +68,8 @@
 		day.Score, day.Violations = 0, map[string]int{"ran_twice": 2}
 		return ""
 	}, VerdictFailed},
-	{"not played", func(_ *rapid.T, day *Day) string {
-		day.PlayError = "too slow"
+	{"not simulated", func(_ *rapid.T, day *Day) string {
+		day.SimulationError = "too slow"
 		return ""
 	}, VerdictFailed},
 	{"improvement", func(_ *rapid.T, day *Day) string {
@@ -86,7 +86,7 @@
 	}, VerdictFailed},
 }
 
-// loseObjective lowers a day's score beyond the noise, and most of all one objective.
+// loseObjective lowers a day's score by more than the noise, and the score of one objective most.
 func loseObjective(t *rapid.T, day *Day) string {
 	day.Score -= rapid.Float64Range(0.031, 0.5).Draw(t, "loss")
 	day.Objectives = slices.Clone(day.Objectives)
@@ -95,8 +95,8 @@
 	return objective.Text
 }
 
-// TestRegressionsAreFound changes recorded days: each regression beyond the noise, violation
-// and unplayed day must be found and named, and nothing else.
+// TestRegressionsAreFound changes recorded days. Each change that regresses or fails a day must be
+// reported with its reason, and no other day may be blocking.
 func TestRegressionsAreFound(t *testing.T) {
 	entries := recordedEntries(t)
 	baseline := LatestScores(entries)
@@ -111,7 +111,7 @@
 		found := findComparison(comparisons, *day)
 		blocking := change.verdict == VerdictRegressed || change.verdict == VerdictFailed
 		if found.Verdict != change.verdict || found.Blocking() != blocking || !strings.HasPrefix(found.Reason, reason) {
-			t.Fatalf("%s: %s, not %s: %s", change.name, found.Verdict, change.verdict, found.Reason)
+			t.Fatalf("%s: verdict %s, want %s: %s", change.name, found.Verdict, change.verdict, found.Reason)
 		}
 		for _, other := range comparisons {
 			if other.Day != found.Day && other.Blocking() {
@@ -127,21 +127,22 @@
 	})]
 }
 
-// TestRegressionIsConfirmedBySeeds: one bad seed of three is noise, a regression on all is none.
+// TestRegressionIsConfirmedBySeeds checks that a regression on one seed of three is noise, and that one on all seeds
+// is confirmed.
 func TestRegressionIsConfirmedBySeeds(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		runs []SeedRun
 		want Verdict
 	}{
-		{"as before on the others", []SeedRun{{1, 0.80, 0.81}, {2, 0.70, 0.69}}, VerdictNoise},
-		{"lower on all", []SeedRun{{1, 0.80, 0.75}, {2, 0.70, 0.66}}, VerdictRegressed},
-		{"within the noise in sum", []SeedRun{{1, 0.80, 0.78}, {2, 0.70, 0.72}}, VerdictNoise},
+		{"unchanged on the other seeds", []SeedRun{{1, 0.80, 0.81}, {2, 0.70, 0.69}}, VerdictNoise},
+		{"lower on all seeds", []SeedRun{{1, 0.80, 0.75}, {2, 0.70, 0.66}}, VerdictRegressed},
+		{"within the noise on average", []SeedRun{{1, 0.80, 0.78}, {2, 0.70, 0.72}}, VerdictNoise},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			comparison := Comparison{Verdict: VerdictRegressed, BaselineScore: 0.8, Score: 0.74}
 			if comparison.ConfirmWithSeeds(c.runs, tuning.RegressNoise); comparison.Verdict != c.want {
-				t.Errorf("%v: %s, not %s", c.runs, comparison.Verdict, c.want)
+				t.Errorf("%v: verdict %s, want %s", c.runs, comparison.Verdict, c.want)
 			}
 		})
 	}
--- a/internal/regress/day.go
+++ b/internal/regress/day.go
@@ -10,30 +10,30 @@
 	"sableusher/internal/tuning"
 )
 
-// generatedDayPrefix begins the names of days that were drawn for one run only.
+// generatedDayPrefix is the prefix of the names of days that were generated for a single run.
 const generatedDayPrefix = "fresh-"
 
-// Day is one day of a journal's entry.
+// Day is the result of one simulated day in a journal entry.
 type Day struct {
-	Name         string         `json:"name"`
-	ID           string         `json:"day"` // of what the day holds, its seed included
-	Seed         *uint64        `json:"seed"`
-	Score        float64        `json:"G"`
-	Violations   map[string]int `json:"rules"` // how often each rule was broken
-	PlayError    string         `json:"fault"` // why the day could not be played; empty if it could
-	Restarts     float64        `json:"restarts"`
-	Objectives   []Objective    `json:"aims"`
-	CPUTime      CPUTime        `json:"spent"`
-	ServedShares []ServedShare  `json:"served"`
+	Name            string         `json:"name"`
+	ID              string         `json:"day"` // identifies the content of the day, including its seed
+	Seed            *uint64        `json:"seed"`
+	Score           float64        `json:"G"`
+	Violations      map[string]int `json:"rules"` // number of violations by rule
+	SimulationError string         `json:"fault"` // why the day could not be simulated; empty if it was
+	Restarts        float64        `json:"restarts"`
+	Objectives      []Objective    `json:"aims"`
+	CPUTime         CPUTime        `json:"spent"`
+	ServedShares    []ServedShare  `json:"served"`
 }
 
-// ServedShare is the share of a class's or team's work that was served on a day.
+// ServedShare is the share of the work of a class or team that was served on a day.
 type ServedShare struct {
-	Group string
+	Group string  // class or team
 	Share float64 // from 0 to 1
 }
 
-// UnmarshalJSON reads the journal's triple of group, part of all work and share served.
+// UnmarshalJSON decodes the journal's triple of group, the group's part of all work, and the share served.
 func (s *ServedShare) UnmarshalJSON(data []byte) error {
 	var partOfAll float64
 	triple := []any{&s.Group, &partOfAll, &s.Share}
@@ -46,14 +46,14 @@
 	return nil
 }
 
-// CPUTime is the processor time, in seconds, that a day took to play, own code and kernel.
-// Days recorded before the bench measured it have none.
+// CPUTime is the processor time of a simulated day in seconds, each list with user and kernel time. It is empty for
+// days that were recorded before the bench measured it.
 type CPUTime struct {
 	Environment []float64 `json:"world"`
 	Processes   []float64 `json:"processes"`
 }
 
-// Seconds is all of it.
+// Seconds returns the total processor time in seconds.
 func (c CPUTime) Seconds() float64 {
 	total := 0.0
 	for _, seconds := range slices.Concat(c.Environment, c.Processes) {
@@ -62,7 +62,8 @@
 	return total
 }
 
-// LeastServed is the group that was served least; false on days recorded before the bench measured it.
+// LeastServed returns the group with the smallest served share. It returns false for days that were recorded before the
+// bench measured served shares.
 func (d *Day) LeastServed() (ServedShare, bool) {
 	if len(d.ServedShares) == 0 {
 		return ServedShare{}, false
@@ -70,18 +71,18 @@
 	return slices.MinFunc(d.ServedShares, func(a, b ServedShare) int { return cmp.Compare(a.Share, b.Share) }), true
 }
 
-// FailureReason says why a day failed whatever its score is; empty if it did not.
+// FailureReason returns why a day counts as failed regardless of its score. It returns an empty string if it does not.
 func (d *Day) FailureReason() string {
 	var reasons []string
 	for rule, count := range d.Violations {
 		reasons = append(reasons, fmt.Sprintf("rule %s broken %d times", rule, count))
 	}
 	slices.Sort(reasons)
-	if d.PlayError != "" {
-		reasons = append(reasons, d.PlayError)
+	if d.SimulationError != "" {
+		reasons = append(reasons, d.SimulationError)
 	}
 	if seconds := d.CPUTime.Seconds(); seconds > tuning.RegressMaxCPUSeconds {
-		reasons = append(reasons, fmt.Sprintf("took %.0f s of processor time to play, %d are allowed here",
+		reasons = append(reasons, fmt.Sprintf("took %.0f s of processor time, more than the limit of %d s",
 			seconds, tuning.RegressMaxCPUSeconds))
 	}
 	if least, ok := d.LeastServed(); ok && least.Share < tuning.RegressMinServedShare {
@@ -90,5 +91,5 @@
 	return strings.Join(reasons, "; ")
 }
 
-// Generated tells whether a day was drawn for one run only, so that no other has it.
+// Generated reports whether the day was generated for a single run, so that no other run contains it.
 func (d *Day) Generated() bool { return strings.HasPrefix(d.Name, generatedDayPrefix) }
--- a/internal/regress/journal.go
+++ b/internal/regress/journal.go
@@ -10,49 +10,50 @@
 	"strings"
 )
 
-// Commands of the bench that the journal's entries name.
+// Commands of the bench, as journal entries name them.
 const (
 	commandScore = "score"
 	commandRun   = "run"
 	commandHunt  = "hunt"
 )
 
-// Entry is one entry of the journal.
+// Entry is a journal entry, which records one run of the bench.
 type Entry struct {
 	ID        string   `json:"id"`
-	Interval  []string `json:"at"` // begin and end, in RFC 3339
+	Interval  []string `json:"at"` // start and end time, in RFC 3339
 	Command   string   `json:"cmd"`
 	Arguments []string `json:"argv"`
 	Site      string   `json:"site"`
-	Commit    string   `json:"head"` // the commit measured, or the one that the sources came after
+	Commit    string   `json:"head"` // the measured commit, or the parent of uncommitted sources
 	Succeeded bool     `json:"ok"`
 	Error     string   `json:"error"`
 	Days      []Day    `json:"days"`
 }
 
-// isComparable tells whether an entry's scores are those of whole days as a score plays
-// them, and so can be compared with a score's.
+// isComparable reports whether the entry's scores can be compared with those of the score
+// command: the run succeeded and simulated whole, unchanged days.
 func (e *Entry) isComparable() bool {
 	return (e.Command == commandScore || e.Command == commandRun) && e.Succeeded &&
 		!slices.ContainsFunc(e.Arguments, changesDay)
 }
 
-// changesDay tells whether an argument of the bench makes a day another than it is.
+// changesDay reports whether an argument makes the bench simulate a day that differs from the site's.
 func changesDay(argument string) bool {
 	return argument == "--small" || argument == "--no-cpu" || strings.HasPrefix(argument, "--until")
 }
 
-// isScore tells whether an entry is a score that counts.
+// isScore reports whether the entry is a comparable entry of the score command.
 func (e *Entry) isScore() bool { return e.Command == commandScore && e.isComparable() }
 
-// ReadJournal reads the entries of a journal, oldest first. A file that is no entry is an
-// error that names it, beside the entries that could be read; folders are skipped.
+// ReadJournal returns the entries of a journal, oldest first. If a file is not a valid entry,
+// ReadJournal returns an error that names it, together with the entries that it could read.
+// It does not descend into folders.
 func ReadJournal(journal fs.FS) ([]Entry, error) {
 	names, err := fs.Glob(journal, "*.json")
 	if err != nil {
 		return nil, fmt.Errorf("journal: %w", err)
 	}
-	slices.Sort(names) // they begin with the time
+	slices.Sort(names) // file names begin with the time
 	var entries []Entry
 	var errs []error
 	for _, name := range names {
--- a/internal/regress/objective.go
+++ b/internal/regress/objective.go
@@ -7,13 +7,13 @@
 	"strings"
 )
 
-// Objective is one service-level objective of a day as the bench counted it.
+// Objective is the result of one service-level objective on a day.
 type Objective struct {
 	Text  string  // such as "submit 1000 ms: 0.98 (aim 0.995)"
-	Score float64 // from 0 to 1; NaN if it was not counted on that day
+	Score float64 // from 0 to 1; NaN if the objective did not count on that day
 }
 
-// UnmarshalJSON reads the journal's pair of text and score.
+// UnmarshalJSON decodes the journal's pair of text and score.
 func (o *Objective) UnmarshalJSON(data []byte) error {
 	var score *float64
 	pair := []any{&o.Text, &score}
@@ -30,19 +30,19 @@
 	return nil
 }
 
-// Name is the objective without its figures.
+// Name returns the text of the objective without the measured value and the target.
 func (o Objective) Name() string {
 	name, _, _ := strings.Cut(o.Text, ": ")
 	return name
 }
 
-// largestObjectiveLoss names the objective that lost most.
+// largestObjectiveLoss describes the objective whose score dropped most from the baseline.
 func largestObjectiveLoss(baseline, measured []Objective) string {
 	byName := map[string]Objective{}
 	for _, objective := range baseline {
 		byName[objective.Name()] = objective
 	}
-	text, most := "no objective alone", 0.0
+	text, most := "no objective has a lower score", 0.0
 	for _, objective := range measured {
 		before, ok := byName[objective.Name()]
 		if loss := before.Score - objective.Score; ok && loss > most {
--- a/internal/regress/plan.go
+++ b/internal/regress/plan.go
@@ -6,28 +6,32 @@
 	"path/filepath"
 )
 
-// Site files of the operators' kit.
+// Patterns of the site files in the operators' kit.
 const (
 	grownSites  = "next/*-grown.toml"
 	nextSites   = "change/*-next.toml"
 	addedSites  = "added/*.toml"
 	fleetSites  = "more/fleet/*-fleet.toml"
-	huntedSites = "more/hunt/*-hunt.toml" // days on which two faults meet
+	huntedSites = "more/hunt/*-hunt.toml" // sites on whose days two faults coincide
 )
 
-// Plan is what a regression run plays.
+// Plan describes a regression run.
 type Plan struct {
-	BenchProgram      string // the bench's program
-	KitDir            string // the folder with the operators' kit
-	RepositoryDir     string // the repository measured
-	IncludeFleetSites bool   // the sites of the larger fleet too
-	AllSites          bool   // all sites and days, and a hunt on each
-	HuntDays          int    // if not 0, instead of scores: hunted days on each site where faults meet
-	Reason            string // goes into the journal
-	Log               io.Writer
+	BenchProgram      string // path of the bench's program
+	KitDir            string // folder that contains the operators' kit
+	RepositoryDir     string // repository whose sources are measured
+	IncludeFleetSites bool   // also score the sites of the larger fleet
+	AllSites          bool   // score all days of all sites, and hunt for broken rules on each site
+
+	// HuntDays, if not 0, replaces the scores by a hunt: the bench simulates this many generated days on each site
+	// where two faults coincide, in search of broken rules.
+	HuntDays int
+
+	Reason string    // reason for the run, which the bench records in the journal
+	Log    io.Writer // receives the output of the bench
 }
 
-// siteFiles are the site files that a plan plays.
+// siteFiles returns the site files that the plan covers.
 func (p *Plan) siteFiles() ([]string, error) {
 	if p.HuntDays > 0 {
 		return p.globSites(huntedSites)
@@ -42,7 +46,7 @@
 	return p.globSites(patterns...)
 }
 
-// globSites gives the site files that match some patterns. That there are none is an error.
+// globSites returns the site files that match any of the patterns. It returns a NoSiteFilesError if there are none.
 func (p *Plan) globSites(patterns ...string) ([]string, error) {
 	var files []string
 	for _, pattern := range patterns {
--- a/internal/regress/plan_test.go
+++ b/internal/regress/plan_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestSites: each plan plays its own sites, each of them once; a hunt those where two faults meet.
+// TestSites checks that each kind of plan covers the right sites, each of them once. A hunt covers the sites on whose
+// days two faults coincide.
 func TestSites(t *testing.T) {
 	kitDir := t.TempDir()
 	for _, name := range []string{
@@ -44,7 +45,7 @@
 				got = append(got, strings.TrimSuffix(filepath.Base(file), ".toml"))
 			}
 			if strings.Join(got, " ") != c.want {
-				t.Errorf("%+v plays %v", c.plan, got)
+				t.Errorf("%+v covers %v", c.plan, got)
 			}
 		})
 	}
--- a/internal/regress/repeat.go
+++ b/internal/regress/repeat.go
@@ -11,11 +11,11 @@
 	"sableusher/internal/tuning"
 )
 
-// measuredDirs are the folders that the bench keeps of the sources that it measures.
+// measuredDirs are the source folders of which the bench keeps a copy with each measurement.
 var measuredDirs = []string{"cmd", "internal", "deploy"}
 
-// repeatDay plays a day that regressed on further seeds, with the baseline's sources
-// and with those measured, in turn.
+// repeatDay simulates a day that regressed on additional seeds. For each seed it runs the baseline's sources first and
+// the current ones second.
 func (p *Plan) repeatDay(ctx context.Context, site string, day *Comparison) ([]SeedRun, error) {
 	site, err := filepath.Abs(site)
 	if err != nil {
@@ -23,9 +23,9 @@
 	}
 	dir, err := os.MkdirTemp("", "regress-")
 	if err != nil {
-		return nil, fmt.Errorf("old sources: %w", err)
+		return nil, fmt.Errorf("baseline sources: %w", err)
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // what is left of a folder for temporary files harms nobody
+	defer func() { _ = os.RemoveAll(dir) }() // best effort: a leftover temporary folder is harmless
 	baselineDir := filepath.Join(dir, "main")
 	if err := p.addWorktree(ctx, baselineDir, day.baselineEntry.Commit); err != nil {
 		return nil, err
@@ -37,10 +37,10 @@
 	var runs []SeedRun
 	for _, seed := range tuning.RegressSeeds {
 		run := SeedRun{Seed: seed}
-		if run.BaselineScore, err = p.playSeed(ctx, baselineDir, site, day, seed); err != nil {
+		if run.BaselineScore, err = p.simulateSeed(ctx, baselineDir, site, day, seed); err != nil {
 			return runs, err
 		}
-		if run.Score, err = p.playSeed(ctx, p.RepositoryDir, site, day, seed); err != nil {
+		if run.Score, err = p.simulateSeed(ctx, p.RepositoryDir, site, day, seed); err != nil {
 			return runs, err
 		}
 		runs = append(runs, run)
@@ -48,45 +48,45 @@
 	return runs, nil
 }
 
-// addWorktree checks a commit out in a folder.
+// addWorktree checks out a commit as a git worktree in a folder.
 func (p *Plan) addWorktree(ctx context.Context, dir, commit string) error {
 	add := exec.CommandContext(ctx, "git", "-C", p.RepositoryDir, "worktree", "add", "--detach", dir, commit)
 	if output, err := add.CombinedOutput(); err != nil {
-		return fmt.Errorf("old sources at %s: %w: %s", commit, err, output)
+		return fmt.Errorf("baseline sources at %s: %w: %s", commit, err, output)
 	}
 	return nil
 }
 
-// removeWorktree removes it again, also once the context has ended.
+// removeWorktree removes the worktree in a folder, even if the context is cancelled.
 func (p *Plan) removeWorktree(ctx context.Context, dir string) {
 	remove := exec.CommandContext(context.WithoutCancel(ctx),
 		"git", "-C", p.RepositoryDir, "worktree", "remove", "--force", dir)
-	_ = remove.Run() // what is left of it is removed with its parent folder
+	_ = remove.Run() // best effort: repeatDay removes the parent folder as well
 }
 
-// restoreSources puts the sources of an entry in a folder, by way of another. What was measured may have been
-// committed only later: the bench kept it.
-func (p *Plan) restoreSources(ctx context.Context, dir, keptDir, entryID string) error {
-	restore, err := p.bench(p.RepositoryDir).command(ctx, "journal", "restore", entryID, keptDir)
+// restoreSources replaces the measured folders in dir by the sources of a journal entry. It has the bench restore its
+// copy of these sources to restoredDir, because they may have differed from the commit that the entry names.
+func (p *Plan) restoreSources(ctx context.Context, dir, restoredDir, entryID string) error {
+	restore, err := p.bench(p.RepositoryDir).command(ctx, "journal", "restore", entryID, restoredDir)
 	if err != nil {
 		return err
 	}
 	if output, err := restore.CombinedOutput(); err != nil {
-		return fmt.Errorf("old sources of entry %s: %w: %s", entryID, err, output)
+		return fmt.Errorf("baseline sources of entry %s: %w: %s", entryID, err, output)
 	}
-	for _, measured := range measuredDirs {
-		if err := os.RemoveAll(filepath.Join(dir, measured)); err != nil {
-			return fmt.Errorf("old sources: %w", err)
+	for _, sourceDir := range measuredDirs {
+		if err := os.RemoveAll(filepath.Join(dir, sourceDir)); err != nil {
+			return fmt.Errorf("baseline sources: %w", err)
 		}
 	}
-	if output, err := exec.CommandContext(ctx, "cp", "-a", keptDir+"/.", dir).CombinedOutput(); err != nil {
-		return fmt.Errorf("old sources: %w: %s", err, output)
+	if output, err := exec.CommandContext(ctx, "cp", "-a", restoredDir+"/.", dir).CombinedOutput(); err != nil {
+		return fmt.Errorf("baseline sources: %w: %s", err, output)
 	}
 	return nil
 }
 
-// playSeed plays a day on a seed with the sources in a folder, and gives its score.
-func (p *Plan) playSeed(ctx context.Context, dir, site string, day *Comparison, seed uint64) (float64, error) {
+// simulateSeed simulates a day on a seed with the sources in a folder, and returns its score.
+func (p *Plan) simulateSeed(ctx context.Context, dir, site string, day *Comparison, seed uint64) (float64, error) {
 	entries, err := p.bench(dir).run(ctx, commandRun, site, day.Day, "--seed", strconv.FormatUint(seed, 10))
 	if err != nil {
 		return 0, err
--- a/internal/regress/run.go
+++ b/internal/regress/run.go
@@ -7,8 +7,8 @@
 	"sableusher/internal/tuning"
 )
 
-// CompareRecorded compares the last score of each site in the journal with those before it,
-// and plays nothing.
+// CompareRecorded compares the latest score of each site in the journal with the earlier ones,
+// without running the bench.
 func (p *Plan) CompareRecorded() ([]Comparison, error) {
 	entries, err := readJournalOf(p.RepositoryDir)
 	if err != nil {
@@ -18,9 +18,9 @@
 	return Compare(baseline, latest, tuning.RegressNoise), nil
 }
 
-// Run scores the sites one at a time, repeats what regressed on further seeds, and
-// gives the comparisons. An error means that it could not be carried out; comparisons
-// that are blocking are no error.
+// Run scores the sites one at a time, or hunts on them, and returns the comparisons. It repeats
+// days that regressed on additional seeds. An error means that the run could not be completed.
+// Blocking comparisons are not an error.
 func (p *Plan) Run(ctx context.Context) ([]Comparison, error) {
 	sites, err := p.siteFiles()
 	if err != nil {
@@ -42,7 +42,7 @@
 	return comparisons, nil
 }
 
-// runSite scores a site or hunts on it, as the plan says.
+// runSite scores a site, hunts on it, or does both, as the plan requires.
 func (p *Plan) runSite(ctx context.Context, site string, baseline Baseline) ([]Comparison, error) {
 	if p.HuntDays > 0 {
 		return p.huntSite(ctx, site, p.HuntDays)
@@ -60,7 +60,7 @@
 	return comparisons, err
 }
 
-// scoreSite scores a site and repeats what regressed on further seeds.
+// scoreSite scores a site and repeats the days that regressed on additional seeds.
 func (p *Plan) scoreSite(ctx context.Context, site string, baseline Baseline) ([]Comparison, error) {
 	arguments := []string{commandScore, site, "--why", p.Reason}
 	if !p.AllSites {
@@ -84,8 +84,8 @@
 	return comparisons, nil
 }
 
-// huntSite plays drawn days of a site. Nobody played them before, so they have no score to regress from:
-// broken rules and failed days alone count.
+// huntSite simulates generated days of a site. These days have no baseline score, so only broken rules and failed
+// days count.
 func (p *Plan) huntSite(ctx context.Context, site string, days int) ([]Comparison, error) {
 	measured, err := p.bench(p.RepositoryDir).run(ctx,
 		commandHunt, site, "--days", strconv.Itoa(days), "--why", p.Reason)
--- a/internal/regress/table.go
+++ b/internal/regress/table.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// PrintTable writes comparisons as a table.
+// PrintTable writes the comparisons as a table with aligned columns.
 func PrintTable(out io.Writer, comparisons []Comparison) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	_, err := fmt.Fprintln(table, "site\tday\tbefore\tnow\tprocessor s\tserved least\tverdict\twhy")
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// row is the comparison's row of the table, with tabs between its cells.
+// row returns the table row of the comparison, with tab-separated cells.
 func (c *Comparison) row() string {
 	baseline := "-"
 	if !math.IsNaN(c.BaselineScore) {
--- a/internal/tuning/regress.go
+++ b/internal/tuning/regress.go
@@ -1,17 +1,18 @@
 package tuning
 
-// Regression runs.
+// Parameters of regression runs.
 const (
-	// RegressNoise is the largest difference of a day's figure, in points, that counts as noise.
+	// RegressNoise is the largest difference between two scores of the same day, in points, that counts as noise.
 	RegressNoise = 0.03
-	// RegressMaxCPUSeconds is the processor time, in seconds, that a day may take to play: the bench counts one of
-	// over 400 s for nothing, and machines differ by a quarter.
+	// RegressMaxCPUSeconds is the maximum processor time of a simulated day, in seconds. The bench does not count a
+	// day that takes more than 400 s, and the speed of machines differs by a quarter.
 	RegressMaxCPUSeconds = 300
-	// RegressMinServedShare is the least share of a class or team that must be served on a day.
+	// RegressMinServedShare is the minimum share of the work of each class and team that must be served on a day.
 	RegressMinServedShare = 0.5
-	// RegressHuntDays is how many days a full run hunts for broken rules on each site.
+	// RegressHuntDays is the number of generated days that a full run simulates on each site in search of broken
+	// rules.
 	RegressHuntDays = 4
 )
 
-// RegressSeeds are the further seeds on which a regression is confirmed.
+// RegressSeeds are the additional seeds on which a day that regressed is repeated.
 var RegressSeeds = [...]uint64{1, 2}
