--- a/cmd/knownfailures/list.go
+++ b/cmd/knownfailures/list.go
@@ -12,22 +12,23 @@
 	"sableusher/internal/knownfailures"
 )
 
-// listError is a fault of the list; all other errors are wrong use.
+// listError is returned for an invalid list.
 type listError struct {
 	path string
 	err  error
 }
 
-// Error names the file and its fault.
+// Error names the file and the fault.
 func (e *listError) Error() string { return fmt.Sprintf("%s: %v", e.path, e.err) }
 
-// Unwrap gives the fault.
+// Unwrap returns the fault.
 func (e *listError) Unwrap() error { return e.err }
 
-// listFile is the file that holds the list.
+// listFile is the file that contains the list.
 type listFile struct{ path string }
 
-// read reads the list and holds it against the tests of this module. What is wrong with it is a listError.
+// read parses the list and checks it against the tests of this module. It returns a listError if the list is invalid or
+// can't be checked.
 func (l *listFile) read(ctx context.Context) ([]knownfailures.Test, error) {
 	tests, err := l.parse()
 	if err == nil && len(tests) > 0 {
@@ -42,6 +43,7 @@
 	return tests, nil
 }
 
+// parse parses the list. A missing file is an empty list.
 func (l *listFile) parse() (tests []knownfailures.Test, err error) {
 	file, err := os.Open(l.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -54,7 +56,8 @@
 	return knownfailures.Read(file)
 }
 
-// testNames gives the names of this module's tests, by package.
+// testNames returns the names of the test functions of this module by package, with package paths relative to the
+// working directory.
 func testNames(ctx context.Context) (map[string][]string, error) {
 	directories, err := exec.CommandContext(ctx, "go", "list", "-f", "{{.Dir}}", "./...").Output()
 	if err != nil {
--- a/cmd/knownfailures/main.go
+++ b/cmd/knownfailures/main.go
@@ -1,7 +1,8 @@
-// Command knownfailures serves CI with the list of tests that are known to fail (KNOWN-RED.txt).
-// "skip" checks the list and prints the pattern for go test -skip; "run" runs the listed tests apart
-// and prints what came of each. Exit status 1: the list is wrong, or a run shows something else than the known
-// failure: no such subtest, a package that does not build, a crash, a time-out; 2: wrong use.
+// Command knownfailures handles the tests that are known to fail (KNOWN-RED.txt) in CI. Its subcommand "skip" checks
+// the list and prints the pattern for go test -skip. Its subcommand "run" runs the listed tests separately and prints
+// the outcome of each. The exit status is 1 if the list is invalid, or if a run does not show the known failure because
+// the subtest does not exist, the package does not build, or the test crashed or timed out. It is 2 for other errors,
+// such as invalid arguments.
 package main
 
 import (
@@ -18,14 +19,14 @@
 	"sableusher/internal/knownfailures"
 )
 
-// exitWrongList is the exit status where the list is wrong, or what it says of a test.
+// exitWrongList is the exit status if the list is invalid or a run does not show the known failure that it lists.
 const exitWrongList = 1
 
 func main() { os.Exit(command.Run(newCommand(), exitStatus)) }
 
 func exitStatus(err error) int {
-	wrongList, wrongRun := new(listError), new(knownfailures.RunError)
-	if errors.As(err, &wrongList) || errors.As(err, &wrongRun) {
+	listErr, runErr := new(listError), new(knownfailures.RunError)
+	if errors.As(err, &listErr) || errors.As(err, &runErr) {
 		return exitWrongList
 	}
 	return command.ExitUsageError
@@ -80,17 +81,17 @@
 	}
 }
 
-// runTest runs a listed test and prints what came of it. That it fails is no error; a run that shows something else
-// is one.
+// runTest runs a listed test and prints its outcome. A failure of the test itself is not an error. runTest returns an
+// error if the run does not show whether the known failure persists.
 func runTest(ctx context.Context, out io.Writer, test knownfailures.Test, flags []string) error {
 	arguments := append([]string{"test", "-v", "-count=1", "-run", test.Pattern()}, flags...)
-	output, failure := exec.CommandContext(ctx, "go", append(arguments, test.Package)...).CombinedOutput()
-	outcome, wrongRun := knownfailures.Judge(test, string(output), failure == nil)
-	if wrongRun != nil {
+	output, testErr := exec.CommandContext(ctx, "go", append(arguments, test.Package)...).CombinedOutput()
+	outcome, runErr := knownfailures.OutcomeOf(test, string(output), testErr == nil)
+	if runErr != nil {
 		_, err := out.Write(output)
-		return errors.Join(wrongRun, err)
+		return errors.Join(runErr, err)
 	}
 	_, err := fmt.Fprintf(out, "known failure: %s %s %s (%s, seed %s: %s, %s)\n%s",
-		test.Package, test.Name, outcome, test.Command, test.Seed, test.Seen, test.Issue, output)
+		test.Package, test.Name, outcome, test.Command, test.Seed, test.Symptom, test.Issue, output)
 	return err
 }
--- a/internal/knownfailures/errors.go
+++ b/internal/knownfailures/errors.go
@@ -5,56 +5,56 @@
 	"fmt"
 )
 
-// What can be wrong with a line of the list.
+// Faults of a line of the list; LineError wraps them.
 var (
 	ErrMalformedLine = errors.New("not \"./package TestName/subtest, `command`, seed N, what was seen, #issue\"")
-	ErrNoCommand     = errors.New("no command in backquotes that plays a test of the package")
+	ErrNoCommand     = errors.New("no command in backquotes that runs a test of the package")
 	ErrNoSeed        = errors.New(`no "seed N" or "seed none" after the command`)
 	ErrNoIssue       = errors.New("no #issue at the end")
-	ErrDuplicateTest = errors.New("test listed twice, or with a test that it is part of")
+	ErrDuplicateTest = errors.New("test listed twice, or listed together with its parent test")
 )
 
-// What can be wrong with a run apart: it shows something else than the known failure.
+// Reasons why the separate run of a listed test does not show the known failure; RunError wraps them.
 var (
-	ErrNotRun  = errors.New("there is no such test: nothing was run")
-	ErrCrashed = errors.New("the run crashed or timed out")
-	ErrBroken  = errors.New("the run failed, this test did not: a package that does not build, or another test")
+	ErrNotRun  = errors.New("no such test: go test ran nothing")
+	ErrCrashed = errors.New("the test binary crashed or timed out")
+	ErrBroken  = errors.New("go test failed, but this test did not: the package does not build, or another test failed")
 )
 
-// LineError is a fault of one line of the list.
+// LineError is returned for an invalid line of the list.
 type LineError struct {
-	Line int // from 1
+	Line int // line number, from 1
 	Text string
-	Err  error // one of the errors above
+	Err  error // one of the errors above, such as ErrMalformedLine
 }
 
 // Error names the line and its fault.
 func (e *LineError) Error() string { return fmt.Sprintf("line %d: %q: %v", e.Line, e.Text, e.Err) }
 
-// Unwrap gives the fault.
+// Unwrap returns the fault.
 func (e *LineError) Unwrap() error { return e.Err }
 
-// LocationError is a listed test that does not exist just in its package.
+// LocationError is returned for a listed test whose function does not exist in its package, or exists in others too.
 type LocationError struct {
 	Test     Test
-	Packages []string // where it exists
+	Packages []string // packages that have the test function
 }
 
-// Error names the test, its package and where it exists.
+// Error names the test, its package and the packages that have the test function.
 func (e *LocationError) Error() string {
-	return fmt.Sprintf("%s exists in %v, not just in %s", e.Test.Name, e.Packages, e.Test.Package)
+	return fmt.Sprintf("%s exists in %v, want only %s", e.Test.Name, e.Packages, e.Test.Package)
 }
 
-// RunError is a run apart that shows something else than the known failure.
+// RunError is returned for the separate run of a listed test that does not show the known failure.
 type RunError struct {
 	Test Test
-	Err  error // one of the errors above
+	Err  error // ErrNotRun, ErrCrashed or ErrBroken
 }
 
-// Error names the test and what is wrong.
+// Error names the test and the reason.
 func (e *RunError) Error() string {
 	return fmt.Sprintf("%s %s: %v", e.Test.Package, e.Test.Name, e.Err)
 }
 
-// Unwrap gives what is wrong.
+// Unwrap returns the reason.
 func (e *RunError) Unwrap() error { return e.Err }
--- a/internal/knownfailures/knownfailures.go
+++ b/internal/knownfailures/knownfailures.go
@@ -9,29 +9,28 @@
 	"strings"
 )
 
-// Test is one line of the list: a test of a package or a subtest, how to play it, what was seen of its failure, and
-// the issue that mends it.
+// Test is one line of the list. It identifies a test or subtest and describes its failure.
 type Test struct {
-	Package string // as go test takes it, such as ./internal/scheduler
-	Name    string // with its subtest, such as TestDays/4
-	Command string // that plays it
-	Seed    string // "none": it has none
-	Seen    string
-	Issue   string // such as #12
+	Package string // package pattern for go test, such as ./internal/scheduler
+	Name    string // test function and subtest, such as TestDays/4
+	Command string // command that reproduces the failure
+	Seed    string // decimal number, or "none" if the test has no seed
+	Symptom string // how the test failed
+	Issue   string // issue that tracks the fault, such as #12
 }
 
-// topLevel is the test function's name.
+// topLevel returns the name of the test function.
 func (t *Test) topLevel() string {
 	name, _, _ := strings.Cut(t.Name, "/")
 	return name
 }
 
-// covers tells whether a test is the other one, or the other is a subtest of it.
+// covers reports whether other is the same test or a subtest of it.
 func (t *Test) covers(other *Test) bool {
 	return t.Name == other.Name || strings.HasPrefix(other.Name, t.Name+"/")
 }
 
-// Pattern is the pattern for go test -run and -skip that matches the test and no other one.
+// Pattern returns the pattern for go test -run and -skip that matches only this test.
 func (t *Test) Pattern() string {
 	parts := strings.Split(t.Name, "/")
 	for i, part := range parts {
@@ -40,16 +39,17 @@
 	return strings.Join(parts, "/")
 }
 
-// Parts of a line, in their order. The name of a test may hold commas, and so may what was seen.
+// Parts of a line, in order; each pattern captures the rest of the line for the next one. The name of a test and the
+// description of the failure may contain commas.
 var (
 	testPattern    = regexp.MustCompile(`^(\./[a-z0-9/]+) (Test[A-Za-z0-9_]+(?:/\S+)?), (.*)$`)
 	commandPattern = regexp.MustCompile("^`([^`]*(?:go test|scripts/play) [^`]*)`, (.*)$")
 	seedPattern    = regexp.MustCompile(`^seed (none|[0-9]+), (.*)$`)
-	seenPattern    = regexp.MustCompile(`^(\S.*\S|\S), (#[0-9]+)$`)
+	symptomPattern = regexp.MustCompile(`^(\S.*\S|\S), (#[0-9]+)$`)
 )
 
-// Read reads the list. Empty lines are skipped; any other line that is no test's, and a test that is listed twice,
-// give a LineError.
+// Read parses the list and skips empty lines. It returns a LineError for the first line that is malformed or that
+// lists a test again.
 func Read(list io.Reader) ([]Test, error) {
 	var tests []Test
 	lines := bufio.NewScanner(list)
@@ -88,17 +88,17 @@
 	if seed == nil {
 		return Test{}, ErrNoSeed
 	}
-	seen := seenPattern.FindStringSubmatch(seed[2])
-	if seen == nil {
+	symptom := symptomPattern.FindStringSubmatch(seed[2])
+	if symptom == nil {
 		return Test{}, ErrNoIssue
 	}
 	return Test{
-		Package: head[1], Name: head[2], Command: command[1], Seed: seed[1], Seen: seen[1], Issue: seen[2],
+		Package: head[1], Name: head[2], Command: command[1], Seed: seed[1], Symptom: symptom[1], Issue: symptom[2],
 	}, nil
 }
 
-// SkipPattern is the pattern for go test -skip that skips the tests and no others; empty if there are none. It names
-// no packages, so a test function's name must be of one package alone, as CheckExist has it.
+// SkipPattern returns the pattern for go test -skip that skips only the given tests. It is empty if there are none. The
+// pattern can't name packages, so only one package may have a test function of that name; CheckExist verifies this.
 func SkipPattern(tests []Test) string {
 	patterns := make([]string, len(tests))
 	for i := range tests {
@@ -107,9 +107,9 @@
 	return strings.Join(patterns, "|")
 }
 
-// CheckExist holds the list against what there is: names of test functions by package, as go test -list prints them.
-// A test whose function does not exist in its package, or exists in another one as well, gives a LocationError.
-// Whether a subtest exists shows only when it is run: see Judge.
+// CheckExist checks that the function of each listed test exists in the test's package and in no other one, and returns
+// a LocationError otherwise. namesByPackage holds the names of test functions as go test -list prints them. A missing
+// subtest is detected only when the test is run; see OutcomeOf.
 func CheckExist(tests []Test, namesByPackage map[string][]string) error {
 	for i := range tests {
 		var packages []string
--- a/internal/knownfailures/knownfailures_test.go
+++ b/internal/knownfailures/knownfailures_test.go
@@ -20,15 +20,15 @@
 	packageB = "./internal/b"
 )
 
-// listFault is one fault of a list, with the lines that it adds and the error that it must give.
+// listFault is a fault of a list, with the lines that introduce it and the expected error.
 type listFault struct {
 	name    string
 	lines   []string
-	want    error // nil: a LocationError
-	alsoInA string
+	want    error  // nil if a LocationError is expected
+	alsoInA string // test function that package A has in addition
 }
 
-// entry is a line of the list for a test of package A.
+// entry returns a line of the list for a test of package A.
 func entry(name string) string { return entryOf(packageA, name) }
 
 func entryOf(pkg, name string) string {
@@ -77,7 +77,7 @@
 	}
 }
 
-// check fails unless reading a list, and holding it against what there is, gives the fault's error.
+// check fails the test unless err, returned by Read or CheckExist, is the expected error.
 func (f *listFault) check(t *rapid.T, err error) {
 	if location := new(LocationError); f.want == nil && !errors.As(err, &location) {
 		t.Fatalf("%s: %v", f.name, err)
@@ -87,8 +87,8 @@
 	}
 }
 
-// TestLists draws lists with at most one fault each: every fault is an error of its own, every list without
-// one skips its tests and no others.
+// TestLists draws lists with at most one fault each. A list with a fault must be refused with the error of that fault.
+// A list without a fault must be read completely.
 func TestLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(0, 5).Draw(t, "tests")
@@ -120,14 +120,15 @@
 			t.Fatal(err)
 		}
 		for i, test := range tests {
-			if test.Name != listed[i] || test.Seen != "late, by two leases" || test.Seed != "5" || test.Issue != "#3" {
+			if test.Name != listed[i] || test.Symptom != "late, by two leases" ||
+				test.Seed != "5" || test.Issue != "#3" {
 				t.Fatalf("%+v", test)
 			}
 		}
 	})
 }
 
-// TestPatterns: go test skips and runs just what is listed, down to a single subtest.
+// TestPatterns checks that go test, with the patterns of listed tests, skips or runs exactly these tests and subtests.
 func TestPatterns(t *testing.T) {
 	const program = "./testdata/days"
 	tests := []Test{{Package: program, Name: "TestDays/4"}, {Package: program, Name: "TestPairs/cut,_a_restart"}}
@@ -156,9 +157,9 @@
 	}
 }
 
-// TestJudge: only that the test itself fails is the known failure; what was not run, did not build, crashed or timed
-// out is an error.
-func TestJudge(t *testing.T) {
+// TestOutcomeOf checks that only a failure of the test itself counts as the known failure. If the test was not run, the
+// package did not build, or the test binary crashed or timed out, OutcomeOf must return an error.
+func TestOutcomeOf(t *testing.T) {
 	test := Test{Package: packageA, Name: "TestDays/4"}
 	const (
 		run    = "=== RUN   TestDays\n=== RUN   TestDays/4\n"
@@ -170,19 +171,19 @@
 		want      Outcome
 		wantErr   error
 	}{
-		"fails":              {run + failed + "FAIL\n", false, Fails, nil},
-		"passes":             {run + "PASS\n", true, PassesNow, nil},
-		"no such subtest":    {"=== RUN   TestDays\nPASS\n", true, Fails, ErrNotRun},
-		"longer name":        {"=== RUN   TestDays/40\nPASS\n", true, Fails, ErrNotRun},
-		"no such test":       {"testing: warning: no tests to run\nPASS\n", true, Fails, ErrNotRun},
-		"does not build":     {"FAIL\t./internal/a [build failed]\n", false, Fails, ErrBroken},
-		"panics":             {run + failed + "panic: deadlock\n", false, Fails, ErrCrashed},
-		"time-out":           {run + "panic: test timed out after 10m0s\n", false, Fails, ErrCrashed},
-		"fatal error":        {run + "fatal error: all goroutines are asleep\n", false, Fails, ErrCrashed},
-		"fails in its frame": {run + "--- FAIL: TestDays (1.00s)\n", false, Fails, ErrBroken},
+		"fails":             {run + failed + "FAIL\n", false, Fails, nil},
+		"passes":            {run + "PASS\n", true, PassesNow, nil},
+		"no such subtest":   {"=== RUN   TestDays\nPASS\n", true, Fails, ErrNotRun},
+		"longer name":       {"=== RUN   TestDays/40\nPASS\n", true, Fails, ErrNotRun},
+		"no such test":      {"testing: warning: no tests to run\nPASS\n", true, Fails, ErrNotRun},
+		"does not build":    {"FAIL\t./internal/a [build failed]\n", false, Fails, ErrBroken},
+		"panics":            {run + failed + "panic: deadlock\n", false, Fails, ErrCrashed},
+		"timeout":           {run + "panic: test timed out after 10m0s\n", false, Fails, ErrCrashed},
+		"fatal error":       {run + "fatal error: all goroutines are asleep\n", false, Fails, ErrCrashed},
+		"only parent fails": {run + "--- FAIL: TestDays (1.00s)\n", false, Fails, ErrBroken},
 	} {
 		t.Run(name, func(t *testing.T) {
-			outcome, err := Judge(test, c.output, c.succeeded)
+			outcome, err := OutcomeOf(test, c.output, c.succeeded)
 			if outcome != c.want || !errors.Is(err, c.wantErr) {
 				t.Errorf("%v, %v; want %v, %v", outcome, err, c.want, c.wantErr)
 			}
--- a/internal/knownfailures/outcome.go
+++ b/internal/knownfailures/outcome.go
@@ -5,26 +5,27 @@
 	"strings"
 )
 
-// Outcome is what came of a listed test that was run apart.
+// Outcome is the outcome of the separate run of a listed test.
 type Outcome int
 
-// Outcomes of a run apart.
+// The outcomes of a listed test.
 const (
-	Fails Outcome = iota
-	PassesNow
+	Fails     Outcome = iota // fails as listed
+	PassesNow                // no longer fails
 )
 
-// String says the outcome in CI's output.
+// String returns the outcome as CI prints it.
 func (o Outcome) String() string {
-	return [...]string{"fails", "passes now: take it off the list"}[o]
+	return [...]string{"fails", "passes now: remove it from the list"}[o]
 }
 
-// crashPattern matches what go test prints of a program that did not end by itself; a time-out is a panic.
+// crashPattern matches the output of a test binary that crashed. A timeout is reported as a panic.
 var crashPattern = regexp.MustCompile(`(?m)^(panic: |fatal error: )`)
 
-// Judge gives the outcome of a listed test from the output of go test -v and whether it succeeded. A run that did not
-// run the test, crashed, timed out or failed in another way gives a RunError: it says nothing of the known failure.
-func Judge(test Test, output string, succeeded bool) (Outcome, error) {
+// OutcomeOf determines the outcome of a listed test from the output of go test -v and from whether go test succeeded.
+// It returns a RunError if the run does not show whether the known failure persists: the test was not run, the test
+// binary crashed or timed out, or something other than the test failed.
+func OutcomeOf(test Test, output string, succeeded bool) (Outcome, error) {
 	crashed := crashPattern.MatchString(output)
 	switch {
 	case !succeeded && crashed:
@@ -39,7 +40,7 @@
 	return Fails, nil
 }
 
-// reports tells whether a line of go test's output says an event of a test.
+// reports reports whether a line of the output of go test contains an event, such as "--- FAIL:", of the named test.
 func reports(output, event, name string) bool {
 	for line := range strings.Lines(output) {
 		rest, found := strings.CutPrefix(strings.TrimSpace(line), event+" ")
