--- a/internal/golden/commands_test.go
+++ b/internal/golden/commands_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// buildCommand builds the program and gives its path.
+// buildCommand builds the program and returns its path.
 func buildCommand(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "sableusher")
@@ -22,7 +22,7 @@
 	return program
 }
 
-// runCommand gives what a command prints, without the path of the program, and how it ends.
+// runCommand runs the program and returns its standard output and exit code.
 func runCommand(t *testing.T, program string, arguments ...string) (stdout string, exitCode int) {
 	t.Helper()
 	output, err := exec.Command(program, arguments...).Output()
@@ -36,32 +36,33 @@
 	return string(output), exitCode
 }
 
-// Lines of a command's help: those that name a subcommand, and those that name a flag with its type and default.
+// Patterns of the help lines that name a subcommand, or a flag with its type and default.
 var (
 	subcommandLine = regexp.MustCompile(`^  ([a-z][a-z-]*) {2,}\S`)
 	flagLine       = regexp.MustCompile(`^ +((?:-[a-z], )?--[a-z-]+(?: [a-zA-Z]+)?) .*?(\(default [^)]*\))?$`)
 )
 
-// writeHelp prints the verbs and flags of a command and of all below it. Descriptions may change.
-func writeHelp(t *testing.T, out *strings.Builder, program string, verbs ...string) {
+// writeHelp writes the subcommands and flags of a command and, recursively, of its subcommands. It leaves out the
+// descriptions, which may change. path holds the names of the command and its parents below the root command.
+func writeHelp(t *testing.T, out *strings.Builder, program string, path ...string) {
 	t.Helper()
-	help, exitCode := runCommand(t, program, append(slices.Clone(verbs), "--help")...)
-	fmt.Fprintf(out, "command %s, exit code %d\n", strings.Join(verbs, " "), exitCode)
-	var below []string
+	help, exitCode := runCommand(t, program, append(slices.Clone(path), "--help")...)
+	fmt.Fprintf(out, "command %s, exit code %d\n", strings.Join(path, " "), exitCode)
+	var subcommands []string
 	for line := range strings.Lines(help) {
 		line = strings.TrimRight(line, "\n")
 		if flag := flagLine.FindStringSubmatch(line); flag != nil {
 			fmt.Fprintf(out, "  %s %s\n", flag[1], flag[2])
-		} else if verb := subcommandLine.FindStringSubmatch(line); verb != nil {
-			below = append(below, verb[1])
+		} else if name := subcommandLine.FindStringSubmatch(line); name != nil {
+			subcommands = append(subcommands, name[1])
 		}
 	}
-	for _, verb := range below {
-		writeHelp(t, out, program, append(slices.Clone(verbs), verb)...)
+	for _, subcommand := range subcommands {
+		writeHelp(t, out, program, append(slices.Clone(path), subcommand)...)
 	}
 }
 
-// TestCommandLine: the verbs, flags and defaults of the program, and what it prints of graph files.
+// TestCommandLine checks the program's subcommands, flags and defaults, and the output of its check commands.
 func TestCommandLine(t *testing.T) {
 	program := buildCommand(t)
 	var out strings.Builder
--- a/internal/golden/constants_test.go
+++ b/internal/golden/constants_test.go
@@ -7,7 +7,7 @@
 	"sableusher/internal/wire"
 )
 
-// jobConstants are the kinds, priorities and states of jobs.
+// jobConstants returns the kinds, priorities and states of jobs.
 func jobConstants() []message {
 	return []message{
 		{"kind/array", wire.KindArray},
@@ -25,7 +25,7 @@
 	}
 }
 
-// agentConstants are the states and exits of tasks on a machine and the kinds of commands.
+// agentConstants returns the states and exit causes of tasks on a machine, and the kinds of commands.
 func agentConstants() []message {
 	return []message{
 		{"task/fetching", wire.TaskFetchingImage},
@@ -47,7 +47,7 @@
 	}
 }
 
-// cloudAndCellConstants are the states of machines in the cloud, of transfers between cells, and of other cells.
+// cloudAndCellConstants returns the states of machines in the cloud, of transfers between cells, and of other cells.
 func cloudAndCellConstants() []message {
 	return []message{
 		{"machine/booting", wire.MachineBooting},
@@ -67,13 +67,13 @@
 	}
 }
 
-// TestConstants: what stands for kinds, states, causes and commands is encoded as it was.
+// TestConstants checks that the encodings of kinds, states, causes and commands are unchanged.
 func TestConstants(t *testing.T) {
 	constants := append(jobConstants(), agentConstants()...)
 	checkCBOR(t, "constants.txt", append(constants, cloudAndCellConstants()...))
 }
 
-// TestPriorityRanks: the order of priorities, by which waiting jobs are sorted on every node.
+// TestPriorityRanks checks the ranks of the priorities, by which every node sorts waiting jobs.
 func TestPriorityRanks(t *testing.T) {
 	priorities := []wire.Priority{wire.PriorityProduction, wire.PriorityHigh, wire.PriorityNormal, wire.PriorityLow}
 	if wire.PriorityCount != len(priorities) {
--- a/internal/golden/fill_test.go
+++ b/internal/golden/fill_test.go
@@ -10,10 +10,10 @@
 	"sableusher/internal/wire"
 )
 
-// filler sets fields to values of which, but for booleans, no two are alike.
-type filler struct{ count int64 }
+// filler sets fields to values that are all different, except for booleans.
+type filler struct{ count int64 } // number of values so far
 
-// filled is a message with every field set that is encoded, and one with none.
+// filled returns a message with no field set, and one with every encoded field set.
 func filled[T any](t *testing.T, name string) []message {
 	t.Helper()
 	var empty, full T
@@ -22,8 +22,9 @@
 	return []message{{name + "/empty", empty}, {name + "/every-field", full}}
 }
 
-// filledSinceVersion gives the same of a type that a field was added to, at its end: every-field stays the line that
-// was recorded before, and a further message has the added field too.
+// filledSinceVersion is like filled for a type to which a field was later added at the end. The message "every-field"
+// leaves the added field empty, so that its recorded encoding stays the same. A third message has the added field set,
+// too.
 func filledSinceVersion[T any](t *testing.T, name, added string, clearAdded func(*T)) []message {
 	t.Helper()
 	messages := filled[T](t, name)
@@ -37,7 +38,8 @@
 	return append(messages, message{name + "/every-field-with-" + added, full})
 }
 
-// fill sets v and all that it consists of. Lists get two entries; maps get one, as their order is not fixed.
+// fill sets v and, recursively, all of its parts. Slices get two elements. Maps get one entry, because their order is
+// not fixed.
 func (f *filler) fill(t *testing.T, name string, v reflect.Value) {
 	t.Helper()
 	f.count++
@@ -66,8 +68,8 @@
 	}
 }
 
-// fillFields sets the fields of a struct. Those of an embedded struct are encoded as the outer one's own, so it
-// does not count.
+// fillFields sets the encoded fields of a struct. It does not increment the count for an embedded struct, because the
+// fields of that struct are encoded as fields of the outer one.
 func (f *filler) fillFields(t *testing.T, name string, v reflect.Value) {
 	t.Helper()
 	for i := range v.NumField() {
@@ -81,7 +83,7 @@
 	}
 }
 
-// fillScalar sets v, which consists of nothing else, to a value made of the count.
+// fillScalar sets a scalar value to one that is derived from the count.
 func (f *filler) fillScalar(t *testing.T, name string, v reflect.Value) {
 	t.Helper()
 	switch {
@@ -90,7 +92,7 @@
 	case v.CanInt():
 		v.SetInt(f.count)
 	case v.Kind() == reflect.Uint64:
-		v.SetUint(1<<63 + uint64(f.count)) // shows a field that has become narrower
+		v.SetUint(1<<63 + uint64(f.count)) // detects a field that is narrowed to fewer bits
 	case v.CanUint():
 		v.SetUint(uint64(f.count))
 	case v.CanFloat():
@@ -104,7 +106,7 @@
 	}
 }
 
-// isEncoded reports whether a field is part of the encoded form.
+// isEncoded reports whether a field is part of the encoding.
 func isEncoded(field reflect.StructField) bool {
 	if !field.IsExported() {
 		return false
@@ -117,7 +119,7 @@
 	return true
 }
 
-// checkFilled fails if an encoded field is zero.
+// checkFilled fails the test if an encoded field is zero.
 func checkFilled(t *testing.T, name string, v reflect.Value) {
 	t.Helper()
 	if v.IsZero() {
@@ -145,11 +147,11 @@
 	}
 }
 
-// tagWriter prints a value by the names in its tags, one value a line.
+// tagWriter writes a value with one line for each scalar, named by the struct tags on the path to it.
 type tagWriter struct {
 	out        strings.Builder
-	format     string // of the tags
-	everyField bool   // fail if a field is zero
+	format     string // key of the struct tags, such as toml
+	everyField bool   // fail the test if a field is zero
 }
 
 func (w *tagWriter) write(t *testing.T, path string, v reflect.Value) {
@@ -178,7 +180,7 @@
 	}
 }
 
-// writeStruct prints the fields that have a tag; one that is exported must have one.
+// writeStruct writes the fields that have a tag. Every exported field must have one.
 func (w *tagWriter) writeStruct(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	for i := range v.NumField() {
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -1,7 +1,7 @@
-// Package golden_test holds the bytes of everything that leaves a process: durable records, messages to
-// agents, users, the key-value store, the cloud and other controllers, and the settings that are read.
-// It has tests only. A change of one of these bytes breaks nodes of another version, stored data or
-// programs of others; run with -update only for a change that is meant to do so.
+// Package golden_test compares everything that leaves a process with recorded encodings: durable records, messages to
+// agents, users, the key-value store, the cloud and other controllers, metrics, and the settings that are read. It
+// contains only tests. A change to one of these encodings breaks nodes of another version, stored data or clients. Run
+// the tests with -update only for an intended change.
 package golden_test
 
 import (
@@ -21,13 +21,13 @@
 
 var update = flag.Bool("update", false, "write the golden files instead of comparing with them")
 
-// message is a value with the name under which its encoding stands in a golden file.
+// message is a value with the name of its encoding in a golden file.
 type message struct {
 	name  string
 	value any
 }
 
-// checkText compares text with a golden file, or writes it.
+// checkText compares a text with a golden file. With -update it writes the file instead.
 func checkText(t *testing.T, file, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
@@ -52,6 +52,7 @@
 	}
 }
 
+// lineAt returns the line at an index, or a placeholder beyond the last line.
 func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
@@ -59,7 +60,7 @@
 	return "(no line)"
 }
 
-// readEncodings gives the encodings in a golden file by name.
+// readEncodings returns the encodings in a golden file by name.
 func readEncodings(t *testing.T, file string) map[string][]byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", file))
@@ -71,19 +72,19 @@
 		if strings.HasPrefix(line, "#") {
 			continue
 		}
-		name, code, ok := strings.Cut(strings.TrimSpace(line), " ")
-		if _, twice := encodings[name]; !ok || twice {
-			t.Fatalf("%s: %q is not a name and its encoding, or stands twice", file, name)
+		name, encodedHex, ok := strings.Cut(strings.TrimSpace(line), " ")
+		if _, duplicate := encodings[name]; !ok || duplicate {
+			t.Fatalf("%s: %q is not a name and its encoding, or is a duplicate", file, name)
 		}
-		if encodings[name], err = hex.DecodeString(code); err != nil {
+		if encodings[name], err = hex.DecodeString(encodedHex); err != nil {
 			t.Fatalf("%s: %s: %v", file, name, err)
 		}
 	}
 	return encodings
 }
 
-// checkCBOR compares the encodings of messages with a golden file. What stands there must also decode
-// into the same values, and those must encode to the same bytes again.
+// checkCBOR compares the encodings of messages with a golden file. The recorded encodings must also decode
+// to the same values, and these must encode to the same bytes again.
 func checkCBOR(t *testing.T, file string, messages []message) {
 	t.Helper()
 	var out strings.Builder
@@ -109,13 +110,15 @@
 			t.Errorf("%s: %v", m.name, err)
 			continue
 		}
-		// An encoded value that is absent is written, and so read, as null.
+		// A missing wire.RawValue is encoded, and therefore decoded, as null, so empty messages may differ.
 		isEmpty := strings.HasSuffix(m.name, "/empty")
 		if !isEmpty && !reflect.DeepEqual(decoded.Elem().Interface(), m.value) {
-			t.Errorf("%s: %+v was read as %+v", m.name, m.value, decoded.Elem().Interface())
+			t.Errorf("%s: %+v was decoded as %+v", m.name, m.value, decoded.Elem().Interface())
 		}
-		if again := wire.MustEncode(decoded.Elem().Interface()); !reflect.DeepEqual([]byte(again), stored[m.name]) {
-			t.Errorf("%s: read and written again:\n got %x\nwant %x", m.name, again, stored[m.name])
+		if reencoded := wire.MustEncode(decoded.Elem().Interface()); !reflect.DeepEqual(
+			[]byte(reencoded), stored[m.name],
+		) {
+			t.Errorf("%s: decoded and encoded again:\n got %x\nwant %x", m.name, reencoded, stored[m.name])
 		}
 	}
 }
--- a/internal/golden/job_changes_test.go
+++ b/internal/golden/job_changes_test.go
@@ -11,7 +11,7 @@
 	"sableusher/internal/wire"
 )
 
-// layout is how a job's tasks are spread over its records.
+// layout describes how a job's tasks are distributed over its records.
 type layout struct {
 	name            string
 	chunkWidth      int
@@ -24,7 +24,7 @@
 	{name: "half-moved", chunkWidth: tuning.FixedChunkTasks / 4, firstFixedChunk: 1},
 }
 
-// liveJob gives a job of some records as the cluster state has it.
+// liveJob returns a job with several records, and the cluster state that contains it.
 func liveJob(l layout) (*clusterstate.State, *clusterstate.Job) {
 	spec := arraySpec(2 * tuning.FixedChunkTasks)
 	spec.MaxRetries = new(3)
@@ -38,7 +38,7 @@
 	return state, state.Jobs[spec.ID]
 }
 
-// changedTasks are tasks at the edges of records, some of which have failed before.
+// changedTasks returns tasks at the boundaries of records by index. Some of them have earlier failures.
 func changedTasks() map[int]record.Task {
 	tasks := map[int]record.Task{}
 	for _, index := range []int{0, 1, 2, 49, 50, 51, tuning.FixedChunkTasks - 1, tuning.FixedChunkTasks,
@@ -50,7 +50,8 @@
 	return tasks
 }
 
-// TestJobChanges: a job's changes, made from the cluster state, keep their keys, order and bytes.
+// TestJobChanges checks that the store operations that the cluster state generates for a job keep their keys, order and
+// bytes.
 func TestJobChanges(t *testing.T) {
 	var messages []message
 	for _, l := range layouts {
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -14,7 +14,7 @@
 	"sableusher/internal/wire"
 )
 
-// TestAgentMessages: heartbeats, their answers and commands keep their bytes.
+// TestAgentMessages checks that heartbeats, their responses and commands keep their bytes.
 func TestAgentMessages(t *testing.T) {
 	notice, grace := 12.5, 0.0
 	checkCBOR(t, "agents.txt", slices.Concat(
@@ -53,7 +53,7 @@
 	))
 }
 
-// TestStoreMessages: messages of the key-value store keep their bytes.
+// TestStoreMessages checks that requests to the key-value store and its responses keep their bytes.
 func TestStoreMessages(t *testing.T) {
 	value := wire.MustEncode("v")
 	checkCBOR(t, "store.txt", slices.Concat(
@@ -81,7 +81,7 @@
 	))
 }
 
-// TestUserMessages: a job's description and the answers to its user keep their bytes.
+// TestUserMessages checks that job descriptions and the responses to users keep their bytes.
 func TestUserMessages(t *testing.T) {
 	checkCBOR(t, "users.txt", slices.Concat(
 		filled[wire.JobSpec](t, "description"),
@@ -96,7 +96,7 @@
 	))
 }
 
-// TestReply: an answer has the same status, type and body.
+// TestReply checks that an HTTP response keeps its status, content type and body.
 func TestReply(t *testing.T) {
 	var out strings.Builder
 	for _, value := range []any{nil, wire.ErrorResponse{Message: "no such job"}, func() {}} {
@@ -107,7 +107,7 @@
 	checkText(t, "replies.txt", out.String())
 }
 
-// TestCloudMessages: messages of the cloud keep their bytes.
+// TestCloudMessages checks that requests to the cloud and its responses keep their bytes.
 func TestCloudMessages(t *testing.T) {
 	checkCBOR(t, "cloud.txt", slices.Concat(
 		filled[wire.Catalog](t, "catalog"),
@@ -118,7 +118,7 @@
 	))
 }
 
-// TestCellMessages: messages between cells keep their bytes.
+// TestCellMessages checks that messages between cells keep their bytes.
 func TestCellMessages(t *testing.T) {
 	checkCBOR(t, "cells.txt", slices.Concat(
 		filled[offload.Message](t, "message"),
@@ -143,7 +143,7 @@
 	))
 }
 
-// TestGraphFaults: faults of graph files are printed with the same JSON and text.
+// TestGraphFaults checks that faults of graph files, and graphs, keep their JSON and text.
 func TestGraphFaults(t *testing.T) {
 	fault := graph.Fault{File: "nightly.yaml", Line: 3, Column: 5, Path: "/tasks/3/image", Message: "missing"}
 	encoded, err := json.Marshal(fault)
--- a/internal/golden/metrics_test.go
+++ b/internal/golden/metrics_test.go
@@ -11,10 +11,10 @@
 	_ "sableusher/internal/controller" // registers the metrics of all packages
 )
 
-// metricDescription finds the name and the labels in the text of a metric's description.
+// metricDescription matches the text of a metric's description and captures the metric's name and labels.
 var metricDescription = regexp.MustCompile(`fqName: "(sableusher_[^"]*)".*variableLabels: (\{[^}]*\})`)
 
-// TestMetrics: metrics keep their names and labels.
+// TestMetrics checks that metrics keep their names and labels.
 func TestMetrics(t *testing.T) {
 	registry, ok := prometheus.DefaultRegisterer.(prometheus.Collector)
 	if !ok {
--- a/internal/golden/peers_test.go
+++ b/internal/golden/peers_test.go
@@ -12,7 +12,7 @@
 	"sableusher/internal/peerrpc/peerpb"
 )
 
-// TestPeerMessages: messages between controllers keep their names, field numbers and bytes.
+// TestPeerMessages checks that messages between controllers keep their names, field numbers and bytes.
 func TestPeerMessages(t *testing.T) {
 	var out strings.Builder
 	for _, m := range []proto.Message{
@@ -30,8 +30,8 @@
 	checkText(t, "peers.txt", out.String())
 }
 
-// writeProtoMessage prints a message's fields and its bytes with all of them set. Read from these bytes it must be
-// the same message, and be written as the same bytes.
+// writeProtoMessage writes the fields of a message, and its encoding with all fields set. The encoding must decode to
+// the same message, which must encode to the same bytes again.
 func writeProtoMessage(t *testing.T, out *strings.Builder, m proto.Message) {
 	t.Helper()
 	descriptor := m.ProtoReflect().Descriptor()
@@ -50,13 +50,14 @@
 	fmt.Fprintf(out, "  bytes %x\n", encoded)
 	decoded := m.ProtoReflect().New().Interface()
 	if err := proto.Unmarshal(encoded, decoded); err != nil || !proto.Equal(m, decoded) {
-		t.Errorf("%s: %v was read as %v, %v", descriptor.FullName(), m, decoded, err)
+		t.Errorf("%s: %v was decoded as %v, %v", descriptor.FullName(), m, decoded, err)
 	}
-	if again, err := deterministic.Marshal(decoded); err != nil || !bytes.Equal(again, encoded) {
-		t.Errorf("%s: read and written again: %x, %v", descriptor.FullName(), again, err)
+	if reencoded, err := deterministic.Marshal(decoded); err != nil || !bytes.Equal(reencoded, encoded) {
+		t.Errorf("%s: decoded and encoded again: %x, %v", descriptor.FullName(), reencoded, err)
 	}
 }
 
+// writeProtoServices writes the methods of the services with the types of their messages.
 func writeProtoServices(out *strings.Builder, services protoreflect.ServiceDescriptors) {
 	for i := range services.Len() {
 		service := services.Get(i)
@@ -68,7 +69,7 @@
 	}
 }
 
-// fillProto sets every field to a value of its own.
+// fillProto sets all fields of a message. Their values are all different, except for booleans.
 func fillProto(m protoreflect.Message, count *int) {
 	fields := m.Descriptor().Fields()
 	for i := range fields.Len() {
@@ -84,7 +85,8 @@
 	}
 }
 
-// protoValue gives a value that a field, or an entry of its list, may have.
+// protoValue returns a value for a field, or for an element of a list field. It increments the count, from which it
+// derives the value. empty returns an empty message of the field's type.
 func protoValue(field protoreflect.FieldDescriptor, empty func() protoreflect.Value, count *int) protoreflect.Value {
 	*count++
 	switch field.Kind() {
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -11,7 +11,7 @@
 	"sableusher/internal/wire"
 )
 
-// arraySpec describes a job of the first version: no field that a later one added.
+// arraySpec returns a job description without the fields that were added after the first version.
 func arraySpec(tasks int) wire.JobSpec {
 	return wire.JobSpec{
 		ID: "run-000412", Class: "train", Team: "vision", Kind: wire.KindArray, Priority: wire.PriorityHigh,
@@ -29,7 +29,7 @@
 	}
 }
 
-// Times of submission and of what comes after it, in milliseconds.
+// Times of submission and of later events, in milliseconds since the Unix epoch.
 const (
 	submittedMs = 1_700_000_000_000
 	laterMs     = 1_700_000_060_000
@@ -53,7 +53,7 @@
 	}
 }
 
-// jobRecords are the records of jobs in every schema version and layout.
+// jobRecords returns records of jobs and of their chunks in every schema version and layout.
 func jobRecords() []message {
 	job := func(name string, change func(*record.Job)) message {
 		value := record.Job{Spec: arraySpec(200), SubmittedAtMs: submittedMs}
@@ -107,7 +107,7 @@
 	}
 }
 
-// TestRecords: the durable records keep their bytes.
+// TestRecords checks that the durable records keep their bytes.
 func TestRecords(t *testing.T) {
 	checkCBOR(t, "records.txt", slices.Concat(jobRecords(),
 		filledSinceVersion(t, "job", "cancel-request", func(j *record.Job) { j.CancelRequestedAtMs = 0 }),
@@ -143,7 +143,7 @@
 	))
 }
 
-// TestRecordKeys: the records keep their keys.
+// TestRecordKeys checks that the records keep their keys, and machines their shards.
 func TestRecordKeys(t *testing.T) {
 	var out strings.Builder
 	for _, line := range []struct{ name, key string }{
--- a/internal/golden/requests_test.go
+++ b/internal/golden/requests_test.go
@@ -14,12 +14,12 @@
 	"sableusher/internal/wire"
 )
 
-// recorder is a transport that writes down each request and answers that there is nothing.
+// recorder is an HTTP transport that records each request and responds with status 404.
 type recorder struct {
 	out strings.Builder
 }
 
-// RoundTrip writes down a request.
+// RoundTrip records a request. It implements http.RoundTripper.
 func (r *recorder) RoundTrip(request *http.Request) (*http.Response, error) {
 	var body []byte
 	if request.Body != nil {
@@ -32,7 +32,7 @@
 	return &http.Response{StatusCode: http.StatusNotFound, Body: io.NopCloser(bytes.NewReader(nil))}, nil
 }
 
-// TestStoreRequests: requests to the key-value store keep their methods, paths and bodies.
+// TestStoreRequests checks that requests to the key-value store keep their methods, paths and bodies.
 func TestStoreRequests(t *testing.T) {
 	var sent recorder
 	client := kvstore.NewClient("store:2379", kvstore.Limits{
@@ -52,7 +52,7 @@
 	checkText(t, "store_requests.txt", sent.out.String())
 }
 
-// TestCloudRequests: requests to the cloud keep their methods, paths and bodies.
+// TestCloudRequests checks that requests to the cloud keep their methods, paths and bodies.
 func TestCloudRequests(t *testing.T) {
 	var sent recorder
 	client := cloud.New(cloud.Options{
--- a/internal/golden/routes_test.go
+++ b/internal/golden/routes_test.go
@@ -14,7 +14,7 @@
 	"sableusher/internal/config"
 )
 
-// TestRoutes: the methods and paths that are served.
+// TestRoutes checks the methods and paths that the API serves.
 func TestRoutes(t *testing.T) {
 	logger := slog.New(slog.DiscardHandler)
 	server := api.New(api.Config{
--- a/internal/golden/settings_test.go
+++ b/internal/golden/settings_test.go
@@ -11,7 +11,7 @@
 	"sableusher/internal/config"
 )
 
-// TestSettings: the platform's settings are read from the same names into the same values.
+// TestSettings checks that the platform's settings keep their names and are decoded to the same values.
 func TestSettings(t *testing.T) {
 	content, err := os.ReadFile(filepath.Join("testdata", "settings.toml"))
 	if err != nil {
@@ -26,7 +26,7 @@
 	checkText(t, "settings.txt", w.out.String())
 }
 
-// TestSettingsRefused: a setting that is missing or out of range is refused with the same words.
+// TestSettingsRefused checks that the errors for missing and out-of-range settings keep their text.
 func TestSettingsRefused(t *testing.T) {
 	content, err := os.ReadFile(filepath.Join("testdata", "settings.toml"))
 	if err != nil {
@@ -49,7 +49,7 @@
 	checkText(t, "settings_refused.txt", out.String())
 }
 
-// TestOperatorSettings: the operators' settings are read from the same names into the same values.
+// TestOperatorSettings checks that the operators' settings keep their names and are decoded to the same values.
 func TestOperatorSettings(t *testing.T) {
 	var out strings.Builder
 	for _, file := range []string{
--- a/internal/golden/submissions_test.go
+++ b/internal/golden/submissions_test.go
@@ -8,14 +8,14 @@
 	"sableusher/internal/wire"
 )
 
-// submissionFields are the fields of a submission in a fixed order.
+// submissionFields lists the fields of a submission in a fixed order.
 var submissionFields = []string{
 	"id", "lot", "crew", "rig", "precedence", "hauls", "vcpus", "cards", "memory_gb", "tackle", "size_gb",
 	"hulls", "harbor", "same_place", "spread", "standby", "reckon_s", "landfall_s", "stow_s", "cutoff_s",
 	"awaits", "repeats",
 }
 
-// submission is a job as a user sends it, every field given.
+// submission returns a submission as a user sends it, with every field set.
 func submission() map[string]any {
 	return map[string]any{
 		"id": "run-000412", "lot": "train", "crew": "vision", "rig": "group", "precedence": "urgent", "hauls": 16,
@@ -26,7 +26,7 @@
 	}
 }
 
-// writeSubmission prints what a body is read as, or why it is refused.
+// writeSubmission writes the job description that a body is decoded to, or the error for which it is refused.
 func writeSubmission(out *strings.Builder, name string, body []byte) {
 	spec, err := wire.DecodeSubmission(body)
 	if err != nil {
@@ -36,8 +36,8 @@
 	fmt.Fprintf(out, "%s: %x\n", name, wire.MustEncode(spec))
 }
 
-// TestSubmissions: a submission is read into the same description, and refused with the same message. The
-// messages of the codec name the type that a submission is decoded into, which therefore keeps its name.
+// TestSubmissions checks that submissions are decoded to the same job descriptions and refused with the same messages.
+// Messages of the codec contain the name of the type that a submission is decoded into, so this type can't be renamed.
 func TestSubmissions(t *testing.T) {
 	var out strings.Builder
 	writeSubmission(&out, "every field", wire.MustEncode(submission()))
@@ -62,7 +62,7 @@
 	checkText(t, "submissions.txt", out.String())
 }
 
-// writeMaxRetries prints how many retries a body asks for, or why it is refused.
+// writeMaxRetries writes the number of retries that a body requests, or the error for which it is refused.
 func writeMaxRetries(out *strings.Builder, given any, body []byte) {
 	requested, err := wire.DecodeMaxRetries(body)
 	if requested != nil {
