--- a/internal/graph/compile.go
+++ b/internal/graph/compile.go
@@ -40,8 +40,8 @@
 	TriggerRule TriggerRule
 	Spec        wire.JobSpec
 	Upstream    []int // positions, in the list that Compile returns, of the jobs that this one depends on
-	// Deferred reports whether the owner of the run must wait to submit the job, because its
-	// trigger rule, or that of a job upstream of it, is not TriggerAllSuccess. Other jobs can be
+	// Deferred is true if the owner of the run must wait before it submits the job, because the
+	// job's trigger rule, or that of a job upstream of it, is not TriggerAllSuccess. Other jobs can be
 	// submitted at once: the scheduler holds them back until their dependencies succeed.
 	Deferred bool
 }
--- a/internal/graph/compile_test.go
+++ b/internal/graph/compile_test.go
@@ -108,7 +108,7 @@
 // the graph. Each instance of a task must be one job that depends on all instances of the task's
 // upstream tasks, follows them, and is a valid submission. A job must be deferred if and only if
 // its trigger rule, or that of a job upstream of it, is not TriggerAllSuccess. JSON and YAML
-// files must compile to the same jobs.
+// files must compile to the same jobs, which also shows that compilation is deterministic.
 func TestGeneratedGraphsCompile(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		generated := drawGraph(t)
