--- a/internal/binpack/allocate.go
+++ b/internal/binpack/allocate.go
@@ -34,9 +34,8 @@
 // highest bit, and machines of lower tiers are filled first.
 type tier int
 
-// tierNotFreedForJob is set for machines that are not reserved for the job. It applies to all
-// machines.
-const tierNotFreedForJob tier = 1 << 5
+// tierNotReserved is the drawback of any machine that is not reserved for the job.
+const tierNotReserved tier = 1 << 5
 
 // Drawbacks of a machine with GPUs for a task without GPUs. Being a spot machine is a drawback here:
 // the machine is kept for its GPUs anyway, so its lower price saves nothing, and the task's run time
@@ -90,7 +89,7 @@
 func (a *allocation) tierOf(info *MachineInfo) tier {
 	inv, need := a.inv, a.request.Need
 	fetches := info.readiness != Ready || !inv.HasImage(a.request.Spec.Image, info)
-	t := tierNotFreedForJob.when(info.ReservedFor == "")
+	t := tierNotReserved.when(info.ReservedFor == "")
 	if isGPUMachineForCPUTask := need.GPUs == 0 && info.Capacity.GPUs > 0; isGPUMachineForCPUTask {
 		return t |
 			tierTakesGPUShare.when(!inv.leavesGPUShare(need, info)) |
--- a/internal/binpack/gang_test.go
+++ b/internal/binpack/gang_test.go
@@ -41,7 +41,7 @@
 		before, isPossible := freeByMachine(inv), canPlaceAll(inv, request)
 		picks := inv.AllocateGang(request, inv.FittingMachines(request), *unconstrained(), nil)
 		if (picks != nil) != isPossible || picks != nil && len(picks) != request.Spec.TaskCount {
-			t.Fatalf("%d of %d tasks placed, possible: %v", len(picks), request.Spec.TaskCount, isPossible)
+			t.Fatalf("%d of %d tasks placed, capacity for all: %v", len(picks), request.Spec.TaskCount, isPossible)
 		}
 		placed := map[string]int{}
 		for _, info := range picks {
--- a/internal/binpack/inventory.go
+++ b/internal/binpack/inventory.go
@@ -19,7 +19,7 @@
 	// NeedPerGPU is the amount of the other resources that GPU tasks use for each GPU.
 	NeedPerGPU record.Resources
 	// CommonNeed is the need of a common task: at least half of all requested cores are for tasks
-	// that use as many cores or more. It is zero if any job uses GPUs or no job is known.
+	// that use as many cores or more. It is zero while any job uses GPUs, and until a job is known.
 	CommonNeed record.Resources
 
 	snapshot Snapshot
--- a/internal/binpack/refresh_test.go
+++ b/internal/binpack/refresh_test.go
@@ -17,7 +17,7 @@
 		for i := range 12 {
 			drawMachine(t, cluster, i)
 		}
-		var kept *Inventory
+		var refreshed *Inventory
 		for range rapid.IntRange(1, 6).Draw(t, "cycles") {
 			for range rapid.IntRange(0, 4).Draw(t, "changes") {
 				i := rapid.IntRange(0, 15).Draw(t, "machine")
@@ -27,24 +27,24 @@
 				}
 				drawMachine(t, cluster, i)
 			}
-			kept = Refresh(kept, cluster.snapshot(), changes.TakeMachines())
-			checkEqualsNewOne(t, kept, Refresh(nil, cluster.snapshot()))
+			refreshed = Refresh(refreshed, cluster.snapshot(), changes.TakeMachines())
+			checkEqualsNewOne(t, refreshed, Refresh(nil, cluster.snapshot()))
 
 			request := drawRequest(t)
-			filterFor(kept, request)
-			kept.Allocate(request, kept.FittingMachines(request), unconstrained(), nil)
-			kept.ReserveFor(machineName(rapid.IntRange(0, 15).Draw(t, "reserved")), "a")
+			filterFor(refreshed, request)
+			refreshed.Allocate(request, refreshed.FittingMachines(request), unconstrained(), nil)
+			refreshed.ReserveFor(machineName(rapid.IntRange(0, 15).Draw(t, "reserved")), "a")
 		}
 	})
 }
 
 // checkEqualsNewOne checks that a refreshed inventory has the free capacity and the lists of a new one.
-func checkEqualsNewOne(t *rapid.T, kept, fresh *Inventory) {
-	if !maps.Equal(freeByMachine(kept), freeByMachine(fresh)) ||
-		!slices.Equal(machineNames(kept.ready), machineNames(fresh.ready)) ||
-		!slices.Equal(machineNames(kept.pending), machineNames(fresh.pending)) {
+func checkEqualsNewOne(t *rapid.T, refreshed, fresh *Inventory) {
+	if !maps.Equal(freeByMachine(refreshed), freeByMachine(fresh)) ||
+		!slices.Equal(machineNames(refreshed.ready), machineNames(fresh.ready)) ||
+		!slices.Equal(machineNames(refreshed.pending), machineNames(fresh.pending)) {
 		t.Fatalf("refreshed inventory: free %v, ready %v, pending %v; new inventory: free %v, ready %v, pending %v",
-			freeByMachine(kept), machineNames(kept.ready), machineNames(kept.pending),
+			freeByMachine(refreshed), machineNames(refreshed.ready), machineNames(refreshed.pending),
 			freeByMachine(fresh), machineNames(fresh.ready), machineNames(fresh.pending))
 	}
 }
