--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -44,7 +44,7 @@
 	log       *slog.Logger
 
 	rentals          rentalTracker
-	lastScaleOut     time.Time            // end of the last requests for planned machines
+	lastScaleOut     time.Time            // when the last requests for planned machines ended
 	unavailableZones []string             // zones in which rented machines could not send heartbeats
 	idleSince        map[string]time.Time // by machine name
 	arrivals         map[string]arrival   // by job ID
@@ -96,8 +96,9 @@
 	}
 }
 
-// resize adjusts the number of machines to the demand. It does nothing on a controller that is not the
-// leader, or if the operator has fixed the number of machines.
+// resize adjusts the number of machines to the demand. On a controller that is not the leader it only sets
+// the request rate of the cloud client and clears the idle times. It does nothing if the operator has fixed
+// the number of machines.
 func (a *Autoscaler) resize(ctx context.Context) {
 	if a.operator.FixedFleet {
 		return
--- a/internal/autoscaler/deletion.go
+++ b/internal/autoscaler/deletion.go
@@ -2,11 +2,11 @@
 
 import "context"
 
-// returnMachines returns to the cloud those machines of this controller's shards that are being deleted.
-// If tasks are still bound to one of them, it calls the cloud at once, because these tasks start on
-// another machine only after the deletion. Otherwise it calls the cloud only if a call is left for
-// urgent requests: the cloud allows few calls per second, and when returns of single idle machines used
-// them all up, the replicas of a dead machine waited 3 s (median) for its deletion.
+// returnMachines returns to the cloud those machines of this controller's shards that are to be deleted,
+// which include drained ones. If tasks are still bound to one of them, it calls the cloud at once, because
+// these tasks start on another machine only after the deletion. Otherwise it calls the cloud only if a call
+// is left for urgent requests: the cloud allows few calls per second, and when returns of single idle
+// machines used them all up, the replicas of a dead machine waited 3 s (median) for its deletion.
 func (a *Autoscaler) returnMachines(ctx context.Context) {
 	machines, tasksWait := a.scheduler.MachinesToDelete()
 	if len(machines) == 0 || !tasksWait && !a.cloud.HasSpareCall() {
--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -46,8 +46,7 @@
 }
 
 // reconcileListed returns the transactions that delete the listed machines that failed, and adopt those
-// without a record.
-// Callers hold the state's lock.
+// without a record. Callers hold the state's lock.
 func (a *Autoscaler) reconcileListed(
 	leader wire.Condition, listed []wire.CloudMachine, now time.Time,
 ) []kvstore.Transaction {
--- a/internal/autoscaler/rental.go
+++ b/internal/autoscaler/rental.go
@@ -140,7 +140,7 @@
 		log.Info("rental refused", "err", err)
 		a.rentals.recordRefusal(kind)
 	case err != nil:
-		a.log.Info("rental request failed; it will be repeated under the same name", "rental", name, "err", err)
+		a.log.Info("rental request failed, will retry", "rental", name, "err", err)
 		return err
 	default:
 		log.Info("machines rented", "machines", machines)
--- a/internal/autoscaler/rentaltracker.go
+++ b/internal/autoscaler/rentaltracker.go
@@ -56,8 +56,8 @@
 
 // recordRefusal records that the cloud provided no machines of a kind, or fewer than requested. The
 // backoff doubles with each consecutive refusal, up to tuning.RentalRefusalBackoffMax. After the loss of
-// a zone all kinds may be refused; requests for each of them every few seconds then used up the cloud
-// calls that the deletion of the lost machines needed.
+// a zone the cloud may refuse all kinds. Requests for each kind every few seconds would then use up the
+// cloud calls that the deletion of the lost machines needs.
 func (t *rentalTracker) recordRefusal(kind machineKind) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/autoscaler/scaleoutplan_test.go
+++ b/internal/autoscaler/scaleoutplan_test.go
@@ -65,11 +65,11 @@
 			}
 		}
 		if plannedGPUs < gpus || plannedOnDemandGPUs < onDemandGPUs {
-			t.Errorf("%d machines, %d GPUs on demand, for %d GPUs, %d of them on demand",
+			t.Errorf("%d machines planned, %d GPUs on demand, for a need of %d GPUs, %d of them on demand",
 				len(planned), plannedOnDemandGPUs, gpus, onDemandGPUs)
 		}
 		if plannedGPUs > 2*gpus+4*len(demand.Groups)+8 {
-			t.Errorf("%d GPUs rented for %d", plannedGPUs, gpus)
+			t.Errorf("%d GPUs planned for a need of %d GPUs", plannedGPUs, gpus)
 		}
 	})
 }
--- a/internal/autoscaler/sizing.go
+++ b/internal/autoscaler/sizing.go
@@ -18,8 +18,8 @@
 }
 
 // limitByLearner lets the learner choose how many of the planned machines are rented: at least the
-// required ones, at most all. A choice is kept for the operator's idle hold time. Without a warmed-up
-// learner all planned machines are rented.
+// required ones, at most all. A choice is kept for the operator's idle hold time. All planned machines
+// are rented if learning is disabled or the learner has too few rewards.
 func (a *Autoscaler) limitByLearner(planned []plannedMachine) []plannedMachine {
 	sizeLearner := a.scheduler.Learner()
 	if !a.operator.LearningEnabled || !sizeLearner.Warm() {
--- a/internal/autoscaler/zonereserve.go
+++ b/internal/autoscaler/zonereserve.go
@@ -11,7 +11,7 @@
 	if a.operator.ZoneReserve == 0 || len(a.unavailableZones) > 0 {
 		return reserve
 	}
-	largest := a.largestServiceShare()
+	largest := a.maxServiceUsage()
 	for _, machineType := range a.state.Catalog.Types {
 		for _, zone := range machineType.Zones {
 			reserve[zone] = largest * a.operator.ZoneReserve
@@ -23,9 +23,9 @@
 	return reserve
 }
 
-// largestServiceShare returns the capacity, in machines, that services take in the zone where they take
+// maxServiceUsage returns the capacity, in machines, that services take in the zone where they take the
 // most. It counts only services that may run in any zone. Callers hold the state's lock.
-func (a *Autoscaler) largestServiceShare() float64 {
+func (a *Autoscaler) maxServiceUsage() float64 {
 	byZone, largest := map[string]float64{}, 0.0
 	for _, machine := range a.state.Machines {
 		for _, binding := range machine.Bindings {
--- a/internal/autoscaler/zonereserve_test.go
+++ b/internal/autoscaler/zonereserve_test.go
@@ -54,8 +54,10 @@
 		for _, zone := range testZones {
 			elsewhere := spareByZone["east"] + spareByZone["west"] - spareByZone[zone]
 			if elsewhere+1 < share*usedByZone[zone] {
-				t.Errorf("%v spare machines outside of zone %s, whose services take %v machines; the reserve share is %.2f",
-					elsewhere, zone, usedByZone[zone], share)
+				t.Errorf(
+					"%v spare machines outside of zone %s, whose services take %v machines; the reserve share is %.2f",
+					elsewhere, zone, usedByZone[zone], share,
+				)
 			}
 		}
 		a.unavailableZones = []string{"east"}
