--- a/internal/cloud/doc.go
+++ b/internal/cloud/doc.go
@@ -7,5 +7,6 @@
 //
 // Safety invariants 4 and 9 depend on what the responses mean. Renting is idempotent: repeated
 // requests with the same name return the same machines. If Return succeeds, the machines are gone.
-// ErrUnavailable proves nothing: the request may have been executed.
+// ErrNoCapacity and ErrMalformedRequest mean that the request had no effect. Any other error proves
+// nothing: the request may have been executed.
 package cloud
--- a/internal/cloud/errors.go
+++ b/internal/cloud/errors.go
@@ -12,8 +12,8 @@
 	// ErrMalformedRequest is returned if the cloud refuses the request as malformed. The request was
 	// not executed, and a retry would be refused too.
 	ErrMalformedRequest = errors.New("malformed request")
-	// ErrUnavailable is returned if there was no response from the cloud, or an unexpected one. The
-	// request may have been executed nevertheless.
+	// ErrUnavailable is returned if there was no response from the cloud, or one with an unexpected
+	// status. The request may have been executed nevertheless.
 	ErrUnavailable = errors.New("cloud unavailable")
 )
 
--- a/internal/cloud/machines.go
+++ b/internal/cloud/machines.go
@@ -20,7 +20,8 @@
 
 // Rent rents machines and returns their names, which may be fewer than requested. It is idempotent:
 // requests with the same name return the same machines. It fails with ErrNoCapacity if no machine is
-// available. After ErrUnavailable the machines may have been rented nevertheless.
+// available. After any error but ErrNoCapacity and ErrMalformedRequest the machines may have been
+// rented nevertheless.
 func (c *Client) Rent(ctx context.Context, request wire.RentalRequest) ([]string, error) {
 	var rented wire.MachineNames
 	err := c.call(ctx, http.MethodPost, "/machines", request, &rented)
