--- a/internal/learner/checkpoint.go
+++ b/internal/learner/checkpoint.go
@@ -128,8 +128,9 @@
 }
 
 // Restore replaces the learner's weights and reward count by those of a checkpoint. It returns a
-// *CheckpointFormError for a checkpoint of another form, and ErrWeightNotFinite for one with a weight
-// that is infinite or NaN. On error the learner is unchanged.
+// *CheckpointFormError for a checkpoint of another version, with another number of weights or with a
+// negative reward count, and ErrWeightNotFinite for one with a weight that is infinite or NaN. On error
+// the learner is unchanged.
 func (l *Learner) Restore(checkpoint Checkpoint) error {
 	if checkpoint.Version != tuning.LearnerCheckpointVersion || len(checkpoint.Weights) != featureWidth ||
 		checkpoint.RewardCount < 0 {
--- a/internal/learner/errors.go
+++ b/internal/learner/errors.go
@@ -18,13 +18,14 @@
 )
 
 // CheckpointFormError is returned for a checkpoint whose version or number of weights differs from this
-// learner's, or whose number of rewards is negative.
+// learner's, or whose reward count is negative.
 type CheckpointFormError struct {
-	Version, Weights         int // of the checkpoint
-	WantVersion, WantWeights int
+	Version, Weights         int // version and number of weights of the checkpoint
+	WantVersion, WantWeights int // version and number of weights of this learner
 }
 
-// Error returns the versions and numbers of weights of the checkpoint and of this learner.
+// Error returns the versions and numbers of weights of the checkpoint and of this learner. It doesn't
+// mention the reward count: if only that is invalid, the text shows the same form twice.
 func (e *CheckpointFormError) Error() string {
 	return fmt.Sprintf("checkpoint has version %d and %d weights, want version %d and %d weights",
 		e.Version, e.Weights, e.WantVersion, e.WantWeights)
--- a/internal/learner/learner_test.go
+++ b/internal/learner/learner_test.go
@@ -48,7 +48,7 @@
 		}
 		for i, v := range u {
 			if !(v >= 0 && v <= 1) {
-				t.Fatalf("input %d is %v", i, v)
+				t.Fatalf("input entry %d is %v, want 0 to 1", i, v)
 			}
 		}
 	})
@@ -88,11 +88,11 @@
 		}
 	}
 	l.TakeAction(c)
-	moved := false
+	changed := false
 	for i := range before {
-		moved = moved || l.reservoirState[i] != before[i]
+		changed = changed || l.reservoirState[i] != before[i]
 	}
-	if !moved {
+	if !changed {
 		t.Fatal("taking an action did not change the reservoir's state")
 	}
 }
@@ -116,7 +116,7 @@
 	good := l.Score(s, &Action{Class: "pays", RunSeconds: 10}).Value
 	bad := l.Score(s, &Action{Class: "costs", RunSeconds: 10}).Value
 	if good <= bad+0.1 || !l.Warm() {
-		t.Fatalf("values %v and %v", good, bad)
+		t.Fatalf("the class with the higher reward has the value %v, the other class %v", good, bad)
 	}
 }
 
@@ -140,8 +140,8 @@
 	}
 }
 
-// TestInvalidCheckpointsAreRefused checks that Restore refuses a checkpoint of another version or width, with a
-// weight that is not finite, or with a negative number of rewards.
+// TestInvalidCheckpointsAreRefused checks that Restore refuses a checkpoint of another version, with another number
+// of weights, with a weight that is not finite, or with a negative reward count.
 func TestInvalidCheckpointsAreRefused(t *testing.T) {
 	l := newTestLearner(0, 0)
 	good := l.Save()
@@ -149,11 +149,11 @@
 		t.Fatal(err)
 	}
 	for name, corrupt := range map[string]func(*Checkpoint){
-		"form":   func(s *Checkpoint) { s.Version++ },
-		"width":  func(s *Checkpoint) { s.Weights = s.Weights[1:] },
-		"nan":    func(s *Checkpoint) { s.Weights = append([]float64{math.NaN()}, s.Weights[1:]...) },
-		"count":  func(s *Checkpoint) { s.RewardCount = -1 },
-		"absent": func(s *Checkpoint) { *s = Checkpoint{} },
+		"version":           func(s *Checkpoint) { s.Version++ },
+		"number of weights": func(s *Checkpoint) { s.Weights = s.Weights[1:] },
+		"NaN weight":        func(s *Checkpoint) { s.Weights = append([]float64{math.NaN()}, s.Weights[1:]...) },
+		"reward count":      func(s *Checkpoint) { s.RewardCount = -1 },
+		"empty":             func(s *Checkpoint) { *s = Checkpoint{} },
 	} {
 		s := good
 		corrupt(&s)
--- a/internal/learner/metrics.go
+++ b/internal/learner/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/promauto"
 )
 
-// Values of the label outcome of the metric that counts refits.
+// Values of the outcome label of refitCounter.
 const (
 	refitGood   = "good"
 	refitFailed = "failed"
