--- a/internal/fairshare/doc.go
+++ b/internal/fairshare/doc.go
@@ -7,6 +7,7 @@
 // state. A controller that has just started therefore knows only the live jobs; its result agrees
 // with that of the other controllers after one tuning.FairShareWindow.
 //
-// The result only affects the order in which jobs start (safety invariant 19). It ranks below
-// priorities and guarantees, and applies to a bounded share of the starts.
+// The result only affects the order in which jobs start. It ranks below priorities and guarantees, and
+// applies to a bounded share of the starts. A cell that runs jobs of other cells tracks and orders them
+// by the same rules as its own jobs (safety invariant 19).
 package fairshare
