--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -31,7 +31,7 @@
 		spec: wire.JobSpec{Team: "nobody", TaskCount: 1, CPUs: 1},
 		want: ErrUnknownTeam,
 	},
-	"array beyond limit": {
+	"array over limit, each task within it": {
 		spec: wire.JobSpec{Team: "limited", Kind: wire.KindArray, TaskCount: 100, CPUs: 4},
 	},
 	"task over limit": {
@@ -52,7 +52,7 @@
 		spec: wire.JobSpec{Team: "unlimited", TaskCount: 2, CPUs: 1, SameZone: true, Spread: true},
 		want: ErrSameZoneAndSpread,
 	},
-	"one task, both": {
+	"same zone and spread, one task": {
 		spec: wire.JobSpec{Team: "unlimited", TaskCount: 1, CPUs: 1, SameZone: true, Spread: true},
 	},
 	"larger than any type": {
@@ -74,7 +74,7 @@
 	"type is in its zone": {
 		spec: wire.JobSpec{Team: "unlimited", TaskCount: 1, CPUs: 8, Zone: "west"},
 	},
-	"unknown zone, any fit": {
+	"unknown zone": {
 		spec: wire.JobSpec{Team: "unlimited", TaskCount: 1, CPUs: 1, Zone: "north"},
 		want: ErrNoMachineType,
 	},
--- a/internal/dependency/resolver.go
+++ b/internal/dependency/resolver.go
@@ -101,7 +101,7 @@
 			// An absent record is not an error: either the cluster state does not contain the job yet,
 			// or the job is about to become live in it again.
 			if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
-				r.logger.Debug("could not read final record; the dependent jobs keep waiting", "job_id", id, "err", err)
+				r.logger.Debug("could not read final record", "job_id", id, "err", err)
 			}
 			return nil
 		})
--- a/internal/preemption/search.go
+++ b/internal/preemption/search.go
@@ -11,7 +11,8 @@
 }
 
 // Candidates returns the machines on which a task does not fit now but would fit if all preemptible tasks of the same
-// or a lower priority were stopped. It keeps the order of machines and returns at most Limit of them.
+// or a lower priority were stopped. It leaves out machines that are reserved or that the job may not use, keeps the
+// order of machines, and returns at most Limit of them.
 func (s *Search) Candidates(machines []*binpack.MachineInfo) []*binpack.MachineInfo {
 	var candidates []*binpack.MachineInfo
 	for _, machine := range machines {
