--- a/internal/tuning/autoscaler.go
+++ b/internal/tuning/autoscaler.go
@@ -7,13 +7,13 @@
 	// AutoscalerInterval is the interval at which the autoscaler compares the number of machines with the demand.
 	AutoscalerInterval = 500 * time.Millisecond
 	// ScaleOutOverrideAfter is how long work may wait before machines for it are rented regardless of the
-	// learner's choice. A gang that its team's limit holds back for longer blocks the team's later work, as
-	// narrower jobs would otherwise delay it indefinitely.
+	// learner's choice. A gang that its team's limit has kept waiting for longer blocks the later jobs of the
+	// team; otherwise smaller jobs could delay it indefinitely.
 	ScaleOutOverrideAfter = 30 * time.Second
 	// ArrivalWindow is the period of past job arrivals from which the headroom is computed.
 	ArrivalWindow = 3 * time.Minute
-	// HeadroomDeviations is the number of standard deviations of the capacity that arrives within one boot time that
-	// the headroom covers.
+	// HeadroomDeviations is the headroom, in standard deviations of the capacity that jobs arriving within one boot
+	// time take.
 	HeadroomDeviations = 1.0
 	// RentalMaxMachines is the largest number of machines in one rental request.
 	RentalMaxMachines = 50
@@ -44,7 +44,8 @@
 	// CloudListInterval is the interval at which the cloud's machines are listed.
 	CloudListInterval = 5 * time.Second
 	// CloudListMissesBeforeDeletion is the number of consecutive listings without a machine after which the machine is
-	// deleted. Listings during the list lag after the machine's creation don't count.
+	// deleted. Listings don't count until the machine is older than twice the list lag plus this number of list
+	// intervals.
 	CloudListMissesBeforeDeletion = 3
 	// CloudTimeout is the timeout of a call to the cloud.
 	CloudTimeout = 5 * time.Second
@@ -55,8 +56,8 @@
 	// three seconds, while the leader's calls were refused.
 	CloudLeaderShare = 0.45
 	// CloudCallBurst is the number of calls that a node may make at once after a pause. A call that can wait is made
-	// only while the whole burst is available, so that one call is left for urgent requests. The cloud allows bursts
-	// of the calls of two seconds.
+	// only while the whole burst is available, so that one call is left for urgent requests. The cloud itself allows
+	// bursts of as many calls as it allows in two seconds.
 	CloudCallBurst = 2
 	// CatalogInterval is the interval at which the leader reads the catalog of machine types from the cloud.
 	CatalogInterval = 60 * time.Second
--- a/internal/tuning/learner.go
+++ b/internal/tuning/learner.go
@@ -41,7 +41,8 @@
 	EstimateMaxClasses = 48
 	// EstimateRunsPerClass is the number of latest run times that are kept for each class.
 	EstimateRunsPerClass = 101
-	// EstimateMinRuns is the number of recorded runs from which a class's median is used as its run time.
+	// EstimateMinRuns is the number of recorded runs of a class at which their median replaces the owner's estimate.
+	// It is also the number of latest run times of each class that a checkpoint keeps.
 	EstimateMinRuns = 5
 	// LearnerCheckpointInterval is the interval at which checkpoints are saved. A checkpoint takes about 3 KiB.
 	LearnerCheckpointInterval = 30 * time.Second
