--- a/internal/zonehealth/doc.go
+++ b/internal/zonehealth/doc.go
@@ -9,7 +9,8 @@
 // waits for (invariant 25; Tracker.WaitingFor).
 //
 // The names below are the values of the metric label and appear in the log and in the operators'
-// documentation. Heartbeats are counted over one heartbeat interval:
+// documentation. They call a suspected zone doubted and a partitioned zone cut. Heartbeats are
+// counted over one heartbeat interval:
 //
 //	state      entered from       when
 //	serving    (initial state)
--- a/internal/zonehealth/heartbeat.go
+++ b/internal/zonehealth/heartbeat.go
@@ -11,11 +11,12 @@
 	// interval.
 	Received int
 	// ControllerInZone is set if a controller runs in the zone. It renews the leases of the zone's
-	// agents while the zone is cut off.
+	// agents while the zone is partitioned.
 	ControllerInZone bool
 }
 
-// hasRecovered reports whether heartbeats arrive again from a zone that was cut off or lost.
+// hasRecovered reports whether heartbeats arrive from enough machines for a zone that is partitioned or
+// lost to return.
 func (c HeartbeatCount) hasRecovered() bool {
 	return c.Received > 0 && float64(c.Received) >= tuning.PartitionHeardShare*float64(c.Expected)
 }
--- a/internal/zonehealth/history.go
+++ b/internal/zonehealth/history.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// advanceConnected makes the transitions of a zone that is neither cut off nor lost.
+// advanceConnected makes the transitions of a zone that is neither partitioned nor lost.
 func (h *history) advanceConnected(now time.Time, count HeartbeatCount, timing *Timing) {
 	isSuspected := count.isBelow(tuning.ZoneSuspectedHeardShare)
 	switch {
@@ -54,7 +54,7 @@
 	}
 }
 
-// advanceDisconnected makes the transitions of a zone that is cut off or lost. A lost zone returns
+// advanceDisconnected makes the transitions of a zone that is partitioned or lost. A lost zone returns
 // also when all its machines have been deleted, so that new machines can be rented there.
 func (h *history) advanceDisconnected(now time.Time, count HeartbeatCount, timing *Timing) {
 	isEmptied := h.state == Lost && count.Expected == 0
@@ -85,7 +85,7 @@
 	return timing.ReconnectTime << max(h.unforgivenReturns-1, 0)
 }
 
-// gracePeriod returns how long a zone may be cut off before it is lost. Without a controller in the
+// gracePeriod returns how long a zone may be partitioned before it is lost. Without a controller in the
 // zone, which would renew the leases, its tasks keep running for the duration of one lease.
 func gracePeriod(count HeartbeatCount, timing *Timing) time.Duration {
 	if count.ControllerInZone {
--- a/internal/zonehealth/roster.go
+++ b/internal/zonehealth/roster.go
@@ -3,7 +3,7 @@
 // Roster maps the name of each machine in a zone to the session of its agent.
 type Roster map[string]uint64
 
-// ReturnSummary counts the machines of a zone by what happened to them while the zone was cut off.
+// ReturnSummary counts the machines of a zone by what happened to them while the zone was partitioned.
 type ReturnSummary struct {
 	// Continued is the number of machines with the same session: their tasks kept running.
 	Continued int
@@ -16,7 +16,7 @@
 	Added int
 }
 
-// CompareAfterReturn compares the roster from before the zone was cut off with its present roster.
+// CompareAfterReturn compares the roster from before the zone was partitioned with its present roster.
 func (r Roster) CompareAfterReturn(present Roster) ReturnSummary {
 	summary := ReturnSummary{Added: len(present)}
 	for machine, session := range r {
--- a/internal/zonehealth/state.go
+++ b/internal/zonehealth/state.go
@@ -10,7 +10,7 @@
 	Serving   State = iota // no known problem
 	Suspected              // heartbeats are missing from more than half of the machines
 	Cut                    // heartbeats are missing from more than three quarters of the machines
-	Lost                   // cut off for longer than its grace period
+	Lost                   // partitioned for at least its grace period
 	Returning              // heartbeats arrive again; the zone is on probation
 )
 
--- a/internal/zonehealth/tracker.go
+++ b/internal/zonehealth/tracker.go
@@ -26,9 +26,9 @@
 }
 
 // Observe applies the heartbeat counts of the zones at the time now and returns the transitions,
-// ordered by zone. A known zone without a count is treated as one with no expected machines, so only
-// time-based transitions apply: one that was cut off when its machines were deleted becomes lost,
-// then returning, and then serves again.
+// ordered by zone. A known zone without a count is treated as one with no expected machines: a
+// suspected zone serves again, and one that is partitioned becomes lost, then returning, and then serves
+// again.
 func (t *Tracker) Observe(now time.Time, counts map[string]HeartbeatCount) []Transition {
 	if t.histories == nil {
 		t.histories = map[string]*history{}
@@ -68,14 +68,14 @@
 // State returns a zone's state. It returns Serving for an unknown zone.
 func (t *Tracker) State(zone string) State { return t.history(zone).state }
 
-// Unavailable reports whether a zone is cut off or lost. No tasks are placed and no machines are
+// Unavailable reports whether a zone is partitioned or lost. No tasks are placed and no machines are
 // rented in such a zone.
 func (t *Tracker) Unavailable(zone string) bool {
 	state := t.State(zone)
 	return state == Cut || state == Lost
 }
 
-// UnavailableZones returns the zones that are cut off or lost, sorted.
+// UnavailableZones returns the zones that are partitioned or lost, sorted.
 func (t *Tracker) UnavailableZones() []string {
 	var zones []string
 	for zone := range t.histories {
@@ -104,8 +104,8 @@
 }
 
 // ReturningSince returns when heartbeats began to arrive again from a returning zone, and the zero
-// time for a zone in another state. The silence of the zone's machines is measured from that time,
-// as they reconnect one by one.
+// time for a zone in another state. The failure detector measures the silence of the zone's machines
+// from that time at the earliest, as they reconnect one by one.
 func (t *Tracker) ReturningSince(zone string) time.Time {
 	if h := t.history(zone); h.state == Returning {
 		return h.stateSince
--- a/internal/zonehealth/tracker_test.go
+++ b/internal/zonehealth/tracker_test.go
@@ -44,10 +44,10 @@
 	former := m.states[change.Zone]
 	if !slices.Contains(transitions[change.From], change.To) || change.From != former ||
 		change.TimeInFormerState != now.Sub(m.since[change.Zone]) {
-		t.Fatalf("invalid transition %+v of a zone that is %v since %v", change, former, m.since[change.Zone])
+		t.Fatalf("invalid transition %+v of a zone that has been %v since %v", change, former, m.since[change.Zone])
 	}
 	if (change.WaitingFor == "") != (change.To == Serving) {
-		t.Fatalf("WaitingFor must be empty for serving alone: %+v", change)
+		t.Fatalf("WaitingFor must be empty if and only if the zone serves: %+v", change)
 	}
 	m.states[change.Zone], m.since[change.Zone] = change.To, now
 }
@@ -164,7 +164,7 @@
 	z.observe(0, 10*time.Second)
 	isReturning := z.tracker.ReturningSince("east") != (time.Time{})
 	if !z.tracker.Unavailable("east") || z.tracker.Trusted("east") || isReturning {
-		t.Fatalf("zone is %v after 10 s of silence", z.tracker.State("east"))
+		t.Fatalf("zone is %v after 10 s of silence, must be unavailable and not trusted", z.tracker.State("east"))
 	}
 	from := z.now
 	z.observe(10, time.Second)
