--- a/internal/evacuation/doc.go
+++ b/internal/evacuation/doc.go
@@ -16,8 +16,8 @@
 //	          left comes first. Replicas that earlier steps restore are counted as left, so one
 //	          replica of each service is restored before the second of any.
 //	gangs     machines with tasks of gangs, ordered gang by gang, as a gang can start again only
-//	          after all its machines are deleted. The order of gangs is: higher priority, fewer
-//	          machines, more tasks.
+//	          after all its lost machines are deleted. The order of gangs is: higher priority,
+//	          fewer lost machines, more tasks on them.
 //	arrays    machines with other tasks, ordered by priority and then by the number of tasks, the
 //	          most first
 //	nothing   machines without tasks
