--- a/internal/federation/digest.go
+++ b/internal/federation/digest.go
@@ -33,9 +33,9 @@
 type Digest struct {
 	ReceivedAt        time.Time      `cbor:"-"`           // when this cell received it
 	FreeCapacities    []FreeCapacity `cbor:"r,omitempty"` // the largest, up to tuning.DigestMaxShapes
-	WaitSecondsByRank []float64      `cbor:"w,omitempty"` // expected wait of jobs without free capacity, by rank
+	WaitSecondsByRank []float64      `cbor:"w,omitempty"` // expected wait of jobs that do not fit now, by rank
 	Images            []string       `cbor:"i,omitempty"` // those that many machines hold
-	FetchSecondsPerGB float64        `cbor:"f"`           // duration of an image fetch
+	FetchSecondsPerGB float64        `cbor:"f"`           // duration of an image fetch, per GB of the image
 	BootSeconds       float64        `cbor:"b"`           // from the rental of a machine until it is up
 	RemainingTasks    int            `cbor:"g"`           // limit on the tasks that it accepts from now on
 }
--- a/internal/federation/epoch.go
+++ b/internal/federation/epoch.go
@@ -1,8 +1,9 @@
 package federation
 
 // EpochPair holds the epochs that one cell knows for its exchange with another cell: its own epoch, and the
-// highest epoch that it has received from the other. The pair is stored durably, so that a message of an
-// earlier epoch is rejected even after a restart.
+// highest epoch that it has received from the other. A cell's operators increase its epoch after its key-value
+// store has lost writes. The pair is stored durably, so that a message of an earlier epoch is rejected even after
+// a restart.
 type EpochPair struct {
 	Own, Peer uint64
 }
--- a/internal/federation/handovermodel_test.go
+++ b/internal/federation/handovermodel_test.go
@@ -52,7 +52,7 @@
 	running, completed taskSet // completed is as recorded while the cell holds the right to start the job
 }
 
-// isIdle reports whether no task of the job runs in the cell.
+// isIdle reports whether the cell is clean and runs no task of the job.
 func (c *cellState) isIdle() bool { return c.clean && c.running == noTasks }
 
 // messageKind is the kind of a message between the cells.
--- a/internal/federation/home.go
+++ b/internal/federation/home.go
@@ -6,7 +6,7 @@
 // States of a job at its home.
 const (
 	HomeOwned     HomeState = iota // home holds the right to start the job
-	HomeOffloaded                  // the host has that right until it reports that it no longer holds the job
+	HomeOffloaded                  // home has given up that right; only a report of the host returns it
 	HomeEnded                      // the job has ended as the host reported; home may report it to the user
 )
 
@@ -46,8 +46,8 @@
 
 // Offload gives up the right to start the job, under a transfer number that was never used between the two
 // cells. A job can be offloaded only if it is owned, not cancelled and has no bound tasks. Offload returns false
-// if the first two do not hold; the caller must check the third, and write the record on condition that it has
-// not changed.
+// if it is not owned or is cancelled. The caller must check that no tasks are bound, and write the record on
+// condition that it has not changed.
 func (t HomeTransfer) Offload(number uint64) (out HomeTransfer, ok bool) {
 	if t.State != HomeOwned || t.Cancelled {
 		return t, false
@@ -87,8 +87,9 @@
 }
 
 // Reconcile applies the inventory of a host to the job's record at a home that has lost writes: a job that the
-// host holds or has ended becomes offloaded. held contains the host's transfers of this job. After a loss of
-// writes, home may start jobs again only after every cell that it was joined with has sent its inventory.
+// host holds or has ended becomes offloaded, unless it has ended at home. held contains the host's transfers of
+// this job. After a loss of writes, home may start jobs again only after every cell that it was joined with has
+// sent its inventory.
 func (t HomeTransfer) Reconcile(held []HostTransfer) HomeTransfer {
 	for _, transfer := range held {
 		if t.State != HomeEnded {
--- a/internal/federation/host.go
+++ b/internal/federation/host.go
@@ -9,7 +9,7 @@
 type HostStatus int
 
 // Statuses of a transfer at the host, as they are sent in messages. A transfer that was refused or returned
-// needs no record, since the highest number received prevents that it is accepted again.
+// needs no record, since HostTransfers.HighestNumber keeps a delayed copy of its request from being accepted.
 const (
 	HostAbsent HostStatus = iota // no task of the job is bound and none will be
 	HostHolds                    // the host may start the job's tasks
@@ -58,7 +58,7 @@
 //	held    -> absent  by Release, if no task is bound
 //	ended   -> absent  by Forget, after home has received the result
 type HostTransfers struct {
-	HighestNumber uint64         // highest number received; never decreases; stored together with the transfer
+	HighestNumber uint64         // highest number received; never decreases; written together with Transfers
 	Transfers     []HostTransfer // ordered by number
 }
 
--- a/internal/federation/member.go
+++ b/internal/federation/member.go
@@ -16,7 +16,7 @@
 	Since              time.Time // when it entered its standing, or when a return was last forgiven
 	Returns            int       // returns not forgiven yet; each one after the first doubles the probation
 	InventoryExchanged bool      // both inventories under its present epoch have been received
-	FencedEpoch        uint64    // epochs up to this one were forgotten by an operator
+	FencedEpoch        uint64    // an operator has forgotten the cell under this epoch and all earlier ones
 }
 
 // Observation is the current information about a member.
@@ -52,16 +52,16 @@
 //
 //	from       to                   when
 //	unknown    returning            a message arrives
-//	joined     suspected            it is silent
+//	joined     suspected            it is silent for tuning.CellSuspectedAfter
 //	joined     draining             its operators drain it
 //	suspected  joined or draining   a message arrives and inventories have been exchanged
 //	suspected  returning            a message arrives and inventories have not been exchanged
 //	suspected  lost                 it is silent for tuning.CellLostAfter
 //	lost       returning            a message arrives
 //	draining   joined               its operators end the drain
-//	draining   suspected            it is silent
+//	draining   suspected            it is silent for tuning.CellSuspectedAfter
 //	returning  joined or draining   inventories have been exchanged and the probation is over
-//	returning  suspected            it is silent
+//	returning  suspected            it is silent for tuning.CellSuspectedAfter
 //	removed    returning            it is configured and a message arrives under an epoch above the fenced one
 //	any        removed              it is no longer configured, or its epoch is fenced
 //	any        returning            a message arrives under a higher epoch
--- a/internal/federation/member_test.go
+++ b/internal/federation/member_test.go
@@ -112,8 +112,8 @@
 // TestMemberStanding drives a member through random silence, new epochs, drains, changes of the operators' settings
 // and forgetting, for up to 90 minutes of simulated time. Jobs may be offered only to a member that is reachable,
 // configured and not forgotten, and that has exchanged inventories under its newest epoch. A member that stays
-// silent must be lost in bounded time, and a healthy one must join in bounded time. A member that flaps must not
-// start to accept offers on each return, so the changes of whether it accepts them are bounded too.
+// silent must be lost in bounded time, and a healthy one must join in bounded time. How often it starts and stops
+// accepting offers is bounded too, as a member that flaps must not accept offers on each return.
 func TestMemberStanding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		run := memberRun{
--- a/internal/federation/placement.go
+++ b/internal/federation/placement.go
@@ -79,7 +79,8 @@
 // ChooseCell returns the cell that a job should be offered to. It draws two of the suitable cells at random, so
 // that cells with the same digests do not all choose the same target, and returns the one in which the job is
 // expected to start sooner. ok is false if the job should stay in this cell: in neither is it expected to start
-// sooner than here by the required margin, or it was offloaded to this cell by another one.
+// sooner than here by the margin of tuning.OffloadGainShare and tuning.MinOffloadGain, or it was offloaded to this
+// cell by another one.
 func ChooseCell(
 	now time.Time, candidate *OffloadCandidate, cells []TargetCell, random *rand.Rand,
 ) (name string, ok bool) {
--- a/internal/tuning/federation.go
+++ b/internal/tuning/federation.go
@@ -15,7 +15,8 @@
 	// CellTransfersPerMessage is the maximum number of transfers that one message has requests for. Such a message
 	// is about 50 KiB long.
 	CellTransfersPerMessage = 48
-	// MaxOffloadsPerExchange is the maximum number of jobs that are offloaded after one exchange of messages.
+	// MaxOffloadsPerExchange is the maximum number of jobs that are offloaded after each exchange of messages with
+	// all other cells.
 	MaxOffloadsPerExchange = 16
 	// OffloadMinWait is how long a job must have been ready to start before it may be offloaded. Most jobs start
 	// within this time.
@@ -26,8 +27,8 @@
 	// CellSuspectedAfter is how long a cell may be silent before no new jobs are offered to it. It spans a few
 	// digests and is longer than the replacement of a leader takes.
 	CellSuspectedAfter = 10 * time.Second
-	// CellLostAfter is how long a cell may be silent before it counts as lost. It is long enough for the cell to
-	// restart all its controllers.
+	// CellLostAfter is how long a cell may be silent before it counts as lost, so that operators may forget it and
+	// its return lengthens its probation. It is long enough for the cell to restart all its controllers.
 	CellLostAfter = time.Minute
 	// CellProbation is how long a cell that returned must stay reachable before jobs are offered to it. It doubles
 	// with each further return.
@@ -41,7 +42,7 @@
 	OffloadGainShare = 0.25
 	// MinOffloadGain is the minimum gain of an offload, however short the expected wait in this cell is.
 	MinOffloadGain = 5 * time.Second
-	// OffloadInFlightShare is the maximum share of a cell's free capacity, as listed in its digest, that offered
-	// tasks which the digest does not include yet may take.
+	// OffloadInFlightShare is the maximum share of the free capacity in a cell's digest that may be taken by tasks
+	// offered since that digest. Other cells read the same digest and need the rest.
 	OffloadInFlightShare = 0.5
 )
