--- a/internal/offload/answer.go
+++ b/internal/offload/answer.go
@@ -150,9 +150,10 @@
 	return answer, valid && message.FromEpoch > stored.FencedEpoch, nil
 }
 
-// dropEarlierEpochs deletes the jobs from a cell that were accepted under an earlier epoch of this cell. None of
-// their tasks runs any more, which is a precondition for the new epoch. It returns an *EarlierEpochError while
-// some are left.
+// dropEarlierEpochs deletes the jobs from a cell that were accepted under an earlier epoch of this cell, as many as
+// fit in one transaction. Operators delete all machines of a cell before they increase its epoch, so no task of
+// these jobs runs any more. A job is deleted only after its record has no bound tasks. dropEarlierEpochs returns an
+// *EarlierEpochError while some jobs are left.
 func (o *Offloader) dropEarlierEpochs(ctx context.Context, cell string) error {
 	o.clusterState.RLock()
 	view := o.hostViewOf(cell)
@@ -177,13 +178,14 @@
 	return nil
 }
 
-// fillAnswer adds the statuses, this cell's digest and, if requested, the inventory to an answer. Callers hold the
-// lock of the cluster state.
+// fillAnswer adds the statuses of the requested transfers and of ended ones, this cell's digest and, if requested,
+// the inventory to an answer. Callers hold the lock of the cluster state.
 func (o *Offloader) fillAnswer(answer, message *Message) {
 	view := o.hostViewOf(message.Cell)
 	reported := map[uint64]bool{}
 	for _, request := range message.Requests {
-		// An offer above the highest number has not been processed, as the transaction was full.
+		// A number above the highest one has no status yet: the transaction was full before this request, or the
+		// cluster state does not contain its result yet.
 		if request.Number <= view.transfers.HighestNumber {
 			answer.Statuses = append(answer.Statuses, view.status(request.Number))
 			reported[request.Number] = true
--- a/internal/offload/digest.go
+++ b/internal/offload/digest.go
@@ -111,8 +111,8 @@
 	return capacities
 }
 
-// commonImages returns the images that at least one in tuning.DigestImageHolderDivisor machines holds, ordered by
-// name. It returns at most tuning.DigestMaxShapes of them.
+// commonImages returns the images that at least one in tuning.DigestImageHolderDivisor machines holds, which are
+// those that it runs tasks of, ordered by name. It returns at most tuning.DigestMaxShapes of them.
 func (s *machineSummary) commonImages() []string {
 	var common []string
 	for _, image := range slices.Sorted(maps.Keys(s.countByImage)) {
--- a/internal/offload/exchange.go
+++ b/internal/offload/exchange.go
@@ -17,7 +17,8 @@
 func homeTransfer(job *clusterstate.Job) federation.HomeTransfer {
 	transfer := federation.HomeTransfer{Cancelled: job.Cancelled()}
 	if offloadedTo := job.OffloadedTo; offloadedTo != nil {
-		transfer.State, transfer.Number, transfer.Recalled = federation.HomeOffloaded, offloadedTo.Number, offloadedTo.Recalled
+		transfer.State, transfer.Number, transfer.Recalled =
+			federation.HomeOffloaded, offloadedTo.Number, offloadedTo.Recalled
 	}
 	return transfer
 }
@@ -86,7 +87,7 @@
 
 // nextRequests returns the transfers for which the next message has requests, in ascending order. Transfers that the
 // receiver is not known to hold take precedence, the lowest first, as the receiver refuses numbers below the
-// highest that it has received. The remaining room goes to the held transfers, in rotation over the messages.
+// highest that it has received. The other requests are about held transfers, in rotation over the messages.
 func (o *Offloader) nextRequests(peer *peerState, jobs map[uint64]*clusterstate.Job) []uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/offload/inventory.go
+++ b/internal/offload/inventory.go
@@ -61,7 +61,7 @@
 	case offloadedTo != nil && offloadedTo.Number == held.Number && offloadedTo.Cell == cell:
 		return recordChange{}, keepRecord, nil
 	case job.BoundCount > 0, offloadedTo != nil && offloadedTo.Cell != cell:
-		// Tasks bound here must be released first; this cell's new epoch implies that their machines are gone.
+		// Tasks bound here must be released first. Their machines were deleted before this cell got its new epoch.
 		return recordChange{}, awaitTasks, nil
 	}
 	change.addJobRewrite(job, func(stored *record.Job) { stored.OffloadedTo = transfer })
@@ -73,8 +73,7 @@
 func (o *Offloader) addLostJob(change *recordChange, held Request, transfer *record.Transfer) {
 	lost := record.Job{Spec: held.Spec, SubmittedAtMs: held.SubmittedAtMs, OffloadedTo: transfer}
 	if err := o.chooseLayout(&lost); err != nil {
-		o.logger.Error("record of a job from another cell's inventory exceeds the size limit",
-			"job_id", held.Spec.ID, "err", err)
+		o.logger.Error("job from inventory exceeds record size limit", "job_id", held.Spec.ID, "err", err)
 	}
 	jobKey := record.JobKey(held.Spec.ID)
 	change.conditions = append(change.conditions,
--- a/internal/offload/message.go
+++ b/internal/offload/message.go
@@ -14,15 +14,15 @@
 	ToEpoch   uint64 `cbor:"t"`           // epoch of the receiver, as the sender knows it
 	Draining  bool   `cbor:"d,omitempty"` // the operators of the sender drain it
 
-	// Requests is about transfers of the sender's own jobs. This field and the next two are set in messages only,
-	// not in answers.
+	// Requests are about transfers of the sender's own jobs. Answers have no Requests, EndedTransfers or
+	// WantsInventory.
 	Requests []Request `cbor:"a,omitempty"`
 	// EndedTransfers are the transfers whose result the sender has received.
 	EndedTransfers []uint64 `cbor:"h,omitempty"`
 	// WantsInventory asks for the inventory of the sender's jobs at the receiver.
 	WantsInventory bool `cbor:"w,omitempty"`
 
-	// Statuses are the statuses of the other cell's transfers. This field and the next two are set in answers only.
+	// Statuses are the statuses of the other cell's transfers. Only answers have Statuses, Inventory and Digest.
 	Statuses  []Status           `cbor:"o,omitempty"`
 	Inventory *Inventory         `cbor:"l,omitempty"`
 	Digest    *federation.Digest `cbor:"g,omitempty"`
--- a/internal/offload/offer.go
+++ b/internal/offload/offer.go
@@ -137,7 +137,7 @@
 }
 
 // chooseOffers chooses the jobs to offload and a cell for each. It considers jobs in the order of their IDs and
-// chooses at most tuning.OffloadsPerReview. Callers hold the lock of the cluster state.
+// chooses at most tuning.MaxOffloadsPerExchange. Callers hold the lock of the cluster state.
 func (o *Offloader) chooseOffers(now time.Time, targets []federation.TargetCell) []offer {
 	inFlight := o.countInFlight(targets)
 	waitByRank := map[int]float64{}
--- a/internal/offload/requests.go
+++ b/internal/offload/requests.go
@@ -74,7 +74,7 @@
 	return batch, len(batch.change.ops) > 0
 }
 
-// isFull reports whether the transaction has no room for another operation.
+// isFull reports whether the transaction has reached its limit of operations.
 func (b *requestBatch) isFull() bool { return len(b.change.ops) >= b.maxOps }
 
 // apply applies one request to the view of the transfers and adds the resulting operations to the change.
@@ -99,8 +99,8 @@
 	}
 }
 
-// accept adds the creation of the record of an offered job. A job that can't be recorded is refused. The transfer
-// number received, which is recorded, prevents that a later copy of the request is accepted.
+// accept adds the creation of the record of an offered job. A job that can't be recorded is refused; the highest
+// transfer number received, which is recorded, keeps a delayed copy of the request from being accepted.
 func (b *requestBatch) accept(request *Request) {
 	accepted := record.Job{
 		Spec:          request.Spec,
@@ -142,7 +142,8 @@
 	stored.MarkCancelled(time.Now().UnixMilli(), true)
 }
 
-// markRecalled marks a job as recalled by its home. It copies the transfer, as the cluster state shares the previous one.
+// markRecalled marks a job as recalled by its home. It copies the transfer, as the cluster state shares the previous
+// one.
 func markRecalled(stored *record.Job) {
 	recalled := *stored.OffloadedFrom
 	recalled.Recalled = true
--- a/internal/offload/standing.go
+++ b/internal/offload/standing.go
@@ -118,7 +118,7 @@
 func fenceCell(stored record.Cell, forgotten config.ForgottenCell) (record.Cell, error) {
 	member, err := memberOf(forgotten.Name, stored).Forget(forgotten.Epoch, time.Now())
 	if err != nil {
-		return stored, fmt.Errorf("forget cell: %w", err)
+		return stored, fmt.Errorf("fence epoch: %w", err)
 	}
 	stored.FencedEpoch, stored.Standing = member.FencedEpoch, int(member.Standing)
 	stored.StandingSinceMs, stored.InventoryReceived = member.Since.UnixMilli(), member.InventoryExchanged
