--- a/internal/graph/compile.go
+++ b/internal/graph/compile.go
@@ -40,15 +40,15 @@
 	TriggerRule TriggerRule
 	Spec        wire.JobSpec
 	Upstream    []int // positions, in the list that Compile returns, of the jobs that this one depends on
-	// Deferred is true if the owner of the run must wait before it submits the job, because the
-	// job's trigger rule, or that of a job upstream of it, is not TriggerAllSuccess. Other jobs can be
-	// submitted at once: the scheduler holds them back until their dependencies succeed.
+	// Deferred is true if the trigger rule of the job, or of any job upstream of it, is not
+	// TriggerAllSuccess. The owner of the run must submit such a job only once its trigger rule is met.
+	// Other jobs can be submitted at once: the scheduler holds them back until their dependencies succeed.
 	Deferred bool
 }
 
 // JobID returns the id of the job of a task's instance in a run: "run-9" and 19 digits of a hash of the arguments.
-// The id is deterministic, so that repeated submissions of the same job use the same id. The ids that users choose are
-// shorter.
+// The id is deterministic, so that repeated submissions of the same job use the same id. It has the maximum number of
+// digits; the ids that users choose are expected to be shorter, and so don't collide with it.
 func JobID(graphID, runID, taskID string, mapIndex int) string {
 	sum := sha256.Sum256(fmt.Appendf(nil, "%q %q %q %d", graphID, runID, taskID, mapIndex))
 	return fmt.Sprintf("run-9%019d", binary.BigEndian.Uint64(sum[:])%1e19)
--- a/internal/graph/dependency.go
+++ b/internal/graph/dependency.go
@@ -70,7 +70,7 @@
 	return !slices.ContainsFunc(task.Upstream, func(id string) bool { return x.sameGroup(task, id) })
 }
 
-// resolve replaces each group id by the ids of the group's last tasks and drops ids that don't exist.
+// resolve replaces each group id by the ids of the group's last tasks. It drops unknown ids and groups without tasks.
 func (x *groupIndex) resolve(ids []string) []string {
 	var tasks []string
 	for _, id := range ids {
--- a/internal/graph/jobspec.go
+++ b/internal/graph/jobspec.go
@@ -108,7 +108,7 @@
 	return b.text(field, value)
 }
 
-// text renders a string, which may be a template.
+// text renders a string, which may be a template. It adds a fault if a template renders to an empty string.
 func (b *specBuilder) text(field, value string) string {
 	if !isTemplate(value) {
 		return value
--- a/internal/tuning/graph.go
+++ b/internal/tuning/graph.go
@@ -12,7 +12,8 @@
 	// GraphMaxTasks is the maximum number of jobs in a run; each instance of a mapped task counts.
 	GraphMaxTasks = 20_000
 	// GraphMaxDependencies is the maximum number of jobs that one job of a graph may depend on. The job's record
-	// holds their ids, of 24 bytes each.
+	// holds their ids, of 24 bytes each. Deferred jobs have no limit, because they are submitted without
+	// dependencies.
 	GraphMaxDependencies = 48
 	// GraphTextMaxBytes is the maximum length of a rendered template, in bytes.
 	GraphTextMaxBytes = 4096
