--- a/cmd/regress/main.go
+++ b/cmd/regress/main.go
@@ -1,7 +1,7 @@
 // Command regress scores the current sources on the operators' sites and compares each
 // day with the latest score in the journal. The exit status is 0 if nothing regressed, 1 if a
-// rule was broken or a day failed or regressed, and 2 if the arguments are invalid or the run
-// could not be completed.
+// rule was broken or a day failed, regressed or has no score, and 2 if the arguments are invalid
+// or the run could not be completed.
 package main
 
 import (
@@ -20,7 +20,7 @@
 // exitRegressed is the exit status for errRegressed.
 const exitRegressed = 1
 
-// errRegressed is returned if days failed or regressed.
+// errRegressed is returned if a comparison is blocking; see regress.Comparison.Blocking.
 var errRegressed = errors.New("days failed or regressed")
 
 func main() { os.Exit(command.Run(newCommand(), exitStatus)) }
--- a/internal/regress/compare.go
+++ b/internal/regress/compare.go
@@ -14,7 +14,7 @@
 	VerdictBetter    Verdict = "better"
 	VerdictFirst     Verdict = "first"   // no baseline score
 	VerdictRegressed Verdict = "fell"    // lower by more than the noise
-	VerdictFailed    Verdict = "failed"  // see Day.FailureReason
+	VerdictFailed    Verdict = "failed"  // a rule was broken, or another reason of Day.FailureReason
 	VerdictNoise     Verdict = "noise"   // regressed once, but not over all seeds together
 	VerdictMissing   Verdict = "missing" // the bench returned no scores
 )
--- a/internal/regress/compare_test.go
+++ b/internal/regress/compare_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// dayChange changes a recorded day and returns the expected prefix of the reason. verdict is the expected verdict.
+// dayChange is a change to a recorded day with the expected verdict. change returns the expected prefix of the reason.
 type dayChange struct {
 	name    string
 	change  func(t *rapid.T, day *Day) (reason string)
@@ -115,7 +115,7 @@
 		}
 		for _, other := range comparisons {
 			if other.Day != found.Day && other.Blocking() {
-				t.Fatalf("%s %s is %s", other.Site, other.Day, other.Verdict)
+				t.Fatalf("%s %s did not change, but its verdict is %s", other.Site, other.Day, other.Verdict)
 			}
 		}
 	})
--- a/internal/regress/day.go
+++ b/internal/regress/day.go
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// CPUTime is the processor time of a simulated day in seconds, each list with user and kernel time. It is empty for
-// days that were recorded before the bench measured it.
+// CPUTime is the processor time of a simulated day in seconds. Each list holds user and kernel time. The lists are
+// empty for days that were recorded before the bench measured processor time.
 type CPUTime struct {
 	Environment []float64 `json:"world"`
 	Processes   []float64 `json:"processes"`
--- a/internal/regress/repeat.go
+++ b/internal/regress/repeat.go
@@ -14,7 +14,7 @@
 // measuredDirs are the source folders of which the bench keeps a copy with each measurement.
 var measuredDirs = []string{"cmd", "internal", "deploy"}
 
-// repeatDay simulates a day that regressed on additional seeds. For each seed it runs the baseline's sources first and
+// repeatDay simulates a regressed day on additional seeds. For each seed it runs the baseline's sources first and
 // the current ones second.
 func (p *Plan) repeatDay(ctx context.Context, site string, day *Comparison) ([]SeedRun, error) {
 	site, err := filepath.Abs(site)
--- a/internal/regress/run.go
+++ b/internal/regress/run.go
@@ -18,8 +18,8 @@
 	return Compare(baseline, latest, tuning.RegressNoise), nil
 }
 
-// Run scores the sites one at a time, or hunts on them, and returns the comparisons. It repeats
-// days that regressed on additional seeds. An error means that the run could not be completed.
+// Run scores the sites one at a time, or hunts for broken rules on them, and returns the comparisons.
+// It repeats each regressed day on additional seeds. An error means that the run could not be completed.
 // Blocking comparisons are not an error.
 func (p *Plan) Run(ctx context.Context) ([]Comparison, error) {
 	sites, err := p.siteFiles()
@@ -42,7 +42,8 @@
 	return comparisons, nil
 }
 
-// runSite scores a site, hunts on it, or does both, as the plan requires.
+// runSite scores a site, hunts on it, or does both, as the plan requires. If it does both, it adds only the blocking
+// comparisons of the hunt to those of the score.
 func (p *Plan) runSite(ctx context.Context, site string, baseline Baseline) ([]Comparison, error) {
 	if p.HuntDays > 0 {
 		return p.huntSite(ctx, site, p.HuntDays)
@@ -60,7 +61,7 @@
 	return comparisons, err
 }
 
-// scoreSite scores a site and repeats the days that regressed on additional seeds.
+// scoreSite scores a site and repeats each regressed day on additional seeds.
 func (p *Plan) scoreSite(ctx context.Context, site string, baseline Baseline) ([]Comparison, error) {
 	arguments := []string{commandScore, site, "--why", p.Reason}
 	if !p.AllSites {
