--- a/internal/knownfailures/knownfailures_test.go
+++ b/internal/knownfailures/knownfailures_test.go
@@ -39,7 +39,7 @@
 	const head = "./internal/a TestOther, "
 	return []listFault{
 		{name: "no issue", lines: []string{head + "`go test ./internal/a`, seed 5, late"}, want: ErrNoIssue},
-		{name: "nothing seen", lines: []string{head + "`go test ./internal/a`, seed 5, , #3"}, want: ErrNoIssue},
+		{name: "no symptom", lines: []string{head + "`go test ./internal/a`, seed 5, , #3"}, want: ErrNoIssue},
 		{name: "no seed", lines: []string{head + "`go test ./internal/a`, late, #3"}, want: ErrNoSeed},
 		{
 			name: "seed without number", want: ErrNoSeed,
@@ -54,16 +54,16 @@
 			name: "other package", want: ErrNoCommand,
 			lines: []string{head + "`go test ./internal/b`, seed 5, late, #3"},
 		},
-		{name: "former form", lines: []string{head + "cause, #3"}, want: ErrNoCommand},
+		{name: "earlier format", lines: []string{head + "cause, #3"}, want: ErrNoCommand},
 		{
 			name: "no package", want: ErrMalformedLine,
 			lines: []string{"TestOther, `go test ./internal/a`, seed 5, late, #3"},
 		},
 		{name: "empty subtest", lines: []string{entry("TestOther/")}, want: ErrMalformedLine},
 		{name: "comment", lines: []string{"# a remark"}, want: ErrMalformedLine},
-		{name: "absent", lines: []string{entry("TestGone")}},
-		{name: "subtest of an absent one", lines: []string{entry("TestGone/4")}},
-		{name: "elsewhere", lines: []string{entryOf(packageB, "TestOther")}},
+		{name: "unknown test function", lines: []string{entry("TestGone")}},
+		{name: "subtest of an unknown test function", lines: []string{entry("TestGone/4")}},
+		{name: "test function of another package", lines: []string{entryOf(packageB, "TestOther")}},
 		{name: "in two packages", lines: []string{entryOf(packageB, "TestElse")}, alsoInA: "TestElse"},
 		{name: "twice", lines: []string{entry("TestOther/4"), entry("TestOther/4")}, want: ErrDuplicateTest},
 		{
@@ -80,10 +80,10 @@
 // check fails the test unless err, returned by Read or CheckExist, is the expected error.
 func (f *listFault) check(t *rapid.T, err error) {
 	if location := new(LocationError); f.want == nil && !errors.As(err, &location) {
-		t.Fatalf("%s: %v", f.name, err)
+		t.Fatalf("%s: got %v, want a LocationError", f.name, err)
 	}
 	if line := new(LineError); f.want != nil && (!errors.Is(err, f.want) || !errors.As(err, &line)) {
-		t.Fatalf("%s: %v", f.name, err)
+		t.Fatalf("%s: got %v, want the LineError of this fault", f.name, err)
 	}
 }
 
