--- a/internal/golden/constants_test.go
+++ b/internal/golden/constants_test.go
@@ -77,7 +77,7 @@
 func TestPriorityRanks(t *testing.T) {
 	priorities := []wire.Priority{wire.PriorityProduction, wire.PriorityHigh, wire.PriorityNormal, wire.PriorityLow}
 	if wire.PriorityCount != len(priorities) {
-		t.Errorf("%d priorities", wire.PriorityCount)
+		t.Errorf("PriorityCount is %d, want the number of priorities", wire.PriorityCount)
 	}
 	for want, priority := range priorities {
 		if rank := priority.Rank(); rank != want {
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -102,7 +102,7 @@
 	checkText(t, file, out.String())
 	stored := readEncodings(t, file)
 	if len(stored) != len(messages) {
-		t.Errorf("%s holds %d encodings, not %d", file, len(stored), len(messages))
+		t.Errorf("%s holds %d encodings, want %d", file, len(stored), len(messages))
 	}
 	for _, m := range messages {
 		decoded := reflect.New(reflect.TypeOf(m.value))
--- a/internal/golden/job_changes_test.go
+++ b/internal/golden/job_changes_test.go
@@ -24,7 +24,7 @@
 	{name: "half-moved", chunkWidth: tuning.FixedChunkTasks / 4, firstFixedChunk: 1},
 }
 
-// liveJob returns a job with several records, and the cluster state that contains it.
+// liveJob returns a cluster state that contains a job with several records, and that job.
 func liveJob(l layout) (*clusterstate.State, *clusterstate.Job) {
 	spec := arraySpec(2 * tuning.FixedChunkTasks)
 	spec.MaxRetries = new(3)
@@ -51,7 +51,7 @@
 }
 
 // TestJobChanges checks that the store operations that the cluster state generates for a job keep their keys, order and
-// bytes.
+// encoding.
 func TestJobChanges(t *testing.T) {
 	var messages []message
 	for _, l := range layouts {
--- a/internal/golden/messages_test.go
+++ b/internal/golden/messages_test.go
@@ -14,7 +14,7 @@
 	"sableusher/internal/wire"
 )
 
-// TestAgentMessages checks that heartbeats, their responses and commands keep their bytes.
+// TestAgentMessages checks that heartbeats, their responses and commands keep their encoding.
 func TestAgentMessages(t *testing.T) {
 	notice, grace := 12.5, 0.0
 	checkCBOR(t, "agents.txt", slices.Concat(
@@ -53,7 +53,7 @@
 	))
 }
 
-// TestStoreMessages checks that requests to the key-value store and its responses keep their bytes.
+// TestStoreMessages checks that requests to the key-value store and its responses keep their encoding.
 func TestStoreMessages(t *testing.T) {
 	value := wire.MustEncode("v")
 	checkCBOR(t, "store.txt", slices.Concat(
@@ -81,7 +81,7 @@
 	))
 }
 
-// TestUserMessages checks that job descriptions and the responses to users keep their bytes.
+// TestUserMessages checks that job descriptions and the responses to users keep their encoding.
 func TestUserMessages(t *testing.T) {
 	checkCBOR(t, "users.txt", slices.Concat(
 		filled[wire.JobSpec](t, "description"),
@@ -107,7 +107,7 @@
 	checkText(t, "replies.txt", out.String())
 }
 
-// TestCloudMessages checks that requests to the cloud and its responses keep their bytes.
+// TestCloudMessages checks that requests to the cloud and its responses keep their encoding.
 func TestCloudMessages(t *testing.T) {
 	checkCBOR(t, "cloud.txt", slices.Concat(
 		filled[wire.Catalog](t, "catalog"),
@@ -118,7 +118,7 @@
 	))
 }
 
-// TestCellMessages checks that messages between cells keep their bytes.
+// TestCellMessages checks that messages between cells keep their encoding.
 func TestCellMessages(t *testing.T) {
 	checkCBOR(t, "cells.txt", slices.Concat(
 		filled[offload.Message](t, "message"),
--- a/internal/golden/peers_test.go
+++ b/internal/golden/peers_test.go
@@ -12,7 +12,7 @@
 	"sableusher/internal/peerrpc/peerpb"
 )
 
-// TestPeerMessages checks that messages between controllers keep their names, field numbers and bytes.
+// TestPeerMessages checks that messages between controllers keep their names, field numbers and encoding.
 func TestPeerMessages(t *testing.T) {
 	var out strings.Builder
 	for _, m := range []proto.Message{
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// TestRecords checks that the durable records keep their bytes.
+// TestRecords checks that the durable records keep their encoding.
 func TestRecords(t *testing.T) {
 	checkCBOR(t, "records.txt", slices.Concat(jobRecords(),
 		filledSinceVersion(t, "job", "cancel-request", func(j *record.Job) { j.CancelRequestedAtMs = 0 }),
@@ -143,7 +143,7 @@
 	))
 }
 
-// TestRecordKeys checks that the records keep their keys, and machines their shards.
+// TestRecordKeys checks that the records keep their keys and that machines keep their shards.
 func TestRecordKeys(t *testing.T) {
 	var out strings.Builder
 	for _, line := range []struct{ name, key string }{
