--- a/cmd/sableusher/graph_test.go
+++ b/cmd/sableusher/graph_test.go
@@ -63,7 +63,7 @@
 		t.Fatal(err)
 	}
 	if len(reports) != 1 || len(reports[0].Faults) != 0 || len(reports[0].Jobs) != 2 {
-		t.Errorf("%+v", reports)
+		t.Errorf("unexpected reports %+v", reports)
 	}
 }
 
@@ -73,10 +73,10 @@
 	var out bytes.Buffer
 	stderr, err := runCommand(&out, "graph", "check", path)
 	if err == nil || err.Error() != "faults: 1" {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want \"faults: 1\"", err)
 	}
 	if !strings.Contains(stderr, path+":3:") || !strings.Contains(stderr, "unknown field") || out.Len() > 0 {
-		t.Errorf("standard error %q, output %q", stderr, out.String())
+		t.Errorf("standard error %q, output %q; want the fault only on standard error", stderr, out.String())
 	}
 }
 
@@ -91,7 +91,7 @@
 		{"check", "--config", "../../internal/golden/testdata/settings.toml"},
 	} {
 		if _, err := runCommand(fullDisk{}, args...); !errors.Is(err, errFullDisk) {
-			t.Errorf("%v: %v", args, err)
+			t.Errorf("%v: error %v, want errFullDisk", args, err)
 		}
 	}
 }
--- a/cmd/sableusher/serve.go
+++ b/cmd/sableusher/serve.go
@@ -104,7 +104,7 @@
 	limits := &deployment.Limits
 	runtime.GOMAXPROCS(max(1, int(limits.CPUShare+0.5)))
 	debug.SetGCPercent(tuning.GCPercent)
-	debug.SetMemoryLimit(int64(limits.MemMB * tuning.GoHeapMemoryShare * bytesPerMiB))
+	debug.SetMemoryLimit(int64(limits.MemMB * tuning.GoMemoryLimitShare * bytesPerMiB))
 }
 
 // newNode creates the controller with a random incarnation, and its transport to the other
--- a/internal/tuning/api.go
+++ b/internal/tuning/api.go
@@ -24,12 +24,13 @@
 	HTTPReadTimeout = 10 * time.Second
 	// HTTPIdleTimeout is the time after which an idle keep-alive connection is closed.
 	HTTPIdleTimeout = 90 * time.Second
-	// ListenerSocketShare is the share of the socket limit available to accepted connections; the rest is for the
-	// node's outgoing connections.
+	// ListenerSocketShare is the share of the socket limit available to connections of users and agents; the rest is
+	// for connections to other nodes, the key-value store, the cloud and agents.
 	ListenerSocketShare = 0.8
 	// MaxConcurrentRequests bounds the user requests that are served concurrently.
 	MaxConcurrentRequests = 256
-	// ReadyMaxStateAge is the age of the cluster state beyond which a node reports itself as not ready. It is longer
-	// than an ordinary delay of the key-value store and shorter than the time after which users time out.
+	// ReadyMaxStateAge is the age of the cluster state beyond which a node reports itself as not ready, takes over and
+	// returns no shards, and reports its state as not recent to other nodes. It is longer than an ordinary delay of
+	// the key-value store and shorter than the time after which users time out.
 	ReadyMaxStateAge = 4 * time.Second
 )
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -4,13 +4,15 @@
 
 // Constants of the calls between controller nodes.
 const (
-	// PeerTimeout bounds a call to another node. Answers are only hints, so a longer wait is not worthwhile.
+	// PeerTimeout bounds a call to a node of this or of another cell. Safety does not depend on the replies, so a
+	// longer wait is not worthwhile.
 	PeerTimeout = 800 * time.Millisecond
-	// PeerQueryMaxMachines bounds the machines that are answered for in one query.
+	// PeerQueryMaxMachines is the maximum number of machines in one query about agents' heartbeats; the queried node
+	// ignores further ones.
 	PeerQueryMaxMachines = 1000
 	// PeerMessageMaxBytes bounds a received message, in bytes.
 	PeerMessageMaxBytes = 512 << 10
-	// RemoteImagesInterval is the interval of the queries for the images on other nodes' machines. An answer takes
+	// RemoteImagesInterval is the interval of the queries for the images on other nodes' machines. A reply takes
 	// about 30 KiB at hundreds of machines.
 	RemoteImagesInterval = 3 * time.Second
 	// PeerMaxStreams bounds the concurrent calls on one connection from another node.
