--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -137,7 +137,8 @@
 	return b.limits.RequestsPerSecond * b.limits.BudgetShare
 }
 
-// SetBudgetShare sets the fraction of the store's rates that this node uses.
+// SetBudgetShare sets the fraction of the store's rates that this node uses. It also
+// raises a lowered write rate by one step if recoverWriteRate allows it.
 func (b *budget) SetBudgetShare(share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -151,8 +152,9 @@
 	setLimiter(b.writeLimiter, writes, max(int(writes), b.limits.MaxTransactionOps))
 }
 
-// recoverWriteRate raises the write rate by one step, if it was lowered and not
-// changed for tuning.WriteRateAdjustInterval. The caller must hold mu.
+// recoverWriteRate raises the backoff factor of the write rate by one step, if it is
+// below 1 and has not changed for tuning.WriteRateAdjustInterval. The caller must
+// hold mu.
 func (b *budget) recoverWriteRate() {
 	if b.backoffFactor < 1 && time.Since(b.backoffChangedAt) > tuning.WriteRateAdjustInterval {
 		b.backoffFactor, b.backoffChangedAt = min(1, b.backoffFactor+tuning.WriteRateRecoveryStep), time.Now()
@@ -200,8 +202,10 @@
 	}
 }
 
-// spendWriteBudget consumes write budget. The budget may become negative; later
-// writes then wait longer.
+// spendWriteBudget consumes the budget of a number of writes without waiting. The
+// budget may become negative; later writes then wait longer. Nothing is consumed if
+// writes exceeds the limiter's burst, which only a transaction with more than
+// MaxTransactionOps operations can do.
 func (b *budget) spendWriteBudget(writes int) { b.writeLimiter.ReserveN(time.Now(), writes) }
 
 // waitForRequestBudget waits until the budget allows a request and consumes it.
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -96,7 +96,7 @@
 type WatchRequest struct {
 	Prefix        string
 	AfterRevision uint64
-	MaxWait       time.Duration // time to wait for a change; 0 returns the present ones at once
+	MaxWait       time.Duration // how long the store waits for a change; 0 means that it responds at once
 	Priority      RequestPriority
 }
 
--- a/internal/kvstore/committer.go
+++ b/internal/kvstore/committer.go
@@ -44,7 +44,7 @@
 	queue []*pendingTransaction
 }
 
-// NewCommitter returns a committer that sends transactions by client. The
+// NewCommitter returns a committer that sends transactions through client. The
 // committer calls onApplied with the operations and the revision of each batch
 // that was applied, before the calls of Commit return.
 func NewCommitter(client *Client, onApplied func(ops []wire.Op, revision uint64)) *Committer {
--- a/internal/kvstore/committer_test.go
+++ b/internal/kvstore/committer_test.go
@@ -138,7 +138,8 @@
 				longest = max(longest, r.duration)
 			}
 			if most := time.Duration(current+2) * 500 * time.Millisecond; longest > most {
-				rt.Errorf("%d of %d transactions are not outdated; the slowest took %v", current, len(modRevisions), longest)
+				rt.Errorf("%d of %d transactions are not outdated; the slowest took %v",
+					current, len(modRevisions), longest)
 			}
 			cancel()
 		})
@@ -181,17 +182,17 @@
 	}
 	time.Sleep(u.watchDelay)
 	u.revision++
-	answer := wire.WatchResponse{Revision: u.revision}
+	watchResponse := wire.WatchResponse{Revision: u.revision}
 	for _, op := range transaction.Ops {
 		value, err := reencode(op)
 		if err != nil {
 			return err
 		}
-		answer.Events = append(answer.Events, wire.Event{
+		watchResponse.Events = append(watchResponse.Events, wire.Event{
 			PutKey: op.PutKey, DeleteKey: op.DeleteKey, Value: value, ModRevision: u.revision,
 		})
 	}
-	u.cache.applyWatch(u.revision-1, answer, time.Now())
+	u.cache.applyWatch(u.revision-1, watchResponse, time.Now())
 	return nil
 }
 
--- a/internal/kvstore/inflight_test.go
+++ b/internal/kvstore/inflight_test.go
@@ -20,7 +20,7 @@
 type trackedRun struct {
 	cache       *WatchCache
 	sent        []wire.Op
-	sentAfter   uint64          // the revision after which sent is sent
+	sentAfter   uint64          // the operations are sent after this revision
 	before      uint64          // the revision returned by TrackInFlight
 	history     [][]wire.Op     // transactions; the first one has revision 1
 	knownBefore map[uint64]bool // revisions whose changes the node knew of when it sent the operations
@@ -84,7 +84,8 @@
 			revision, appliedAt, r.history[appliedAt-1])
 	}
 	if isSent && detectable && !ok {
-		t.Fatalf("at revision %d: FindApplied did not find the transaction just applied (%d, %v)", revision, appliedAt, ok)
+		t.Fatalf("at revision %d: FindApplied did not find the transaction just applied (%d, %v)",
+			revision, appliedAt, ok)
 	}
 }
 
@@ -102,17 +103,17 @@
 
 // deliverWatchUpTo applies a response to a watch with all changes up to a revision.
 func (r *trackedRun) deliverWatchUpTo(revision uint64) {
-	answer := wire.WatchResponse{Revision: revision}
+	watchResponse := wire.WatchResponse{Revision: revision}
 	for at := r.cache.revision + 1; at <= revision; at++ {
 		for _, op := range r.history[at-1] {
 			if strings.HasPrefix(op.Key(), cachedPrefix) {
-				answer.Events = append(answer.Events, wire.Event{
+				watchResponse.Events = append(watchResponse.Events, wire.Event{
 					PutKey: op.PutKey, DeleteKey: op.DeleteKey, Value: op.Value, ModRevision: at,
 				})
 			}
 		}
 	}
-	r.cache.applyWatch(r.cache.revision, answer, time.Now())
+	r.cache.applyWatch(r.cache.revision, watchResponse, time.Now())
 }
 
 // containsPuts reports whether a transaction contains all puts of cached keys in
--- a/internal/kvstore/watchcache.go
+++ b/internal/kvstore/watchcache.go
@@ -122,7 +122,7 @@
 			Prefix: c.prefix, AfterRevision: afterRevision, MaxWait: tuning.WatchMaxWait, Priority: OrdinaryRequest,
 		})
 		if errors.Is(err, ErrCompacted) {
-			c.logger.Info("watch fell behind, listing again")
+			c.logger.Info("watch revision compacted, listing keys again")
 			return
 		}
 		if err != nil && ctx.Err() == nil {
@@ -142,23 +142,23 @@
 
 // watchOnce sends one watch request and applies the response.
 func (c *WatchCache) watchOnce(ctx context.Context, watch WatchRequest) error {
-	askedAt := time.Now()
+	requestedAt := time.Now()
 	changes, err := c.client.Watch(ctx, watch)
 	if err != nil {
 		return err
 	}
-	c.applyWatch(watch.AfterRevision, changes, askedAt)
+	c.applyWatch(watch.AfterRevision, changes, requestedAt)
 	return nil
 }
 
-// applyWatch applies the response to a watch that was requested at askedAt and
+// applyWatch applies the response to a watch that was requested at requestedAt and
 // lists all changes after afterRevision. It ignores the response if the cache has
 // not reached afterRevision. Responses overlap and may arrive out of order: changes
 // at or below the cache's revision have been applied before, and applying them
 // again would restore keys deleted since. Changes above the cache's revision are
 // compared with the modRevision of their key, since this node's own transactions
 // may be ahead of the watch.
-func (c *WatchCache) applyWatch(afterRevision uint64, changes wire.WatchResponse, askedAt time.Time) {
+func (c *WatchCache) applyWatch(afterRevision uint64, changes wire.WatchResponse, requestedAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if afterRevision > c.revision {
@@ -182,8 +182,8 @@
 	}
 	c.synced = true
 	c.publishedRevision.Store(c.revision)
-	if known := c.completeAsOf.Load(); known == nil || askedAt.After(*known) {
-		c.completeAsOf.Store(&askedAt)
+	if known := c.completeAsOf.Load(); known == nil || requestedAt.After(*known) {
+		c.completeAsOf.Store(&requestedAt)
 	}
 }
 
--- a/internal/kvstore/watchcache_test.go
+++ b/internal/kvstore/watchcache_test.go
@@ -13,7 +13,7 @@
 // history is a generated sequence of changes and the states between them.
 type history struct {
 	events []wire.Event
-	states []map[string]string // values by key, by revision
+	states []map[string]string // values by key, indexed by revision
 }
 
 // drawHistory draws up to 30 changes of cachedKeys.
@@ -47,13 +47,13 @@
 
 // between returns the response to a watch with the changes after one revision up to another.
 func (h *history) between(after, upTo uint64) wire.WatchResponse {
-	answer := wire.WatchResponse{Revision: upTo}
+	watchResponse := wire.WatchResponse{Revision: upTo}
 	for _, event := range h.events {
 		if event.ModRevision > after && event.ModRevision <= upTo {
-			answer.Events = append(answer.Events, event)
+			watchResponse.Events = append(watchResponse.Events, event)
 		}
 	}
-	return answer
+	return watchResponse
 }
 
 // cacheRun is a cache to which parts of a history are applied.
@@ -113,7 +113,8 @@
 			}
 			condition := wire.Condition{Key: key, ModRevision: modRevision}
 			if event.ModRevision >= known && r.cache.IsOutdated(condition) {
-				t.Fatalf("cache at revision %d: condition on %s at %d is reported as outdated, but holds at revision %d",
+				t.Fatalf(
+					"cache at revision %d: condition on %s at %d is reported as outdated, but holds at revision %d",
 					r.cache.revision, key, modRevision, event.ModRevision)
 			}
 		}
