--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -24,7 +24,7 @@
 type PeerTransport interface {
 	scheduler.Peers
 	offload.Transport
-	// LastAnswered returns the time of the last answer from a node; zero if it has never answered.
+	// LastAnswered returns the time of the last reply from a node; zero if it has never replied.
 	LastAnswered(node string) time.Time
 	// SetCellHandler sets the handler of messages from other cells. It must be called before Run.
 	SetCellHandler(handler peerrpc.CellHandler)
@@ -32,7 +32,7 @@
 	Run(ctx context.Context) error
 }
 
-// ConnectPeers creates the transport to the other nodes. Calls of other nodes are answered from agents.
+// ConnectPeers creates the transport to the other nodes. The transport answers their queries from agents.
 type ConnectPeers func(agents peerrpc.AgentRegistry) (PeerTransport, error)
 
 // Config holds the settings and dependencies of a Controller.
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -33,7 +33,8 @@
 	return &store{client: client, state: state, cache: cache, committer: committer}
 }
 
-// newStoreClient creates the client of the key-value store, limited to this node's share of the store's request rate.
+// newStoreClient creates the client of the key-value store. It starts with an even share of the store's rates, and
+// knows the limits that the store is planned to have.
 func newStoreClient(c *Config) *kvstore.Client {
 	limits := &c.Settings.Deployment.State
 	client := kvstore.NewClient(c.Settings.Outside.State, kvstore.Limits{
--- a/internal/peerrpc/cells.go
+++ b/internal/peerrpc/cells.go
@@ -31,7 +31,7 @@
 	for _, node := range t.nodesByPreference(cell) {
 		reply, err := t.exchangeWith(ctx, node, request)
 		if err == nil {
-			t.recordAnsweringNode(cell.Name, node)
+			t.recordReplyingNode(cell.Name, node)
 			return reply, nil
 		}
 		errs = append(errs, fmt.Errorf("%s: %w", node, err))
@@ -42,7 +42,7 @@
 // nodesByPreference returns the endpoints of a cell's nodes, with the node that replied last in front.
 func (t *Transport) nodesByPreference(cell config.Cell) []string {
 	t.mu.Lock()
-	last := t.lastAnsweringNode[cell.Name]
+	last := t.lastReplyingNode[cell.Name]
 	t.mu.Unlock()
 	rank := func(node string) int {
 		if node == last {
@@ -55,10 +55,10 @@
 	return nodes
 }
 
-func (t *Transport) recordAnsweringNode(cellName, node string) {
+func (t *Transport) recordReplyingNode(cellName, node string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lastAnsweringNode[cellName] = node
+	t.lastReplyingNode[cellName] = node
 }
 
 func (t *Transport) exchangeWith(
--- a/internal/peerrpc/cells_test.go
+++ b/internal/peerrpc/cells_test.go
@@ -14,10 +14,10 @@
 // TestExchangeFindsTheCellLeader: Exchange returns the unchanged reply of a cell's leader if the cell's other nodes
 // are unreachable, not the leader, or without a cell handler. The next Exchange calls the leader first.
 func TestExchangeFindsTheCellLeader(t *testing.T) {
-	question := offload.Message{Cell: "a", FromEpoch: 2, ToEpoch: 3, Requests: []offload.Request{
+	request := offload.Message{Cell: "a", FromEpoch: 2, ToEpoch: 3, Requests: []offload.Request{
 		{Number: 7, Spec: wire.JobSpec{ID: "run-1", TaskCount: 4}},
 	}}
-	answer := offload.Message{Cell: "b", FromEpoch: 3, ToEpoch: 2, Statuses: []offload.Status{
+	want := offload.Message{Cell: "b", FromEpoch: 3, ToEpoch: 2, Statuses: []offload.Status{
 		{Number: 7, Status: 2, FinalState: wire.JobDone, DoneCount: 4},
 	}}
 	notLeaderCalls := 0
@@ -26,18 +26,18 @@
 		return offload.Message{}, offload.ErrNotLeader
 	}
 	leader := func(_ context.Context, message offload.Message) (offload.Message, error) {
-		if !reflect.DeepEqual(message, question) {
-			t.Errorf("received %+v", message)
+		if !reflect.DeepEqual(message, request) {
+			t.Errorf("the leader received another message than was sent: %+v", message)
 		}
-		return answer, nil
+		return want, nil
 	}
 	nodes := []string{unreachableEndpoint, serveCells(t, nil), serveCells(t, notLeader), serveCells(t, leader)}
 	transport := newTestTransport(t, &config.Settings{Node: "a-0"})
 	cell := config.Cell{Name: "b", Nodes: strings.Join(nodes, " ")}
 	for range 2 {
-		reply, err := transport.Exchange(t.Context(), cell, question)
-		if err != nil || !reflect.DeepEqual(reply, answer) {
-			t.Fatalf("%+v, %v", reply, err)
+		reply, err := transport.Exchange(t.Context(), cell, request)
+		if err != nil || !reflect.DeepEqual(reply, want) {
+			t.Fatalf("Exchange returned an unexpected reply %+v or error %v", reply, err)
 		}
 	}
 	if notLeaderCalls != 1 {
--- a/internal/peerrpc/peers.go
+++ b/internal/peerrpc/peers.go
@@ -9,7 +9,7 @@
 )
 
 // QueryRecentlyHeard asks all other nodes which of the machines' agents have sent them a heartbeat recently. It
-// returns, by machine, the name of a node that received one. Answers of nodes whose cluster state is not recent are
+// returns, by machine, the name of a node that received one. Replies of nodes whose cluster state is not recent are
 // ignored.
 func (t *Transport) QueryRecentlyHeard(ctx context.Context, machines []string) map[string]string {
 	nodeByMachine := map[string]string{}
@@ -49,20 +49,20 @@
 	return machinesByImage
 }
 
-// LastAnswered returns the time of the last answer from a node; zero if it has never answered.
+// LastAnswered returns the time of the last reply from a node; zero if it has never replied.
 func (t *Transport) LastAnswered(node string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.lastAnsweredAt[node]
+	return t.lastReplyAt[node]
 }
 
-func (t *Transport) recordAnswer(node string) {
+func (t *Transport) recordReply(node string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lastAnsweredAt[node] = time.Now()
+	t.lastReplyAt[node] = time.Now()
 }
 
-// callAll calls all other nodes concurrently and waits until each has answered or failed, for at most the call
+// callAll calls all other nodes concurrently and waits until each has replied or failed, for at most the call
 // timeout. It passes the replies to collect, one at a time. Failed calls are only logged.
 func callAll[Reply any](ctx context.Context, t *Transport,
 	call func(context.Context, peerpb.PeerClient) (Reply, error), collect func(node string, reply Reply),
@@ -81,7 +81,7 @@
 				t.logger.Debug("peer call failed", "node", node, "err", err, "duration", time.Since(start))
 				return
 			}
-			t.recordAnswer(node)
+			t.recordReply(node)
 			collecting.Lock()
 			defer collecting.Unlock()
 			collect(node, reply)
--- a/internal/peerrpc/peers_test.go
+++ b/internal/peerrpc/peers_test.go
@@ -6,9 +6,9 @@
 	"sableusher/internal/config"
 )
 
-// TestQueriesCombinePeerAnswers: heartbeats reported by a node whose cluster state is not recent are ignored, the
-// images of all nodes that answer are combined, and a node that does not answer is skipped.
-func TestQueriesCombinePeerAnswers(t *testing.T) {
+// TestQueriesCombinePeerReplies: heartbeats reported by a node whose cluster state is not recent are ignored, the
+// images of all nodes that reply are combined, and a node that does not reply is skipped.
+func TestQueriesCombinePeerReplies(t *testing.T) {
 	recent := fakeRegistry{
 		machinesWithHeartbeats: []string{"vm-1"},
 		hasFreshState:          true,
@@ -25,10 +25,10 @@
 	}})
 	nodeByMachine := transport.QueryRecentlyHeard(t.Context(), []string{"vm-1", "vm-2", "vm-9"})
 	if len(nodeByMachine) != 1 || nodeByMachine["vm-1"] != "b" {
-		t.Errorf("nodes by machine: %v", nodeByMachine)
+		t.Errorf("nodes by machine: %v, want only vm-1 at node b", nodeByMachine)
 	}
 	images := transport.QueryImages(t.Context())
 	if len(images) != 2 || !images["i"]["vm-1"] || !images["i"]["vm-2"] || !images["j"]["vm-3"] {
-		t.Errorf("images %v", images)
+		t.Errorf("machines by image: %v", images)
 	}
 }
--- a/internal/peerrpc/serve_test.go
+++ b/internal/peerrpc/serve_test.go
@@ -16,7 +16,7 @@
 // unreachableEndpoint is an endpoint without a listener.
 const unreachableEndpoint = "127.0.0.1:1"
 
-// fakeRegistry is an AgentRegistry with fixed answers.
+// fakeRegistry is an AgentRegistry with fixed contents.
 type fakeRegistry struct {
 	machinesWithHeartbeats []string
 	hasFreshState          bool
--- a/internal/peerrpc/transport.go
+++ b/internal/peerrpc/transport.go
@@ -25,26 +25,26 @@
 	callTimeout   time.Duration
 	logger        *slog.Logger
 
-	mu                sync.Mutex // guards the fields below
-	connections       []*grpc.ClientConn
-	lastAnsweredAt    map[string]time.Time // by node
-	cellHandler       CellHandler
-	cellConnections   map[string]*grpc.ClientConn // by endpoint
-	lastAnsweringNode map[string]string           // by cell: the endpoint that answered last
+	mu               sync.Mutex // guards the fields below
+	connections      []*grpc.ClientConn
+	lastReplyAt      map[string]time.Time // by node
+	cellHandler      CellHandler
+	cellConnections  map[string]*grpc.ClientConn // by endpoint
+	lastReplyingNode map[string]string           // by cell: the endpoint that replied last
 }
 
 // New creates the clients for a node's peers; nothing is sent before the first call.
 func New(settings *config.Settings, registry AgentRegistry, logger *slog.Logger) (*Transport, error) {
 	transport := &Transport{
-		nodeName:          settings.Node,
-		listenAddress:     settings.PeerListen,
-		registry:          registry,
-		peerClients:       map[string]peerpb.PeerClient{},
-		callTimeout:       tuning.PeerTimeout,
-		logger:            logger,
-		lastAnsweredAt:    map[string]time.Time{},
-		cellConnections:   map[string]*grpc.ClientConn{},
-		lastAnsweringNode: map[string]string{},
+		nodeName:         settings.Node,
+		listenAddress:    settings.PeerListen,
+		registry:         registry,
+		peerClients:      map[string]peerpb.PeerClient{},
+		callTimeout:      tuning.PeerTimeout,
+		logger:           logger,
+		lastReplyAt:      map[string]time.Time{},
+		cellConnections:  map[string]*grpc.ClientConn{},
+		lastReplyingNode: map[string]string{},
 	}
 	for _, peer := range settings.Peers {
 		connection, err := dial(peer.Endpoint)
@@ -64,7 +64,7 @@
 }
 
 // SetCellHandler sets the handler of messages from other cells. It must be called before Run. Without a handler such
-// messages are answered as unavailable.
+// messages are rejected with the gRPC status Unavailable.
 func (t *Transport) SetCellHandler(handler CellHandler) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
