--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -37,10 +37,11 @@
 	SpreadServices bool `xml:"spread-services"`
 	// Classes are the classes of jobs with limited retries of tasks; empty by default.
 	Classes []Class `xml:"classes>class"`
-	// CellName is this deployment's name among the operator's cells; empty without other cells.
+	// CellName is this deployment's name among the operator's cells; empty if it is not one of several cells.
 	CellName string `xml:"cell-name"`
-	// CellEpoch starts at 1 and is increased by the operator whenever the cell's key-value store
-	// has lost writes; 0 without other cells.
+	// CellEpoch is a number from 1 that the operator increases whenever this cell's key-value store
+	// has lost writes, so that jobs accepted from other cells before the loss are dropped. It is 0 if
+	// CellName is empty.
 	CellEpoch uint64 `xml:"cell-epoch"`
 	// MaxOffloadedTasks bounds the tasks that jobs offloaded by other cells have in this cell at
 	// any time.
@@ -57,7 +58,7 @@
 // ForgottenCell states that another cell is permanently lost in an epoch.
 type ForgottenCell struct {
 	Name  string `xml:"name,attr"`
-	Epoch uint64 `xml:"epoch,attr"` // as logged when the cell was found lost
+	Epoch uint64 `xml:"epoch,attr"` // the highest received from the cell, as logged when the cell was found lost
 }
 
 // Cell is another deployment with which this one exchanges jobs.
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -9,11 +9,11 @@
 func TestOperator(t *testing.T) {
 	defaults, err := LoadOperator("")
 	if err != nil || defaults.ResponsivenessWeight != 0.7 || defaults.MinMachines != 2 {
-		t.Fatalf("%+v, %v", defaults, err)
+		t.Fatalf("unexpected defaults %+v, error %v", defaults, err)
 	}
 	got, err := ParseOperator([]byte("<sableusher><lambda>0.25</lambda></sableusher>"), defaults)
 	if err != nil || got.ResponsivenessWeight != 0.25 || got.Exploration != defaults.Exploration {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("unexpected settings %+v, error %v", got, err)
 	}
 }
 
@@ -147,7 +147,7 @@
 	for _, test := range invalidOperatorDocuments {
 		_, err := ParseOperator([]byte(test.document), defaults)
 		if err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%q: %v", test.document, err)
+			t.Errorf("%q: no error, or one without the expected text: %v", test.document, err)
 		}
 	}
 }
@@ -172,14 +172,14 @@
 func TestDeployedFiles(t *testing.T) {
 	zones, err := LoadOperator("../../deploy/zones.xml")
 	if err != nil || zones.ZoneReserve != 0.5 || !zones.SpreadServices || len(zones.Cells) != 0 {
-		t.Errorf("%+v, %v", zones, err)
+		t.Errorf("zones.xml: unexpected settings %+v, error %v", zones, err)
 	}
 	cells, err := LoadOperator("../../deploy/cells.xml")
 	if err != nil || cells.CellName != "a" || cells.CellEpoch != 1 {
-		t.Errorf("%+v, %v", cells, err)
+		t.Errorf("cells.xml: unexpected settings %+v, error %v", cells, err)
 	}
 	if len(cells.Cells) != 2 || cells.Cells[1].TransferSeconds != 10 {
-		t.Errorf("%+v", cells.Cells)
+		t.Errorf("cells.xml: unexpected cells %+v", cells.Cells)
 	}
 	defaults, err := LoadOperator("")
 	if err != nil || defaults.ZoneReserve != 0 || defaults.SpreadServices {
@@ -195,11 +195,11 @@
 func TestClassesFile(t *testing.T) {
 	operator, err := LoadOperator("../../deploy/classes.xml")
 	if err != nil || len(operator.Classes) == 0 || operator.MinMachines != 2 {
-		t.Fatalf("%+v, %v", operator, err)
+		t.Fatalf("classes.xml: unexpected settings %+v, error %v", operator, err)
 	}
 	for _, class := range operator.Classes {
 		if class.Name == "" || class.MaxRetryPauseSeconds < class.RetryPauseSeconds {
-			t.Errorf("%+v", class)
+			t.Errorf("classes.xml: unexpected class %+v", class)
 		}
 	}
 	if defaults, err := LoadOperator(""); err != nil || len(defaults.Classes) != 0 {
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -51,7 +51,7 @@
 func TestSettings(t *testing.T) {
 	settings, err := Parse([]byte(validSettings))
 	if err != nil || settings.Deployment.Teams[0].GPUsMax != 4 || settings.NodeNames()[1] != "n1" {
-		t.Fatalf("%+v, %v", settings, err)
+		t.Fatalf("unexpected settings %+v, error %v", settings, err)
 	}
 }
 
@@ -75,7 +75,7 @@
 	} {
 		_, err := Parse([]byte(strings.Replace(validSettings, test.line, "", 1)))
 		if err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("without %s: %v", test.line, err)
+			t.Errorf("without %s: no error, or one that does not name the setting: %v", test.line, err)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 func TestManyFaultsInOneLine(t *testing.T) {
 	_, err := Parse([]byte(`node_name = "a"`))
 	if err == nil || strings.Contains(err.Error(), "\n") {
-		t.Fatalf("%v", err)
+		t.Fatalf("error %v, want one of a single line", err)
 	}
 	var invalid *ValidationError
 	if !errors.As(err, &invalid) || len(invalid.Faults) < 2 {
@@ -112,7 +112,7 @@
 	} {
 		_, err := Parse([]byte(strings.Replace(validSettings, test.line, test.replacement, 1)))
 		if err == nil || !strings.Contains(err.Error(), test.want) {
-			t.Errorf("%s was accepted: %v", test.replacement, err)
+			t.Errorf("%s: no error, or one that does not name the setting: %v", test.replacement, err)
 		}
 	}
 }
@@ -153,7 +153,7 @@
 	for _, invalid := range []string{"value_kb = 0.1", "txn_ops = 1", "write_rps = nan", "rps = -1.0"} {
 		_, err := with("[deployment.state.next]\n" + invalid)
 		if err == nil || !strings.Contains(err.Error(), "state.next") {
-			t.Errorf("%s: %v", invalid, err)
+			t.Errorf("%s: no error, or one that does not name state.next: %v", invalid, err)
 		}
 	}
 }
