--- a/internal/api/backend_test.go
+++ b/internal/api/backend_test.go
@@ -146,12 +146,12 @@
 func (s *testServer) send(method, path string, body []byte) (int, wire.JobState) {
 	recorder := httptest.NewRecorder()
 	s.handler.ServeHTTP(recorder, httptest.NewRequest(method, path, bytes.NewReader(body)))
-	var answer wire.JobStatus
-	_ = wire.Decode(recorder.Body.Bytes(), &answer) // other responses have no state
+	var response wire.JobStatus
+	_ = wire.Decode(recorder.Body.Bytes(), &response) // other responses have no state
 	if recorder.Code == http.StatusServiceUnavailable && recorder.Header().Get("Retry-After") == "" {
-		return statusWithoutRetryAfter, answer.State
+		return statusWithoutRetryAfter, response.State
 	}
-	return recorder.Code, answer.State
+	return recorder.Code, response.State
 }
 
 func (s *testServer) submit(body []byte) (int, wire.JobState) {
--- a/internal/api/cancel_test.go
+++ b/internal/api/cancel_test.go
@@ -22,24 +22,24 @@
 func TestCancellations(t *testing.T) {
 	server := newTestServer()
 	if status, _ := server.cancel("run-000009"); status != http.StatusNotFound {
-		t.Errorf("unknown job: %d", status)
+		t.Errorf("unknown job: status %d", status)
 	}
 	server.putFinalRecord(otherJobID, wire.JobDone)
 	if status, state := server.cancel(otherJobID); status != http.StatusOK || state != wire.JobDone {
-		t.Errorf("done job: %d %q", status, state)
+		t.Errorf("done job: status %d, state %q", status, state)
 	}
 	server.putJob(record.Job{Spec: testSpec()})
 	status, state := server.cancel(testJobID)
 	if status != http.StatusOK || state != wire.JobCancelled || len(server.committed) != 1 {
-		t.Errorf("live job: %d %q, %d writes", status, state, len(server.committed))
+		t.Errorf("live job: status %d, state %q, %d transactions", status, state, len(server.committed))
 	}
 	unchanged := wire.Condition{Key: record.JobKey(testJobID), ModRevision: initialRevision}
 	if conditions := server.committed[0].Conditions; !slices.Contains(conditions, unchanged) {
-		t.Errorf("conditions %+v", conditions)
+		t.Errorf("no condition on the job's record in %+v", conditions)
 	}
 	server.commitErr = kvstore.ErrOutcomeUnknown
 	if status, _ := server.cancel(testJobID); status != http.StatusServiceUnavailable {
-		t.Errorf("unknown outcome of the commit: %d", status)
+		t.Errorf("unknown outcome of the commit: status %d", status)
 	}
 }
 
@@ -62,13 +62,13 @@
 			server.onCommit = func() { server.putJob(cancelledWithTask) }
 			const unavailable = http.StatusServiceUnavailable
 			if status, _ := server.cancel(testJobID); status != unavailable || len(server.committed) != 1 {
-				t.Errorf("a task is bound: %d, %d writes", status, len(server.committed))
+				t.Errorf("a task is bound: status %d, %d transactions", status, len(server.committed))
 			}
 			if _, state := server.poll(testJobID); state != wire.JobRunning {
 				t.Errorf("a task is bound: poll returned %q", state)
 			}
 			if status, _ := server.cancel(testJobID); status != unavailable || len(server.committed) != 1 {
-				t.Errorf("repeated request: %d, %d writes", status, len(server.committed))
+				t.Errorf("repeated request: status %d, %d transactions", status, len(server.committed))
 			}
 			server.putJob(cancelled)
 			server.revision = initialRevision - 1
@@ -77,7 +77,7 @@
 			}
 			server.revision = initialRevision
 			if status, state := server.cancel(testJobID); status != http.StatusOK || state != wire.JobCancelled {
-				t.Errorf("no task is bound: %d %q", status, state)
+				t.Errorf("no task is bound: status %d, state %q", status, state)
 			}
 			if _, state := server.poll(testJobID); state != wire.JobCancelled {
 				t.Errorf("no task is bound: poll returned %q", state)
@@ -89,7 +89,7 @@
 			server := runningServer()
 			server.onCommit = func() { server.putJob(cancelled) }
 			if status, state := server.cancel(testJobID); status != http.StatusOK || state != wire.JobCancelled {
-				t.Errorf("%d %q", status, state)
+				t.Errorf("status %d, state %q, want 200, cancelled", status, state)
 			}
 		})
 	})
@@ -156,7 +156,7 @@
 			prepare(server)
 			for i, request := range []func(string) (int, wire.JobState){server.cancel, server.poll, server.cancel} {
 				if status, state := request(job.spec.ID); status != http.StatusOK || state != wire.JobDone {
-					t.Errorf("request %d: %d %q, want done", i, status, state)
+					t.Errorf("request %d: status %d, state %q, want done", i, status, state)
 				}
 			}
 			if want := name == whileMarked; want != (len(server.committed) == 1) {
@@ -176,7 +176,7 @@
 	server := newTestServer()
 	server.putJob(record.Job{Spec: testSpec(), Tasks: boundTasks()})
 	if status, state := server.cancel(testJobID); status != http.StatusOK || state != wire.JobCancelled {
-		t.Fatalf("older schema version: %d %q", status, state)
+		t.Fatalf("older schema version: status %d, state %q", status, state)
 	}
 	versionUnchanged := wire.Condition{Key: record.SchemaVersionKey}
 	if conditions := server.committed[0].Conditions; !slices.Contains(conditions, versionUnchanged) {
@@ -184,14 +184,14 @@
 	}
 	server.putJob(confirmedAtOnce)
 	if status, state := server.poll(testJobID); status != http.StatusOK || state != wire.JobCancelled {
-		t.Errorf("confirmed by another node: %d %q", status, state)
+		t.Errorf("confirmed by another node: status %d, state %q", status, state)
 	}
 	server.putSchemaVersion(tuning.SchemaVersionConfirmedCancel) // at the same revision as the cancellation
 	if status, state := server.poll(testJobID); status != http.StatusOK || state != wire.JobCancelled {
-		t.Errorf("confirmed before the activation: %d %q", status, state)
+		t.Errorf("confirmed before the activation: status %d, state %q", status, state)
 	}
 	server.putAt(record.JobKey(testJobID), confirmedAtOnce, initialRevision+1)
 	if status, state := server.poll(testJobID); status != http.StatusServiceUnavailable {
-		t.Errorf("written after the activation without CancelAfterRelease: %d %q", status, state)
+		t.Errorf("written after the activation without CancelAfterRelease: status %d, state %q", status, state)
 	}
 }
--- a/internal/api/cancelrequests_test.go
+++ b/internal/api/cancelrequests_test.go
@@ -31,7 +31,7 @@
 func (s *testServer) lastJobWritten(t *testing.T) (job record.Job) {
 	t.Helper()
 	if len(s.committed) == 0 {
-		t.Fatal("no transaction")
+		t.Fatal("no transaction was committed")
 	}
 	if err := wire.Decode(s.committed[len(s.committed)-1].Ops[0].Value, &job); err != nil {
 		t.Fatal(err)
@@ -74,21 +74,21 @@
 		server.putJob(runningJob())
 		server.onCommit = func() { server.putJob(requested) }
 		if status, _ := server.cancel(testJobID); status != http.StatusServiceUnavailable {
-			t.Errorf("a task is bound: %d", status)
+			t.Errorf("a task is bound: status %d", status)
 		}
 		server.checkRequested(t)
 		if status, state := server.poll(testJobID); status != http.StatusOK || state != wire.JobRunning {
-			t.Errorf("poll while a task is bound: %d %q", status, state)
+			t.Errorf("poll while a task is bound: status %d, state %q", status, state)
 		}
 		status, _ := server.cancel(testJobID)
 		if status != http.StatusServiceUnavailable || len(server.committed) != 1 {
-			t.Errorf("repeated request: %d, %d writes", status, len(server.committed))
+			t.Errorf("repeated request: status %d, %d transactions", status, len(server.committed))
 		}
 		requested.Tasks = nil
 		server.putJob(requested)
 		server.onCommit = nil
 		if status, state := server.cancel(testJobID); status != http.StatusOK || state != wire.JobCancelled {
-			t.Errorf("no task is bound: %d %q", status, state)
+			t.Errorf("no task is bound: status %d, state %q", status, state)
 		}
 		written := server.lastJobWritten(t)
 		if written.CancelledAtMs == 0 || written.CancelAfterRelease || written.CancelRequestedAtMs != 0 {
@@ -115,13 +115,14 @@
 			server.onCommit = func() { markedAt = server.revision }
 		}
 		if status, state := server.cancel(testJobID); status != http.StatusOK || state != wire.JobCancelled {
-			t.Errorf("%d %q", status, state)
+			t.Errorf("status %d, state %q, want 200, cancelled", status, state)
 		}
 		if len(server.committed) != 2 || markedAt != initialRevision {
-			t.Fatalf("%d writes, want the request and the mark; marked at revision %d", len(server.committed), markedAt)
+			t.Fatalf("%d transactions, want the request and the mark; marked at revision %d",
+				len(server.committed), markedAt)
 		}
 		if written := server.lastJobWritten(t); written.CancelledAtMs == 0 {
-			t.Errorf("wrote %+v", written)
+			t.Errorf("the last transaction does not mark the job: %+v", written)
 		}
 	})
 }
@@ -137,7 +138,7 @@
 	job.RequestCancel(5)
 	server.putJob(job)
 	if status, _ := server.cancel(testJobID); status != http.StatusServiceUnavailable || len(server.committed) > 0 {
-		t.Errorf("%d, %d writes", status, len(server.committed))
+		t.Errorf("status %d, %d transactions, want 503 and none", status, len(server.committed))
 	}
 }
 
@@ -146,9 +147,9 @@
 // written.
 func TestCancelRequestsNeedAllOwners(t *testing.T) {
 	for name, test := range map[string]struct {
-		owner      *record.Node
-		wantStatus int
-		wantWrites int
+		owner            *record.Node
+		wantStatus       int
+		wantTransactions int
 	}{
 		"owner of an older version": {&record.Node{Incarnation: 1}, http.StatusOK, 1},
 		"owner without a session":   {nil, http.StatusServiceUnavailable, 0},
@@ -161,8 +162,9 @@
 			server.putOwners(test.owner)
 			server.putJob(runningJob())
 			status, _ := server.cancel(testJobID)
-			if status != test.wantStatus || len(server.committed) != test.wantWrites {
-				t.Errorf("%d, %d writes; want %d, %d", status, len(server.committed), test.wantStatus, test.wantWrites)
+			if status != test.wantStatus || len(server.committed) != test.wantTransactions {
+				t.Errorf("status %d, %d transactions; want %d, %d",
+					status, len(server.committed), test.wantStatus, test.wantTransactions)
 			}
 		})
 	}
@@ -181,11 +183,11 @@
 		marked.MarkCancelled(6, true)
 		server.onCommit = func() { server.putJob(marked) }
 		if status, _ := server.cancel(testJobID); status != http.StatusServiceUnavailable {
-			t.Errorf("a task is bound: %d", status)
+			t.Errorf("a task is bound: status %d", status)
 		}
 		written := server.lastJobWritten(t)
 		if written.CancelledAtMs == 0 || !written.CancelAfterRelease || written.CancelRequestedAtMs != 0 {
-			t.Errorf("wrote %+v", written)
+			t.Errorf("the request was not replaced by a mark with CancelAfterRelease: %+v", written)
 		}
 	})
 }
--- a/internal/api/dependencies.go
+++ b/internal/api/dependencies.go
@@ -26,7 +26,7 @@
 	}
 	missing, err := s.nonLiveDependencies(spec)
 	if err != nil || len(missing) == 0 {
-		return err // an accepted job is never un-accepted, so no read barrier is needed
+		return err // a job that was accepted once stays accepted, so no read barrier is needed
 	}
 	// A missing job may have ended, or may have been accepted after the last update of the cluster state.
 	if s.barrier.WaitForReadBarrier(ctx) != nil {
--- a/internal/api/errors_test.go
+++ b/internal/api/errors_test.go
@@ -27,16 +27,17 @@
 	} {
 		recorder := httptest.NewRecorder()
 		writeError(recorder, c.err)
-		var answer wire.ErrorResponse
-		if err := wire.Decode(recorder.Body.Bytes(), &answer); err != nil {
+		var response wire.ErrorResponse
+		if err := wire.Decode(recorder.Body.Bytes(), &response); err != nil {
 			t.Fatal(err)
 		}
-		if recorder.Code != c.status || answer.Message != c.message {
-			t.Errorf("%v: %d %q, want %d %q", c.err, recorder.Code, answer.Message, c.status, c.message)
+		if recorder.Code != c.status || response.Message != c.message {
+			t.Errorf("%v: status %d, message %q, want %d, %q",
+				c.err, recorder.Code, response.Message, c.status, c.message)
 		}
-		mayRepeat := recorder.Header().Get("Retry-After") != ""
-		if mayRepeat != (c.status == http.StatusServiceUnavailable) {
-			t.Errorf("%v: Retry-After %t", c.err, mayRepeat)
+		hasRetryAfter := recorder.Header().Get("Retry-After") != ""
+		if hasRetryAfter != (c.status == http.StatusServiceUnavailable) {
+			t.Errorf("%v: Retry-After header present: %t", c.err, hasRetryAfter)
 		}
 	}
 }
--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -24,7 +24,7 @@
 func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	heartbeat, err := decodeHeartbeat(r)
 	if err != nil || heartbeat.Machine == "" || heartbeat.Session == 0 {
-		s.logger.Info("heartbeat rejected: malformed, or without machine or session", "err", err)
+		s.logger.Info("invalid heartbeat", "err", err)
 		writeMessage(w, http.StatusBadRequest, "unreadable report")
 		return
 	}
@@ -50,7 +50,7 @@
 	defer cancel()
 	request, err := s.decodeSubmission(r)
 	if err != nil {
-		s.logger.Debug("submission rejected: malformed", "err", err)
+		s.logger.Debug("malformed submission", "err", err)
 		writeError(w, err)
 		return
 	}
--- a/internal/api/handlers_test.go
+++ b/internal/api/handlers_test.go
@@ -24,7 +24,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if status, _ := newTestServer().send(http.MethodPost, "/agent/beat", c.body); status != c.want {
-				t.Errorf("%d, want %d", status, c.want)
+				t.Errorf("status %d, want %d", status, c.want)
 			}
 		})
 	}
@@ -41,10 +41,10 @@
 	}
 	server.requestSlots <- struct{}{} // simulates another request that is being served
 	if got := status(); got != http.StatusServiceUnavailable {
-		t.Errorf("%d beyond the limit", got)
+		t.Errorf("status %d beyond the limit", got)
 	}
 	<-server.requestSlots
 	if got := status(); got != http.StatusOK || len(server.requestSlots) != 0 {
-		t.Errorf("%d within the limit, %d slots held afterwards", got, len(server.requestSlots))
+		t.Errorf("status %d within the limit, %d slots held afterwards", got, len(server.requestSlots))
 	}
 }
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -18,17 +18,17 @@
 	}
 	server.barrierErr = kvstore.ErrUnavailable
 	if status, _ := server.poll("run-000009"); status != http.StatusServiceUnavailable {
-		t.Errorf("failed read barrier: %d", status)
+		t.Errorf("failed read barrier: status %d", status)
 	}
 	server.barrierErr = nil
 	// The cluster state is outdated: it shows the cancellation confirmed by another node only after the barrier.
 	server.putJob(record.Job{Spec: testSpec()})
 	server.onBarrier = func() { server.putJob(record.Job{Spec: testSpec(), CancelledAtMs: 5}) }
 	if status, state := server.poll(testJobID); status != http.StatusOK || state != wire.JobCancelled {
-		t.Errorf("%d %q", status, state)
+		t.Errorf("cancelled after the barrier: status %d, state %q", status, state)
 	}
 	if status, _ := server.poll("nonsense"); status != http.StatusNotFound {
-		t.Errorf("malformed id: %d", status)
+		t.Errorf("malformed id: status %d", status)
 	}
 }
 
@@ -40,15 +40,15 @@
 		Tasks: []record.Task{{Index: 1, State: record.TaskBound, Attempt: 1, Machine: "m", Session: 1}}}
 	server.putJob(job)
 	if status, state := server.poll(testJobID); status != http.StatusOK || state != wire.JobRunning {
-		t.Errorf("a task is bound: %d %q", status, state)
+		t.Errorf("a task is bound: status %d, state %q", status, state)
 	}
 	job.Tasks = nil
 	server.putJob(job)
 	if status, state := server.poll(testJobID); status != http.StatusOK || state != wire.JobFailed {
-		t.Errorf("%d %q", status, state)
+		t.Errorf("no task is bound: status %d, state %q", status, state)
 	}
 	if status, state := server.cancel(testJobID); status != http.StatusOK || state != wire.JobFailed {
-		t.Errorf("cancelled: %d %q", status, state)
+		t.Errorf("cancellation of a failed job: status %d, state %q", status, state)
 	}
 }
 
--- a/internal/api/submit_test.go
+++ b/internal/api/submit_test.go
@@ -60,7 +60,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if status, state := newTestServer().submit(c.body); status != c.want || state != c.state {
-				t.Errorf("%d %q, want %d %q", status, state, c.want, c.state)
+				t.Errorf("status %d, state %q, want %d, %q", status, state, c.want, c.state)
 			}
 		})
 	}
@@ -71,7 +71,7 @@
 	server := newServerWithoutCatalog(&config.Operator{})
 	status, state := server.submit(encodeSpec(func(*wire.JobSpec) {}))
 	if status != http.StatusServiceUnavailable || state != "" {
-		t.Errorf("%d %q", status, state)
+		t.Errorf("status %d, state %q, want 503 without a state", status, state)
 	}
 }
 
@@ -112,7 +112,7 @@
 			server := newTestServer()
 			c.prepare(server)
 			if status, state := server.submit(c.body); status != c.want || state != c.state {
-				t.Errorf("%d %q, want %d %q", status, state, c.want, c.state)
+				t.Errorf("status %d, state %q, want %d, %q", status, state, c.want, c.state)
 			}
 		})
 	}
@@ -168,7 +168,7 @@
 			server.putCatalog()
 			server.putSchemaVersion(c.version)
 			if status, _ := server.submit(submissionWithRetries(t, c.class, c.retries)); status != c.want {
-				t.Fatalf("%d, want %d", status, c.want)
+				t.Fatalf("status %d, want %d", status, c.want)
 			}
 			limit := noLimit
 			if c.want == http.StatusCreated {
--- a/internal/wire/http.go
+++ b/internal/wire/http.go
@@ -39,7 +39,7 @@
 	}
 	w.Header().Set("Content-Type", ContentType)
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // on an error the client has disconnected, so it can't be told
+	_, _ = w.Write(body) // on an error the client has disconnected, so nobody can be informed
 }
 
 // NewTransport returns an HTTP transport. dialTimeout bounds the time to establish a connection;
--- a/internal/wire/submission_test.go
+++ b/internal/wire/submission_test.go
@@ -36,7 +36,7 @@
 		t.Fatal(err)
 	}
 	if spec.TaskCount != 16 || spec.MachineTypes[0] != "g8" || spec.Zone != "" || spec.DeadlineSeconds != 900 {
-		t.Fatalf("%+v", spec)
+		t.Fatalf("unexpected specification %+v", spec)
 	}
 	for _, field := range optionalFields {
 		fields := validSubmission()
