--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -40,16 +40,16 @@
 	Teams       []Team      `toml:"teams"`
 	Objectives  []Objective `toml:"objectives"`
 	Workers     struct {
-		ReportS   float64 `toml:"report_s"`
-		LeaseS    float64 `toml:"lease_s"`
-		GangWaitS float64 `toml:"gang_wait_s"`
-		GangPeerS float64 `toml:"gang_peer_s"`
-		CancelS   float64 `toml:"cancel_s"`
+		ReportS   float64 `toml:"report_s"`    // see HeartbeatInterval
+		LeaseS    float64 `toml:"lease_s"`     // see LeaseDuration
+		GangWaitS float64 `toml:"gang_wait_s"` // how long a started task waits for the other tasks of its gang
+		GangPeerS float64 `toml:"gang_peer_s"` // how long a task runs while another task of its gang is missing
+		CancelS   float64 `toml:"cancel_s"`    // see CancelDeadline
 	} `toml:"workers"`
 	State struct {
 		RPS      float64 `toml:"rps"`
-		WriteRPS float64 `toml:"write_rps"`
-		ValueKB  float64 `toml:"value_kb"`
+		WriteRPS float64 `toml:"write_rps"` // changed keys per second
+		ValueKB  float64 `toml:"value_kb"`  // size of a value in its JSON form, in KiB
 		TxnOps   int     `toml:"txn_ops"`
 		// Next holds the limits that the key-value store will switch to at an unknown
 		// time, without notice; nil if no change is planned.
@@ -57,11 +57,11 @@
 	} `toml:"state"`
 	Cloud struct {
 		RPS      float64 `toml:"rps"`
-		ListLagS float64 `toml:"list_lag_s"`
+		ListLagS float64 `toml:"list_lag_s"` // expected lag of the cloud's list of machines
 	} `toml:"cloud"`
 	Limits struct {
-		CPUShare   float64 `toml:"cpu_share"`
-		MemMB      float64 `toml:"mem_mb"`
+		CPUShare   float64 `toml:"cpu_share"` // CPUs that this node may use
+		MemMB      float64 `toml:"mem_mb"`    // in MiB
 		MaxSockets int     `toml:"max_sockets"`
 	} `toml:"machine_limits"`
 }
@@ -85,13 +85,13 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is a service-level objective of a class of jobs.
+// Objective is a service-level objective of a class of jobs. Package scheduler defines the kinds.
 type Objective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
+	WithinS float64 `toml:"within_s"` // counted from when the job can start; 0 means none
 	Share   float64 `toml:"share"`
-	Times   float64 `toml:"times"`
+	Times   float64 `toml:"times"` // multiple of the job's own deadline; 0 means none
 }
 
 // Load reads the platform's file and parses it with Parse.
