--- a/internal/simulation/celllinks.go
+++ b/internal/simulation/celllinks.go
@@ -46,7 +46,7 @@
 type cellDelivery struct {
 	delay          time.Duration
 	duplicate      bool          // the link delivers the message a second time
-	duplicateDelay time.Duration // between the first and the second delivery
+	duplicateDelay time.Duration // before the second delivery; under a fault it counts from the end of the fault
 }
 
 func (f *Federation) drawDelivery() cellDelivery {
@@ -61,7 +61,7 @@
 
 // exchange sends a message to another cell, trying its controllers one after the other, and returns the response.
 // One message in ten is delivered a second time, up to 20 s later. If a fault loses the message or the response,
-// exchange blocks until ctx ends.
+// exchange blocks until ctx ends. If the message itself is affected, its second delivery follows after the fault.
 func (f *Federation) exchange(ctx context.Context, to string, message offload.Message) (offload.Message, error) {
 	body := wire.MustEncode(message)
 	delivery := f.drawDelivery()
--- a/internal/simulation/controllers.go
+++ b/internal/simulation/controllers.go
@@ -16,7 +16,7 @@
 type Controller struct {
 	Settings      *config.Settings
 	Address       string
-	SchemaVersion int // the newest that its software supports; set before it starts
+	SchemaVersion int // the newest schema version that the process reads; set before it starts
 
 	// The region's lock guards the fields below.
 	stop        context.CancelFunc
@@ -44,7 +44,7 @@
 }
 
 // StartController starts a controller as a new process, which exits when it is killed or ctx ends. It panics if the
-// controller can't be created.
+// operators' settings can't be loaded or the controller can't be created.
 func (r *Region) StartController(ctx context.Context, index int) {
 	process := r.controllers[index]
 	ctx, cancel := context.WithCancel(ctx)
@@ -78,7 +78,7 @@
 	r.mu.Unlock()
 	r.Network.Listen(process.Address, &Host{name, node.Handler(), alwaysAlive})
 	r.wg.Go(func() {
-		_ = node.Run(ctx) // the error is always that of the context, as the process is killed
+		_ = node.Run(ctx) // returns the error of ctx, as all loops run until ctx ends
 		close(exited)
 	})
 }
--- a/internal/simulation/fakeagent.go
+++ b/internal/simulation/fakeagent.go
@@ -17,10 +17,10 @@
 	zone        string
 	spot        bool
 
-	session        uint64 // starts with 1; a reboot or the expiry of the lease begins the next
-	sequence       uint64 // of the last heartbeat of the session
-	fencingToken   uint64 // highest seen in the session
-	leaseRenewedAt time.Time
+	session        uint64    // starts with 1; a reboot or the expiry of the lease begins the next
+	sequence       uint64    // of the last heartbeat of the session
+	fencingToken   uint64    // highest seen in the session
+	leaseRenewedAt time.Time // when the heartbeat was sent whose response last renewed the lease
 	tasks          map[attempt]*agentTask
 	images         map[string]bool
 
--- a/internal/simulation/fakeagent_heartbeat.go
+++ b/internal/simulation/fakeagent_heartbeat.go
@@ -64,8 +64,9 @@
 	}
 }
 
-// heartbeatDue reports whether the machine was removed, and whether the next heartbeat is due. It compares the time
-// since the last heartbeat with a random interval of 0.75 to 1.25 times the configured one.
+// heartbeatDue reports whether the machine was removed, and whether the next heartbeat is due. It is due after a random
+// interval of 0.75 to 1.25 times the configured one, which each call draws again, or after statusChangeDelay if the
+// status has changed. A machine that hangs sends no heartbeat.
 func (a *fakeAgent) heartbeatDue() (removed, due bool) {
 	a.region.mu.Lock()
 	defer a.region.mu.Unlock()
@@ -141,8 +142,8 @@
 	return response.StatusCode, answer, err
 }
 
-// tryNextController makes the next heartbeat due immediately, and directs it to the controller after the one that
-// failed.
+// tryNextController directs the next heartbeat to the controller after the one that failed, and makes it due without
+// waiting for the heartbeat interval. It always returns heartbeatFailed.
 func (a *fakeAgent) tryNextController(failedIndex int) heartbeatOutcome {
 	a.region.mu.Lock()
 	defer a.region.mu.Unlock()
@@ -151,8 +152,8 @@
 	return heartbeatFailed
 }
 
-// handleResponse processes the response to a heartbeat. If the agent can't receive messages, the response is lost; if
-// it hangs or was removed, the response is ignored.
+// handleResponse processes the response to a heartbeat. If the agent can't receive messages, lost is true and the
+// response has no effect; if the agent hangs or was removed, the response is ignored.
 func (a *fakeAgent) handleResponse(
 	heartbeat sentHeartbeat, status int, body []byte,
 ) (outcome heartbeatOutcome, lost bool) {
--- a/internal/simulation/fakeagent_tasks.go
+++ b/internal/simulation/fakeagent_tasks.go
@@ -25,7 +25,7 @@
 	spec             wire.JobSpec
 	onMachine        bool      // the checker counts the task as running on the machine
 	readyAt          time.Time // when the current state ends: image fetched, gang wait over, work done or saved
-	peerMissingSince time.Time // for tasks of gangs; zero: no member is missing
+	peerMissingSince time.Time // when a running gang was first found incomplete, kept from then on; zero: never
 }
 
 // advance advances all tasks, and stops them if the lease has expired. A machine that hangs or was removed does
@@ -103,7 +103,7 @@
 	}
 }
 
-// checkPeerTimeout exits a gang's task if other members have been missing for too long.
+// checkPeerTimeout exits a gang's task if a member is missing and GangPeerS has passed since one was first missing.
 func (t *agentTask) checkPeerTimeout(now time.Time) {
 	if t.peerMissingSince.IsZero() {
 		t.peerMissingSince = now
--- a/internal/simulation/fakecloud.go
+++ b/internal/simulation/fakecloud.go
@@ -112,7 +112,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// serveListing answers with the newest listing that is older than a random lag of 0.5 to 2 times the configured one.
+// serveListing answers with the newest listing that is older than a random lag of 0.5 to 2 times the configured one,
+// or with an empty list if there is none.
 func (c *fakeCloud) serveListing(w http.ResponseWriter, after string) {
 	now := time.Now()
 	lag := config.ToDuration(c.region.Settings.Deployment.Cloud.ListLagS * (0.5 + c.region.random.Float64()*1.5))
@@ -171,7 +172,7 @@
 }
 
 // newMachine creates a rented machine with a random boot time: 3 to 8 s, or 0.2 to 1.9 s while the fast boot fault is
-// active. Some machines never boot.
+// active. One machine in machinesPerBootFailure never boots.
 func (c *fakeCloud) newMachine(name, rental string, kind machineKind) *cloudMachine {
 	now := time.Now()
 	machine := &cloudMachine{
--- a/internal/simulation/fakekv_faults.go
+++ b/internal/simulation/fakekv_faults.go
@@ -12,16 +12,17 @@
 	slowRequests faultRate
 	// lateWrites selects transactions that are executed after a delay and get no response.
 	lateWrites faultRate
-	// lostAnswers selects transactions that are executed immediately and get no response.
-	lostAnswers       faultRate
-	lostAnswerWriters map[uint64]string // by revision: the controller whose response was lost
+	// lostResponses selects transactions that are executed immediately and get no response.
+	lostResponses       faultRate
+	lostResponseWriters map[uint64]string // by revision: the controller whose response was lost
 }
 
 func newKVFaults() kvFaults {
-	return kvFaults{refusedUntil: map[string]time.Time{}, lostAnswerWriters: map[uint64]string{}}
+	return kvFaults{refusedUntil: map[string]time.Time{}, lostResponseWriters: map[uint64]string{}}
 }
 
-// StartOutage makes the store refuse all requests until a time. From then on every lease has its full TTL again.
+// StartOutage makes the store refuse all requests until a time. When the outage ends, every lease has its full TTL
+// left.
 func (kv *FakeKV) StartOutage(until time.Time) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
@@ -52,7 +53,7 @@
 func (kv *FakeKV) LoseAnswers(share float64, until time.Time, seed uint64) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
-	kv.faults.lostAnswers = newFaultRate(share, until, seed, streamLostAnswers)
+	kv.faults.lostResponses = newFaultRate(share, until, seed, streamLostResponses)
 }
 
 // SlowRequests delays a share of the requests by up to 2 s until a time. Most of the delays are shorter than a
@@ -69,7 +70,8 @@
 	return now.Before(f.outageUntil) || now.Before(f.refusedUntil[node])
 }
 
-// delayRequest delays a request if a fault selects it. Callers hold the lock, which is released meanwhile.
+// delayRequest delays a request if a fault selects it, and drops the response to a late write. Callers hold the lock,
+// which is released during the delay.
 func (kv *FakeKV) delayRequest(w http.ResponseWriter, r *http.Request) {
 	if kv.faults.slowRequests.occurs() {
 		kv.sleepUnlocked(kv.faults.slowRequests.duration(50*time.Millisecond, 2*time.Second))
--- a/internal/simulation/fakekv_transaction.go
+++ b/internal/simulation/fakekv_transaction.go
@@ -11,12 +11,12 @@
 func (kv *FakeKV) serveTransaction(w http.ResponseWriter, r *http.Request, body []byte) {
 	before := kv.revision
 	kv.commit(w, body)
-	if !kv.faults.lostAnswers.occurs() {
+	if !kv.faults.lostResponses.occurs() {
 		return
 	}
 	loseResponse(w)
 	if kv.revision > before {
-		kv.faults.lostAnswerWriters[kv.revision] = r.Header.Get(sourceHeader)
+		kv.faults.lostResponseWriters[kv.revision] = r.Header.Get(sourceHeader)
 	}
 }
 
@@ -26,7 +26,7 @@
 	var txn wire.TxnRequest
 	if err := wire.Decode(body, &txn); err != nil || len(txn.Ops) > kv.limits.maxTxnOps ||
 		len(txn.Conditions) > 4*kv.limits.maxTxnOps || len(body) > maxRequestBytes {
-		kv.rejectOversize(w, "transaction over its limits or unreadable")
+		kv.rejectOversize(w, "transaction malformed or over its limits")
 		return
 	}
 	if !kv.limits.writes.take(float64(len(txn.Ops))) {
@@ -56,7 +56,7 @@
 	for _, op := range ops {
 		oversize := op.PutKey != "" && float64(wire.JSONSize(op.Value)) > kv.limits.maxValueKB*1024
 		if oversize || op.Key() == "" || op.PutKey != "" && op.DeleteKey != "" {
-			kv.rejectOversize(w, "value over its limit: "+op.Key())
+			kv.rejectOversize(w, "operation malformed or its value over the limit: "+op.Key())
 			return false
 		}
 		if op.LeaseID != 0 && kv.leases[op.LeaseID] == nil {
@@ -67,8 +67,8 @@
 	return true
 }
 
-// rejectOversize refuses a request over the limits and records a violation. After the limits were lowered it counts
-// the request instead, as the controllers don't know the new limits.
+// rejectOversize refuses a request that is malformed or over the limits, and records a violation. After the limits were
+// lowered it counts the request instead, as the controllers don't know the new limits.
 func (kv *FakeKV) rejectOversize(w http.ResponseWriter, violation string) {
 	if kv.limits.lowered {
 		kv.OversizeRequests++
--- a/internal/simulation/fakekv_watch.go
+++ b/internal/simulation/fakekv_watch.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// eventsOf returns the events that a watch covers.
+// eventsOf returns the events that a watch covers. It counts those that another controller wrote without receiving the
+// response.
 func (kv *FakeKV) eventsOf(watch *kvWatch) []wire.Event {
 	events := []wire.Event{}
 	for _, event := range kv.events {
@@ -68,7 +69,7 @@
 			continue
 		}
 		events = append(events, event)
-		if writer := kv.faults.lostAnswerWriters[event.ModRevision]; writer != "" && writer != watch.source {
+		if writer := kv.faults.lostResponseWriters[event.ModRevision]; writer != "" && writer != watch.source {
 			kv.LostAnswersRead++
 		}
 	}
--- a/internal/simulation/fakenetwork.go
+++ b/internal/simulation/fakenetwork.go
@@ -107,7 +107,8 @@
 	return Partition{}, false
 }
 
-// latency returns the random latency of one message: 1 to 5 ms, and 200 ms more for one message in a hundred.
+// latency returns the random latency of one message: 1 to 5 ms, 200 ms more for one message in a hundred, and the
+// extra latency that AddLatency has set.
 func (n *FakeNetwork) latency() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/simulation/fakeuser.go
+++ b/internal/simulation/fakeuser.go
@@ -22,9 +22,9 @@
 	// maxSubmitDuration is how long a user retries the submission of a job.
 	maxSubmitDuration = 60 * time.Second
 	pollInterval      = 5 * time.Second
-	// firstResubmission is the delay after which a user first repeats a submission that was accepted.
+	// firstResubmission is the minimum time from the acceptance of a job to the first repetition of its submission.
 	firstResubmission = 20 * time.Second
-	// resubmissionInterval is the minimum time between two later repetitions.
+	// resubmissionInterval is the minimum time between two repetitions.
 	resubmissionInterval = 40 * time.Second
 	// unknownJobInterval is the interval between two queries about jobs that were never submitted.
 	unknownJobInterval = 7 * time.Second
@@ -99,7 +99,7 @@
 }
 
 // SimulateUser simulates the user of one job until ctx ends. The user submits the job, polls its state, repeats the
-// submission from time to time, and cancels the job if the job says so.
+// submission from time to time, and cancels the job if job.cancelAfter is set.
 func (r *Region) SimulateUser(ctx context.Context, job userJob) {
 	r.SetRunTime(job.spec.ID, job.runSeconds)
 	r.Checker.JobSubmitted(job.spec)
--- a/internal/simulation/federation.go
+++ b/internal/simulation/federation.go
@@ -132,7 +132,7 @@
 }
 
 // RemoveCell removes a cell with its machines for good. After a delay, the operators add it to the list of removed
-// cells, and the controllers of the notified cell restart with that list. It blocks until then.
+// cells, and the controllers of the notified cell restart with that list. RemoveCell blocks until they have restarted.
 func (f *Federation) RemoveCell(ctx context.Context, cell string, delay time.Duration, notified string) {
 	region := f.Regions[cell]
 	region.KillAllControllers()
@@ -154,7 +154,7 @@
 	}
 }
 
-// StopCell kills all controllers of a cell and starts them again after a duration.
+// StopCell kills all controllers of a cell and starts them again after a duration. It doesn't wait for the start.
 func (f *Federation) StopCell(ctx context.Context, cell string, duration time.Duration) {
 	region := f.Regions[cell]
 	region.KillAllControllers()
@@ -165,8 +165,8 @@
 }
 
 // RestoreSnapshot simulates that a cell's key-value store loses all writes since a snapshot. It kills the cell's
-// controllers. After a duration it returns all of the cell's machines, restores the snapshot, and starts the
-// controllers with the next epoch.
+// controllers and returns. After a duration, all of the cell's machines are returned to the cloud, the snapshot is
+// restored, and the controllers start with the next epoch.
 func (f *Federation) RestoreSnapshot(
 	ctx context.Context, cell string, rows map[string]wire.KeyValue, duration time.Duration,
 ) {
--- a/internal/simulation/heartbeatfaults.go
+++ b/internal/simulation/heartbeatfaults.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// takeCaptured removes and returns the captured heartbeats. It counts those of machines that have sent no newer
-// heartbeat since: the new owners receive the copy before any live heartbeat.
+// takeCaptured removes and returns the captured heartbeats. It reports to the checker how many of them are of machines
+// that have sent no newer heartbeat, as the new owners receive these copies before any live heartbeat.
 func (r *Region) takeCaptured() map[string]capturedHeartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/simulation/invariants.go
+++ b/internal/simulation/invariants.go
@@ -21,7 +21,7 @@
 	settings *config.Settings
 	// Violations are the violations found so far.
 	Violations Violations
-	// Observed counts how often a fault occurred in the state that it is meant to test.
+	// Observed counts how often each observation was made.
 	Observed map[Observation]int
 	// TaskStarts counts the starts of tasks on machines.
 	TaskStarts    int
--- a/internal/simulation/invariants_answers.go
+++ b/internal/simulation/invariants_answers.go
@@ -10,13 +10,14 @@
 
 // Bounds of how long all queries about a job may stay unanswered, as promised in the operators' documentation.
 const (
-	// maxUnansweredAfterFaults holds after all faults have ended.
+	// maxUnansweredAfterFaults applies after all faults have ended.
 	maxUnansweredAfterFaults = 75 * time.Second
-	// maxUnansweredWhileOthersAnswered holds at any time if more than half of all queries in this period were answered.
+	// maxUnansweredWhileOthersAnswered applies at any time if more than half of all queries in this period, about any
+	// job, were answered.
 	maxUnansweredWhileOthersAnswered = 90 * time.Second
 )
 
-// query is the outcome of a user's request about a job.
+// query is a user's request about a job, with its outcome.
 type query struct {
 	receivedAt time.Time
 	answered   bool
--- a/internal/simulation/invariants_capacity.go
+++ b/internal/simulation/invariants_capacity.go
@@ -195,8 +195,8 @@
 }
 
 // CheckServedShares checks that at least half of the jobs of each class and team have been served, and that at least
-// half of the largest jobs of each class started in time. Jobs that may have been cancelled by a user, directly or
-// through a dependency, don't count.
+// half of the largest jobs of each class started within maxLargestJobDelay. Jobs that were not accepted, that a user
+// has requested to cancel, or whose dependencies may end without being done, don't count.
 func (c *InvariantChecker) CheckServedShares() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/simulation/invariants_tasks.go
+++ b/internal/simulation/invariants_tasks.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// checkPlacement checks that the job's spec allows its tasks on a machine.
+// checkPlacement checks that the job's spec allows its tasks on a machine. Callers hold the lock.
 func (c *InvariantChecker) checkPlacement(spec *wire.JobSpec, task record.TaskRef, placement Placement) {
 	if spec.Zone != "" && spec.Zone != placement.Zone || placement.Spot && !spec.AllowSpot {
 		c.violation(RuleWrongPlace, "%s on %+v", task, placement)
@@ -70,7 +70,8 @@
 	}
 }
 
-// checkZones checks that a job's tasks are in one zone, or spread over zones, if the job's spec requires that.
+// checkZones checks that a job's tasks are in one zone, or spread over zones, if the job's spec requires that. Callers
+// hold the lock.
 func (c *InvariantChecker) checkZones(spec *wire.JobSpec, placement Placement) {
 	inZone := 0
 	for i := range spec.TaskCount {
@@ -96,7 +97,8 @@
 	for task, machines := range c.placements {
 		cancelledAt := c.jobs[task.JobID].cancelledAt
 		if len(machines) > 0 && !cancelledAt.IsZero() && time.Since(cancelledAt) > c.settings.CancelDeadline() {
-			c.violation(RuleRanCancelled, "%s: runs %v after confirmation", task, time.Since(cancelledAt))
+			c.violation(RuleRanCancelled, "%s runs %v after its cancellation was confirmed",
+				task, time.Since(cancelledAt))
 		}
 	}
 }
--- a/internal/simulation/jobhistory.go
+++ b/internal/simulation/jobhistory.go
@@ -51,6 +51,7 @@
 
 // dependencyCancelledAt returns when a user first received the state cancelled or failed of a direct or indirect
 // dependency of a job, or when the job was submitted if that is later. It returns zero if there was no such answer.
+// Callers hold the lock.
 func (c *InvariantChecker) dependencyCancelledAt(jobID string) time.Time {
 	var first time.Time
 	job := c.jobs[jobID]
@@ -74,7 +75,8 @@
 	return first
 }
 
-// mayBeDependencyCancelled reports whether any direct or indirect dependency of a job may end without being done.
+// mayBeDependencyCancelled reports whether any direct or indirect dependency of a job may end without being done: a
+// user has requested its cancellation, or a task of it has failed too often. Callers hold the lock.
 func (c *InvariantChecker) mayBeDependencyCancelled(jobID string) bool {
 	for _, dependencyID := range c.jobs[jobID].spec.Dependencies {
 		dependency := c.jobs[dependencyID]
--- a/internal/simulation/machines.go
+++ b/internal/simulation/machines.go
@@ -70,7 +70,7 @@
 	return out
 }
 
-// AgentSessions returns the agents' sessions in some zones, by machine.
+// AgentSessions returns the current session of each agent in the given zones, by machine.
 func (r *Region) AgentSessions(zones ...string) map[string]uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/simulation/random.go
+++ b/internal/simulation/random.go
@@ -11,18 +11,18 @@
 
 // Streams of the fakes and of the faults that have a generator of their own.
 const (
-	streamNetwork            randomStream = 1
-	streamCell               randomStream = 2
-	streamCellLinks          randomStream = 3
-	streamDelayedWrites      randomStream = 51
-	streamSlowRequests       randomStream = 52
-	streamDuplicates         randomStream = 53
-	streamLostAnswers        randomStream = 54
-	streamHeartbeatCapture   randomStream = 55
-	streamCancelAtCompletion randomStream = 56
-	streamCancelOnFailover   randomStream = 57
-	streamInvalidRequests    randomStream = 58
-	streamShortJobs          randomStream = 59
+	streamNetwork             randomStream = 1
+	streamCell                randomStream = 2
+	streamCellLinks           randomStream = 3
+	streamDelayedWrites       randomStream = 51
+	streamSlowRequests        randomStream = 52
+	streamDuplicates          randomStream = 53
+	streamLostResponses       randomStream = 54
+	streamHeartbeatCapture    randomStream = 55
+	streamCancelAtCompletion  randomStream = 56
+	streamCancelOnOwnerChange randomStream = 57
+	streamInvalidRequests     randomStream = 58
+	streamShortJobs           randomStream = 59
 )
 
 func newRandom(seed uint64, stream randomStream) *rand.Rand {
--- a/internal/simulation/requestfaults.go
+++ b/internal/simulation/requestfaults.go
@@ -10,7 +10,8 @@
 	"sableusher/internal/wire"
 )
 
-// firstInvalidJob is the number of the first invalid job, so that job IDs don't collide with those of valid jobs.
+// firstInvalidJob is the number of the first invalid job. Valid jobs have lower numbers, and jobs that are only queried
+// and never submitted have higher ones (QueryUnknownJobs), so that their IDs don't collide.
 const firstInvalidJob = 700_000
 
 // requiredFields are the required fields of a submission, by their names on the wire.
@@ -26,8 +27,8 @@
 }
 
 // SendInvalidRequests makes users send invalid requests until a time. Users repeat submissions of unfinished jobs,
-// cancel jobs that are done, and submit jobs that fit no machine, name an unknown team, need more than their team's
-// limit or lack a required field.
+// cancel jobs that are done, and submit jobs that fit no machine, name an unknown team, have no machine in their zone,
+// need more than their team's limit or lack a required field.
 func (r *Region) SendInvalidRequests(ctx context.Context, until time.Time, seed uint64) {
 	requests := invalidRequests{r, newRandom(seed, streamInvalidRequests)}
 	r.wg.Go(func() {
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -24,9 +24,9 @@
 	RuleFailed                   // a job is reported failed while it has retries left
 	RuleWentBack                 // an answer contradicts an earlier final state, or no user requested the cancellation
 	RuleForgotten                // an accepted job is reported unknown, or its queries get no answer
-	RuleOrphaned                 // a job stays open after a dependency was cancelled
+	RuleOrphaned                 // a job is reported pending or running long after a dependency was cancelled
 	RuleLeftWaiting              // a job waits although capacity for it is available
-	RuleMinimumShare             // less than half of the jobs of a class or team are served
+	RuleMinimumShare             // too few jobs of a class or team are served, or its largest jobs start too late
 	RuleProtocol                 // a message violates its protocol
 )
 
--- a/internal/simulation/tokenwatch.go
+++ b/internal/simulation/tokenwatch.go
@@ -12,15 +12,15 @@
 	token    func() uint64 // 0 before there is one
 }
 
-// run calls onIncrease each time the token has changed, until ctx ends or the time until is reached. A change
-// from 0 doesn't count.
-func (watch tokenWatch) run(ctx context.Context, onIncrease func()) {
+// run calls onChange each time the token has changed, until ctx ends or the time until is reached. A change from 0
+// doesn't count.
+func (watch tokenWatch) run(ctx context.Context, onChange func()) {
 	before := watch.token()
 	for ctx.Err() == nil && time.Now().Before(watch.until) {
 		time.Sleep(watch.interval)
 		token := watch.token()
 		if before != 0 && token != before {
-			onIncrease()
+			onChange()
 		}
 		before = token
 	}
--- a/internal/simulation/userfaults.go
+++ b/internal/simulation/userfaults.go
@@ -100,9 +100,10 @@
 	})
 }
 
-// CancelOnOwnerChange makes users cancel up to count running jobs each time a shard has a new owner, until a time.
+// CancelOnOwnerChange makes users cancel up to count running jobs within about 0.5 s after each change of a shard's
+// owner, until a time.
 func (r *Region) CancelOnOwnerChange(ctx context.Context, count int, until time.Time, seed uint64) {
-	random := newRandom(seed, streamCancelOnFailover)
+	random := newRandom(seed, streamCancelOnOwnerChange)
 	watch := tokenWatch{interval: ownerPollInterval, until: until, token: r.shardTokenSum}
 	r.wg.Go(func() {
 		watch.run(ctx, func() {
--- a/internal/simulation/zonefaults.go
+++ b/internal/simulation/zonefaults.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// PartitionZone partitions a zone, that is its machines and the controllers in it, from all other hosts until a
-// time.
+// PartitionZone partitions a zone from all other hosts until a time: its controllers, and the machines that run when
+// the partition starts.
 func (r *Region) PartitionZone(zone string, deliverLate bool, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
