--- a/internal/simulation/fakeuser.go
+++ b/internal/simulation/fakeuser.go
@@ -150,7 +150,7 @@
 	return true
 }
 
-// CancelJob requests the cancellation of a job once, and reports whether the request succeeded (status 200).
+// CancelJob requests the cancellation of a job once, and reports whether the user received a final state (status 200).
 func (r *Region) CancelJob(ctx context.Context, jobID string) bool {
 	r.Checker.CancelRequested(jobID)
 	sentAt := time.Now()
--- a/internal/simulation/region.go
+++ b/internal/simulation/region.go
@@ -26,8 +26,8 @@
 	KV       *FakeKV
 	Checker  *InvariantChecker
 	Log      *slog.Logger
-	// ConfirmsCancellationsEarly simulates a defect: users receive the confirmation of a cancellation that is
-	// recorded but not yet confirmed.
+	// ConfirmsCancellationsEarly simulates a defect that the checker must detect: users receive the confirmation
+	// of a cancellation that is recorded but not yet confirmed.
 	ConfirmsCancellationsEarly bool
 
 	configureOperator func(*config.Operator)
--- a/internal/simulation/userfaults.go
+++ b/internal/simulation/userfaults.go
@@ -29,8 +29,8 @@
 	r.users.cancelAtCompletion = newFaultRate(share, until, seed, streamCancelAtCompletion)
 }
 
-// taskCompleted cancels a job after a short delay if all its tasks have completed and the fault selects it. Callers
-// hold the lock.
+// taskCompleted cancels a job after a delay of up to 1.5 s if all its tasks have completed and the fault selects it.
+// Callers hold the lock.
 func (r *Region) taskCompleted(ctx context.Context, jobID string) {
 	if !r.Checker.JobCompleted(jobID) || !r.users.cancelAtCompletion.occurs() {
 		return
@@ -47,8 +47,8 @@
 	})
 }
 
-// CancelUntilFinal requests the cancellation of a job once a second until a request succeeds, at most maxCancelRetries
-// times.
+// CancelUntilFinal requests the cancellation of a job once a second until its user receives a final state, at most
+// maxCancelRetries times.
 func (r *Region) CancelUntilFinal(ctx context.Context, jobID string) {
 	for range maxCancelRetries {
 		if ctx.Err() != nil || r.CancelJob(ctx, jobID) {
