--- a/internal/simulation/cancelfetch_test.go
+++ b/internal/simulation/cancelfetch_test.go
@@ -23,7 +23,7 @@
 // images.
 type fetchScenario struct {
 	name          string
-	schemaVersion int // of all controllers at the start
+	schemaVersion int // newest schema version that the controllers support at the start
 	// interfere injects a further fault or change while the first jobs are cancelled; nil: none.
 	interfere func(ctx context.Context, r *Region, random *rand.Rand)
 }
@@ -159,8 +159,8 @@
 // Below schema version 2 a cancellation was confirmed as soon as it was durable, while a machine that had received the
 // start command before was still fetching the image. The stop reached that machine only with the answer to its next
 // heartbeat, up to report_s later. In scenario 4 of TestUpgradeDays a task was bound at 20.593 s, the cancellation was
-// confirmed at 21.054 s by a controller of schema version 0, the task started 1.644 s after that, and it was stopped
-// at 23.242 s.
+// confirmed at 21.054 s by a controller of schema version 0, the task started 1.644 s after the user had received the
+// confirmation, and it was stopped at 23.242 s.
 func TestCancelledJobsDoNotStart(t *testing.T) {
 	for _, scenario := range fetchScenarios {
 		t.Run(scenario.name, func(t *testing.T) { synctest.Test(t, scenario.simulate) })
--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -14,11 +14,11 @@
 
 // refusalScenario is a scenario in which the key-value store first refuses the requests of the leader alone, whose
 // open watches hang, while the other controllers confirm cancellations for a moment. Then the store is unavailable to
-// all controllers, for longer than a cancellation may take. Agents go on sending heartbeats to the old leader, which
-// knows of none of this.
+// all controllers, for longer than a cancellation may take. Meanwhile agents go on sending heartbeats to the old
+// leader, which does not learn of these cancellations.
 //
-// Drawn at random are the durations; whether the leader is refused before, during or after the outage; whether its
-// process ends in between and restarts without a cluster state; and the schema version at the start. Below
+// Drawn at random are the durations; whether the leader is refused before, during or after the outage; whether it is
+// restarted meanwhile, so that its new process has no cluster state; and the schema version at the start. Below
 // tuning.SchemaVersionConfirmedCancel cancellations are confirmed at once, and the version may rise just before the
 // refusal.
 type refusalScenario struct {
@@ -28,9 +28,10 @@
 	// twelve jobs cancel within a second of the refusal, and the outage starts before any controller can take over the
 	// leader's shards.
 	confirmsEarly bool
-	oldVersion    bool // all controllers start below the schema version, and are replaced one by one
-	leader        int
-	outage        time.Duration
+	// oldVersion makes all controllers start below tuning.SchemaVersionConfirmedCancel; they are replaced one by one.
+	oldVersion bool
+	leader     int
+	outage     time.Duration
 }
 
 // refusalAt is when the refusal starts, counted from the start of the scenario.
--- a/internal/simulation/combinations_test.go
+++ b/internal/simulation/combinations_test.go
@@ -75,7 +75,10 @@
 		faultScenario{faults: []Fault{FaultHeartbeatsReplayed, FaultLeaderRestarts}},
 		[]Observation{ObservedCopyBeforeLiveHeartbeat}},
 	{"a leader ends, machines with long tasks out of reach",
-		faultScenario{faults: []Fault{FaultMachinesPartitioned, FaultInboundLost, FaultLeaderRestarts}, longTasks: true},
+		faultScenario{
+			faults:    []Fault{FaultMachinesPartitioned, FaultInboundLost, FaultLeaderRestarts},
+			longTasks: true,
+		},
 		[]Observation{ObservedLeaderChange}},
 	{"a transaction carried out late",
 		faultScenario{faults: []Fault{FaultLateWrites}},
@@ -103,8 +106,9 @@
 		[]Observation{ObservedHeartbeatCopy}},
 }
 
-// TestFaultCombinations runs each combination of the operators' page with a fixed seed, and checks that it occurred.
-// MEETING_SEEDS sets the number of seeds for each combination; with MEETING_EVERY=n only every n-th combination runs.
+// TestFaultCombinations runs each combination of the operators' page with a fixed seed. It checks every rule, and that
+// the combination's observations were made. MEETING_SEEDS sets the number of seeds for each combination; with
+// MEETING_EVERY=n only every n-th combination runs.
 func TestFaultCombinations(t *testing.T) {
 	for i, combination := range faultCombinations {
 		if i%environmentInt("MEETING_EVERY", 1) != 0 {
--- a/internal/simulation/fairshare_test.go
+++ b/internal/simulation/fairshare_test.go
@@ -16,7 +16,7 @@
 	burstOutageAtSecond     = 40
 	largeJobTasks           = 50
 	smallJobTasks           = 5
-	largeJobIntervalSeconds = 12 // between two large jobs
+	largeJobIntervalSeconds = 12
 	groupOfAll              = "all"
 	minBurstShare           = 0.5
 	minCapacityServed       = 0.6
--- a/internal/simulation/faultcatalogue_test.go
+++ b/internal/simulation/faultcatalogue_test.go
@@ -23,8 +23,8 @@
 	return time.Duration(first+random.IntN(count)) * time.Millisecond
 }
 
-// injection has what a combinable fault needs: the region, the generator that its parameters are drawn from, and when
-// it ends.
+// injection holds what a combinable fault needs: the region, the generator that its parameters are drawn from, and the
+// time at which the fault ends.
 type injection struct {
 	region *Region
 	random *rand.Rand
@@ -145,8 +145,8 @@
 	in.region.IsolateController(in.region.LeaderIndex(), oneInTwo(in.random), in.until)
 }
 
-// delayCommands delays the commands of one controller to about half of the machines until the fault ends. They then
-// arrive in order, at machines that have continued meanwhile.
+// delayCommands delays all messages between one controller and about half of the machines until the fault ends. The
+// controller's commands then arrive in order, at machines that have gone on running meanwhile.
 func delayCommands(_ context.Context, in injection) {
 	name := in.region.ControllerName(in.random.IntN(in.region.ControllerCount()))
 	for _, machine := range in.region.Machines() {
@@ -234,23 +234,23 @@
 	in.region.PartitionZone(zone, deliverLate, time.Now().Add(duration))
 }
 
-// cancelRunning cancels two to seven running jobs.
-func (in injection) cancelRunning(ctx context.Context, machines unreachability) {
-	in.region.CancelRunningJobs(ctx, in.cancelCount(), machines, in.random)
+// cancelRunning cancels two to seven running jobs, and makes some of their machines unreachable.
+func (in injection) cancelRunning(ctx context.Context, machineFault unreachability) {
+	in.region.CancelRunningJobs(ctx, in.cancelCount(), machineFault, in.random)
 }
 
 func (in injection) cancelCount() int { return 2 + in.random.IntN(6) }
 
 func cancelRunningMachinesHang(ctx context.Context, in injection) {
 	count := in.cancelCount()
-	machines := unreachability{hang: secondsBetween(in.random, 10, 60)}
-	in.region.CancelRunningJobs(ctx, count, machines, in.random)
+	machineFault := unreachability{hang: secondsBetween(in.random, 10, 60)}
+	in.region.CancelRunningJobs(ctx, count, machineFault, in.random)
 }
 
 func cancelRunningMachinesPartitioned(ctx context.Context, in injection) {
 	count := in.cancelCount()
-	machines := unreachability{cut: secondsBetween(in.random, 10, 60)}
-	in.region.CancelRunningJobs(ctx, count, machines, in.random)
+	machineFault := unreachability{cut: secondsBetween(in.random, 10, 60)}
+	in.region.CancelRunningJobs(ctx, count, machineFault, in.random)
 }
 
 func cancelAtCompletion(_ context.Context, in injection) {
--- a/internal/simulation/faultday_test.go
+++ b/internal/simulation/faultday_test.go
@@ -73,7 +73,8 @@
 		spec.Zone = randomControllerZone(random)
 	}
 	if s.teamsAtLimit && spec.Kind == wire.KindService {
-		job.cancelAfter = min(job.cancelAfter, 90*time.Second) // otherwise the replicas alone fill the limits for minutes
+		// Otherwise the replicas alone would fill the limits for minutes.
+		job.cancelAfter = min(job.cancelAfter, 90*time.Second)
 	}
 	if s.scarceCapacity && spec.Kind == wire.KindArray {
 		spec.Priority = []wire.Priority{wire.PriorityHigh, wire.PriorityNormal, wire.PriorityLow}[random.IntN(3)]
@@ -103,8 +104,8 @@
 	return job
 }
 
-// multiRecordJob returns an array with more tasks than one record holds, so that its last tasks end in changes of a
-// further record.
+// multiRecordJob returns an array with more tasks than one record holds, so that the ends of its last tasks are written
+// to another record than those of the first ones.
 func multiRecordJob(number int) userJob {
 	spec := newSpec(number, wire.KindArray)
 	spec.Class, spec.Image = "many", "img-1"
@@ -147,7 +148,7 @@
 	return r
 }
 
-// injectFaults injects the scenario's faults, round by round, and returns when the last one ends.
+// injectFaults injects the scenario's faults, round by round, and returns the time at which the last one ends.
 func (s *faultScenario) injectFaults(ctx context.Context, r *Region, random *rand.Rand) (faultsEnd time.Time) {
 	faultsEnd = time.Now()
 	rounds := s.rounds
--- a/internal/simulation/federation_test.go
+++ b/internal/simulation/federation_test.go
@@ -101,7 +101,7 @@
 	cell, delay = cellA, secondsBetween(random, 30, 60)
 	var cancelAfter time.Duration
 	switch index % 6 {
-	case 0: // services only in cells that lose no writes: answers given to their users would be lost too
+	case 0: // a service, not in cell b: with the writes that it loses, answers that users received would be lost
 		cell, delay = []string{cellA, cellC}[random.IntN(2)], seconds(random, 240)
 		spec.Kind, spec.Priority, spec.TaskCount = wire.KindService, wire.PriorityProduction, 2
 		spec.RuntimeEstimateSeconds = 0
@@ -182,8 +182,8 @@
 	return fmt.Sprintf("all ended after %v, %d accepted by other cells", o.duration.Round(time.Second), o.accepted)
 }
 
-// simulateBurst submits sixty arrays to one of three cells that are all up. Each cell accepts up to guestLimit tasks
-// of other cells. The fault starts 40 s later.
+// simulateBurst submits sixty arrays to one of three cells that are all up, calls fault 40 s later, and waits until all
+// jobs have ended. Each cell accepts up to guestLimit tasks of other cells.
 func simulateBurst(t *testing.T, guestLimit int, fault func(context.Context, *Federation)) burstOutcome {
 	t.Helper()
 	const jobs, maxDuration = 60, 20 * time.Minute
--- a/internal/simulation/largeregion_test.go
+++ b/internal/simulation/largeregion_test.go
@@ -81,7 +81,7 @@
 
 // TestRegionOfFiveControllers runs five controllers over some hundreds of machines, with wide gangs and wide arrays.
 // One machine in eight hangs, tens of them at once, while two controllers restart. GROWN_JOBS sets the number of jobs,
-// for profiles.
+// for profiling with a higher load.
 func TestRegionOfFiveControllers(t *testing.T) {
 	jobs := environmentInt("GROWN_JOBS", 60)
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/simulation/onewaylinks_test.go
+++ b/internal/simulation/onewaylinks_test.go
@@ -20,7 +20,7 @@
 	reason         string // why a controller records an affected machine as down
 	loseLink       func(r *Region, machine string, until time.Time)
 	duration       time.Duration
-	oneIn          int  // one machine in so many is affected
+	oneIn          int  // one machine in oneIn is affected
 	wholeShard     bool // all machines of one controller that is not the leader are affected
 	leaderRestarts bool
 	// oneController runs a single controller, so that agents without answers can't fail over to another one.
@@ -34,11 +34,11 @@
 //
 // The scenario may end without a machine that is recorded as down for the loss itself. An agent without answers fails
 // over to the next controller and returns to its owner only after 15 s. So the owner may delete the machine first, as
-// silent for 11 s, 6 to 28 s after the loss; or the machine is recorded as down together with the session that follows
-// its lease. Of the 17 to 20 machines, 1 to 16 were recorded in 260 traced runs, and none in one run of
-// TestOneWayMachinesAreReturned. This is allowed since no machine keeps its capacity, which simulate checks in the
-// records. The scenario with one controller requires machines that are recorded for the loss itself: its agents can't
-// fail over, so it always has them.
+// silent for 11 s, 6 to 28 s after the loss; or one change records the machine as down together with the new session
+// that its agent starts after its lease has expired. Of the 17 to 20 machines, 1 to 16 were recorded in 260 traced
+// runs, and none in one run of TestOneWayMachinesAreReturned. This is allowed since no machine keeps its capacity,
+// which simulate checks in the records. The scenario with one controller requires machines that are recorded for the
+// loss itself: its agents can't fail over, so it always has them.
 func inboundLostScenario(duration time.Duration) oneWayScenario {
 	return oneWayScenario{
 		reason: reasonInboundLost, loseLink: (*Region).LoseInbound, duration: duration, oneIn: 2, leaderRestarts: true,
@@ -85,7 +85,8 @@
 }
 
 // simulate runs the scenario and returns the machines that were recorded as down for the loss. It fails the test if a
-// machine was recorded twice, or if a task was bound to a machine while it was recorded as down.
+// machine was recorded twice, if a task was bound to a machine while it was recorded as down, or if a machine that
+// received no messages is still recorded as up a second before its link is restored.
 func (s oneWayScenario) simulate(t *testing.T) (r *Region, recorded []string) {
 	t.Helper()
 	const jobs = 60
@@ -272,8 +273,9 @@
 // Machines were missed while their shard kept changing its owner. An agent without answers fails over to the next
 // controller, so within seconds of a transfer another controller had received heartbeats of most of the shard's
 // machines, and the shard was transferred to it. One shard was transferred 9, 14, 20, 25, 34, 39, 45, 50 and 67 s after
-// the loss, so no owner had it for the tuning.InboundLostAfter of 6 s after which a machine is recorded as down. What
-// was bound to the machines was released only 60 s later, 36 s after their leases.
+// the loss. Direct commands of each owner got no answer, but the owner lost the shard before its commands had failed
+// for the tuning.InboundLostAfter of 6 s after which a machine is recorded as down. What was bound to the machines was
+// released only 60 s after the loss, 36 s after their leases had expired.
 func TestShardOfInboundLostMachines(t *testing.T) {
 	for _, duration := range []time.Duration{80 * time.Second, 7 * time.Minute} {
 		t.Run(duration.String(), func(t *testing.T) {
--- a/internal/simulation/sessionrecord_test.go
+++ b/internal/simulation/sessionrecord_test.go
@@ -10,8 +10,8 @@
 	"sableusher/internal/wire"
 )
 
-// countLateRegistrations counts the registrations of a controller that are written after the end of the fault that
-// delays them.
+// countLateRegistrations makes the key-value store add to count each registration of a controller that is written
+// after the end of the fault that delayed it.
 func (r *Region) countLateRegistrations(node string, count *int) {
 	r.KV.mu.Lock()
 	defer r.KV.mu.Unlock()
@@ -43,7 +43,7 @@
 // TestSessionSurvivesLateRegistration starts a process that registers its session, kills it before the answer, and
 // starts another one within a second. The first registration is applied after the second one and replaces it in the
 // key-value store; it is deleted with the first process's lease. The second process must register again: if it relied
-// on its first registration, it would never own a shard again.
+// on its replaced registration, it would never own a shard again.
 func TestSessionSurvivesLateRegistration(t *testing.T) {
 	const registrations = 25
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/simulation/testjobs_test.go
+++ b/internal/simulation/testjobs_test.go
@@ -39,7 +39,8 @@
 	return spec
 }
 
-// randomJob draws a job.
+// randomJob draws an array, a gang or a service. All services are cancelled, 60 to 259 s after their submission, and
+// one in five of the other jobs, within a minute.
 func randomJob(random *rand.Rand, number int) userJob {
 	spec := wire.JobSpec{
 		ID:          jobID(number),
--- a/internal/simulation/testregion_test.go
+++ b/internal/simulation/testregion_test.go
@@ -180,8 +180,8 @@
 }
 
 // waitUntil waits until a condition holds. It checks that every 5 s, for at most the given number of attempts.
-func (r *Region) waitUntil(times int, condition func() bool) {
-	for range times {
+func (r *Region) waitUntil(attempts int, condition func() bool) {
+	for range attempts {
 		time.Sleep(5 * time.Second)
 		if condition() {
 			return
@@ -221,7 +221,8 @@
 	}
 }
 
-// checkObserved fails the test if a fault did not meet a state that it is meant to meet.
+// checkObserved fails the test if one of the observations was never made, so that a fault did not have the effect
+// for which it was injected.
 func checkObserved(t *testing.T, checker *InvariantChecker, observations ...Observation) {
 	t.Helper()
 	for _, observation := range observations {
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -169,7 +169,7 @@
 	}
 }
 
-// submitGraphs submits four job graphs, in half of which one job is cancelled.
+// submitGraphs submits four job graphs. In each of them one job is cancelled with a probability of one in two.
 func (s *upgradeScenario) submitGraphs(ctx context.Context) {
 	first := firstGraphJob
 	for range 4 {
--- a/internal/simulation/zonejudgement_test.go
+++ b/internal/simulation/zonejudgement_test.go
@@ -42,7 +42,8 @@
 	return check
 }
 
-// addCount compares a heartbeat count with the state that was logged last. An empty state stands for none.
+// addCount compares a heartbeat count with the state that was logged last. An empty state means that none was logged,
+// as for a zone that has always been serving.
 func (c *zoneStateCheck) addCount(observer zoneObserver, record logRecord, logged string) {
 	expected, received := intAttribute(record, keyExpected), intAttribute(record, keyReceived)
 	c.mostExpected[observer] = max(c.mostExpected[observer], expected)
@@ -50,10 +51,10 @@
 		logged = zonehealth.Serving.String()
 	}
 	state := record.attributes[keyState]
-	isLost := expected >= tuning.PartitionMinMachines &&
+	mustBeUnavailable := expected >= tuning.PartitionMinMachines &&
 		float64(received) < tuning.PartitionHeardShare*float64(expected)
 	unavailable := state == zonehealth.Cut.String() || state == zonehealth.Lost.String()
-	if isLost && !unavailable {
+	if mustBeUnavailable && !unavailable {
 		c.mismatches = append(c.mismatches, fmt.Sprintf("%+v at %v: received heartbeats of %d of %d machines, state %s",
 			observer, record.time, received, expected, state))
 	}
@@ -72,7 +73,7 @@
 	return n
 }
 
-// TestCheckZoneStates checks which logs have mismatches, and how many zones they show as cut.
+// TestCheckZoneStates checks how many cuts and mismatches checkZoneStates finds in short logs.
 func TestCheckZoneStates(t *testing.T) {
 	line := func(message string, attributes ...string) logRecord {
 		common := map[string]string{keyNode: firstController, keyZone: zoneNorth}
--- a/internal/simulation/zoneoutage_test.go
+++ b/internal/simulation/zoneoutage_test.go
@@ -131,7 +131,8 @@
 func TestFaultsAtEveryStage(t *testing.T) {
 	pairs := stageFaultPairs()
 	for index := range min(environmentInt("STAGE_DAYS", 4), len(zoneStages)*len(pairs)) {
-		// Seven and the number of pairs have no common divisor, so every pair is selected.
+		// Between two scenarios of one stage the index of the pair grows by 29, which has no common divisor with the
+		// number of pairs, so every pair is selected at each stage.
 		stage, pair := zoneStages[index%len(zoneStages)], pairs[(index/len(zoneStages)+7*index)%len(pairs)]
 		first, second := stageFaults[pair[0]], stageFaults[pair[1]]
 		t.Run(fmt.Sprintf("%s, %s, %s", stage.name, first.fault, second.fault), func(t *testing.T) {
@@ -215,7 +216,8 @@
 	checkRun(t, r)
 	check := checkZoneStates(records)
 	if check.cuts == 0 {
-		t.Errorf("no controller logged that a zone is cut off; most machines expected of each zone: %v", check.mostExpected)
+		t.Errorf("no controller logged that a zone is cut off; most machines expected of each zone: %v",
+			check.mostExpected)
 	}
 	for _, mismatch := range check.mismatches {
 		t.Error(mismatch)
--- a/internal/simulation/zonepower_test.go
+++ b/internal/simulation/zonepower_test.go
@@ -47,7 +47,8 @@
 			machines: environmentInt("ZONE_MACHINES", 60),
 		}
 		if i < 2 {
-			scenario.duration = []time.Duration{10 * time.Minute, 12 * time.Second}[i] // longer than all leases, and shorter
+			// Longer than all leases, and shorter.
+			scenario.duration = []time.Duration{10 * time.Minute, 12 * time.Second}[i]
 		}
 		t.Run(fmt.Sprintf("%s after %v for %v", scenario.zone, scenario.delay, scenario.duration), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { scenario.simulate(t) })
@@ -59,8 +60,8 @@
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	logged := &logRecorder{}
-	// Each zone has one and a half times the on-demand machines that the services take there, so that two
-	// zones have capacity for all services.
+	// In each zone the cloud has half of the scenario's number of machines on demand, so that two zones have capacity
+	// for all services.
 	p.region = testRegion{
 		machineTypes:    largeMachinesOnly,
 		capacityPerKind: p.machines / 2,
