--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -18,9 +18,9 @@
 // leader, which does not learn of these cancellations.
 //
 // Drawn at random are the durations; whether the leader is refused before, during or after the outage; whether it is
-// restarted meanwhile, so that its new process has no cluster state; and the schema version at the start. Below
-// tuning.SchemaVersionConfirmedCancel cancellations are confirmed at once, and the version may rise just before the
-// refusal.
+// restarted within 20 s after both have started, so that its new process has no cluster state; and the schema version
+// at the start. Below tuning.SchemaVersionConfirmedCancel cancellations are confirmed at once, and the version may rise
+// just before the refusal.
 type refusalScenario struct {
 	random *rand.Rand
 	region *Region
--- a/internal/simulation/faultcatalogue_test.go
+++ b/internal/simulation/faultcatalogue_test.go
@@ -234,7 +234,8 @@
 	in.region.PartitionZone(zone, deliverLate, time.Now().Add(duration))
 }
 
-// cancelRunning cancels two to seven running jobs, and makes some of their machines unreachable.
+// cancelRunning cancels two to seven running jobs. Unless machineFault is zero, some of their machines become
+// unreachable.
 func (in injection) cancelRunning(ctx context.Context, machineFault unreachability) {
 	in.region.CancelRunningJobs(ctx, in.cancelCount(), machineFault, in.random)
 }
