--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -184,29 +184,29 @@
 func answerDefects() []defect {
 	oneTask := func(s *wire.JobSpec) { s.TaskCount = 1 }
 	return []defect{
-		{RuleAccepted, "what can't run", nil, func(checker *InvariantChecker) {
+		{RuleInvalidJobAccepted, "what can't run", nil, func(checker *InvariantChecker) {
 			spec := wire.JobSpec{ID: "run-2", Team: "bound", Kind: wire.KindArray, TaskCount: 8, GPUs: 1}
 			checker.InvalidJobSubmitted(spec, "it fits no machine")
 			checker.AnswerReceived("run-2", http.StatusCreated, wire.JobPending)
 		}},
-		{RuleForgotten, "404", nil, func(checker *InvariantChecker) {
+		{RuleAcceptedJobLost, "404", nil, func(checker *InvariantChecker) {
 			checker.AnswerReceived(checkedJob, http.StatusCreated, wire.JobPending)
 			checker.AnswerReceived(checkedJob, http.StatusNotFound, "")
 		}},
-		{RuleInvented, "200", nil, func(checker *InvariantChecker) {
+		{RuleUnsubmittedJob, "200", nil, func(checker *InvariantChecker) {
 			checker.AnswerReceived("run-2", http.StatusOK, wire.JobPending)
 		}},
-		{RuleNotDone, "early", nil, func(checker *InvariantChecker) {
+		{RuleIncompleteJobDone, "early", nil, func(checker *InvariantChecker) {
 			checker.TaskCompleted(taskOf(0))
 			checker.AnswerReceived(checkedJob, http.StatusOK, wire.JobDone)
 		}},
-		{RuleWentBack, "pending again", oneTask, func(checker *InvariantChecker) {
+		{RuleInvalidTransition, "pending again", oneTask, func(checker *InvariantChecker) {
 			checker.TaskCompleted(taskOf(0))
 			checker.AnswerReceived(checkedJob, http.StatusOK, wire.JobDone)
 			checker.AnswerReceived(checkedJob, http.StatusOK, wire.JobPending)
 		}},
-		{RuleWentBack, "an older answer from another controller", oneTask, staleAnswerFromAnotherController},
-		{RuleWentBack, "cancelled by nobody", nil, func(checker *InvariantChecker) {
+		{RuleInvalidTransition, "an older answer from another controller", oneTask, staleAnswerFromAnotherController},
+		{RuleInvalidTransition, "cancelled by nobody", nil, func(checker *InvariantChecker) {
 			checker.AnswerReceived(checkedJob, http.StatusOK, wire.JobCancelled)
 		}},
 	}
@@ -229,7 +229,7 @@
 
 func unansweredDefects() []defect {
 	return []defect{
-		{RuleForgotten, "after all faults", nil, func(checker *InvariantChecker) {
+		{RuleAcceptedJobLost, "after all faults", nil, func(checker *InvariantChecker) {
 			unanswered := func() { checker.AnswerReceived(checkedJob, http.StatusServiceUnavailable, "") }
 			checker.AnswerReceived(checkedJob, http.StatusCreated, wire.JobPending)
 			unanswered()
@@ -245,7 +245,7 @@
 			time.Sleep(2 * time.Second)
 			unanswered()
 		}},
-		{RuleForgotten, "alone", nil, func(checker *InvariantChecker) {
+		{RuleAcceptedJobLost, "alone", nil, func(checker *InvariantChecker) {
 			checker.JobSubmitted(wire.JobSpec{ID: "run-2", Team: "open", Kind: wire.KindArray, TaskCount: 1})
 			checker.AnswerReceived(checkedJob, http.StatusCreated, wire.JobPending)
 			for range 21 {
--- a/internal/simulation/invariants_answers.go
+++ b/internal/simulation/invariants_answers.go
@@ -46,7 +46,7 @@
 	job := c.jobs[jobID]
 	if job == nil {
 		if accepts(status) {
-			c.violation(RuleInvented, "%s", jobID)
+			c.violation(RuleUnsubmittedJob, "%s", jobID)
 		}
 		return
 	}
@@ -54,7 +54,7 @@
 	switch {
 	case denies(status):
 		if job.accepted && !sentAt.Before(job.acceptedAt) {
-			c.violation(RuleForgotten, "%s: answered %d", jobID, status)
+			c.violation(RuleAcceptedJobLost, "%s: answered %d", jobID, status)
 		}
 	case accepts(status):
 		c.checkState(job, sentAt, state)
@@ -70,10 +70,10 @@
 func (c *InvariantChecker) checkState(job *jobHistory, sentAt time.Time, state wire.JobState) {
 	id := job.spec.ID
 	if job.mustRejectReason != "" {
-		c.violation(RuleAccepted, "%s, although %s", id, job.mustRejectReason)
+		c.violation(RuleInvalidJobAccepted, "%s, although %s", id, job.mustRejectReason)
 	}
 	if job.finalState != "" && state != job.finalState && (isFinal(state) || !sentAt.Before(job.finalStateAt)) {
-		c.violation(RuleWentBack, "%s: was %s, then %s", id, job.finalState, state)
+		c.violation(RuleInvalidTransition, "%s: was %s, then %s", id, job.finalState, state)
 	}
 	c.checkReason(job, state)
 }
@@ -84,15 +84,15 @@
 	switch state {
 	case wire.JobDone:
 		if len(job.completedTasks) < job.spec.TaskCount {
-			c.violation(RuleNotDone, "%s: %d of %d", id, len(job.completedTasks), job.spec.TaskCount)
+			c.violation(RuleIncompleteJobDone, "%s: %d of %d", id, len(job.completedTasks), job.spec.TaskCount)
 		}
 	case wire.JobFailed:
 		if !c.mayFail(job) {
-			c.violation(RuleFailed, "%s: failures %v", id, job.failures)
+			c.violation(RuleFailedWithRetriesLeft, "%s: failures %v", id, job.failures)
 		}
 	case wire.JobCancelled:
 		if !job.cancelRequested && !c.mayBeDependencyCancelled(id) {
-			c.violation(RuleWentBack, "%s: cancelled without a request of its user", id)
+			c.violation(RuleInvalidTransition, "%s: cancelled without a request of its user", id)
 		}
 	case wire.JobPending, wire.JobRunning:
 		if at := c.dependencyCancelledAt(id); !at.IsZero() && time.Since(at) > c.settings.CancelDeadline() {
@@ -150,10 +150,10 @@
 	}
 	switch {
 	case !c.faultsEndedAt.IsZero() && now.Sub(sinceFaults) > maxUnansweredAfterFaults:
-		c.violation(RuleForgotten, "%s: no query answered for %v after all faults ended",
+		c.violation(RuleAcceptedJobLost, "%s: no query answered for %v after all faults ended",
 			job.spec.ID, now.Sub(sinceFaults))
 	case now.Sub(job.unansweredSince) > maxUnansweredWhileOthersAnswered && 2*answered > len(c.recentQueries):
-		c.violation(RuleForgotten, "%s: no query answered for %v, while %d of %d recent queries were",
+		c.violation(RuleAcceptedJobLost, "%s: no query answered for %v, while %d of %d recent queries were",
 			job.spec.ID, now.Sub(job.unansweredSince), answered, len(c.recentQueries))
 	}
 }
--- a/internal/simulation/invariants_tasks.go
+++ b/internal/simulation/invariants_tasks.go
@@ -23,7 +23,7 @@
 	defer c.mu.Unlock()
 	job := c.jobs[task.JobID]
 	if job == nil {
-		c.violation(RuleInvented, "%s: task of an unknown job started", task)
+		c.violation(RuleUnsubmittedJob, "%s: task of an unknown job started", task)
 		return
 	}
 	c.TaskStarts++
