--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -182,7 +182,7 @@
 func TestCheckerDetectsEarlyConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := simulateRefusalScenario(1, true)
-		if !r.Checker.Violations.Has(RuleRanCancelled) {
+		if !r.Checker.Violations.Has(RuleRanAfterCancellation) {
 			waited, open := r.Checker.CancellationDurations()
 			t.Errorf("no violation found although cancellations are confirmed early: %v, %d open", waited, open)
 		}
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestCheckerAllowsJustifiedWaiting checks that a job is not reported as left waiting if none of the free capacity is
-// suitable for it.
+// TestCheckerAllowsJustifiedWaiting checks that a waiting job violates no rule if none of the free capacity is suitable
+// for it.
 func TestCheckerAllowsJustifiedWaiting(t *testing.T) {
 	asGang := func(spec *wire.JobSpec, tasks int) { spec.Kind, spec.TaskCount = wire.KindGang, tasks }
 	east, west := onMachine("a", zoneEast), onMachine("a", zoneWest)
@@ -134,7 +134,7 @@
 			checker.TaskStarted(taskOf(0), east)
 			checker.TaskStarted(taskOf(0), onMachine("b", zoneEast))
 		}},
-		{RuleQuota, "seven of six", nil, startTasksOn(east, east, east, east, east, east, east)},
+		{RuleTeamLimit, "seven of six", nil, startTasksOn(east, east, east, east, east, east, east)},
 		{RuleWrongPlace, "spot", nil, startTasksOn(onSpotMachine("a", zoneEast))},
 		{RuleWrongPlace, "zone", func(s *wire.JobSpec) { s.Zone = zoneWest }, startTasksOn(east)},
 		{RuleWrongPlace, "type", func(s *wire.JobSpec) { s.MachineTypes = []string{"small"} }, startTasksOn(east)},
@@ -142,7 +142,7 @@
 			startTasksOn(east, onMachine("b", zoneWest))},
 		{RuleWrongPlace, "not spread", func(s *wire.JobSpec) { s.Spread, s.TaskCount = true, 2 },
 			startTasksOn(east, onMachine("b", zoneEast))},
-		{RuleTooEarly, "before its dependency", dependsOnOther, func(checker *InvariantChecker) {
+		{RuleStartedBeforeDependency, "before its dependency", dependsOnOther, func(checker *InvariantChecker) {
 			checker.JobSubmitted(wire.JobSpec{ID: "run-0", Team: "open", Kind: wire.KindArray, TaskCount: 1})
 			checker.TaskStarted(taskOf(0), east)
 		}},
@@ -159,17 +159,17 @@
 	east := onMachine("a", zoneEast)
 	dependsOnOther := func(s *wire.JobSpec) { s.Dependencies = []string{"run-0"} }
 	return []defect{
-		{RuleRanCancelled, "late", nil, func(checker *InvariantChecker) {
+		{RuleRanAfterCancellation, "late", nil, func(checker *InvariantChecker) {
 			checker.TaskStarted(taskOf(0), east)
 			confirmCancellation(checker, checkedJob)
 			time.Sleep(45 * time.Second)
 			checker.CheckDeadlines()
 		}},
-		{RuleRanCancelled, "started after it was confirmed", nil, func(checker *InvariantChecker) {
+		{RuleRanAfterCancellation, "started after it was confirmed", nil, func(checker *InvariantChecker) {
 			confirmCancellation(checker, checkedJob)
 			checker.TaskStarted(taskOf(0), east)
 		}},
-		{RuleOrphaned, "through another", dependsOnOther, func(checker *InvariantChecker) {
+		{RuleOutlivedCancelledDependency, "through another", dependsOnOther, func(checker *InvariantChecker) {
 			other := wire.JobSpec{ID: "run-00", Team: "open", Kind: wire.KindArray, TaskCount: 1}
 			checker.JobSubmitted(other)
 			other.ID, other.Dependencies = "run-0", []string{"run-00"}
@@ -261,11 +261,11 @@
 func waitingDefects() []defect {
 	gangInOneZone := func(s *wire.JobSpec) { s.Kind, s.TaskCount, s.SameZone = wire.KindGang, 2, true }
 	return []defect{
-		{RuleLeftWaiting, "beside capacity", nil, func(checker *InvariantChecker) {
+		{RuleStartableJobWaits, "beside capacity", nil, func(checker *InvariantChecker) {
 			free := record.Resources{CPUs: 8, GPUs: 1}
 			waitWithFreeCapacity(checker, FreeCapacity{onMachine("a", zoneEast), free})
 		}},
-		{RuleLeftWaiting, "a gang beside capacity in its zone", gangInOneZone, func(checker *InvariantChecker) {
+		{RuleStartableJobWaits, "a gang beside capacity in its zone", gangInOneZone, func(checker *InvariantChecker) {
 			waitWithFreeCapacity(checker, freeGPUs(onMachine("a", zoneWest), 1),
 				freeGPUs(onMachine("b", zoneEast), 1), freeGPUs(onMachine("c", zoneEast), 1))
 		}},
--- a/internal/simulation/invariants_answers.go
+++ b/internal/simulation/invariants_answers.go
@@ -96,7 +96,7 @@
 		}
 	case wire.JobPending, wire.JobRunning:
 		if at := c.dependencyCancelledAt(id); !at.IsZero() && time.Since(at) > c.settings.CancelDeadline() {
-			c.violation(RuleOrphaned, "%s: reported as %s %v after a dependency was cancelled",
+			c.violation(RuleOutlivedCancelledDependency, "%s: reported as %s %v after a dependency was cancelled",
 				id, state, time.Since(at))
 		}
 	}
--- a/internal/simulation/invariants_capacity.go
+++ b/internal/simulation/invariants_capacity.go
@@ -50,7 +50,7 @@
 			job.startableSince = now
 		}
 		if now.Sub(job.startableSince) > maxStartableWait {
-			c.violation(RuleLeftWaiting, "%s (%s, %d tasks) waits although capacity has been available for %v",
+			c.violation(RuleStartableJobWaits, "%s (%s, %d tasks) waits although capacity has been available for %v",
 				id, job.spec.Kind, job.spec.TaskCount, now.Sub(job.startableSince))
 			job.startableSince = now
 		}
@@ -150,7 +150,7 @@
 	usage := c.teamUsage(name)
 	for _, team := range c.settings.Deployment.Teams {
 		if team.Name == name && exceeds(team, usage) {
-			c.violation(RuleQuota, "%s uses %+v", name, usage)
+			c.violation(RuleTeamLimit, "%s uses %+v", name, usage)
 		}
 	}
 }
--- a/internal/simulation/invariants_tasks.go
+++ b/internal/simulation/invariants_tasks.go
@@ -45,12 +45,12 @@
 // on no other machine. Callers hold the lock.
 func (c *InvariantChecker) checkStart(job *jobHistory, task record.TaskRef, machine string) {
 	if !job.cancelledAt.IsZero() {
-		c.violation(RuleRanCancelled, "%s started %v after its cancellation was confirmed",
+		c.violation(RuleRanAfterCancellation, "%s started %v after its cancellation was confirmed",
 			task, time.Since(job.cancelledAt))
 	}
 	for _, id := range job.spec.Dependencies {
 		if dependency := c.jobs[id]; dependency == nil || !dependency.complete() {
-			c.violation(RuleTooEarly, "%s before %s is done", task, id)
+			c.violation(RuleStartedBeforeDependency, "%s before %s is done", task, id)
 		}
 	}
 	for other := range c.placements[task] {
@@ -97,7 +97,7 @@
 	for task, machines := range c.placements {
 		cancelledAt := c.jobs[task.JobID].cancelledAt
 		if len(machines) > 0 && !cancelledAt.IsZero() && time.Since(cancelledAt) > c.settings.CancelDeadline() {
-			c.violation(RuleRanCancelled, "%s runs %v after its cancellation was confirmed",
+			c.violation(RuleRanAfterCancellation, "%s runs %v after its cancellation was confirmed",
 				task, time.Since(cancelledAt))
 		}
 	}
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -12,42 +12,42 @@
 
 // Rules, each with the observation that violates it.
 const (
-	RuleRanTwice              Rule = iota // a task runs on two machines at once
-	RuleRanCancelled                      // a task runs after the cancellation of its job was confirmed
-	RuleWrongPlace                        // a task runs where its job's spec doesn't allow it
-	RuleTooEarly                          // a task starts before a dependency of its job is done
-	RuleQuota                             // a team uses more than its limit
-	RuleRetries                           // controllers acknowledged more failures than the retry limit allows
-	RuleUnsubmittedJob                    // a job that was never submitted is accepted or runs
-	RuleInvalidJobAccepted                // a job that must be rejected is accepted
-	RuleIncompleteJobDone                 // a job is reported done before all its tasks have completed
-	RuleFailedWithRetriesLeft             // a job is reported failed while it has retries left
-	RuleInvalidTransition                 // a job is reported to leave a final state, or cancelled without a cause
-	RuleAcceptedJobLost                   // an accepted job is reported unknown, or its queries get no answer
-	RuleOrphaned                          // a job is reported pending or running long after a dependency was cancelled
-	RuleLeftWaiting                       // a job waits although capacity for it is available
-	RuleMinimumShare                      // too few jobs of a class or team are served, or its largest jobs start too late
-	RuleProtocol                          // a message violates its protocol
+	RuleRanTwice                    Rule = iota // a task runs on two machines at once
+	RuleRanAfterCancellation                    // a task runs after the cancellation of its job was confirmed
+	RuleWrongPlace                              // a task runs where its job's spec doesn't allow it
+	RuleStartedBeforeDependency                 // a task starts before a dependency of its job is done
+	RuleTeamLimit                               // a team uses more than its limit
+	RuleRetries                                 // controllers acknowledged more failures than the retry limit allows
+	RuleUnsubmittedJob                          // a job that was never submitted is accepted or runs
+	RuleInvalidJobAccepted                      // a job that must be rejected is accepted
+	RuleIncompleteJobDone                       // a job is reported done before all its tasks have completed
+	RuleFailedWithRetriesLeft                   // a job is reported failed while it has retries left
+	RuleInvalidTransition                       // a job is reported to leave a final state, or cancelled without a cause
+	RuleAcceptedJobLost                         // an accepted job is reported unknown, or its queries get no answer
+	RuleOutlivedCancelledDependency             // a job is reported unfinished long after a dependency was cancelled
+	RuleStartableJobWaits                       // a job waits although capacity for it is available
+	RuleMinimumShare                            // too few jobs of a class or team are served, or the largest start too late
+	RuleProtocol                                // a message violates its protocol
 )
 
 // ruleNames are the names of the rules. Rules of the operators' documentation have the same names there.
 var ruleNames = [...]string{
-	RuleRanTwice:              "ran_twice",
-	RuleRanCancelled:          "ran_cancelled",
-	RuleWrongPlace:            "wrong_place",
-	RuleTooEarly:              "too_early",
-	RuleQuota:                 "quota",
-	RuleRetries:               "repeats",
-	RuleUnsubmittedJob:        "invented",
-	RuleInvalidJobAccepted:    "accepted",
-	RuleIncompleteJobDone:     "not_done",
-	RuleFailedWithRetriesLeft: "failed",
-	RuleInvalidTransition:     "went_back",
-	RuleAcceptedJobLost:       "forgotten",
-	RuleOrphaned:              "orphaned",
-	RuleLeftWaiting:           "left",
-	RuleMinimumShare:          "floor",
-	RuleProtocol:              "protocol",
+	RuleRanTwice:                    "ran_twice",
+	RuleRanAfterCancellation:        "ran_cancelled",
+	RuleWrongPlace:                  "wrong_place",
+	RuleStartedBeforeDependency:     "too_early",
+	RuleTeamLimit:                   "quota",
+	RuleRetries:                     "repeats",
+	RuleUnsubmittedJob:              "invented",
+	RuleInvalidJobAccepted:          "accepted",
+	RuleIncompleteJobDone:           "not_done",
+	RuleFailedWithRetriesLeft:       "failed",
+	RuleInvalidTransition:           "went_back",
+	RuleAcceptedJobLost:             "forgotten",
+	RuleOutlivedCancelledDependency: "orphaned",
+	RuleStartableJobWaits:           "left",
+	RuleMinimumShare:                "floor",
+	RuleProtocol:                    "protocol",
 }
 
 // String returns the name of the rule.
