--- a/internal/simulation/combinations_test.go
+++ b/internal/simulation/combinations_test.go
@@ -49,7 +49,7 @@
 		[]Observation{ObservedShortJob}},
 	{"a transaction at once, its answer lost",
 		faultScenario{faults: []Fault{FaultLostAnswers, FaultProbes}},
-		[]Observation{ObservedLostAnswerRead, ObservedProbeAnswered}},
+		[]Observation{ObservedUnconfirmedWriteRead, ObservedProbeAnswered}},
 	{"a slow store, the leader refused, then all",
 		faultScenario{
 			faults: []Fault{FaultSlowStore, FaultCancelRunning, FaultProbes, FaultLeaderRefusedThenOutage},
--- a/internal/simulation/fakekv.go
+++ b/internal/simulation/fakekv.go
@@ -41,9 +41,9 @@
 	RateLimited int
 	// OversizeRequests counts the requests over the size limits after these were lowered.
 	OversizeRequests int
-	// LostAnswersRead counts how often a watch of another controller returned a write of a transaction whose
+	// UnconfirmedWritesRead counts how often a watch of another controller returned a write of a transaction whose
 	// response was lost.
-	LostAnswersRead int
+	UnconfirmedWritesRead int
 	// LateWritesApplied counts the transactions that were delayed by a fault.
 	LateWritesApplied int
 }
--- a/internal/simulation/fakekv_faults.go
+++ b/internal/simulation/fakekv_faults.go
@@ -48,9 +48,9 @@
 	kv.faults.lateWrites = newFaultRate(share, until, seed, streamDelayedWrites)
 }
 
-// LoseAnswers drops the responses to a share of the transactions until a time. The transactions are executed
+// DropResponses drops the responses to a share of the transactions until a time. The transactions are executed
 // immediately.
-func (kv *FakeKV) LoseAnswers(share float64, until time.Time, seed uint64) {
+func (kv *FakeKV) DropResponses(share float64, until time.Time, seed uint64) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	kv.faults.lostResponses = newFaultRate(share, until, seed, streamLostResponses)
--- a/internal/simulation/fakekv_watch.go
+++ b/internal/simulation/fakekv_watch.go
@@ -70,7 +70,7 @@
 		}
 		events = append(events, event)
 		if writer := kv.faults.lostResponseWriters[event.ModRevision]; writer != "" && writer != watch.source {
-			kv.LostAnswersRead++
+			kv.UnconfirmedWritesRead++
 		}
 	}
 	return events
--- a/internal/simulation/faultcatalogue_test.go
+++ b/internal/simulation/faultcatalogue_test.go
@@ -47,7 +47,7 @@
 	FaultAllRestartOneFirst:      restartAllOneFirst,
 	FaultControllerRefused:       refuseController,
 	FaultStoreOutage:             startStoreOutage,
-	FaultLostAnswers:             loseAnswers,
+	FaultLostAnswers:             dropResponses,
 	FaultHeartbeatsReplayed:      replayHeartbeats,
 	FaultOutboundLost:            loseOutbound,
 	FaultMachinesPartitioned:     partitionMachines,
@@ -90,8 +90,8 @@
 	in.region.KV.SlowRequests(0.1+0.5*in.random.Float64(), in.until, in.random.Uint64())
 }
 
-func loseAnswers(_ context.Context, in injection) {
-	in.region.KV.LoseAnswers(0.1+0.4*in.random.Float64(), in.until, in.random.Uint64())
+func dropResponses(_ context.Context, in injection) {
+	in.region.KV.DropResponses(0.1+0.4*in.random.Float64(), in.until, in.random.Uint64())
 }
 
 func startStoreOutage(_ context.Context, in injection) { in.region.KV.StartOutage(in.until) }
--- a/internal/simulation/faultday_test.go
+++ b/internal/simulation/faultday_test.go
@@ -188,5 +188,5 @@
 func (r *Region) observeCounts() {
 	r.Checker.Observe(ObservedHeartbeatCopy, r.heartbeats.copies)
 	r.Checker.Observe(ObservedLateWrite, r.KV.LateWritesApplied)
-	r.Checker.Observe(ObservedLostAnswerRead, r.KV.LostAnswersRead)
+	r.Checker.Observe(ObservedUnconfirmedWriteRead, r.KV.UnconfirmedWritesRead)
 }
--- a/internal/simulation/requestfaults.go
+++ b/internal/simulation/requestfaults.go
@@ -49,7 +49,7 @@
 	}
 	if id := q.randomJobID(checker.DoneJobs()); id != "" && q.random.IntN(2) == 0 {
 		q.region.askAny(ctx, cancelRequest(id))
-		checker.Observe(ObservedCancelAfterEnd, 1)
+		checker.Observe(ObservedCancelOfDoneJob, 1)
 		return
 	}
 	q.submitInvalidJob(ctx, number)
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -26,7 +26,7 @@
 	RuleAcceptedJobLost                         // an accepted job is reported unknown, or its queries get no answer
 	RuleOutlivedCancelledDependency             // a job is reported unfinished long after a dependency was cancelled
 	RuleStartableJobWaits                       // a job waits although capacity for it is available
-	RuleMinimumShare                            // too few jobs of a class or team are served, or the largest start too late
+	RuleMinimumShare                            // too few jobs of a class or team are served, or its largest start late
 	RuleProtocol                                // a message violates its protocol
 )
 
@@ -98,11 +98,11 @@
 	ObservedHeartbeatCopy
 	ObservedCopyBeforeLiveHeartbeat
 	ObservedLateWrite
-	ObservedLostAnswerRead
+	ObservedUnconfirmedWriteRead
 	ObservedCancelAtCompletion
 	ObservedCancelWhileRunning
 	ObservedCancelOnOwnerChange
-	ObservedCancelAfterEnd
+	ObservedCancelOfDoneJob
 	ObservedProbe
 	ObservedProbeAnswered
 	ObservedInvalidRequestRefused
@@ -119,11 +119,11 @@
 	ObservedHeartbeatCopy:           "heartbeat copy",
 	ObservedCopyBeforeLiveHeartbeat: "heartbeat copy before a live heartbeat",
 	ObservedLateWrite:               "late write",
-	ObservedLostAnswerRead:          "write with a lost answer read by another controller",
+	ObservedUnconfirmedWriteRead:    "write with a lost answer read by another controller",
 	ObservedCancelAtCompletion:      "cancellation at completion",
 	ObservedCancelWhileRunning:      "cancellation while running",
 	ObservedCancelOnOwnerChange:     "cancellations at a change of owner",
-	ObservedCancelAfterEnd:          "cancellation after the end",
+	ObservedCancelOfDoneJob:         "cancellation after the end",
 	ObservedProbe:                   "probe of all controllers",
 	ObservedProbeAnswered:           "probe answered",
 	ObservedInvalidRequestRefused:   "invalid request refused",
