--- a/internal/simulation/celllinks.go
+++ b/internal/simulation/celllinks.go
@@ -12,10 +12,10 @@
 
 // LinkFault is a fault of the link between two cells. An empty cell name matches any cell.
 type LinkFault struct {
-	From, To    string
-	AnswersOnly bool // only responses are lost: the receiver still handles the messages
-	DeliverLate bool // messages arrive after the fault ends, when their senders have timed out
-	Until       time.Time
+	From, To      string
+	ResponsesOnly bool // only responses are lost: the receiver still handles the messages
+	DeliverLate   bool // messages arrive after the fault ends, when their senders have timed out
+	Until         time.Time
 }
 
 // affects reports whether the fault is active and matches messages between two cells.
@@ -77,7 +77,7 @@
 			_, _ = f.deliver(context.WithoutCancel(ctx), to, body)
 		})
 	}
-	if faulty && !fault.AnswersOnly {
+	if faulty && !fault.ResponsesOnly {
 		<-ctx.Done()
 		return offload.Message{}, ctx.Err()
 	}
--- a/internal/simulation/federation.go
+++ b/internal/simulation/federation.go
@@ -45,13 +45,13 @@
 
 // FederationOptions configure a federation.
 type FederationOptions struct {
-	Cells           []string
-	Settings        func(cell string, index int) *config.Settings // of a cell's controllers
-	MachineTypes    []wire.MachineType
-	CapacityPerKind int // machines that can be rented in each cell; see RegionOptions
-	GuestLimit      int // maximum number of tasks of other cells that each cell runs
-	Random          *rand.Rand
-	Log             *slog.Logger
+	Cells             []string
+	Settings          func(cell string, index int) *config.Settings // of a cell's controllers
+	MachineTypes      []wire.MachineType
+	CapacityPerKind   int // machines that can be rented in each cell; see RegionOptions
+	MaxOffloadedTasks int // maximum number of tasks of other cells that each cell runs
+	Random            *rand.Rand
+	Log               *slog.Logger
 }
 
 // NewFederation starts all cells with controllersPerCell controllers each.
@@ -59,7 +59,7 @@
 	f := &Federation{
 		Checker:           NewInvariantChecker(options.Settings(options.Cells[0], 0)),
 		Regions:           map[string]*Region{},
-		maxOffloadedTasks: options.GuestLimit,
+		maxOffloadedTasks: options.MaxOffloadedTasks,
 		random:            newRandom(options.Random.Uint64(), streamCellLinks),
 		cells:             map[string]*cellState{},
 	}
--- a/internal/simulation/federation_test.go
+++ b/internal/simulation/federation_test.go
@@ -32,15 +32,15 @@
 	return settings
 }
 
-func newTestFederation(ctx context.Context, guestLimit int, random *rand.Rand, logged *logRecorder) *Federation {
+func newTestFederation(ctx context.Context, maxOffloadedTasks int, random *rand.Rand, logged *logRecorder) *Federation {
 	return NewFederation(ctx, FederationOptions{
-		Cells:           cellNames,
-		Settings:        cellSettings,
-		MachineTypes:    largeMachinesOnly,
-		CapacityPerKind: 2,
-		GuestLimit:      guestLimit,
-		Random:          random,
-		Log:             logged.logger(slog.LevelInfo),
+		Cells:             cellNames,
+		Settings:          cellSettings,
+		MachineTypes:      largeMachinesOnly,
+		CapacityPerKind:   2,
+		MaxOffloadedTasks: maxOffloadedTasks,
+		Random:            random,
+		Log:               logged.logger(slog.LevelInfo),
 	})
 }
 
@@ -137,8 +137,8 @@
 	until := time.Now().Add(duration)
 	switch kind {
 	case 0:
-		deliverLate, answersOnly := oneInTwo(c.random), oneInTwo(c.random)
-		f.AddLinkFault(LinkFault{From: cell, DeliverLate: deliverLate, AnswersOnly: answersOnly, Until: until})
+		deliverLate, responsesOnly := oneInTwo(c.random), oneInTwo(c.random)
+		f.AddLinkFault(LinkFault{From: cell, DeliverLate: deliverLate, ResponsesOnly: responsesOnly, Until: until})
 	case 1:
 		c.restartControllers(ctx, f.Regions[cell])
 	case 2:
@@ -148,7 +148,7 @@
 		f.StopCell(ctx, cell, duration)
 		time.Sleep(duration)
 	case 4:
-		f.AddLinkFault(LinkFault{To: cell, AnswersOnly: true, Until: until})
+		f.AddLinkFault(LinkFault{To: cell, ResponsesOnly: true, Until: until})
 	case 5:
 		if c.snapshot == nil {
 			c.snapshot = f.Regions[cellB].KV.Snapshot()
@@ -183,13 +183,13 @@
 }
 
 // simulateBurst submits sixty arrays to one of three cells that are all up, calls fault 40 s later, and waits until all
-// jobs have ended. Each cell accepts up to guestLimit tasks of other cells.
-func simulateBurst(t *testing.T, guestLimit int, fault func(context.Context, *Federation)) burstOutcome {
+// jobs have ended. Each cell accepts up to maxOffloadedTasks tasks of other cells.
+func simulateBurst(t *testing.T, maxOffloadedTasks int, fault func(context.Context, *Federation)) burstOutcome {
 	t.Helper()
 	const jobs, maxDuration = 60, 20 * time.Minute
 	ctx, cancel := context.WithCancel(context.Background())
 	logged := &logRecorder{}
-	f := newTestFederation(ctx, guestLimit, newRandom(6, streamBurst), logged)
+	f := newTestFederation(ctx, maxOffloadedTasks, newRandom(6, streamBurst), logged)
 	time.Sleep(60 * time.Second) // the cells have joined
 	start := time.Now()
 	for i := range jobs {
