--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -218,13 +218,13 @@
 	checker.TaskCompleted(taskOf(0))
 	sentAt := time.Now()
 	time.Sleep(time.Millisecond)
-	checker.AnswerReceivedTo(checkedJob, sentAt, http.StatusOK, wire.JobDone)
-	checker.AnswerReceivedTo(checkedJob, sentAt, http.StatusOK, wire.JobRunning)
+	checker.AnswerReceivedForQuery(checkedJob, sentAt, http.StatusOK, wire.JobDone)
+	checker.AnswerReceivedForQuery(checkedJob, sentAt, http.StatusOK, wire.JobRunning)
 	if len(checker.Violations) > 0 {
 		checker.Violations = nil // reported too early: the test must fail
 		return
 	}
-	checker.AnswerReceivedTo(checkedJob, time.Now(), http.StatusOK, wire.JobRunning)
+	checker.AnswerReceivedForQuery(checkedJob, time.Now(), http.StatusOK, wire.JobRunning)
 }
 
 func unansweredDefects() []defect {
--- a/internal/simulation/cloudfaults.go
+++ b/internal/simulation/cloudfaults.go
@@ -9,8 +9,8 @@
 	r.cloud.outageUntil = until
 }
 
-// BootFast makes machines that are rented before a time boot within two seconds.
-func (r *Region) BootFast(until time.Time) {
+// EnableFastBoot makes machines that are rented before a time boot within two seconds.
+func (r *Region) EnableFastBoot(until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cloud.fastBootUntil = until
--- a/internal/simulation/fakeuser.go
+++ b/internal/simulation/fakeuser.go
@@ -85,17 +85,17 @@
 	return userAnswer{response.StatusCode, status.State}
 }
 
-// ask sends a user's request to a controller, and reports the answer to the checker.
-func (r *Region) ask(ctx context.Context, to *Controller, request userRequest) userAnswer {
+// sendAndCheck sends a user's request to a controller, and reports the answer to the checker.
+func (r *Region) sendAndCheck(ctx context.Context, to *Controller, request userRequest) userAnswer {
 	sentAt := time.Now()
 	answer := r.send(ctx, to, request)
-	r.Checker.AnswerReceivedTo(request.jobID, sentAt, answer.status, answer.state)
+	r.Checker.AnswerReceivedForQuery(request.jobID, sentAt, answer.status, answer.state)
 	return answer
 }
 
-// askAny sends a user's request to a random controller, and reports the answer to the checker.
-func (r *Region) askAny(ctx context.Context, request userRequest) userAnswer {
-	return r.ask(ctx, r.randomController(), request)
+// sendToAnyAndCheck sends a user's request to a random controller, and reports the answer to the checker.
+func (r *Region) sendToAnyAndCheck(ctx context.Context, request userRequest) userAnswer {
+	return r.sendAndCheck(ctx, r.randomController(), request)
 }
 
 // SimulateUser simulates the user of one job until ctx ends. The user submits the job, polls its state, repeats the
@@ -120,9 +120,9 @@
 		}
 		if time.Now().After(nextResubmission) {
 			nextResubmission = time.Now().Add(resubmissionInterval)
-			r.askAny(ctx, submitRequest(id, body))
+			r.sendToAnyAndCheck(ctx, submitRequest(id, body))
 		}
-		state := r.askAny(ctx, pollRequest(id)).state
+		state := r.sendToAnyAndCheck(ctx, pollRequest(id)).state
 		if !final && (state == wire.JobDone || state == wire.JobCancelled) {
 			final = true
 			r.probeAllControllers(ctx, id, body)
@@ -141,7 +141,7 @@
 // submitUntilAccepted submits a job each second and reports whether it was accepted within maxSubmitDuration.
 func (r *Region) submitUntilAccepted(ctx context.Context, jobID string, body []byte) bool {
 	start := time.Now()
-	for !accepts(r.askAny(ctx, submitRequest(jobID, body)).status) {
+	for !accepts(r.sendToAnyAndCheck(ctx, submitRequest(jobID, body)).status) {
 		time.Sleep(time.Second)
 		if ctx.Err() != nil || time.Since(start) > maxSubmitDuration {
 			return false
@@ -158,7 +158,7 @@
 	if r.ConfirmsCancellationsEarly && answer.status == http.StatusServiceUnavailable && r.cancelRecorded(jobID) {
 		answer = userAnswer{http.StatusOK, wire.JobCancelled}
 	}
-	r.Checker.AnswerReceivedTo(jobID, sentAt, answer.status, answer.state)
+	r.Checker.AnswerReceivedForQuery(jobID, sentAt, answer.status, answer.state)
 	r.Log.Debug("user cancels job", "job_id", jobID, "status", answer.status, "state", answer.state)
 	return answer.status == http.StatusOK
 }
@@ -174,6 +174,6 @@
 func (r *Region) QueryUnknownJobs(ctx context.Context) {
 	for i := 0; ctx.Err() == nil; i++ {
 		time.Sleep(unknownJobInterval)
-		r.askAny(ctx, pollRequest(fmt.Sprintf("run-9%05d", i)))
+		r.sendToAnyAndCheck(ctx, pollRequest(fmt.Sprintf("run-9%05d", i)))
 	}
 }
--- a/internal/simulation/faultcatalogue_test.go
+++ b/internal/simulation/faultcatalogue_test.go
@@ -56,7 +56,7 @@
 	FaultSlowLinks:               slowLinks,
 	FaultZonePartitioned:         partitionZone,
 	FaultAllControllersAway:      stopAllControllers,
-	FaultFastBoot:                bootFast,
+	FaultFastBoot:                enableFastBoot,
 	FaultCancelRunning: func(ctx context.Context, in injection) {
 		in.cancelRunning(ctx, unreachability{})
 	},
@@ -134,10 +134,10 @@
 
 func failMachines(_ context.Context, in injection) { in.forThirdOfMachines(in.region.FailMachine) }
 
-// bootFast makes machines that are rented before the fault ends boot within two seconds. It also fails a third of the
-// machines, so that new ones are rented.
-func bootFast(_ context.Context, in injection) {
-	in.region.BootFast(in.until)
+// enableFastBoot makes machines that are rented before the fault ends boot within two seconds. It also fails a third of
+// the machines, so that new ones are rented.
+func enableFastBoot(_ context.Context, in injection) {
+	in.region.EnableFastBoot(in.until)
 	in.forThirdOfMachines(in.region.FailMachine)
 }
 
--- a/internal/simulation/requestfaults.go
+++ b/internal/simulation/requestfaults.go
@@ -44,11 +44,11 @@
 	checker := q.region.Checker
 	if id := q.randomJobID(checker.OpenJobs()); id != "" && q.random.IntN(3) == 0 {
 		spec, _ := checker.JobSpec(id)
-		q.region.askAny(ctx, submitRequest(id, wire.MustEncode(spec)))
+		q.region.sendToAnyAndCheck(ctx, submitRequest(id, wire.MustEncode(spec)))
 		return
 	}
 	if id := q.randomJobID(checker.DoneJobs()); id != "" && q.random.IntN(2) == 0 {
-		q.region.askAny(ctx, cancelRequest(id))
+		q.region.sendToAnyAndCheck(ctx, cancelRequest(id))
 		checker.Observe(ObservedCancelOfDoneJob, 1)
 		return
 	}
@@ -88,7 +88,7 @@
 	}
 	reason, wantStatus := q.invalidate(fields)
 	checker.InvalidJobSubmitted(spec, reason)
-	status := q.region.askAny(ctx, submitRequest(spec.ID, wire.MustEncode(fields))).status
+	status := q.region.sendToAnyAndCheck(ctx, submitRequest(spec.ID, wire.MustEncode(fields))).status
 	switch status {
 	case wantStatus:
 		checker.Observe(ObservedInvalidRequestRefused, 1)
@@ -98,7 +98,7 @@
 	}
 	poll := pollRequest(spec.ID)
 	poll.timeout = submitTimeout
-	q.region.askAny(ctx, poll)
+	q.region.sendToAnyAndCheck(ctx, poll)
 }
 
 // invalidate makes a submission invalid in a random way. It returns the reason and the status with which the
--- a/internal/simulation/userfaults.go
+++ b/internal/simulation/userfaults.go
@@ -137,7 +137,7 @@
 			delay := milliseconds(r.random, 40)
 			r.wg.Go(func() {
 				time.Sleep(delay)
-				if r.ask(ctx, controller, probe).status == http.StatusOK {
+				if r.sendAndCheck(ctx, controller, probe).status == http.StatusOK {
 					r.Checker.Observe(ObservedProbeAnswered, 1)
 				}
 			})
