--- a/internal/simulation/faultcatalogue_test.go
+++ b/internal/simulation/faultcatalogue_test.go
@@ -244,13 +244,13 @@
 
 func cancelRunningMachinesHang(ctx context.Context, in injection) {
 	count := in.cancelCount()
-	machineFault := unreachability{hang: secondsBetween(in.random, 10, 60)}
+	machineFault := unreachability{hangFor: secondsBetween(in.random, 10, 60)}
 	in.region.CancelRunningJobs(ctx, count, machineFault, in.random)
 }
 
 func cancelRunningMachinesPartitioned(ctx context.Context, in injection) {
 	count := in.cancelCount()
-	machineFault := unreachability{cut: secondsBetween(in.random, 10, 60)}
+	machineFault := unreachability{partition: secondsBetween(in.random, 10, 60)}
 	in.region.CancelRunningJobs(ctx, count, machineFault, in.random)
 }
 
--- a/internal/simulation/userfaults.go
+++ b/internal/simulation/userfaults.go
@@ -60,8 +60,8 @@
 
 // unreachability describes how the machines of cancelled jobs become unreachable. With the zero value they don't.
 type unreachability struct {
-	hang time.Duration // how long the machines hang
-	cut  time.Duration // if hang is 0: how long the machines are partitioned from all other hosts
+	hangFor   time.Duration // how long the machines hang
+	partition time.Duration // if hangFor is 0: how long the machines are partitioned from all other hosts
 }
 
 // CancelRunningJobs makes users cancel up to count running jobs within 200 ms, and makes up to maxUnreachable of their
@@ -88,15 +88,15 @@
 
 // makeUnreachable makes a machine hang, or partitions it from all other hosts.
 func (r *Region) makeUnreachable(machine string, machineFault unreachability, random *rand.Rand) {
-	if machineFault.hang > 0 {
-		r.HangMachine(machine, machineFault.hang)
+	if machineFault.hangFor > 0 {
+		r.HangMachine(machine, machineFault.hangFor)
 		return
 	}
 	r.Network.AddPartition(Partition{
 		From:        machine,
 		To:          anyHost,
 		DeliverLate: random.IntN(2) == 0,
-		Until:       time.Now().Add(machineFault.cut),
+		Until:       time.Now().Add(machineFault.partition),
 	})
 }
 
