--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -17,7 +17,7 @@
 // all controllers, for longer than a cancellation may take. Meanwhile agents go on sending heartbeats to the old
 // leader, which does not learn of these cancellations.
 //
-// Drawn at random are the durations; whether the leader is refused before, during or after the outage; whether it is
+// The seed determines the durations; whether the leader is refused before, during or after the outage; whether it is
 // restarted within 20 s after both have started, so that its new process has no cluster state; and the schema version
 // at the start. Below tuning.SchemaVersionConfirmedCancel cancellations are confirmed at once, and the version may rise
 // just before the refusal.
@@ -37,7 +37,7 @@
 // refusalAt is when the refusal starts, counted from the start of the scenario.
 const refusalAt = 40 * time.Second
 
-// secondsIn draws a duration from a range of seconds.
+// secondsIn returns a random duration between two numbers of seconds.
 func (s *refusalScenario) secondsIn(from, to float64) time.Duration {
 	return time.Duration((from + (to-from)*s.random.Float64()) * float64(time.Second))
 }
@@ -76,7 +76,7 @@
 	return r
 }
 
-// submit draws a job and submits it. Most jobs are cancelled within 5 s of the refusal.
+// submit submits a random array or gang. Most jobs are cancelled within 5 s of the refusal.
 func (s *refusalScenario) submit(ctx context.Context, number int) {
 	spec := newSpec(number, wire.KindArray)
 	spec.TaskCount = 1 + s.random.IntN(6)
@@ -113,7 +113,7 @@
 
 func (s *refusalScenario) startOutage() { s.region.KV.StartOutage(time.Now().Add(s.outage)) }
 
-// refuseAroundOutage starts the outage, and refuses the leader during the outage, after it or before it, as drawn.
+// refuseAroundOutage starts the outage, and refuses the leader during it, after it or before it, chosen at random.
 func (s *refusalScenario) refuseAroundOutage(ctx context.Context) {
 	order := s.random.IntN(4)
 	switch {
@@ -177,8 +177,8 @@
 	t.Logf("%d cancellations confirmed, %d of them within 10 s", len(allWaited), confirmedWithin10s)
 }
 
-// TestCheckerDetectsEarlyConfirmation checks that the checker reports a violation if users are told that a
-// cancellation is confirmed as soon as it is recorded.
+// TestCheckerDetectsEarlyConfirmation checks that the checker reports a violation if users receive the confirmation of
+// a cancellation as soon as it is recorded.
 func TestCheckerDetectsEarlyConfirmation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := simulateRefusalScenario(1, true)
--- a/internal/simulation/celllinks.go
+++ b/internal/simulation/celllinks.go
@@ -49,7 +49,7 @@
 	duplicateDelay time.Duration // before the second delivery; under a fault it counts from the end of the fault
 }
 
-func (f *Federation) drawDelivery() cellDelivery {
+func (f *Federation) randomDelivery() cellDelivery {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return cellDelivery{
@@ -64,7 +64,7 @@
 // exchange blocks until ctx ends. If the message itself is affected, its second delivery follows after the fault.
 func (f *Federation) exchange(ctx context.Context, to string, message offload.Message) (offload.Message, error) {
 	body := wire.MustEncode(message)
-	delivery := f.drawDelivery()
+	delivery := f.randomDelivery()
 	time.Sleep(delivery.delay)
 	fault, faulty := f.activeLinkFault(message.Cell, to)
 	if delivery.duplicate || faulty && fault.DeliverLate {
--- a/internal/simulation/combinations_test.go
+++ b/internal/simulation/combinations_test.go
@@ -7,15 +7,15 @@
 	"testing/synctest"
 )
 
-// faultCombination is a combination of faults from the operators' page, with the observations that show that it
-// occurred.
+// faultCombination is a combination of faults from the operators' documentation, with the observations that show that
+// it occurred.
 type faultCombination struct {
 	name     string
 	scenario faultScenario
 	observed []Observation
 }
 
-// faultCombinations are the combinations that the operators' page lists, in its order.
+// faultCombinations are the combinations that the operators' documentation lists, in its order.
 var faultCombinations = []faultCombination{
 	{"controllers hand over and back, all end, one returns",
 		faultScenario{faults: []Fault{FaultLeaderRestartsAtOnce, FaultAllRestartOneFirst}},
@@ -106,8 +106,8 @@
 		[]Observation{ObservedHeartbeatCopy}},
 }
 
-// TestFaultCombinations runs each combination of the operators' page with a fixed seed. It checks every rule, and that
-// the combination's observations were made. MEETING_SEEDS sets the number of seeds for each combination; with
+// TestFaultCombinations runs each combination of the operators' documentation with a fixed seed. It checks every rule,
+// and that the combination's observations were made. MEETING_SEEDS sets the number of seeds for each combination; with
 // MEETING_EVERY=n only every n-th combination runs.
 func TestFaultCombinations(t *testing.T) {
 	for i, combination := range faultCombinations {
--- a/internal/simulation/cpuregion_test.go
+++ b/internal/simulation/cpuregion_test.go
@@ -118,7 +118,7 @@
 	return counts
 }
 
-// cpuRegionJob draws a job and the delay of its submission. The first 14 jobs are services.
+// cpuRegionJob returns a random job and the delay of its submission. The first 14 jobs are services.
 func cpuRegionJob(random *rand.Rand, index int) (delay time.Duration, job userJob) {
 	spec := wire.JobSpec{
 		ID:          jobID(index + 1),
--- a/internal/simulation/fakeagent_heartbeat.go
+++ b/internal/simulation/fakeagent_heartbeat.go
@@ -65,7 +65,7 @@
 }
 
 // heartbeatDue reports whether the machine was removed, and whether the next heartbeat is due. It is due after a random
-// interval of 0.75 to 1.25 times the configured one, which each call draws again, or after statusChangeDelay if the
+// interval of 0.75 to 1.25 times the configured one, which each call chooses again, or after statusChangeDelay if the
 // status has changed. A machine that hangs sends no heartbeat.
 func (a *fakeAgent) heartbeatDue() (removed, due bool) {
 	a.region.mu.Lock()
--- a/internal/simulation/faultcatalogue_test.go
+++ b/internal/simulation/faultcatalogue_test.go
@@ -13,18 +13,18 @@
 // oneInTwo returns true with a probability of one in two.
 func oneInTwo(random *rand.Rand) bool { return random.IntN(2) == 0 }
 
-// secondsBetween draws a duration of first to first+count-1 whole seconds.
+// secondsBetween returns a random duration of first to first+count-1 whole seconds.
 func secondsBetween(random *rand.Rand, first, count int) time.Duration {
 	return time.Duration(first+random.IntN(count)) * time.Second
 }
 
-// millisecondsBetween draws a duration of first to first+count-1 whole milliseconds.
+// millisecondsBetween returns a random duration of first to first+count-1 whole milliseconds.
 func millisecondsBetween(random *rand.Rand, first, count int) time.Duration {
 	return time.Duration(first+random.IntN(count)) * time.Millisecond
 }
 
-// injection holds what a combinable fault needs: the region, the generator that its parameters are drawn from, and the
-// time at which the fault ends.
+// injection holds what a combinable fault needs: the region, the generator of its random parameters, and the time at
+// which the fault ends.
 type injection struct {
 	region *Region
 	random *rand.Rand
@@ -101,7 +101,7 @@
 	in.region.ReplayToNextLeader(ctx, share, in.until.Add(in.region.Settings.LeaseDuration()), in.random.Uint64())
 }
 
-// forThirdOfMachines calls a function with each machine that is drawn, with a probability of one in three.
+// forThirdOfMachines calls a function with each machine with a probability of one in three.
 func (in injection) forThirdOfMachines(call func(machine string)) {
 	for _, machine := range in.region.Machines() {
 		if oneInThree(in.random) {
--- a/internal/simulation/faultday_test.go
+++ b/internal/simulation/faultday_test.go
@@ -62,7 +62,7 @@
 	return 300
 }
 
-// randomJob draws one of the scenario's jobs.
+// randomJob returns a random job of the scenario.
 func (s *faultScenario) randomJob(random *rand.Rand, number int) userJob {
 	job := randomUnevenJob(random, number)
 	spec := &job.spec
@@ -82,8 +82,8 @@
 	return job
 }
 
-// randomUnevenJob draws a job of a fault scenario: an array or a gang, often of two or three tasks that end far apart,
-// with long tasks and many cancellations, or a service.
+// randomUnevenJob returns a random job of a fault scenario: an array or a gang, often of two or three tasks that end
+// far apart, with long tasks and many cancellations, or a service.
 func randomUnevenJob(random *rand.Rand, number int) userJob {
 	job := randomJob(random, number)
 	spec := &job.spec
--- a/internal/simulation/federation_test.go
+++ b/internal/simulation/federation_test.go
@@ -53,7 +53,7 @@
 
 // TestFederationUnderFaults offloads a burst in one of three cells while links between cells fail in one direction or
 // the other, controllers restart, a whole cell stops and starts again, a cell's key-value store is unavailable, a cell
-// loses writes and starts again under a new epoch, and a cell is drained. The user of each job must be told one final
+// loses writes and starts again under a new epoch, and a cell is drained. The user of each job must receive one final
 // state, no task may run in two cells, and no cancelled job may go on. CELL_DAYS sets the number of scenarios.
 func TestFederationUnderFaults(t *testing.T) {
 	for index := range environmentInt("CELL_DAYS", 2) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// randomCellJob draws a job, its cell and the delay of its submission.
+// randomCellJob returns a random job, its cell and the delay of its submission.
 func randomCellJob(random *rand.Rand, index int) (cell string, delay time.Duration, job userJob) {
 	spec := newSpec(index+1, wire.KindArray)
 	spec.Image, spec.ImageSizeGB, spec.RuntimeEstimateSeconds = fmt.Sprint("img-", index%3), 2, 20
@@ -130,7 +130,7 @@
 	snapshot   map[string]wire.KeyValue // of cell b; nil until the first one is taken
 }
 
-// inject injects one of seven kinds of fault, most of them into a cell that is drawn.
+// inject injects one of seven kinds of fault, most of them into a random cell.
 func (c *cellFaults) inject(ctx context.Context, kind int) {
 	f := c.federation
 	cell, duration := cellNames[c.random.IntN(len(cellNames))], secondsBetween(c.random, 5, 25)
@@ -212,8 +212,8 @@
 }
 
 // TestCellRemovedForGood removes a cell and its machines while it holds work of another cell. This work must wait
-// until the operators of the other cell declare the removed cell as gone for good, and no longer: every job must end,
-// and none may run twice.
+// until the operators of the other cell declare the cell as permanently removed, and no longer: every job must end, and
+// none may run twice.
 func TestCellRemovedForGood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		outcome := simulateBurst(t, 400, func(ctx context.Context, f *Federation) {
--- a/internal/simulation/largeregion_test.go
+++ b/internal/simulation/largeregion_test.go
@@ -49,7 +49,7 @@
 	Price: 10, SpotPrice: 4, BootSeconds: 20, Zones: largeRegionZones,
 }}
 
-// largeRegionJob draws a service, a wide array or a gang of up to sixteen machines.
+// largeRegionJob returns a random job: a service, a wide array or a gang of up to sixteen machines.
 func largeRegionJob(random *rand.Rand, number int) userJob {
 	spec := wire.JobSpec{
 		ID:          jobID(number),
--- a/internal/simulation/onewaylinks_test.go
+++ b/internal/simulation/onewaylinks_test.go
@@ -70,7 +70,8 @@
 	return oneWayScenario{reason: reasonOutboundLost, loseLink: (*Region).LoseOutbound, duration: duration, oneIn: 4}
 }
 
-// randomOneWayJob draws a job and the delay of its submission. Every fourth job is a service and is submitted early.
+// randomOneWayJob returns a random job and the delay of its submission. Every fourth job is a service and is submitted
+// early.
 func randomOneWayJob(random *rand.Rand, index int) (delay time.Duration, job userJob) {
 	delay = secondsBetween(random, 30, 90)
 	spec := newSpec(index+1, wire.KindGang)
--- a/internal/simulation/randomday_test.go
+++ b/internal/simulation/randomday_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// randomFault is a randomly drawn fault, with all parameters that its kind may need.
+// randomFault is a randomly selected fault, with all parameters that its kind may need.
 type randomFault struct {
 	injection
 	duration    time.Duration
@@ -17,7 +17,8 @@
 	deliverLate bool
 }
 
-// randomFaults are the faults that a scenario draws from. Their order must not change, since the draws depend on it.
+// randomFaults are the faults that a scenario selects from at random. Their order must not change: with another order
+// the same seed selects other faults.
 var randomFaults = []struct {
 	fault  Fault
 	inject func(ctx context.Context, f randomFault)
@@ -64,7 +65,7 @@
 	}},
 }
 
-// injectRandomFault draws a fault and starts it.
+// injectRandomFault selects a random fault and starts it.
 func (r *Region) injectRandomFault(ctx context.Context, random *rand.Rand) {
 	duration := secondsBetween(random, 5, 25)
 	fault := randomFault{
@@ -90,7 +91,7 @@
 	f.region.Network.AddPartition(Partition{From: from, To: to, DeliverLate: f.deliverLate, Until: f.until})
 }
 
-// withMachine calls a function with a machine that is drawn, if there is one.
+// withMachine calls a function with a random machine, if there is one.
 func (f *randomFault) withMachine(call func(machine string)) {
 	if machines := f.region.Machines(); len(machines) > 0 {
 		call(machines[f.random.IntN(len(machines))])
--- a/internal/simulation/retry_test.go
+++ b/internal/simulation/retry_test.go
@@ -78,7 +78,7 @@
 	return r
 }
 
-// randomFailingJob draws an array or a gang. Some have a retry limit of their own, and some depend on another job.
+// randomFailingJob returns an array or a gang. Some have a retry limit of their own, and some depend on another job.
 func randomFailingJob(random *rand.Rand, index int) userJob {
 	spec := newSpec(index+1, wire.KindArray)
 	spec.TaskCount, spec.RuntimeEstimateSeconds = 1+random.IntN(6), 10
--- a/internal/simulation/testjobs_test.go
+++ b/internal/simulation/testjobs_test.go
@@ -39,7 +39,7 @@
 	return spec
 }
 
-// randomJob draws an array, a gang or a service. All services are cancelled, 60 to 259 s after their submission, and
+// randomJob returns an array, a gang or a service. All services are cancelled, 60 to 259 s after their submission, and
 // one in five of the other jobs, within a minute.
 func randomJob(random *rand.Rand, number int) userJob {
 	spec := wire.JobSpec{
@@ -77,7 +77,7 @@
 
 func randomTeam(random *rand.Rand) string { return []string{"open", "bound"}[random.IntN(2)] }
 
-// randomControllerZone draws a zone that has a controller.
+// randomControllerZone returns a random zone that has a controller.
 func randomControllerZone(random *rand.Rand) string { return testZones[random.IntN(2)] }
 
 func randomArray(random *rand.Rand, spec *wire.JobSpec) {
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -199,7 +199,7 @@
 	}
 }
 
-// randomJobGraph draws a job graph: each job depends on some of the jobs before it.
+// randomJobGraph returns a job graph: each job depends on some of the jobs before it.
 func randomJobGraph(random *rand.Rand, first, jobs int) []wire.JobSpec {
 	var specs []wire.JobSpec
 	for i := range jobs {
--- a/internal/simulation/zonepower_test.go
+++ b/internal/simulation/zonepower_test.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// randomBatchJob draws an array or a gang.
+// randomBatchJob returns an array or a gang.
 func (p *powerLoss) randomBatchJob(index int) userJob {
 	number := p.services() + index + 1
 	spec := newSpec(number, wire.KindArray)
