--- a/internal/simulation/celllinks.go
+++ b/internal/simulation/celllinks.go
@@ -12,10 +12,10 @@
 
 // LinkFault is a fault of the link between two cells. An empty cell name matches any cell.
 type LinkFault struct {
-	From, To    string
-	AnswersOnly bool // only responses are lost: the receiver still handles the messages
-	DeliverLate bool // messages arrive after the fault ends, when their senders have timed out
-	Until       time.Time
+	From, To      string
+	ResponsesOnly bool // only responses are lost: the receiver still handles the messages
+	DeliverLate   bool // messages arrive after the fault ends, when their senders have timed out
+	Until         time.Time
 }
 
 // affects reports whether the fault is active and matches messages between two cells.
@@ -49,7 +49,7 @@
 	duplicateDelay time.Duration // before the second delivery; under a fault it counts from the end of the fault
 }
 
-func (f *Federation) drawDelivery() cellDelivery {
+func (f *Federation) randomDelivery() cellDelivery {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return cellDelivery{
@@ -64,7 +64,7 @@
 // exchange blocks until ctx ends. If the message itself is affected, its second delivery follows after the fault.
 func (f *Federation) exchange(ctx context.Context, to string, message offload.Message) (offload.Message, error) {
 	body := wire.MustEncode(message)
-	delivery := f.drawDelivery()
+	delivery := f.randomDelivery()
 	time.Sleep(delivery.delay)
 	fault, faulty := f.activeLinkFault(message.Cell, to)
 	if delivery.duplicate || faulty && fault.DeliverLate {
@@ -77,7 +77,7 @@
 			_, _ = f.deliver(context.WithoutCancel(ctx), to, body)
 		})
 	}
-	if faulty && !fault.AnswersOnly {
+	if faulty && !fault.ResponsesOnly {
 		<-ctx.Done()
 		return offload.Message{}, ctx.Err()
 	}
--- a/internal/simulation/faultcatalogue_test.go
+++ b/internal/simulation/faultcatalogue_test.go
@@ -13,18 +13,18 @@
 // oneInTwo returns true with a probability of one in two.
 func oneInTwo(random *rand.Rand) bool { return random.IntN(2) == 0 }
 
-// secondsBetween draws a duration of first to first+count-1 whole seconds.
+// secondsBetween returns a random duration of first to first+count-1 whole seconds.
 func secondsBetween(random *rand.Rand, first, count int) time.Duration {
 	return time.Duration(first+random.IntN(count)) * time.Second
 }
 
-// millisecondsBetween draws a duration of first to first+count-1 whole milliseconds.
+// millisecondsBetween returns a random duration of first to first+count-1 whole milliseconds.
 func millisecondsBetween(random *rand.Rand, first, count int) time.Duration {
 	return time.Duration(first+random.IntN(count)) * time.Millisecond
 }
 
-// injection holds what a combinable fault needs: the region, the generator that its parameters are drawn from, and the
-// time at which the fault ends.
+// injection holds what a combinable fault needs: the region, the generator of its random parameters, and the time at
+// which the fault ends.
 type injection struct {
 	region *Region
 	random *rand.Rand
@@ -47,7 +47,7 @@
 	FaultAllRestartOneFirst:      restartAllOneFirst,
 	FaultControllerRefused:       refuseController,
 	FaultStoreOutage:             startStoreOutage,
-	FaultLostAnswers:             loseAnswers,
+	FaultLostAnswers:             dropResponses,
 	FaultHeartbeatsReplayed:      replayHeartbeats,
 	FaultOutboundLost:            loseOutbound,
 	FaultMachinesPartitioned:     partitionMachines,
@@ -56,7 +56,7 @@
 	FaultSlowLinks:               slowLinks,
 	FaultZonePartitioned:         partitionZone,
 	FaultAllControllersAway:      stopAllControllers,
-	FaultFastBoot:                bootFast,
+	FaultFastBoot:                enableFastBoot,
 	FaultCancelRunning: func(ctx context.Context, in injection) {
 		in.cancelRunning(ctx, unreachability{})
 	},
@@ -90,8 +90,8 @@
 	in.region.KV.SlowRequests(0.1+0.5*in.random.Float64(), in.until, in.random.Uint64())
 }
 
-func loseAnswers(_ context.Context, in injection) {
-	in.region.KV.LoseAnswers(0.1+0.4*in.random.Float64(), in.until, in.random.Uint64())
+func dropResponses(_ context.Context, in injection) {
+	in.region.KV.DropResponses(0.1+0.4*in.random.Float64(), in.until, in.random.Uint64())
 }
 
 func startStoreOutage(_ context.Context, in injection) { in.region.KV.StartOutage(in.until) }
@@ -101,7 +101,7 @@
 	in.region.ReplayToNextLeader(ctx, share, in.until.Add(in.region.Settings.LeaseDuration()), in.random.Uint64())
 }
 
-// forThirdOfMachines calls a function with each machine that is drawn, with a probability of one in three.
+// forThirdOfMachines calls a function with each machine with a probability of one in three.
 func (in injection) forThirdOfMachines(call func(machine string)) {
 	for _, machine := range in.region.Machines() {
 		if oneInThree(in.random) {
@@ -134,10 +134,10 @@
 
 func failMachines(_ context.Context, in injection) { in.forThirdOfMachines(in.region.FailMachine) }
 
-// bootFast makes machines that are rented before the fault ends boot within two seconds. It also fails a third of the
-// machines, so that new ones are rented.
-func bootFast(_ context.Context, in injection) {
-	in.region.BootFast(in.until)
+// enableFastBoot makes machines that are rented before the fault ends boot within two seconds. It also fails a third of
+// the machines, so that new ones are rented.
+func enableFastBoot(_ context.Context, in injection) {
+	in.region.EnableFastBoot(in.until)
 	in.forThirdOfMachines(in.region.FailMachine)
 }
 
@@ -244,13 +244,13 @@
 
 func cancelRunningMachinesHang(ctx context.Context, in injection) {
 	count := in.cancelCount()
-	machineFault := unreachability{hang: secondsBetween(in.random, 10, 60)}
+	machineFault := unreachability{hangFor: secondsBetween(in.random, 10, 60)}
 	in.region.CancelRunningJobs(ctx, count, machineFault, in.random)
 }
 
 func cancelRunningMachinesPartitioned(ctx context.Context, in injection) {
 	count := in.cancelCount()
-	machineFault := unreachability{cut: secondsBetween(in.random, 10, 60)}
+	machineFault := unreachability{partition: secondsBetween(in.random, 10, 60)}
 	in.region.CancelRunningJobs(ctx, count, machineFault, in.random)
 }
 
--- a/internal/simulation/federation_test.go
+++ b/internal/simulation/federation_test.go
@@ -32,15 +32,15 @@
 	return settings
 }
 
-func newTestFederation(ctx context.Context, guestLimit int, random *rand.Rand, logged *logRecorder) *Federation {
+func newTestFederation(ctx context.Context, maxOffloadedTasks int, random *rand.Rand, logged *logRecorder) *Federation {
 	return NewFederation(ctx, FederationOptions{
-		Cells:           cellNames,
-		Settings:        cellSettings,
-		MachineTypes:    largeMachinesOnly,
-		CapacityPerKind: 2,
-		GuestLimit:      guestLimit,
-		Random:          random,
-		Log:             logged.logger(slog.LevelInfo),
+		Cells:             cellNames,
+		Settings:          cellSettings,
+		MachineTypes:      largeMachinesOnly,
+		CapacityPerKind:   2,
+		MaxOffloadedTasks: maxOffloadedTasks,
+		Random:            random,
+		Log:               logged.logger(slog.LevelInfo),
 	})
 }
 
@@ -53,7 +53,7 @@
 
 // TestFederationUnderFaults offloads a burst in one of three cells while links between cells fail in one direction or
 // the other, controllers restart, a whole cell stops and starts again, a cell's key-value store is unavailable, a cell
-// loses writes and starts again under a new epoch, and a cell is drained. The user of each job must be told one final
+// loses writes and starts again under a new epoch, and a cell is drained. The user of each job must receive one final
 // state, no task may run in two cells, and no cancelled job may go on. CELL_DAYS sets the number of scenarios.
 func TestFederationUnderFaults(t *testing.T) {
 	for index := range environmentInt("CELL_DAYS", 2) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// randomCellJob draws a job, its cell and the delay of its submission.
+// randomCellJob returns a random job, its cell and the delay of its submission.
 func randomCellJob(random *rand.Rand, index int) (cell string, delay time.Duration, job userJob) {
 	spec := newSpec(index+1, wire.KindArray)
 	spec.Image, spec.ImageSizeGB, spec.RuntimeEstimateSeconds = fmt.Sprint("img-", index%3), 2, 20
@@ -130,15 +130,15 @@
 	snapshot   map[string]wire.KeyValue // of cell b; nil until the first one is taken
 }
 
-// inject injects one of seven kinds of fault, most of them into a cell that is drawn.
+// inject injects one of seven kinds of fault, most of them into a random cell.
 func (c *cellFaults) inject(ctx context.Context, kind int) {
 	f := c.federation
 	cell, duration := cellNames[c.random.IntN(len(cellNames))], secondsBetween(c.random, 5, 25)
 	until := time.Now().Add(duration)
 	switch kind {
 	case 0:
-		deliverLate, answersOnly := oneInTwo(c.random), oneInTwo(c.random)
-		f.AddLinkFault(LinkFault{From: cell, DeliverLate: deliverLate, AnswersOnly: answersOnly, Until: until})
+		deliverLate, responsesOnly := oneInTwo(c.random), oneInTwo(c.random)
+		f.AddLinkFault(LinkFault{From: cell, DeliverLate: deliverLate, ResponsesOnly: responsesOnly, Until: until})
 	case 1:
 		c.restartControllers(ctx, f.Regions[cell])
 	case 2:
@@ -148,7 +148,7 @@
 		f.StopCell(ctx, cell, duration)
 		time.Sleep(duration)
 	case 4:
-		f.AddLinkFault(LinkFault{To: cell, AnswersOnly: true, Until: until})
+		f.AddLinkFault(LinkFault{To: cell, ResponsesOnly: true, Until: until})
 	case 5:
 		if c.snapshot == nil {
 			c.snapshot = f.Regions[cellB].KV.Snapshot()
@@ -183,13 +183,13 @@
 }
 
 // simulateBurst submits sixty arrays to one of three cells that are all up, calls fault 40 s later, and waits until all
-// jobs have ended. Each cell accepts up to guestLimit tasks of other cells.
-func simulateBurst(t *testing.T, guestLimit int, fault func(context.Context, *Federation)) burstOutcome {
+// jobs have ended. Each cell accepts up to maxOffloadedTasks tasks of other cells.
+func simulateBurst(t *testing.T, maxOffloadedTasks int, fault func(context.Context, *Federation)) burstOutcome {
 	t.Helper()
 	const jobs, maxDuration = 60, 20 * time.Minute
 	ctx, cancel := context.WithCancel(context.Background())
 	logged := &logRecorder{}
-	f := newTestFederation(ctx, guestLimit, newRandom(6, streamBurst), logged)
+	f := newTestFederation(ctx, maxOffloadedTasks, newRandom(6, streamBurst), logged)
 	time.Sleep(60 * time.Second) // the cells have joined
 	start := time.Now()
 	for i := range jobs {
@@ -212,8 +212,8 @@
 }
 
 // TestCellRemovedForGood removes a cell and its machines while it holds work of another cell. This work must wait
-// until the operators of the other cell declare the removed cell as gone for good, and no longer: every job must end,
-// and none may run twice.
+// until the operators of the other cell declare the cell as permanently removed, and no longer: every job must end, and
+// none may run twice.
 func TestCellRemovedForGood(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		outcome := simulateBurst(t, 400, func(ctx context.Context, f *Federation) {
