--- a/internal/scheduler/homeshard.go
+++ b/internal/scheduler/homeshard.go
@@ -30,11 +30,11 @@
 
 // observe records that a job is waiting at the given time, and returns the time since which it has been waiting. The
 // wait starts again when the job's number of pending tasks changes, or when the job has not been observed for more
-// than tuning.HomeShardHold.
+// than tuning.HomeShardGracePeriod.
 func (w ownerWaits) observe(now time.Time, job *clusterstate.Job) time.Time {
 	id, pending := job.Spec.ID, job.PendingCount()
 	waiting, ok := w[id]
-	if !ok || waiting.pending != pending || now.Sub(waiting.lastSeen) > tuning.HomeShardHold {
+	if !ok || waiting.pending != pending || now.Sub(waiting.lastSeen) > tuning.HomeShardGracePeriod {
 		waiting = ownerWait{since: now, pending: pending}
 	}
 	waiting.lastSeen = now
@@ -115,13 +115,13 @@
 
 // homeOwnerTimedOut reports whether the owner of a job's home shard has had enough time to place the job, and this
 // node may place it now instead. Only the owner of one shard may do so at a time, and the shard changes every
-// tuning.HomeShardHold: if several nodes tried at once, all but one would fail the condition on the record.
+// tuning.HomeShardGracePeriod: if several nodes tried at once, all but one would fail the condition on the record.
 func (c *cycle) homeOwnerTimedOut(queued *queuedJob) bool {
 	since := c.pace.ownerWaits.observe(c.now, queued.job)
-	rotation := int(c.now.UnixMilli()/tuning.HomeShardHold.Milliseconds()) + c.firstLiveShard(queued.job)
-	hold := tuning.HomeShardHold
+	rotation := int(c.now.UnixMilli()/tuning.HomeShardGracePeriod.Milliseconds()) + c.firstLiveShard(queued.job)
+	gracePeriod := tuning.HomeShardGracePeriod
 	if c.isArrayUnderShortage(queued) {
-		hold = tuning.HomeShardHoldUnderShortage
+		gracePeriod = tuning.HomeShardGracePeriodUnderShortage
 	}
-	return c.shards.owns(rotation%c.cluster.ShardCount) && c.now.Sub(since) > hold
+	return c.shards.owns(rotation%c.cluster.ShardCount) && c.now.Sub(since) > gracePeriod
 }
--- a/internal/scheduler/homeshard_test.go
+++ b/internal/scheduler/homeshard_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestOwnerWaitRestarts checks that a job's wait for the owner of its home shard counts from its first observation,
-// and starts again when a task of it has been placed or it was not observed for longer than tuning.HomeShardHold.
+// and starts again when a task of it has been placed or it was not observed for longer than tuning.HomeShardGracePeriod.
 func TestOwnerWaitRestarts(t *testing.T) {
 	job := &clusterstate.Job{Job: record.Job{Spec: wire.JobSpec{ID: "a", TaskCount: 4}}}
 	waits := ownerWaits{}
@@ -22,11 +22,11 @@
 		since time.Duration
 	}{
 		{"first", 0, 0, 0},
-		{"observed again", tuning.HomeShardHold, 0, 0},
-		{"at the end of the hold", 2 * tuning.HomeShardHold, 0, 0},
-		{"not observed for longer", 3*tuning.HomeShardHold + 1, 0, 3*tuning.HomeShardHold + 1},
-		{"a task placed", 4 * tuning.HomeShardHold, 1, 4 * tuning.HomeShardHold},
-		{"observed again after that", 5 * tuning.HomeShardHold, 1, 4 * tuning.HomeShardHold},
+		{"observed again", tuning.HomeShardGracePeriod, 0, 0},
+		{"at the end of the grace period", 2 * tuning.HomeShardGracePeriod, 0, 0},
+		{"not observed for longer", 3*tuning.HomeShardGracePeriod + 1, 0, 3*tuning.HomeShardGracePeriod + 1},
+		{"a task placed", 4 * tuning.HomeShardGracePeriod, 1, 4 * tuning.HomeShardGracePeriod},
+		{"observed again after that", 5 * tuning.HomeShardGracePeriod, 1, 4 * tuning.HomeShardGracePeriod},
 	} {
 		job.BoundCount = step.bound
 		if since := waits.observe(testNow.Add(step.after), job).Sub(testNow); since != step.since {
--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -70,12 +70,13 @@
 	BootOverdueFactor = 1.8
 	// MinBootOverdue is the lower bound of the time given by BootOverdueFactor.
 	MinBootOverdue = 15 * time.Second
-	// HomeShardHold is the time for which only the owner of a task's home shard may place the task; after that any
+	// HomeShardGracePeriod is the time for which only the owner of a task's home shard may place the task; after that any
 	// shard's owner may.
-	HomeShardHold = 600 * time.Millisecond
-	// HomeShardHoldUnderShortage replaces HomeShardHold for arrays while capacity is short. Each shard then has
-	// capacity released several times a second, and a second writer of a job's record costs more than the wait.
-	HomeShardHoldUnderShortage = 5 * time.Second
+	HomeShardGracePeriod = 600 * time.Millisecond
+	// HomeShardGracePeriodUnderShortage replaces HomeShardGracePeriod for arrays while capacity is short. Each
+	// shard then has capacity released several times a second, and a second writer of a job's record costs more than
+	// the wait.
+	HomeShardGracePeriodUnderShortage = 5 * time.Second
 	// BindingsPerCycle is the maximum number of tasks bound in one cycle. A gang with more tasks is bound only if the
 	// cycle has bound nothing before it.
 	BindingsPerCycle = 96
