--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -69,7 +69,7 @@
 	e.mu.Lock()
 	e.changes.finish(id)
 	if rejected {
-		e.changes.reject(change, time.Now().Add(tuning.RejectedRecordPause))
+		e.changes.reject(change, time.Now().Add(tuning.RejectedRecordBackoff))
 	}
 	e.mu.Unlock()
 	if err != nil {
--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -102,10 +102,10 @@
 	MaxRetryPauseSeconds = 86400
 	// MaxOperatorClasses is the maximum number of classes in the operators' file.
 	MaxOperatorClasses = 256
-	// RejectedRecordPause is the time for which a record is not changed again after the key-value store rejected a
+	// RejectedRecordBackoff is the time for which a record is not changed again after the key-value store rejected a
 	// change of it as malformed. The store also rejects a change that exceeds a limit that was lowered before the
 	// announced time.
-	RejectedRecordPause = 2 * time.Second
+	RejectedRecordBackoff = 2 * time.Second
 	// PreemptMinRemainingRun is the expected run time below which an array's tasks are not preempted for a job of the
 	// same priority that reclaims its team's guarantee, unless that job was guaranteed on arrival. Such tasks end
 	// sooner than a preemption pays off, which costs a checkpoint, a start elsewhere, an image fetch and the work since
