--- a/internal/membership/fencing.go
+++ b/internal/membership/fencing.go
@@ -82,7 +82,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(tuning.UnknownOutcomePause):
+		case <-time.After(tuning.FenceRetryInterval):
 		}
 	}
 }
--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -134,7 +134,7 @@
 	StopMargin = 1 * time.Second
 	// WaitReasonLogInterval is the minimum time between two log lines about why the same job waits.
 	WaitReasonLogInterval = 5 * time.Second
-	// UnknownOutcomePause is the pause between two attempts to fence a shard, which is done when the outcome of a
+	// FenceRetryInterval is the pause between two attempts to fence a shard, which is done when the outcome of a
 	// write is unknown.
-	UnknownOutcomePause = 200 * time.Millisecond
+	FenceRetryInterval = 200 * time.Millisecond
 )
