--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -143,7 +143,7 @@
 			return ctx.Err()
 		// The pause is proportional to the duration of the cycle, so that expensive cycles leave processor time for
 		// heartbeats, polls and sessions.
-		case <-time.After(max(e.cycleInterval(), tuning.CycleRestFactor*cycleDuration)):
+		case <-time.After(max(e.cycleInterval(), tuning.CyclePauseFactor*cycleDuration)):
 		}
 	}
 }
--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -14,9 +14,9 @@
 	CycleMinIntervalMax      = 400 * time.Millisecond
 	// CycleIdleInterval is the time after which a scheduling cycle runs even if nothing has changed.
 	CycleIdleInterval = 500 * time.Millisecond
-	// CycleRestFactor is the minimum pause after a scheduling cycle, as a multiple of the cycle's duration: cycles
+	// CyclePauseFactor is the minimum pause after a scheduling cycle, as a multiple of the cycle's duration: cycles
 	// take at most a fifth of the processor.
-	CycleRestFactor = 4
+	CyclePauseFactor = 4
 	// DemandInterval is the minimum time between two updates of the unmet demand and the spare capacity. The
 	// autoscaler reads them every AutoscalerInterval.
 	DemandInterval = 250 * time.Millisecond
