--- a/internal/simulation/zonejudgement_test.go
+++ b/internal/simulation/zonejudgement_test.go
@@ -17,7 +17,7 @@
 }
 
 // judgeZoneStates holds the states that the controllers' processes logged of zones against the heartbeats that they
-// counted: a controller that expects enough machines of a zone and hears fewer than tuning.PartitionHeardShare of
+// counted: a controller that expects enough machines of a zone and hears fewer than tuning.PartitionReportingShare of
 // them has it cut off or lost at once, and has logged that.
 func judgeZoneStates(records []logRecord) zoneJudgement {
 	judgement := zoneJudgement{mostExpected: map[zoneObserver]int{}}
@@ -50,7 +50,7 @@
 	}
 	state := record.attributes[keyState]
 	isLost := expected >= tuning.PartitionMinMachines &&
-		float64(received) < tuning.PartitionHeardShare*float64(expected)
+		float64(received) < tuning.PartitionReportingShare*float64(expected)
 	unavailable := state == zonehealth.Cut.String() || state == zonehealth.Lost.String()
 	if isLost && !unavailable {
 		j.faults = append(j.faults, fmt.Sprintf("%+v at %v: %d of %d heard, and %s",
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -93,13 +93,13 @@
 	// PartitionMinMachines is the minimum number of machines in a zone for which the zone can count as partitioned.
 	// With four machines, two late heartbeats do not look like a partition.
 	PartitionMinMachines = 4
-	// PartitionHeardShare is the share of a zone's machines that report within one heartbeat interval below which the
+	// PartitionReportingShare is the share of a zone's machines that report within one heartbeat interval below which the
 	// zone counts as partitioned. Normally nearly all of them do; the largest known failures made a third of a zone
 	// silent at the same time.
-	PartitionHeardShare = 0.25
-	// ZoneSuspectedHeardShare is the share of reporting machines below which a zone is suspected. The log and the
+	PartitionReportingShare = 0.25
+	// ZoneSuspectedReportingShare is the share of reporting machines below which a zone is suspected. The log and the
 	// metric show this state, as "doubted", before it is certain whether machines or links have failed.
-	ZoneSuspectedHeardShare = 0.5
+	ZoneSuspectedReportingShare = 0.5
 	// ZoneProbationMaxDoublings is the maximum number of returns that count for the probation of a zone or of a cell of
 	// the federation. Each one after the first doubles the probation, up to eight times the agents' reconnect time for
 	// a zone, and eight times CellProbation for a cell. That is minutes, long enough to observe whether it fails again.
--- a/internal/zonehealth/heartbeat.go
+++ b/internal/zonehealth/heartbeat.go
@@ -18,7 +18,7 @@
 // hasRecovered reports whether heartbeats arrive from enough machines for a zone that is partitioned or
 // lost to return.
 func (c HeartbeatCount) hasRecovered() bool {
-	return c.Received > 0 && float64(c.Received) >= tuning.PartitionHeardShare*float64(c.Expected)
+	return c.Received > 0 && float64(c.Received) >= tuning.PartitionReportingShare*float64(c.Expected)
 }
 
 // isBelow reports whether heartbeats arrived from less than the given share of the machines. It
--- a/internal/zonehealth/history.go
+++ b/internal/zonehealth/history.go
@@ -38,9 +38,9 @@
 
 // advanceConnected makes the transitions of a zone that is neither partitioned nor lost.
 func (h *history) advanceConnected(now time.Time, count HeartbeatCount, timing *Timing) {
-	isSuspected := count.isBelow(tuning.ZoneSuspectedHeardShare)
+	isSuspected := count.isBelow(tuning.ZoneSuspectedReportingShare)
 	switch {
-	case count.isBelow(tuning.PartitionHeardShare):
+	case count.isBelow(tuning.PartitionReportingShare):
 		h.enter(Cut, now)
 	case h.state == Returning:
 		if !isSuspected && now.Sub(h.stateSince) >= h.probation(timing) {
--- a/internal/zonehealth/tracker_test.go
+++ b/internal/zonehealth/tracker_test.go
@@ -60,7 +60,7 @@
 	if tracker.Unavailable(zone) && count.hasRecovered() {
 		t.Fatalf("%s is unavailable at the heartbeat count %+v", zone, count)
 	}
-	if !tracker.Unavailable(zone) && count.isBelow(tuning.PartitionHeardShare) {
+	if !tracker.Unavailable(zone) && count.isBelow(tuning.PartitionReportingShare) {
 		t.Fatalf("%s is available at the heartbeat count %+v", zone, count)
 	}
 }
