--- a/internal/federation/member.go
+++ b/internal/federation/member.go
@@ -102,7 +102,7 @@
 
 // forgiveReturn removes one return from the count of a member that has been joined for long enough.
 func (m Member) forgiveReturn(now time.Time) Member {
-	if m.Returns > 0 && m.Standing == StandingJoined && now.Sub(m.Since) >= tuning.ZoneProbationForgiveAfter {
+	if m.Returns > 0 && m.Standing == StandingJoined && now.Sub(m.Since) >= tuning.ProbationForgiveAfter {
 		m.Returns--
 		m.Since = now
 	}
@@ -175,7 +175,7 @@
 }
 
 func (m Member) countReturn() Member {
-	m.Returns = min(m.Returns+1, tuning.ZoneProbationMaxDoublings)
+	m.Returns = min(m.Returns+1, tuning.ProbationMaxReturns)
 	return m
 }
 
--- a/internal/federation/member_test.go
+++ b/internal/federation/member_test.go
@@ -99,7 +99,7 @@
 	if r.silentFor > tuning.CellLostAfter+tolerance && !isDisconnected {
 		t.Fatalf("member is silent for %v, but its standing is %v", r.silentFor, standing)
 	}
-	longestProbation := tuning.CellProbation << tuning.ZoneProbationMaxDoublings
+	longestProbation := tuning.CellProbation << tuning.ProbationMaxReturns
 	if r.healthyFor > longestProbation+tolerance && !r.member.AcceptsOffers() {
 		t.Fatalf("member is healthy for %v, but its standing is %v; it waits for %s",
 			r.healthyFor, standing, r.member.WaitReason(r.now))
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -100,13 +100,13 @@
 	// ZoneSuspectedReportingShare is the share of reporting machines below which a zone is suspected. The log and the
 	// metric show this state, as "doubted", before it is certain whether machines or links have failed.
 	ZoneSuspectedReportingShare = 0.5
-	// ZoneProbationMaxDoublings is the maximum number of returns that count for the probation of a zone or of a cell of
+	// ProbationMaxReturns is the maximum number of returns that count for the probation of a zone or of a cell of
 	// the federation. Each one after the first doubles the probation, up to eight times the agents' reconnect time for
 	// a zone, and eight times CellProbation for a cell. That is minutes, long enough to observe whether it fails again.
-	ZoneProbationMaxDoublings = 4
-	// ZoneProbationForgiveAfter is how long a zone must serve, or a cell must be joined, until one of its returns does
+	ProbationMaxReturns = 4
+	// ProbationForgiveAfter is how long a zone must serve, or a cell must be joined, until one of its returns does
 	// not count for its probation any more.
-	ZoneProbationForgiveAfter = 30 * time.Minute
+	ProbationForgiveAfter = 30 * time.Minute
 	// NodeConnectedReportingShare is the minimum share of all machines that must report for the node to treat the
 	// silent zones, and not itself, as partitioned.
 	NodeConnectedReportingShare = 0.2
--- a/internal/zonehealth/doc.go
+++ b/internal/zonehealth/doc.go
@@ -30,6 +30,6 @@
 // A zone with fewer than tuning.PartitionMinMachines expected machines never becomes doubted or cut.
 //
 // Each further return of a flapping zone doubles its probation, up to a bound. One return is
-// forgiven (no longer counted) for each tuning.ZoneProbationForgiveAfter that the zone then serves
+// forgiven (no longer counted) for each tuning.ProbationForgiveAfter that the zone then serves
 // without interruption.
 package zonehealth
--- a/internal/zonehealth/history.go
+++ b/internal/zonehealth/history.go
@@ -19,7 +19,7 @@
 	state             State
 	stateSince        time.Time
 	unforgivenReturns int       // returns that still lengthen the probation
-	servingSince      time.Time // moved forward by tuning.ZoneProbationForgiveAfter per forgiven return
+	servingSince      time.Time // moved forward by tuning.ProbationForgiveAfter per forgiven return
 }
 
 // advance makes the zone's next transition, if one is due. The package comment lists the
@@ -60,7 +60,7 @@
 	isEmptied := h.state == Lost && count.Expected == 0
 	switch {
 	case count.hasRecovered() || isEmptied:
-		h.unforgivenReturns = min(h.unforgivenReturns+1, tuning.ZoneProbationMaxDoublings)
+		h.unforgivenReturns = min(h.unforgivenReturns+1, tuning.ProbationMaxReturns)
 		h.enter(Returning, now)
 	case h.state == Cut && now.Sub(h.stateSince) >= gracePeriod(count, timing):
 		h.enter(Lost, now)
@@ -69,9 +69,9 @@
 
 // forgive removes one return from the count if the zone has served for long enough.
 func (h *history) forgive(now time.Time) {
-	if h.unforgivenReturns > 0 && now.Sub(h.servingSince) >= tuning.ZoneProbationForgiveAfter {
+	if h.unforgivenReturns > 0 && now.Sub(h.servingSince) >= tuning.ProbationForgiveAfter {
 		h.unforgivenReturns--
-		h.servingSince = h.servingSince.Add(tuning.ZoneProbationForgiveAfter)
+		h.servingSince = h.servingSince.Add(tuning.ProbationForgiveAfter)
 	}
 }
 
--- a/internal/zonehealth/tracker_test.go
+++ b/internal/zonehealth/tracker_test.go
@@ -114,7 +114,7 @@
 // whose heartbeats all arrive must serve within the longest probation, a silent zone must be lost
 // within its grace period, and a zone whose machines are all deleted must serve after both.
 func TestEveryStateEnds(t *testing.T) {
-	longestProbation := testTiming.ReconnectTime << (tuning.ZoneProbationMaxDoublings - 1)
+	longestProbation := testTiming.ReconnectTime << (tuning.ProbationMaxReturns - 1)
 	for name, c := range map[string]struct {
 		count  HeartbeatCount
 		within time.Duration
@@ -180,10 +180,10 @@
 // the probation has its original length.
 func TestFlappingIsDamped(t *testing.T) {
 	zone := &flappingZone{tracker: Tracker{Timing: testTiming}, now: testStart}
-	longestProbation := testTiming.ReconnectTime << (tuning.ZoneProbationMaxDoublings - 1)
+	longestProbation := testTiming.ReconnectTime << (tuning.ProbationMaxReturns - 1)
 	zone.observe(10, time.Second)
 	former := time.Duration(0)
-	for i := range 2 * tuning.ZoneProbationMaxDoublings {
+	for i := range 2 * tuning.ProbationMaxReturns {
 		zone.observe(0, 10*time.Second)
 		zone.observe(10, time.Second)
 		trusted := zone.tracker.Trusted("east")
@@ -196,26 +196,26 @@
 		}
 		former = probation
 	}
-	zone.observe(10, tuning.ZoneProbationMaxDoublings*tuning.ZoneProbationForgiveAfter)
+	zone.observe(10, tuning.ProbationMaxReturns*tuning.ProbationForgiveAfter)
 	if probation := zone.loseAndReturn(t); probation > testTiming.ReconnectTime+2*time.Second {
 		t.Fatalf("probation of %v after all returns were forgiven", probation)
 	}
 }
 
-// TestReturnsAreForgivenOneByOne checks that each tuning.ZoneProbationForgiveAfter that a zone
+// TestReturnsAreForgivenOneByOne checks that each tuning.ProbationForgiveAfter that a zone
 // serves forgives exactly one of its returns.
 func TestReturnsAreForgivenOneByOne(t *testing.T) {
 	zone := &flappingZone{tracker: Tracker{Timing: testTiming}, now: testStart}
 	zone.observe(10, time.Second)
-	for range tuning.ZoneProbationMaxDoublings {
+	for range tuning.ProbationMaxReturns {
 		zone.loseAndReturn(t)
 	}
 	history := zone.tracker.history("east")
-	for want := tuning.ZoneProbationMaxDoublings; want > 0; want-- {
+	for want := tuning.ProbationMaxReturns; want > 0; want-- {
 		if history.state != Serving || history.unforgivenReturns != want {
 			t.Fatalf("zone is %v with %d returns, want serving with %d", history.state, history.unforgivenReturns, want)
 		}
-		zone.observe(10, tuning.ZoneProbationForgiveAfter)
+		zone.observe(10, tuning.ProbationForgiveAfter)
 	}
 	if history.unforgivenReturns != 0 {
 		t.Fatalf("%d returns are still not forgiven", history.unforgivenReturns)
