--- a/internal/agent/client.go
+++ b/internal/agent/client.go
@@ -58,7 +58,7 @@
 // readCommandResponse decodes a response. It returns a *CommandStatusError for any status other than 200 OK and 409
 // Conflict.
 func readCommandResponse(response *http.Response) (commandResponse, error) {
-	body, err := wire.ReadBody(response.Body, tuning.KVResponseMaxBytes)
+	body, err := wire.ReadBody(response.Body, tuning.HTTPBodyMaxBytes)
 	if err != nil {
 		return commandResponse{}, fmt.Errorf("direct command: %w", err)
 	}
--- a/internal/api/handlers.go
+++ b/internal/api/handlers.go
@@ -34,7 +34,7 @@
 }
 
 func decodeHeartbeat(r *http.Request) (*wire.Heartbeat, error) {
-	body, err := wire.ReadBody(r.Body, tuning.KVResponseMaxBytes)
+	body, err := wire.ReadBody(r.Body, tuning.HTTPBodyMaxBytes)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/api/handlers_test.go
+++ b/internal/api/handlers_test.go
@@ -20,7 +20,7 @@
 		"no machine": {wire.MustEncode(wire.Heartbeat{Session: 1}), http.StatusBadRequest},
 		"no session": {wire.MustEncode(wire.Heartbeat{Machine: "vm-1"}), http.StatusBadRequest},
 		"not cbor":   {[]byte("{}"), http.StatusBadRequest},
-		"too large":  {make([]byte, tuning.KVResponseMaxBytes+1), http.StatusBadRequest},
+		"too large":  {make([]byte, tuning.HTTPBodyMaxBytes+1), http.StatusBadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if status, _ := newTestServer().send(http.MethodPost, "/agent/beat", c.body); status != c.want {
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -129,7 +129,7 @@
 	}
 	// The body has been read by then, so an error from Close is irrelevant.
 	defer func() { _ = resp.Body.Close() }()
-	body, err = wire.ReadBody(resp.Body, tuning.KVResponseMaxBytes)
+	body, err = wire.ReadBody(resp.Body, tuning.HTTPBodyMaxBytes)
 	return resp.StatusCode, body, err
 }
 
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -188,7 +188,7 @@
 		return response{}, transportError(err)
 	}
 	defer func() { _ = httpResponse.Body.Close() }() // an error is irrelevant: the body was read, or reading it failed
-	body, err := wire.ReadBody(httpResponse.Body, tuning.KVResponseMaxBytes)
+	body, err := wire.ReadBody(httpResponse.Body, tuning.HTTPBodyMaxBytes)
 	if err != nil {
 		return response{}, fmt.Errorf("%w: %w", ErrOutcomeUnknown, err)
 	}
--- a/internal/tuning/kvstore.go
+++ b/internal/tuning/kvstore.go
@@ -54,10 +54,10 @@
 	// KVRetryPause is the delay before a failed request to the key-value store is retried, for example after status
 	// 429 or 503.
 	KVRetryPause = 150 * time.Millisecond
-	// KVResponseMaxBytes bounds the body of one response from the key-value store, and of the other HTTP messages
-	// that the service reads. The response to a watch has no size limit in the protocol; this bound only stops a
-	// runaway response.
-	KVResponseMaxBytes = 64 << 20
+	// HTTPBodyMaxBytes bounds the body of each HTTP request and response that the service reads, also of the
+	// responses from the key-value store. The response to a watch has no size limit in the protocol; this bound only
+	// stops a runaway response.
+	HTTPBodyMaxBytes = 64 << 20
 	// ListPageSize is the number of keys on one page of a listing.
 	ListPageSize = 500
 	// WatchMaxWait is how long the store holds a watch request open while there is no change.
