--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -96,7 +96,7 @@
 	if c.cluster.Catalog.Types[machine.Type].Name == "" {
 		return false
 	}
-	bootLimit := max(c.bootTimes(machine, tuning.BootStuckFactor), tuning.MinBootStuck)
+	bootLimit := max(c.bootTimes(machine, tuning.BootTimeoutFactor), tuning.MinBootTimeout)
 	deadAfter := time.Duration(tuning.DeadAfterIntervals * float64(c.settings.HeartbeatInterval()))
 	heartbeatLimit := tuning.AgentFailoverTime + deadAfter
 	return c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > bootLimit &&
--- a/internal/tuning/autoscaler.go
+++ b/internal/tuning/autoscaler.go
@@ -37,10 +37,10 @@
 	// after it provided fewer than requested. It spans several boot times, in which other users of the cloud return
 	// machines that they no longer need.
 	InsufficientCapacityHold = time.Minute
-	// BootStuckFactor is the number of nominal boot times after which a machine that has not come up is replaced.
-	BootStuckFactor = 3.5
-	// MinBootStuck is the shortest time after which a machine that has not come up is replaced.
-	MinBootStuck = 20 * time.Second
+	// BootTimeoutFactor is the number of nominal boot times after which a machine that has not come up is replaced.
+	BootTimeoutFactor = 3.5
+	// MinBootTimeout is the shortest time after which a machine that has not come up is replaced.
+	MinBootTimeout = 20 * time.Second
 	// CloudListInterval is the interval at which the cloud's machines are listed.
 	CloudListInterval = 5 * time.Second
 	// CloudListMissesBeforeDeletion is the number of consecutive listings without a machine after which the machine is
