--- a/internal/membership/handover.go
+++ b/internal/membership/handover.go
@@ -12,7 +12,7 @@
 // returnShard plans the return of a shard to its home node, so that one node doesn't
 // keep all shards after a crash. The home node must have had a session, and this
 // node must have owned the shard, for tuning.ShardReturnDelay, or for
-// tuning.HandOffHold if the shard was transferred with TransferShard. The caller
+// tuning.TransferredShardReturnDelay if the shard was transferred with TransferShard. The caller
 // must hold the cluster state's lock.
 func (m *Member) returnShard(shard int, current clusterstate.Shard, now time.Time) (ownershipChange, bool) {
 	home := m.homeNode(shard)
@@ -21,7 +21,7 @@
 	}
 	wait := tuning.ShardReturnDelay
 	if current.HandedOff {
-		wait = tuning.HandOffHold
+		wait = tuning.TransferredShardReturnDelay
 	}
 	homeNode, homeIsLive := m.clusterState.Nodes[home]
 	homeSince, ownedSince := m.history.sessionSince[home], m.history.ownedSince[shard]
--- a/internal/membership/handover_test.go
+++ b/internal/membership/handover_test.go
@@ -22,8 +22,8 @@
 	}{
 		"after a failover":                  {false, true, tuning.ShardReturnDelay},
 		"after a failover, home node first": {false, false, tuning.ShardReturnDelay},
-		"after a transfer":                  {true, false, tuning.HandOffHold},
-		"after a transfer and a restart":    {true, true, tuning.HandOffHold},
+		"after a transfer":                  {true, false, tuning.TransferredShardReturnDelay},
+		"after a transfer and a restart":    {true, true, tuning.TransferredShardReturnDelay},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/tuning/peers.go
+++ b/internal/tuning/peers.go
@@ -19,7 +19,7 @@
 	PeerMaxStreams = 32
 	// PeerQueryInterval is the shortest interval between two queries about agents' heartbeats.
 	PeerQueryInterval = 1500 * time.Millisecond
-	// HandOffHold is how long a shard is not returned to its home node after that node handed it off because it did
-	// not receive the heartbeats of the shard's agents.
-	HandOffHold = 40 * time.Second
+	// TransferredShardReturnDelay is how long a shard is not returned to its home node after that node transferred
+	// it because it did not receive the heartbeats of the shard's agents.
+	TransferredShardReturnDelay = 40 * time.Second
 )
