--- a/internal/scheduler/homeshard_test.go
+++ b/internal/scheduler/homeshard_test.go
@@ -11,7 +11,8 @@
 )
 
 // TestOwnerWaitRestarts checks that a job's wait for the owner of its home shard counts from its first observation,
-// and starts again when a task of it has been placed or it was not observed for longer than tuning.HomeShardGracePeriod.
+// and starts again when a task of it has been placed or it was not observed for longer than
+// tuning.HomeShardGracePeriod.
 func TestOwnerWaitRestarts(t *testing.T) {
 	job := &clusterstate.Job{Job: record.Job{Spec: wire.JobSpec{ID: "a", TaskCount: 4}}}
 	waits := ownerWaits{}
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -93,9 +93,9 @@
 	// PartitionMinMachines is the minimum number of machines in a zone for which the zone can count as partitioned.
 	// With four machines, two late heartbeats do not look like a partition.
 	PartitionMinMachines = 4
-	// PartitionReportingShare is the share of a zone's machines that report within one heartbeat interval below which the
-	// zone counts as partitioned. Normally nearly all of them do; the largest known failures made a third of a zone
-	// silent at the same time.
+	// PartitionReportingShare is the share of a zone's machines that report within one heartbeat interval below which
+	// the zone counts as partitioned. Normally nearly all of them do; the largest known failures made a third of a
+	// zone silent at the same time.
 	PartitionReportingShare = 0.25
 	// ZoneSuspectedReportingShare is the share of reporting machines below which a zone is suspected. The log and the
 	// metric show this state, as "doubted", before it is certain whether machines or links have failed.
--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -70,8 +70,8 @@
 	BootOverdueFactor = 1.8
 	// MinBootOverdue is the lower bound of the time given by BootOverdueFactor.
 	MinBootOverdue = 15 * time.Second
-	// HomeShardGracePeriod is the time for which only the owner of a task's home shard may place the task; after that any
-	// shard's owner may.
+	// HomeShardGracePeriod is the time for which only the owner of a task's home shard may place the task; after that
+	// any shard's owner may.
 	HomeShardGracePeriod = 600 * time.Millisecond
 	// HomeShardGracePeriodUnderShortage replaces HomeShardGracePeriod for arrays while capacity is short. Each
 	// shard then has capacity released several times a second, and a second writer of a job's record costs more than
