--- a/internal/autoscaler/scaleoutplan.go
+++ b/internal/autoscaler/scaleoutplan.go
@@ -98,7 +98,7 @@
 		target = p.autoscaler.chooseGangZone(group, p.machinesInZone, p.now)
 	}
 	isUrgent := group.Rank <= wire.PriorityHigh.Rank()
-	hasWaitedLong := p.now.Sub(group.SubmittedAt) > tuning.ScaleOutOverrideAfter
+	hasWaitedLong := p.now.Sub(group.ReadySince) > tuning.ScaleOutOverrideAfter
 	tasksByZone := map[string]int{}
 	packing := groupPacking{
 		plan:        p,
--- a/internal/autoscaler/scaleoutplan_test.go
+++ b/internal/autoscaler/scaleoutplan_test.go
@@ -50,10 +50,10 @@
 				onDemandGPUs += specGPUs
 			}
 			demand.Groups = append(demand.Groups, scheduler.UnplacedGroup{
-				Spec:        spec,
-				Count:       spec.TaskCount,
-				Zone:        rapid.SampledFrom([]string{"", "west"}).Draw(t, "zone"),
-				SubmittedAt: time.Now(),
+				Spec:       spec,
+				Count:      spec.TaskCount,
+				Zone:       rapid.SampledFrom([]string{"", "west"}).Draw(t, "zone"),
+				ReadySince: time.Now(),
 			})
 		}
 		planned := a.planScaleOut(demand)
@@ -80,7 +80,7 @@
 	a := newTestAutoscaler(t)
 	a.rentals.refusals[machineKind{"m", "west", false}] = refusal{until: time.Now().Add(tuning.RentalRefusalBackoff)}
 	demand := gangDemand(scheduler.UnplacedGroup{
-		Spec: newTestGang(8), Count: 2, Zone: "west", SubmittedAt: time.Now(),
+		Spec: newTestGang(8), Count: 2, Zone: "west", ReadySince: time.Now(),
 	})
 	planned := a.planScaleOut(demand)
 	for _, machine := range planned {
@@ -129,7 +129,7 @@
 	demand := gangDemand()
 	if r.machines < gangTasks {
 		demand.Groups = []scheduler.UnplacedGroup{{
-			Spec: newTestGang(gangTasks), Count: gangTasks - r.machines, Zone: r.zone, SubmittedAt: r.startedAt,
+			Spec: newTestGang(gangTasks), Count: gangTasks - r.machines, Zone: r.zone, ReadySince: r.startedAt,
 		}}
 	}
 	count := map[machineKind]int{}
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -189,7 +189,7 @@
 	}
 	unmet.Groups = append(unmet.Groups, UnplacedGroup{
 		Spec: &queued.job.Spec, Count: queued.Remaining, Zone: zone, Rank: queued.rank,
-		SubmittedAt: queued.job.ReadySince(),
+		ReadySince: queued.job.ReadySince(),
 	})
 }
 
