--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -119,7 +119,7 @@
 	if c.failingJobs[job.Spec.ID] {
 		return false // a change of this cycle ends the job, and would contain the binding
 	}
-	if job.HasUnmetDependencies() || job.OffloadedTo != nil || !c.holdsStartRight(job) {
+	if job.HasUnmetDependencies() || job.OffloadedTo != nil || !c.cellMayStart(job) {
 		// Every binding passes this check. Queues may contain such a job by mistake, but it must never start.
 		c.log.Error("refused to bind a task of a job that may not start", "job_id", job.Spec.ID)
 		return false
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -66,10 +66,10 @@
 	return ok && c.now.Sub(retry.SeenAt) < c.retryRules.Backoff(job.Spec.Class, retry.Failures)
 }
 
-// holdsStartRight reports whether this cell, in its current epoch, may start a job (safety invariant 17). It may not
+// cellMayStart reports whether this cell, in its current epoch, may start a job (safety invariant 17). It may not
 // start an offloaded job that it accepted in an earlier epoch: that job may have been released since, in writes that
 // were lost. A cell that has lost writes starts none of its own jobs until it knows which of them the other cells hold.
-func (c *cycle) holdsStartRight(job *clusterstate.Job) bool {
+func (c *cycle) cellMayStart(job *clusterstate.Job) bool {
 	epoch := c.operator.CellEpoch
 	if job.OffloadedFrom != nil {
 		return epoch > 0 && job.OffloadedFrom.Epoch == epoch
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -117,7 +117,7 @@
 // updateQueueEntry inserts a job into the queue, moves it to its current position or removes it.
 func (c *cycle) updateQueueEntry(id string) {
 	job := c.cluster.Jobs[id]
-	if job == nil || !job.CanStart() || !c.holdsStartRight(job) || job.PendingCount() == 0 {
+	if job == nil || !job.CanStart() || !c.cellMayStart(job) || job.PendingCount() == 0 {
 		c.order.waiting.remove(id)
 		return
 	}
