--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// inBackground adds a call that is made after the cycle and that the cycle doesn't wait for.
-func (c *cycle) inBackground(call func(context.Context)) {
+// runInBackground adds a call that is made after the cycle and that the cycle doesn't wait for.
+func (c *cycle) runInBackground(call func(context.Context)) {
 	c.backgroundCalls = append(c.backgroundCalls, call)
 }
 
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -125,7 +125,7 @@
 // task that must not run.
 func (c *cycle) fenceUnresolvedStart(shard int) {
 	members := c.membership
-	c.inBackground(func(ctx context.Context) { members.FenceAndRaiseToken(ctx, shard) })
+	c.runInBackground(func(ctx context.Context) { members.FenceAndRaiseToken(ctx, shard) })
 }
 
 // applyAssessment applies the conclusions of the failure detector.
@@ -136,10 +136,10 @@
 	}
 	members, engine := c.membership, c.Engine
 	for shard, node := range assessment.ShardTransfers {
-		c.inBackground(func(ctx context.Context) { members.TransferShard(ctx, shard, node) })
+		c.runInBackground(func(ctx context.Context) { members.TransferShard(ctx, shard, node) })
 	}
 	if names := assessment.AskPeersAbout; len(names) > 0 {
-		c.inBackground(func(ctx context.Context) { engine.askPeers(ctx, names) })
+		c.runInBackground(func(ctx context.Context) { engine.askPeers(ctx, names) })
 	}
 	for _, deletion := range assessment.Deletions {
 		c.deleteMachine(deletion)
