--- a/internal/peerrpc/peers.go
+++ b/internal/peerrpc/peers.go
@@ -8,10 +8,10 @@
 	"sableusher/internal/peerrpc/peerpb"
 )
 
-// QueryRecentlyHeard asks all other nodes which of the machines' agents have sent them a heartbeat recently. It
+// QueryRecentReports asks all other nodes which of the machines' agents have sent them a heartbeat recently. It
 // returns, by machine, the name of a node that received one. Replies of nodes whose cluster state is not recent are
 // ignored.
-func (t *Transport) QueryRecentlyHeard(ctx context.Context, machines []string) map[string]string {
+func (t *Transport) QueryRecentReports(ctx context.Context, machines []string) map[string]string {
 	nodeByMachine := map[string]string{}
 	call := func(ctx context.Context, client peerpb.PeerClient) (*peerpb.HeardReply, error) {
 		return client.Heard(ctx, &peerpb.HeardRequest{Node: t.nodeName, Machines: machines})
--- a/internal/peerrpc/peers_test.go
+++ b/internal/peerrpc/peers_test.go
@@ -23,7 +23,7 @@
 		{Node: "c", Endpoint: serve(t, &service{registry: outdated})},
 		{Node: "d", Endpoint: unreachableEndpoint},
 	}})
-	nodeByMachine := transport.QueryRecentlyHeard(t.Context(), []string{"vm-1", "vm-2", "vm-9"})
+	nodeByMachine := transport.QueryRecentReports(t.Context(), []string{"vm-1", "vm-2", "vm-9"})
 	if len(nodeByMachine) != 1 || nodeByMachine["vm-1"] != "b" {
 		t.Errorf("nodes by machine: %v, want only vm-1 at node b", nodeByMachine)
 	}
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -149,7 +149,7 @@
 // askPeers asks the other nodes which of the machines have recently sent heartbeats to them, and records their
 // answers for the next cycle.
 func (e *Engine) askPeers(ctx context.Context, machines []string) {
-	peerByMachine := e.peers.QueryRecentlyHeard(ctx, machines)
+	peerByMachine := e.peers.QueryRecentReports(ctx, machines)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.failureDetector.RecordPeerAnswers(time.Now(), machines, peerByMachine)
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -4,9 +4,9 @@
 
 // Peers queries the other nodes about machines. Their answers are hints only.
 type Peers interface {
-	// QueryRecentlyHeard returns, by machine, a node that has recently received a heartbeat from it. Machines from
+	// QueryRecentReports returns, by machine, a node that has recently received a heartbeat from it. Machines from
 	// which no node has received one are missing.
-	QueryRecentlyHeard(ctx context.Context, machines []string) map[string]string
+	QueryRecentReports(ctx context.Context, machines []string) map[string]string
 	// QueryImages returns, by image, the machines that probably hold it.
 	QueryImages(ctx context.Context) map[string]map[string]bool
 }
--- a/internal/simulation/fakepeers.go
+++ b/internal/simulation/fakepeers.go
@@ -45,9 +45,9 @@
 	return time.Time{}
 }
 
-// QueryRecentlyHeard returns those of the given machines whose agents have recently sent a heartbeat to another
+// QueryRecentReports returns those of the given machines whose agents have recently sent a heartbeat to another
 // controller, with the name of that controller. Controllers without a fresh state are not asked.
-func (p fakePeers) QueryRecentlyHeard(_ context.Context, machines []string) map[string]string {
+func (p fakePeers) QueryRecentReports(_ context.Context, machines []string) map[string]string {
 	out := map[string]string{}
 	for node, registry := range p.reachableRegistries() {
 		if !registry.HasFreshState() {
