--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -250,9 +250,9 @@
 	}
 }
 
-// RecentlyHeard returns those of the named machines whose agents have recently sent a report to this node, even if
+// RecentlyReporting returns those of the named machines whose agents have recently sent a report to this node, even if
 // another node owns them: agents send their heartbeats here if their owner does not answer.
-func (r *Registry) RecentlyHeard(machineNames []string) []string {
+func (r *Registry) RecentlyReporting(machineNames []string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	// An agent that cannot reach one node tries the next one within seconds.
--- a/internal/agent/heartbeat_test.go
+++ b/internal/agent/heartbeat_test.go
@@ -132,7 +132,7 @@
 	name := f.addMachine(ownShard)
 	f.putMachine(name, record.Machine{Type: "m", Zone: "z", Address: testAddress, Up: true, Session: 4}, 2)
 	status, _ := f.handle(&wire.Heartbeat{Machine: name, Session: 3, Sequence: 90, FencingToken: testToken})
-	if status != http.StatusServiceUnavailable || len(f.RecentlyHeard([]string{name})) > 0 {
+	if status != http.StatusServiceUnavailable || len(f.RecentlyReporting([]string{name})) > 0 {
 		t.Errorf("a heartbeat of an earlier session was accepted: status %d", status)
 	}
 	status, _ = f.handle(&wire.Heartbeat{Machine: name, Session: 4, Sequence: 1, FencingToken: testToken})
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -19,7 +19,7 @@
 	// firstSession is the session of an agent whose record has no session.
 	firstSession = 1
 	// redirectRetention is how long the redirect of an agent is remembered. It is longer than redirectLoopWindow and
-	// than the period that RecentlyHeard covers.
+	// than the period that RecentlyReporting covers.
 	redirectRetention = time.Minute
 	// minStopRequestAge is the minimum time for which a stop request is kept if the cluster state does not show its
 	// attempt as bound.
--- a/internal/peerrpc/serve_test.go
+++ b/internal/peerrpc/serve_test.go
@@ -26,7 +26,7 @@
 func (r fakeRegistry) HasFreshState() bool                  { return r.hasFreshState }
 func (r fakeRegistry) MachinesByImage() map[string][]string { return r.machinesByImage }
 
-func (r fakeRegistry) RecentlyHeard(machines []string) []string {
+func (r fakeRegistry) RecentlyReporting(machines []string) []string {
 	lacksHeartbeat := func(machine string) bool { return !slices.Contains(r.machinesWithHeartbeats, machine) }
 	return slices.DeleteFunc(slices.Clone(machines), lacksHeartbeat)
 }
--- a/internal/peerrpc/service.go
+++ b/internal/peerrpc/service.go
@@ -14,8 +14,8 @@
 
 // AgentRegistry holds which agents have sent heartbeats to a node, and which images their machines hold.
 type AgentRegistry interface {
-	// RecentlyHeard returns those of the machines whose agents have sent the node a heartbeat recently.
-	RecentlyHeard(machines []string) []string
+	// RecentlyReporting returns those of the machines whose agents have sent the node a heartbeat recently.
+	RecentlyReporting(machines []string) []string
 	// HasFreshState reports whether the node's cluster state is recent.
 	HasFreshState() bool
 	// MachinesByImage returns the machines that are likely to hold an image, by the image's name.
@@ -62,7 +62,7 @@
 	if len(machines) > tuning.PeerQueryMaxMachines {
 		machines = machines[:tuning.PeerQueryMaxMachines]
 	}
-	return &peerpb.HeardReply{Heard: s.registry.RecentlyHeard(machines), Fresh: s.registry.HasFreshState()}, nil
+	return &peerpb.HeardReply{Heard: s.registry.RecentlyReporting(machines), Fresh: s.registry.HasFreshState()}, nil
 }
 
 // Images returns the images that this node's machines are likely to hold, each with its machines.
--- a/internal/simulation/fakepeers.go
+++ b/internal/simulation/fakepeers.go
@@ -53,7 +53,7 @@
 		if !registry.HasFreshState() {
 			continue
 		}
-		for _, machine := range registry.RecentlyHeard(machines) {
+		for _, machine := range registry.RecentlyReporting(machines) {
 			out[machine] = node
 		}
 	}
