--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -8,8 +8,8 @@
 
 // MachineStatus is the scheduler's view of a machine and its agent. A time is zero if its event has not happened.
 type MachineStatus struct {
-	LastHeard time.Time // when its last report arrived
-	Session   uint64    // of its agent; 0 before the first report
+	LastReportAt time.Time // when its last report arrived
+	Session      uint64    // of its agent; 0 before the first report
 	// Schedulable is set if the machine may get another task: it recently sent a report with the owner's fencing
 	// token, neither direction of its link is known to be lost, it is not being reclaimed, it has not refused a start
 	// recently, and it has not failed tasks of several jobs.
@@ -41,7 +41,7 @@
 	now := time.Now()
 	heartbeatExpectedFrom, _ := m.link.heartbeatExpected()
 	status := MachineStatus{
-		LastHeard: m.link.lastReport, Session: m.session.id, ReclaimAt: m.reclaimAt, FailedJobs: len(m.failedJobs),
+		LastReportAt: m.link.lastReport, Session: m.session.id, ReclaimAt: m.reclaimAt, FailedJobs: len(m.failedJobs),
 		UnresolvedStart: m.starts.hasUnresolved(fencingToken), CommandUnanswered: m.link.commandUnanswered(),
 		InboundLost: m.link.inboundLostForLong(now), InboundConfirmed: m.link.inboundConfirmed(),
 		OutboundLost: r.outboundLost(m, now), LeaseExpiry: heartbeatExpectedFrom.Add(r.settings.LeaseDuration()),
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -16,7 +16,7 @@
 	Up      bool   // whether it is up according to its record
 	Session uint64 // of its agent, as last reported
 
-	LastHeard         time.Time // when its last report arrived; zero if there was none
+	LastReportAt      time.Time // when its last report arrived; zero if there was none
 	OwnedSince        time.Time // when this node became the owner of its shard
 	CommandUnanswered bool      // a direct command has failed since its last report
 
@@ -98,7 +98,7 @@
 		machine := &machines[i]
 		silence := d.silence(machine, now)
 		switch {
-		case !machine.Up && machine.LastHeard.IsZero():
+		case !machine.Up && machine.LastReportAt.IsZero():
 			// A machine that is not up and has never reported to this node may still be booting: its silence proves
 			// nothing.
 		case silence > d.Timing.probeAfter() && machine.CancellationOverdue:
@@ -118,7 +118,7 @@
 // one by one, and the first to do so must not make the others look dead.
 func (d *Detector) silence(machine *Machine, now time.Time) time.Duration {
 	since := machine.OwnedSince
-	for _, at := range []time.Time{machine.LastHeard, d.zones.ReturningSince(machine.Zone)} {
+	for _, at := range []time.Time{machine.LastReportAt, d.zones.ReturningSince(machine.Zone)} {
 		if at.After(since) {
 			since = at
 		}
@@ -131,7 +131,7 @@
 // failed briefly and the agent needs time to reconnect. The same holds for a new owner that has never received a
 // report from the machine.
 func (d *Detector) deadAfterProbe(machine *Machine) time.Duration {
-	if machine.LastHeard.IsZero() || !d.zones.ServedSince(machine.Zone, machine.LastHeard) {
+	if machine.LastReportAt.IsZero() || !d.zones.ServedSince(machine.Zone, machine.LastReportAt) {
 		return d.Timing.deadAfterProbe(tuning.CommandTimeout)
 	}
 	return d.Timing.deadAfterProbe(tuning.ProbeTimeout)
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -149,7 +149,7 @@
 			reportsTo := map[string]string{}
 			for i := range s.machines {
 				s.machines[i].Up = !c.down
-				s.machines[i].LastHeard = now.Add(-testTiming.probeAfter() - time.Second)
+				s.machines[i].LastReportAt = now.Add(-testTiming.probeAfter() - time.Second)
 				reportsTo[s.machines[i].Name] = otherNode
 			}
 			asked := s.detector.Assess(now, s.machines, tasksOf).AskPeersAbout
--- a/internal/failuredetector/fixture_test.go
+++ b/internal/failuredetector/fixture_test.go
@@ -68,7 +68,7 @@
 			continue
 		}
 		if machine.CommandUnanswered = s.silent[machine.Name]; !machine.CommandUnanswered {
-			machine.LastHeard = now
+			machine.LastReportAt = now
 		}
 	}
 	if len(assessment.AskPeersAbout) > 0 && !s.peersSilent {
@@ -88,7 +88,7 @@
 	for i := range s.machines {
 		machine := &s.machines[i]
 		if !s.silent[machine.Name] && (second+i)%interval == 0 {
-			machine.LastHeard, machine.CommandUnanswered = now, false
+			machine.LastReportAt, machine.CommandUnanswered = now, false
 		}
 	}
 }
--- a/internal/failuredetector/zones.go
+++ b/internal/failuredetector/zones.go
@@ -31,13 +31,13 @@
 	minOwned := scaleDuration(d.Timing.HeartbeatInterval, tuning.PartitionMinOwnedIntervals)
 	for i := range machines {
 		machine := &machines[i]
-		if !machine.Up || machine.LastHeard.IsZero() && now.Sub(machine.OwnedSince) < minOwned {
+		if !machine.Up || machine.LastReportAt.IsZero() && now.Sub(machine.OwnedSince) < minOwned {
 			continue
 		}
 		count := byZone[machine.Zone]
 		count.Expected++
 		all.Expected++
-		if now.Sub(machine.LastHeard) < d.Timing.HeartbeatInterval {
+		if now.Sub(machine.LastReportAt) < d.Timing.HeartbeatInterval {
 			count.Received++
 			all.Received++
 		}
--- a/internal/failuredetector/zones_test.go
+++ b/internal/failuredetector/zones_test.go
@@ -149,7 +149,7 @@
 		for i := range added {
 			at := atSecond(second)
 			s.machines = append(s.machines, Machine{
-				Name: fmt.Sprint("new-", i), Zone: partitionedZone, Up: true, Session: 1, OwnedSince: at, LastHeard: at,
+				Name: fmt.Sprint("new-", i), Zone: partitionedZone, Up: true, Session: 1, OwnedSince: at, LastReportAt: at,
 			})
 		}
 		var returns []zonehealth.ReturnSummary
@@ -184,7 +184,7 @@
 		left := len(s.inPartitionedZone())
 		if partition == 0 {
 			at := atSecond(second)
-			added := Machine{Name: "new", Zone: partitionedZone, Up: true, OwnedSince: at, LastHeard: at}
+			added := Machine{Name: "new", Zone: partitionedZone, Up: true, OwnedSince: at, LastReportAt: at}
 			s.machines = append(s.machines, added)
 		}
 		var returns []zonehealth.ReturnSummary
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -49,7 +49,7 @@
 		Shard:               machine.Shard,
 		Up:                  machine.Up,
 		Session:             status.Session,
-		LastHeard:           status.LastHeard,
+		LastReportAt:        status.LastReportAt,
 		OwnedSince:          c.shardTenure.since(machine.Shard),
 		CommandUnanswered:   status.CommandUnanswered,
 		BoundTasks:          len(machine.Bindings),
@@ -77,7 +77,7 @@
 	empty := len(machine.Bindings) == 0 && c.inFlight.byMachine[machine.Name] == (record.Resources{})
 	oneWayTooLong := !status.OneWaySince.IsZero() && c.now.Sub(status.OneWaySince) > tuning.OneWayMachineMaxAge
 	switch {
-	case !machine.Up && status.LastHeard.IsZero():
+	case !machine.Up && status.LastReportAt.IsZero():
 		if c.bootTimedOut(machine) && !c.failureDetector.ZoneUnstable(machine.Zone) {
 			return "never came up"
 		}
