--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -107,9 +107,9 @@
 		o.commandAfter(8 * time.Second)
 		o.expect("several heartbeats overdue", false, true)
 		status := o.status()
-		if !status.LeaseExpiry.Equal(start.Add(o.settings.LeaseDuration())) || !status.OneWaySince.Equal(start) {
+		if !status.LeaseExpiry.Equal(start.Add(o.settings.LeaseDuration())) || !status.DirectionLostSince.Equal(start) {
 			t.Errorf("lease ends after %v, outbound lost after %v",
-				status.LeaseExpiry.Sub(start), status.OneWaySince.Sub(start))
+				status.LeaseExpiry.Sub(start), status.DirectionLostSince.Sub(start))
 		}
 		if adoptions := o.TakeAdoptions(); len(adoptions) > 0 {
 			t.Errorf("unexpected record updates: %v", adoptions)
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -24,9 +24,9 @@
 	OutboundLost      bool // it answers commands, but its heartbeats have been overdue for some time
 	// LeaseExpiry is when its lease expires if no further heartbeat of it arrives.
 	LeaseExpiry time.Time
-	// OneWaySince is the time since which its inbound or outbound direction has been lost.
-	OneWaySince time.Time
-	FailedJobs  int // number of jobs whose tasks failed on it
+	// DirectionLostSince is the time since which its inbound or outbound direction has been lost.
+	DirectionLostSince time.Time
+	FailedJobs         int // number of jobs whose tasks failed on it
 }
 
 // MachineStatus returns a machine's status for an owner with the given fencing token, or the zero value if this node
@@ -48,9 +48,9 @@
 	}
 	switch {
 	case status.OutboundLost:
-		status.OneWaySince = heartbeatExpectedFrom
+		status.DirectionLostSince = heartbeatExpectedFrom
 	case status.InboundLost:
-		status.OneWaySince = m.link.inboundLostSince
+		status.DirectionLostSince = m.link.inboundLostSince
 	}
 	status.Schedulable = m.session.id != 0 && m.session.fencingToken == fencingToken &&
 		r.linkUsable(m, &status, now) && m.acceptsTasks(now)
