--- a/internal/agent/task.go
+++ b/internal/agent/task.go
@@ -53,11 +53,11 @@
 
 // TaskObservation is what the newest report of a machine shows about a task that is bound to it.
 type TaskObservation struct {
-	Presence TaskPresence
-	State    wire.TaskState // as reported by the agent; empty if the agent does not report the task
-	Cause    wire.ExitCause // of the exit; set only for an exited task
-	Saved    bool           // its checkpoint was saved before it exited
-	Since    time.Time      // when the task was first reported in this state
+	Presence        TaskPresence
+	State           wire.TaskState // as reported by the agent; empty if the agent does not report the task
+	Cause           wire.ExitCause // of the exit; set only for an exited task
+	CheckpointSaved bool           // its checkpoint was saved before it exited
+	StateSince      time.Time      // when the task was first reported in this state
 }
 
 // ObserveTask returns what is known about a task bound to a machine, for an owner with the given fencing token.
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -83,13 +83,13 @@
 	}
 	start := taskAttempt{binding.Ref, binding.Attempt}
 	if _, ok := l.startedAt[start]; !ok {
-		l.startedAt[start] = task.Since
+		l.startedAt[start] = task.StateSince
 	}
 	id, ok := l.pendingRewards[start]
-	if !ok || binding.Job.Spec.Kind != wire.KindService || now.Sub(task.Since) <= tuning.ServiceRewardAfter {
+	if !ok || binding.Job.Spec.Kind != wire.KindService || now.Sub(task.StateSince) <= tuning.ServiceRewardAfter {
 		return
 	}
-	waited := max(0, task.Since.Sub(binding.Job.ReadySince()).Seconds())
+	waited := max(0, task.StateSince.Sub(binding.Job.ReadySince()).Seconds())
 	ran := tuning.ServiceRewardAfter.Seconds()
 	l.reportReward(id, start, ran/(ran+waited))
 }
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -131,7 +131,7 @@
 	task := c.agents.ObserveTask(binding, machine.Name, c.shards.fencingTokens[machine.Shard])
 	ran := 0.0
 	if task.State == wire.TaskRunning {
-		ran = c.now.Sub(task.Since).Seconds()
+		ran = c.now.Sub(task.StateSince).Seconds()
 	}
 	if interval := binding.Job.Spec.CheckpointIntervalSeconds; interval > 0 {
 		ran = min(ran, interval)
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -115,7 +115,7 @@
 
 // exitedAsExpected reports whether a task that exited is done, or was stopped with its checkpoint saved.
 func exitedAsExpected(task agent.TaskObservation) bool {
-	return task.Cause == wire.ExitCauseDone || task.Cause == wire.ExitCauseStopped && task.Saved
+	return task.Cause == wire.ExitCauseDone || task.Cause == wire.ExitCauseStopped && task.CheckpointSaved
 }
 
 // applyToMachine applies those parts of a decision that concern the task's machine and the backoff of its job.
