--- a/internal/failuredetector/zones_test.go
+++ b/internal/failuredetector/zones_test.go
@@ -149,7 +149,8 @@
 		for i := range added {
 			at := atSecond(second)
 			s.machines = append(s.machines, Machine{
-				Name: fmt.Sprint("new-", i), Zone: partitionedZone, Up: true, Session: 1, OwnedSince: at, LastReportAt: at,
+				Name: fmt.Sprint("new-", i), Zone: partitionedZone, Up: true, Session: 1,
+				OwnedSince: at, LastReportAt: at,
 			})
 		}
 		var returns []zonehealth.ReturnSummary
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -75,7 +75,8 @@
 // deletionReason returns why a machine is to be deleted because of its own state, or "" if it is not.
 func (c *cycle) deletionReason(machine *clusterstate.Machine, status *agent.MachineStatus) string {
 	empty := len(machine.Bindings) == 0 && c.inFlight.byMachine[machine.Name] == (record.Resources{})
-	oneWayTooLong := !status.DirectionLostSince.IsZero() && c.now.Sub(status.DirectionLostSince) > tuning.OneWayMachineMaxAge
+	oneWayTooLong := !status.DirectionLostSince.IsZero() &&
+		c.now.Sub(status.DirectionLostSince) > tuning.OneWayMachineMaxAge
 	switch {
 	case !machine.Up && status.LastReportAt.IsZero():
 		if c.bootTimedOut(machine) && !c.failureDetector.ZoneUnstable(machine.Zone) {
--- a/internal/tuning/kvstore.go
+++ b/internal/tuning/kvstore.go
@@ -54,9 +54,9 @@
 	// KVRetryPause is the delay before a failed request to the key-value store is retried, for example after status
 	// 429 or 503.
 	KVRetryPause = 150 * time.Millisecond
-	// HTTPBodyMaxBytes bounds the body of each HTTP request and response that the service reads, also of the
-	// responses from the key-value store. The response to a watch has no size limit in the protocol; this bound only
-	// stops a runaway response.
+	// HTTPBodyMaxBytes bounds the body of an HTTP response from the key-value store, the cloud or an agent, and of an
+	// agent's heartbeat. The response to a watch has no size limit in the protocol; this bound only stops a runaway
+	// response.
 	HTTPBodyMaxBytes = 64 << 20
 	// ListPageSize is the number of keys on one page of a listing.
 	ListPageSize = 500
