--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -69,7 +69,7 @@
 func (a *Autoscaler) catalogOps(catalog wire.Catalog) [][]wire.Op {
 	whole := kvstore.PutOp(record.CatalogKey, catalog)
 	a.state.RLock()
-	version, isByType := a.state.SchemaVersion, a.state.Catalog.KeptByType()
+	version, isByType := a.state.SchemaVersion, a.state.Catalog.HasSingleTypeRecords()
 	a.state.RUnlock()
 	fitsOneRecord := !isByType && wire.JSONSize(whole.Value) <= a.committer.MaxRecordBytes()
 	if version < tuning.SchemaVersionDependencies || fitsOneRecord {
--- a/internal/clusterstate/catalog.go
+++ b/internal/clusterstate/catalog.go
@@ -20,8 +20,8 @@
 	return Catalog{Types: map[string]wire.MachineType{}, single: map[string]wire.MachineType{}}
 }
 
-// KeptByType reports whether the catalog has records of single types. The caller must hold the State's lock.
-func (c *Catalog) KeptByType() bool { return len(c.single) > 0 }
+// HasSingleTypeRecords reports whether records of single machine types exist. The caller must hold the State's lock.
+func (c *Catalog) HasSingleTypeRecords() bool { return len(c.single) > 0 }
 
 // rebuild merges the types of all records into Types. The record of a single type takes precedence over the record
 // of all types.
--- a/internal/clusterstate/changefeed.go
+++ b/internal/clusterstate/changefeed.go
@@ -48,8 +48,8 @@
 	machines, jobs map[string]struct{} // by name and by ID
 }
 
-// FollowChanges returns a feed that initially contains all machines and jobs and collects all later changes. The caller
-// has to take from it regularly, because the feed is never emptied otherwise.
+// FollowChanges returns a feed that initially contains all machines and jobs and collects all later changes. The
+// caller has to take from it regularly, because the feed is never emptied otherwise.
 func (s *State) FollowChanges() *ChangeFeed {
 	s.Lock()
 	defer s.Unlock()
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -89,5 +89,5 @@
 }
 
 // HasReached reports whether the cluster state contains all changes up to a
-// revision.
+// revision of the key-value store.
 func (m *Member) HasReached(revision uint64) bool { return m.cache.Revision() >= revision }
