--- a/internal/binpack/refresh_test.go
+++ b/internal/binpack/refresh_test.go
@@ -13,7 +13,7 @@
 func TestRefreshedInventoryEqualsNewOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cluster := newTestCluster(testType)
-		changes := cluster.state.FollowChanges()
+		changes := cluster.state.NewChangeFeed()
 		for i := range 12 {
 			drawMachine(t, cluster, i)
 		}
--- a/internal/clusterstate/cancelrequests_test.go
+++ b/internal/clusterstate/cancelrequests_test.go
@@ -26,7 +26,7 @@
 				state.EndUpdate()
 			}
 			put(1)
-			feed := state.FollowChanges()
+			feed := state.NewChangeFeed()
 			clear(feed.machines)
 			put(2)
 			if len(feed.machines) > 0 {
--- a/internal/clusterstate/changefeed.go
+++ b/internal/clusterstate/changefeed.go
@@ -48,9 +48,9 @@
 	machines, jobs map[string]struct{} // by name and by ID
 }
 
-// FollowChanges returns a feed that initially contains all machines and jobs and collects all later changes. The
+// NewChangeFeed returns a feed that initially contains all machines and jobs and collects all later changes. The
 // caller has to take from it regularly, because the feed is never emptied otherwise.
-func (s *State) FollowChanges() *ChangeFeed {
+func (s *State) NewChangeFeed() *ChangeFeed {
 	s.Lock()
 	defer s.Unlock()
 	feed := &ChangeFeed{machines: map[string]struct{}{}, jobs: map[string]struct{}{}}
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -112,7 +112,7 @@
 		learning:       newLearning(c.Operator, c.Membership.Incarnation, c.Logger),
 		waitLog:        waitLog{},
 		zoneHeartbeats: zoneHeartbeatLog{},
-		changeFeed:     c.ClusterState.FollowChanges(),
+		changeFeed:     c.ClusterState.NewChangeFeed(),
 		inventoryCache: inventoryCache{toRefresh: machineSet{}},
 	}
 }
