--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -88,6 +88,6 @@
 	}
 }
 
-// HasReached reports whether the cluster state contains all changes up to a
+// HasAppliedRevision reports whether the cluster state contains all changes up to a
 // revision of the key-value store.
-func (m *Member) HasReached(revision uint64) bool { return m.cache.Revision() >= revision }
+func (m *Member) HasAppliedRevision(revision uint64) bool { return m.cache.Revision() >= revision }
