--- a/internal/binpack/gang.go
+++ b/internal/binpack/gang.go
@@ -59,9 +59,9 @@
 	return zones
 }
 
-// RoomiestZone returns the zone with capacity for the most tasks of a gang, counting the given ready
+// ZoneWithMostCapacity returns the zone with capacity for the most tasks of a gang, counting the given ready
 // machines and the pending ones. It returns the empty string if there are no such machines.
-func (inv *Inventory) RoomiestZone(request *Request, ready []*MachineInfo) string {
+func (inv *Inventory) ZoneWithMostCapacity(request *Request, ready []*MachineInfo) string {
 	tasksByZone := map[string]int{}
 	for _, info := range ready {
 		if request.mayUse(info) {
--- a/internal/binpack/pending.go
+++ b/internal/binpack/pending.go
@@ -23,7 +23,7 @@
 	free        record.Resources
 }
 
-// GroupPending groups the pending machines into bins, for AllocatePending and RoomiestZone. Machines
+// GroupPending groups the pending machines into bins, for AllocatePending and ZoneWithMostCapacity. Machines
 // that are too full for any waiting task are left out.
 func (inv *Inventory) GroupPending() {
 	inv.pendingBins = inv.pendingBins[:0]
--- a/internal/scheduler/reserve.go
+++ b/internal/scheduler/reserve.go
@@ -169,7 +169,7 @@
 	candidates := c.inventory.FittingMachines(&queued.Request)
 	if job.Spec.Kind == wire.KindGang {
 		if job.Spec.SameZone && zones.PinnedZone == "" {
-			zones.PinnedZone = c.inventory.RoomiestZone(&queued.Request, candidates)
+			zones.PinnedZone = c.inventory.ZoneWithMostCapacity(&queued.Request, candidates)
 		}
 		c.inventory.Allocate(&queued.Request, candidates, zones, nil) // keeps the capacity for the whole gang
 		return
