--- a/internal/binpack/allocate.go
+++ b/internal/binpack/allocate.go
@@ -149,12 +149,12 @@
 }
 
 // sortForReplicas sorts machines by how well they suit replicas. Replicas occupy a machine for a
-// long time, so while CommonNeed is unknown the smallest machine comes first. Otherwise, and among
+// long time, so while CommonTaskNeed is unknown the smallest machine comes first. Otherwise, and among
 // machines of equal size, the machine that fetches images fastest comes first, as users wait for the
 // replica until its image is there.
 func (inv *Inventory) sortForReplicas(machines []*MachineInfo) {
 	slices.SortStableFunc(machines, func(x, y *MachineInfo) int {
-		if c := cmp.Compare(x.Capacity.CPUs, y.Capacity.CPUs); c != 0 && inv.CommonNeed.CPUs == 0 {
+		if c := cmp.Compare(x.Capacity.CPUs, y.Capacity.CPUs); c != 0 && inv.CommonTaskNeed.CPUs == 0 {
 			return c
 		}
 		return cmp.Compare(inv.types.fetchRate[y.Machine.Type], inv.types.fetchRate[x.Machine.Type])
@@ -172,15 +172,15 @@
 }
 
 // displacesCommonTask reports whether placing a small task reduces the number of common tasks, those
-// with CommonNeed, that fit on the machine. On a machine that fits just one common task, a single
+// with CommonTaskNeed, that fit on the machine. On a machine that fits just one common task, a single
 // core in use costs as much as the whole machine; small tasks should use small machines and the
 // capacity that common tasks leave over. It is always false on machines with GPUs, where
 // leavesGPUShare decides.
 func (inv *Inventory) displacesCommonTask(need record.Resources, info *MachineInfo) bool {
-	if inv.CommonNeed.CPUs == 0 || need.GPUs > 0 || info.Capacity.GPUs > 0 || need.CPUs >= inv.CommonNeed.CPUs {
+	if inv.CommonTaskNeed.CPUs == 0 || need.GPUs > 0 || info.Capacity.GPUs > 0 || need.CPUs >= inv.CommonTaskNeed.CPUs {
 		return false
 	}
-	return TasksThatFit(inv.CommonNeed, info.Free) > TasksThatFit(inv.CommonNeed, info.Free.Minus(need))
+	return TasksThatFit(inv.CommonTaskNeed, info.Free) > TasksThatFit(inv.CommonTaskNeed, info.Free.Minus(need))
 }
 
 // leavesGPUShare reports whether, after placing a task without GPUs, a machine keeps the cores and
--- a/internal/binpack/allocate_test.go
+++ b/internal/binpack/allocate_test.go
@@ -17,8 +17,8 @@
 	{Name: "l", CPUs: 32, MemoryGB: 64, ImageFetchGBps: 0.2, Zones: testZones},
 }
 
-// commonNeed is the need of a common task: all cores of a medium machine.
-var commonNeed = record.Resources{CPUs: 8, MemoryGB: 13}
+// commonTaskNeed is the need of a common task: all cores of a medium machine.
+var commonTaskNeed = record.Resources{CPUs: 8, MemoryGB: 13}
 
 func drawSizedCluster(t *rapid.T) *testCluster {
 	cluster := newTestCluster(sizedTypes...)
@@ -31,10 +31,10 @@
 	return cluster
 }
 
-// newSizedInventory returns an inventory of the cluster with commonNeed set, filtered for a request.
+// newSizedInventory returns an inventory of the cluster with commonTaskNeed set, filtered for a request.
 func newSizedInventory(cluster *testCluster, request *Request) *Inventory {
 	inv := Refresh(nil, cluster.snapshot())
-	inv.CommonNeed = commonNeed
+	inv.CommonTaskNeed = commonTaskNeed
 	filterFor(inv, request)
 	return inv
 }
@@ -53,14 +53,14 @@
 		inv := newSizedInventory(cluster, request)
 		commonBefore, fitBeside := 0, 0 // common tasks that fit, and small tasks that fit in addition
 		for _, info := range inv.ready {
-			common := TasksThatFit(commonNeed, info.Free)
+			common := TasksThatFit(commonTaskNeed, info.Free)
 			commonBefore += common
-			fitBeside += TasksThatFit(request.Need, info.Free.PlusTimes(commonNeed, -float64(common)))
+			fitBeside += TasksThatFit(request.Need, info.Free.PlusTimes(commonTaskNeed, -float64(common)))
 		}
 		picks := inv.Allocate(request, inv.FittingMachines(request), unconstrained(), nil)
 		commonAfter := 0
 		for _, info := range inv.ready {
-			commonAfter += TasksThatFit(commonNeed, info.Free)
+			commonAfter += TasksThatFit(commonTaskNeed, info.Free)
 		}
 		if len(picks) <= fitBeside && commonAfter < commonBefore {
 			t.Errorf("%d small tasks, of which %d fit beside common tasks, displaced %d common tasks",
--- a/internal/binpack/inventory.go
+++ b/internal/binpack/inventory.go
@@ -18,9 +18,9 @@
 type Inventory struct {
 	// NeedPerGPU is the amount of the other resources that GPU tasks use for each GPU.
 	NeedPerGPU record.Resources
-	// CommonNeed is the need of a common task: at least half of all requested cores are for tasks
+	// CommonTaskNeed is the need of a common task: at least half of all requested cores are for tasks
 	// that use as many cores or more. It is zero while any job uses GPUs, and until a job is known.
-	CommonNeed record.Resources
+	CommonTaskNeed record.Resources
 
 	snapshot Snapshot
 	builtAt  time.Time
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -27,7 +27,7 @@
 	cache := &c.inventoryCache
 	inventory := binpack.Refresh(cache.inventory, snapshot, c.changeFeed.TakeMachines(), cache.toRefresh)
 	cache.inventory = inventory
-	inventory.NeedPerGPU, inventory.CommonNeed = c.demand.needPerGPU, c.demand.commonTask
+	inventory.NeedPerGPU, inventory.CommonTaskNeed = c.demand.needPerGPU, c.demand.commonTask
 	clear(cache.toRefresh)
 	for name, amount := range c.inFlight.byMachine {
 		inventory.ConsumeByName(name, amount)
