--- a/internal/federation/handovermodel_test.go
+++ b/internal/federation/handovermodel_test.go
@@ -304,7 +304,7 @@
 	}
 	return slices.ContainsFunc(host.host.Transfers, func(transfer HostTransfer) bool {
 		return host.host.CanStart(transfer.Number, host.epochs.Own) ||
-			restoredStarts && transfer.Status == HostHolds && !transfer.Cancelled
+			restoredStarts && transfer.Status == HostHeld && !transfer.Cancelled
 	})
 }
 
--- a/internal/federation/host.go
+++ b/internal/federation/host.go
@@ -12,11 +12,11 @@
 // needs no record, since HostTransfers.HighestNumber keeps a delayed copy of its request from being accepted.
 const (
 	HostAbsent HostStatus = iota // no task of the job is bound and none will be
-	HostHolds                    // the host may start the job's tasks
+	HostHeld                     // the host may start the job's tasks
 	HostEnded                    // the job has ended and has no bound tasks; kept until home has the result
 )
 
-var hostStatusNames = [...]string{HostAbsent: "absent", HostHolds: "held", HostEnded: "ended"}
+var hostStatusNames = [...]string{HostAbsent: "absent", HostHeld: "held", HostEnded: "ended"}
 
 // String returns the name of the status.
 func (s HostStatus) String() string { return enumName(hostStatusNames[:], int(s)) }
@@ -33,7 +33,7 @@
 
 // canStart reports whether the host may bind tasks of the transfer, if epoch is the host's present epoch.
 func (t HostTransfer) canStart(epoch uint64) bool {
-	return t.Status == HostHolds && t.Epoch == epoch && !t.Cancelled && !t.Recalled
+	return t.Status == HostHeld && t.Epoch == epoch && !t.Cancelled && !t.Recalled
 }
 
 // TransferRequest is home's request about one transfer.
@@ -85,7 +85,7 @@
 	case request.Number > h.HighestNumber:
 		h.HighestNumber = request.Number
 		if hasCapacity && !request.Cancelled && !request.Recalled {
-			accepted := HostTransfer{Number: request.Number, Epoch: epoch, Status: HostHolds}
+			accepted := HostTransfer{Number: request.Number, Epoch: epoch, Status: HostHeld}
 			h.Transfers = slices.Insert(slices.Clone(h.Transfers), i, accepted)
 		}
 	}
@@ -135,7 +135,7 @@
 // findReleasable finds a transfer by its number. ok is false unless it is held and has no bound tasks.
 func (h HostTransfers) findReleasable(number uint64, boundTasks int) (index int, ok bool) {
 	i, found := h.find(number)
-	return i, found && h.Transfers[i].Status == HostHolds && boundTasks <= 0
+	return i, found && h.Transfers[i].Status == HostHeld && boundTasks <= 0
 }
 
 // Forget deletes a transfer that has ended. It may be called only after home has received the result.
@@ -150,7 +150,7 @@
 // writes. It may be called only when no task that the host ever started under them can still run.
 func (h HostTransfers) DropEarlierEpochs(epoch uint64) HostTransfers {
 	h.Transfers = slices.DeleteFunc(slices.Clone(h.Transfers), func(transfer HostTransfer) bool {
-		return transfer.Status == HostHolds && transfer.Epoch < epoch
+		return transfer.Status == HostHeld && transfer.Epoch < epoch
 	})
 	return h
 }
--- a/internal/golden/constants_test.go
+++ b/internal/golden/constants_test.go
@@ -55,7 +55,7 @@
 		{"machine/failed", wire.MachineFailed},
 		{"content-type", wire.ContentType},
 		{"transfer/absent", federation.HostAbsent},
-		{"transfer/held", federation.HostHolds},
+		{"transfer/held", federation.HostHeld},
 		{"transfer/over", federation.HostEnded},
 		{"standing/unknown", federation.StandingUnknown},
 		{"standing/joined", federation.StandingJoined},
--- a/internal/offload/answer.go
+++ b/internal/offload/answer.go
@@ -50,7 +50,7 @@
 	return federation.HostTransfer{
 		Number:    job.OffloadedFrom.Number,
 		Epoch:     job.OffloadedFrom.Epoch,
-		Status:    federation.HostHolds,
+		Status:    federation.HostHeld,
 		Cancelled: job.Cancelled(),
 		Recalled:  job.OffloadedFrom.Recalled,
 	}
--- a/internal/offload/exchange.go
+++ b/internal/offload/exchange.go
@@ -149,7 +149,7 @@
 // durable, and nil otherwise.
 func (o *Offloader) applyReports(ctx context.Context, cell string, answer *Message) (*Inventory, error) {
 	for _, status := range answer.Statuses {
-		if status.hostStatus() == federation.HostHolds {
+		if status.hostStatus() == federation.HostHeld {
 			o.recordHeld(cell, status.Number)
 		}
 		if err := o.applyStatus(ctx, cell, status); err != nil {
--- a/internal/offload/requests.go
+++ b/internal/offload/requests.go
@@ -87,7 +87,7 @@
 	b.stored.LastReceivedTransfer = max(b.stored.LastReceivedTransfer, transfers.HighestNumber)
 	switch {
 	case job == nil:
-		if before.Status == federation.HostAbsent && after.Status == federation.HostHolds {
+		if before.Status == federation.HostAbsent && after.Status == federation.HostHeld {
 			b.accept(request)
 		}
 	case b.mayRelease(request, job):
