--- a/internal/failuredetector/zones.go
+++ b/internal/failuredetector/zones.go
@@ -57,12 +57,12 @@
 	return d.zones.Observe(now, byZone)
 }
 
-// zoneRosters has, for each zone that was cut off and does not serve again yet, the machines that were in it when it
-// was cut off.
+// zoneRosters has, for each zone that was partitioned and does not serve again yet, the machines that were in it when
+// it was partitioned.
 type zoneRosters map[string]zonehealth.Roster
 
-// update records the machines of the zones that were cut off, and returns for each zone that serves again what became
-// of its machines. A zone that is cut off again before it serves keeps its first roster.
+// update records the machines of the zones that were partitioned, and returns for each zone that serves again what
+// became of its machines. A zone that is partitioned again before it serves keeps its first roster.
 func (r *zoneRosters) update(
 	transitions []zonehealth.Transition, machines []Machine,
 ) map[string]zonehealth.ReturnSummary {
@@ -71,7 +71,7 @@
 		zone := transition.Zone
 		before, kept := (*r)[zone]
 		switch {
-		case transition.To == zonehealth.Cut && !kept:
+		case transition.To == zonehealth.Partitioned && !kept:
 			if *r == nil {
 				*r = zoneRosters{}
 			}
--- a/internal/simulation/zonejudgement_test.go
+++ b/internal/simulation/zonejudgement_test.go
@@ -31,7 +31,7 @@
 			}
 		case messageZoneChanged:
 			logged[observer] = record.attributes[keyState]
-			if record.attributes[keyState] == zonehealth.Cut.String() {
+			if record.attributes[keyState] == zonehealth.Partitioned.String() {
 				judgement.losses++
 			}
 		case messageZoneCounted:
@@ -51,7 +51,7 @@
 	state := record.attributes[keyState]
 	isLost := expected >= tuning.PartitionMinMachines &&
 		float64(received) < tuning.PartitionReportingShare*float64(expected)
-	unavailable := state == zonehealth.Cut.String() || state == zonehealth.Lost.String()
+	unavailable := state == zonehealth.Partitioned.String() || state == zonehealth.Lost.String()
 	if isLost && !unavailable {
 		j.faults = append(j.faults, fmt.Sprintf("%+v at %v: %d of %d heard, and %s",
 			observer, record.time, received, expected, state))
--- a/internal/zonehealth/history.go
+++ b/internal/zonehealth/history.go
@@ -28,7 +28,7 @@
 	switch h.state {
 	case Serving, Suspected, Returning:
 		h.advanceConnected(now, count, timing)
-	case Cut, Lost:
+	case Partitioned, Lost:
 		h.advanceDisconnected(now, count, timing)
 	}
 	if h.state == Serving {
@@ -41,7 +41,7 @@
 	isSuspected := count.isBelow(tuning.ZoneSuspectedReportingShare)
 	switch {
 	case count.isBelow(tuning.PartitionReportingShare):
-		h.enter(Cut, now)
+		h.enter(Partitioned, now)
 	case h.state == Returning:
 		if !isSuspected && now.Sub(h.stateSince) >= h.probation(timing) {
 			h.servingSince = now
@@ -62,7 +62,7 @@
 	case count.hasRecovered() || isEmptied:
 		h.unforgivenReturns = min(h.unforgivenReturns+1, tuning.ProbationMaxReturns)
 		h.enter(Returning, now)
-	case h.state == Cut && now.Sub(h.stateSince) >= gracePeriod(count, timing):
+	case h.state == Partitioned && now.Sub(h.stateSince) >= gracePeriod(count, timing):
 		h.enter(Lost, now)
 	}
 }
--- a/internal/zonehealth/state.go
+++ b/internal/zonehealth/state.go
@@ -7,15 +7,15 @@
 
 // The states, in the order in which a zone passes through them during an outage.
 const (
-	Serving   State = iota // no known problem
-	Suspected              // heartbeats are missing from more than half of the machines
-	Cut                    // heartbeats are missing from more than three quarters of the machines
-	Lost                   // partitioned for at least its grace period
-	Returning              // heartbeats arrive again; the zone is on probation
+	Serving     State = iota // no known problem
+	Suspected                // heartbeats are missing from more than half of the machines
+	Partitioned              // heartbeats are missing from more than three quarters of the machines
+	Lost                     // partitioned for at least its grace period
+	Returning                // heartbeats arrive again; the zone is on probation
 )
 
 // States lists all states.
-var States = []State{Serving, Suspected, Cut, Lost, Returning}
+var States = []State{Serving, Suspected, Partitioned, Lost, Returning}
 
 // String returns the state's name as used in logs, metric labels and the operators' documentation.
 func (s State) String() string {
@@ -24,7 +24,7 @@
 		return "serving"
 	case Suspected:
 		return "doubted"
-	case Cut:
+	case Partitioned:
 		return "cut"
 	case Lost:
 		return "lost"
--- a/internal/zonehealth/tracker.go
+++ b/internal/zonehealth/tracker.go
@@ -72,7 +72,7 @@
 // rented in such a zone.
 func (t *Tracker) Unavailable(zone string) bool {
 	state := t.State(zone)
-	return state == Cut || state == Lost
+	return state == Partitioned || state == Lost
 }
 
 // UnavailableZones returns the zones that are partitioned or lost, sorted.
@@ -120,7 +120,7 @@
 	switch h.state {
 	case Suspected:
 		return "heartbeats from half of its machines, or from fewer than a quarter"
-	case Cut:
+	case Partitioned:
 		return "heartbeats; its machines are deleted as their leases expire"
 	case Lost:
 		return "heartbeats, or the deletion of all its machines"
--- a/internal/zonehealth/tracker_test.go
+++ b/internal/zonehealth/tracker_test.go
@@ -12,11 +12,11 @@
 
 // transitions lists the permitted transitions, as in the table of the package comment.
 var transitions = map[State][]State{
-	Serving:   {Suspected, Cut},
-	Suspected: {Serving, Cut},
-	Cut:       {Lost, Returning},
-	Lost:      {Returning},
-	Returning: {Serving, Cut},
+	Serving:     {Suspected, Partitioned},
+	Suspected:   {Serving, Partitioned},
+	Partitioned: {Lost, Returning},
+	Lost:        {Returning},
+	Returning:   {Serving, Partitioned},
 }
 
 var (
