--- a/internal/clusterstate/catalog_test.go
+++ b/internal/clusterstate/catalog_test.go
@@ -19,7 +19,8 @@
 	}
 	single := wire.MachineType{Name: "b", CPUs: 2}
 	update(state, func() { state.Put(record.MachineTypeKey("b"), wire.MustEncode(single), 2) })
-	if !state.Catalog.HasSingleTypeRecords() || state.Catalog.Types["a"].CPUs != 1 || state.Catalog.Types["b"].CPUs != 2 {
+	if !state.Catalog.HasSingleTypeRecords() ||
+		state.Catalog.Types["a"].CPUs != 1 || state.Catalog.Types["b"].CPUs != 2 {
 		t.Fatalf("catalog is %+v", state.Catalog)
 	}
 }
