--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -8,8 +8,8 @@
 
 // MachineStatus is the scheduler's view of a machine and its agent. A time is zero if its event has not happened.
 type MachineStatus struct {
-	LastHeard time.Time // when its last report arrived
-	Session   uint64    // of its agent; 0 before the first report
+	LastReportAt time.Time // when its last report arrived
+	Session      uint64    // of its agent; 0 before the first report
 	// Schedulable is set if the machine may get another task: it recently sent a report with the owner's fencing
 	// token, neither direction of its link is known to be lost, it is not being reclaimed, it has not refused a start
 	// recently, and it has not failed tasks of several jobs.
@@ -24,9 +24,9 @@
 	OutboundLost      bool // it answers commands, but its heartbeats have been overdue for some time
 	// LeaseExpiry is when its lease expires if no further heartbeat of it arrives.
 	LeaseExpiry time.Time
-	// OneWaySince is the time since which its inbound or outbound direction has been lost.
-	OneWaySince time.Time
-	FailedJobs  int // number of jobs whose tasks failed on it
+	// DirectionLostSince is the time since which its inbound or outbound direction has been lost.
+	DirectionLostSince time.Time
+	FailedJobs         int // number of jobs whose tasks failed on it
 }
 
 // MachineStatus returns a machine's status for an owner with the given fencing token, or the zero value if this node
@@ -41,16 +41,16 @@
 	now := time.Now()
 	heartbeatExpectedFrom, _ := m.link.heartbeatExpected()
 	status := MachineStatus{
-		LastHeard: m.link.lastReport, Session: m.session.id, ReclaimAt: m.reclaimAt, FailedJobs: len(m.failedJobs),
+		LastReportAt: m.link.lastReport, Session: m.session.id, ReclaimAt: m.reclaimAt, FailedJobs: len(m.failedJobs),
 		UnresolvedStart: m.starts.hasUnresolved(fencingToken), CommandUnanswered: m.link.commandUnanswered(),
 		InboundLost: m.link.inboundLostForLong(now), InboundConfirmed: m.link.inboundConfirmed(),
 		OutboundLost: r.outboundLost(m, now), LeaseExpiry: heartbeatExpectedFrom.Add(r.settings.LeaseDuration()),
 	}
 	switch {
 	case status.OutboundLost:
-		status.OneWaySince = heartbeatExpectedFrom
+		status.DirectionLostSince = heartbeatExpectedFrom
 	case status.InboundLost:
-		status.OneWaySince = m.link.inboundLostSince
+		status.DirectionLostSince = m.link.inboundLostSince
 	}
 	status.Schedulable = m.session.id != 0 && m.session.fencingToken == fencingToken &&
 		r.linkUsable(m, &status, now) && m.acceptsTasks(now)
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -49,7 +49,7 @@
 		Shard:               machine.Shard,
 		Up:                  machine.Up,
 		Session:             status.Session,
-		LastHeard:           status.LastHeard,
+		LastReportAt:        status.LastReportAt,
 		OwnedSince:          c.shardTenure.since(machine.Shard),
 		CommandUnanswered:   status.CommandUnanswered,
 		BoundTasks:          len(machine.Bindings),
@@ -75,9 +75,10 @@
 // deletionReason returns why a machine is to be deleted because of its own state, or "" if it is not.
 func (c *cycle) deletionReason(machine *clusterstate.Machine, status *agent.MachineStatus) string {
 	empty := len(machine.Bindings) == 0 && c.inFlight.byMachine[machine.Name] == (record.Resources{})
-	oneWayTooLong := !status.OneWaySince.IsZero() && c.now.Sub(status.OneWaySince) > tuning.OneWayMachineMaxAge
+	oneWayTooLong := !status.DirectionLostSince.IsZero() &&
+		c.now.Sub(status.DirectionLostSince) > tuning.OneWayMachineMaxAge
 	switch {
-	case !machine.Up && status.LastHeard.IsZero():
+	case !machine.Up && status.LastReportAt.IsZero():
 		if c.bootTimedOut(machine) && !c.failureDetector.ZoneUnstable(machine.Zone) {
 			return "never came up"
 		}
@@ -96,7 +97,7 @@
 	if c.cluster.Catalog.Types[machine.Type].Name == "" {
 		return false
 	}
-	bootLimit := max(c.bootTimes(machine, tuning.BootStuckFactor), tuning.MinBootStuck)
+	bootLimit := max(c.bootTimes(machine, tuning.BootTimeoutFactor), tuning.MinBootTimeout)
 	deadAfter := time.Duration(tuning.DeadAfterIntervals * float64(c.settings.HeartbeatInterval()))
 	heartbeatLimit := tuning.AgentFailoverTime + deadAfter
 	return c.now.Sub(time.UnixMilli(machine.CreatedAtMs)) > bootLimit &&
@@ -125,7 +126,7 @@
 // task that must not run.
 func (c *cycle) fenceUnresolvedStart(shard int) {
 	members := c.membership
-	c.inBackground(func(ctx context.Context) { members.FenceAndRaiseToken(ctx, shard) })
+	c.runInBackground(func(ctx context.Context) { members.FenceAndRaiseToken(ctx, shard) })
 }
 
 // applyAssessment applies the conclusions of the failure detector.
@@ -136,10 +137,10 @@
 	}
 	members, engine := c.membership, c.Engine
 	for shard, node := range assessment.ShardTransfers {
-		c.inBackground(func(ctx context.Context) { members.TransferShard(ctx, shard, node) })
+		c.runInBackground(func(ctx context.Context) { members.TransferShard(ctx, shard, node) })
 	}
 	if names := assessment.AskPeersAbout; len(names) > 0 {
-		c.inBackground(func(ctx context.Context) { engine.askPeers(ctx, names) })
+		c.runInBackground(func(ctx context.Context) { engine.askPeers(ctx, names) })
 	}
 	for _, deletion := range assessment.Deletions {
 		c.deleteMachine(deletion)
@@ -149,7 +150,7 @@
 // askPeers asks the other nodes which of the machines have recently sent heartbeats to them, and records their
 // answers for the next cycle.
 func (e *Engine) askPeers(ctx context.Context, machines []string) {
-	peerByMachine := e.peers.QueryRecentlyHeard(ctx, machines)
+	peerByMachine := e.peers.QueryRecentReports(ctx, machines)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.failureDetector.RecordPeerAnswers(time.Now(), machines, peerByMachine)
--- a/internal/simulation/zonejudgement_test.go
+++ b/internal/simulation/zonejudgement_test.go
@@ -19,7 +19,7 @@
 
 // checkZoneStates compares the zone states that the controllers' processes logged with the heartbeats that they
 // counted. A controller that expects enough machines of a zone and receives heartbeats of less than
-// tuning.PartitionHeardShare of them must consider the zone cut or lost at once, and must have logged that.
+// tuning.PartitionReportingShare of them must consider the zone cut or lost at once, and must have logged that.
 func checkZoneStates(records []logRecord) zoneStateCheck {
 	check := zoneStateCheck{mostExpected: map[zoneObserver]int{}}
 	logged, processes := map[zoneObserver]string{}, processesByNode{}
@@ -32,7 +32,7 @@
 			}
 		case messageZoneChanged:
 			logged[observer] = record.attributes[keyState]
-			if record.attributes[keyState] == zonehealth.Cut.String() {
+			if record.attributes[keyState] == zonehealth.Partitioned.String() {
 				check.cuts++
 			}
 		case messageZoneCounted:
@@ -52,8 +52,8 @@
 	}
 	state := record.attributes[keyState]
 	mustBeUnavailable := expected >= tuning.PartitionMinMachines &&
-		float64(received) < tuning.PartitionHeardShare*float64(expected)
-	unavailable := state == zonehealth.Cut.String() || state == zonehealth.Lost.String()
+		float64(received) < tuning.PartitionReportingShare*float64(expected)
+	unavailable := state == zonehealth.Partitioned.String() || state == zonehealth.Lost.String()
 	if mustBeUnavailable && !unavailable {
 		c.mismatches = append(c.mismatches, fmt.Sprintf("%+v at %v: received heartbeats of %d of %d machines, state %s",
 			observer, record.time, received, expected, state))
--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -14,9 +14,9 @@
 	CycleMinIntervalMax      = 400 * time.Millisecond
 	// CycleIdleInterval is the time after which a scheduling cycle runs even if nothing has changed.
 	CycleIdleInterval = 500 * time.Millisecond
-	// CycleRestFactor is the minimum pause after a scheduling cycle, as a multiple of the cycle's duration: cycles
+	// CyclePauseFactor is the minimum pause after a scheduling cycle, as a multiple of the cycle's duration: cycles
 	// take at most a fifth of the processor.
-	CycleRestFactor = 4
+	CyclePauseFactor = 4
 	// DemandInterval is the minimum time between two updates of the unmet demand and the spare capacity. The
 	// autoscaler reads them every AutoscalerInterval.
 	DemandInterval = 250 * time.Millisecond
@@ -70,12 +70,13 @@
 	BootOverdueFactor = 1.8
 	// MinBootOverdue is the lower bound of the time given by BootOverdueFactor.
 	MinBootOverdue = 15 * time.Second
-	// HomeShardHold is the time for which only the owner of a task's home shard may place the task; after that any
-	// shard's owner may.
-	HomeShardHold = 600 * time.Millisecond
-	// HomeShardHoldUnderShortage replaces HomeShardHold for arrays while capacity is short. Each shard then has
-	// capacity released several times a second, and a second writer of a job's record costs more than the wait.
-	HomeShardHoldUnderShortage = 5 * time.Second
+	// HomeShardGracePeriod is the time for which only the owner of a task's home shard may place the task; after that
+	// any shard's owner may.
+	HomeShardGracePeriod = 600 * time.Millisecond
+	// HomeShardGracePeriodUnderShortage replaces HomeShardGracePeriod for arrays while capacity is short. Each
+	// shard then has capacity released several times a second, and a second writer of a job's record costs more than
+	// the wait.
+	HomeShardGracePeriodUnderShortage = 5 * time.Second
 	// BindingsPerCycle is the maximum number of tasks bound in one cycle. A gang with more tasks is bound only if the
 	// cycle has bound nothing before it.
 	BindingsPerCycle = 96
@@ -101,10 +102,10 @@
 	MaxRetryPauseSeconds = 86400
 	// MaxOperatorClasses is the maximum number of classes in the operators' file.
 	MaxOperatorClasses = 256
-	// RejectedRecordPause is the time for which a record is not changed again after the key-value store rejected a
+	// RejectedRecordBackoff is the time for which a record is not changed again after the key-value store rejected a
 	// change of it as malformed. The store also rejects a change that exceeds a limit that was lowered before the
 	// announced time.
-	RejectedRecordPause = 2 * time.Second
+	RejectedRecordBackoff = 2 * time.Second
 	// PreemptMinRemainingRun is the expected run time below which an array's tasks are not preempted for a job of the
 	// same priority that reclaims its team's guarantee, unless that job was guaranteed on arrival. Such tasks end
 	// sooner than a preemption pays off, which costs a checkpoint, a start elsewhere, an image fetch and the work since
@@ -133,7 +134,7 @@
 	StopMargin = 1 * time.Second
 	// WaitReasonLogInterval is the minimum time between two log lines about why the same job waits.
 	WaitReasonLogInterval = 5 * time.Second
-	// UnknownOutcomePause is the pause between two attempts to fence a shard, which is done when the outcome of a
+	// FenceRetryInterval is the pause between two attempts to fence a shard, which is done when the outcome of a
 	// write is unknown.
-	UnknownOutcomePause = 200 * time.Millisecond
+	FenceRetryInterval = 200 * time.Millisecond
 )
--- a/internal/zonehealth/history.go
+++ b/internal/zonehealth/history.go
@@ -19,7 +19,7 @@
 	state             State
 	stateSince        time.Time
 	unforgivenReturns int       // returns that still lengthen the probation
-	servingSince      time.Time // moved forward by tuning.ZoneProbationForgiveAfter per forgiven return
+	servingSince      time.Time // moved forward by tuning.ProbationForgiveAfter per forgiven return
 }
 
 // advance makes the zone's next transition, if one is due. The package comment lists the
@@ -28,7 +28,7 @@
 	switch h.state {
 	case Serving, Suspected, Returning:
 		h.advanceConnected(now, count, timing)
-	case Cut, Lost:
+	case Partitioned, Lost:
 		h.advanceDisconnected(now, count, timing)
 	}
 	if h.state == Serving {
@@ -38,10 +38,10 @@
 
 // advanceConnected makes the transitions of a zone that is neither partitioned nor lost.
 func (h *history) advanceConnected(now time.Time, count HeartbeatCount, timing *Timing) {
-	isSuspected := count.isBelow(tuning.ZoneSuspectedHeardShare)
+	isSuspected := count.isBelow(tuning.ZoneSuspectedReportingShare)
 	switch {
-	case count.isBelow(tuning.PartitionHeardShare):
-		h.enter(Cut, now)
+	case count.isBelow(tuning.PartitionReportingShare):
+		h.enter(Partitioned, now)
 	case h.state == Returning:
 		if !isSuspected && now.Sub(h.stateSince) >= h.probation(timing) {
 			h.servingSince = now
@@ -60,18 +60,18 @@
 	isEmptied := h.state == Lost && count.Expected == 0
 	switch {
 	case count.hasRecovered() || isEmptied:
-		h.unforgivenReturns = min(h.unforgivenReturns+1, tuning.ZoneProbationMaxDoublings)
+		h.unforgivenReturns = min(h.unforgivenReturns+1, tuning.ProbationMaxReturns)
 		h.enter(Returning, now)
-	case h.state == Cut && now.Sub(h.stateSince) >= gracePeriod(count, timing):
+	case h.state == Partitioned && now.Sub(h.stateSince) >= gracePeriod(count, timing):
 		h.enter(Lost, now)
 	}
 }
 
 // forgive removes one return from the count if the zone has served for long enough.
 func (h *history) forgive(now time.Time) {
-	if h.unforgivenReturns > 0 && now.Sub(h.servingSince) >= tuning.ZoneProbationForgiveAfter {
+	if h.unforgivenReturns > 0 && now.Sub(h.servingSince) >= tuning.ProbationForgiveAfter {
 		h.unforgivenReturns--
-		h.servingSince = h.servingSince.Add(tuning.ZoneProbationForgiveAfter)
+		h.servingSince = h.servingSince.Add(tuning.ProbationForgiveAfter)
 	}
 }
 
