--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,12 +10,13 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Settings holds the settings that the platform passes to a controller node.
+// Settings holds the settings that the platform passes to a controller node. The TOML library names the Go fields
+// in its errors, so renaming one changes what operators read.
 type Settings struct {
 	Node       string `toml:"node_name"`
 	Zone       string `toml:"area"`
 	Listen     string `toml:"listen"`   // address on which users and agents are served
-	PeerListen string `toml:"back"`     // address on which the other controller nodes are served
+	BackListen string `toml:"back"`     // address on which the other controller nodes are served
 	Peers      []Peer `toml:"siblings"` // all controller nodes but this one
 	Outside    struct {
 		Cloud string `toml:"cloud"`
@@ -28,7 +29,7 @@
 type Peer struct {
 	Node     string `toml:"node_name"`
 	Zone     string `toml:"area"`
-	Endpoint string `toml:"endpoint"` // the other node's PeerListen
+	Endpoint string `toml:"endpoint"` // the other node's BackListen
 }
 
 // Deployment describes the region: its nodes, zones, teams, and the limits of the services
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -84,7 +84,7 @@
 		faults.addSetting("node_name", "missing")
 	}
 	faults.checkAddress("listen", s.Listen)
-	faults.checkAddress("back", s.PeerListen)
+	faults.checkAddress("back", s.BackListen)
 	faults.checkAddress("outside.cloud", s.Outside.Cloud)
 	faults.checkAddress("outside.state", s.Outside.State)
 	names := map[string]bool{s.Node: true}
--- a/internal/peerrpc/transport.go
+++ b/internal/peerrpc/transport.go
@@ -37,7 +37,7 @@
 func New(settings *config.Settings, registry AgentRegistry, logger *slog.Logger) (*Transport, error) {
 	transport := &Transport{
 		nodeName:         settings.Node,
-		listenAddress:    settings.PeerListen,
+		listenAddress:    settings.BackListen,
 		registry:         registry,
 		peerClients:      map[string]peerpb.PeerClient{},
 		callTimeout:      tuning.PeerTimeout,
