--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -24,7 +24,7 @@
 type PeerTransport interface {
 	scheduler.Peers
 	offload.Transport
-	// LastAnswered returns the time of the last reply from a node; zero if it has never replied.
+	// LastAnswered returns the time of the last response from a node; zero if it has never responded.
 	LastAnswered(node string) time.Time
 	// SetCellHandler sets the handler of messages from other cells. It must be called before Run.
 	SetCellHandler(handler peerrpc.CellHandler)
@@ -94,7 +94,7 @@
 		Logger:       logger,
 	})
 	if len(operator.Cells) > 0 {
-		peers.SetCellHandler(offloads.Answer)
+		peers.SetCellHandler(offloads.HandleMessage)
 	}
 	server := store.newServer(&c, agents)
 	return &Controller{handler: server.Handler(), loops: []func(context.Context) error{
--- a/internal/offload/answer.go
+++ b/internal/offload/answer.go
@@ -86,23 +86,23 @@
 	return inventory
 }
 
-// Answer applies a message from another cell's leader and returns the answer. Everything that the answer reports is
-// durable. If Answer returns an error no answer may be sent. The error is an *UnknownCellError, ErrNotLeader, an
-// *EarlierEpochError, the error of a commit, or ctx.Err().
-func (o *Offloader) Answer(ctx context.Context, message Message) (Message, error) {
+// HandleMessage applies a message from another cell's leader and returns the response. Everything that the response
+// reports is durable. If HandleMessage returns an error no response may be sent. The error is an *UnknownCellError,
+// ErrNotLeader, an *EarlierEpochError, the error of a commit, or ctx.Err().
+func (o *Offloader) HandleMessage(ctx context.Context, message Message) (Message, error) {
 	named := func(cell config.Cell) bool { return cell.Name == message.Cell }
 	if !slices.ContainsFunc(o.operator.Cells, named) {
 		return Message{}, &UnknownCellError{Cell: message.Cell}
 	}
 	select {
-	case o.answerSlot <- struct{}{}:
-		defer func() { <-o.answerSlot }()
+	case o.responseSlot <- struct{}{}:
+		defer func() { <-o.responseSlot }()
 	case <-ctx.Done():
 		return Message{}, ctx.Err()
 	}
-	answer, valid, err := o.acceptEpoch(ctx, &message)
+	response, valid, err := o.acceptEpoch(ctx, &message)
 	if err != nil || !valid {
-		return answer, err
+		return response, err
 	}
 	if err := o.dropEarlierEpochs(ctx, message.Cell); err != nil {
 		return Message{}, err
@@ -115,13 +115,13 @@
 	if !o.isLeader() {
 		return Message{}, ErrNotLeader
 	}
-	o.fillAnswer(&answer, &message)
-	return answer, nil
+	o.fillResponse(&response, &message)
+	return response, nil
 }
 
-// acceptEpoch records the sender's epoch as named by a message. It returns an answer that names the epochs of both
+// acceptEpoch records the sender's epoch as named by a message. It returns a response that names the epochs of both
 // cells, and reports whether the message may be applied.
-func (o *Offloader) acceptEpoch(ctx context.Context, message *Message) (answer Message, valid bool, err error) {
+func (o *Offloader) acceptEpoch(ctx context.Context, message *Message) (response Message, valid bool, err error) {
 	o.clusterState.RLock()
 	stored := o.cellRecord(message.Cell)
 	change, isLeader := o.newChange(message.Cell)
@@ -133,7 +133,8 @@
 	epochs := federation.EpochPair{Own: o.operator.CellEpoch, Peer: stored.PeerEpoch}
 	epochs, valid = epochs.Accept(message.envelope())
 	if epochs.Peer != stored.PeerEpoch {
-		// This must be durable before the answer: a delayed message of an earlier epoch must not be applied afterwards.
+		// This must be durable before the response: a delayed message of an earlier epoch must not be applied
+		// afterwards.
 		next := o.underOwnEpoch(stored)
 		next.PeerEpoch = epochs.Peer
 		change.ops = append(change.ops, kvstore.PutOp(record.CellKey(message.Cell), next))
@@ -141,13 +142,13 @@
 			return Message{}, false, err
 		}
 	}
-	answer = Message{
+	response = Message{
 		Cell:      o.operator.CellName,
 		FromEpoch: epochs.Own,
 		ToEpoch:   epochs.Peer,
 		Draining:  o.operator.CellDraining,
 	}
-	return answer, valid && message.FromEpoch > stored.FencedEpoch, nil
+	return response, valid && message.FromEpoch > stored.FencedEpoch, nil
 }
 
 // dropEarlierEpochs deletes the jobs from a cell that were accepted under an earlier epoch of this cell, as many as
@@ -178,27 +179,27 @@
 	return nil
 }
 
-// fillAnswer adds the statuses of the requested transfers and of ended ones, this cell's digest and, if requested,
-// the inventory to an answer. Callers hold the lock of the cluster state.
-func (o *Offloader) fillAnswer(answer, message *Message) {
+// fillResponse adds the statuses of the requested transfers and of ended ones, this cell's digest and, if requested,
+// the inventory to a response. Callers hold the lock of the cluster state.
+func (o *Offloader) fillResponse(response, message *Message) {
 	view := o.hostViewOf(message.Cell)
 	reported := map[uint64]bool{}
 	for _, request := range message.Requests {
 		// A number above the highest one has no status yet: the transaction was full before this request, or the
 		// cluster state does not contain its result yet.
 		if request.Number <= view.transfers.HighestNumber {
-			answer.Statuses = append(answer.Statuses, view.status(request.Number))
+			response.Statuses = append(response.Statuses, view.status(request.Number))
 			reported[request.Number] = true
 		}
 	}
 	for _, transfer := range view.transfers.Transfers {
 		ended := transfer.Status == federation.HostEnded
-		if ended && !reported[transfer.Number] && len(answer.Statuses) < 2*tuning.CellTransfersPerMessage {
-			answer.Statuses = append(answer.Statuses, view.status(transfer.Number))
+		if ended && !reported[transfer.Number] && len(response.Statuses) < 2*tuning.CellTransfersPerMessage {
+			response.Statuses = append(response.Statuses, view.status(transfer.Number))
 		}
 	}
 	if message.WantsInventory {
-		answer.Inventory = view.inventory()
+		response.Inventory = view.inventory()
 	}
-	answer.Digest = o.digest()
+	response.Digest = o.digest()
 }
--- a/internal/offload/driver_test.go
+++ b/internal/offload/driver_test.go
@@ -23,7 +23,7 @@
 }
 
 // TestOneCellStartsAJob simulates two Offloaders that exchange jobs under faults: messages are lost, duplicated and
-// delayed, transactions are executed without an answer or much later, cluster states lag, Offloaders restart and
+// delayed, transactions are executed without a response or much later, cluster states lag, Offloaders restart and
 // leaders change. At any time at most one cell may hold the right to start a job. No job may run in two cells or
 // start after its end, and each must end once, as done only if it ran. When the faults stop all jobs must end, and
 // no record but their final ones may be left. Each kind of fault and event must occur in at least one run.
--- a/internal/offload/errors.go
+++ b/internal/offload/errors.go
@@ -18,12 +18,14 @@
 	return fmt.Sprintf("cell %q is not named here", e.Cell)
 }
 
-// WrongCellError reports that an answer came from a cell other than the one that was asked.
+// WrongCellError reports that a response came from a cell other than the one that was asked.
 type WrongCellError struct {
-	Answering string
+	Responding string
 }
 
-func (e *WrongCellError) Error() string { return fmt.Sprintf("answer came from cell %q", e.Answering) }
+func (e *WrongCellError) Error() string {
+	return fmt.Sprintf("response came from cell %q", e.Responding)
+}
 
 // EarlierEpochError reports that records remain of jobs that were accepted under earlier epochs of this cell. The
 // cell does not answer the sender until all are deleted.
--- a/internal/offload/exchange.go
+++ b/internal/offload/exchange.go
@@ -35,19 +35,19 @@
 	return jobs
 }
 
-// exchange sends a message to a cell with requests about the jobs that are offloaded to it, and applies the answer.
+// exchange sends a message to a cell with requests about the jobs that are offloaded to it, and applies the response.
 func (o *Offloader) exchange(ctx context.Context, cell config.Cell) error {
 	ctx, cancel := context.WithTimeout(ctx, tuning.CellExchangeTimeout)
 	defer cancel()
 	message := o.newRequestMessage(cell.Name)
-	answer, err := o.transport.Exchange(ctx, cell, message)
-	if err == nil && answer.Cell != cell.Name {
-		err = &WrongCellError{Answering: answer.Cell}
+	response, err := o.transport.Exchange(ctx, cell, message)
+	if err == nil && response.Cell != cell.Name {
+		err = &WrongCellError{Responding: response.Cell}
 	}
 	if err != nil {
 		return fmt.Errorf("exchange with %s: %w", cell.Name, err)
 	}
-	return o.applyAnswer(ctx, cell.Name, &message, &answer)
+	return o.applyResponse(ctx, cell.Name, &message, &response)
 }
 
 // newRequestMessage returns the next message to a cell. It contains no requests until the cell's inventory has been
@@ -108,18 +108,18 @@
 	return next
 }
 
-// applyAnswer applies the answer to a message. It applies statuses and the inventory before it updates the cell's
+// applyResponse applies the response to a message. It applies statuses and the inventory before it updates the cell's
 // record, so that the record says that inventories are exchanged only after the inventory is durable.
-func (o *Offloader) applyAnswer(ctx context.Context, cell string, message, answer *Message) error {
+func (o *Offloader) applyResponse(ctx context.Context, cell string, message, response *Message) error {
 	epochs := federation.EpochPair{Own: message.FromEpoch, Peer: message.ToEpoch}
-	epochs, valid := epochs.Accept(answer.envelope())
+	epochs, valid := epochs.Accept(response.envelope())
 	o.clusterState.RLock()
-	valid = valid && answer.FromEpoch > o.cellRecord(cell).FencedEpoch
+	valid = valid && response.FromEpoch > o.cellRecord(cell).FencedEpoch
 	o.clusterState.RUnlock()
-	o.recordAnswer(cell, message, answer, valid)
+	o.recordResponse(cell, message, response, valid)
 	evidence := standingEvidence{peerEpoch: epochs.Peer}
 	if valid {
-		applied, err := o.applyReports(ctx, cell, answer)
+		applied, err := o.applyReports(ctx, cell, response)
 		if err != nil {
 			return err
 		}
@@ -128,27 +128,27 @@
 	return o.updateStanding(ctx, cell, evidence)
 }
 
-// recordAnswer stores in memory what an answer reports about its cell. It removes the transfers that the message
-// acknowledged from those to acknowledge, and stores the digest only if the answer is valid.
-func (o *Offloader) recordAnswer(cell string, message, answer *Message, valid bool) {
+// recordResponse stores in memory what a response reports about its cell. It removes the transfers that the message
+// acknowledged from those to acknowledge, and stores the digest only if the response is valid.
+func (o *Offloader) recordResponse(cell string, message, response *Message, valid bool) {
 	now := time.Now()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	peer := o.peers[cell]
-	peer.lastContact, peer.epoch, peer.draining = now, answer.FromEpoch, answer.Draining
+	peer.lastContact, peer.epoch, peer.draining = now, response.FromEpoch, response.Draining
 	peer.endedTransfers = slices.DeleteFunc(peer.endedTransfers, func(number uint64) bool {
 		return slices.Contains(message.EndedTransfers, number)
 	})
-	if valid && answer.Digest != nil {
-		peer.digest = *answer.Digest
+	if valid && response.Digest != nil {
+		peer.digest = *response.Digest
 		peer.digest.ReceivedAt = now
 	}
 }
 
-// applyReports applies the statuses and the inventory of a valid answer. It returns the inventory if all of it is
+// applyReports applies the statuses and the inventory of a valid response. It returns the inventory if all of it is
 // durable, and nil otherwise.
-func (o *Offloader) applyReports(ctx context.Context, cell string, answer *Message) (*Inventory, error) {
-	for _, status := range answer.Statuses {
+func (o *Offloader) applyReports(ctx context.Context, cell string, response *Message) (*Inventory, error) {
+	for _, status := range response.Statuses {
 		if status.hostStatus() == federation.HostHeld {
 			o.recordHeld(cell, status.Number)
 		}
@@ -156,14 +156,14 @@
 			return nil, err
 		}
 	}
-	if answer.Inventory == nil {
+	if response.Inventory == nil {
 		return nil, nil
 	}
-	complete, err := o.applyInventory(ctx, cell, answer.Inventory)
+	complete, err := o.applyInventory(ctx, cell, response.Inventory)
 	if err != nil || !complete {
 		return nil, err
 	}
-	return answer.Inventory, nil
+	return response.Inventory, nil
 }
 
 // recordHeld stores in memory that a cell holds a transfer.
--- a/internal/offload/message.go
+++ b/internal/offload/message.go
@@ -5,7 +5,7 @@
 	"sableusher/internal/wire"
 )
 
-// Message is a message between the leaders of two cells, or the answer to one. A leader sends one to each other
+// Message is a message between the leaders of two cells, or the response to one. A leader sends one to each other
 // cell every tuning.CellExchangeInterval, with requests about the jobs that it has offloaded to that cell. A message
 // only reports the contents of records. It may be lost, duplicated or delayed.
 type Message struct {
@@ -14,7 +14,7 @@
 	ToEpoch   uint64 `cbor:"t"`           // epoch of the receiver, as the sender knows it
 	Draining  bool   `cbor:"d,omitempty"` // the operators of the sender drain it
 
-	// Requests are about transfers of the sender's own jobs. Answers have no Requests, EndedTransfers or
+	// Requests are about transfers of the sender's own jobs. Responses have no Requests, EndedTransfers or
 	// WantsInventory.
 	Requests []Request `cbor:"a,omitempty"`
 	// EndedTransfers are the transfers whose result the sender has received.
@@ -22,7 +22,7 @@
 	// WantsInventory asks for the inventory of the sender's jobs at the receiver.
 	WantsInventory bool `cbor:"w,omitempty"`
 
-	// Statuses are the statuses of the other cell's transfers. Only answers have Statuses, Inventory and Digest.
+	// Statuses are the statuses of the other cell's transfers. Only responses have Statuses, Inventory and Digest.
 	Statuses  []Status           `cbor:"o,omitempty"`
 	Inventory *Inventory         `cbor:"l,omitempty"`
 	Digest    *federation.Digest `cbor:"g,omitempty"`
--- a/internal/offload/offloader.go
+++ b/internal/offload/offloader.go
@@ -20,7 +20,7 @@
 
 // Transport carries messages to other cells.
 type Transport interface {
-	// Exchange sends a message to the leader of a cell and returns the answer. It finds out which of the cell's nodes
+	// Exchange sends a message to the leader of a cell and returns the response. It finds out which of the cell's nodes
 	// is the leader.
 	Exchange(ctx context.Context, to config.Cell, message Message) (Message, error)
 }
@@ -61,9 +61,9 @@
 	peers map[string]*peerState // by cell name; the map itself never changes
 	mu    sync.Mutex            // guards the values of peers; may be acquired while the cluster state is locked
 
-	// answerSlot has capacity 1 and is filled while Answer runs. Answers are computed one at a time, as their changes
-	// would conflict.
-	answerSlot chan struct{}
+	// responseSlot has capacity 1 and is filled while HandleMessage runs. Responses are computed one at a time, as
+	// their changes would conflict.
+	responseSlot chan struct{}
 }
 
 // New returns an Offloader. It does nothing if the operators' settings name no other cells.
@@ -77,7 +77,7 @@
 		teamsByName:  map[string]config.Team{},
 		logger:       c.Logger,
 		peers:        map[string]*peerState{},
-		answerSlot:   make(chan struct{}, 1),
+		responseSlot: make(chan struct{}, 1),
 	}
 	for _, team := range c.Teams {
 		o.teamsByName[team.Name] = team
@@ -161,9 +161,9 @@
 
 // peerState is the in-memory state of another cell, in addition to its record. It is lost when the process ends.
 type peerState struct {
-	lastContact     time.Time // when the last answer arrived
-	epoch           uint64    // as named by the last answer
-	draining        bool      // as reported by the last answer
+	lastContact     time.Time // when the last response arrived
+	epoch           uint64    // as named by the last response
+	draining        bool      // as reported by the last response
 	digest          federation.Digest
 	endedTransfers  []uint64        // its transfers whose result is recorded here, to be acknowledged
 	heldTransfers   map[uint64]bool // transfers that it is known to hold
--- a/internal/offload/testcell_test.go
+++ b/internal/offload/testcell_test.go
@@ -38,7 +38,7 @@
 	store     testStore
 	state     *clusterstate.State
 	offloader *Offloader
-	delayed   []testWrite // transactions without an answer that are executed later
+	delayed   []testWrite // transactions without a response that are executed later
 }
 
 func newTestCell(world *testWorld, name, other string) *testCell {
@@ -119,7 +119,7 @@
 	return c.store.revision, c.submit(testWrite{Transaction: transaction})
 }
 
-// submit executes a write. If faults are enabled, it may leave out the answer or delay the write without an answer.
+// submit executes a write. If faults are enabled, it may leave out the response or delay the write without a response.
 func (c *testCell) submit(write testWrite) error {
 	switch {
 	case c.world.injectFault(&c.world.seen.delayedCommits, 0.05):
--- a/internal/offload/testworld_test.go
+++ b/internal/offload/testworld_test.go
@@ -28,9 +28,9 @@
 
 // events counts the faults and job events of all runs.
 type events struct {
-	lostRequests, lostAnswers, duplicatedRequests, lateRequests, lateAnswers int
-	delayedCommits, unansweredCommits, restarts, elections                   int
-	accepted, returned, endedElsewhere, cancelled                            int
+	lostRequests, lostResponses, duplicatedRequests, lateRequests, lateResponses int
+	delayedCommits, unansweredCommits, restarts, elections                       int
+	accepted, returned, endedElsewhere, cancelled                                int
 }
 
 // jobTruth is the actual history of a job, independent of the records of the cells.
@@ -47,7 +47,7 @@
 }
 
 // testWorld simulates two cells, the messages between them and the actual history of their jobs. Its network loses
-// and delays messages and answers, and duplicates messages.
+// and delays messages and responses, and duplicates messages.
 type testWorld struct {
 	cells             []*testCell
 	random            *rand.Rand
@@ -56,7 +56,7 @@
 	jobIDs            []string
 	truth             map[string]*jobTruth
 	requests          []sentMessage
-	answers           map[string]Message // last answer of each cell
+	responses         map[string]Message // last response of each cell
 	violation         string             // the first violation of a rule
 	seen              *events
 }
@@ -66,7 +66,7 @@
 		random:            rand.New(rand.NewPCG(seed, 1)),
 		ignoredConditions: ignoredConditions,
 		truth:             map[string]*jobTruth{},
-		answers:           map[string]Message{},
+		responses:         map[string]Message{},
 		seen:              seen,
 	}
 	w.cells = []*testCell{newTestCell(w, "a", "b"), newTestCell(w, "b", "a")}
@@ -101,32 +101,32 @@
 	if w.injectFault(&w.seen.duplicatedRequests, 0.1) {
 		_, _ = w.deliver(ctx, to.Name, message)
 	}
-	answer, err := w.deliver(ctx, to.Name, message)
+	response, err := w.deliver(ctx, to.Name, message)
 	if err != nil {
 		return Message{}, err
 	}
-	if w.injectFault(&w.seen.lostAnswers, 0.15) {
+	if w.injectFault(&w.seen.lostResponses, 0.15) {
 		return Message{}, errMessageLost
 	}
-	earlier, known := w.answers[to.Name]
-	w.answers[to.Name] = answer
-	if known && w.injectFault(&w.seen.lateAnswers, 0.1) {
+	earlier, known := w.responses[to.Name]
+	w.responses[to.Name] = response
+	if known && w.injectFault(&w.seen.lateResponses, 0.1) {
 		return earlier, nil
 	}
-	return answer, nil
+	return response, nil
 }
 
-// deliver delivers a message to a cell and returns the answer. Both are encoded and decoded on the way.
+// deliver delivers a message to a cell and returns the response. Both are encoded and decoded on the way.
 func (w *testWorld) deliver(ctx context.Context, to string, message Message) (Message, error) {
 	var received, returned Message
 	if err := wire.Decode(wire.MustEncode(message), &received); err != nil {
 		return Message{}, err
 	}
-	answer, err := w.cell(to).offloader.Answer(ctx, received)
+	response, err := w.cell(to).offloader.HandleMessage(ctx, received)
 	if err != nil {
 		return Message{}, err
 	}
-	err = wire.Decode(wire.MustEncode(answer), &returned)
+	err = wire.Decode(wire.MustEncode(response), &returned)
 	return returned, err
 }
 
