--- a/internal/peerrpc/cells.go
+++ b/internal/peerrpc/cells.go
@@ -16,9 +16,9 @@
 	"sableusher/internal/wire"
 )
 
-// Exchange sends a message to another cell's leader and returns the reply. Which node of that cell is the leader is
-// not known: the node that replied last is tried first, then the others in the order of the settings. If no node
-// replies, Exchange returns the joined errors of all nodes.
+// Exchange sends a message to another cell's leader and returns the response. Which node of that cell is the leader is
+// not known: the node that responded last is tried first, then the others in the order of the settings. If no node
+// responds, Exchange returns the joined errors of all nodes.
 func (t *Transport) Exchange(
 	ctx context.Context, cell config.Cell, message offload.Message,
 ) (offload.Message, error) {
@@ -29,20 +29,20 @@
 	request := &peerpb.CellMessage{Cell: message.Cell, Body: body}
 	var errs []error
 	for _, node := range t.nodesByPreference(cell) {
-		reply, err := t.exchangeWith(ctx, node, request)
+		response, err := t.exchangeWith(ctx, node, request)
 		if err == nil {
-			t.recordReplyingNode(cell.Name, node)
-			return reply, nil
+			t.recordRespondingNode(cell.Name, node)
+			return response, nil
 		}
 		errs = append(errs, fmt.Errorf("%s: %w", node, err))
 	}
 	return offload.Message{}, errors.Join(errs...)
 }
 
-// nodesByPreference returns the endpoints of a cell's nodes, with the node that replied last in front.
+// nodesByPreference returns the endpoints of a cell's nodes, with the node that responded last in front.
 func (t *Transport) nodesByPreference(cell config.Cell) []string {
 	t.mu.Lock()
-	last := t.lastReplyingNode[cell.Name]
+	last := t.lastRespondingNode[cell.Name]
 	t.mu.Unlock()
 	rank := func(node string) int {
 		if node == last {
@@ -55,10 +55,10 @@
 	return nodes
 }
 
-func (t *Transport) recordReplyingNode(cellName, node string) {
+func (t *Transport) recordRespondingNode(cellName, node string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lastReplyingNode[cellName] = node
+	t.lastRespondingNode[cellName] = node
 }
 
 func (t *Transport) exchangeWith(
@@ -70,12 +70,12 @@
 	if err != nil {
 		return offload.Message{}, err
 	}
-	reply, err := peerpb.NewCellsClient(connection).Exchange(ctx, request)
+	response, err := peerpb.NewCellsClient(connection).Exchange(ctx, request)
 	if err != nil {
 		return offload.Message{}, err
 	}
 	var message offload.Message
-	if err := wire.Decode(reply.GetBody(), &message); err != nil {
+	if err := wire.Decode(response.GetBody(), &message); err != nil {
 		return offload.Message{}, err
 	}
 	return message, nil
--- a/internal/peerrpc/cells_test.go
+++ b/internal/peerrpc/cells_test.go
@@ -11,7 +11,7 @@
 	"sableusher/internal/wire"
 )
 
-// TestExchangeFindsTheCellLeader: Exchange returns the unchanged reply of a cell's leader if the cell's other nodes
+// TestExchangeFindsTheCellLeader: Exchange returns the unchanged response of a cell's leader if the cell's other nodes
 // are unreachable, not the leader, or without a cell handler. The next Exchange calls the leader first.
 func TestExchangeFindsTheCellLeader(t *testing.T) {
 	request := offload.Message{Cell: "a", FromEpoch: 2, ToEpoch: 3, Requests: []offload.Request{
@@ -35,9 +35,9 @@
 	transport := newTestTransport(t, &config.Settings{Node: "a-0"})
 	cell := config.Cell{Name: "b", Nodes: strings.Join(nodes, " ")}
 	for range 2 {
-		reply, err := transport.Exchange(t.Context(), cell, request)
-		if err != nil || !reflect.DeepEqual(reply, want) {
-			t.Fatalf("Exchange returned an unexpected reply %+v or error %v", reply, err)
+		response, err := transport.Exchange(t.Context(), cell, request)
+		if err != nil || !reflect.DeepEqual(response, want) {
+			t.Fatalf("Exchange returned an unexpected response %+v or error %v", response, err)
 		}
 	}
 	if notLeaderCalls != 1 {
--- a/internal/peerrpc/doc.go
+++ b/internal/peerrpc/doc.go
@@ -1,7 +1,7 @@
 // Package peerrpc carries messages between controllers over gRPC: hints between the nodes of a cell, and the
 // exchange of jobs between the leaders of cells.
 //
-// Messages are not durable, and safety does not depend on them: a lost, late or repeated reply only costs time.
+// Messages are not durable, and safety does not depend on them: a lost, late or repeated response only costs time.
 // A hint about an agent is used only if the cluster state of the replying node is recent. Package offload checks
 // the messages of other cells against records.
 package peerrpc
--- a/internal/peerrpc/peers.go
+++ b/internal/peerrpc/peers.go
@@ -9,18 +9,18 @@
 )
 
 // QueryRecentReports asks all other nodes which of the machines' agents have sent them a heartbeat recently. It
-// returns, by machine, the name of a node that received one. Replies of nodes whose cluster state is not recent are
+// returns, by machine, the name of a node that received one. Responses of nodes whose cluster state is not recent are
 // ignored.
 func (t *Transport) QueryRecentReports(ctx context.Context, machines []string) map[string]string {
 	nodeByMachine := map[string]string{}
 	call := func(ctx context.Context, client peerpb.PeerClient) (*peerpb.HeardReply, error) {
 		return client.Heard(ctx, &peerpb.HeardRequest{Node: t.nodeName, Machines: machines})
 	}
-	callAll(ctx, t, call, func(node string, reply *peerpb.HeardReply) {
-		if !reply.GetFresh() {
+	callAll(ctx, t, call, func(node string, response *peerpb.HeardReply) {
+		if !response.GetFresh() {
 			return
 		}
-		for _, machine := range reply.GetHeard() {
+		for _, machine := range response.GetHeard() {
 			nodeByMachine[machine] = node
 		}
 	})
@@ -34,8 +34,8 @@
 	call := func(ctx context.Context, client peerpb.PeerClient) (*peerpb.ImagesReply, error) {
 		return client.Images(ctx, &peerpb.ImagesRequest{Node: t.nodeName})
 	}
-	callAll(ctx, t, call, func(_ string, reply *peerpb.ImagesReply) {
-		for _, image := range reply.GetImages() {
+	callAll(ctx, t, call, func(_ string, response *peerpb.ImagesReply) {
+		for _, image := range response.GetImages() {
 			machines := machinesByImage[image.GetName()]
 			if machines == nil {
 				machines = map[string]bool{}
@@ -49,23 +49,23 @@
 	return machinesByImage
 }
 
-// LastAnswered returns the time of the last reply from a node; zero if it has never replied.
+// LastAnswered returns the time of the last response from a node; zero if it has never responded.
 func (t *Transport) LastAnswered(node string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.lastReplyAt[node]
+	return t.lastResponseAt[node]
 }
 
-func (t *Transport) recordReply(node string) {
+func (t *Transport) recordResponse(node string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lastReplyAt[node] = time.Now()
+	t.lastResponseAt[node] = time.Now()
 }
 
-// callAll calls all other nodes concurrently and waits until each has replied or failed, for at most the call
-// timeout. It passes the replies to collect, one at a time. Failed calls are only logged.
-func callAll[Reply any](ctx context.Context, t *Transport,
-	call func(context.Context, peerpb.PeerClient) (Reply, error), collect func(node string, reply Reply),
+// callAll calls all other nodes concurrently and waits until each has responded or failed, for at most the call
+// timeout. It passes the responses to collect, one at a time. Failed calls are only logged.
+func callAll[Response any](ctx context.Context, t *Transport,
+	call func(context.Context, peerpb.PeerClient) (Response, error), collect func(node string, response Response),
 ) {
 	ctx, cancel := context.WithTimeout(ctx, t.callTimeout)
 	defer cancel()
@@ -76,15 +76,15 @@
 	for node, client := range t.peerClients {
 		calls.Go(func() {
 			start := time.Now()
-			reply, err := call(ctx, client)
+			response, err := call(ctx, client)
 			if err != nil {
 				t.logger.Debug("peer call failed", "node", node, "err", err, "duration", time.Since(start))
 				return
 			}
-			t.recordReply(node)
+			t.recordResponse(node)
 			collecting.Lock()
 			defer collecting.Unlock()
-			collect(node, reply)
+			collect(node, response)
 		})
 	}
 	calls.Wait()
--- a/internal/peerrpc/peers_test.go
+++ b/internal/peerrpc/peers_test.go
@@ -7,7 +7,7 @@
 )
 
 // TestQueriesCombinePeerReplies: heartbeats reported by a node whose cluster state is not recent are ignored, the
-// images of all nodes that reply are combined, and a node that does not reply is skipped.
+// images of all nodes that respond are combined, and a node that does not respond is skipped.
 func TestQueriesCombinePeerReplies(t *testing.T) {
 	recent := fakeRegistry{
 		machinesWithHeartbeats: []string{"vm-1"},
--- a/internal/peerrpc/service.go
+++ b/internal/peerrpc/service.go
@@ -22,7 +22,7 @@
 	MachinesByImage() map[string][]string
 }
 
-// CellHandler handles a message of another cell and returns this cell's reply.
+// CellHandler handles a message of another cell and returns this cell's response.
 type CellHandler func(ctx context.Context, message offload.Message) (offload.Message, error)
 
 // service implements the gRPC services that other nodes and other cells call.
@@ -34,7 +34,7 @@
 	cellHandler func() CellHandler
 }
 
-// Exchange passes another cell's message to the cell handler and returns its reply.
+// Exchange passes another cell's message to the cell handler and returns its response.
 func (s *service) Exchange(ctx context.Context, request *peerpb.CellMessage) (*peerpb.CellMessage, error) {
 	handler := s.cellHandler()
 	if handler == nil {
@@ -44,15 +44,15 @@
 	if err := wire.Decode(request.GetBody(), &message); err != nil {
 		return nil, status.Errorf(codes.InvalidArgument, "unreadable: %v", err)
 	}
-	reply, err := handler(ctx, message)
+	response, err := handler(ctx, message)
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
-	body, err := wire.Encode(reply)
+	body, err := wire.Encode(response)
 	if err != nil {
 		return nil, status.Error(codes.Internal, err.Error())
 	}
-	return &peerpb.CellMessage{Cell: reply.Cell, Body: body}, nil
+	return &peerpb.CellMessage{Cell: response.Cell, Body: body}, nil
 }
 
 // Heard returns which of the machines' agents have sent this node a heartbeat recently. Machines beyond
@@ -67,9 +67,9 @@
 
 // Images returns the images that this node's machines are likely to hold, each with its machines.
 func (s *service) Images(context.Context, *peerpb.ImagesRequest) (*peerpb.ImagesReply, error) {
-	reply := &peerpb.ImagesReply{}
+	response := &peerpb.ImagesReply{}
 	for name, machines := range s.registry.MachinesByImage() {
-		reply.Images = append(reply.Images, &peerpb.Image{Name: name, Machines: machines})
+		response.Images = append(response.Images, &peerpb.Image{Name: name, Machines: machines})
 	}
-	return reply, nil
+	return response, nil
 }
--- a/internal/peerrpc/transport.go
+++ b/internal/peerrpc/transport.go
@@ -25,26 +25,26 @@
 	callTimeout   time.Duration
 	logger        *slog.Logger
 
-	mu               sync.Mutex // guards the fields below
-	connections      []*grpc.ClientConn
-	lastReplyAt      map[string]time.Time // by node
-	cellHandler      CellHandler
-	cellConnections  map[string]*grpc.ClientConn // by endpoint
-	lastReplyingNode map[string]string           // by cell: the endpoint that replied last
+	mu                 sync.Mutex // guards the fields below
+	connections        []*grpc.ClientConn
+	lastResponseAt     map[string]time.Time // by node
+	cellHandler        CellHandler
+	cellConnections    map[string]*grpc.ClientConn // by endpoint
+	lastRespondingNode map[string]string           // by cell: the endpoint that responded last
 }
 
 // New creates the clients for a node's peers; nothing is sent before the first call.
 func New(settings *config.Settings, registry AgentRegistry, logger *slog.Logger) (*Transport, error) {
 	transport := &Transport{
-		nodeName:         settings.Node,
-		listenAddress:    settings.PeerListen,
-		registry:         registry,
-		peerClients:      map[string]peerpb.PeerClient{},
-		callTimeout:      tuning.PeerTimeout,
-		logger:           logger,
-		lastReplyAt:      map[string]time.Time{},
-		cellConnections:  map[string]*grpc.ClientConn{},
-		lastReplyingNode: map[string]string{},
+		nodeName:           settings.Node,
+		listenAddress:      settings.PeerListen,
+		registry:           registry,
+		peerClients:        map[string]peerpb.PeerClient{},
+		callTimeout:        tuning.PeerTimeout,
+		logger:             logger,
+		lastResponseAt:     map[string]time.Time{},
+		cellConnections:    map[string]*grpc.ClientConn{},
+		lastRespondingNode: map[string]string{},
 	}
 	for _, peer := range settings.Peers {
 		connection, err := dial(peer.Endpoint)
