--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -1,7 +1,7 @@
 // Package admission rejects jobs that a deployment can never run.
 //
 // Jobs submitted by users, jobs compiled from a graph and jobs offered by another cell are all checked
-// here, so that the same job always gets the same answer (safety invariant 10). The package holds no
+// here, so that the same job always gets the same response (safety invariant 10). The package holds no
 // state and writes nothing. The scheduler decides when an accepted job runs.
 package admission
 
--- a/internal/api/cancel_test.go
+++ b/internal/api/cancel_test.go
@@ -136,7 +136,7 @@
 
 // TestCancellationAtCompletion: the last task of a job with several records may complete in a record other than the
 // one that the cancellation writes, so the two writes do not conflict. Such a job must be reported as done by every
-// node and for every request, because users may have received that answer before the job was marked, and jobs that
+// node and for every request, because users may have received that response before the job was marked, and jobs that
 // depend on it may start. It guards against a job that is first reported as cancelled, and as done after the leader
 // has written its final record.
 func TestCancellationAtCompletion(t *testing.T) {
--- a/internal/api/dependencies_test.go
+++ b/internal/api/dependencies_test.go
@@ -98,7 +98,7 @@
 }
 
 // TestDependencies: each job that a submission depends on must have a live or final record after a read barrier. If
-// that is uncertain the answer is 503, never 422. Until the schema version supports them, submissions with
+// that is uncertain the response is 503, never 422. Until the schema version supports them, submissions with
 // dependencies are not accepted.
 func TestDependencies(t *testing.T) {
 	for _, c := range append(acceptedDependencyCases(), refusedDependencyCases()...) {
--- a/internal/api/submit_test.go
+++ b/internal/api/submit_test.go
@@ -76,7 +76,7 @@
 }
 
 // TestRepeatedSubmissions: a repeated submission is answered with the state of the accepted job, even if its body
-// differs from the first one. If it is uncertain whether the job was accepted the answer is 503.
+// differs from the first one. If it is uncertain whether the job was accepted the response is 503.
 func TestRepeatedSubmissions(t *testing.T) {
 	unchanged := encodeSpec(func(*wire.JobSpec) {})
 	neverFits := encodeSpec(func(s *wire.JobSpec) { s.CPUs = 99 })
--- a/internal/autoscaler/doc.go
+++ b/internal/autoscaler/doc.go
@@ -11,7 +11,7 @@
 //     and a listed machine that has no record is adopted.
 //   - Invariant 4: a machine that is marked as being deleted counts as gone only once the cloud has
 //     confirmed the deletion.
-//   - Invariant 25: no wait is unbounded. A rental without an answer is requested again under the
+//   - Invariant 25: no wait is unbounded. A rental request without a response is retried under the
 //     same name, a refusal expires, and machines that the cloud no longer lists are deleted.
 //
 // The package never decides whether a task has ended.
--- a/internal/autoscaler/rental.go
+++ b/internal/autoscaler/rental.go
@@ -18,7 +18,7 @@
 )
 
 // rentAll rents the planned machines, up to tuning.RentalConcurrency rentals at a time, the most needed
-// kinds first. It returns once each rental has been answered or has failed.
+// kinds first. It returns once each rental request has got a response or has failed.
 func (a *Autoscaler) rentAll(ctx context.Context, leader wire.Condition, planned []plannedMachine) {
 	countByKind := map[machineKind]int{}
 	var kinds []machineKind // in order of need
@@ -74,11 +74,11 @@
 		a.log.Info("recording a rental failed", "err", err)
 		return
 	}
-	// resumeRentals retries a rental without an answer.
+	// resumeRentals retries a rental request without a response.
 	_ = a.requestMachines(ctx, name, clusterstate.Rental{Rental: rentalRecord, ModRevision: modRevision})
 }
 
-// resumeRentals repeats the requests of pending rentals, which have no recorded answer, and deletes the
+// resumeRentals retries the requests of pending rentals, which have no recorded response, and deletes the
 // records of rentals whose machines all have machine records. It reports whether any rental was pending.
 func (a *Autoscaler) resumeRentals(ctx context.Context, leader wire.Condition) (hasPending bool) {
 	pending, recorded := a.classifyRentals(leader)
@@ -122,9 +122,9 @@
 }
 
 // requestMachines requests a rental's machines from the cloud and records their names in the rental's
-// record, or deletes the record if the cloud provides none. It returns an error if the cloud gave no
-// answer; the rental then stays pending. The rental also stays pending if the answer can't be recorded: a
-// repeated request with the same name returns the same machines.
+// record, or deletes the record if the cloud provides none. It returns an error if the cloud did not
+// respond; the rental then stays pending. The rental also stays pending if the response can't be
+// recorded: a retried request with the same name returns the same machines.
 func (a *Autoscaler) requestMachines(ctx context.Context, name string, rental clusterstate.Rental) error {
 	machines, err := a.cloud.Rent(ctx, wire.RentalRequest{
 		Name:        name,
@@ -157,7 +157,7 @@
 	}
 	conditions := []wire.Condition{{Key: key, ModRevision: rental.ModRevision}}
 	if _, err := a.commit(ctx, kvstore.Transaction{Conditions: conditions, Ops: []wire.Op{op}}); err != nil {
-		a.log.Debug("recording the answer to a rental failed", "rental", name, "err", err)
+		a.log.Debug("recording the response to a rental request failed", "rental", name, "err", err)
 	}
 	return nil
 }
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -39,7 +39,7 @@
 		"busy":        {status: http.StatusServiceUnavailable, body: busy, want: ErrUnavailable},
 		"malformed":   {status: http.StatusBadRequest, want: ErrMalformedRequest},
 		"failure":     {status: http.StatusInternalServerError, want: ErrUnavailable},
-		"no answer":   {err: io.ErrUnexpectedEOF, want: ErrUnavailable},
+		"no response": {err: io.ErrUnexpectedEOF, want: ErrUnavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client := newTestClient(func(*http.Request) (*http.Response, error) {
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -36,7 +36,7 @@
 type Assessment struct {
 	Deletions      []Deletion
 	ProbeMachines  []string       // machines to probe with direct commands
-	AskPeersAbout  []string       // machines to ask the peers about; pass their answers to RecordPeerAnswers
+	AskPeersAbout  []string       // machines to ask the peers about; pass their responses to RecordPeerResponses
 	ShardTransfers map[int]string // shards whose agents report to another node, with its name
 	// ZoneHeartbeats has the heartbeat counts that the states of the zones are derived from.
 	ZoneHeartbeats map[string]zonehealth.HeartbeatCount
@@ -53,7 +53,7 @@
 
 	zones   zonehealth.Tracker
 	rosters zoneRosters
-	peers   peerAnswers
+	peers   peerResponses
 	pace    deletionPace
 }
 
@@ -91,7 +91,7 @@
 
 // classify returns the suspected machines, which have been silent for so long that they may be dead. It adds the
 // machines to be probed to the assessment. It also adds the deletion of silent machines that have a task whose
-// cancellation is overdue: neither the cap on deletions nor a peer's answer may delay these.
+// cancellation is overdue: neither the cap on deletions nor a peer's response may delay these.
 func (d *Detector) classify(now time.Time, machines []Machine, assessment *Assessment) []*Machine {
 	var suspected []*Machine
 	for i := range machines {
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -68,7 +68,7 @@
 	}{
 		{name: "reports to no peer", deleted: true},
 		{name: "reports to another node", reportsTo: "node-1"},
-		{name: "no answer from the peers", peersSilent: true},
+		{name: "no response from the peers", peersSilent: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestCluster(2, 20)
@@ -129,7 +129,7 @@
 
 // TestShardIsTransferredAfterMinimumOwnership checks that a shard is transferred to another node that most of its
 // machines report to, but only after this node has owned it for long enough to learn which of the machines receive
-// nothing. Machines that are recorded as down do not count: agents that get no answers send their heartbeats to each
+// nothing. Machines that are recorded as down do not count: agents that get no responses send their heartbeats to each
 // node in turn.
 func TestShardIsTransferredAfterMinimumOwnership(t *testing.T) {
 	const otherNode = "node-1"
@@ -153,7 +153,7 @@
 				reportsTo[s.machines[i].Name] = otherNode
 			}
 			asked := s.detector.Assess(now, s.machines, tasksOf).AskPeersAbout
-			s.detector.RecordPeerAnswers(now, asked, reportsTo)
+			s.detector.RecordPeerResponses(now, asked, reportsTo)
 			transfers := s.detector.Assess(now, s.machines, tasksOf).ShardTransfers
 			if transferred := transfers[0] == otherNode; len(asked) == 0 || transferred != c.transferred {
 				t.Errorf("asked about %v, transfers %v", asked, transfers)
--- a/internal/failuredetector/doc.go
+++ b/internal/failuredetector/doc.go
@@ -5,7 +5,7 @@
 // and keeps its machines until their leases have expired. Only machines whose services can start elsewhere are deleted
 // earlier, one by one; empty machines, and machines in a zone with a controller, are kept longer.
 //
-// The package owns the peers' answers about suspected machines, the pace of deletions, and the list of machines that
+// The package owns the peers' responses about suspected machines, the pace of deletions, and the list of machines that
 // were in a zone when it was cut off. Package zonehealth derives the states of the zones from the heartbeat counts
 // that this package passes to it.
 //
--- a/internal/failuredetector/fixture_test.go
+++ b/internal/failuredetector/fixture_test.go
@@ -72,7 +72,7 @@
 		}
 	}
 	if len(assessment.AskPeersAbout) > 0 && !s.peersSilent {
-		s.detector.RecordPeerAnswers(now, assessment.AskPeersAbout, s.reportsToPeer)
+		s.detector.RecordPeerResponses(now, assessment.AskPeersAbout, s.reportsToPeer)
 	}
 	for _, deletion := range assessment.Deletions {
 		s.deletedAt[deletion.Machine] = now
--- a/internal/failuredetector/peers.go
+++ b/internal/failuredetector/peers.go
@@ -8,31 +8,31 @@
 	"sableusher/internal/tuning"
 )
 
-// peerAnswer is the peers' answer about a suspected machine.
-type peerAnswer struct {
+// peerResponse is the peers' combined response about a suspected machine.
+type peerResponse struct {
 	receivedAt time.Time
 	node       string // that has recently received a report from the machine; empty if none has
 }
 
-// peerAnswers has the peers' answers about suspected machines, and when they were last asked.
-type peerAnswers struct {
-	answers map[string]peerAnswer
-	askedAt time.Time
+// peerResponses has the peers' responses about suspected machines, and when they were last asked.
+type peerResponses struct {
+	responses map[string]peerResponse
+	askedAt   time.Time
 }
 
-// RecordPeerAnswers records the peers' answers about the machines that they were asked about. reportsTo has, by
+// RecordPeerResponses records the peers' responses about the machines that they were asked about. reportsTo has, by
 // machine name, the node that has recently received a report from the machine.
-func (d *Detector) RecordPeerAnswers(now time.Time, asked []string, reportsTo map[string]string) {
-	if d.peers.answers == nil {
-		d.peers.answers = map[string]peerAnswer{}
+func (d *Detector) RecordPeerResponses(now time.Time, asked []string, reportsTo map[string]string) {
+	if d.peers.responses == nil {
+		d.peers.responses = map[string]peerResponse{}
 	}
 	for _, name := range asked {
-		d.peers.answers[name] = peerAnswer{receivedAt: now, node: reportsTo[name]}
+		d.peers.responses[name] = peerResponse{receivedAt: now, node: reportsTo[name]}
 	}
 }
 
 // uncertainMachines returns the names of the suspected machines and of those that are being probed. The probed ones
-// are included so that the answers about them have arrived by the time they become suspected.
+// are included so that the responses about them have arrived by the time they become suspected.
 func uncertainMachines(suspected []*Machine, probed []string) map[string]bool {
 	names := make(map[string]bool, len(suspected)+len(probed))
 	for _, machine := range suspected {
@@ -44,16 +44,16 @@
 	return names
 }
 
-// prune removes the answers about machines that are not uncertain any more, and the answers that are too old to prove
+// prune removes the responses about machines that are not uncertain any more, and those that are too old to prove
 // anything.
-func (p *peerAnswers) prune(now time.Time, uncertain map[string]bool) {
-	maps.DeleteFunc(p.answers, func(name string, answer peerAnswer) bool {
-		return !uncertain[name] || now.Sub(answer.receivedAt) > 2*tuning.PeerQueryInterval
+func (p *peerResponses) prune(now time.Time, uncertain map[string]bool) {
+	maps.DeleteFunc(p.responses, func(name string, response peerResponse) bool {
+		return !uncertain[name] || now.Sub(response.receivedAt) > 2*tuning.PeerQueryInterval
 	})
 }
 
 // machinesToAskAbout returns the names of the uncertain machines, sorted, if the peers are to be asked now.
-func (p *peerAnswers) machinesToAskAbout(now time.Time, uncertain map[string]bool) []string {
+func (p *peerResponses) machinesToAskAbout(now time.Time, uncertain map[string]bool) []string {
 	if len(uncertain) == 0 || now.Sub(p.askedAt) < tuning.PeerQueryInterval {
 		return nil
 	}
@@ -63,14 +63,14 @@
 
 // reportsToNoPeer reports whether the peers were asked about a machine and none of them has received a report from
 // it.
-func (p *peerAnswers) reportsToNoPeer(name string) bool {
-	answer, ok := p.answers[name]
-	return ok && answer.node == ""
+func (p *peerResponses) reportsToNoPeer(name string) bool {
+	response, ok := p.responses[name]
+	return ok && response.node == ""
 }
 
 // shardTransfers returns the shards of which more than half of the machines that are up report to one other node,
 // with that node. A shard stays until this node has owned it for tuning.ShardTransferMinOwned.
-func (p *peerAnswers) shardTransfers(now time.Time, machines []Machine) map[int]string {
+func (p *peerResponses) shardTransfers(now time.Time, machines []Machine) map[int]string {
 	up := map[int]int{}                   // number of machines by shard
 	reportsTo := map[int]map[string]int{} // number of machines by shard and node
 	for i := range machines {
@@ -79,7 +79,7 @@
 			continue
 		}
 		up[machine.Shard]++
-		if node := p.answers[machine.Name].node; node != "" {
+		if node := p.responses[machine.Name].node; node != "" {
 			if reportsTo[machine.Shard] == nil {
 				reportsTo[machine.Shard] = map[string]int{}
 			}
--- a/internal/federation/host.go
+++ b/internal/federation/host.go
@@ -43,7 +43,7 @@
 	Recalled  bool
 }
 
-// TransferStatus is the host's answer to a TransferRequest: the status of the transfer by the host's records.
+// TransferStatus is the host's response to a TransferRequest: the status of the transfer by the host's records.
 type TransferStatus struct {
 	Number uint64
 	Status HostStatus
@@ -68,7 +68,7 @@
 	})
 }
 
-// ApplyRequest applies a request. It returns the status to answer with, which may be sent only after the change
+// ApplyRequest applies a request. It returns the status to respond with, which may be sent only after the change
 // is durable. A transfer with a new number is accepted if hasCapacity is set and it is neither cancelled nor
 // recalled. An unknown number that is not above HighestNumber belongs to a delayed copy of a request whose
 // transfer was refused, returned or forgotten. Accepting it could start the job twice.
--- a/internal/peerrpc/doc.go
+++ b/internal/peerrpc/doc.go
@@ -2,6 +2,6 @@
 // exchange of jobs between the leaders of cells.
 //
 // Messages are not durable, and safety does not depend on them: a lost, late or repeated response only costs time.
-// A hint about an agent is used only if the cluster state of the replying node is recent. Package offload checks
+// A hint about an agent is used only if the cluster state of the responding node is recent. Package offload checks
 // the messages of other cells against records.
 package peerrpc
--- a/internal/peerrpc/peers_test.go
+++ b/internal/peerrpc/peers_test.go
@@ -6,9 +6,9 @@
 	"sableusher/internal/config"
 )
 
-// TestQueriesCombinePeerReplies: heartbeats reported by a node whose cluster state is not recent are ignored, the
+// TestQueriesCombinePeerResponses: heartbeats reported by a node whose cluster state is not recent are ignored, the
 // images of all nodes that respond are combined, and a node that does not respond is skipped.
-func TestQueriesCombinePeerReplies(t *testing.T) {
+func TestQueriesCombinePeerResponses(t *testing.T) {
 	recent := fakeRegistry{
 		machinesWithHeartbeats: []string{"vm-1"},
 		hasFreshState:          true,
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -86,7 +86,7 @@
 	e.wake()
 }
 
-// commitWithin commits a transaction and waits at most timeout for the answer.
+// commitWithin commits a transaction and waits at most timeout for the response.
 func (e *Engine) commitWithin(
 	ctx context.Context, timeout time.Duration, transaction kvstore.Transaction,
 ) (revision uint64, err error) {
--- a/internal/scheduler/commit_test.go
+++ b/internal/scheduler/commit_test.go
@@ -79,7 +79,7 @@
 	})
 }
 
-// TestUnknownOutcomeIsFenced checks that a binding whose transaction gets no answer counts as in flight until its
+// TestUnknownOutcomeIsFenced checks that a binding whose transaction gets no response counts as in flight until its
 // shard is fenced. The store may still apply the transaction, even after newer ones. Its capacity, its team's quota
 // and its record therefore stay in use until the shard's record has been rewritten, after which its condition can no
 // longer hold. If they were released earlier, the team's grant could be lowered below what the binding uses.
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -122,7 +122,7 @@
 	return false
 }
 
-// fenceUnresolvedStart raises a shard's fencing token, because a start command without an answer could still start a
+// fenceUnresolvedStart raises a shard's fencing token, because a start command without a response could still start a
 // task that must not run.
 func (c *cycle) fenceUnresolvedStart(shard int) {
 	members := c.membership
@@ -148,11 +148,11 @@
 }
 
 // askPeers asks the other nodes which of the machines have recently sent heartbeats to them, and records their
-// answers for the next cycle.
+// responses for the next cycle.
 func (e *Engine) askPeers(ctx context.Context, machines []string) {
 	peerByMachine := e.peers.QueryRecentReports(ctx, machines)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.failureDetector.RecordPeerAnswers(time.Now(), machines, peerByMachine)
+	e.failureDetector.RecordPeerResponses(time.Now(), machines, peerByMachine)
 	e.wake()
 }
--- a/internal/scheduler/imagehints.go
+++ b/internal/scheduler/imagehints.go
@@ -7,7 +7,7 @@
 	"sableusher/internal/tuning"
 )
 
-// imageHints holds the last answers of the other nodes on which of their machines hold which images. They are used
+// imageHints holds the last responses of the other nodes on which of their machines hold which images. They are used
 // only as hints for the choice of machines.
 type imageHints struct {
 	machinesByImage map[string]map[string]bool
@@ -15,7 +15,7 @@
 }
 
 // TrackRemoteImages asks the other nodes every tuning.RemoteImagesInterval which machines hold which images, until
-// ctx is done. If no node answers, the previous answers are kept.
+// ctx is done. If no node responds, the previous responses are kept.
 func (e *Engine) TrackRemoteImages(ctx context.Context) error {
 	ticker := time.NewTicker(tuning.RemoteImagesInterval)
 	defer ticker.Stop()
--- a/internal/scheduler/inventory.go
+++ b/internal/scheduler/inventory.go
@@ -40,7 +40,7 @@
 }
 
 // refreshImageHints updates an inventory's hints on which machines probably hold which images: those of this node's
-// machines every tuning.ImageHoldersMaxAge, those of other nodes' machines when new answers have arrived.
+// machines every tuning.ImageHoldersMaxAge, those of other nodes' machines when new responses have arrived.
 func (c *cycle) refreshImageHints(inventory *binpack.Inventory) {
 	if c.now.Sub(inventory.HintsUpdatedAt(binpack.OwnMachines)) >= tuning.ImageHoldersMaxAge {
 		inventory.SetImageHints(binpack.OwnMachines, c.now, c.ownImageHints())
--- a/internal/scheduler/peers.go
+++ b/internal/scheduler/peers.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// Peers queries the other nodes about machines. Their answers are hints only.
+// Peers queries the other nodes about machines. Their responses are hints only.
 type Peers interface {
 	// QueryRecentReports returns, by machine, a node that has recently received a heartbeat from it. Machines from
 	// which no node has received one are missing.
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -49,7 +49,7 @@
 	AgentFailoverTime = 15 * time.Second
 	// ShardTransferMinOwned is how long a node must have owned a shard before it transfers the shard to another node
 	// that receives the agents' reports. In this time each agent contacts the owner once and a command to each agent
-	// succeeds or fails, so that the owner learns which machines receive nothing. Agents that get no answers move
+	// succeeds or fails, so that the owner learns which machines receive nothing. Agents that get no responses move
 	// from node to node; if the shard followed them, no owner would keep it long enough to learn that.
 	ShardTransferMinOwned = AgentFailoverTime + CommandTimeout + InboundLostAfter
 	// DeletionCapShare is the maximum share of a node's machines (at least two machines) that may be deleted in
