--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -73,7 +73,7 @@
 	Name                 string  `xml:"name,attr"`
 	MaxRetries           int     `xml:"repeats,attr"`     // limit of retries after failures of the task itself
 	RetryPauseSeconds    float64 `xml:"pause-s,attr"`     // seconds before the first retry; doubled for each next
-	MaxRetryPauseSeconds float64 `xml:"pause-max-s,attr"` // longest such pause, in seconds
+	MaxRetryPauseSeconds float64 `xml:"pause-max-s,attr"` // longest such backoff, in seconds
 }
 
 // LoadOperator reads the operators' file; settings that the file lacks have the embedded
--- a/internal/dependency/resolver.go
+++ b/internal/dependency/resolver.go
@@ -35,10 +35,10 @@
 }
 
 // Run reads missing outcomes after each change of the cluster state, and at intervals of
-// tuning.OutcomeReadRetryPause, until ctx is done. It returns the error of ctx.
+// tuning.OutcomeReadRetryBackoff, until ctx is done. It returns the error of ctx.
 func (r *Resolver) Run(ctx context.Context) error {
 	changed := r.clusterState.Subscribe()
-	retryTicker := time.NewTicker(tuning.OutcomeReadRetryPause)
+	retryTicker := time.NewTicker(tuning.OutcomeReadRetryBackoff)
 	defer retryTicker.Stop()
 	for {
 		r.resolveMissing(ctx)
@@ -58,7 +58,7 @@
 }
 
 // resolveMissing reads the outcomes that are missing in the cluster state, except those whose last read
-// failed less than tuning.OutcomeReadRetryPause ago.
+// failed less than tuning.OutcomeReadRetryBackoff ago.
 func (r *Resolver) resolveMissing(ctx context.Context) {
 	now := time.Now()
 	ids := r.dueJobIDs(now)
@@ -75,7 +75,7 @@
 // longer delay a read.
 func (r *Resolver) dueJobIDs(now time.Time) []string {
 	for id, at := range r.failedAt {
-		if now.Sub(at) >= tuning.OutcomeReadRetryPause {
+		if now.Sub(at) >= tuning.OutcomeReadRetryBackoff {
 			delete(r.failedAt, id)
 		}
 	}
--- a/internal/dependency/resolver_test.go
+++ b/internal/dependency/resolver_test.go
@@ -63,7 +63,7 @@
 // stillWaiting sleeps for three retry intervals of the resolver, and reports whether the dependent job
 // still has unmet dependencies.
 func stillWaiting(state *clusterstate.State) bool {
-	time.Sleep(3 * tuning.OutcomeReadRetryPause)
+	time.Sleep(3 * tuning.OutcomeReadRetryBackoff)
 	state.RLock()
 	defer state.RUnlock()
 	return state.Jobs[dependentJobID].HasUnmetDependencies()
--- a/internal/kvstore/committer.go
+++ b/internal/kvstore/committer.go
@@ -256,7 +256,7 @@
 			}
 			transactions = remaining
 		case errors.Is(err, ErrUnavailable):
-			if pause(ctx, tuning.KVRetryPause) != nil {
+			if pause(ctx, tuning.KVRetryBackoff) != nil {
 				finishBatch(transactions, 0, ErrUnavailable)
 				return
 			}
--- a/internal/kvstore/watchcache.go
+++ b/internal/kvstore/watchcache.go
@@ -102,7 +102,7 @@
 	for ctx.Err() == nil {
 		if err := c.listAll(ctx); err != nil {
 			c.logger.Info("key listing failed", "err", err)
-			_ = pause(ctx, tuning.KVRetryPause) // the loop condition checks ctx
+			_ = pause(ctx, tuning.KVRetryBackoff) // the loop condition checks ctx
 			continue
 		}
 		c.followWatch(ctx)
@@ -127,7 +127,7 @@
 		}
 		if err != nil && ctx.Err() == nil {
 			c.logger.Debug("watch failed", "err", err)
-			_ = pause(ctx, tuning.KVRetryPause) // the loop condition checks ctx
+			_ = pause(ctx, tuning.KVRetryBackoff) // the loop condition checks ctx
 		}
 	}
 }
--- a/internal/scheduler/changetracker.go
+++ b/internal/scheduler/changetracker.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// reject blocks changes of the records of a malformed change until the given time. Without the pause the change would
+// reject blocks changes of the records of a malformed change until the given time. Without the backoff the change would
 // be retried in each cycle and take request budget from other changes.
 func (t *changeTracker) reject(change *recordChange, until time.Time) {
 	for _, key := range change.keys {
@@ -71,13 +71,13 @@
 	}
 }
 
-// rejected reports whether a change of a record was rejected and its pause has not been pruned yet.
+// rejected reports whether a change of a record was rejected and its backoff has not been pruned yet.
 func (t *changeTracker) rejected(key string) bool {
 	_, rejected := t.rejectedUntil[key]
 	return rejected
 }
 
-// pruneRejected allows changes again of the rejected records whose pause is over.
+// pruneRejected allows changes again of the rejected records whose backoff has ended.
 func (t *changeTracker) pruneRejected(now time.Time) {
 	maps.DeleteFunc(t.rejectedUntil, func(_ string, until time.Time) bool { return now.After(until) })
 }
--- a/internal/scheduler/changetracker_test.go
+++ b/internal/scheduler/changetracker_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// TestRejectedRecordIsAllowedAfterItsPause checks that a rejected record stays rejected until its pause is over and
-// pruneRejected has been called.
-func TestRejectedRecordIsAllowedAfterItsPause(t *testing.T) {
+// TestRejectedRecordIsAllowedAfterItsBackoff checks that a rejected record stays rejected until its backoff has ended
+// and pruneRejected has been called.
+func TestRejectedRecordIsAllowedAfterItsBackoff(t *testing.T) {
 	tracker := newChangeTracker()
 	tracker.reject(&recordChange{keys: []string{"a", "b"}}, testNow.Add(time.Minute))
 	for _, step := range []struct {
--- a/internal/scheduler/learner_checkpoint.go
+++ b/internal/scheduler/learner_checkpoint.go
@@ -132,7 +132,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(tuning.KVRetryPause):
+		case <-time.After(tuning.KVRetryBackoff):
 		}
 	}
 }
--- a/internal/scheduler/learner_checkpoint_test.go
+++ b/internal/scheduler/learner_checkpoint_test.go
@@ -69,7 +69,7 @@
 				if err == nil && checkpoint.RewardCount != test.rewards {
 					t.Errorf("%d rewards, want %d", checkpoint.RewardCount, test.rewards)
 				}
-				if waited := time.Since(start); waited != time.Duration(test.failures)*tuning.KVRetryPause {
+				if waited := time.Since(start); waited != time.Duration(test.failures)*tuning.KVRetryBackoff {
 					t.Errorf("waited %v for %d failed reads", waited, test.failures)
 				}
 			})
@@ -80,7 +80,7 @@
 // TestCheckpointReadEndsWithItsContext checks that reading from an unavailable store ends with the context.
 func TestCheckpointReadEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := context.WithTimeout(t.Context(), 10*tuning.KVRetryPause)
+		ctx, cancel := context.WithTimeout(t.Context(), 10*tuning.KVRetryBackoff)
 		defer cancel()
 		reader := &recordReader{failures: 1 << 20}
 		_, err := learnerCheckpoints{node: "node-0", reader: reader}.load(ctx)
--- a/internal/tuning/kvstore.go
+++ b/internal/tuning/kvstore.go
@@ -51,9 +51,9 @@
 	// InFlightKeyMaxChanges is the maximum number of changes that are kept of one key while a transaction that
 	// changes it is in flight.
 	InFlightKeyMaxChanges = 32
-	// KVRetryPause is the delay before a failed request to the key-value store is retried, for example after status
+	// KVRetryBackoff is the backoff before a failed request to the key-value store is retried, for example after status
 	// 429 or 503.
-	KVRetryPause = 150 * time.Millisecond
+	KVRetryBackoff = 150 * time.Millisecond
 	// HTTPBodyMaxBytes bounds the body of an HTTP response from the key-value store, the cloud or an agent, and of an
 	// agent's heartbeat. The response to a watch has no size limit in the protocol; this bound only stops a runaway
 	// response.
--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -98,7 +98,7 @@
 	// MaxClassRetries is the maximum number of retries that a class may allow: with more, a task that always fails
 	// would occupy machines for days.
 	MaxClassRetries = 1000
-	// MaxRetryPauseSeconds is the maximum pause between two retries, in seconds.
+	// MaxRetryPauseSeconds is the maximum backoff between two retries, in seconds.
 	MaxRetryPauseSeconds = 86400
 	// MaxOperatorClasses is the maximum number of classes in the operators' file.
 	MaxOperatorClasses = 256
--- a/internal/tuning/schemaversion.go
+++ b/internal/tuning/schemaversion.go
@@ -17,9 +17,9 @@
 	SchemaVersionRetries = 3
 	// SchemaVersionOffload is the first schema version whose job records may refer to another cell.
 	SchemaVersionOffload = 4
-	// OutcomeReadRetryPause is the pause before the read of a final record is retried after the record was missing or
-	// the read failed.
-	OutcomeReadRetryPause = 300 * time.Millisecond
+	// OutcomeReadRetryBackoff is the backoff before the read of a final record is retried after the record was missing
+	// or the read failed.
+	OutcomeReadRetryBackoff = 300 * time.Millisecond
 	// OutcomeReadConcurrency is the maximum number of final records that are read concurrently.
 	OutcomeReadConcurrency = 4
 	// DependentCancelOwnerGrace is how long only the owner of the first live shard of a job may cancel the job after
