--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -70,10 +70,10 @@
 
 // Class limits the retries of the tasks of jobs in a class.
 type Class struct {
-	Name                 string  `xml:"name,attr"`
-	MaxRetries           int     `xml:"repeats,attr"`     // limit of retries after failures of the task itself
-	RetryPauseSeconds    float64 `xml:"pause-s,attr"`     // seconds before the first retry; doubled for each next
-	MaxRetryPauseSeconds float64 `xml:"pause-max-s,attr"` // longest such backoff, in seconds
+	Name                   string  `xml:"name,attr"`
+	MaxRetries             int     `xml:"repeats,attr"`     // limit of retries after failures of the task itself
+	RetryBackoffSeconds    float64 `xml:"pause-s,attr"`     // seconds before the first retry; doubled for each next
+	MaxRetryBackoffSeconds float64 `xml:"pause-max-s,attr"` // longest such backoff, in seconds
 }
 
 // LoadOperator reads the operators' file; settings that the file lacks have the embedded
@@ -157,9 +157,9 @@
 		}
 		names[class.Name] = true
 		faults.checkElementRange(element+" repeats", float64(class.MaxRetries), 0, tuning.MaxClassRetries)
-		faults.checkElementRange(element+" pause-s", class.RetryPauseSeconds, 0, tuning.MaxRetryPauseSeconds)
-		faults.checkElementRange(element+" pause-max-s", class.MaxRetryPauseSeconds,
-			class.RetryPauseSeconds, tuning.MaxRetryPauseSeconds)
+		faults.checkElementRange(element+" pause-s", class.RetryBackoffSeconds, 0, tuning.MaxRetryBackoffSeconds)
+		faults.checkElementRange(element+" pause-max-s", class.MaxRetryBackoffSeconds,
+			class.RetryBackoffSeconds, tuning.MaxRetryBackoffSeconds)
 	}
 }
 
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -198,7 +198,7 @@
 		t.Fatalf("classes.xml: unexpected settings %+v, error %v", operator, err)
 	}
 	for _, class := range operator.Classes {
-		if class.Name == "" || class.MaxRetryPauseSeconds < class.RetryPauseSeconds {
+		if class.Name == "" || class.MaxRetryBackoffSeconds < class.RetryBackoffSeconds {
 			t.Errorf("classes.xml: unexpected class %+v", class)
 		}
 	}
--- a/internal/retry/policy_test.go
+++ b/internal/retry/policy_test.go
@@ -13,11 +13,11 @@
 // drawClass draws a class that limits retries.
 func drawClass(t *rapid.T) config.Class {
 	class := config.Class{
-		Name:              "c",
-		MaxRetries:        rapid.IntRange(0, 1000).Draw(t, "retries"),
-		RetryPauseSeconds: rapid.Float64Range(0, 1000).Draw(t, "pause"),
+		Name:                "c",
+		MaxRetries:          rapid.IntRange(0, 1000).Draw(t, "retries"),
+		RetryBackoffSeconds: rapid.Float64Range(0, 1000).Draw(t, "pause"),
 	}
-	class.MaxRetryPauseSeconds = class.RetryPauseSeconds + rapid.Float64Range(0, 85400).Draw(t, "longer pause")
+	class.MaxRetryBackoffSeconds = class.RetryBackoffSeconds + rapid.Float64Range(0, 85400).Draw(t, "longer pause")
 	return class
 }
 
@@ -61,7 +61,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		class := drawClass(t)
 		policies := NewPolicies([]config.Class{class})
-		initial, maximum := config.ToDuration(class.RetryPauseSeconds), config.ToDuration(class.MaxRetryPauseSeconds)
+		initial, maximum := config.ToDuration(class.RetryBackoffSeconds), config.ToDuration(class.MaxRetryBackoffSeconds)
 		last := time.Duration(0)
 		for failures := range 1200 {
 			backoff := policies.Backoff("c", failures)
--- a/internal/simulation/retry_test.go
+++ b/internal/simulation/retry_test.go
@@ -49,8 +49,8 @@
 		capacityPerKind: 6,
 		random:          newRandom(seed, streamFailureRegion),
 		configureOperator: func(operator *config.Operator) {
-			class := config.Class{Name: "c", MaxRetries: classRetryLimit, RetryPauseSeconds: 3,
-				MaxRetryPauseSeconds: 10}
+			class := config.Class{Name: "c", MaxRetries: classRetryLimit, RetryBackoffSeconds: 3,
+				MaxRetryBackoffSeconds: 10}
 			operator.Classes = []config.Class{class}
 		},
 	}.start(ctx)
--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -98,8 +98,8 @@
 	// MaxClassRetries is the maximum number of retries that a class may allow: with more, a task that always fails
 	// would occupy machines for days.
 	MaxClassRetries = 1000
-	// MaxRetryPauseSeconds is the maximum backoff between two retries, in seconds.
-	MaxRetryPauseSeconds = 86400
+	// MaxRetryBackoffSeconds is the maximum backoff between two retries, in seconds.
+	MaxRetryBackoffSeconds = 86400
 	// MaxOperatorClasses is the maximum number of classes in the operators' file.
 	MaxOperatorClasses = 256
 	// RejectedRecordBackoff is the time for which a record is not changed again after the key-value store rejected a
