--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -53,7 +53,8 @@
 func (p Policies) Backoff(class string, failures int) time.Duration {
 	initial, maximum := tuning.MinJobBackoff, tuning.MaxJobBackoff
 	if policy, ok := p[class]; ok {
-		initial, maximum = config.ToDuration(policy.RetryBackoffSeconds), config.ToDuration(policy.MaxRetryBackoffSeconds)
+		initial, maximum = config.ToDuration(policy.RetryBackoffSeconds),
+			config.ToDuration(policy.MaxRetryBackoffSeconds)
 	}
 	if failures < 1 {
 		return 0
--- a/internal/retry/policy_test.go
+++ b/internal/retry/policy_test.go
@@ -61,7 +61,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		class := drawClass(t)
 		policies := NewPolicies([]config.Class{class})
-		initial, maximum := config.ToDuration(class.RetryBackoffSeconds), config.ToDuration(class.MaxRetryBackoffSeconds)
+		initial, maximum := config.ToDuration(class.RetryBackoffSeconds),
+			config.ToDuration(class.MaxRetryBackoffSeconds)
 		last := time.Duration(0)
 		for failures := range 1200 {
 			backoff := policies.Backoff("c", failures)
