--- a/internal/autoscaler/rentaltracker.go
+++ b/internal/autoscaler/rentaltracker.go
@@ -67,7 +67,7 @@
 		backoff = min(2*last.backoff, tuning.RentalRefusalBackoffMax)
 	}
 	t.refusals[kind] = refusal{until: now.Add(backoff), backoff: backoff, machinesHeld: t.machineCounts[kind]}
-	t.insufficientUntil[kind] = now.Add(tuning.InsufficientCapacityHold)
+	t.insufficientUntil[kind] = now.Add(tuning.InsufficientCapacityBackoff)
 }
 
 // isRefused reports whether a kind was refused and its backoff has not ended.
@@ -76,7 +76,7 @@
 }
 
 // mayFitGang reports whether the cloud may have enough machines of a kind for a whole gang: no refusal of
-// the kind was recorded within tuning.InsufficientCapacityHold.
+// the kind was recorded within tuning.InsufficientCapacityBackoff.
 func (t *rentalTracker) mayFitGang(kind machineKind, now time.Time) bool {
 	return !now.Before(t.insufficientUntil[kind])
 }
--- a/internal/tuning/autoscaler.go
+++ b/internal/tuning/autoscaler.go
@@ -33,10 +33,10 @@
 	// time until the autoscaler notices machines that other users of the cloud have returned.
 	RentalRefusalBackoff    = 6 * time.Second
 	RentalRefusalBackoffMax = 12 * time.Second
-	// InsufficientCapacityHold is how long the cloud is assumed to have too few machines of a kind for a whole gang,
+	// InsufficientCapacityBackoff is how long the cloud is assumed to have too few machines of a kind for a whole gang,
 	// after it provided fewer than requested. It spans several boot times, in which other users of the cloud return
 	// machines that they no longer need.
-	InsufficientCapacityHold = time.Minute
+	InsufficientCapacityBackoff = time.Minute
 	// BootTimeoutFactor is the number of nominal boot times after which a machine that has not come up is replaced.
 	BootTimeoutFactor = 3.5
 	// MinBootTimeout is the shortest time after which a machine that has not come up is replaced.
