--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -218,11 +218,11 @@
 // reductionDue reports whether a grant has been larger than needed for long enough to be lowered. A surplus
 // of at most half the headroom above what is needed may be kept for longer.
 func (r surplusRule) reductionDue(surplusFor time.Duration, grant, needed record.Resources) bool {
-	if surplusFor > tuning.GrantSmallSurplusHold {
+	if surplusFor > tuning.GrantSmallSurplusRetention {
 		return true
 	}
 	isSmall := r.limited && grant.FitsIn(needed.PlusTimes(r.headroom, 0.5))
-	return surplusFor > tuning.GrantSurplusHold && !isSmall
+	return surplusFor > tuning.GrantSurplusRetention && !isSmall
 }
 
 // headroom returns the amount by which a raised grant exceeds the requested usage, rounded down to whole
