--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -20,7 +20,7 @@
 type commandPlan struct {
 	machine  *machine
 	bindings map[record.TaskRef]clusterstate.Binding
-	// attemptEnded reports whether an attempt is over according to the records.
+	// attemptEnded reports whether an attempt has ended according to the records.
 	attemptEnded func(ref record.TaskRef, attempt uint64) bool
 	// stopRequest returns the pending request to stop a bound task, if there is one.
 	stopRequest func(binding clusterstate.Binding) (stopRequest, bool)
@@ -193,7 +193,7 @@
 	return request, ok
 }
 
-// attemptEnded reports whether an attempt of a task is over according to the records: a later attempt exists, the
+// attemptEnded reports whether an attempt of a task has ended according to the records: a later attempt exists, the
 // attempt is not bound any more, or the job has ended. If it returns false, the cluster state may be older than the
 // report. Callers hold the cluster state's lock.
 func (r *Registry) attemptEnded(ref record.TaskRef, attempt uint64) bool {
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -14,7 +14,7 @@
 	link    linkState
 
 	tasks map[attemptKey]reportedTask // as last reported
-	// unboundSince is when a task was first reported whose attempt is over and is not bound to this machine and
+	// unboundSince is when a task was first reported whose attempt has ended and is not bound to this machine and
 	// session, according to the records.
 	unboundSince map[attemptKey]time.Time
 	starts       pendingStarts
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -132,7 +132,7 @@
 	r.removeMachines(now)
 }
 
-// removeStopRequests removes the stop requests whose attempts are over. Callers hold the cluster state's lock and mu.
+// removeStopRequests removes the stop requests whose attempts have ended. Callers hold the cluster state's lock and mu.
 func (r *Registry) removeStopRequests(now time.Time) {
 	for key, request := range r.stopRequests {
 		job := r.clusterState.Jobs[key.ref.JobID]
--- a/internal/failuredetector/zones_test.go
+++ b/internal/failuredetector/zones_test.go
@@ -33,7 +33,7 @@
 		}
 		s.run(from+length, from+length+30)
 		begin := atSecond(from)
-		// The partition is over for this node once the first of the machines have sent heartbeats again.
+		// The partition has ended for this node once the first of the machines have sent heartbeats again.
 		over := begin.Add(time.Duration(length)*time.Second + testTiming.HeartbeatInterval)
 		leaseLasts := testTiming.LeaseDuration - testTiming.HeartbeatInterval - time.Second
 		for name, at := range s.deletedAt {
--- a/internal/federation/member.go
+++ b/internal/federation/member.go
@@ -48,7 +48,7 @@
 
 // Step returns the member after at most one transition. A member becomes suspected and then lost by silence alone.
 // When messages arrive again it is returning, and it joins after inventories have been exchanged and its
-// probation is over. The probation doubles with each further return that has not been forgiven.
+// probation has ended. The probation doubles with each further return that has not been forgiven.
 //
 //	from       to                   when
 //	unknown    returning            a message arrives
@@ -60,7 +60,7 @@
 //	lost       returning            a message arrives
 //	draining   joined               its operators end the drain
 //	draining   suspected            it is silent for tuning.CellSuspectedAfter
-//	returning  joined or draining   inventories have been exchanged and the probation is over
+//	returning  joined or draining   inventories have been exchanged and the probation has ended
 //	returning  suspected            it is silent for tuning.CellSuspectedAfter
 //	removed    returning            it is configured and a message arrives under an epoch above the fenced one
 //	any        removed              it is no longer configured, or its epoch is fenced
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -23,7 +23,7 @@
 	// DispatchQueueLength is the maximum number of machines that wait for a direct command.
 	DispatchQueueLength = 4096
 	// UnknownTaskGrace is how long an agent may report a task that is not bound to its machine and session, and whose
-	// attempt is over according to the records, before the task is stopped. Heartbeats may be slightly older than
+	// attempt has ended according to the records, before the task is stopped. Heartbeats may be slightly older than
 	// records.
 	UnknownTaskGrace = 5 * time.Second
 	// SuspectAfterIntervals is the silence, in heartbeat intervals, after which a machine counts as unreachable.
--- a/internal/zonehealth/doc.go
+++ b/internal/zonehealth/doc.go
@@ -16,7 +16,7 @@
 //	serving    (initial state)
 //	           doubted            heartbeats arrived from at least half of the machines
 //	           returning          heartbeats arrived from at least half of the machines and the
-//	                              probation is over
+//	                              probation has ended
 //	doubted    serving            heartbeats arrived from at least a quarter of the machines, but
 //	                              from fewer than half
 //	cut        serving, doubted,  heartbeats arrived from fewer than a quarter of the machines:
