--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -42,7 +42,7 @@
 	ZoneHeartbeats map[string]zonehealth.HeartbeatCount
 	ZoneChanges    []zonehealth.Transition
 	// ZoneReturns describes, for each zone that serves again, what became of the machines that were in it when it was
-	// cut off.
+	// partitioned.
 	ZoneReturns map[string]zonehealth.ReturnSummary
 }
 
@@ -139,7 +139,7 @@
 
 // nodeIsPartitioned reports whether the silence seems to be caused by a partition of this node and not by dead
 // machines: most machines are suspected at the same time, and no other zones report, which would show that only the
-// silent zones are cut off.
+// silent zones are partitioned.
 func (d *Detector) nodeIsPartitioned(suspected, up int, heartbeats zonehealth.HeartbeatCount) bool {
 	return suspected*2 > up && up > 2 && !d.otherZonesReporting(heartbeats)
 }
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -117,7 +117,7 @@
 	}
 	for second := 20; second < 30; second++ {
 		if s.step(atSecond(second)); s.detector.ZoneUnavailable(partitionedZone) {
-			t.Fatalf("cut off %d s after the take-over", second-20)
+			t.Fatalf("zone partitioned %d s after the takeover", second-20)
 		}
 	}
 	for name := range s.deletedAt {
--- a/internal/failuredetector/doc.go
+++ b/internal/failuredetector/doc.go
@@ -6,7 +6,7 @@
 // earlier, one by one; empty machines, and machines in a zone with a controller, are kept longer.
 //
 // The package owns the peers' responses about suspected machines, the pace of deletions, and the list of machines that
-// were in a zone when it was cut off. Package zonehealth derives the states of the zones from the heartbeat counts
+// were in a zone when it was partitioned. Package zonehealth derives the states of the zones from the heartbeat counts
 // that this package passes to it.
 //
 // The package is a pure state machine, without a clock, network access or records. Tasks leave a machine only when
--- a/internal/failuredetector/zones.go
+++ b/internal/failuredetector/zones.go
@@ -10,7 +10,7 @@
 // Zones returns the states of the zones as of the last assessment.
 func (d *Detector) Zones() *zonehealth.Tracker { return &d.zones }
 
-// ZoneUnavailable reports whether a zone was cut off from this node, or lost, as of the last assessment.
+// ZoneUnavailable reports whether a zone was partitioned from this node, or lost, as of the last assessment.
 func (d *Detector) ZoneUnavailable(name string) bool { return d.zones.Unavailable(name) }
 
 // ZoneUnstable reports whether a zone is unavailable or returning, so that its agents may still be reconnecting.
@@ -18,7 +18,7 @@
 	return d.zones.Unavailable(name) || d.zones.State(name) == zonehealth.Returning
 }
 
-// UnavailableZones returns the names of the zones that are cut off or lost.
+// UnavailableZones returns the names of the zones that are partitioned or lost.
 func (d *Detector) UnavailableZones() []string { return d.zones.UnavailableZones() }
 
 // countHeartbeats counts, in total and by zone, the machines from which heartbeats are expected and those from which a
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -16,7 +16,7 @@
 
 // machineInspection collects what a cycle finds out about the machines of this node's shards.
 type machineInspection struct {
-	reachableZones int // number of zones that are neither partitioned from this node nor lost
+	availableZones int // number of zones that are neither partitioned from this node nor lost
 	machines       []failuredetector.Machine
 	outboundLost   []outboundLostMachine
 }
@@ -24,7 +24,7 @@
 // deleteFailedMachines deletes the failed machines of this node's shards, and applies what the failure detector
 // concludes about machines without recent heartbeats.
 func (c *cycle) deleteFailedMachines() {
-	inspection := &machineInspection{reachableZones: c.countReachableZones()}
+	inspection := &machineInspection{availableZones: c.countAvailableZones()}
 	for _, name := range slices.Sorted(maps.Keys(c.cluster.Machines)) {
 		machine := c.cluster.Machines[name]
 		if !c.shards.owns(machine.Shard) || machine.Deleting || c.deletedMachines.isConfirmed(name) ||
@@ -54,7 +54,7 @@
 		CommandUnanswered:   status.CommandUnanswered,
 		BoundTasks:          len(machine.Bindings),
 		CancellationOverdue: c.cancellationOverdue(machine),
-		ServiceMovable:      c.serviceCanMove(machine, inspection.reachableZones),
+		ServiceMovable:      c.serviceCanMove(machine, inspection.availableZones),
 		ControllerInZone:    c.controllerInZone(machine.Zone),
 	})
 	if status.OutboundLost {
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -73,23 +73,23 @@
 	return c.settings.Zone == zone || slices.ContainsFunc(c.settings.Peers, inZone)
 }
 
-// countReachableZones returns the number of zones of the catalog that are neither partitioned from this node nor lost.
-func (c *cycle) countReachableZones() int {
-	reachable := map[string]bool{}
+// countAvailableZones returns the number of zones of the catalog that are neither partitioned from this node nor lost.
+func (c *cycle) countAvailableZones() int {
+	available := map[string]bool{}
 	for _, machineType := range c.cluster.Catalog.Types {
 		for _, zone := range machineType.Zones {
 			if !c.failureDetector.ZoneUnavailable(zone) {
-				reachable[zone] = true
+				available[zone] = true
 			}
 		}
 	}
-	return len(reachable)
+	return len(available)
 }
 
-// serviceCanMove reports whether a machine is in an unreachable zone and runs a service that could start in another
-// zone. reachableZones is the number of reachable zones.
-func (c *cycle) serviceCanMove(machine *clusterstate.Machine, reachableZones int) bool {
-	if !c.failureDetector.ZoneUnavailable(machine.Zone) || reachableZones == 0 {
+// serviceCanMove reports whether a machine is in an unavailable zone and runs a service that could start in another
+// zone. availableZones is the number of available zones.
+func (c *cycle) serviceCanMove(machine *clusterstate.Machine, availableZones int) bool {
+	if !c.failureDetector.ZoneUnavailable(machine.Zone) || availableZones == 0 {
 		return false
 	}
 	for _, binding := range machine.Bindings {
@@ -97,9 +97,9 @@
 		if spec.Kind != wire.KindService || spec.Zone != "" {
 			continue
 		}
-		// At most half of the tasks of a spread service may be in one zone. If only one zone is reachable, that half
+		// At most half of the tasks of a spread service may be in one zone. If only one zone is available, that half
 		// usually runs there already, and none of the other tasks can move there.
-		if reachableZones > 1 || !spec.Spread || spec.TaskCount == 1 {
+		if availableZones > 1 || !spec.Spread || spec.TaskCount == 1 {
 			return true
 		}
 	}
