--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -75,7 +75,7 @@
 func (a *Autoscaler) Run(ctx context.Context) error {
 	catalog := catalogRefresher{autoscaler: a}
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return runEvery(ctx, tuning.AutoscalerInterval, a.returnMachines) })
+	group.Go(func() error { return runEvery(ctx, tuning.AutoscalerInterval, a.deleteMachines) })
 	group.Go(func() error { return runEvery(ctx, tuning.AutoscalerInterval, a.resize) })
 	group.Go(func() error { return runEvery(ctx, tuning.AutoscalerInterval, catalog.refresh) })
 	return group.Wait()
--- a/internal/autoscaler/deletion.go
+++ b/internal/autoscaler/deletion.go
@@ -2,20 +2,20 @@
 
 import "context"
 
-// returnMachines returns to the cloud those machines of this controller's shards that are to be deleted,
-// which include drained ones. If tasks are still bound to one of them, it calls the cloud at once, because
+// deleteMachines deletes, in the cloud, those machines of this controller's shards that are marked for
+// deletion, which include drained ones. If tasks are still bound to one of them, it calls the cloud at once, because
 // these tasks start on another machine only after the deletion. Otherwise it calls the cloud only if a call
-// is left for urgent requests: the cloud allows few calls per second, and when returns of single idle
+// is left for urgent requests: the cloud allows few calls per second, and when deletions of single idle
 // machines used them all up, the replicas of a dead machine waited 3 s (median) for its deletion.
-func (a *Autoscaler) returnMachines(ctx context.Context) {
+func (a *Autoscaler) deleteMachines(ctx context.Context) {
 	machines, tasksWait := a.scheduler.MachinesToDelete()
 	if len(machines) == 0 || !tasksWait && !a.cloud.HasSpareCall() {
 		return
 	}
-	if err := a.cloud.Return(ctx, machines); err != nil {
-		a.log.Info("returning machines to the cloud failed", "count", len(machines), "err", err)
+	if err := a.cloud.Delete(ctx, machines); err != nil {
+		a.log.Info("deleting machines in the cloud failed", "count", len(machines), "err", err)
 		return
 	}
-	a.log.Info("machines returned", "machines", machines)
+	a.log.Info("machines deleted", "machines", machines)
 	a.scheduler.ConfirmDeleted(machines)
 }
--- a/internal/autoscaler/rentaltracker.go
+++ b/internal/autoscaler/rentaltracker.go
@@ -82,7 +82,7 @@
 }
 
 // setMachineCounts records the number of the deployment's machines of each kind. It removes the refusals
-// of kinds of which the deployment has fewer machines than at the refusal, because the returned machines
+// of kinds of which the deployment has fewer machines than at the refusal, because the deleted machines
 // can be rented again.
 func (t *rentalTracker) setMachineCounts(counts map[machineKind]int) {
 	t.mu.Lock()
--- a/internal/autoscaler/scaleoutplan_test.go
+++ b/internal/autoscaler/scaleoutplan_test.go
@@ -159,7 +159,7 @@
 // TestGangMachinesAreRentedInOneZone checks that, once every zone has refused machines for a whole gang,
 // only the rest of the gang is requested, in the zone where part of it fits, whenever the refusal's backoff
 // has ended. It guards against requests for the whole gang in one zone after another, which got a few
-// machines in each zone and returned them as idle (inc-c6d1). After tuning.InsufficientCapacityBackoff the
+// machines in each zone and deleted them as idle (inc-c6d1). After tuning.InsufficientCapacityBackoff the
 // other zones may have more machines, and are requested again for the whole gang.
 func TestGangMachinesAreRentedInOneZone(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -34,7 +34,7 @@
 	httpClient   *http.Client
 	limiter      *rate.Limiter
 	leaderRate   rate.Limit // of the leader, which rents and lists machines for all controllers
-	followerRate rate.Limit // of any other controller, which only returns machines of its shards
+	followerRate rate.Limit // of any other controller, which only deletes machines of its shards
 }
 
 // New returns a client. It starts with the rate of a follower, or of the leader if there is only one controller.
--- a/internal/cloud/machines.go
+++ b/internal/cloud/machines.go
@@ -28,13 +28,13 @@
 	return rented.Names, err
 }
 
-// Return returns machines to the cloud. If it returns nil, the machines are gone.
-func (c *Client) Return(ctx context.Context, machines []string) error {
+// Delete deletes machines. If it returns nil, the machines are gone.
+func (c *Client) Delete(ctx context.Context, machines []string) error {
 	return c.call(ctx, http.MethodPost, "/machines/return", wire.MachineNames{Names: machines}, nil)
 }
 
 // List returns all machines of the deployment. The list may be stale: recent rentals may be missing from it and
-// recently returned machines may still be in it.
+// recently deleted machines may still be in it.
 func (c *Client) List(ctx context.Context) ([]wire.CloudMachine, error) {
 	var machines []wire.CloudMachine
 	query := url.Values{"page": {listPageSize}}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -25,10 +25,10 @@
 	WarmUpRewards        int      `xml:"cold-payoffs"` // rewards to collect before learned values are used
 	MinMachines          int      `xml:"pool-minimum"` // least number of machines
 	MinHeadroom          int      `xml:"pool-step"`    // least headroom above the booked machines, in machines
-	IdleHoldSeconds      float64  `xml:"pool-hold-s"`  // time before an idle machine may be returned, in seconds
+	IdleHoldSeconds      float64  `xml:"pool-hold-s"`  // time before an idle machine may be deleted, in seconds
 	RefitIntervalSeconds float64  `xml:"refit-s"`      // interval between fits of the learner, in seconds
 	LearningEnabled      bool     `xml:"learn"`
-	FixedFleet           bool     `xml:"owned-fleet"` // the machines are owned: none are rented or returned
+	FixedFleet           bool     `xml:"owned-fleet"` // the machines are owned: none are rented or deleted
 	// ZoneReserve is the capacity kept free in the other zones for the loss of the zone with the
 	// most services, as a share of the capacity that its services use, 0 to 1.
 	ZoneReserve float64 `xml:"zone-reserve"`
--- a/internal/federation/handovermodel_test.go
+++ b/internal/federation/handovermodel_test.go
@@ -355,7 +355,7 @@
 	if state.running == noTasks || s.injected == restoredCellIsClean {
 		s.add(fmt.Sprint("clean ", cell), func(next *model) { next.markClean(cell) })
 	} else {
-		s.add(fmt.Sprint("machines returned ", cell), func(next *model) { next.cells[cell].running = noTasks })
+		s.add(fmt.Sprint("machines deleted ", cell), func(next *model) { next.cells[cell].running = noTasks })
 	}
 }
 
--- a/internal/golden/requests_test.go
+++ b/internal/golden/requests_test.go
@@ -61,7 +61,7 @@
 	ctx := t.Context()
 	_, _ = client.Catalog(ctx)
 	_, _ = client.Rent(ctx, wire.RentalRequest{Name: "r-1", MachineType: "g8", Zone: "east", Spot: true, Count: 2})
-	_ = client.Return(ctx, []string{"vm-1", "vm-2"})
+	_ = client.Delete(ctx, []string{"vm-1", "vm-2"})
 	_, _ = client.List(ctx)
 	checkText(t, "cloud_requests.txt", sent.out.String())
 }
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -30,7 +30,7 @@
 	Count       int    `cbor:"how_many"`
 }
 
-// MachineNames lists the names of machines: the rented ones in a response, the ones to return in a request.
+// MachineNames lists the names of machines: the rented ones in a response, the ones to delete in a request.
 type MachineNames struct {
 	Names []string `cbor:"fleet"`
 }
