--- a/internal/federation/doc.go
+++ b/internal/federation/doc.go
@@ -1,7 +1,7 @@
 // Package federation decides how jobs move between cells: deployments that each have controllers, key-value
 // store, cloud account and machines of their own (docs/cells-design.md).
 //
-// It makes three decisions: how a job is handed over between its home, the cell that accepted it (HomeTransfer),
+// It makes three decisions: how a job is transferred between its home, the cell that accepted it (HomeTransfer),
 // and its host, the cell that runs it (HostTransfers); which standing another cell has with this one (Member);
 // and which cell a job is best offered to (ChooseCell). All are pure state machines: their input is records,
 // messages and the time, their output is records and messages. The package does no I/O, reads no clock and
--- a/internal/federation/handover_test.go
+++ b/internal/federation/handover_test.go
@@ -137,11 +137,11 @@
 	return len(e.states), fault
 }
 
-// TestHandOverModel visits every state of two cells that hand over one job. No task may run in both cells, no
+// TestTransferModel visits every state of two cells that transfer one job. No task may run in both cells, no
 // result may be reported before it is true, no task may start after that, and from every state a result can still
 // be reported to the user. With CELL_DEEP set it also explores two transfers with a loss of writes. There is no
 // scenario in which both cells lose writes, as it has more than 400,000 states.
-func TestHandOverModel(t *testing.T) {
+func TestTransferModel(t *testing.T) {
 	scenarios := []scenario{withoutLoss, hostLosesOnce, homeLosesOnce}
 	if os.Getenv("CELL_DEEP") != "" {
 		scenarios = append(scenarios, deepScenarios...)
--- a/internal/federation/home.go
+++ b/internal/federation/home.go
@@ -6,7 +6,7 @@
 // States of a job at its home.
 const (
 	HomeOwned     HomeState = iota // home holds the right to start the job
-	HomeOffloaded                  // home has given up that right; only a report of the host returns it
+	HomeOffloaded                  // home does not hold that right; only a report of the host returns it
 	HomeEnded                      // the job has ended as the host reported; home may report it to the user
 )
 
@@ -44,7 +44,7 @@
 	Result    Result // how the job ended, as reported by the host
 }
 
-// Offload gives up the right to start the job, under a transfer number that was never used between the two
+// Offload transfers the right to start the job to the host, under a transfer number that was never used between the two
 // cells. A job can be offloaded only if it is owned, not cancelled and has no bound tasks. Offload returns false
 // if it is not owned or is cancelled. The caller must check that no tasks are bound, and write the record on
 // condition that it has not changed.
