--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -138,7 +138,7 @@
 			{"job/cancel-request", record.Job{
 				Spec: arraySpec(5), SubmittedAtMs: submittedMs, CancelRequestedAtMs: laterMs,
 			}},
-			{"shard/given", record.Shard{Owner: "n0", OwnerIncarnation: 7, FencingToken: 12, HandedOff: true}},
+			{"shard/given", record.Shard{Owner: "n0", OwnerIncarnation: 7, FencingToken: 12, Transferred: true}},
 		},
 	))
 }
--- a/internal/membership/handover.go
+++ b/internal/membership/handover.go
@@ -20,7 +20,7 @@
 		return ownershipChange{}, false
 	}
 	wait := tuning.ShardReturnDelay
-	if current.HandedOff {
+	if current.Transferred {
 		wait = tuning.TransferredShardReturnDelay
 	}
 	homeNode, homeIsLive := m.clusterState.Nodes[home]
@@ -59,7 +59,7 @@
 		Owner:            to,
 		OwnerIncarnation: target.Incarnation,
 		FencingToken:     nextFencingToken(current.FencingToken, schemaVersion),
-		HandedOff:        true,
+		Transferred:      true,
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*tuning.KVRequestTimeout)
 	defer cancel()
--- a/internal/membership/handover_test.go
+++ b/internal/membership/handover_test.go
@@ -16,9 +16,9 @@
 // being fenced.
 func TestShardReturnsToHomeNode(t *testing.T) {
 	for name, c := range map[string]struct {
-		handedOff  bool
-		ownedFirst bool // the shard is owned before its home node has a session
-		wait       time.Duration
+		transferred bool
+		ownedFirst  bool // the shard is owned before its home node has a session
+		wait        time.Duration
 	}{
 		"after a failover":                  {false, true, tuning.ShardReturnDelay},
 		"after a failover, home node first": {false, false, tuning.ShardReturnDelay},
@@ -33,7 +33,7 @@
 				own := func() {
 					cluster.own(shard, owner, testIncarnation, 4, 3)
 					current := cluster.state.Shards[shard]
-					current.HandedOff = c.handedOff
+					current.Transferred = c.transferred
 					cluster.state.Shards[shard] = current
 				}
 				openHomeSession := func() { cluster.openSession(home, 6) }
--- a/internal/record/membership.go
+++ b/internal/record/membership.go
@@ -23,7 +23,7 @@
 	Owner            string `cbor:"o"`
 	OwnerIncarnation uint64 `cbor:"i"` // of the owner's process
 	FencingToken     uint64 `cbor:"e"`
-	HandedOff        bool   `cbor:"g,omitempty"` // transferred because most agents reported to another node
+	Transferred      bool   `cbor:"g,omitempty"` // transferred because most agents reported to another node
 	FenceCount       uint64 `cbor:"c,omitempty"` // number of rewrites by the owner that fence older transactions
 }
 
