--- a/internal/clusterstate/cells.go
+++ b/internal/clusterstate/cells.go
@@ -2,16 +2,16 @@
 
 import "sableusher/internal/record"
 
-// Cell is the record of another cell, together with the outcomes of the guest jobs that it sent to this one.
+// Cell is the record of another cell, together with the outcomes of the jobs that it offloaded to this one.
 type Cell struct {
 	record.Cell
-	ModRevision   uint64                  // of the cell's record; 0 if only outcomes are stored
-	GuestOutcomes map[uint64]GuestOutcome // by transfer number
+	ModRevision      uint64                     // of the cell's record; 0 if only outcomes are stored
+	TransferOutcomes map[uint64]TransferOutcome // by transfer number
 }
 
-// GuestOutcome is the stored outcome of a guest job that has ended.
-type GuestOutcome struct {
-	record.GuestOutcome
+// TransferOutcome is the stored outcome of a job of another cell that has ended here.
+type TransferOutcome struct {
+	record.TransferOutcome
 	ModRevision uint64
 }
 
@@ -19,7 +19,7 @@
 func (s *State) cellEntry(name string) *Cell {
 	cell := s.Cells[name]
 	if cell == nil {
-		cell = &Cell{GuestOutcomes: map[uint64]GuestOutcome{}}
+		cell = &Cell{TransferOutcomes: map[uint64]TransferOutcome{}}
 		s.Cells[name] = cell
 	}
 	return cell
@@ -35,15 +35,15 @@
 	cell.Cell, cell.ModRevision = record.Cell{}, 0
 }
 
-func (s *State) putGuestOutcome(change recordChange, outcome record.GuestOutcome) {
-	if cell, transfer, ok := record.ParseGuestOutcomeKey(change.key); ok {
-		stored := GuestOutcome{GuestOutcome: outcome, ModRevision: change.modRevision}
-		s.cellEntry(cell).GuestOutcomes[transfer] = stored
+func (s *State) putTransferOutcome(change recordChange, outcome record.TransferOutcome) {
+	if cell, transfer, ok := record.ParseTransferOutcomeKey(change.key); ok {
+		stored := TransferOutcome{TransferOutcome: outcome, ModRevision: change.modRevision}
+		s.cellEntry(cell).TransferOutcomes[transfer] = stored
 	}
 }
 
-func (s *State) deleteGuestOutcome(change recordChange) {
-	if cell, transfer, ok := record.ParseGuestOutcomeKey(change.key); ok {
-		delete(s.cellEntry(cell).GuestOutcomes, transfer)
+func (s *State) deleteTransferOutcome(change recordChange) {
+	if cell, transfer, ok := record.ParseTransferOutcomeKey(change.key); ok {
+		delete(s.cellEntry(cell).TransferOutcomes, transfer)
 	}
 }
--- a/internal/clusterstate/update.go
+++ b/internal/clusterstate/update.go
@@ -33,7 +33,7 @@
 	{record.QuotaPrefix, decoded((*State).putQuota), (*State).deleteQuota},
 	{record.RentalPrefix, decoded((*State).putRental), (*State).deleteRental},
 	{record.CellPrefix, decoded((*State).putCell), (*State).deleteCell},
-	{record.GuestOutcomePrefix, decoded((*State).putGuestOutcome), (*State).deleteGuestOutcome},
+	{record.TransferOutcomePrefix, decoded((*State).putTransferOutcome), (*State).deleteTransferOutcome},
 	{record.MachineTypePrefix, decoded((*State).putMachineType), nil},
 }
 
--- a/internal/clusterstate/update_test.go
+++ b/internal/clusterstate/update_test.go
@@ -61,9 +61,9 @@
 			}
 			return 0
 		}},
-		{"guest outcome", record.GuestOutcomeKey("b", 4), record.GuestOutcome{JobID: "run-1"}, func(s *State) uint64 {
+		{"transfer outcome", record.TransferOutcomeKey("b", 4), record.TransferOutcome{JobID: "run-1"}, func(s *State) uint64 {
 			if cell := s.Cells["b"]; cell != nil {
-				return cell.GuestOutcomes[4].ModRevision
+				return cell.TransferOutcomes[4].ModRevision
 			}
 			return 0
 		}},
--- a/internal/offload/answer.go
+++ b/internal/offload/answer.go
@@ -16,8 +16,8 @@
 // hostView is this cell's records of the jobs that another cell has offloaded to it.
 type hostView struct {
 	transfers federation.HostTransfers
-	jobs      map[uint64]*clusterstate.Job         // jobs that have not ended, by transfer number
-	outcomes  map[uint64]clusterstate.GuestOutcome // of jobs that have ended, by transfer number
+	jobs      map[uint64]*clusterstate.Job            // jobs that have not ended, by transfer number
+	outcomes  map[uint64]clusterstate.TransferOutcome // of jobs that have ended, by transfer number
 }
 
 // hostViewOf returns the records of the jobs from a cell. Callers hold the lock of the cluster state.
@@ -33,8 +33,8 @@
 		}
 	}
 	if known := o.clusterState.Cells[cell]; known != nil {
-		view.outcomes = known.GuestOutcomes
-		for number := range known.GuestOutcomes {
+		view.outcomes = known.TransferOutcomes
+		for number := range known.TransferOutcomes {
 			ended := federation.HostTransfer{Number: number, Status: federation.HostEnded}
 			view.transfers.Transfers = append(view.transfers.Transfers, ended)
 		}
--- a/internal/offload/requests.go
+++ b/internal/offload/requests.go
@@ -157,7 +157,7 @@
 		if !ok || b.isFull() {
 			continue
 		}
-		key := record.GuestOutcomeKey(b.message.Cell, number)
+		key := record.TransferOutcomeKey(b.message.Cell, number)
 		b.change.add(wire.Condition{Key: key, ModRevision: outcome.ModRevision}, kvstore.DeleteOp(key))
 	}
 }
--- a/internal/offload/testcell_test.go
+++ b/internal/offload/testcell_test.go
@@ -239,10 +239,10 @@
 // endJob replaces the record of a job by its final record or its outcome, as the scheduler does.
 func (c *testCell) endJob(job *clusterstate.Job, state wire.JobState) {
 	change := recordChange{conditions: []wire.Condition{jobCondition(job)}}
-	if guest := job.OffloadedFrom; guest != nil {
-		outcome := record.GuestOutcome{JobID: job.Spec.ID, Status: state, DoneCount: job.DoneCount}
+	if transfer := job.OffloadedFrom; transfer != nil {
+		outcome := record.TransferOutcome{JobID: job.Spec.ID, Status: state, DoneCount: job.DoneCount}
 		change.ops = []wire.Op{
-			kvstore.PutOp(record.GuestOutcomeKey(guest.Cell, guest.Number), outcome),
+			kvstore.PutOp(record.TransferOutcomeKey(transfer.Cell, transfer.Number), outcome),
 			kvstore.DeleteOp(record.JobKey(job.Spec.ID)),
 		}
 	} else {
--- a/internal/offload/testworld_test.go
+++ b/internal/offload/testworld_test.go
@@ -295,7 +295,7 @@
 func (w *testWorld) checkNothingLeft() {
 	for _, cell := range w.cells {
 		for key := range cell.store.values {
-			if strings.HasPrefix(key, record.JobPrefix) || strings.HasPrefix(key, record.GuestOutcomePrefix) {
+			if strings.HasPrefix(key, record.JobPrefix) || strings.HasPrefix(key, record.TransferOutcomePrefix) {
 				w.recordViolation("record %s is left in cell %s", key, cell.name)
 			}
 		}
--- a/internal/record/cell.go
+++ b/internal/record/cell.go
@@ -15,8 +15,9 @@
 	FencedEpoch          uint64 `cbor:"f,omitempty"` // epochs of the other cell up to this one are rejected
 }
 
-// GuestOutcome is the outcome of a guest job that has ended. It is stored until the job's home cell has received it.
-type GuestOutcome struct {
+// TransferOutcome is the outcome of a job that was offloaded to this cell and has ended. It is stored until the job's
+// home cell has received it.
+type TransferOutcome struct {
 	JobID     string        `cbor:"j"`
 	Status    wire.JobState `cbor:"s"`
 	DoneCount int           `cbor:"d"`
--- a/internal/record/job.go
+++ b/internal/record/job.go
@@ -30,7 +30,7 @@
 	Failed   bool  `cbor:"e,omitempty"`
 
 	// Since schema version 4. OffloadedTo is set while another cell has the right to start the job; OffloadedAtMs is
-	// when the job was offloaded. OffloadedFrom is set if the job is a guest from another cell; only that cell
+	// when the job was offloaded. OffloadedFrom is set if the job was offloaded from another cell; only that cell
 	// answers the user.
 	OffloadedTo   *Transfer `cbor:"a,omitempty"`
 	OffloadedAtMs int64     `cbor:"am,omitempty"`
--- a/internal/record/keys.go
+++ b/internal/record/keys.go
@@ -14,17 +14,17 @@
 
 // Key prefixes of the live records. Each prefix is followed by the name of the record.
 const (
-	JobPrefix          = "s/j/"
-	FixedChunkPrefix   = "s/t/"
-	GroupedChunkPrefix = "s/u/"
-	MachinePrefix      = "s/m/"
-	ShardPrefix        = "s/p/"
-	NodePrefix         = "s/n/"
-	QuotaPrefix        = "s/q/"
-	RentalPrefix       = "s/r/"
-	CellPrefix         = "s/x/"
-	GuestOutcomePrefix = "s/y/"
-	MachineTypePrefix  = "s/catalog/"
+	JobPrefix             = "s/j/"
+	FixedChunkPrefix      = "s/t/"
+	GroupedChunkPrefix    = "s/u/"
+	MachinePrefix         = "s/m/"
+	ShardPrefix           = "s/p/"
+	NodePrefix            = "s/n/"
+	QuotaPrefix           = "s/q/"
+	RentalPrefix          = "s/r/"
+	CellPrefix            = "s/x/"
+	TransferOutcomePrefix = "s/y/"
+	MachineTypePrefix     = "s/catalog/"
 )
 
 // Keys of the records that exist only once.
@@ -76,10 +76,10 @@
 // CellKey returns the key of the record about another cell.
 func CellKey(cell string) string { return CellPrefix + cell }
 
-// GuestOutcomeKey returns the key of the outcome of a guest job, which came from the given cell in the transfer with
-// the given number.
-func GuestOutcomeKey(cell string, transfer uint64) string {
-	return fmt.Sprintf("%s%s/%d", GuestOutcomePrefix, cell, transfer)
+// TransferOutcomeKey returns the key of the outcome of a job that was offloaded from the given cell in the transfer
+// with the given number.
+func TransferOutcomeKey(cell string, transfer uint64) string {
+	return fmt.Sprintf("%s%s/%d", TransferOutcomePrefix, cell, transfer)
 }
 
 // LearnerCheckpointKey returns the key of a node's learner checkpoint.
@@ -97,9 +97,9 @@
 	return ref.JobID, ref.Index, ok && ref.Index > 0 && ref.Index < tuning.MaxTasksPerJob
 }
 
-// ParseGuestOutcomeKey parses the key of a GuestOutcome.
-func ParseGuestOutcomeKey(key string) (cell string, transfer uint64, ok bool) {
-	cell, number, ok := strings.Cut(strings.TrimPrefix(key, GuestOutcomePrefix), "/")
+// ParseTransferOutcomeKey parses the key of a TransferOutcome.
+func ParseTransferOutcomeKey(key string) (cell string, transfer uint64, ok bool) {
+	cell, number, ok := strings.Cut(strings.TrimPrefix(key, TransferOutcomePrefix), "/")
 	transfer, err := strconv.ParseUint(number, 10, 64)
 	return cell, transfer, ok && err == nil
 }
--- a/internal/scheduler/jobend.go
+++ b/internal/scheduler/jobend.go
@@ -59,10 +59,10 @@
 // outcome is kept until that cell has acknowledged it.
 func (c *cycle) finalOps(job *clusterstate.Job, status wire.JobState, done int) []wire.Op {
 	var ops []wire.Op
-	if guest := job.OffloadedFrom; guest != nil {
-		outcome := record.GuestOutcome{JobID: job.Spec.ID, Status: status, DoneCount: done}
+	if transfer := job.OffloadedFrom; transfer != nil {
+		outcome := record.TransferOutcome{JobID: job.Spec.ID, Status: status, DoneCount: done}
 		ops = []wire.Op{
-			kvstore.PutOp(record.GuestOutcomeKey(guest.Cell, guest.Number), outcome),
+			kvstore.PutOp(record.TransferOutcomeKey(transfer.Cell, transfer.Number), outcome),
 			kvstore.DeleteOp(record.JobKey(job.Spec.ID)),
 		}
 	} else {
