--- a/internal/api/doc.go
+++ b/internal/api/doc.go
@@ -1,4 +1,4 @@
-// Package api serves a controller over HTTP: the users' jobs API, the agents' heartbeats, and the pages
+// Package api serves a controller node over HTTP: the users' jobs API, the agents' heartbeats, and the pages
 // for health checks and metrics.
 //
 // A handler decodes a request, calls one method that decides, and encodes the result; only writeError maps
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -69,7 +69,7 @@
 }
 
 // isCancellationConfirmed reports whether a job is cancelled and may be reported as cancelled. With
-// CancelAfterRelease that is the case only once none of its tasks is bound: a controller on the other side of a
+// CancelAfterRelease that is the case only once none of its tasks is bound: a node on the other side of a
 // network partition may still be renewing the lease of a bound task. A task in another record of the job may have been
 // bound just before the cancellation, so the cluster state must also be at least as new as the cancellation. The
 // caller must hold the cluster state's lock.
--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -19,7 +19,7 @@
 	"sableusher/internal/wire"
 )
 
-// Options holds the settings and the parts of a controller that an Autoscaler uses.
+// Options holds the settings and the parts of a controller node that an Autoscaler uses.
 type Options struct {
 	Settings  *config.Settings
 	Operator  *config.Operator
@@ -31,7 +31,7 @@
 	Log       *slog.Logger
 }
 
-// Autoscaler is the autoscaler of one controller; Run starts its goroutines. The fields from
+// Autoscaler is the autoscaler of one node; Run starts its goroutines. The fields from
 // lastScaleOut on belong to the goroutine that calls resize; rentals has its own lock.
 type Autoscaler struct {
 	settings  *config.Settings
@@ -96,7 +96,7 @@
 	}
 }
 
-// resize adjusts the number of machines to the demand. On a controller that is not the leader it only sets
+// resize adjusts the number of machines to the demand. On a node that is not the leader it only sets
 // the request rate of the cloud client and clears the idle times. It does nothing if the operator has fixed
 // the number of machines.
 func (a *Autoscaler) resize(ctx context.Context) {
@@ -131,8 +131,8 @@
 	a.scaleIn(ctx, leader, demand, planned)
 }
 
-// leadership reports whether this controller is the leader. It also returns the condition that each
-// transaction of a leader must contain, so that it fails once another controller is the leader. Callers
+// leadership reports whether this node is the leader. It also returns the condition that each
+// transaction of a leader must contain, so that it fails once another node is the leader. Callers
 // hold the state's lock.
 func (a *Autoscaler) leadership() (condition wire.Condition, isLeader bool) {
 	ownership, isLeader := a.members.Ownership(record.LeaderShard)
--- a/internal/autoscaler/catalog.go
+++ b/internal/autoscaler/catalog.go
@@ -11,19 +11,19 @@
 	"sableusher/internal/wire"
 )
 
-// catalogRetryInterval is the interval at which a controller that is not the leader reads the catalog
+// catalogRetryInterval is the interval at which a node that is not the leader reads the catalog
 // from the cloud while no catalog is known.
 const catalogRetryInterval = 5 * time.Second
 
 // catalogRefresher copies the cloud's catalog of machine types into the key-value store, so that a
-// controller that starts while the cloud is unavailable has the machine types.
+// node that starts while the cloud is unavailable has the machine types.
 type catalogRefresher struct {
 	autoscaler *Autoscaler
 	lastRead   time.Time
 }
 
 // refresh reads the catalog from the cloud and records it, if a read is due. While no catalog is known,
-// any controller reads it; after that, only the leader does, every tuning.CatalogInterval.
+// any node reads it; after that, only the leader does, every tuning.CatalogInterval.
 func (r *catalogRefresher) refresh(ctx context.Context) {
 	a := r.autoscaler
 	a.state.RLock()
--- a/internal/autoscaler/deletion.go
+++ b/internal/autoscaler/deletion.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// deleteMachines deletes, in the cloud, those machines of this controller's shards that are marked for
+// deleteMachines deletes, in the cloud, those machines of this node's shards that are marked for
 // deletion, which include drained ones. If tasks are still bound to one of them, it calls the cloud at once, because
 // these tasks start on another machine only after the deletion. Otherwise it calls the cloud only if a call
 // is left for urgent requests: the cloud allows few calls per second, and when deletions of single idle
--- a/internal/autoscaler/doc.go
+++ b/internal/autoscaler/doc.go
@@ -1,6 +1,6 @@
 // Package autoscaler keeps the number of rented machines in line with demand.
 //
-// Every controller deletes, in the cloud, those machines of its own shards that are marked for deletion. Only
+// Every controller node deletes, in the cloud, those machines of its own shards that are marked for deletion. Only
 // the leader changes the number of machines: it rents machines for work that did not fit and for
 // headroom (scale out), drains machines that have been idle (scale in), and reconciles the machine
 // records with the cloud's list. The planning code computes the changes from the scheduler's unmet
--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -109,7 +109,7 @@
 
 // deleteUnlisted returns the transactions that delete machines missing from
 // tuning.CloudListMissesBeforeDeletion consecutive listings. The cloud lists a machine until it is gone.
-// Missing heartbeats can't replace this check: a controller can't tell the loss of all machines at once
+// Missing heartbeats can't replace this check: a node can't tell the loss of all machines at once
 // from its own network partition, and would never delete these machines. Callers hold the state's lock.
 func (a *Autoscaler) deleteUnlisted(
 	leader wire.Condition, listed []wire.CloudMachine, now time.Time,
--- a/internal/autoscaler/rentaltracker.go
+++ b/internal/autoscaler/rentaltracker.go
@@ -44,14 +44,14 @@
 	}
 }
 
-// nextName returns a unique name for a new rental, made of the controller's name, its incarnation and a
+// nextName returns a unique name for a new rental, made of the node's name, its incarnation and a
 // serial number. It returns false if the kind is refused at present.
-func (t *rentalTracker) nextName(controller string, incarnation uint64, kind machineKind) (name string, ok bool) {
+func (t *rentalTracker) nextName(nodeName string, incarnation uint64, kind machineKind) (name string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	isRefused := t.isRefused(kind, time.Now())
 	t.serial++
-	return fmt.Sprintf("r-%s-%x-%d", controller, incarnation, t.serial), !isRefused
+	return fmt.Sprintf("r-%s-%x-%d", nodeName, incarnation, t.serial), !isRefused
 }
 
 // recordRefusal records that the cloud provided no machines of a kind, or fewer than requested. The
--- a/internal/binpack/doc.go
+++ b/internal/binpack/doc.go
@@ -1,8 +1,8 @@
 // Package binpack tracks the free capacity of all machines and places tasks on them.
 //
-// Every controller runs the same scheduling cycle over all machines, so that tasks are distributed
-// across shards by free capacity without messages between controllers. Each controller binds only
-// the tasks that are placed on machines of its own shards. If the cluster states of two controllers
+// Every controller node runs the same scheduling cycle over all machines, so that tasks are distributed
+// across shards by free capacity without messages between nodes. Each node binds only
+// the tasks that are placed on machines of its own shards. If the cluster states of two nodes
 // differ and both use the same capacity, the compare-and-swap on the records decides, and the loser
 // places its tasks again.
 //
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -20,10 +20,10 @@
 type Options struct {
 	// Address is the cloud's host and port.
 	Address string
-	// RequestsPerSecond is the request rate that the cloud allows for all controllers together.
+	// RequestsPerSecond is the request rate that the cloud allows for all controller nodes together.
 	RequestsPerSecond float64
-	// Controllers is the number of controllers.
-	Controllers int
+	// NodeCount is the number of controller nodes.
+	NodeCount int
 	// Transport sends the requests. If it is nil, New creates a network transport.
 	Transport http.RoundTripper
 }
@@ -33,19 +33,19 @@
 	baseURL      string
 	httpClient   *http.Client
 	limiter      *rate.Limiter
-	leaderRate   rate.Limit // of the leader, which rents and lists machines for all controllers
-	followerRate rate.Limit // of any other controller, which only deletes machines of its shards
+	leaderRate   rate.Limit // of the leader, which rents and lists machines for all nodes
+	followerRate rate.Limit // of any other node, which only deletes machines of its shards
 }
 
-// New returns a client. It starts with the rate of a follower, or of the leader if there is only one controller.
+// New returns a client. It starts with the rate of a follower, or of the leader if there is only one node.
 func New(options Options) *Client {
 	transport := options.Transport
 	if transport == nil {
 		transport = wire.NewTransport(tuning.CloudTimeout, tuning.MaxIdleConnsPerHost, tuning.MaxIdleConnsPerHost)
 	}
 	leaderRate, followerRate := options.RequestsPerSecond*tuning.CloudBudgetShare, 0.0
-	if options.Controllers > 1 {
-		followerRate = leaderRate * (1 - tuning.CloudLeaderShare) / float64(options.Controllers-1)
+	if options.NodeCount > 1 {
+		followerRate = leaderRate * (1 - tuning.CloudLeaderShare) / float64(options.NodeCount-1)
 		leaderRate *= tuning.CloudLeaderShare
 	}
 	c := &Client{
@@ -55,7 +55,7 @@
 		leaderRate:   rate.Limit(leaderRate),
 		followerRate: rate.Limit(followerRate),
 	}
-	c.SetLeader(options.Controllers == 1)
+	c.SetLeader(options.NodeCount == 1)
 	return c
 }
 
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -21,7 +21,7 @@
 }
 
 func newTestClient(transport fakeTransport) *Client {
-	return New(Options{Address: "cloud:1", RequestsPerSecond: 1e6, Controllers: 1, Transport: transport})
+	return New(Options{Address: "cloud:1", RequestsPerSecond: 1e6, NodeCount: 1, Transport: transport})
 }
 
 // TestResponsesMapToErrors checks that each kind of response is returned as exactly one of the errors, since
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,4 +1,4 @@
-// Package controller assembles the components of a controller process and runs them.
+// Package controller assembles the components of a controller node and runs them.
 //
 // It creates each component with its dependencies and runs the components' loops concurrently; it makes no
 // scheduling decisions and holds no state. If one component fails the whole process ends: the others could not keep
@@ -50,7 +50,7 @@
 	Logger       *slog.Logger
 }
 
-// Controller is one controller process.
+// Controller is the process of one controller node.
 type Controller struct {
 	handler http.Handler
 	loops   []func(context.Context) error
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -85,7 +85,7 @@
 	cloudClient := cloud.New(cloud.Options{
 		Address:           c.Settings.Outside.Cloud,
 		RequestsPerSecond: c.Settings.Deployment.Cloud.RPS,
-		Controllers:       c.Settings.Deployment.NodeCount,
+		NodeCount:         c.Settings.Deployment.NodeCount,
 		Transport:         c.Transport,
 	})
 	return autoscaler.New(autoscaler.Options{
--- a/internal/fairshare/doc.go
+++ b/internal/fairshare/doc.go
@@ -4,8 +4,8 @@
 // The package owns a bounded history of arrivals and calculates the underserved groups from that
 // history, the waiting tasks and the current time. It reads no clock and no record. The history is
 // kept in memory, apart from the records, because the records of finished jobs leave the cluster
-// state. A controller that has just started therefore knows only the live jobs; its result agrees
-// with that of the other controllers after one tuning.FairShareWindow.
+// state. A controller node that has just started therefore knows only the live jobs; its result agrees
+// with that of the other nodes after one tuning.FairShareWindow.
 //
 // The result only affects the order in which jobs start. It ranks below priorities and guarantees, and
 // applies to a bounded share of the starts. A cell that runs jobs of other cells tracks and orders them
--- a/internal/golden/requests_test.go
+++ b/internal/golden/requests_test.go
@@ -56,7 +56,7 @@
 func TestCloudRequests(t *testing.T) {
 	var sent recorder
 	client := cloud.New(cloud.Options{
-		Address: "cloud:8443", RequestsPerSecond: 1e6, Controllers: 1, Transport: &sent,
+		Address: "cloud:8443", RequestsPerSecond: 1e6, NodeCount: 1, Transport: &sent,
 	})
 	ctx := t.Context()
 	_, _ = client.Catalog(ctx)
--- a/internal/peerrpc/doc.go
+++ b/internal/peerrpc/doc.go
@@ -1,4 +1,4 @@
-// Package peerrpc carries messages between controllers over gRPC: hints between the nodes of a cell, and the
+// Package peerrpc carries messages between controller nodes over gRPC: hints between the nodes of a cell, and the
 // exchange of jobs between the leaders of cells.
 //
 // Messages are not durable, and safety does not depend on them: a lost, late or repeated response only costs time.
--- a/internal/scheduler/failedmachines_test.go
+++ b/internal/scheduler/failedmachines_test.go
@@ -10,7 +10,7 @@
 
 // TestNewOwnerKeepsRunningMachines checks that a new owner of a shard gives the agents time to send a heartbeat
 // before it deletes machines that "never came up". When a shard changes owner, the record of a running machine may
-// not yet say that it is up. Without the delay, hundreds of running machines were deleted after two controllers had
+// not yet say that it is up. Without the delay, hundreds of running machines were deleted after two nodes had
 // ended.
 func TestNewOwnerKeepsRunningMachines(t *testing.T) {
 	const machines = 40
--- a/internal/scheduler/reconcile.go
+++ b/internal/scheduler/reconcile.go
@@ -189,7 +189,7 @@
 }
 
 // countFailure counts a failure of a task in the same edit that ends the failed attempt, so that it is counted once
-// even if a controller process ends in between. The job fails if no retry is left.
+// even if the process of a node ends in between. The job fails if no retry is left.
 func (c *cycle) countFailure(binding clusterstate.Binding, edit *chunkEdit, decision reconcile.Decision) {
 	task := edit.tasks[binding.Ref.Index]
 	task.Failures++
--- a/internal/wire/agent.go
+++ b/internal/wire/agent.go
@@ -94,7 +94,7 @@
 	Commands     []Command `cbor:"orders"`
 }
 
-// HeartbeatRedirect refers an agent to the controller that owns its machine.
+// HeartbeatRedirect refers an agent to the node that owns its machine.
 type HeartbeatRedirect struct {
 	ControllerAddress string `cbor:"harbormaster,omitempty"`
 }
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,4 +1,4 @@
-// Package wire defines the messages that a controller exchanges with agents, users, the key-value
+// Package wire defines the messages that a controller node exchanges with agents, users, the key-value
 // store and the cloud, their CBOR encoding, and the strict decoding of submissions from users.
 //
 // The struct tags of this package map the field names of the protocol to the names in the code; no
--- a/internal/zonehealth/doc.go
+++ b/internal/zonehealth/doc.go
@@ -1,9 +1,9 @@
-// Package zonehealth tracks the health of each zone as one controller observes it, by the share of
+// Package zonehealth tracks the health of each zone as one controller node observes it, by the share of
 // the zone's machines whose heartbeats arrive and by how long heartbeats have been missing.
 //
 // The package is a pure state machine: its input is heartbeat counts and the time, its output is the
 // state of each zone. It stores no records and uses no clock and no network. A state is the estimate
-// of one controller and only a hint (safety invariant 15). It decides where work is placed, and the
+// of one node and only a hint (safety invariant 15). It decides where work is placed, and the
 // order and pace of deletions. It never proves that a task has ended; that takes the proofs of
 // invariant 4. Every state other than serving ends after a bounded time or names the event that it
 // waits for (invariant 25; Tracker.WaitingFor).
--- a/internal/zonehealth/heartbeat.go
+++ b/internal/zonehealth/heartbeat.go
@@ -3,7 +3,7 @@
 import "sableusher/internal/tuning"
 
 // HeartbeatCount counts the machines of a zone by their heartbeats. It covers the machines that
-// this controller is responsible for and that have been up long enough to send one.
+// this node is responsible for and that have been up long enough to send one.
 type HeartbeatCount struct {
 	// Expected is the number of machines that should send heartbeats.
 	Expected int
--- a/internal/zonehealth/state.go
+++ b/internal/zonehealth/state.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// State is the health of a zone as one controller observes it.
+// State is the health of a zone as one node observes it.
 type State int
 
 // The states, in the order in which a zone passes through them during an outage.
