--- a/internal/api/cancel_test.go
+++ b/internal/api/cancel_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestCancellationIsConfirmedAfterRelease: neither the request nor a poll is answered with `cancelled` while a task of
-// the job may be bound, or while the cluster state may lack a binding from just before the cancellation. A controller
+// the job may be bound, or while the cluster state may lack a binding from just before the cancellation. A node
 // on the other side of a network partition might still be renewing the lease of that task.
 func TestCancellationIsConfirmedAfterRelease(t *testing.T) {
 	cancelled := record.Job{Spec: testSpec(), CancelledAtMs: 5, CancelAfterRelease: true}
--- a/internal/binpack/feasible.go
+++ b/internal/binpack/feasible.go
@@ -8,7 +8,7 @@
 )
 
 // FilterFeasible selects the ready machines that have at least the smallest amount of each resource
-// among needs, the needs of the waiting tasks. FeasibleMachines returns the selected machines.
+// among needs, the needs of the pending tasks. FeasibleMachines returns the selected machines.
 // FilterFeasible does nothing if needs is empty.
 func (inv *Inventory) FilterFeasible(needs iter.Seq[record.Resources]) {
 	isFirst := true
@@ -40,7 +40,7 @@
 // FindShard has since found to be filled. The inventory owns the list; callers must not change it.
 func (inv *Inventory) FeasibleMachines(shard int) []*MachineInfo { return inv.feasibleByShard[shard] }
 
-// retainFeasible removes, in place, the machines that have become too full for any waiting task in
+// retainFeasible removes, in place, the machines that have become too full for any pending task in
 // this cycle.
 func (inv *Inventory) retainFeasible(machines []*MachineInfo) []*MachineInfo {
 	return slices.DeleteFunc(machines, func(info *MachineInfo) bool { return !inv.minNeed.FitsIn(info.Free) })
--- a/internal/binpack/inventory.go
+++ b/internal/binpack/inventory.go
@@ -14,7 +14,7 @@
 //
 // In each cycle all machines are examined once, and once more for each distinct request that may
 // still fit. Requests that did not fit are recorded, so that a long queue costs little while the
-// machines are full. Machines that are too full for any waiting task are skipped.
+// machines are full. Machines that are too full for any pending task are skipped.
 type Inventory struct {
 	// NeedPerGPU is the amount of the other resources that GPU tasks use for each GPU.
 	NeedPerGPU record.Resources
@@ -34,7 +34,7 @@
 	pending      []*MachineInfo // ordered by shard and name
 	pendingBins  []*pendingBin
 
-	minNeed         record.Resources // the smallest amount of each resource that any waiting task needs
+	minNeed         record.Resources // the smallest amount of each resource that any pending task needs
 	feasibleByShard [][]*MachineInfo // ready machines with minNeed free
 	fittingBuffer   []*MachineInfo   // backing array of the list that FittingMachines returned last
 	failedRequests  FailedRequests
--- a/internal/binpack/pending.go
+++ b/internal/binpack/pending.go
@@ -24,7 +24,7 @@
 }
 
 // GroupPending groups the pending machines into bins, for AllocatePending and ZoneWithMostCapacity. Machines
-// that are too full for any waiting task are left out.
+// that are too full for any pending task are left out.
 func (inv *Inventory) GroupPending() {
 	inv.pendingBins = inv.pendingBins[:0]
 	binByKey := map[binKey]*pendingBin{}
@@ -71,7 +71,7 @@
 }
 
 // fillBin removes machines from a bin and places tasks on them. Machines that still have capacity for
-// some waiting task are appended as a new bin.
+// some pending task are appended as a new bin.
 func (inv *Inventory) fillBin(bin *pendingBin, request *Request, constraint *ZoneConstraint) {
 	zone := bin.sample.Machine.Zone
 	tasksPerMachine := TasksThatFit(request.Need, bin.free)
--- a/internal/binpack/spare.go
+++ b/internal/binpack/spare.go
@@ -1,6 +1,6 @@
 package binpack
 
-// SpareCapacity is capacity that no waiting task needs.
+// SpareCapacity is capacity that no pending task needs.
 type SpareCapacity struct {
 	// Machines is the sum of the machines' free fractions; see FreeFraction.
 	Machines float64
@@ -18,7 +18,7 @@
 	IdleMachines []string
 }
 
-// Spare returns the capacity that is not allocated. Callers call it after allocating all waiting
+// Spare returns the capacity that is not allocated. Callers call it after allocating all pending
 // tasks.
 func (inv *Inventory) Spare() Spare {
 	spare := Spare{
--- a/internal/clusterstate/update_test.go
+++ b/internal/clusterstate/update_test.go
@@ -61,7 +61,7 @@
 			}
 			return 0
 		}},
-		{"transfer outcome", record.TransferOutcomeKey("b", 4), record.TransferOutcome{JobID: "run-1"}, func(s *State) uint64 {
+		{"outcome", record.TransferOutcomeKey("b", 4), record.TransferOutcome{JobID: "run-1"}, func(s *State) uint64 {
 			if cell := s.Cells["b"]; cell != nil {
 				return cell.TransferOutcomes[4].ModRevision
 			}
--- a/internal/fairshare/tracker.go
+++ b/internal/fairshare/tracker.go
@@ -47,10 +47,10 @@
 // Underserved returns the underserved groups. A group is underserved if its served share, the share of
 // its arrived tasks that no longer wait, is less than tuning.FairShareMinServed and also less than
 // tuning.FairShareMinRelativeServed times the served share of all groups together. If all groups have
-// the same served share, none is underserved. waitingTasks is the number of waiting tasks by job ID.
-func (t *Tracker) Underserved(now time.Time, waitingTasks map[string]int) map[Group]bool {
+// the same served share, none is underserved. pendingTasks is the number of pending tasks by job ID.
+func (t *Tracker) Underserved(now time.Time, pendingTasks map[string]int) map[Group]bool {
 	t.deleteExpired(now)
-	total, byGroup := t.countTasks(waitingTasks)
+	total, byGroup := t.countTasks(pendingTasks)
 	underserved := map[Group]bool{}
 	for group, count := range byGroup {
 		served := count.servedShare()
@@ -73,13 +73,13 @@
 }
 
 // countTasks counts the tasks of all tracked jobs, in total and by group.
-func (t *Tracker) countTasks(waitingTasks map[string]int) (total taskCount, byGroup map[Group]taskCount) {
+func (t *Tracker) countTasks(pendingTasks map[string]int) (total taskCount, byGroup map[Group]taskCount) {
 	byGroup = map[Group]taskCount{}
 	for i := range t.arrivals {
 		arrival := &t.arrivals[i]
 		count := taskCount{
 			arrived: arrival.Tasks,
-			waiting: min(waitingTasks[arrival.JobID], arrival.Tasks),
+			pending: min(pendingTasks[arrival.JobID], arrival.Tasks),
 		}
 		total = total.plus(count)
 		for _, group := range [...]Group{Class(arrival.Class), Team(arrival.Team)} {
@@ -94,17 +94,17 @@
 	return now.Sub(arrival.At) > tuning.FairShareWindow
 }
 
-// taskCount is the number of arrived and of waiting tasks of a set of jobs.
+// taskCount is the number of arrived and of pending tasks of a set of jobs.
 type taskCount struct {
 	arrived int
-	waiting int // the part of arrived that has not been started
+	pending int // the part of arrived that has not been started
 }
 
 func (c taskCount) plus(other taskCount) taskCount {
-	return taskCount{arrived: c.arrived + other.arrived, waiting: c.waiting + other.waiting}
+	return taskCount{arrived: c.arrived + other.arrived, pending: c.pending + other.pending}
 }
 
 // servedShare returns the share of the arrived tasks that no longer wait, from 0 to 1.
 func (c taskCount) servedShare() float64 {
-	return 1 - float64(c.waiting)/float64(max(c.arrived, 1))
+	return 1 - float64(c.pending)/float64(max(c.arrived, 1))
 }
--- a/internal/fairshare/tracker_test.go
+++ b/internal/fairshare/tracker_test.go
@@ -30,20 +30,20 @@
 }
 
 // newReferenceCount counts the arrivals within the window that ends now.
-func newReferenceCount(now time.Time, arrivals []Arrival, waitingTasks map[string]int) referenceCount {
+func newReferenceCount(now time.Time, arrivals []Arrival, pendingTasks map[string]int) referenceCount {
 	model := referenceCount{byGroup: map[Group]taskCount{}}
 	for _, arrival := range arrivals {
 		if now.Sub(arrival.At) > tuning.FairShareWindow {
 			continue
 		}
 		model.kept++
-		waiting := waitingTasks[arrival.JobID]
+		pending := pendingTasks[arrival.JobID]
 		model.total.arrived += arrival.Tasks
-		model.total.waiting += waiting
+		model.total.pending += pending
 		groups := []Group{{Kind: ClassGroup, Name: arrival.Class}, {Kind: TeamGroup, Name: arrival.Team}}
 		for _, group := range groups {
 			count := model.byGroup[group]
-			model.byGroup[group] = taskCount{count.arrived + arrival.Tasks, count.waiting + waiting}
+			model.byGroup[group] = taskCount{count.arrived + arrival.Tasks, count.pending + pending}
 		}
 	}
 	return model
@@ -51,7 +51,7 @@
 
 // check compares the groups that a tracker found with the underserved groups of the reference count.
 func (r referenceCount) check(t *rapid.T, got map[Group]bool) {
-	share := func(c taskCount) float64 { return 1 - float64(c.waiting)/float64(c.arrived) }
+	share := func(c taskCount) float64 { return 1 - float64(c.pending)/float64(c.arrived) }
 	for group, count := range r.byGroup {
 		want := share(count) < tuning.FairShareMinServed &&
 			share(count) < tuning.FairShareMinRelativeServed*share(r.total)
@@ -71,7 +71,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var tracker Tracker
 		var arrivals []Arrival
-		waitingTasks, now := map[string]int{}, testStart
+		pendingTasks, now := map[string]int{}, testStart
 		for step := range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 60).Draw(t, "seconds")) * time.Second)
 			arrival := drawArrival(t, strconv.Itoa(step), now)
@@ -79,9 +79,9 @@
 			for range 1 + rapid.IntRange(0, 1).Draw(t, "repetitions") {
 				tracker.RecordArrival(now, arrival)
 			}
-			waitingTasks[arrival.JobID] = rapid.IntRange(0, arrival.Tasks).Draw(t, "waiting")
-			got := tracker.Underserved(now, waitingTasks)
-			model := newReferenceCount(now, arrivals, waitingTasks)
+			pendingTasks[arrival.JobID] = rapid.IntRange(0, arrival.Tasks).Draw(t, "waiting")
+			got := tracker.Underserved(now, pendingTasks)
+			model := newReferenceCount(now, arrivals, pendingTasks)
 			if tracker.Len() != model.kept {
 				t.Fatalf("%d jobs tracked, but %d arrived within the window", tracker.Len(), model.kept)
 			}
--- a/internal/federation/burst_test.go
+++ b/internal/federation/burst_test.go
@@ -25,7 +25,7 @@
 // simulatedCell is a cell of the simulation.
 type simulatedCell struct {
 	busy           int         // occupied slots
-	arrivalSeconds []int       // of each waiting task
+	arrivalSeconds []int       // of each pending task
 	endingAt       map[int]int // running tasks, by the second in which they end
 }
 
--- a/internal/learner/input.go
+++ b/internal/learner/input.go
@@ -11,7 +11,7 @@
 type State struct {
 	RunningWorkSeconds float64            // remaining work of running tasks, in machine seconds
 	NextFreeSeconds    float64            // time until a machine is expected to become free
-	BacklogSeconds     float64            // work of waiting tasks, in machine seconds
+	BacklogSeconds     float64            // work of pending tasks, in machine seconds
 	IdleMachines       float64            // number of idle machines
 	TeamShares         map[string]float64 // share of each team in the queue, 0 to 1
 }
--- a/internal/preemption/doc.go
+++ b/internal/preemption/doc.go
@@ -1,4 +1,4 @@
-// Package preemption decides which running tasks are stopped to free capacity for a waiting task.
+// Package preemption decides which running tasks are stopped to free capacity for a pending task.
 //
 // It owns the rules about which job may preempt which, the search for machines on which preemption frees enough
 // capacity, and the choice of the victims that lose the least work. It only decides: it holds no state, stops no task
