--- a/internal/failuredetector/deletion.go
+++ b/internal/failuredetector/deletion.go
@@ -23,7 +23,7 @@
 }
 
 // deletionCandidates returns the suspected machines that may be deleted, in the order of the evacuation plan. A
-// machine is a candidate only if the peers were asked about it and none of them has received a report from it either.
+// machine is a candidate only if the peers were queried about it and none of them has received a report from it either.
 func (d *Detector) deletionCandidates(
 	now time.Time, suspected []*Machine, tasksOn func(*Machine) []evacuation.Task,
 ) []deletionCandidate {
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -34,10 +34,10 @@
 
 // Assessment is the result of one evaluation of a node's machines.
 type Assessment struct {
-	Deletions      []Deletion
-	ProbeMachines  []string       // machines to probe with direct commands
-	AskPeersAbout  []string       // machines to ask the peers about; pass their responses to RecordPeerResponses
-	ShardTransfers map[int]string // shards whose agents report to another node, with its name
+	Deletions       []Deletion
+	ProbeMachines   []string       // machines to probe with direct commands
+	QueryPeersAbout []string       // machines to query the peers about; pass their responses to RecordPeerResponses
+	ShardTransfers  map[int]string // shards whose agents report to another node, with its name
 	// ZoneHeartbeats has the heartbeat counts that the states of the zones are derived from.
 	ZoneHeartbeats map[string]zonehealth.HeartbeatCount
 	ZoneChanges    []zonehealth.Transition
@@ -72,7 +72,7 @@
 	suspected := d.classify(now, machines, &assessment)
 	uncertain := uncertainMachines(suspected, assessment.ProbeMachines)
 	d.peers.prune(now, uncertain)
-	assessment.AskPeersAbout = d.peers.machinesToAskAbout(now, uncertain)
+	assessment.QueryPeersAbout = d.peers.machinesToQuery(now, uncertain)
 	assessment.ShardTransfers = d.peers.shardTransfers(now, machines)
 
 	d.pace.prune(now)
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -152,11 +152,11 @@
 				s.machines[i].LastReportAt = now.Add(-testTiming.probeAfter() - time.Second)
 				reportsTo[s.machines[i].Name] = otherNode
 			}
-			asked := s.detector.Assess(now, s.machines, tasksOf).AskPeersAbout
-			s.detector.RecordPeerResponses(now, asked, reportsTo)
+			queried := s.detector.Assess(now, s.machines, tasksOf).QueryPeersAbout
+			s.detector.RecordPeerResponses(now, queried, reportsTo)
 			transfers := s.detector.Assess(now, s.machines, tasksOf).ShardTransfers
-			if transferred := transfers[0] == otherNode; len(asked) == 0 || transferred != c.transferred {
-				t.Errorf("asked about %v, transfers %v", asked, transfers)
+			if transferred := transfers[0] == otherNode; len(queried) == 0 || transferred != c.transferred {
+				t.Errorf("queried about %v, transfers %v", queried, transfers)
 			}
 		})
 	}
--- a/internal/failuredetector/fixture_test.go
+++ b/internal/failuredetector/fixture_test.go
@@ -71,8 +71,8 @@
 			machine.LastReportAt = now
 		}
 	}
-	if len(assessment.AskPeersAbout) > 0 && !s.peersSilent {
-		s.detector.RecordPeerResponses(now, assessment.AskPeersAbout, s.reportsToPeer)
+	if len(assessment.QueryPeersAbout) > 0 && !s.peersSilent {
+		s.detector.RecordPeerResponses(now, assessment.QueryPeersAbout, s.reportsToPeer)
 	}
 	for _, deletion := range assessment.Deletions {
 		s.deletedAt[deletion.Machine] = now
--- a/internal/failuredetector/peers.go
+++ b/internal/failuredetector/peers.go
@@ -14,19 +14,19 @@
 	node       string // that has recently received a report from the machine; empty if none has
 }
 
-// peerResponses has the peers' responses about suspected machines, and when they were last asked.
+// peerResponses has the peers' responses about suspected machines, and when they were last queried.
 type peerResponses struct {
 	responses map[string]peerResponse
-	askedAt   time.Time
+	queriedAt time.Time
 }
 
-// RecordPeerResponses records the peers' responses about the machines that they were asked about. reportsTo has, by
+// RecordPeerResponses records the peers' responses about the machines that they were queried about. reportsTo has, by
 // machine name, the node that has recently received a report from the machine.
-func (d *Detector) RecordPeerResponses(now time.Time, asked []string, reportsTo map[string]string) {
+func (d *Detector) RecordPeerResponses(now time.Time, queried []string, reportsTo map[string]string) {
 	if d.peers.responses == nil {
 		d.peers.responses = map[string]peerResponse{}
 	}
-	for _, name := range asked {
+	for _, name := range queried {
 		d.peers.responses[name] = peerResponse{receivedAt: now, node: reportsTo[name]}
 	}
 }
@@ -52,16 +52,16 @@
 	})
 }
 
-// machinesToAskAbout returns the names of the uncertain machines, sorted, if the peers are to be asked now.
-func (p *peerResponses) machinesToAskAbout(now time.Time, uncertain map[string]bool) []string {
-	if len(uncertain) == 0 || now.Sub(p.askedAt) < tuning.PeerQueryInterval {
+// machinesToQuery returns the names of the uncertain machines, sorted, if the peers are to be queried now.
+func (p *peerResponses) machinesToQuery(now time.Time, uncertain map[string]bool) []string {
+	if len(uncertain) == 0 || now.Sub(p.queriedAt) < tuning.PeerQueryInterval {
 		return nil
 	}
-	p.askedAt = now
+	p.queriedAt = now
 	return slices.Sorted(maps.Keys(uncertain))
 }
 
-// reportsToNoPeer reports whether the peers were asked about a machine and none of them has received a report from
+// reportsToNoPeer reports whether the peers were queried about a machine and none of them has received a report from
 // it.
 func (p *peerResponses) reportsToNoPeer(name string) bool {
 	response, ok := p.responses[name]
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -139,17 +139,17 @@
 	for shard, node := range assessment.ShardTransfers {
 		c.runInBackground(func(ctx context.Context) { members.TransferShard(ctx, shard, node) })
 	}
-	if names := assessment.AskPeersAbout; len(names) > 0 {
-		c.runInBackground(func(ctx context.Context) { engine.askPeers(ctx, names) })
+	if names := assessment.QueryPeersAbout; len(names) > 0 {
+		c.runInBackground(func(ctx context.Context) { engine.queryPeers(ctx, names) })
 	}
 	for _, deletion := range assessment.Deletions {
 		c.deleteMachine(deletion)
 	}
 }
 
-// askPeers asks the other nodes which of the machines have recently sent heartbeats to them, and records their
+// queryPeers asks the other nodes which of the machines have recently sent heartbeats to them, and records their
 // responses for the next cycle.
-func (e *Engine) askPeers(ctx context.Context, machines []string) {
+func (e *Engine) queryPeers(ctx context.Context, machines []string) {
 	peerByMachine := e.peers.QueryRecentReports(ctx, machines)
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -18,7 +18,7 @@
 	unattainable map[string]bool
 	// attainable holds, for each other waiting array, the first objective that it can meet.
 	attainable map[string]time.Time
-	// capacityShort is set, by priority rank, if not all waiting arrays can meet their first reachable objective.
+	// capacityShort is set, by priority rank, if not all waiting arrays can meet their first attainable objective.
 	capacityShort [wire.PriorityCount]bool
 	// arrivals tracks the recent arrivals of each class and team. underserved holds the classes and teams of which the
 	// smallest share was served.
