--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -133,7 +133,7 @@
 	return wire.Command{Kind: wire.CommandStop, Task: task.Task, Attempt: task.Attempt, GraceSeconds: &graceSeconds}
 }
 
-// cancelledTaskStops returns the response to a heartbeat if the cluster state may be outdated. It starts no tasks, and
+// cancelledTaskStops returns the response to a heartbeat if the cluster state may be stale. It starts no tasks, and
 // it immediately stops those whose cancellation the state shows. recorded is the machine in the cluster state, or nil
 // if it has no record.
 func cancelledTaskStops(
--- a/internal/api/status_test.go
+++ b/internal/api/status_test.go
@@ -21,7 +21,7 @@
 		t.Errorf("failed read barrier: status %d", status)
 	}
 	server.barrierErr = nil
-	// The cluster state is outdated: it shows the cancellation confirmed by another node only after the barrier.
+	// The cluster state is stale: it shows the cancellation confirmed by another node only after the barrier.
 	server.putJob(record.Job{Spec: testSpec()})
 	server.onBarrier = func() { server.putJob(record.Job{Spec: testSpec(), CancelledAtMs: 5}) }
 	if status, state := server.poll(testJobID); status != http.StatusOK || state != wire.JobCancelled {
--- a/internal/config/bounds.go
+++ b/internal/config/bounds.go
@@ -2,8 +2,8 @@
 
 import "sableusher/internal/tuning"
 
-// Bounds of the platform's settings. They lie far beyond the values of real regions and exist to detect mistakes, such
-// as a value in another unit, unless their comment gives a further reason.
+// Bounds of the platform's settings. They lie far beyond the values of real deployments and exist to detect mistakes,
+// such as a value in another unit, unless their comment gives a further reason.
 const (
 	maxNodes       = 1000
 	maxTimeBoundMs = 1e6
--- a/internal/scheduler/cycle_bench_test.go
+++ b/internal/scheduler/cycle_bench_test.go
@@ -12,9 +12,9 @@
 // benchmarkSizes are the numbers of machines for which cycles are benchmarked.
 var benchmarkSizes = []int{1500, 5000, 15000}
 
-// newCrowdedRegion returns a region in which four fifths of the machines are in use, with one waiting array per eight
+// newCrowdedCluster returns a cluster in which four fifths of the machines are in use, with one waiting array per eight
 // machines.
-func newCrowdedRegion(tb testing.TB, machines int) *testCluster {
+func newCrowdedCluster(tb testing.TB, machines int) *testCluster {
 	cluster := newTestCluster(tb)
 	for i := range machines {
 		name := cluster.addMachine(i, i%2 == 0)
@@ -39,7 +39,7 @@
 func BenchmarkCycleBySize(b *testing.B) {
 	for _, machines := range benchmarkSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			cluster := newCrowdedRegion(b, machines)
+			cluster := newCrowdedCluster(b, machines)
 			b.ReportAllocs()
 			for b.Loop() {
 				cluster.runCycle(0)
@@ -52,7 +52,7 @@
 func BenchmarkCycleWithoutCapacityBySize(b *testing.B) {
 	for _, machines := range benchmarkSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			cluster := newCrowdedRegion(b, machines)
+			cluster := newCrowdedCluster(b, machines)
 			for i := 0; i < machines; i += 5 {
 				occupy(cluster, i, fmt.Sprintf("vm-%06d", i))
 			}
@@ -64,12 +64,12 @@
 	}
 }
 
-// BenchmarkCycleDuringStartupBySize measures a cycle during the startup of a region: a third of the machines are up,
+// BenchmarkCycleDuringStartupBySize measures a cycle during the startup of a cluster: a third of the machines are up,
 // the others are booting, and services, gangs and arrays with many different images wait.
 func BenchmarkCycleDuringStartupBySize(b *testing.B) {
 	for _, machines := range benchmarkSizes {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			cluster := newBootingRegion(b, machines)
+			cluster := newBootingCluster(b, machines)
 			engine := cluster.engines[0]
 			b.ReportAllocs()
 			for b.Loop() {
@@ -80,9 +80,9 @@
 	}
 }
 
-// newBootingRegion returns a region in which two thirds of the machines are booting, with one waiting job per six
+// newBootingCluster returns a cluster in which two thirds of the machines are booting, with one waiting job per six
 // machines.
-func newBootingRegion(tb testing.TB, machines int) *testCluster {
+func newBootingCluster(tb testing.TB, machines int) *testCluster {
 	cluster := newTestCluster(tb)
 	for i := range machines {
 		if i%3 == 0 {
@@ -110,7 +110,7 @@
 	return cluster
 }
 
-// BenchmarkCycle measures a cycle of a large region with some free capacity and a queue.
+// BenchmarkCycle measures a cycle of a large cluster with some free capacity and a queue.
 func BenchmarkCycle(b *testing.B) {
 	cluster := newTestCluster(b)
 	for i := range 1500 {
--- a/internal/scheduler/learner_reward.go
+++ b/internal/scheduler/learner_reward.go
@@ -91,7 +91,8 @@
 		"utilization", l.utilization.value(), "reward", reward)
 }
 
-// ProvisioningReward returns the reward of a pool size, from recent responsiveness and utilization. It is from 0 to 1.
+// ProvisioningReward returns the reward of a number of machines, from recent responsiveness and utilization. It is from
+// 0 to 1.
 func (e *Engine) ProvisioningReward() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/scheduler/learner_state.go
+++ b/internal/scheduler/learner_state.go
@@ -43,7 +43,7 @@
 	return state
 }
 
-// ProvisioningState returns the state in which the size of the pool is chosen.
+// ProvisioningState returns the state in which the number of machines is chosen.
 func (e *Engine) ProvisioningState() learner.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -55,7 +55,7 @@
 	// DeletionCapShare is the maximum share of a node's machines (at least two machines) that may be deleted in
 	// DeletionCapWindow because they are silent. DeletionCapShareServingZone applies instead to machines in a zone
 	// that is serving, in which at least half of the machines report: with the lower cap, deletions after the loss of
-	// a fifth of a region took two windows, and its services were down for 20 s longer.
+	// a fifth of the machines took two windows, and its services were down for 20 s longer.
 	DeletionCapShare            = 0.15
 	DeletionCapShareServingZone = 0.35
 	// DeletionCapWindow is the period to which the caps on deletions apply.
