--- a/internal/autoscaler/gangzone.go
+++ b/internal/autoscaler/gangzone.go
@@ -25,7 +25,7 @@
 //   - Otherwise machines are rented for the remaining tasks in any zone.
 //
 // The third rule prevents requests to one zone after another: each would yield a few machines, which
-// would be returned as idle, and no zone would ever hold a whole gang.
+// would be deleted as idle, and no zone would ever hold a whole gang.
 func (a *Autoscaler) chooseGangZone(
 	group scheduler.UnplacedGroup, machinesInZone map[string]int, now time.Time,
 ) rentalTarget {
--- a/internal/autoscaler/rental.go
+++ b/internal/autoscaler/rental.go
@@ -18,7 +18,7 @@
 )
 
 // rentAll rents the planned machines, up to tuning.RentalConcurrency rentals at a time, the most needed
-// kinds first. It returns once each rental request has got a response or has failed.
+// kinds first. It returns once each rental request has been answered or has failed.
 func (a *Autoscaler) rentAll(ctx context.Context, leader wire.Condition, planned []plannedMachine) {
 	countByKind := map[machineKind]int{}
 	var kinds []machineKind // in order of need
--- a/internal/autoscaler/scaleoutplan_test.go
+++ b/internal/autoscaler/scaleoutplan_test.go
@@ -177,7 +177,7 @@
 			}
 			isIncomplete := renter.machines < gangTasks
 			if left := renter.plan(); isIncomplete && (renter.requests < 5 || len(left) == 0) {
-				t.Errorf("%d requests; planned after the hold: %v", renter.requests, left)
+				t.Errorf("%d requests; planned after the backoff: %v", renter.requests, left)
 			}
 			if isIncomplete && renter.available > 0 {
 				t.Errorf("%d machines are available but not rented; the gang has %d", renter.available, renter.machines)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -31,7 +31,7 @@
 	Endpoint string `toml:"endpoint"` // the other node's PeerListen
 }
 
-// Deployment describes the deployment: its nodes, zones, teams, and the limits of the services
+// Deployment describes this deployment: its nodes, zones, teams, and the limits of the services
 // that nodes use. It is identical on all nodes.
 type Deployment struct {
 	NodeCount   int         `toml:"size"`
