--- a/internal/autoscaler/doc.go
+++ b/internal/autoscaler/doc.go
@@ -1,6 +1,6 @@
 // Package autoscaler keeps the number of rented machines in line with demand.
 //
-// Every controller returns to the cloud those machines of its own shards that are to be deleted. Only
+// Every controller node deletes, in the cloud, those machines of its own shards that are marked for deletion. Only
 // the leader changes the number of machines: it rents machines for work that did not fit and for
 // headroom (scale out), drains machines that have been idle (scale in), and reconciles the machine
 // records with the cloud's list. The planning code computes the changes from the scheduler's unmet
@@ -11,7 +11,7 @@
 //     and a listed machine that has no record is adopted.
 //   - Invariant 4: a machine that is marked as being deleted counts as gone only once the cloud has
 //     confirmed the deletion.
-//   - Invariant 25: no wait is unbounded. A rental without an answer is requested again under the
+//   - Invariant 25: no wait is unbounded. A rental request without a response is retried under the
 //     same name, a refusal expires, and machines that the cloud no longer lists are deleted.
 //
 // The package never decides whether a task has ended.
--- a/internal/autoscaler/rentaltracker.go
+++ b/internal/autoscaler/rentaltracker.go
@@ -44,14 +44,14 @@
 	}
 }
 
-// nextName returns a unique name for a new rental, made of the controller's name, its incarnation and a
+// nextName returns a unique name for a new rental, made of the node's name, its incarnation and a
 // serial number. It returns false if the kind is refused at present.
-func (t *rentalTracker) nextName(controller string, incarnation uint64, kind machineKind) (name string, ok bool) {
+func (t *rentalTracker) nextName(nodeName string, incarnation uint64, kind machineKind) (name string, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	isRefused := t.isRefused(kind, time.Now())
 	t.serial++
-	return fmt.Sprintf("r-%s-%x-%d", controller, incarnation, t.serial), !isRefused
+	return fmt.Sprintf("r-%s-%x-%d", nodeName, incarnation, t.serial), !isRefused
 }
 
 // recordRefusal records that the cloud provided no machines of a kind, or fewer than requested. The
@@ -67,7 +67,7 @@
 		backoff = min(2*last.backoff, tuning.RentalRefusalBackoffMax)
 	}
 	t.refusals[kind] = refusal{until: now.Add(backoff), backoff: backoff, machinesHeld: t.machineCounts[kind]}
-	t.insufficientUntil[kind] = now.Add(tuning.InsufficientCapacityHold)
+	t.insufficientUntil[kind] = now.Add(tuning.InsufficientCapacityBackoff)
 }
 
 // isRefused reports whether a kind was refused and its backoff has not ended.
@@ -76,13 +76,13 @@
 }
 
 // mayFitGang reports whether the cloud may have enough machines of a kind for a whole gang: no refusal of
-// the kind was recorded within tuning.InsufficientCapacityHold.
+// the kind was recorded within tuning.InsufficientCapacityBackoff.
 func (t *rentalTracker) mayFitGang(kind machineKind, now time.Time) bool {
 	return !now.Before(t.insufficientUntil[kind])
 }
 
 // setMachineCounts records the number of the deployment's machines of each kind. It removes the refusals
-// of kinds of which the deployment has fewer machines than at the refusal, because the returned machines
+// of kinds of which the deployment has fewer machines than at the refusal, because the deleted machines
 // can be rented again.
 func (t *rentalTracker) setMachineCounts(counts map[machineKind]int) {
 	t.mu.Lock()
--- a/internal/cloud/client_test.go
+++ b/internal/cloud/client_test.go
@@ -21,7 +21,7 @@
 }
 
 func newTestClient(transport fakeTransport) *Client {
-	return New(Options{Address: "cloud:1", RequestsPerSecond: 1e6, Controllers: 1, Transport: transport})
+	return New(Options{Address: "cloud:1", RequestsPerSecond: 1e6, NodeCount: 1, Transport: transport})
 }
 
 // TestResponsesMapToErrors checks that each kind of response is returned as exactly one of the errors, since
@@ -39,7 +39,7 @@
 		"busy":        {status: http.StatusServiceUnavailable, body: busy, want: ErrUnavailable},
 		"malformed":   {status: http.StatusBadRequest, want: ErrMalformedRequest},
 		"failure":     {status: http.StatusInternalServerError, want: ErrUnavailable},
-		"no answer":   {err: io.ErrUnexpectedEOF, want: ErrUnavailable},
+		"no response": {err: io.ErrUnexpectedEOF, want: ErrUnavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client := newTestClient(func(*http.Request) (*http.Response, error) {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -25,10 +25,10 @@
 	WarmUpRewards        int      `xml:"cold-payoffs"` // rewards to collect before learned values are used
 	MinMachines          int      `xml:"pool-minimum"` // least number of machines
 	MinHeadroom          int      `xml:"pool-step"`    // least headroom above the booked machines, in machines
-	IdleHoldSeconds      float64  `xml:"pool-hold-s"`  // time before an idle machine may be returned, in seconds
+	IdleHoldSeconds      float64  `xml:"pool-hold-s"`  // time before an idle machine may be deleted, in seconds
 	RefitIntervalSeconds float64  `xml:"refit-s"`      // interval between fits of the learner, in seconds
 	LearningEnabled      bool     `xml:"learn"`
-	FixedFleet           bool     `xml:"owned-fleet"` // the machines are owned: none are rented or returned
+	FixedFleet           bool     `xml:"owned-fleet"` // the machines are owned: none are rented or deleted
 	// ZoneReserve is the capacity kept free in the other zones for the loss of the zone with the
 	// most services, as a share of the capacity that its services use, 0 to 1.
 	ZoneReserve float64 `xml:"zone-reserve"`
@@ -70,10 +70,10 @@
 
 // Class limits the retries of the tasks of jobs in a class.
 type Class struct {
-	Name                 string  `xml:"name,attr"`
-	MaxRetries           int     `xml:"repeats,attr"`     // limit of retries after failures of the task itself
-	RetryPauseSeconds    float64 `xml:"pause-s,attr"`     // seconds before the first retry; doubled for each next
-	MaxRetryPauseSeconds float64 `xml:"pause-max-s,attr"` // longest such pause, in seconds
+	Name                   string  `xml:"name,attr"`
+	MaxRetries             int     `xml:"repeats,attr"`     // limit of retries after failures of the task itself
+	RetryBackoffSeconds    float64 `xml:"pause-s,attr"`     // seconds before the first retry; doubled for each next
+	MaxRetryBackoffSeconds float64 `xml:"pause-max-s,attr"` // longest such backoff, in seconds
 }
 
 // LoadOperator reads the operators' file; settings that the file lacks have the embedded
@@ -157,9 +157,9 @@
 		}
 		names[class.Name] = true
 		faults.checkElementRange(element+" repeats", float64(class.MaxRetries), 0, tuning.MaxClassRetries)
-		faults.checkElementRange(element+" pause-s", class.RetryPauseSeconds, 0, tuning.MaxRetryPauseSeconds)
-		faults.checkElementRange(element+" pause-max-s", class.MaxRetryPauseSeconds,
-			class.RetryPauseSeconds, tuning.MaxRetryPauseSeconds)
+		faults.checkElementRange(element+" pause-s", class.RetryBackoffSeconds, 0, tuning.MaxRetryBackoffSeconds)
+		faults.checkElementRange(element+" pause-max-s", class.MaxRetryBackoffSeconds,
+			class.RetryBackoffSeconds, tuning.MaxRetryBackoffSeconds)
 	}
 }
 
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -34,15 +34,15 @@
 
 // Assessment is the result of one evaluation of a node's machines.
 type Assessment struct {
-	Deletions      []Deletion
-	ProbeMachines  []string       // machines to probe with direct commands
-	AskPeersAbout  []string       // machines to ask the peers about; pass their answers to RecordPeerAnswers
-	ShardTransfers map[int]string // shards whose agents report to another node, with its name
+	Deletions       []Deletion
+	ProbeMachines   []string       // machines to probe with direct commands
+	QueryPeersAbout []string       // machines to query the peers about; pass their responses to RecordPeerResponses
+	ShardTransfers  map[int]string // shards whose agents report to another node, with its name
 	// ZoneHeartbeats has the heartbeat counts that the states of the zones are derived from.
 	ZoneHeartbeats map[string]zonehealth.HeartbeatCount
 	ZoneChanges    []zonehealth.Transition
 	// ZoneReturns describes, for each zone that serves again, what became of the machines that were in it when it was
-	// cut off.
+	// partitioned.
 	ZoneReturns map[string]zonehealth.ReturnSummary
 }
 
@@ -53,7 +53,7 @@
 
 	zones   zonehealth.Tracker
 	rosters zoneRosters
-	peers   peerAnswers
+	peers   peerResponses
 	pace    deletionPace
 }
 
@@ -72,7 +72,7 @@
 	suspected := d.classify(now, machines, &assessment)
 	uncertain := uncertainMachines(suspected, assessment.ProbeMachines)
 	d.peers.prune(now, uncertain)
-	assessment.AskPeersAbout = d.peers.machinesToAskAbout(now, uncertain)
+	assessment.QueryPeersAbout = d.peers.machinesToQuery(now, uncertain)
 	assessment.ShardTransfers = d.peers.shardTransfers(now, machines)
 
 	d.pace.prune(now)
@@ -91,7 +91,7 @@
 
 // classify returns the suspected machines, which have been silent for so long that they may be dead. It adds the
 // machines to be probed to the assessment. It also adds the deletion of silent machines that have a task whose
-// cancellation is overdue: neither the cap on deletions nor a peer's answer may delay these.
+// cancellation is overdue: neither the cap on deletions nor a peer's response may delay these.
 func (d *Detector) classify(now time.Time, machines []Machine, assessment *Assessment) []*Machine {
 	var suspected []*Machine
 	for i := range machines {
@@ -139,7 +139,7 @@
 
 // nodeIsPartitioned reports whether the silence seems to be caused by a partition of this node and not by dead
 // machines: most machines are suspected at the same time, and no other zones report, which would show that only the
-// silent zones are cut off.
+// silent zones are partitioned.
 func (d *Detector) nodeIsPartitioned(suspected, up int, heartbeats zonehealth.HeartbeatCount) bool {
 	return suspected*2 > up && up > 2 && !d.otherZonesReporting(heartbeats)
 }
--- a/internal/golden/records_test.go
+++ b/internal/golden/records_test.go
@@ -113,7 +113,7 @@
 		filledSinceVersion(t, "job", "cancel-request", func(j *record.Job) { j.CancelRequestedAtMs = 0 }),
 		filled[record.Transfer](t, "transfer"),
 		filled[record.Cell](t, "cell"),
-		filled[record.GuestOutcome](t, "ended-guest"),
+		filled[record.TransferOutcome](t, "ended-guest"),
 		filled[record.FixedChunk](t, "chunk"),
 		filled[record.GroupedChunk](t, "fine"),
 		filled[record.SchemaVersion](t, "schema-version"),
@@ -138,7 +138,7 @@
 			{"job/cancel-request", record.Job{
 				Spec: arraySpec(5), SubmittedAtMs: submittedMs, CancelRequestedAtMs: laterMs,
 			}},
-			{"shard/given", record.Shard{Owner: "n0", OwnerIncarnation: 7, FencingToken: 12, HandedOff: true}},
+			{"shard/given", record.Shard{Owner: "n0", OwnerIncarnation: 7, FencingToken: 12, Transferred: true}},
 		},
 	))
 }
@@ -162,7 +162,7 @@
 		{"rental", record.RentalKey("r-1")},
 		{"final", record.FinalKey("run-000412")},
 		{"cell", record.CellKey("b")},
-		{"ended guest", record.GuestOutcomeKey("b", 12)},
+		{"ended guest", record.TransferOutcomeKey("b", 12)},
 		{"learner", record.LearnerCheckpointKey("n0")},
 		{"learner piece", record.LearnerCheckpointPieceKey("n0", 2)},
 		{"task", record.TaskRef{JobID: "run-000412", Index: 12}.String()},
--- a/internal/golden/requests_test.go
+++ b/internal/golden/requests_test.go
@@ -56,12 +56,12 @@
 func TestCloudRequests(t *testing.T) {
 	var sent recorder
 	client := cloud.New(cloud.Options{
-		Address: "cloud:8443", RequestsPerSecond: 1e6, Controllers: 1, Transport: &sent,
+		Address: "cloud:8443", RequestsPerSecond: 1e6, NodeCount: 1, Transport: &sent,
 	})
 	ctx := t.Context()
 	_, _ = client.Catalog(ctx)
 	_, _ = client.Rent(ctx, wire.RentalRequest{Name: "r-1", MachineType: "g8", Zone: "east", Spot: true, Count: 2})
-	_ = client.Return(ctx, []string{"vm-1", "vm-2"})
+	_ = client.Delete(ctx, []string{"vm-1", "vm-2"})
 	_, _ = client.List(ctx)
 	checkText(t, "cloud_requests.txt", sent.out.String())
 }
--- a/internal/offload/driver_test.go
+++ b/internal/offload/driver_test.go
@@ -23,7 +23,7 @@
 }
 
 // TestOneCellStartsAJob simulates two Offloaders that exchange jobs under faults: messages are lost, duplicated and
-// delayed, transactions are executed without an answer or much later, cluster states lag, Offloaders restart and
+// delayed, transactions are executed without a response or much later, cluster states lag, Offloaders restart and
 // leaders change. At any time at most one cell may hold the right to start a job. No job may run in two cells or
 // start after its end, and each must end once, as done only if it ran. When the faults stop all jobs must end, and
 // no record but their final ones may be left. Each kind of fault and event must occur in at least one run.
@@ -84,8 +84,8 @@
 	return changed
 }
 
-// TestDeposedLeaderChangesNothing checks that the transactions of a deposed leader are refused, and that the
-// condition on the leader's record is what refuses them.
+// TestDeposedLeaderChangesNothing checks that the transactions of a deposed leader are rejected, and that the
+// condition on the leader's record is what rejects them.
 func TestDeposedLeaderChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		if changed := deposedLeaderChanges(t, ""); len(changed) > 0 {
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -16,7 +16,7 @@
 
 // machineInspection collects what a cycle finds out about the machines of this node's shards.
 type machineInspection struct {
-	reachableZones int // number of zones that are neither partitioned from this node nor lost
+	availableZones int // number of zones that are neither partitioned from this node nor lost
 	machines       []failuredetector.Machine
 	outboundLost   []outboundLostMachine
 }
@@ -24,7 +24,7 @@
 // deleteFailedMachines deletes the failed machines of this node's shards, and applies what the failure detector
 // concludes about machines without recent heartbeats.
 func (c *cycle) deleteFailedMachines() {
-	inspection := &machineInspection{reachableZones: c.countReachableZones()}
+	inspection := &machineInspection{availableZones: c.countAvailableZones()}
 	for _, name := range slices.Sorted(maps.Keys(c.cluster.Machines)) {
 		machine := c.cluster.Machines[name]
 		if !c.shards.owns(machine.Shard) || machine.Deleting || c.deletedMachines.isConfirmed(name) ||
@@ -54,7 +54,7 @@
 		CommandUnanswered:   status.CommandUnanswered,
 		BoundTasks:          len(machine.Bindings),
 		CancellationOverdue: c.cancellationOverdue(machine),
-		ServiceMovable:      c.serviceCanMove(machine, inspection.reachableZones),
+		ServiceMovable:      c.serviceCanMove(machine, inspection.availableZones),
 		ControllerInZone:    c.controllerInZone(machine.Zone),
 	})
 	if status.OutboundLost {
@@ -122,7 +122,7 @@
 	return false
 }
 
-// fenceUnresolvedStart raises a shard's fencing token, because a start command without an answer could still start a
+// fenceUnresolvedStart raises a shard's fencing token, because a start command without a response could still start a
 // task that must not run.
 func (c *cycle) fenceUnresolvedStart(shard int) {
 	members := c.membership
@@ -139,20 +139,20 @@
 	for shard, node := range assessment.ShardTransfers {
 		c.runInBackground(func(ctx context.Context) { members.TransferShard(ctx, shard, node) })
 	}
-	if names := assessment.AskPeersAbout; len(names) > 0 {
-		c.runInBackground(func(ctx context.Context) { engine.askPeers(ctx, names) })
+	if names := assessment.QueryPeersAbout; len(names) > 0 {
+		c.runInBackground(func(ctx context.Context) { engine.queryPeers(ctx, names) })
 	}
 	for _, deletion := range assessment.Deletions {
 		c.deleteMachine(deletion)
 	}
 }
 
-// askPeers asks the other nodes which of the machines have recently sent heartbeats to them, and records their
-// answers for the next cycle.
-func (e *Engine) askPeers(ctx context.Context, machines []string) {
+// queryPeers asks the other nodes which of the machines have recently sent heartbeats to them, and records their
+// responses for the next cycle.
+func (e *Engine) queryPeers(ctx context.Context, machines []string) {
 	peerByMachine := e.peers.QueryRecentReports(ctx, machines)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.failureDetector.RecordPeerAnswers(time.Now(), machines, peerByMachine)
+	e.failureDetector.RecordPeerResponses(time.Now(), machines, peerByMachine)
 	e.wake()
 }
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -23,7 +23,7 @@
 	// DispatchQueueLength is the maximum number of machines that wait for a direct command.
 	DispatchQueueLength = 4096
 	// UnknownTaskGrace is how long an agent may report a task that is not bound to its machine and session, and whose
-	// attempt is over according to the records, before the task is stopped. Heartbeats may be slightly older than
+	// attempt has ended according to the records, before the task is stopped. Heartbeats may be slightly older than
 	// records.
 	UnknownTaskGrace = 5 * time.Second
 	// SuspectAfterIntervals is the silence, in heartbeat intervals, after which a machine counts as unreachable.
@@ -49,13 +49,13 @@
 	AgentFailoverTime = 15 * time.Second
 	// ShardTransferMinOwned is how long a node must have owned a shard before it transfers the shard to another node
 	// that receives the agents' reports. In this time each agent contacts the owner once and a command to each agent
-	// succeeds or fails, so that the owner learns which machines receive nothing. Agents that get no answers move
+	// succeeds or fails, so that the owner learns which machines receive nothing. Agents that get no responses move
 	// from node to node; if the shard followed them, no owner would keep it long enough to learn that.
 	ShardTransferMinOwned = AgentFailoverTime + CommandTimeout + InboundLostAfter
 	// DeletionCapShare is the maximum share of a node's machines (at least two machines) that may be deleted in
 	// DeletionCapWindow because they are silent. DeletionCapShareServingZone applies instead to machines in a zone
 	// that is serving, in which at least half of the machines report: with the lower cap, deletions after the loss of
-	// a fifth of a region took two windows, and its services were down for 20 s longer.
+	// a fifth of the machines took two windows, and its services were down for 20 s longer.
 	DeletionCapShare            = 0.15
 	DeletionCapShareServingZone = 0.35
 	// DeletionCapWindow is the period to which the caps on deletions apply.
