--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -30,9 +30,9 @@
 	preempting          preemptionProgress
 	dependentNeedsByJob map[string]dependentNeeds // by job: the requirements of the jobs that depend on it
 
-	storeSaturated bool // the key-value store's request budget is the bottleneck
-	collectsDemand bool // this cycle computes the unmet demand for the autoscaler
-	logsWaiting    bool // this cycle logs why jobs wait
+	bindingsThrottled bool // this cycle binds no tasks of arrays and services of normal or low priority
+	collectsDemand    bool // this cycle computes the unmet demand for the autoscaler
+	logsWaiting       bool // this cycle logs why jobs wait
 
 	failingJobs    map[string]bool      // jobs that a change of this cycle ends as failed
 	brokenAttempts map[gangAttempt]bool // cache of isBroken
@@ -139,7 +139,7 @@
 // the other. Tasks that remain unplaced are the unmet demand.
 func (c *cycle) schedule() {
 	c.inventory = c.refreshInventory()
-	c.throttleArrayStarts()
+	c.throttleBindings()
 	_, isLeader := c.membership.Ownership(record.LeaderShard)
 	c.collectsDemand = isLeader && c.now.Sub(c.demand.unmet.ComputedAt) >= tuning.DemandInterval
 	queue := c.buildQueue(c.inventory.HasFreeCapacity())
@@ -167,15 +167,15 @@
 	}
 }
 
-// throttleArrayStarts allows arrays to start only every tuning.StoreSaturatedPlacementInterval while the key-value
-// store's request budget is the bottleneck.
-func (c *cycle) throttleArrayStarts() {
+// throttleBindings sets bindingsThrottled for all cycles but one in each tuning.StoreSaturatedPlacementInterval while
+// the key-value store is saturated (tuning.StoreSaturatedQueueLength).
+func (c *cycle) throttleBindings() {
 	if c.committer.QueueLength() < tuning.StoreSaturatedQueueLength ||
-		c.now.Sub(c.pace.lastArrayStart) > tuning.StoreSaturatedPlacementInterval {
-		c.pace.lastArrayStart = c.now
+		c.now.Sub(c.pace.lastUnthrottled) > tuning.StoreSaturatedPlacementInterval {
+		c.pace.lastUnthrottled = c.now
 		return
 	}
-	c.storeSaturated = true
+	c.bindingsThrottled = true
 }
 
 // teamUsage returns the resources of each team's tasks in all shards, including tasks in flight.
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -12,7 +12,8 @@
 )
 
 // countPlaceable sets how many tasks of a job may be placed in this cycle: its pending tasks that are neither in
-// flight nor in retry backoff, up to its team's limit. It adds them to the team's usage.
+// flight nor in retry backoff, up to its team's limit. It adds them to the team's usage. It also marks the job as
+// deferred if bindings are throttled and the job is of normal or low priority.
 func (c *cycle) countPlaceable(queued *queuedJob, usage map[string]record.Resources) {
 	job, spec := queued.job, &queued.job.Spec
 	retrying := c.countRetryBackoffs(job)
@@ -20,7 +21,7 @@
 	if c.failingJobs[spec.ID] || retrying > 0 && spec.Kind == wire.KindGang {
 		queued.Remaining = 0 // a gang starts with all of its tasks or not at all
 	}
-	queued.deferred = c.storeSaturated && !isHighPriority(queued.rank)
+	queued.deferred = c.bindingsThrottled && !isHighPriority(queued.rank)
 	if limit, ok := c.quota.Limit(spec.Team); ok {
 		c.applyTeamLimit(queued, limit, usage)
 	}
--- a/internal/scheduler/homeshard.go
+++ b/internal/scheduler/homeshard.go
@@ -13,8 +13,8 @@
 
 // placementPace holds the state that spreads placements over time and over nodes.
 type placementPace struct {
-	ownerWaits     ownerWaits
-	lastArrayStart time.Time // time at which arrays were last placed
+	ownerWaits      ownerWaits
+	lastUnthrottled time.Time // time of the last cycle without bindingsThrottled
 }
 
 // ownerWait describes a job's wait for the owner of its home shard to place its tasks.
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -55,7 +55,7 @@
 	key             jobqueue.Key
 	value           float64 // learned value; set only for the first jobs of the queue
 	homeShard       int     // the shard whose owner usually binds its tasks; unknownShard before it is chosen
-	deferred        bool    // no task of the job is bound in this cycle
+	deferred        bool    // no task of the job is bound in this cycle, unless the job is a gang
 }
 
 // unknownShard is the home shard of a job for which none has been chosen yet.
--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -84,8 +84,9 @@
 	// some minutes, which cover a burst and the quiet period after it.
 	CommonTaskRetention = 5 * time.Minute
 	// StoreSaturatedQueueLength is the number of changes waiting for the key-value store's request budget from which
-	// on the store counts as saturated. Arrays are then placed only every StoreSaturatedPlacementInterval, so that one
-	// write binds many tasks.
+	// on the store counts as saturated. Arrays and services of normal and low priority are then bound only in one cycle
+	// per StoreSaturatedPlacementInterval, so that one write binds many tasks, and records are not migrated in the
+	// background. Gangs and jobs of high and production priority are not held back.
 	StoreSaturatedQueueLength       = 12
 	StoreSaturatedPlacementInterval = 700 * time.Millisecond
 	// BootLikelyFactor is the time after a machine's rental, as a multiple of the nominal boot time, from which on
