--- a/internal/regress/baseline_test.go
+++ b/internal/regress/baseline_test.go
@@ -76,8 +76,8 @@
 		}
 	})
 	t.Run("an entry without scores", func(t *testing.T) {
-		cutOff := []Entry{{Site: "s", Command: commandScore, Error: "cut off"}}
-		comparisons := Compare(baseline, cutOff, tuning.RegressNoise)
+		interrupted := []Entry{{Site: "s", Command: commandScore, Error: "cut off"}}
+		comparisons := Compare(baseline, interrupted, tuning.RegressNoise)
 		if len(comparisons) != 1 || !comparisons[0].Blocking() || !math.IsNaN(comparisons[0].Score) {
 			t.Errorf("%+v", comparisons)
 		}
