--- a/internal/knownfailures/knownfailures_test.go
+++ b/internal/knownfailures/knownfailures_test.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// TestLists draws lists with at most one fault each. A list with a fault must be refused with the error of that fault.
+// TestLists draws lists with at most one fault each. A list with a fault must be rejected with the error of that fault.
 // A list without a fault must be read completely.
 func TestLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
