--- a/internal/simulation/cancelfetch_test.go
+++ b/internal/simulation/cancelfetch_test.go
@@ -143,7 +143,7 @@
 // lowerStoreLimits lowers the key-value store's limits, so that jobs' records are split further.
 func lowerStoreLimits(_ context.Context, r *Region, _ *rand.Rand) { r.KV.LowerLimits(loweredLimits) }
 
-// partitionAndRestart cuts a controller off from the key-value store and restarts the leader, three times.
+// partitionAndRestart partitions a controller from the key-value store and restarts the leader, three times.
 func partitionAndRestart(ctx context.Context, r *Region, random *rand.Rand) {
 	for range 3 {
 		leader := r.LeaderIndex()
@@ -157,7 +157,7 @@
 
 // TestCancelledJobsDoNotStart checks that no task starts after the cancellation of its job was confirmed to the user.
 // Below schema version 2 a cancellation was confirmed as soon as it was durable, while a machine that had received the
-// start command before was still fetching the image. The stop reached that machine only with the answer to its next
+// start command before was still fetching the image. The stop reached that machine only with the response to its next
 // heartbeat, up to report_s later. In the subtest TestUpgradeDays/4 a task was bound at 20.593 s, the cancellation was
 // confirmed at 21.054 s by a controller of schema version 0, the task started 1.644 s after the user had received the
 // confirmation, and it was stopped at 23.242 s.
--- a/internal/simulation/celllinks.go
+++ b/internal/simulation/celllinks.go
@@ -81,12 +81,12 @@
 		<-ctx.Done()
 		return offload.Message{}, ctx.Err()
 	}
-	reply, err := f.deliver(ctx, to, body)
+	response, err := f.deliver(ctx, to, body)
 	if _, lost := f.activeLinkFault(to, message.Cell); lost || faulty {
 		<-ctx.Done()
 		return offload.Message{}, ctx.Err()
 	}
-	return reply, err
+	return response, err
 }
 
 // deliver passes a message to the controllers of a cell, one after the other, until one of them handles it without
@@ -105,22 +105,22 @@
 		if handler == nil || !running {
 			continue
 		}
-		reply, err := handler(ctx, message)
+		response, err := handler(ctx, message)
 		if !process.Load() {
 			err = errConnectionReset
 		}
 		if err == nil {
-			return f.returnReply(len(body), reply)
+			return f.returnResponse(len(body), response)
 		}
 		errs = append(errs, err)
 	}
 	return offload.Message{}, fmt.Errorf("cell %s: %w", to, errors.Join(append(errs, errConnectionReset)...))
 }
 
-// returnReply counts a message and its response, and returns the response encoded and decoded again, as the sender
+// returnResponse counts a message and its response, and returns the response encoded and decoded again, as the sender
 // receives it.
-func (f *Federation) returnReply(messageBytes int, reply offload.Message) (offload.Message, error) {
-	body := wire.MustEncode(reply)
+func (f *Federation) returnResponse(messageBytes int, response offload.Message) (offload.Message, error) {
+	body := wire.MustEncode(response)
 	f.mu.Lock()
 	f.messages.messages++
 	f.messages.bytes += messageBytes + len(body)
--- a/internal/simulation/checker_test.go
+++ b/internal/simulation/checker_test.go
@@ -42,7 +42,7 @@
 // waitWithFreeCapacity lets the job wait for two minutes after the end of all faults, with free capacity on some
 // machines.
 func waitWithFreeCapacity(checker *InvariantChecker, capacities ...FreeCapacity) {
-	checker.AnswerReceived(checkedJob, http.StatusCreated, wire.JobPending)
+	checker.ResponseReceived(checkedJob, http.StatusCreated, wire.JobPending)
 	checker.FaultsEnded()
 	for range 120 {
 		time.Sleep(time.Second)
@@ -50,7 +50,7 @@
 	}
 }
 
-// TestCheckerAllowsJustifiedWaiting checks that a waiting job violates no rule if none of the free capacity is suitable
+// TestCheckerAllowsJustifiedWaiting checks that a pending job violates no rule if none of the free capacity is suitable
 // for it.
 func TestCheckerAllowsJustifiedWaiting(t *testing.T) {
 	asGang := func(spec *wire.JobSpec, tasks int) { spec.Kind, spec.TaskCount = wire.KindGang, tasks }
@@ -96,7 +96,7 @@
 // checker that can't fail would prove nothing.
 func TestCheckerDetectsEachViolation(t *testing.T) {
 	for _, defects := range [][]defect{
-		placementDefects(), cancellationDefects(), answerDefects(),
+		placementDefects(), cancellationDefects(), responseDefects(),
 		unansweredDefects(), waitingDefects(), shareDefects(),
 	} {
 		for _, d := range defects {
@@ -152,7 +152,7 @@
 // confirmCancellation lets a user cancel a job and receive the confirmation.
 func confirmCancellation(checker *InvariantChecker, jobID string) {
 	checker.CancelRequested(jobID)
-	checker.AnswerReceived(jobID, http.StatusOK, wire.JobCancelled)
+	checker.ResponseReceived(jobID, http.StatusOK, wire.JobCancelled)
 }
 
 func cancellationDefects() []defect {
@@ -176,62 +176,62 @@
 			checker.JobSubmitted(other)
 			confirmCancellation(checker, "run-00")
 			time.Sleep(45 * time.Second)
-			checker.AnswerReceived(checkedJob, http.StatusOK, wire.JobPending)
+			checker.ResponseReceived(checkedJob, http.StatusOK, wire.JobPending)
 		}},
 	}
 }
 
-func answerDefects() []defect {
+func responseDefects() []defect {
 	oneTask := func(s *wire.JobSpec) { s.TaskCount = 1 }
 	return []defect{
 		{RuleInvalidJobAccepted, "what can't run", nil, func(checker *InvariantChecker) {
 			spec := wire.JobSpec{ID: "run-2", Team: "bound", Kind: wire.KindArray, TaskCount: 8, GPUs: 1}
 			checker.InvalidJobSubmitted(spec, "it fits no machine")
-			checker.AnswerReceived("run-2", http.StatusCreated, wire.JobPending)
+			checker.ResponseReceived("run-2", http.StatusCreated, wire.JobPending)
 		}},
 		{RuleAcceptedJobLost, "404", nil, func(checker *InvariantChecker) {
-			checker.AnswerReceived(checkedJob, http.StatusCreated, wire.JobPending)
-			checker.AnswerReceived(checkedJob, http.StatusNotFound, "")
+			checker.ResponseReceived(checkedJob, http.StatusCreated, wire.JobPending)
+			checker.ResponseReceived(checkedJob, http.StatusNotFound, "")
 		}},
 		{RuleUnsubmittedJob, "200", nil, func(checker *InvariantChecker) {
-			checker.AnswerReceived("run-2", http.StatusOK, wire.JobPending)
+			checker.ResponseReceived("run-2", http.StatusOK, wire.JobPending)
 		}},
 		{RuleIncompleteJobDone, "early", nil, func(checker *InvariantChecker) {
 			checker.TaskCompleted(taskOf(0))
-			checker.AnswerReceived(checkedJob, http.StatusOK, wire.JobDone)
+			checker.ResponseReceived(checkedJob, http.StatusOK, wire.JobDone)
 		}},
 		{RuleInvalidTransition, "pending again", oneTask, func(checker *InvariantChecker) {
 			checker.TaskCompleted(taskOf(0))
-			checker.AnswerReceived(checkedJob, http.StatusOK, wire.JobDone)
-			checker.AnswerReceived(checkedJob, http.StatusOK, wire.JobPending)
+			checker.ResponseReceived(checkedJob, http.StatusOK, wire.JobDone)
+			checker.ResponseReceived(checkedJob, http.StatusOK, wire.JobPending)
 		}},
-		{RuleInvalidTransition, "an older answer from another controller", oneTask, staleAnswerFromAnotherController},
+		{RuleInvalidTransition, "an older answer from another controller", oneTask, staleResponseFromAnotherController},
 		{RuleInvalidTransition, "cancelled by nobody", nil, func(checker *InvariantChecker) {
-			checker.AnswerReceived(checkedJob, http.StatusOK, wire.JobCancelled)
+			checker.ResponseReceived(checkedJob, http.StatusOK, wire.JobCancelled)
 		}},
 	}
 }
 
-// staleAnswerFromAnotherController lets a request that was already in flight be answered with an older state, which is
-// allowed, and then a later request, which is not.
-func staleAnswerFromAnotherController(checker *InvariantChecker) {
+// staleResponseFromAnotherController lets a request that was already in flight be answered with an older state,
+// which is allowed, and then a later request, which is not.
+func staleResponseFromAnotherController(checker *InvariantChecker) {
 	checker.TaskCompleted(taskOf(0))
 	sentAt := time.Now()
 	time.Sleep(time.Millisecond)
-	checker.AnswerReceivedForQuery(checkedJob, sentAt, http.StatusOK, wire.JobDone)
-	checker.AnswerReceivedForQuery(checkedJob, sentAt, http.StatusOK, wire.JobRunning)
+	checker.ResponseReceivedForQuery(checkedJob, sentAt, http.StatusOK, wire.JobDone)
+	checker.ResponseReceivedForQuery(checkedJob, sentAt, http.StatusOK, wire.JobRunning)
 	if len(checker.Violations) > 0 {
 		checker.Violations = nil // reported too early: the test must fail
 		return
 	}
-	checker.AnswerReceivedForQuery(checkedJob, time.Now(), http.StatusOK, wire.JobRunning)
+	checker.ResponseReceivedForQuery(checkedJob, time.Now(), http.StatusOK, wire.JobRunning)
 }
 
 func unansweredDefects() []defect {
 	return []defect{
 		{RuleAcceptedJobLost, "after all faults", nil, func(checker *InvariantChecker) {
-			unanswered := func() { checker.AnswerReceived(checkedJob, http.StatusServiceUnavailable, "") }
-			checker.AnswerReceived(checkedJob, http.StatusCreated, wire.JobPending)
+			unanswered := func() { checker.ResponseReceived(checkedJob, http.StatusServiceUnavailable, "") }
+			checker.ResponseReceived(checkedJob, http.StatusCreated, wire.JobPending)
 			unanswered()
 			time.Sleep(3 * time.Minute) // no other job is answered, and there are still faults
 			unanswered()
@@ -247,11 +247,11 @@
 		}},
 		{RuleAcceptedJobLost, "alone", nil, func(checker *InvariantChecker) {
 			checker.JobSubmitted(wire.JobSpec{ID: "run-2", Team: "open", Kind: wire.KindArray, TaskCount: 1})
-			checker.AnswerReceived(checkedJob, http.StatusCreated, wire.JobPending)
+			checker.ResponseReceived(checkedJob, http.StatusCreated, wire.JobPending)
 			for range 21 {
-				checker.AnswerReceived(checkedJob, 0, "")
-				checker.AnswerReceived("run-2", http.StatusOK, wire.JobPending)
-				checker.AnswerReceived("run-2", http.StatusOK, wire.JobPending)
+				checker.ResponseReceived(checkedJob, 0, "")
+				checker.ResponseReceived("run-2", http.StatusOK, wire.JobPending)
+				checker.ResponseReceived("run-2", http.StatusOK, wire.JobPending)
 				time.Sleep(5 * time.Second)
 			}
 		}},
@@ -283,7 +283,7 @@
 			checker.CheckServedShares()
 		}},
 		{RuleMinimumShare, "class", nil, func(checker *InvariantChecker) {
-			checker.AnswerReceived(checkedJob, http.StatusCreated, wire.JobPending)
+			checker.ResponseReceived(checkedJob, http.StatusCreated, wire.JobPending)
 			checker.CheckServedShares()
 		}},
 	}
@@ -292,7 +292,7 @@
 // runJob lets a job be accepted, wait, and run until all its tasks complete.
 func runJob(checker *InvariantChecker, jobID string, tasks int, wait time.Duration) {
 	checker.JobSubmitted(wire.JobSpec{ID: jobID, Class: "c", Team: "open", Kind: wire.KindArray, TaskCount: tasks})
-	checker.AnswerReceived(jobID, http.StatusCreated, wire.JobPending)
+	checker.ResponseReceived(jobID, http.StatusCreated, wire.JobPending)
 	time.Sleep(wait)
 	for i := range tasks {
 		task := record.TaskRef{JobID: jobID, Index: i}
--- a/internal/simulation/cpuregion_test.go
+++ b/internal/simulation/cpuregion_test.go
@@ -145,7 +145,7 @@
 	service.CPUs, service.MemoryGB = 1, 1.5
 	service.AllowSpot, service.Spread, service.RuntimeEstimateSeconds = false, true, 0
 	job.cancelAfter = neverDuringRun
-	// Services are submitted once all machines are recorded and before any is returned for being idle.
+	// Services are submitted once all machines are recorded and before any is deleted for being idle.
 	return 10*time.Second + milliseconds(random, 3000), job
 }
 
--- a/internal/simulation/doc.go
+++ b/internal/simulation/doc.go
@@ -4,7 +4,7 @@
 //
 // The package provides the fakes, the faults that can be injected and the InvariantChecker, which observes
 // agents and users from outside and records each violation of a safety invariant: no task on two machines, no
-// task after its cancellation was confirmed, no answer older than an earlier one. The checker never inspects
+// task after its cancellation was confirmed, no response older than an earlier one. The checker never inspects
 // the state of a controller. Only tests may import the package.
 //
 // Random numbers come from seeded generators, each with a stream of its own (randomStream), so that a seed
--- a/internal/simulation/fakeagent.go
+++ b/internal/simulation/fakeagent.go
@@ -35,7 +35,7 @@
 type agentFaults struct {
 	reclaimAt         time.Time // when the cloud reclaims the machine; zero: no notice was given
 	hungUntil         time.Time
-	inboundLostUntil  time.Time // heartbeats arrive; answers and commands are lost
+	inboundLostUntil  time.Time // heartbeats arrive; responses and commands are lost
 	outboundLostUntil time.Time // heartbeats are lost; commands arrive
 }
 
--- a/internal/simulation/fakeagent_heartbeat.go
+++ b/internal/simulation/fakeagent_heartbeat.go
@@ -125,7 +125,7 @@
 // postHeartbeat sends a heartbeat to a controller, and returns the status code and body of the response.
 func postHeartbeat(
 	ctx context.Context, transport http.RoundTripper, address string, body []byte,
-) (status int, answer []byte, err error) {
+) (status int, responseBody []byte, err error) {
 	url := "http://" + address + pathHeartbeat
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
@@ -135,11 +135,11 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	answer, err = io.ReadAll(response.Body)
+	responseBody, err = io.ReadAll(response.Body)
 	if closeErr := response.Body.Close(); err == nil {
 		err = closeErr
 	}
-	return response.StatusCode, answer, err
+	return response.StatusCode, responseBody, err
 }
 
 // tryNextController directs the next heartbeat to the controller after the one that failed, and makes it due without
--- a/internal/simulation/fakecloud.go
+++ b/internal/simulation/fakecloud.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxMachinesPerRental = 50
-	maxMachinesPerReturn = 100
+	maxMachinesPerRental   = 50
+	maxMachinesPerDeletion = 100
 	// namesPerRental is the number of machine names reserved for each rental, so that no two rentals share a name.
 	namesPerRental = 100
 	// machinesPerBootFailure is the average number of rented machines of which one never boots.
@@ -90,7 +90,7 @@
 	case r.URL.Path == "/catalog":
 		wire.WriteResponse(w, http.StatusOK, wire.Catalog{Types: c.machineTypes})
 	case r.URL.Path == "/machines/return":
-		c.serveReturn(w, body)
+		c.serveDeletion(w, body)
 	case r.URL.Path == "/machines" && r.Method == http.MethodPost:
 		c.serveRental(w, body)
 	case r.URL.Path == "/machines":
@@ -100,9 +100,9 @@
 	}
 }
 
-func (c *fakeCloud) serveReturn(w http.ResponseWriter, body []byte) {
+func (c *fakeCloud) serveDeletion(w http.ResponseWriter, body []byte) {
 	var request wire.MachineNames
-	if wire.Decode(body, &request) != nil || len(request.Names) > maxMachinesPerReturn {
+	if wire.Decode(body, &request) != nil || len(request.Names) > maxMachinesPerDeletion {
 		wire.WriteResponse(w, http.StatusBadRequest, nil)
 		return
 	}
--- a/internal/simulation/fakeuser.go
+++ b/internal/simulation/fakeuser.go
@@ -51,8 +51,8 @@
 	return userRequest{jobID, http.MethodPost, pathJobs + "/" + jobID + "/abort", nil, cancelTimeout}
 }
 
-// userAnswer is the response to a user's request. The status is 0 if there was no response.
-type userAnswer struct {
+// userResponse is the response to a user's request. The status is 0 if there was no response.
+type userResponse struct {
 	status int
 	state  wire.JobState
 }
@@ -65,8 +65,8 @@
 	cancelAfter time.Duration
 }
 
-// send sends a user's request to a controller and returns the answer.
-func (r *Region) send(ctx context.Context, to *Controller, request userRequest) userAnswer {
+// send sends a user's request to a controller and returns the response.
+func (r *Region) send(ctx context.Context, to *Controller, request userRequest) userResponse {
 	ctx, cancel := context.WithTimeout(ctx, request.timeout)
 	defer cancel()
 	url := "http://" + to.Address + request.path
@@ -76,25 +76,25 @@
 	}
 	response, err := r.Network.Transport(hostUsers, alwaysAlive).RoundTrip(httpRequest)
 	if err != nil {
-		return userAnswer{}
+		return userResponse{}
 	}
 	body, _ := io.ReadAll(response.Body)
 	_ = response.Body.Close()
 	var status wire.JobStatus
 	_ = wire.Decode(body, &status)
-	return userAnswer{response.StatusCode, status.State}
+	return userResponse{response.StatusCode, status.State}
 }
 
-// sendAndCheck sends a user's request to a controller, and reports the answer to the checker.
-func (r *Region) sendAndCheck(ctx context.Context, to *Controller, request userRequest) userAnswer {
+// sendAndCheck sends a user's request to a controller, and reports the response to the checker.
+func (r *Region) sendAndCheck(ctx context.Context, to *Controller, request userRequest) userResponse {
 	sentAt := time.Now()
-	answer := r.send(ctx, to, request)
-	r.Checker.AnswerReceivedForQuery(request.jobID, sentAt, answer.status, answer.state)
-	return answer
+	response := r.send(ctx, to, request)
+	r.Checker.ResponseReceivedForQuery(request.jobID, sentAt, response.status, response.state)
+	return response
 }
 
-// sendToAnyAndCheck sends a user's request to a random controller, and reports the answer to the checker.
-func (r *Region) sendToAnyAndCheck(ctx context.Context, request userRequest) userAnswer {
+// sendToAnyAndCheck sends a user's request to a random controller, and reports the response to the checker.
+func (r *Region) sendToAnyAndCheck(ctx context.Context, request userRequest) userResponse {
 	return r.sendAndCheck(ctx, r.randomController(), request)
 }
 
@@ -154,13 +154,13 @@
 func (r *Region) CancelJob(ctx context.Context, jobID string) bool {
 	r.Checker.CancelRequested(jobID)
 	sentAt := time.Now()
-	answer := r.send(ctx, r.randomController(), cancelRequest(jobID))
-	if r.ConfirmsCancellationsEarly && answer.status == http.StatusServiceUnavailable && r.cancelRecorded(jobID) {
-		answer = userAnswer{http.StatusOK, wire.JobCancelled}
+	response := r.send(ctx, r.randomController(), cancelRequest(jobID))
+	if r.ConfirmsCancellationsEarly && response.status == http.StatusServiceUnavailable && r.cancelRecorded(jobID) {
+		response = userResponse{http.StatusOK, wire.JobCancelled}
 	}
-	r.Checker.AnswerReceivedForQuery(jobID, sentAt, answer.status, answer.state)
-	r.Log.Debug("user cancels job", "job_id", jobID, "status", answer.status, "state", answer.state)
-	return answer.status == http.StatusOK
+	r.Checker.ResponseReceivedForQuery(jobID, sentAt, response.status, response.state)
+	r.Log.Debug("user cancels job", "job_id", jobID, "status", response.status, "state", response.state)
+	return response.status == http.StatusOK
 }
 
 // cancelRecorded reports whether the job's record in the store is marked as cancelled.
--- a/internal/simulation/faultcatalogue_test.go
+++ b/internal/simulation/faultcatalogue_test.go
@@ -65,7 +65,7 @@
 	FaultCancelAtCompletion:               cancelAtCompletion,
 	FaultCancelOnOwnerChange:              cancelOnOwnerChange,
 	FaultLeaderRefusedCancelOutage:        refuseLeaderCancelOutage,
-	FaultProbes:                           probeAfterAnswers,
+	FaultProbes:                           probeAfterResponses,
 	FaultInvalidRequests:                  sendInvalidRequests,
 	FaultShortJobs:                        submitShortJobs,
 }
@@ -262,7 +262,7 @@
 	in.region.CancelOnOwnerChange(ctx, 1+in.random.IntN(3), in.until, in.random.Uint64())
 }
 
-func probeAfterAnswers(_ context.Context, in injection) { in.region.ProbeAfterAnswers(in.until) }
+func probeAfterResponses(_ context.Context, in injection) { in.region.ProbeAfterResponses(in.until) }
 
 func sendInvalidRequests(ctx context.Context, in injection) {
 	in.region.SendInvalidRequests(ctx, in.until, in.random.Uint64())
--- a/internal/simulation/federation.go
+++ b/internal/simulation/federation.go
@@ -123,7 +123,7 @@
 	})
 }
 
-// SetDraining sets whether a cell refuses the work of other cells, and restarts its controllers one by one.
+// SetDraining sets whether a cell rejects the jobs that other cells offload, and restarts its controllers one by one.
 func (f *Federation) SetDraining(ctx context.Context, cell string, draining bool) {
 	f.mu.Lock()
 	f.cells[cell].draining = draining
@@ -165,8 +165,8 @@
 }
 
 // RestoreSnapshot simulates that a cell's key-value store loses all writes since a snapshot. It kills the cell's
-// controllers and returns. After a duration, all of the cell's machines are returned to the cloud, the snapshot is
-// restored, and the controllers start with the next epoch.
+// controllers and returns. After a duration, all of the cell's machines are deleted, the snapshot is restored, and the
+// controllers start with the next epoch.
 func (f *Federation) RestoreSnapshot(
 	ctx context.Context, cell string, rows map[string]wire.KeyValue, duration time.Duration,
 ) {
@@ -174,7 +174,7 @@
 	region.KillAllControllers()
 	region.wg.Go(func() {
 		time.Sleep(duration)
-		region.ReturnMachines(region.Machines())
+		region.DeleteMachines(region.Machines())
 		region.KV.Restore(rows)
 		f.mu.Lock()
 		f.cells[cell].epoch++
--- a/internal/simulation/federation_test.go
+++ b/internal/simulation/federation_test.go
@@ -101,7 +101,7 @@
 	cell, delay = cellA, secondsBetween(random, 30, 60)
 	var cancelAfter time.Duration
 	switch index % 6 {
-	case 0: // a service, not in cell b: with the writes that it loses, answers that users received would be lost
+	case 0: // a service, not in cell b: with the writes that it loses, responses that users received would be lost
 		cell, delay = []string{cellA, cellC}[random.IntN(2)], seconds(random, 240)
 		spec.Kind, spec.Priority, spec.TaskCount = wire.KindService, wire.PriorityProduction, 2
 		spec.RuntimeEstimateSeconds = 0
@@ -211,7 +211,7 @@
 	return outcome
 }
 
-// TestCellRemovedForGood removes a cell and its machines while it holds work of another cell. This work must wait
+// TestCellRemovedForGood removes a cell and its machines while it holds offloaded jobs of another cell. They must wait
 // until the operators of the other cell declare the cell as permanently removed, and no longer: every job must end, and
 // none may run twice.
 func TestCellRemovedForGood(t *testing.T) {
--- a/internal/simulation/invariants_answers.go
+++ b/internal/simulation/invariants_answers.go
@@ -32,15 +32,15 @@
 		status == http.StatusUnprocessableEntity
 }
 
-// AnswerReceived records the answer to a query that was sent after all earlier answers had arrived.
-func (c *InvariantChecker) AnswerReceived(jobID string, status int, state wire.JobState) {
-	c.AnswerReceivedForQuery(jobID, time.Now(), status, state)
+// ResponseReceived records the response to a query that was sent after all earlier responses had arrived.
+func (c *InvariantChecker) ResponseReceived(jobID string, status int, state wire.JobState) {
+	c.ResponseReceivedForQuery(jobID, time.Now(), status, state)
 }
 
-// AnswerReceivedForQuery records the answer to a query that was sent at sentAt. Status 200 or 201 comes with a state;
-// status 400, 404 or 422 says that the job is unknown or not accepted; any other status counts as no answer. A query
-// that was sent after an answer had arrived must not be answered with an older state, by any controller.
-func (c *InvariantChecker) AnswerReceivedForQuery(jobID string, sentAt time.Time, status int, state wire.JobState) {
+// ResponseReceivedForQuery records the response to a query that was sent at sentAt. Status 200 or 201 comes with a
+// state; status 400, 404 or 422 says that the job is unknown or not accepted; any other status counts as no response.
+// A query that was sent after a response had arrived must not be answered with an older state, by any controller.
+func (c *InvariantChecker) ResponseReceivedForQuery(jobID string, sentAt time.Time, status int, state wire.JobState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	job := c.jobs[jobID]
--- a/internal/simulation/invariants_capacity.go
+++ b/internal/simulation/invariants_capacity.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// waitingTasks describes the tasks of a job that wait for a start, and the constraints on where they may start, some of
-// which follow from the tasks that already run.
-type waitingTasks struct {
+// pendingTasks describes the pending tasks of a job, and the constraints on where they may start, some of which follow
+// from the tasks that already run.
+type pendingTasks struct {
 	spec       *wire.JobSpec
 	count      int
 	minTasks   int            // number of tasks that must start together
@@ -67,36 +67,36 @@
 	pinnedZone string         // the zone in which all tasks must start; empty: any
 }
 
-// waitingTasks returns the waiting tasks of a job. Callers hold the lock.
-func (c *InvariantChecker) waitingTasks(job *jobHistory) waitingTasks {
+// pendingTasks returns the pending tasks of a job. Callers hold the lock.
+func (c *InvariantChecker) pendingTasks(job *jobHistory) pendingTasks {
 	spec := &job.spec
-	waiting := waitingTasks{spec: spec, minTasks: 1, inZone: map[string]int{}, pinnedZone: spec.Zone}
+	pending := pendingTasks{spec: spec, minTasks: 1, inZone: map[string]int{}, pinnedZone: spec.Zone}
 	if spec.Kind == wire.KindGang {
-		waiting.minTasks = spec.TaskCount
+		pending.minTasks = spec.TaskCount
 	}
 	for i := range spec.TaskCount {
 		placements := c.placements[record.TaskRef{JobID: spec.ID, Index: i}]
 		if len(placements) == 0 && !job.completedTasks[i] {
-			waiting.count++
+			pending.count++
 		}
 		for _, placement := range placements {
-			waiting.inZone[placement.Zone]++
+			pending.inZone[placement.Zone]++
 			if spec.SameZone {
-				waiting.pinnedZone = placement.Zone
+				pending.pinnedZone = placement.Zone
 			}
 		}
 	}
-	return waiting
+	return pending
 }
 
 // allowedOn reports whether the tasks may start on a machine, by its zone, type and price kind (spot or on demand).
-func (t *waitingTasks) allowedOn(machine Placement) bool {
+func (t *pendingTasks) allowedOn(machine Placement) bool {
 	return (t.pinnedZone == "" || machine.Zone == t.pinnedZone) && (!machine.Spot || t.spec.AllowSpot) &&
 		(len(t.spec.MachineTypes) == 0 || slices.Contains(t.spec.MachineTypes, machine.MachineType))
 }
 
 // fitting returns the number of tasks that fit the free capacity, by zone. It stops counting in a zone at minTasks.
-func (t *waitingTasks) fitting(capacities []FreeCapacity) map[string]int {
+func (t *pendingTasks) fitting(capacities []FreeCapacity) map[string]int {
 	need, fits := record.TaskResources(t.spec), map[string]int{}
 	for _, capacity := range capacities {
 		if !t.allowedOn(capacity.Placement) {
@@ -114,21 +114,21 @@
 	return fits
 }
 
-// canStart reports whether a job has waiting tasks and enough of them fit the free capacity and the team's limit.
+// canStart reports whether a job has pending tasks and enough of them fit the free capacity and the team's limit.
 // Callers hold the lock.
 func (c *InvariantChecker) canStart(job *jobHistory, capacities []FreeCapacity) bool {
-	waiting := c.waitingTasks(job)
-	if waiting.count == 0 || waiting.count < waiting.minTasks || !c.withinTeamLimit(&job.spec, waiting.minTasks) {
+	pending := c.pendingTasks(job)
+	if pending.count == 0 || pending.count < pending.minTasks || !c.withinTeamLimit(&job.spec, pending.minTasks) {
 		return false
 	}
 	total := 0
-	for _, count := range waiting.fitting(capacities) {
-		if job.spec.SameZone && count >= waiting.minTasks {
+	for _, count := range pending.fitting(capacities) {
+		if job.spec.SameZone && count >= pending.minTasks {
 			return true
 		}
 		total += count
 	}
-	return !job.spec.SameZone && total >= waiting.minTasks
+	return !job.spec.SameZone && total >= pending.minTasks
 }
 
 // exceeds reports whether a usage of resources exceeds a team's limits.
--- a/internal/simulation/jobhistory.go
+++ b/internal/simulation/jobhistory.go
@@ -13,7 +13,7 @@
 	submittedAt      time.Time
 
 	accepted          bool
-	acceptedAt        time.Time // when the first answer arrived that says so
+	acceptedAt        time.Time // when the first response arrived that says so
 	cancelRequested   bool      // by its user
 	cancelRequestedAt time.Time
 	cancelledAt       time.Time     // when a user first received the state cancelled or failed
@@ -50,7 +50,7 @@
 }
 
 // dependencyCancelledAt returns when a user first received the state cancelled or failed of a direct or indirect
-// dependency of a job, or when the job was submitted if that is later. It returns zero if there was no such answer.
+// dependency of a job, or when the job was submitted if that is later. It returns zero if there was no such response.
 // Callers hold the lock.
 func (c *InvariantChecker) dependencyCancelledAt(jobID string) time.Time {
 	var first time.Time
--- a/internal/simulation/machines.go
+++ b/internal/simulation/machines.go
@@ -83,8 +83,8 @@
 	return out
 }
 
-// ReturnMachines removes machines, one after the other, as if a controller had returned them to the cloud.
-func (r *Region) ReturnMachines(names []string) {
+// DeleteMachines removes machines, one after the other, as if a controller had deleted them.
+func (r *Region) DeleteMachines(names []string) {
 	for _, name := range names {
 		r.mu.Lock()
 		r.removeMachine(name)
--- a/internal/simulation/onewaylinks_test.go
+++ b/internal/simulation/onewaylinks_test.go
@@ -23,7 +23,7 @@
 	oneIn          int  // one machine in oneIn is affected
 	wholeShard     bool // all machines of one controller that is not the leader are affected
 	leaderRestarts bool
-	// oneController runs a single controller, so that agents without answers can't fail over to another one.
+	// oneController runs a single controller, so that agents without responses can't fail over to another one.
 	oneController bool
 	// mayRecordNone allows that no machine is recorded as down for the loss itself: all may be deleted, or recorded as
 	// down with a new session, before that.
@@ -32,7 +32,7 @@
 
 // inboundLostScenario makes half of the machines receive no messages.
 //
-// The scenario may end without a machine that is recorded as down for the loss itself. An agent without answers fails
+// The scenario may end without a machine that is recorded as down for the loss itself. An agent without responses fails
 // over to the next controller and returns to its owner only after 15 s. So the owner may delete the machine first, as
 // silent for 11 s, 6 to 28 s after the loss; or one change records the machine as down together with the new session
 // that its agent starts after its lease has expired. Of the 17 to 20 machines, 1 to 16 were recorded in 260 traced
@@ -151,7 +151,7 @@
 }
 
 // watchDelay is how long a controller's watch may take to deliver what another controller has written: the request
-// budget spaces the requests of a watch by up to a tenth of a second, and a request and its answer take up to 205 ms
+// budget spaces the requests of a watch by up to a tenth of a second, and a request and its response take up to 205 ms
 // each on the fake network. It hides no wrong binding: machines stay down for tens of seconds, and several scheduling
 // cycles run each second.
 const watchDelay = 500 * time.Millisecond
@@ -207,8 +207,8 @@
 	return recorded
 }
 
-// checkReturned fails the test if one of the machines still exists.
-func checkReturned(t *testing.T, r *Region, machines []string) {
+// checkDeleted fails the test if one of the machines still exists.
+func checkDeleted(t *testing.T, r *Region, machines []string) {
 	t.Helper()
 	remaining := r.Machines()
 	for _, machine := range machines {
@@ -227,14 +227,14 @@
 }
 
 // TestInboundLostMachinesOfOneController checks that a deployment of one controller records each machine that receives
-// no messages as down, and returns it once nothing is left on it. The machine is never silent, since its agent goes on
+// no messages as down, and deletes it once nothing is left on it. The machine is never silent, since its agent goes on
 // sending heartbeats to the same controller.
 func TestInboundLostMachinesOfOneController(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		scenario := inboundLostScenario(7 * time.Minute)
 		scenario.oneController, scenario.leaderRestarts, scenario.mayRecordNone = true, false, false
 		r, recorded := scenario.simulate(t)
-		checkReturned(t, r, recorded)
+		checkDeleted(t, r, recorded)
 	})
 }
 
@@ -252,7 +252,7 @@
 }
 
 // TestOneWayMachinesAreReturned checks that a machine that can be reached in one direction only, and stays so, is
-// returned once nothing is left on it. Otherwise it would stay rented and unused, since nothing else ends that state.
+// deleted once nothing is left on it. Otherwise it would stay rented and unused, since nothing else ends that state.
 func TestOneWayMachinesAreReturned(t *testing.T) {
 	for _, scenario := range []oneWayScenario{
 		inboundLostScenario(7 * time.Minute), outboundLostScenario(7 * time.Minute),
@@ -261,7 +261,7 @@
 		t.Run(scenario.reason, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r, recorded := scenario.simulate(t)
-				checkReturned(t, r, recorded)
+				checkDeleted(t, r, recorded)
 			})
 		})
 	}
@@ -269,12 +269,12 @@
 
 // TestShardOfInboundLostMachines makes all machines of one controller, and half of the others, receive no messages.
 // Each must be recorded as down or deleted by the time its link is restored: otherwise it keeps its capacity to no
-// use, and the jobs that need this capacity go on waiting.
+// use, and the jobs that need this capacity stay pending.
 //
-// Machines were missed while their shard kept changing its owner. An agent without answers fails over to the next
+// Machines were missed while their shard kept changing its owner. An agent without responses fails over to the next
 // controller, so within seconds of a transfer another controller had received heartbeats of most of the shard's
 // machines, and the shard was transferred to it. One shard was transferred 9, 14, 20, 25, 34, 39, 45, 50 and 67 s after
-// the loss. Direct commands of each owner got no answer, but the owner lost the shard before its commands had failed
+// the loss. Direct commands of each owner got no response, but the owner lost the shard before its commands had failed
 // for the tuning.InboundLostAfter of 6 s after which a machine is recorded as down. What was bound to the machines was
 // released only 60 s after the loss, 36 s after their leases had expired.
 func TestShardOfInboundLostMachines(t *testing.T) {
--- a/internal/simulation/partition_test.go
+++ b/internal/simulation/partition_test.go
@@ -63,7 +63,7 @@
 	t.Errorf("of %d machines %d no longer exist, %d ended their tasks", o.machines, o.removed, o.ended)
 }
 
-// TestPartitionedZoneKeepsRunning cuts a zone with a controller off from everything, for longer than a lease and a
+// TestPartitionedZoneKeepsRunning partitions a zone with a controller from everything, for longer than a lease and a
 // cancellation's deadline. No machine in it may be deleted for its silence and no task in it killed, though most
 // machines belong to controllers outside. A cancellation that is requested meanwhile is confirmed only once the job
 // has ended, and afterwards the machines go on with the same sessions.
@@ -72,7 +72,7 @@
 		outcome := servicesScenario{4, 100 * time.Second, []string{zoneWest}, func(_ context.Context, r *Region) {
 			r.PartitionZone(zoneWest, true, time.Now().Add(100*time.Second))
 		}}.simulate(t)
-		// Machines with a task of the cancelled service are deleted for it, and a few idle ones are returned.
+		// Machines with a task of the cancelled service are deleted for it, and a few idle ones are deleted too.
 		// If silence alone led to deletion, all of them would be deleted.
 		if outcome.machines < 8 || outcome.removed > outcome.machines/2 || outcome.ended > 0 {
 			outcome.report(t)
@@ -99,9 +99,9 @@
 	})
 }
 
-// TestControllerCutFromStoreReleasesAgents cuts a controller off from the key-value store until it loses its shards.
+// TestControllerCutFromStoreReleasesAgents partitions a controller from the key-value store until it loses its shards.
 // Its agents must fail over to the new owner before their leases end. An agent that has seen a higher fencing token
-// ignores the old owner's answers, yet goes on sending heartbeats to it unless the owner releases it.
+// ignores the old owner's responses, yet goes on sending heartbeats to it unless the owner releases it.
 func TestControllerCutFromStoreReleasesAgents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		outcome := servicesScenario{6, neverDuringRun, testZones, func(_ context.Context, r *Region) {
--- a/internal/simulation/requestfaults.go
+++ b/internal/simulation/requestfaults.go
@@ -63,7 +63,7 @@
 	return ids[q.random.IntN(len(ids))]
 }
 
-// submitInvalidJob submits a job that must be rejected, checks the status of the answer, and queries the job
+// submitInvalidJob submits a job that must be rejected, checks the status of the response, and queries the job
 // afterwards.
 func (q *invalidRequests) submitInvalidJob(ctx context.Context, number int) {
 	checker := q.region.Checker
--- a/internal/simulation/rules.go
+++ b/internal/simulation/rules.go
@@ -23,7 +23,7 @@
 	RuleIncompleteJobDone                       // a job is reported done before all its tasks have completed
 	RuleFailedWithRetriesLeft                   // a job is reported failed while it has retries left
 	RuleInvalidTransition                       // a job is reported to leave a final state or cancelled without cause
-	RuleAcceptedJobLost                         // an accepted job is reported unknown, or its queries get no answer
+	RuleAcceptedJobLost                         // an accepted job is reported unknown, or its queries get no response
 	RuleOutlivedCancelledDependency             // a job is reported unfinished long after a dependency was cancelled
 	RuleStartableJobWaits                       // a job waits although capacity for it is available
 	RuleMinimumShare                            // too few jobs of a class or team are served, or its largest start late
--- a/internal/simulation/sessionrecord_test.go
+++ b/internal/simulation/sessionrecord_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// TestSessionSurvivesLateRegistration starts a process that registers its session, kills it before the answer, and
+// TestSessionSurvivesLateRegistration starts a process that registers its session, kills it before the response, and
 // starts another one within a second. The first registration is applied after the second one and replaces it in the
 // key-value store; it is deleted with the first process's lease. The second process must register again: if it relied
 // on its replaced registration, it would never own a shard again.
--- a/internal/simulation/testregion_test.go
+++ b/internal/simulation/testregion_test.go
@@ -207,7 +207,7 @@
 	}
 }
 
-// checkRun fails the test if the run violated a rule or left a job unfinished.
+// checkRun fails the test if the run violated a rule or left a job that has not ended.
 func checkRun(t *testing.T, r *Region) {
 	t.Helper()
 	checkViolations(t, r)
@@ -217,7 +217,7 @@
 func checkFinished(t *testing.T, unfinished []string) {
 	t.Helper()
 	if len(unfinished) > 0 {
-		t.Errorf("never finished: %v", unfinished)
+		t.Errorf("jobs that never ended: %v", unfinished)
 	}
 }
 
--- a/internal/simulation/userfaults.go
+++ b/internal/simulation/userfaults.go
@@ -19,7 +19,7 @@
 // userFaults are requests that users send at critical moments.
 type userFaults struct {
 	cancelAtCompletion faultRate // selects jobs that are cancelled at their completion
-	probesUntil        time.Time // until then, users query all controllers right after certain answers
+	probesUntil        time.Time // until then, users query all controllers right after certain responses
 }
 
 // CancelAtCompletion makes users cancel a share of the jobs within 1.5 s of their completion, until a time.
@@ -114,9 +114,9 @@
 	})
 }
 
-// ProbeAfterAnswers makes users query all controllers within milliseconds after an acceptance, a cancellation or a
+// ProbeAfterResponses makes users query all controllers within milliseconds after an acceptance, a cancellation or a
 // final state was reported, until a time.
-func (r *Region) ProbeAfterAnswers(until time.Time) {
+func (r *Region) ProbeAfterResponses(until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.users.probesUntil = until
--- a/internal/simulation/zonejudgement_test.go
+++ b/internal/simulation/zonejudgement_test.go
@@ -12,14 +12,15 @@
 // zoneStateCheck is the result of comparing the zone states that the controllers logged with the heartbeats that they
 // counted.
 type zoneStateCheck struct {
-	cuts         int                  // how often a process logged that a zone is cut off
+	partitions   int                  // how often a process logged that a zone is partitioned
 	mostExpected map[zoneObserver]int // machines of the zone whose heartbeats were expected
 	mismatches   []string             // counts that contradict the state, or whose state was not logged
 }
 
 // checkZoneStates compares the zone states that the controllers' processes logged with the heartbeats that they
 // counted. A controller that expects enough machines of a zone and receives heartbeats of less than
-// tuning.PartitionReportingShare of them must consider the zone cut or lost at once, and must have logged that.
+// tuning.PartitionReportingShare of them must consider the zone partitioned or unavailable at once, and must
+// have logged that.
 func checkZoneStates(records []logRecord) zoneStateCheck {
 	check := zoneStateCheck{mostExpected: map[zoneObserver]int{}}
 	logged, processes := map[zoneObserver]string{}, processesByNode{}
@@ -33,7 +34,7 @@
 		case messageZoneChanged:
 			logged[observer] = record.attributes[keyState]
 			if record.attributes[keyState] == zonehealth.Partitioned.String() {
-				check.cuts++
+				check.partitions++
 			}
 		case messageZoneCounted:
 			check.addCount(observer, record, logged[observer])
@@ -73,7 +74,7 @@
 	return n
 }
 
-// TestCheckZoneStates checks how many cuts and mismatches checkZoneStates finds in short logs.
+// TestCheckZoneStates checks how many partitions and mismatches checkZoneStates finds in short logs.
 func TestCheckZoneStates(t *testing.T) {
 	line := func(message string, attributes ...string) logRecord {
 		common := map[string]string{keyNode: firstController, keyZone: zoneNorth}
@@ -86,28 +87,29 @@
 	open := line(messageSessionOpen, keyIncarnation, "1")
 	restart := line(messageSessionOpen, keyIncarnation, "2")
 	serving := line(messageZoneCounted, keyExpected, "13", keyReceived, "13", keyState, "serving")
-	cut := line(messageZoneChanged, keyState, "cut")
-	countedCut := line(messageZoneCounted, keyExpected, "13", keyReceived, "2", keyState, "cut")
+	partitioned := line(messageZoneChanged, keyState, "cut")
+	lowCount := line(messageZoneCounted, keyExpected, "13", keyReceived, "2", keyState, "cut")
 	for name, test := range map[string]struct {
 		records        []logRecord
-		wantCuts       int
+		wantPartitions int
 		wantMismatches int
 	}{
-		"seen by a process that restarts": {[]logRecord{open, serving, cut, countedCut, restart, serving}, 1, 0},
+		"seen by a process that restarts": {[]logRecord{open, serving, partitioned, lowCount, restart, serving}, 1, 0},
 		"nothing to see": {[]logRecord{
 			open, line(messageZoneCounted, keyExpected, "3", keyReceived, "0", keyState, "serving"),
 		}, 0, 0},
 		"seen too late": {[]logRecord{
-			open, line(messageZoneCounted, keyExpected, "4", keyReceived, "0", keyState, "serving"), cut, countedCut,
+			open, line(messageZoneCounted, keyExpected, "4", keyReceived, "0", keyState, "serving"), partitioned,
+			lowCount,
 		}, 1, 1},
-		"seen, not logged":       {[]logRecord{open, serving, countedCut}, 0, 1},
-		"state outlives restart": {[]logRecord{open, serving, cut, countedCut, restart, countedCut}, 1, 1},
+		"seen, not logged":       {[]logRecord{open, serving, lowCount}, 0, 1},
+		"state outlives restart": {[]logRecord{open, serving, partitioned, lowCount, restart, lowCount}, 1, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			check := checkZoneStates(test.records)
-			if check.cuts != test.wantCuts || len(check.mismatches) != test.wantMismatches {
-				t.Errorf("%d cuts, mismatches %q; want %d, %d",
-					check.cuts, check.mismatches, test.wantCuts, test.wantMismatches)
+			if check.partitions != test.wantPartitions || len(check.mismatches) != test.wantMismatches {
+				t.Errorf("%d partitions, mismatches %q; want %d, %d",
+					check.partitions, check.mismatches, test.wantPartitions, test.wantMismatches)
 			}
 		})
 	}
--- a/internal/simulation/zoneoutage_test.go
+++ b/internal/simulation/zoneoutage_test.go
@@ -85,15 +85,15 @@
 }
 
 const (
-	stageCutDuration   = 40 * time.Second
-	stageFaultDuration = 15 * time.Second
+	stagePartitionDuration = 40 * time.Second
+	stageFaultDuration     = 15 * time.Second
 )
 
 var zoneStages = []zoneStage{
 	{"suspected", 2 * time.Second},
 	{"cut", 10 * time.Second},
 	{"lost", 32 * time.Second},
-	{"returning", stageCutDuration + 3*time.Second},
+	{"returning", stagePartitionDuration + 3*time.Second},
 }
 
 // stageFaults are the faults that are injected at a stage.
@@ -138,7 +138,7 @@
 		t.Run(fmt.Sprintf("%s, %s, %s", stage.name, first.fault, second.fault), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				simulateZoneScenario(t, func(ctx context.Context, r *Region) {
-					r.PartitionZone(zoneNorth, true, time.Now().Add(stageCutDuration))
+					r.PartitionZone(zoneNorth, true, time.Now().Add(stagePartitionDuration))
 					time.Sleep(stage.after)
 					first.inject(ctx, r, time.Now().Add(stageFaultDuration))
 					second.inject(ctx, r, time.Now().Add(stageFaultDuration))
@@ -197,7 +197,7 @@
 		t.Errorf("%d of %d replicas run", up, zoneScenarioReplicas*zoneScenarioServices)
 	}
 	if unfinished := r.Checker.UnfinishedJobs(); len(unfinished) > zoneScenarioServices {
-		t.Errorf("never finished: %v", unfinished)
+		t.Errorf("jobs that never ended: %v", unfinished)
 	}
 	time.Sleep(5 * time.Minute)
 	r.end(cancel)
@@ -209,14 +209,14 @@
 //
 // The loss counts if any process of a controller logged it, whereas the final state is required of its last process
 // alone. If a scenario restarts a controller, its first process may be the only one to log the loss: in one run the
-// first controller received 2 of 13 expected heartbeats and logged the cut 2 s after it, while the second and the
+// first controller received 2 of 13 expected heartbeats and logged the partition 2 s after it, while the second and the
 // third had 3 machines of the zone each, fewer than tuning.PartitionMinMachines.
 func checkZoneRun(t *testing.T, r *Region, records []logRecord) {
 	t.Helper()
 	checkRun(t, r)
 	check := checkZoneStates(records)
-	if check.cuts == 0 {
-		t.Errorf("no controller logged that a zone is cut off; most machines expected of each zone: %v",
+	if check.partitions == 0 {
+		t.Errorf("no controller logged that a zone is partitioned; most machines expected of each zone: %v",
 			check.mostExpected)
 	}
 	for _, mismatch := range check.mismatches {
--- a/internal/simulation/zonepower_test.go
+++ b/internal/simulation/zonepower_test.go
@@ -34,7 +34,7 @@
 // return; the others return with new sessions and without images, and the zone's controller, if it has one, without
 // any state. Without any action of an operator, lost machines must be deleted in the order of the plan, and every
 // service must have all its replicas again within a stated time though the zone is still without power, and also after
-// the zone's return. Users must be answered meanwhile, no rule may be violated and every job must end once.
+// the zone's recovery. Users must be answered meanwhile, no rule may be violated and every job must end once.
 // ZONE_MACHINES sets the number of machines, ZONE_MOMENTS the number of runs.
 func TestZoneLosesPower(t *testing.T) {
 	for i := range environmentInt("ZONE_MOMENTS", 2) {
@@ -80,10 +80,10 @@
 	recovery := p.waitForReplicas(t, lost, p.region.Settings.LeaseDuration()+45*time.Second)
 	time.Sleep(time.Until(lost.Add(p.duration)))
 	fewest := p.fewestReplicas(30 * time.Second)
-	t.Logf("all %d replicas after %v; at least %d while the zone returned",
+	t.Logf("all %d replicas after %v; at least %d while the zone recovered",
 		p.replicas(), recovery.Round(time.Second), fewest)
 	if fewest < p.replicas() {
-		t.Errorf("the zone's return ended replicas: %d of %d run", fewest, p.replicas())
+		t.Errorf("the zone's recovery ended replicas: %d of %d run", fewest, p.replicas())
 	}
 	time.Sleep(7 * time.Minute)
 	p.region.end(cancel)
@@ -97,7 +97,7 @@
 	}
 }
 
-// submitJobs submits services that last past the zone's return, and arrays and gangs that arrive meanwhile.
+// submitJobs submits services that last past the zone's recovery, and arrays and gangs that arrive meanwhile.
 func (p *powerLoss) submitJobs(ctx context.Context) {
 	for i := range p.services() {
 		spec := newSpec(i+1, wire.KindService)
