--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -18,9 +18,9 @@
 
 // headroom is the capacity to keep free beyond the allocated capacity, in machines.
 type headroom struct {
-	onDemand       float64
-	unusedMachines float64 // the part of onDemand that must be whole machines that no task uses
-	spot           float64
+	onDemand     float64
+	idleMachines float64 // the part of onDemand that must be whole machines that no task uses
+	spot         float64
 }
 
 // headroomTarget returns the headroom to keep free: tuning.HeadroomDeviations standard deviations of the
@@ -50,9 +50,9 @@
 		return tuning.HeadroomDeviations * math.Sqrt(squares*bootSeconds/tuning.ArrivalWindow.Seconds())
 	}
 	return headroom{
-		onDemand:       max(float64(a.operator.MinHeadroom), deviation(onDemand)),
-		unusedMachines: deviation(fillsMachines),
-		spot:           deviation(spot),
+		onDemand:     max(float64(a.operator.MinHeadroom), deviation(onDemand)),
+		idleMachines: deviation(fillsMachines),
+		spot:         deviation(spot),
 	}
 }
 
--- a/internal/autoscaler/scalein.go
+++ b/internal/autoscaler/scalein.go
@@ -95,7 +95,7 @@
 	target := a.headroomTarget(now)
 	plan.surplusOnDemand = min(
 		demand.SpareOnDemand.Machines-target.onDemand,
-		float64(demand.SpareOnDemand.UnusedMachines)-target.unusedMachines,
+		float64(demand.SpareOnDemand.IdleMachineCount)-target.idleMachines,
 	)
 	plan.surplusSpot = demand.SpareSpot.Machines - target.spot
 	plan.zoneReserve = a.zoneReserve()
--- a/internal/autoscaler/scaleoutplan.go
+++ b/internal/autoscaler/scaleoutplan.go
@@ -172,7 +172,7 @@
 	count := max(
 		belowMinimum,
 		int(math.Ceil(target.onDemand-spare.Machines-headroomRounding)),
-		int(math.Ceil(target.unusedMachines-float64(spare.UnusedMachines)-headroomRounding)),
+		int(math.Ceil(target.idleMachines-float64(spare.IdleMachineCount)-headroomRounding)),
 	)
 	for i := range count {
 		request := machineRequest{spec: &wire.JobSpec{}, allowed: anyKind, required: i < belowMinimum}
--- a/internal/autoscaler/scaleoutplan_test.go
+++ b/internal/autoscaler/scaleoutplan_test.go
@@ -97,7 +97,7 @@
 func gangDemand(groups ...scheduler.UnplacedGroup) scheduler.UnmetDemand {
 	return scheduler.UnmetDemand{
 		Groups:        groups,
-		SpareOnDemand: binpack.SpareCapacity{Machines: 9, UnusedMachines: 9},
+		SpareOnDemand: binpack.SpareCapacity{Machines: 9, IdleMachineCount: 9},
 		SpareSpot:     binpack.SpareCapacity{Machines: 9},
 	}
 }
--- a/internal/binpack/doc.go
+++ b/internal/binpack/doc.go
@@ -9,5 +9,5 @@
 // The package owns the Inventory, which is the plan of one scheduling cycle. It only decides: it
 // writes no record and sends no message. The caller supplies what each machine can be used for and
 // image hints, which say which machines are expected to hold which images. A plan is not a binding:
-// the caller makes bindings durable before any task is launched (safety invariants 1 and 2).
+// the caller makes bindings durable before any task is started (safety invariants 1 and 2).
 package binpack
--- a/internal/binpack/spare.go
+++ b/internal/binpack/spare.go
@@ -4,8 +4,8 @@
 type SpareCapacity struct {
 	// Machines is the sum of the machines' free fractions; see FreeFraction.
 	Machines float64
-	// UnusedMachines is the number of machines without tasks, allocations and reservations.
-	UnusedMachines int
+	// IdleMachineCount is the number of machines without tasks, allocations and reservations.
+	IdleMachineCount int
 	// MachinesByZone is Machines broken down by zone.
 	MachinesByZone map[string]float64
 }
@@ -14,7 +14,7 @@
 type Spare struct {
 	OnDemand SpareCapacity
 	Spot     SpareCapacity
-	// IdleMachines are the names of the machines that UnusedMachines counts, of both kinds.
+	// IdleMachines are the names of the machines that IdleMachineCount counts, of both kinds.
 	IdleMachines []string
 }
 
@@ -43,7 +43,7 @@
 	capacity.Machines += free
 	capacity.MachinesByZone[info.Machine.Zone] += free
 	if info.Free == info.Capacity && info.ReservedFor == "" && len(info.Machine.Bindings) == 0 {
-		capacity.UnusedMachines++
+		capacity.IdleMachineCount++
 		s.IdleMachines = append(s.IdleMachines, info.Machine.Name)
 	}
 }
--- a/internal/jobqueue/key.go
+++ b/internal/jobqueue/key.go
@@ -23,9 +23,9 @@
 	NearDeadline bool
 	// DeadlineNs is the job's deadline in nanoseconds since the Unix epoch.
 	DeadlineNs int64
-	// EligibleSinceMs is the time since which the job could have started, in milliseconds since the
+	// ReadySinceMs is the time since which the job could have started, in milliseconds since the
 	// Unix epoch.
-	EligibleSinceMs int64
+	ReadySinceMs int64
 	// JobID identifies the job and makes every key unique.
 	JobID string
 }
@@ -50,7 +50,7 @@
 	return cmp.Or(
 		k.ComparePrecedence(other),
 		cmp.Compare(k.DeadlineNs, other.DeadlineNs),
-		cmp.Compare(k.EligibleSinceMs, other.EligibleSinceMs),
+		cmp.Compare(k.ReadySinceMs, other.ReadySinceMs),
 		cmp.Compare(k.JobID, other.JobID),
 	)
 }
--- a/internal/jobqueue/queue_test.go
+++ b/internal/jobqueue/queue_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// drawKey draws a key. The caller supplies the generators of the deadline and of the eligible time,
+// drawKey draws a key. The caller supplies the generators of the deadline and of the ready time,
 // and thereby determines how common ties are: the smaller the range, the more ties.
-func drawKey(t *rapid.T, jobID string, deadline, eligibleSince *rapid.Generator[int64]) Key {
+func drawKey(t *rapid.T, jobID string, deadline, readySince *rapid.Generator[int64]) Key {
 	return Key{
 		PriorityRank:     rapid.IntRange(0, 3).Draw(t, "priority rank"),
 		WithinGuarantee:  rapid.Bool().Draw(t, "within guarantee"),
@@ -19,7 +19,7 @@
 		SizeClass:        rapid.IntRange(0, 2).Draw(t, "size class"),
 		NearDeadline:     rapid.Bool().Draw(t, "near deadline"),
 		DeadlineNs:       deadline.Draw(t, "deadline"),
-		EligibleSinceMs:  eligibleSince.Draw(t, "eligible since"),
+		ReadySinceMs:     readySince.Draw(t, "ready since"),
 		JobID:            jobID,
 	}
 }
--- a/internal/preemption/plan.go
+++ b/internal/preemption/plan.go
@@ -11,16 +11,16 @@
 
 // Victim is a running task that may be stopped.
 type Victim struct {
-	Binding            clusterstate.Binding
-	Rank               int     // rank of its job's priority; 0 is the highest
-	LostMachineSeconds float64 // work lost if it is stopped, in machine seconds
+	Binding     clusterstate.Binding
+	Rank        int     // rank of its job's priority; 0 is the highest
+	LostSeconds float64 // work lost if it is stopped, in machine seconds
 }
 
 // Plan describes which tasks to stop on one machine.
 type Plan struct {
-	Machine            *binpack.MachineInfo
-	Victims            []Victim
-	LostMachineSeconds float64 // sum over all victims
+	Machine     *binpack.MachineInfo
+	Victims     []Victim
+	LostSeconds float64 // sum over all victims
 }
 
 // CheapestPlan returns the plan that frees enough capacity for need on one of the machines with the least loss of work.
@@ -34,7 +34,7 @@
 		victims := victimsOn(machine)
 		sortVictims(victims)
 		plan, freesEnough := shortestPlan(need, machine, victims)
-		if freesEnough && (!ok || plan.LostMachineSeconds < cheapest.LostMachineSeconds) {
+		if freesEnough && (!ok || plan.LostSeconds < cheapest.LostSeconds) {
 			cheapest, ok = plan, true
 		}
 	}
@@ -47,7 +47,7 @@
 	slices.SortFunc(victims, func(a, b Victim) int {
 		return cmp.Or(
 			-cmp.Compare(a.Rank, b.Rank),
-			cmp.Compare(a.LostMachineSeconds, b.LostMachineSeconds),
+			cmp.Compare(a.LostSeconds, b.LostSeconds),
 			cmp.Compare(a.Binding.Ref.String(), b.Binding.Ref.String()),
 		)
 	})
@@ -64,7 +64,7 @@
 			return plan, true
 		}
 		free = free.Plus(record.TaskResources(&victims[i].Binding.Job.Spec))
-		plan.LostMachineSeconds += victims[i].LostMachineSeconds
+		plan.LostSeconds += victims[i].LostSeconds
 	}
 	plan.Victims = victims
 	return plan, need.FitsIn(free)
--- a/internal/preemption/plan_test.go
+++ b/internal/preemption/plan_test.go
@@ -26,9 +26,9 @@
 		job := &clusterstate.Job{}
 		job.Spec = wire.JobSpec{ID: "j", GPUs: float64(rapid.IntRange(1, 2).Draw(t, "gpus"))}
 		victims = append(victims, Victim{
-			Binding:            clusterstate.Binding{Ref: record.TaskRef{JobID: machine, Index: index}, Job: job},
-			Rank:               rapid.IntRange(1, 3).Draw(t, "rank"),
-			LostMachineSeconds: float64(rapid.IntRange(1, 50).Draw(t, "cost")),
+			Binding:     clusterstate.Binding{Ref: record.TaskRef{JobID: machine, Index: index}, Job: job},
+			Rank:        rapid.IntRange(1, 3).Draw(t, "rank"),
+			LostSeconds: float64(rapid.IntRange(1, 50).Draw(t, "cost")),
 		})
 	}
 	return victims
@@ -43,13 +43,13 @@
 			t.Errorf("task %d is stopped though need fits without that", i)
 		}
 		free = free.Plus(record.TaskResources(&victim.Binding.Job.Spec))
-		cost += victim.LostMachineSeconds
+		cost += victim.LostSeconds
 	}
 	if !need.FitsIn(free) {
 		t.Errorf("%v is free after preemption, too little for %v", free, need)
 	}
-	if cost != plan.LostMachineSeconds {
-		t.Errorf("the plan states a loss of %v, but its victims lose %v", plan.LostMachineSeconds, cost)
+	if cost != plan.LostSeconds {
+		t.Errorf("the plan states a loss of %v, but its victims lose %v", plan.LostSeconds, cost)
 	}
 	return cost
 }
@@ -78,7 +78,7 @@
 				if need.FitsIn(free) {
 					break
 				}
-				sum += victim.LostMachineSeconds
+				sum += victim.LostSeconds
 				free = free.Plus(record.TaskResources(&victim.Binding.Job.Spec))
 			}
 			if need.FitsIn(free) && sum < cost {
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -26,12 +26,12 @@
 
 	// requested is the largest usage beyond its grant that a shard requested since the last PlanChanges.
 	requested map[grantKey]record.Resources
-	// pendingReductions holds the new value of each grant whose reduction is in flight. Allows already
+	// reductionsInFlight holds the new value of each grant whose reduction is in flight. Allows already
 	// applies the new value.
-	pendingReductions map[grantKey]record.Resources
-	teamsInFlight     map[string]bool        // teams that have a change of their grants in flight
-	surplusSince      map[grantKey]time.Time // time since which a grant has been larger than needed
-	completions       chan grantKey          // changes whose outcome is known
+	reductionsInFlight map[grantKey]record.Resources
+	teamsInFlight      map[string]bool        // teams that have a change of their grants in flight
+	surplusSince       map[grantKey]time.Time // time since which a grant has been larger than needed
+	completions        chan grantKey          // changes whose outcome is known
 }
 
 // grantKey identifies the grant of a team in a shard.
@@ -56,13 +56,13 @@
 // New returns a manager of the grants of teams. It reads the current grants from state.
 func New(teams []config.Team, state *clusterstate.State) *GrantManager {
 	manager := &GrantManager{
-		teams:             make(map[string]config.Team, len(teams)),
-		state:             state,
-		requested:         map[grantKey]record.Resources{},
-		pendingReductions: map[grantKey]record.Resources{},
-		teamsInFlight:     map[string]bool{},
-		surplusSince:      map[grantKey]time.Time{},
-		completions:       make(chan grantKey, maxCompletions),
+		teams:              make(map[string]config.Team, len(teams)),
+		state:              state,
+		requested:          map[grantKey]record.Resources{},
+		reductionsInFlight: map[grantKey]record.Resources{},
+		teamsInFlight:      map[string]bool{},
+		surplusSince:       map[grantKey]time.Time{},
+		completions:        make(chan grantKey, maxCompletions),
 	}
 	for _, team := range teams {
 		manager.teams[team.Name] = team
@@ -78,7 +78,7 @@
 	}
 	key := grantKey{shard, team}
 	usage = withoutMemory(usage)
-	grant, reducing := m.pendingReductions[key]
+	grant, reducing := m.reductionsInFlight[key]
 	if !reducing {
 		grant = grantOf(m.state.Quotas[team], shard)
 	}
@@ -108,7 +108,7 @@
 		select {
 		case key := <-m.completions:
 			delete(m.teamsInFlight, key.team)
-			delete(m.pendingReductions, key)
+			delete(m.reductionsInFlight, key)
 		default:
 			return
 		}
@@ -187,7 +187,7 @@
 			if rule.reductionDue(m.surplusFor(now, key), grant, needed) {
 				delete(m.surplusSince, key)
 				changes = append(changes, m.newChange(key, quota, revision, needed))
-				m.pendingReductions[key] = needed
+				m.reductionsInFlight[key] = needed
 			}
 		}
 	}
@@ -246,7 +246,7 @@
 // newChange returns the change that sets a grant. Its transaction is conditional on the revisions of the team's
 // record and of the ownership record of the shard. Until Done is called, no other change for the team is planned.
 func (m *GrantManager) newChange(
-	key grantKey, quota clusterstate.Quota, ownership uint64, grant record.Resources,
+	key grantKey, quota clusterstate.Quota, ownershipRevision uint64, grant record.Resources,
 ) Change {
 	grants := maps.Clone(quota.Grants)
 	if grants == nil {
@@ -263,7 +263,7 @@
 		Transaction: kvstore.Transaction{
 			Conditions: []wire.Condition{
 				{Key: quotaKey, ModRevision: quota.ModRevision},
-				{Key: record.ShardKey(key.shard), ModRevision: ownership},
+				{Key: record.ShardKey(key.shard), ModRevision: ownershipRevision},
 			},
 			Ops: []wire.Op{kvstore.PutOp(quotaKey, record.Quota{Grants: grants})},
 		},
--- a/internal/scheduler/bind.go
+++ b/internal/scheduler/bind.go
@@ -99,7 +99,7 @@
 	edit.shards[start.charged] = true
 	edit.shards[machine.Shard] = true
 	edit.encodedSize += maxBindingBytes(machine.Name)
-	pending := pendingBinding{
+	pending := inFlightBinding{
 		task: start.task, machine: machine.Name, chargedShard: start.charged, team: job.Spec.Team, need: queued.Need,
 	}
 	edit.bindings = append(edit.bindings, pending)
--- a/internal/scheduler/changetracker.go
+++ b/internal/scheduler/changetracker.go
@@ -51,8 +51,8 @@
 func (t *changeTracker) inFlight(key string) bool { return t.keysInFlight[key] }
 
 // bindings returns an iterator over the bindings of all changes in flight, in no particular order.
-func (t *changeTracker) bindings() iter.Seq[pendingBinding] {
-	return func(yield func(pendingBinding) bool) {
+func (t *changeTracker) bindings() iter.Seq[inFlightBinding] {
+	return func(yield func(inFlightBinding) bool) {
 		for _, change := range t.changes {
 			for _, binding := range change.bindings {
 				if !yield(binding) {
--- a/internal/scheduler/changetracker_test.go
+++ b/internal/scheduler/changetracker_test.go
@@ -10,8 +10,8 @@
 // listed from its start until it has finished, and that finishing it doesn't affect other changes in flight.
 func TestRecordIsInFlightUntilItsChangeFinishes(t *testing.T) {
 	tracker := newChangeTracker()
-	first := tracker.start(&recordChange{keys: []string{"a", "b"}, bindings: []pendingBinding{{machine: "m1"}}})
-	second := tracker.start(&recordChange{keys: []string{"c"}, bindings: []pendingBinding{{machine: "m2"}}})
+	first := tracker.start(&recordChange{keys: []string{"a", "b"}, bindings: []inFlightBinding{{machine: "m1"}}})
+	second := tracker.start(&recordChange{keys: []string{"c"}, bindings: []inFlightBinding{{machine: "m2"}}})
 	if first == second {
 		t.Fatalf("two changes have the ID %d", first)
 	}
--- a/internal/scheduler/chunkedit.go
+++ b/internal/scheduler/chunkedit.go
@@ -18,7 +18,7 @@
 	chunkKey
 	tasks       map[int]record.Task // state after the edit, by task index
 	shards      map[int]bool        // shards whose ownership is a condition of the edit
-	bindings    []pendingBinding
+	bindings    []inFlightBinding
 	encodedSize int  // size of the edited chunk as JSON, in bytes; 0 if not computed yet
 	failsJob    bool // a task of the chunk has failed with no retry left
 }
--- a/internal/scheduler/commit.go
+++ b/internal/scheduler/commit.go
@@ -33,15 +33,15 @@
 	transaction kvstore.Transaction
 	keys        []string // records that no other change may write while this one is in flight
 	shards      []int    // shards of this node to fence if the outcome stays unknown
-	bindings    []pendingBinding
+	bindings    []inFlightBinding
 	// safeIfAppliedLate is set if the change needs no fence when its outcome is unknown: the condition on the changed
 	// record makes it safe even if the store applies it late.
 	safeIfAppliedLate bool
 	onResult          func(applied bool)
 }
 
-// pendingBinding is the binding of a task to a machine by a change whose outcome is not known yet.
-type pendingBinding struct {
+// inFlightBinding is the binding of a task to a machine by a change whose outcome is not known yet.
+type inFlightBinding struct {
 	task         record.TaskRef
 	machine      string
 	chargedShard int // shard whose grant of the team's quota the task uses
--- a/internal/scheduler/commit_test.go
+++ b/internal/scheduler/commit_test.go
@@ -96,7 +96,7 @@
 		key := record.JobKey("run-1")
 		change := &recordChange{
 			kind: changeOfTasks, subject: "run-1", keys: []string{key}, shards: []int{shard},
-			bindings: []pendingBinding{{
+			bindings: []inFlightBinding{{
 				task: record.TaskRef{JobID: "run-1"}, machine: name, chargedShard: shard, team: "t",
 				need: record.Resources{GPUs: 1},
 			}},
--- a/internal/scheduler/cycle.go
+++ b/internal/scheduler/cycle.go
@@ -59,7 +59,7 @@
 }
 
 // add adds the resources of a binding.
-func (u *inFlightUsage) add(binding pendingBinding) {
+func (u *inFlightUsage) add(binding inFlightBinding) {
 	u.byMachine[binding.machine] = u.byMachine[binding.machine].Plus(binding.need)
 	teams := u.byTeam[binding.chargedShard]
 	teams[binding.team] = teams[binding.team].Plus(binding.need)
@@ -155,7 +155,7 @@
 		c.inventory.GroupPending()
 		usage := c.teamUsage()
 		for len(queue) > 0 {
-			count := samePriority(queue)
+			count := countSamePriority(queue)
 			c.scheduleRank(queue[:count], usage, &unmet)
 			queue = queue[count:]
 		}
@@ -192,8 +192,8 @@
 	return usage
 }
 
-// samePriority returns how many jobs at the head of a queue have the priority of the first one.
-func samePriority(queue []queuedJob) int {
+// countSamePriority returns how many jobs at the head of a queue have the priority of the first one.
+func countSamePriority(queue []queuedJob) int {
 	count := 1
 	for count < len(queue) && queue[count].rank == queue[0].rank {
 		count++
@@ -206,7 +206,7 @@
 func (c *cycle) scheduleRank(queue []queuedJob, usage map[string]record.Resources, unmet *UnmetDemand) {
 	for i := range queue {
 		c.countPlaceable(&queue[i], usage)
-		if queue[i].Remaining > 0 && c.serviceCapacityScarce() {
+		if queue[i].Remaining > 0 && c.serviceCapacityShort() {
 			c.placeFirstReplica(&queue[i])
 		}
 	}
--- a/internal/scheduler/deadlines.go
+++ b/internal/scheduler/deadlines.go
@@ -19,16 +19,16 @@
 // objectives and the jobs that depend on it, earliest first. It returns none if the job has no objective.
 func (c *cycle) objectiveTimes(job *clusterstate.Job) []time.Time {
 	// A deadline counts from the submission, all other objectives from when the job could first start.
-	startable, runTime, objectives := job.ReadySince(), c.predictedRunTime(job), c.deadlineObjectives(job)
+	readySince, runTime, objectives := job.ReadySince(), c.predictedRunTime(job), c.deadlineObjectives(job)
 	for _, objective := range c.settings.Deployment.Objectives {
 		switch {
 		case objective.Class != job.Spec.Class || objective.WithinS <= 0:
 		case objective.Kind == objectiveDeadline && job.Spec.DeadlineSeconds > 0 && objective.Times > 0:
 			// deadlineObjectives includes this objective.
 		case objective.Kind == objectiveWait:
-			objectives = append(objectives, startable.Add(config.ToDuration(objective.WithinS)+runTime))
+			objectives = append(objectives, readySince.Add(config.ToDuration(objective.WithinS)+runTime))
 		default:
-			objectives = append(objectives, startable.Add(config.ToDuration(objective.WithinS)))
+			objectives = append(objectives, readySince.Add(config.ToDuration(objective.WithinS)))
 		}
 	}
 	if needed := c.needsOfDependents(job.Spec.ID).deadline; !needed.IsZero() {
@@ -88,14 +88,14 @@
 		}
 	}
 	deadline, slack := firstReachable(c.now, objectives, runTime)
-	guardTime := max(tuning.MinDeadlineSlack, time.Duration(tuning.DeadlineSlackShare*float64(runTime)))
+	minSlack := max(tuning.MinDeadlineSlack, time.Duration(tuning.DeadlineSlackShare*float64(runTime)))
 	switch {
 	case slack < 0 || c.order.objectives.unattainable[job.Spec.ID]:
 		return jobDeadline{at: deadline, validUntil: farFuture}
-	case slack < guardTime:
+	case slack < minSlack:
 		return jobDeadline{at: deadline, near: true, validUntil: c.now.Add(slack)}
 	default:
-		return jobDeadline{at: deadline, validUntil: c.now.Add(slack - guardTime)}
+		return jobDeadline{at: deadline, validUntil: c.now.Add(slack - minSlack)}
 	}
 }
 
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -55,8 +55,8 @@
 // mutable state.
 type Engine struct {
 	dependencies
-	retryRules retry.Policies // delays between the attempts of tasks that failed
-	wakeup     chan struct{}  // requests a cycle
+	retryPolicies retry.Policies // delays between the attempts of tasks that failed
+	wakeup        chan struct{}  // requests a cycle
 
 	mu sync.Mutex // guards the fields below; it is locked before the cluster state's lock
 
@@ -91,13 +91,13 @@
 			settings: c.Settings, operator: c.Operator, cluster: c.ClusterState, membership: c.Membership,
 			agents: c.Agents, committer: c.Committer, reader: c.Reader, peers: c.Peers, log: c.Logger,
 		},
-		retryRules:   retry.NewPolicies(c.Operator.Classes),
-		wakeup:       make(chan struct{}, 1),
-		changes:      newChangeTracker(),
-		migration:    newMigrationSchedule(),
-		shardTenure:  shardTenure{},
-		quota:        quota.New(c.Settings.Deployment.Teams, c.ClusterState),
-		reservations: reservationTable{},
+		retryPolicies: retry.NewPolicies(c.Operator.Classes),
+		wakeup:        make(chan struct{}, 1),
+		changes:       newChangeTracker(),
+		migration:     newMigrationSchedule(),
+		shardTenure:   shardTenure{},
+		quota:         quota.New(c.Settings.Deployment.Teams, c.ClusterState),
+		reservations:  reservationTable{},
 		machineState: machineState{
 			machinesToReconcile: machineSet{},
 			deletedMachines:     newDeletedMachines(),
--- a/internal/scheduler/filter.go
+++ b/internal/scheduler/filter.go
@@ -16,7 +16,7 @@
 // deferred if bindings are throttled and the job is of normal or low priority.
 func (c *cycle) countPlaceable(queued *queuedJob, usage map[string]record.Resources) {
 	job, spec := queued.job, &queued.job.Spec
-	retrying := c.countRetryBackoffs(job)
+	retrying := c.countTasksInRetryBackoff(job)
 	queued.Remaining = max(0, job.PendingCount()-c.inFlight.tasksByJob[spec.ID]-retrying)
 	if c.failingJobs[spec.ID] || retrying > 0 && spec.Kind == wire.KindGang {
 		queued.Remaining = 0 // a gang starts with all of its tasks or not at all
@@ -50,8 +50,8 @@
 	}
 }
 
-// countRetryBackoffs returns how many failed tasks of a job are still in retry backoff.
-func (c *cycle) countRetryBackoffs(job *clusterstate.Job) int {
+// countTasksInRetryBackoff returns how many failed tasks of a job are still in retry backoff.
+func (c *cycle) countTasksInRetryBackoff(job *clusterstate.Job) int {
 	count := 0
 	for taskIndex := range job.PendingRetries {
 		if c.inRetryBackoff(job, taskIndex) {
@@ -64,7 +64,7 @@
 // inRetryBackoff reports whether a failed task may not be retried yet.
 func (c *cycle) inRetryBackoff(job *clusterstate.Job, taskIndex int) bool {
 	retry, ok := job.PendingRetries[taskIndex]
-	return ok && c.now.Sub(retry.SeenAt) < c.retryRules.Backoff(job.Spec.Class, retry.Failures)
+	return ok && c.now.Sub(retry.SeenAt) < c.retryPolicies.Backoff(job.Spec.Class, retry.Failures)
 }
 
 // cellMayStart reports whether this cell, in its current epoch, may start a job (safety invariant 17). It may not
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -141,12 +141,12 @@
 }
 
 // runCycle schedules in a cycle of one node, and returns the cycle and its bindings.
-func (f *testCluster) runCycle(index int) (*cycle, []pendingBinding) {
+func (f *testCluster) runCycle(index int) (*cycle, []inFlightBinding) {
 	c := f.inCycle(index, func(c *cycle) {
 		c.schedule()
 		c.buildChanges()
 	})
-	var bindings []pendingBinding
+	var bindings []inFlightBinding
 	for _, change := range c.outgoing {
 		bindings = append(bindings, change.bindings...)
 	}
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -22,7 +22,7 @@
 // capacity in the meantime, the machine's agent refuses the task and the gang is placed again.
 func (c *cycle) placeGang(queued *queuedJob) {
 	job := queued.job
-	start := c.gangStart(job)
+	start := c.findGangStart(job)
 	queued.Remaining = len(start.pending)
 	if !c.gangMayStart(job, start) {
 		c.logWaiting(job, waitGangAttempt, nil)
@@ -47,8 +47,8 @@
 	}
 }
 
-// gangStart returns a gang's pending tasks and its latest attempt.
-func (c *cycle) gangStart(job *clusterstate.Job) gangStart {
+// findGangStart returns a gang's pending tasks and its latest attempt.
+func (c *cycle) findGangStart(job *clusterstate.Job) gangStart {
 	start := gangStart{pending: make([]int, 0, job.PendingCount())}
 	for taskIndex := range job.Spec.TaskCount {
 		task := c.taskState(job, taskIndex)
--- a/internal/scheduler/gang_test.go
+++ b/internal/scheduler/gang_test.go
@@ -24,13 +24,13 @@
 
 // checkGangBindings checks that the bindings of one gang by one node are on different machines in one zone, are charged
 // to the node's own shard and have a condition on the ownership of each shard involved.
-func checkGangBindings(t *rapid.T, fixture *testCluster, shard int, change *recordChange, bindings []pendingBinding) {
+func checkGangBindings(t *rapid.T, fixture *testCluster, shard int, change *recordChange, bindings []inFlightBinding) {
 	guarded := map[string]bool{}
 	for _, condition := range change.transaction.Conditions {
 		guarded[condition.Key] = true
 	}
 	used := map[string]bool{}
-	zoneOf := func(binding pendingBinding) string { return fixture.cluster.Machines[binding.machine].Zone }
+	zoneOf := func(binding inFlightBinding) string { return fixture.cluster.Machines[binding.machine].Zone }
 	for _, binding := range bindings {
 		if used[binding.machine] || zoneOf(binding) != zoneOf(bindings[0]) {
 			t.Errorf("%s is bound twice or in another zone", binding.machine)
--- a/internal/scheduler/gangattempt.go
+++ b/internal/scheduler/gangattempt.go
@@ -29,14 +29,14 @@
 func (c *cycle) isBroken(attempt gangAttempt) bool {
 	broken, known := c.brokenAttempts[attempt]
 	if !known {
-		broken = c.findBroken(attempt)
+		broken = c.computeBroken(attempt)
 		c.brokenAttempts[attempt] = broken
 	}
 	return broken
 }
 
-// findBroken reports whether a task of an attempt has ended, or its tasks were not all bound in time.
-func (c *cycle) findBroken(attempt gangAttempt) bool {
+// computeBroken reports whether a task of an attempt has ended, or its tasks were not all bound in time.
+func (c *cycle) computeBroken(attempt gangAttempt) bool {
 	spec := &attempt.job.Spec
 	taskAt := func(taskIndex int) record.Task { return c.taskState(attempt.job, taskIndex) }
 	switch reconcile.GangStateOf(spec.TaskCount, taskAt, attempt.attempt) {
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -65,7 +65,7 @@
 // recordDecision reports the start of a task to the learner. Each task is a decision of its own, as each of the paper's
 // jobs uses one processor. The action is scored again, because the learner's reservoir has changed since the job was
 // valued.
-func (c *cycle) recordDecision(queued *queuedJob, binding pendingBinding, attempt uint64) {
+func (c *cycle) recordDecision(queued *queuedJob, binding inFlightBinding, attempt uint64) {
 	l := &c.learning
 	if !l.operator.LearningEnabled {
 		return
--- a/internal/scheduler/machinedeletion_test.go
+++ b/internal/scheduler/machinedeletion_test.go
@@ -32,7 +32,7 @@
 		mark(name, func(machine *record.Machine) { machine.Draining = true })
 	}
 	fixture.addJob(arraySpec(1, 1), boundTask(0, deletingBusy))
-	engine.changes.start(&recordChange{bindings: []pendingBinding{{machine: drainingTarget}}})
+	engine.changes.start(&recordChange{bindings: []inFlightBinding{{machine: drainingTarget}}})
 	engine.ConfirmDeleted([]string{confirmed})
 
 	names, tasksWaiting := engine.MachinesToDelete()
--- a/internal/scheduler/precedence.go
+++ b/internal/scheduler/precedence.go
@@ -27,7 +27,7 @@
 // While services find no capacity, the class of a service is determined by its number of bound replicas, fewest first.
 // In all other cases the class is sizeClassNone.
 func (c *cycle) sizeClass(job *clusterstate.Job) int {
-	if job.Spec.Kind == wire.KindService && c.serviceCapacityScarce() {
+	if job.Spec.Kind == wire.KindService && c.serviceCapacityShort() {
 		return 1 + job.BoundCount
 	}
 	if job.Spec.Kind != wire.KindArray || !c.order.objectives.capacityShort[c.effectiveRank(job)] {
@@ -39,9 +39,9 @@
 	return 1 + bits.Len(uint(float64(job.PendingCount())*c.estimatedRunTime(job).Seconds()))
 }
 
-// serviceCapacityScarce reports whether a service has recently found no capacity, as after the loss of a zone. Then one
+// serviceCapacityShort reports whether a service has recently found no capacity, as after the loss of a zone. Then one
 // replica of each service starts before the second one of any, and services with the fewest replicas go first.
-func (c *cycle) serviceCapacityScarce() bool {
+func (c *cycle) serviceCapacityShort() bool {
 	return c.now.Sub(c.demand.lastServiceShortage) < tuning.ServiceShortageWindow
 }
 
@@ -54,7 +54,7 @@
 	}
 	objectives, runTime := c.objectiveTimes(job), c.estimatedRunTime(job)
 	slack := objectives[len(objectives)-1].Sub(c.now) - runTime
-	return slack >= 0 && slack < max(runTime, tuning.MinObjectiveUrgentSlack)
+	return slack >= 0 && slack < max(runTime, tuning.MinLastObjectiveSlack)
 }
 
 // fairShareSlot is a one-second time slot in a round of tuning.FairShareRoundSeconds, in which certain arrays go first
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -104,9 +104,9 @@
 			continue
 		}
 		victims = append(victims, preemption.Victim{
-			Binding:            binding,
-			Rank:               c.effectiveRank(job),
-			LostMachineSeconds: c.lostMachineSeconds(binding, machine.Machine),
+			Binding:     binding,
+			Rank:        c.effectiveRank(job),
+			LostSeconds: c.lostSeconds(binding, machine.Machine),
 		})
 	}
 	return victims
@@ -124,10 +124,10 @@
 	}
 }
 
-// lostMachineSeconds returns the work lost when a task is stopped, in seconds: its run time so far, but at most the
+// lostSeconds returns the work lost when a task is stopped, in seconds: its run time so far, but at most the
 // interval of its checkpoints. It adds one second, so that each stop counts as a loss, also that of a task that has not
 // begun to run: among plans that lose hardly any work, the one that stops the fewest tasks is the cheapest.
-func (c *cycle) lostMachineSeconds(binding clusterstate.Binding, machine *clusterstate.Machine) float64 {
+func (c *cycle) lostSeconds(binding clusterstate.Binding, machine *clusterstate.Machine) float64 {
 	task := c.agents.ObserveTask(binding, machine.Name, c.shards.fencingTokens[machine.Shard])
 	ran := 0.0
 	if task.State == wire.TaskRunning {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -21,8 +21,8 @@
 // waitingJobs keeps the waiting jobs in scheduling order between cycles.
 type waitingJobs struct {
 	queue *jobqueue.Queue[*clusterstate.Job]
-	// nextReorder holds, by job ID, when a job's key changes if nothing but time passes.
-	nextReorder map[string]time.Time
+	// validUntil holds, by job ID, when a job's key changes if nothing but time passes.
+	validUntil map[string]time.Time
 	// lastFullReorder is when the keys of all jobs were last computed.
 	lastFullReorder time.Time
 	// buffer is the list of the previous cycle. Its memory is reused.
@@ -30,18 +30,18 @@
 }
 
 func newWaitingJobs() waitingJobs {
-	return waitingJobs{queue: jobqueue.New[*clusterstate.Job](), nextReorder: map[string]time.Time{}}
+	return waitingJobs{queue: jobqueue.New[*clusterstate.Job](), validUntil: map[string]time.Time{}}
 }
 
 // remove removes a job from the queue.
 func (w *waitingJobs) remove(id string) {
 	w.queue.Delete(id)
-	delete(w.nextReorder, id)
+	delete(w.validUntil, id)
 }
 
 // put inserts a job with its key or moves it. The key is valid until validUntil if nothing but time passes.
 func (w *waitingJobs) put(key jobqueue.Key, job *clusterstate.Job, validUntil time.Time) {
-	w.nextReorder[key.JobID] = validUntil
+	w.validUntil[key.JobID] = validUntil
 	w.queue.Put(key, job)
 }
 
@@ -111,7 +111,7 @@
 		key.Underserved != c.inUnderservedSlot(job) ||
 		key.MissesObjectives != c.missesObjectives(job) ||
 		key.SizeClass != c.sizeClass(job) ||
-		c.now.After(c.order.waiting.nextReorder[key.JobID])
+		c.now.After(c.order.waiting.validUntil[key.JobID])
 }
 
 // updateQueueEntry inserts a job into the queue, moves it to its current position or removes it.
@@ -130,7 +130,7 @@
 		SizeClass:        c.sizeClass(job),
 		NearDeadline:     deadline.near,
 		DeadlineNs:       deadline.at.UnixNano(),
-		EligibleSinceMs:  job.ReadySinceMs(),
+		ReadySinceMs:     job.ReadySinceMs(),
 		JobID:            id,
 	}, job, deadline.validUntil)
 }
--- a/internal/scheduler/zones.go
+++ b/internal/scheduler/zones.go
@@ -69,7 +69,7 @@
 	if c.cluster.SchemaVersion < tuning.SchemaVersionConfirmedCancel {
 		return false
 	}
-	inZone := func(sibling config.Peer) bool { return sibling.Zone == zone }
+	inZone := func(peer config.Peer) bool { return peer.Zone == zone }
 	return c.settings.Zone == zone || slices.ContainsFunc(c.settings.Peers, inZone)
 }
 
--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -25,10 +25,10 @@
 	ImageHoldersMaxAge = time.Second
 	// GuaranteeInterval is the interval at which the jobs within their team's guarantee are determined again.
 	GuaranteeInterval = 250 * time.Millisecond
-	// MinObjectiveUrgentSlack is the lower bound of the slack below which an array that can still meet its last
+	// MinLastObjectiveSlack is the lower bound of the slack below which an array that can still meet its last
 	// objective goes before arrays of all sizes. Its tasks need that time, because they start over several cycles and
 	// fetch their image.
-	MinObjectiveUrgentSlack = 30 * time.Second
+	MinLastObjectiveSlack = 30 * time.Second
 	// ObjectiveInterval is the interval at which the objectives that waiting arrays can meet are assessed. An array
 	// that arrives between two assessments is assumed to meet its objectives.
 	ObjectiveInterval = time.Second
