--- a/internal/binpack/allocate.go
+++ b/internal/binpack/allocate.go
@@ -12,9 +12,10 @@
 // machine of each placed task. A nil filter accepts every candidate. Allocate subtracts the placed
 // tasks from request.Remaining and from the machines' free capacity, and adds them to the constraint.
 //
-// Machines are preferred in this order: those reserved for the job, those where a task displaces no
-// larger common task, spot machines, those that hold the job's image, and those already in use, so
-// that empty machines stay empty. A task without GPUs prefers a machine where GPUs are in use, as
+// Machines are preferred in this order: those reserved for the job, those where fetching the image does
+// not make a replica miss its start time objective, those where a task displaces no larger common task,
+// spot machines, those that hold the job's image, and those already in use, so that empty machines stay
+// empty. A task without GPUs prefers a machine where GPUs are in use, as
 // long as enough cores and memory for the free GPUs are left there; see tierTakesGPUShare and the
 // constants that follow it.
 func (inv *Inventory) Allocate(
--- a/internal/binpack/gang.go
+++ b/internal/binpack/gang.go
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// zonesForGang returns the zones whose candidates fit all remaining tasks. Zones in which more of
-// these tasks fit on machines that hold the image come first.
+// zonesForGang returns the zones whose candidates have capacity for all remaining tasks, sorted by how
+// many of these tasks fit on machines that hold the image, largest number first.
 func (inv *Inventory) zonesForGang(
 	request *Request, candidates []*MachineInfo, filter func(*MachineInfo) bool,
 ) []string {
--- a/internal/binpack/zoneconstraint.go
+++ b/internal/binpack/zoneconstraint.go
@@ -6,7 +6,7 @@
 	"sableusher/internal/wire"
 )
 
-// ZoneConstraint restricts the zones in which further tasks of one record of a job may be placed.
+// ZoneConstraint restricts the zones in which further tasks of one chunk of a job may be placed.
 type ZoneConstraint struct {
 	// TasksByZone is the number of tasks already placed in each zone.
 	TasksByZone map[string]int
--- a/internal/dependency/resolver.go
+++ b/internal/dependency/resolver.go
@@ -98,8 +98,8 @@
 		group.Go(func() error {
 			finalRecord, err := kvstore.ReadRecord[record.Final](ctx, r.reader, record.FinalKey(id))
 			outcomes[i] = outcome{record: finalRecord, found: err == nil}
-			// An absent record is not an error: either the cluster state does not contain the job yet,
-			// or the job is about to become live in it again.
+			// An absent final record is not an error: the cluster state either does not contain the live
+			// job yet or will soon contain it again.
 			if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 				r.logger.Debug("could not read final record", "job_id", id, "err", err)
 			}
--- a/internal/jobqueue/key.go
+++ b/internal/jobqueue/key.go
@@ -9,22 +9,23 @@
 	PriorityRank int
 	// WithinGuarantee is set while the job is within its team's guarantee. Such jobs come first.
 	WithinGuarantee bool
-	// Underserved is set if the job's class or team is underserved, but only in the cycles that are
-	// reserved for underserved classes and teams. Such jobs come first.
+	// Underserved is set if the job's class or team is underserved, but only in the time slots that
+	// are reserved for underserved classes and teams. Such jobs come first.
 	Underserved bool
 	// MissesObjectives is set if the job can meet none of its objectives with the present capacity.
 	// Such jobs come last.
 	MissesObjectives bool
-	// SizeClass is a class of the size of the job's remaining work; smaller classes come first. It
-	// is 0 as long as there is enough capacity for all jobs to meet their objectives.
+	// SizeClass orders jobs by the size of their remaining work while there is too little capacity for
+	// all arrays to meet their objectives, and services by their number of bound replicas while they
+	// find no capacity. Smaller values come first. It may be negative, and is 0 if the size doesn't
+	// matter.
 	SizeClass int
 	// NearDeadline is set while the job can still meet its deadline but will soon no longer be able
 	// to. Such jobs come first.
 	NearDeadline bool
 	// DeadlineNs is the job's deadline in nanoseconds since the Unix epoch.
 	DeadlineNs int64
-	// ReadySinceMs is the time since which the job could have started, in milliseconds since the
-	// Unix epoch.
+	// ReadySinceMs is when the job could first start, in milliseconds since the Unix epoch.
 	ReadySinceMs int64
 	// JobID identifies the job and makes every key unique.
 	JobID string
--- a/internal/preemption/plan.go
+++ b/internal/preemption/plan.go
@@ -13,7 +13,7 @@
 type Victim struct {
 	Binding     clusterstate.Binding
 	Rank        int     // rank of its job's priority; 0 is the highest
-	LostSeconds float64 // work lost if it is stopped, in machine seconds
+	LostSeconds float64 // run time lost if it is stopped, in seconds; not weighted by the task's size
 }
 
 // Plan describes which tasks to stop on one machine.
--- a/internal/quota/grants.go
+++ b/internal/quota/grants.go
@@ -24,10 +24,10 @@
 	teams map[string]config.Team
 	state *clusterstate.State
 
-	// requested is the largest usage beyond its grant that a shard requested since the last PlanChanges.
+	// requested holds, by grant, the largest usage that did not fit in the grant since the last PlanChanges.
 	requested map[grantKey]record.Resources
-	// reductionsInFlight holds the new value of each grant whose reduction is in flight. Allows already
-	// applies the new value.
+	// reductionsInFlight holds the lower value of each grant whose reduction is in flight. Allows compares
+	// usage with this value before the reduction is committed.
 	reductionsInFlight map[grantKey]record.Resources
 	teamsInFlight      map[string]bool        // teams that have a change of their grants in flight
 	surplusSince       map[grantKey]time.Time // time since which a grant has been larger than needed
@@ -205,8 +205,8 @@
 	return now.Sub(since)
 }
 
-// needed returns the part of a grant that a shard should keep: its usage, plus half the headroom if the team
-// has a limit, but no more than the grant.
+// needed returns the part of a grant that a shard should keep. If the team has a limit, this is the shard's
+// usage plus half the headroom, but no more than the grant. Otherwise it is the usage.
 func (r surplusRule) needed(grant, usage record.Resources) record.Resources {
 	used := withoutMemory(usage)
 	if !r.limited {
--- a/internal/tuning/learner.go
+++ b/internal/tuning/learner.go
@@ -4,7 +4,7 @@
 
 // Learner.
 const (
-	// ReservoirUnits is the number of units of the reservoir, as in the paper.
+	// ReservoirUnits is the number of units of the reservoir, as in the paper cited in docs/design.md.
 	ReservoirUnits = 100
 	// ReservoirDensity is the probability of a connection between two units of the reservoir, as in the paper.
 	ReservoirDensity = 0.10
