--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -22,8 +22,9 @@
 }
 
 // smallestFirst returns the names of machines in ascending order of their cores. When a cluster starts, many more
-// machines appear at once than the key-value store can record in a second. Services are placed first then: they
-// should find small machines recorded, or they would occupy machines that larger tasks need, for as long as they run.
+// machines appear at once than the key-value store can record in a second, and services are placed first. If only large
+// machines were recorded by then, services would occupy these for as long as they run, and larger tasks would lack
+// them.
 func (c *cycle) smallestFirst(heartbeats map[string]wire.Heartbeat) []string {
 	cores := func(name string) float64 { return c.cluster.Catalog.Types[heartbeats[name].MachineType].CPUs }
 	return slices.SortedFunc(maps.Keys(heartbeats), func(a, b string) int {
@@ -96,10 +97,11 @@
 
 // adoptionPriority returns the priority of recording a machine. machine is nil if it has no record yet.
 //
-// A record that only marks the machine as up has background priority: other nodes use it only for planning, and the
-// owner uses the machine without it. A new session is urgent: until it is recorded, other nodes bind gangs and
-// services to the old session and this node ends those bindings at once, again and again. After the leases of a whole
-// zone had expired, these changes used up the whole request budget, so that the new sessions were never recorded.
+// An update of an existing record without a new session, which marks the machine as up or down, has background
+// priority: other nodes use it only for planning, and the owner relies on the heartbeats that it receives. A new
+// session is urgent: until it is recorded, other nodes bind gangs and services to the old session and this node ends
+// those bindings at once, again and again. When the leases of a whole zone have expired, these changes can use up the
+// whole request budget, so that the new sessions are never recorded.
 func adoptionPriority(machine *clusterstate.Machine, newSession bool) kvstore.Priority {
 	switch {
 	case newSession:
--- a/internal/scheduler/adoption_test.go
+++ b/internal/scheduler/adoption_test.go
@@ -10,7 +10,8 @@
 )
 
 // TestDeletedMachineIsNotAdopted checks that a heartbeat that a partition delays until after the deletion of its
-// machine creates no record. About seventy such machines once counted as capacity, and tasks were bound to them.
+// machine creates no record. With such records, about seventy machines that no longer exist count as capacity, and
+// tasks are bound to them.
 func TestDeletedMachineIsNotAdopted(t *testing.T) {
 	fixture := newTestCluster(t)
 	deleted, unknown := "vm-000001", "vm-000002"
--- a/internal/scheduler/backoff.go
+++ b/internal/scheduler/backoff.go
@@ -13,8 +13,8 @@
 	delay time.Duration // after the latest failure; the next failure doubles it
 }
 
-// backoffTable holds the backoff of each job, by job ID. It covers only failures that the retry rules of the job's
-// class don't pace.
+// backoffTable holds the backoff of each job, by job ID. It covers only failures that the retry policy of the job's
+// class doesn't pace.
 type backoffTable map[string]jobBackoff
 
 // extend starts a new backoff of a job, twice as long as its last one and within the bounds of package tuning.
--- a/internal/scheduler/deadlines.go
+++ b/internal/scheduler/deadlines.go
@@ -99,13 +99,13 @@
 	}
 }
 
-// predictedRunTime returns the expected run time of a job's tasks, from earlier runs of the job's class and the
-// owner's estimate.
+// predictedRunTime returns the expected run time of a job's tasks, from earlier runs of the job's class and the user's
+// estimate.
 func (c *cycle) predictedRunTime(job *clusterstate.Job) time.Duration {
 	return config.ToDuration(c.learning.runTimes.ExpectedRunSeconds(job.Spec.Class, job.Spec.RuntimeEstimateSeconds))
 }
 
-// estimatedRunTime returns the owner's estimate of the run time of a job's tasks, or predictedRunTime without one.
+// estimatedRunTime returns the user's estimate of the run time of a job's tasks, or predictedRunTime without one.
 func (c *cycle) estimatedRunTime(job *clusterstate.Job) time.Duration {
 	if job.Spec.RuntimeEstimateSeconds > 0 {
 		return config.ToDuration(job.Spec.RuntimeEstimateSeconds)
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -64,8 +64,8 @@
 }
 
 // needsOfDependents returns what a job's direct and indirect dependents require of it; dependents that are cancelled
-// require nothing. It depends on records only, so that all nodes get the same result, except for their estimates of
-// run times.
+// require nothing. It depends on records, the estimates of run times and the clock. The last two differ little between
+// nodes, so all nodes get nearly the same result.
 func (c *cycle) needsOfDependents(id string) dependentNeeds {
 	needs := dependentNeeds{rank: wire.PriorityCount}
 	dependents := c.cluster.Dependents(id)
--- a/internal/scheduler/engine.go
+++ b/internal/scheduler/engine.go
@@ -148,8 +148,9 @@
 	}
 }
 
-// cycleInterval returns the minimum pause between two cycles. The cost of a cycle grows with the size of the cluster.
-// Beyond tuning.CycleMinIntervalMachines machines the pause grows with it, so that the cost per second doesn't.
+// cycleInterval returns the minimum pause between two cycles. Above tuning.CycleMinIntervalMachines machines, the pause
+// grows in proportion to the number of machines, up to tuning.CycleMinIntervalMax. The cost of a cycle grows with that
+// number too, so the cost per second stays the same until the pause has reached its maximum.
 func (e *Engine) cycleInterval() time.Duration {
 	e.cluster.RLock()
 	machineCount := len(e.cluster.Machines)
--- a/internal/scheduler/failedmachines.go
+++ b/internal/scheduler/failedmachines.go
@@ -104,11 +104,12 @@
 		c.now.Sub(c.shardTenure.since(machine.Shard)) > heartbeatLimit
 }
 
-// cancellationOverdue reports whether a machine holds a task whose cancellation is so old that the machine has to be
-// deleted to end the task: an agent that hangs doesn't end its tasks when its lease expires. If the cancellation may
-// have been reported to the user at once, the limit is tuning.CancelDeletionShare of the cancel deadline, so that the
-// task ends within the deadline. If it is reported only once all tasks are released, the limit is the deadline
-// itself, so that the user gets the confirmation before giving up.
+// cancellationOverdue reports whether a machine has to be deleted to end a task of a cancelled job that still runs on
+// it: an agent that hangs doesn't end its tasks when its lease expires. The time since the cancellation is compared
+// with a limit. If the user may have been told at once that the job is cancelled, the limit is
+// tuning.CancelDeletionShare of the cancel deadline, so that the task ends within the deadline. If the cancellation is
+// confirmed only once all tasks are released, the limit is the deadline itself, so that the confirmation arrives before
+// the user stops waiting for it.
 func (c *cycle) cancellationOverdue(machine *clusterstate.Machine) bool {
 	for _, binding := range machine.Bindings {
 		job, limit := binding.Job, c.settings.CancelDeadline()
--- a/internal/scheduler/failedmachines_test.go
+++ b/internal/scheduler/failedmachines_test.go
@@ -8,10 +8,9 @@
 	"sableusher/internal/record"
 )
 
-// TestNewOwnerKeepsRunningMachines checks that a new owner of a shard gives the agents time to send a heartbeat
-// before it deletes machines that "never came up". When a shard changes owner, the record of a running machine may
-// not yet say that it is up. Without the delay, hundreds of running machines were deleted after two nodes had
-// ended.
+// TestNewOwnerKeepsRunningMachines checks that a new owner of a shard gives the agents time to send a heartbeat before
+// it deletes machines that "never came up". When a shard changes owner, the record of a running machine may not yet say
+// that it is up. Without the delay, the new owners delete hundreds of running machines when two nodes have ended.
 func TestNewOwnerKeepsRunningMachines(t *testing.T) {
 	const machines = 40
 	fixture := newTestCluster(t)
--- a/internal/scheduler/gang.go
+++ b/internal/scheduler/gang.go
@@ -9,11 +9,11 @@
 	"sableusher/internal/tuning"
 )
 
-// gangStart is the attempt for which a gang's pending tasks are bound.
+// gangStart describes the attempt in which a gang's pending tasks are to be bound.
 type gangStart struct {
-	attempt     uint64
-	pending     []int // indexes of the pending tasks
-	partlyBound bool  // other tasks of the attempt are bound already
+	attempt     uint64 // the latest attempt of any of the gang's tasks; placeGang increments it to start a new one
+	pending     []int  // indexes of the pending tasks
+	partlyBound bool   // some tasks of the attempt are bound or done already
 }
 
 // placeGang allocates capacity for all of a gang's tasks or for none, on the machines of all shards. The owner of the
@@ -47,7 +47,7 @@
 	}
 }
 
-// findGangStart returns a gang's pending tasks and its latest attempt.
+// findGangStart returns a gang's pending tasks, its latest attempt and whether that is partly bound.
 func (c *cycle) findGangStart(job *clusterstate.Job) gangStart {
 	start := gangStart{pending: make([]int, 0, job.PendingCount())}
 	for taskIndex := range job.Spec.TaskCount {
@@ -62,8 +62,8 @@
 	return start
 }
 
-// gangMayStart reports whether a gang's record can be changed now and no task of its latest attempt has ended while
-// others are still bound.
+// gangMayStart reports whether a gang's record can be changed now and no task of its latest attempt is pending again
+// while others are still bound or done.
 func (c *cycle) gangMayStart(job *clusterstate.Job, start gangStart) bool {
 	if c.changes.inFlight(record.JobKey(job.Spec.ID)) || c.needsMigration(job) {
 		return false
@@ -74,8 +74,8 @@
 }
 
 // allocateGang allocates capacity for all of a gang's tasks. It returns nil, and allocates nothing, if they don't all
-// fit. It prefers machines that hold the gang's image, then machines in its home shard, where no other node places
-// tasks.
+// fit. It prefers machines that hold the gang's image, then machines in its home shard, where the owners of other
+// shards bind only gangs and services.
 func (c *cycle) allocateGang(queued *queuedJob) []*binpack.MachineInfo {
 	zones := c.zoneConstraint(queued.job, 0)
 	candidates := c.inventory.FittingMachines(&queued.Request)
--- a/internal/scheduler/gangattempt.go
+++ b/internal/scheduler/gangattempt.go
@@ -35,7 +35,8 @@
 	return broken
 }
 
-// computeBroken reports whether a task of an attempt has ended, or its tasks were not all bound in time.
+// computeBroken reports, without the cache, whether a task of an attempt has ended or the tasks were not all bound in
+// time.
 func (c *cycle) computeBroken(attempt gangAttempt) bool {
 	spec := &attempt.job.Spec
 	taskAt := func(taskIndex int) record.Task { return c.taskState(attempt.job, taskIndex) }
@@ -50,8 +51,9 @@
 	}
 }
 
-// requestGangStop adds a change that marks a gang's attempt to be stopped as a whole. The owners of all its tasks see
-// the mark at the same time and stop the tasks within the time in which a gang's checkpoints must begin.
+// requestGangStop adds a change that marks a gang's attempt to be stopped as a whole. The owners of the shards in which
+// its tasks run see the mark at the same time. So all tasks are stopped, and begin their checkpoints, within the time
+// allowed for a gang.
 func (c *cycle) requestGangStop(binding clusterstate.Binding, machine *clusterstate.Machine) {
 	job, key := binding.Job, record.JobKey(binding.Ref.JobID)
 	if job.PreemptedAttempt == binding.Attempt || c.changes.inFlight(key) ||
--- a/internal/scheduler/guarantees.go
+++ b/internal/scheduler/guarantees.go
@@ -74,10 +74,11 @@
 	return c.sizeClass(job)
 }
 
-// addTeam determines which of one team's jobs lie within its guarantee. Jobs that on arrival fitted into the guarantee,
-// together with the team's earlier unfinished jobs, come first, because they stay guaranteed. Bound tasks of the other
-// jobs follow, earliest job first. The team's waiting jobs share the rest in the given order. If they shared it by
-// arrival alone, one large late job would keep out the later ones until they were late as well.
+// addTeam determines which of one team's jobs lie within its guarantee. The guarantee's budget is spent in three steps.
+// First come the jobs that fitted into the guarantee on arrival, together with the team's unfinished jobs that had
+// arrived before them: these jobs stay guaranteed. Then come the bound tasks of the other jobs, earliest job first.
+// Last come the other waiting jobs, in ascending order of the value that order returns. In order of arrival, one large
+// job that can no longer meet its objectives would keep later jobs out of the guarantee until they miss theirs.
 func (g *guarantees) addTeam(
 	limit record.Resources, jobs []*clusterstate.Job, earlier map[string]bool, order func(*clusterstate.Job) int,
 ) {
--- a/internal/scheduler/homeshard.go
+++ b/internal/scheduler/homeshard.go
@@ -47,13 +47,13 @@
 	maps.DeleteFunc(w, func(job string, _ ownerWait) bool { return hasEnded(job) })
 }
 
-// homeShard returns the shard whose owner places a job. It is the shard with most of the job's bound tasks, if that has
-// capacity for another one. Otherwise it is the first shard in which machines with the job's image have capacity for
-// all tasks that are still to be placed, or else the first shard with capacity for all of them, or else the first shard
-// whose owner is alive. For arrays under a shortage of capacity, it is the shard with most bound tasks or else the
-// first shard whose owner is alive, regardless of capacity. The order of the shards depends on the job's ID. All nodes
-// compute the same shard without messages; if their views differ, the conditions on the records decide. fitsAny reports
-// whether any shard has capacity for at least one task of the job.
+// homeShard returns the shard whose owner places a job. Among the shards with capacity for another task of the job, it
+// is the one with most of the job's bound tasks. If no such shard has bound tasks, it is the first shard in which
+// machines with the job's image have capacity for all tasks that are still to be placed, or else the first shard with
+// capacity for all of them, or else the first shard whose owner is alive. For arrays under a shortage of capacity, it
+// is the shard with most bound tasks or else the first shard whose owner is alive, regardless of capacity. The order of
+// the shards depends on the job's ID. All nodes compute the same shard without messages; if their views differ, the
+// conditions on the records decide. fitsAny reports whether any shard has capacity for at least one task of the job.
 func (c *cycle) homeShard(queued *queuedJob) (home int, fitsAny bool) {
 	first := c.firstLiveShard(queued.job)
 	underShortage := c.isArrayUnderShortage(queued)
@@ -61,8 +61,8 @@
 	switch {
 	case underShortage:
 		// While capacity is short, tasks end in each shard several times a second, so the home shard will soon have
-		// capacity again. Keeping all tasks in one shard gives the job's record a single writer. With tasks in five
-		// shards, the changes that end them would fail each other's conditions and need a transaction each.
+		// capacity again. Keeping all tasks in one shard gives the job's record a single writer. With tasks in several
+		// shards, for example five, the changes that end them fail each other's conditions and need a transaction each.
 		if home == unknownShard {
 			home = first
 		}
--- a/internal/scheduler/jobend.go
+++ b/internal/scheduler/jobend.go
@@ -7,9 +7,9 @@
 	"sableusher/internal/wire"
 )
 
-// finishJobs ends the jobs whose tasks are all done, or that are cancelled and have no task on a machine any more, if
-// no change of a single record could end them. It also deletes the remaining chunks of ended jobs. Only the leader
-// does this.
+// finishJobs ends the jobs that have not been ended together with their last task, as when their tasks are recorded in
+// several chunks: those whose tasks are all done, and those that are cancelled and have no bound task left. It also
+// deletes the remaining chunks of ended jobs. Only the leader does this.
 func (c *cycle) finishJobs() {
 	if _, isLeader := c.membership.Ownership(record.LeaderShard); !isLeader {
 		return
--- a/internal/scheduler/learner_action.go
+++ b/internal/scheduler/learner_action.go
@@ -5,9 +5,9 @@
 	"sableusher/internal/learner"
 )
 
-// jobAction returns the action of starting a task of a waiting job, described by the variables of the paper's job model
-// (section 3.2, "Action Space for the Scheduling MDP"): batch or interactive, the owner's group and the expected run
-// time. High-priority jobs count as interactive.
+// jobAction returns the action of starting a task of a waiting job, described by the variables of the job model of the
+// paper cited in docs/design.md (section 3.2, "Action Space for the Scheduling MDP"): batch or interactive, the user's
+// team and the expected run time. High-priority jobs count as interactive.
 func (c *cycle) jobAction(job *clusterstate.Job) *learner.Action {
 	return &learner.Action{
 		Class:       job.Spec.Class,
--- a/internal/scheduler/learner_policy.go
+++ b/internal/scheduler/learner_policy.go
@@ -7,11 +7,11 @@
 	"sableusher/internal/tuning"
 )
 
-// orderByValue applies the paper's policy (section 3.1, algorithm 1): the waiting job with the highest value goes first
-// or, with a small probability, a random one (epsilon-greedy). It reorders only jobs of the same precedence, so a value
-// never overrides priority, guarantee and the other fields that ComparePrecedence compares. It does nothing if there is
-// no capacity to start anything, or before the learner has received enough rewards; until then the earliest deadline
-// decides.
+// orderByValue applies the policy of the paper cited in docs/design.md (section 3.1, algorithm 1): the waiting job with
+// the highest value goes first or, with a small probability, a random one (epsilon-greedy). It reorders only jobs of
+// the same precedence, so a value never overrides priority, guarantee and the other fields that ComparePrecedence
+// compares. It does nothing if there is no capacity to start anything, or before the learner has received enough
+// rewards; until then the earliest deadline decides.
 func (c *cycle) orderByValue(queue []queuedJob, hasCapacity bool) {
 	if !hasCapacity || !c.operator.LearningEnabled || len(queue) == 0 || !c.learning.learner.Warm() {
 		return
--- a/internal/scheduler/learner_reward.go
+++ b/internal/scheduler/learner_reward.go
@@ -11,8 +11,9 @@
 	"sableusher/internal/wire"
 )
 
-// utilization is the utilization reward U of the paper (equation 3): the machine time of completed tasks divided by the
-// machine time held. Both decay with tuning.UtilizationHalfLife, so that recent times count most.
+// utilization is the utilization reward U (equation 3 of the paper cited in docs/design.md): the machine time of
+// completed tasks divided by the machine time held. Both decay with tuning.UtilizationHalfLife, so that recent times
+// count most.
 type utilization struct {
 	finishedMachineSeconds float64 // decayed machine time of completed tasks, in seconds
 	heldMachineSeconds     float64 // decayed machine time held, in seconds
@@ -38,7 +39,8 @@
 	return min(1, u.finishedMachineSeconds/u.heldMachineSeconds)
 }
 
-// accrueMachineTime counts the machines of this node's shards as held since the last call.
+// accrueMachineTime adds the time since its last call, times the current number of machines in this node's shards, to
+// the machine time held.
 func (c *cycle) accrueMachineTime() {
 	machines := 0
 	for shard := range c.shards.revisions {
@@ -62,8 +64,9 @@
 	return 1 - binpack.FreeFraction(rest, capacity)
 }
 
-// responsivenessOf returns the responsiveness utility W of the paper (equation 1): the run time divided by the whole
-// time since the job could start. Both are in seconds.
+// responsivenessOf returns the responsiveness utility W (equation 1 of the paper cited in docs/design.md): the run time
+// runS divided by sinceReadyS, the time since the job could first start, both in seconds. It is 1 if sinceReadyS is
+// less than runS.
 func responsivenessOf(runS, sinceReadyS float64) float64 {
 	total := max(runS, sinceReadyS)
 	if total <= 0 {
@@ -72,8 +75,8 @@
 	return runS / total
 }
 
-// reward returns the reward R of the paper's elastic provisioning problem (section 3.2): the mean of responsiveness and
-// utilization, weighted by the operator's lambda.
+// reward returns the reward R of the elastic provisioning problem (section 3.2 of the paper cited in docs/design.md):
+// the mean of responsiveness and utilization, weighted by the operator's lambda.
 func (l *learning) reward(responsiveness float64) float64 {
 	return l.operator.ResponsivenessWeight*responsiveness + (1-l.operator.ResponsivenessWeight)*l.utilization.value()
 }
@@ -91,8 +94,8 @@
 		"utilization", l.utilization.value(), "reward", reward)
 }
 
-// ProvisioningReward returns the reward of a number of machines, from recent responsiveness and utilization. It is from
-// 0 to 1.
+// ProvisioningReward returns the reward of the autoscaler's latest choice of a number of machines: the weighted mean of
+// recent responsiveness and utilization, from 0 to 1.
 func (e *Engine) ProvisioningReward() float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/scheduler/learner_state.go
+++ b/internal/scheduler/learner_state.go
@@ -7,9 +7,9 @@
 	"sableusher/internal/learner"
 )
 
-// state returns the state s in which an action is chosen, described by the five variables of the paper's grid model
-// (section 3.2, "State Space"): the remaining work of running jobs, the time until a machine becomes free, the backlog,
-// the idle machines, and each team's share of the waiting jobs.
+// state returns the state s in which an action is chosen, described by the five variables of the grid model of the
+// paper cited in docs/design.md (section 3.2, "State Space"): the remaining work of running jobs, the time until a
+// machine becomes free, the backlog, the idle machines, and each team's share of the waiting jobs.
 func (l *learning) state(cluster *clusterstate.State) learner.State {
 	state := learner.State{TeamShares: map[string]float64{}, NextFreeSeconds: math.Inf(1)}
 	waitingJobs := 0.0
--- a/internal/scheduler/learner_value.go
+++ b/internal/scheduler/learner_value.go
@@ -22,7 +22,8 @@
 	computedAt time.Time
 }
 
-// scoreJob returns the score of starting a task of a job now, with its value Q(s, a) (paper, section 3.1).
+// scoreJob returns the score of starting a task of a job now, with its value Q(s, a) (section 3.1 of the paper cited in
+// docs/design.md).
 func (c *cycle) scoreJob(job *clusterstate.Job) learner.ScoredAction {
 	l := &c.learning
 	if l.values.state == nil || c.now.Sub(l.values.stateAt) > tuning.LearnerValueMaxAge {
--- a/internal/scheduler/learning.go
+++ b/internal/scheduler/learning.go
@@ -14,10 +14,11 @@
 	"sableusher/internal/wire"
 )
 
-// learning is the scheduler's reinforcement learning, after the paper that docs/design.md follows. The scheduler
-// implements the paper's model of the scheduling problem (section 3.2), and package learner implements the value
-// function Q (section 3.3). The files learner_*.go are named after the parts of the paper's model: state, action,
-// reward, value and policy. The engine's lock guards learning.
+// learning is the scheduler's reinforcement learning, after the paper cited in docs/design.md. The scheduler implements
+// the paper's model of the scheduling problem (section 3.2), and package learner implements the value function Q
+// (section 3.3). The files learner_*.go are named after the parts of the paper's model: state, action, reward, value
+// and policy. The engine's lock guards the fields of learning; learner and runTimes point to values that are safe for
+// concurrent use and have mutexes of their own.
 type learning struct {
 	operator *config.Operator
 	log      *slog.Logger
--- a/internal/scheduler/machinerecord.go
+++ b/internal/scheduler/machinerecord.go
@@ -66,9 +66,9 @@
 	c.log.Info("machine marked as down", "machine", machine.Name, "reason", reason, "count", len(machine.Bindings))
 }
 
-// deleteMachine marks a machine as to be deleted at the cloud. The change has the priority of the most important
-// tasks on the machine, because these wait for it: queued behind the ends of arrays' tasks, replicas of services
-// would wait for seconds more.
+// deleteMachine marks a machine as to be deleted at the cloud. The change is urgent if a service of any priority runs
+// on the machine, and has high priority if a task of a high-priority job does, because these tasks wait for it: behind
+// the changes that end arrays' tasks, replicas of services would wait for seconds more.
 func (c *cycle) deleteMachine(deletion failuredetector.Deletion) {
 	machine := c.cluster.Machines[deletion.Machine]
 	c.log.Info("deleting a machine", "machine", deletion.Machine, "reason", deletion.Reason,
--- a/internal/scheduler/objectives.go
+++ b/internal/scheduler/objectives.go
@@ -20,8 +20,8 @@
 	attainable map[string]time.Time
 	// capacityShort is set, by priority rank, if not all waiting arrays can meet their first attainable objective.
 	capacityShort [wire.PriorityCount]bool
-	// arrivals tracks the recent arrivals of each class and team. underserved holds the classes and teams of which the
-	// smallest share was served.
+	// arrivals tracks the recent arrivals of each class and team. underserved holds the classes and teams whose served
+	// share is below both thresholds of fairshare.Tracker.Underserved.
 	arrivals    fairshare.Tracker
 	underserved map[fairshare.Group]bool
 }
@@ -37,7 +37,8 @@
 
 // assessObjectives determines which objective each waiting array can meet if the capacity that arrays may use on ready
 // machines serves them one after the other. Gangs and services are left out: they precede arrays and take all the
-// capacity that they need. The assessment uses only records and estimates, so all nodes get nearly the same result.
+// capacity that they need. The assessment uses records, the inventory, run time estimates and this node's history of
+// arrivals, so all nodes get nearly the same result once their histories cover tuning.FairShareWindow.
 func (c *cycle) assessObjectives() {
 	state := &c.order.objectives
 	state.assessedAt, state.unattainable, state.attainable = c.now, map[string]bool{}, map[string]time.Time{}
@@ -117,9 +118,9 @@
 }
 
 // capacityForRank returns the capacity that tasks of a priority rank may use on ready machines: the free capacity and
-// the capacity that tasks of the same rank or below use. It is in units of machines, or in units of common tasks if no
-// job uses GPUs. Without GPUs the free share of a machine would mislead: a machine with space for one common task would
-// count as much as one with space for four, and so would one that is too small for any.
+// the capacity of preemptible tasks of the same or a lower priority. It is in units of machines, or in units of common
+// tasks if no job uses GPUs. Without GPUs the free share of a machine would mislead: a machine with space for one
+// common task would count as much as one with space for four, and so would one that is too small for any.
 func (c *cycle) capacityForRank(rank int) float64 {
 	commonTask, sum := c.demand.commonTask, 0.0
 	for shard := range c.cluster.ShardCount {
--- a/internal/scheduler/objectives_test.go
+++ b/internal/scheduler/objectives_test.go
@@ -14,8 +14,8 @@
 // TestLateJobsDoNotDelayOthers draws arrays of all sizes that wait behind a busy cluster, some of them past all their
 // objectives. In the queue, arrays that can't meet an objective must not precede arrays that can. While capacity is
 // short, an array must not precede one of a smaller size class; otherwise the size must not matter. The test guards
-// against a queue in which the oldest jobs go first although they are past all their objectives: during a burst, such
-// jobs made 69% of the others miss their deadlines.
+// against a queue in which the oldest jobs go first although they are past all their objectives. During a burst, such a
+// queue makes 69% of the other jobs miss their deadlines.
 func TestLateJobsDoNotDelayOthers(t *testing.T) {
 	short, ample := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -207,8 +207,8 @@
 // another one.
 func (c *cycle) preemptForTasks(queued *queuedJob, missing int, zones *binpack.ZoneConstraint) {
 	c.countReservedZones(queued.job.Spec.ID, zones)
-	for taskIndex := range min(missing, tuning.PreemptTasksPerJob) {
-		if !c.preemptForTask(queued, taskIndex, zones) {
+	for ordinal := range min(missing, tuning.PreemptTasksPerJob) {
+		if !c.preemptForTask(queued, ordinal, zones) {
 			return
 		}
 	}
--- a/internal/scheduler/precedence.go
+++ b/internal/scheduler/precedence.go
@@ -9,19 +9,19 @@
 	"sableusher/internal/wire"
 )
 
-// Size classes that are not powers of two.
+// Size classes that don't depend on the size of a job. The other size classes are greater than 0.
 const (
 	sizeClassFirst = -1 // before all other size classes
 	sizeClassNone  = 0  // the size doesn't affect the order
 )
 
 // sizeClass returns the size class of a job, by which jobs of the same priority are ordered, smallest first. While
-// capacity is too short for all waiting arrays to meet their objectives, the class of an array is given by the power of
-// two of the run time of its pending tasks. Starting the smallest first minimizes the mean waiting time (Smith, Various
-// optimizers for single-stage production, Naval Research Logistics 3, 1956) and so maximizes the reward's
-// responsiveness: a large array would delay many that end soon. Within a size class the nearness of the deadline and
-// the value decide. The work is computed from the owner's estimate, because it distinguishes the jobs of one class,
-// which the class's median doesn't.
+// capacity is too short for all waiting arrays to meet their objectives, the class of an array is 1 plus the number of
+// bits of its remaining work in seconds, so each class covers twice the work of the class before it. Starting the
+// smallest first minimizes the mean waiting time (Smith, Various optimizers for single-stage production, Naval Research
+// Logistics 3, 1956) and so maximizes the reward's responsiveness: a large array would delay many that end soon. Within
+// a size class the nearness of the deadline and the value decide. The work is computed from the user's estimate of the
+// run time, because that distinguishes the jobs of one job class, and the median run time of the job class doesn't.
 //
 // An array that is near its last objective or goes first in the current slot as overdue has sizeClassFirst instead.
 // While services find no capacity, the class of a service is determined by its number of bound replicas, fewest first.
@@ -46,8 +46,8 @@
 }
 
 // nearLastObjective reports whether an array has to start soon to meet the last of its objectives, and can still meet
-// it. Behind smaller arrays that keep arriving, a large one would miss it although there is capacity for all of them by
-// then: this happened to one in a hundred arrays when capacity was slightly short.
+// it. Without this rule, one array in a hundred misses its last objective when capacity is slightly short: a large
+// array waits behind smaller ones that keep arriving, although there is capacity for all of them by then.
 func (c *cycle) nearLastObjective(job *clusterstate.Job) bool {
 	if _, ok := c.order.objectives.attainable[job.Spec.ID]; !ok {
 		return false
@@ -58,13 +58,14 @@
 }
 
 // fairShareSlot is a one-second time slot in a round of tuning.FairShareRoundSeconds, in which certain arrays go first
-// while capacity is short. All nodes derive the same slot from the clock.
+// while capacity is short: those of underserved classes or teams, or those that are overdue. All nodes derive the same
+// slot from the clock.
 type fairShareSlot int64
 
 const (
 	slotOfClasses       fairShareSlot = 0 // arrays of underserved classes
 	slotOfTeams         fairShareSlot = 1 // arrays of underserved teams
-	secondSlotOfClasses fairShareSlot = 2 // classes have two slots, because they differ most
+	secondSlotOfClasses fairShareSlot = 2 // classes have two slots: served shares differ most between classes
 	slotOfOverdue       fairShareSlot = tuning.FairShareRoundSeconds - 1
 )
 
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -9,15 +9,17 @@
 	"sableusher/internal/wire"
 )
 
-// preemptForTask frees capacity for a pending task by stopping other tasks on the machine where the least work is lost,
-// and reports whether some shard can free it. All nodes call it in their cycles, but only the owner of a shard knows
-// how much work its tasks would lose. So the shard is chosen by what all nodes know, and the machine by the shard's
-// owner.
+// preemptForTask frees capacity for one of a job's missing tasks by stopping other tasks on the machine where the least
+// work is lost, and reports whether some shard can free it. ordinal numbers the missing tasks from 0. It identifies the
+// reservation, but is not the index of the pending task that will use the capacity.
+//
+// All nodes call preemptForTask in their cycles, but only the owner of a shard knows how much work its tasks would
+// lose. So the shard is chosen by what all nodes know, and the machine by the shard's owner.
 //
 // When no shard can free capacity, similar requests of the same rank are not examined again in this cycle. Otherwise
 // hundreds of arrays that wait behind a full cluster would each examine all machines.
-func (c *cycle) preemptForTask(queued *queuedJob, taskIndex int, zones *binpack.ZoneConstraint) bool {
-	task := record.TaskRef{JobID: queued.job.Spec.ID, Index: taskIndex}
+func (c *cycle) preemptForTask(queued *queuedJob, ordinal int, zones *binpack.ZoneConstraint) bool {
+	task := record.TaskRef{JobID: queued.job.Spec.ID, Index: ordinal}
 	if c.preempting.awaiting[task] {
 		return true // capacity is already being freed for the task
 	}
@@ -25,7 +27,7 @@
 		c.preempting.failed[queued.rank].Covers(&queued.Request) {
 		return false
 	}
-	first := (c.firstLiveShard(queued.job) + taskIndex + c.shardRotation(queued)) % c.cluster.ShardCount
+	first := (c.firstLiveShard(queued.job) + ordinal + c.shardRotation(queued)) % c.cluster.ShardCount
 	for offset := range c.cluster.ShardCount {
 		shard := (first + offset) % c.cluster.ShardCount
 		if c.preemptInShard(shard, queued, task, zones) {
@@ -124,9 +126,10 @@
 	}
 }
 
-// lostSeconds returns the work lost when a task is stopped, in seconds: its run time so far, but at most the
-// interval of its checkpoints. It adds one second, so that each stop counts as a loss, also that of a task that has not
-// begun to run: among plans that lose hardly any work, the one that stops the fewest tasks is the cheapest.
+// lostSeconds returns the work lost when a task is stopped, in seconds of run time: its run time so far, but at most
+// the interval of its checkpoints. The share of the machine that the task uses is not counted. It adds one second, so
+// that each stop counts as a loss, also that of a task that has not begun to run: among plans that lose hardly any
+// work, the one that stops the fewest tasks is the cheapest.
 func (c *cycle) lostSeconds(binding clusterstate.Binding, machine *clusterstate.Machine) float64 {
 	task := c.agents.ObserveTask(binding, machine.Name, c.shards.fencingTokens[machine.Shard])
 	ran := 0.0
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -151,7 +151,7 @@
 }
 
 // startObjectiveS returns the time in seconds within which a replica should start according to its class's objectives,
-// or 0 if there is none. It is called for each waiting job in each cycle.
+// or 0 if there is none.
 func (c *cycle) startObjectiveS(spec *wire.JobSpec) float64 {
 	if spec.Kind != wire.KindService {
 		return 0
--- a/internal/tuning/scheduler.go
+++ b/internal/tuning/scheduler.go
@@ -43,8 +43,8 @@
 	FairShareWindow  = 5 * time.Minute
 	FairShareMaxJobs = 20_000
 	// FairShareMinServed is the served share of the arrived tasks below which a class or team counts as underserved,
-	// if its share is also below FairShareMinRelativeServed times the share of all classes and teams together. It
-	// leaves a margin above one half, the smallest share that any class or team may be served.
+	// if its share is also below FairShareMinRelativeServed times the share of all classes and teams together. At least
+	// one half of the tasks of every class and team has to be served; FairShareMinServed is above that by a margin.
 	FairShareMinServed         = 0.65
 	FairShareMinRelativeServed = 0.9
 	// ServiceShortageWindow is the time after a service found no capacity during which services with the fewest
@@ -70,8 +70,8 @@
 	BootOverdueFactor = 1.8
 	// MinBootOverdue is the lower bound of the time given by BootOverdueFactor.
 	MinBootOverdue = 15 * time.Second
-	// HomeShardGracePeriod is the time for which only the owner of a task's home shard may place the task; after that
-	// any shard's owner may.
+	// HomeShardGracePeriod is the time for which only the owner of a task's home shard may place the task. After
+	// that the owner of one further shard at a time may place it too, and that shard changes once per grace period.
 	HomeShardGracePeriod = 600 * time.Millisecond
 	// HomeShardGracePeriodUnderShortage replaces HomeShardGracePeriod for arrays while capacity is short. Each
 	// shard then has capacity released several times a second, and a second writer of a job's record costs more than
@@ -93,7 +93,7 @@
 	// another node's machine is assumed to be up although its record does not say so yet.
 	BootLikelyFactor = 1.3
 	// MinJobBackoff and MaxJobBackoff bound the backoff of a job, which starts when one of its tasks fails and doubles
-	// with each failure. Failures that the retry rules of the job's class limit have the bounds of the class instead.
+	// with each failure. Failures that the retry policy of the job's class limits have the bounds of the class instead.
 	MinJobBackoff = 2 * time.Second
 	MaxJobBackoff = 60 * time.Second
 	// MaxClassRetries is the maximum number of retries that a class may allow: with more, a task that always fails
@@ -125,7 +125,8 @@
 	// GangRecordsPerTxn is the maximum number of a gang's records that one transaction changes. With about 6 KiB per
 	// record, it stays below the size limit of a transaction.
 	GangRecordsPerTxn = 4
-	// TasksPerJobPerCycle is the maximum number of a job's pending tasks that one cycle examines.
+	// TasksPerJobPerCycle is the maximum number of a job's pending tasks that one search for capacity tries to bind. A
+	// cycle may search several times for the same job.
 	TasksPerJobPerCycle = 256
 	// DefaultDeadline is the deadline of jobs that have none, counted from when the job could first start.
 	DefaultDeadline = time.Hour
