--- a/internal/clusterstate/changefeed.go
+++ b/internal/clusterstate/changefeed.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Subscribe returns a channel that receives a value after each group of changes. Groups that follow each other before
-// the value is received share one value.
+// Subscribe returns a channel that receives a value after each group of changes. The channel holds one value: while it
+// has not been received, further groups of changes send none.
 func (s *State) Subscribe() <-chan struct{} {
 	subscriber := make(chan struct{}, 1)
 	s.Lock()
@@ -40,10 +40,10 @@
 	return subscriber
 }
 
-// ChangeFeed collects the machines and jobs that have changed since they were last taken from it. A machine changes
-// with its record, with its bindings, and with the cancellation or preemption of a job that has a task bound to it. A
-// job changes with any of its records and with the outcome of a dependency. The cost of processing a feed depends on
-// the number of changes and not on the size of the cluster.
+// ChangeFeed collects the machines and jobs that have changed since they were last taken from it. A machine counts
+// as changed if its record or its bindings change, or if a job that has a task bound to it is cancelled or preempted.
+// A job counts as changed if any of its records or the outcome of a dependency changes. The cost of processing a
+// feed depends on the number of changes and not on the size of the cluster.
 type ChangeFeed struct {
 	machines, jobs map[string]struct{} // by name and by ID
 }
--- a/internal/clusterstate/chunks.go
+++ b/internal/clusterstate/chunks.go
@@ -34,7 +34,7 @@
 	isNew := !job.HasRecord
 	layoutChanged := stored.ChunkWidth != job.ChunkWidth || stored.FirstFixedChunk != job.FirstFixedChunk
 	if layoutChanged {
-		s.orphanChunks(job)
+		s.detachChunks(job)
 	}
 	tasks := stored.Tasks
 	stored.Tasks = nil
@@ -69,7 +69,7 @@
 	}
 	s.changes.markJob(id)
 	if job.HasRecord {
-		s.orphanChunks(job)
+		s.detachChunks(job)
 		s.removeDependencies(id, job)
 	}
 	orphansOnly := &Job{orphanChunks: job.orphanChunks}
@@ -118,9 +118,9 @@
 	j.orphanChunks[key] = orphan
 }
 
-// orphanChunks removes all chunks of a job from the indexes and keeps the further chunks as orphans. It is called
+// detachChunks removes all chunks of a job from the indexes and keeps the further chunks as orphans. It is called
 // before the job's own record is deleted or changes the layout.
-func (s *State) orphanChunks(job *Job) {
+func (s *State) detachChunks(job *Job) {
 	for chunk, old := range job.Chunks {
 		for _, task := range old.Tasks {
 			s.indexTask(job, task, taskRemoved)
--- a/internal/clusterstate/dependencies.go
+++ b/internal/clusterstate/dependencies.go
@@ -164,9 +164,9 @@
 // map.
 func (s *State) Dependents(id string) map[string]struct{} { return s.dependencies.dependentsOf[id] }
 
-// DependencyCancelled returns the live jobs that depend on a cancelled job and therefore have to be cancelled too. The
-// caller must hold the lock and must not modify the map.
-func (s *State) DependencyCancelled() map[string]struct{} { return s.dependencies.cancelled }
+// JobsWithCancelledDependency returns the live jobs that depend on a cancelled job and therefore have to be cancelled
+// too. The caller must hold the lock and must not modify the map.
+func (s *State) JobsWithCancelledDependency() map[string]struct{} { return s.dependencies.cancelled }
 
 // OutcomeUndecided reports whether the job is, or may be, about to be cancelled because of a job that it depends on. A
 // status request must not be answered with "waiting" in that case. The caller must hold the lock.
--- a/internal/clusterstate/dependencies_test.go
+++ b/internal/clusterstate/dependencies_test.go
@@ -141,7 +141,7 @@
 // maybeCancelDependent cancels a job, or leaves that to a later step, if the state reports that one of its dependencies
 // is cancelled. The leader cancels such jobs eventually.
 func (m *dependencyModel) maybeCancelDependent(t *rapid.T, id string) {
-	_, cancelled := m.state.DependencyCancelled()[id]
+	_, cancelled := m.state.JobsWithCancelledDependency()[id]
 	if cancelled && m.live[id] && m.outcome[id] == "" && rapid.Bool().Draw(t, "cancel") {
 		m.outcome[id] = wire.JobCancelled
 		m.finalize(id, wire.JobCancelled)
--- a/internal/clusterstate/jobwrites.go
+++ b/internal/clusterstate/jobwrites.go
@@ -61,7 +61,7 @@
 }
 
 // FinalizeOps returns the operations that replace the job's own record by its final record. The records of its further
-// chunks remain; DeleteFurtherChunks deletes them.
+// chunks remain; DeleteFurtherChunkOps returns the operations that delete them.
 func (j *Job) FinalizeOps(status wire.JobState, doneCount int, endedAtMs int64) []wire.Op {
 	id := j.Spec.ID
 	final := record.Final{Status: status, TaskCount: j.Spec.TaskCount, DoneCount: doneCount, EndedAtMs: endedAtMs}
@@ -71,9 +71,9 @@
 	}
 }
 
-// DeleteFurtherChunks returns at most limit operations that delete records of further chunks of the job. Records beyond
-// the limit are left for a later call.
-func (j *Job) DeleteFurtherChunks(limit int) []wire.Op {
+// DeleteFurtherChunkOps returns at most limit operations that delete records of further chunks of the job. Records
+// beyond the limit are left for a later call.
+func (j *Job) DeleteFurtherChunkOps(limit int) []wire.Op {
 	var ops []wire.Op
 	for _, key := range j.FurtherChunkKeys() {
 		if len(ops) < limit {
--- a/internal/offload/requests.go
+++ b/internal/offload/requests.go
@@ -133,7 +133,7 @@
 	}
 	jobKey := record.JobKey(request.Spec.ID)
 	b.change.add(wire.Condition{Key: jobKey, ModRevision: job.ModRevision}, kvstore.DeleteOp(jobKey))
-	b.change.ops = append(b.change.ops, job.DeleteFurtherChunks(b.maxOps-len(b.change.ops))...)
+	b.change.ops = append(b.change.ops, job.DeleteFurtherChunkOps(b.maxOps-len(b.change.ops))...)
 	b.released = append(b.released, request)
 }
 
--- a/internal/offload/status.go
+++ b/internal/offload/status.go
@@ -71,5 +71,5 @@
 	change.conditions = append(change.conditions, jobCondition(job))
 	change.ops = job.FinalizeOps(finalState, status.DoneCount, time.Now().UnixMilli())
 	limit := o.committer.MaxTransactionOps() - len(change.ops)
-	change.ops = append(change.ops, job.DeleteFurtherChunks(limit)...)
+	change.ops = append(change.ops, job.DeleteFurtherChunkOps(limit)...)
 }
--- a/internal/scheduler/dependents.go
+++ b/internal/scheduler/dependents.go
@@ -23,7 +23,7 @@
 // it: the owner of the job's first live shard at once, any other node after tuning.DependentCancelOwnerGrace.
 func (c *cycle) cancelDependents() {
 	cancelled := 0
-	for id := range c.cluster.DependencyCancelled() {
+	for id := range c.cluster.JobsWithCancelledDependency() {
 		job := c.cluster.Jobs[id]
 		if job == nil || c.changes.inFlight(record.JobKey(id)) || cancelled >= tuning.DependentCancelsPerCycle {
 			continue
--- a/internal/scheduler/jobend.go
+++ b/internal/scheduler/jobend.go
@@ -74,5 +74,5 @@
 // deleteFurtherOps returns operations that delete a job's further chunks, as many as fit into a transaction with
 // otherOps other operations. The remaining chunks are deleted later.
 func (c *cycle) deleteFurtherOps(job *clusterstate.Job, otherOps int) []wire.Op {
-	return job.DeleteFurtherChunks(c.committer.MaxTransactionOps() - otherOps)
+	return job.DeleteFurtherChunkOps(c.committer.MaxTransactionOps() - otherOps)
 }
