--- a/internal/schemaversion/activator.go
+++ b/internal/schemaversion/activator.go
@@ -58,7 +58,7 @@
 type Activator struct {
 	config            Config
 	lastLoggedBlocker blocker
-	lastLoggedVersion int
+	appliedVersion    int
 }
 
 // NewActivator returns an activator.
@@ -106,10 +106,10 @@
 // applyVersion logs and exports a newly active version, and switches to the
 // store's upcoming limits once the version allows records to be split.
 func (a *Activator) applyVersion(version int) {
-	if version == a.lastLoggedVersion {
+	if version == a.appliedVersion {
 		return
 	}
-	a.lastLoggedVersion = version
+	a.appliedVersion = version
 	activeVersionGauge.Set(float64(version))
 	a.config.Logger.Info("schema version active",
 		"schema_version", version, "supported_version", a.config.SupportedVersion)
