--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -133,10 +133,11 @@
 	return wire.Command{Kind: wire.CommandStop, Task: task.Task, Attempt: task.Attempt, GraceSeconds: &graceSeconds}
 }
 
-// cancelledTaskStops returns the response to a heartbeat if the cluster state may be stale. It starts no tasks, and
-// it immediately stops those whose cancellation the state shows. recorded is the machine in the cluster state, or nil
+// staleStateResponse returns the response that renews the lease if the cluster state may be stale. The response starts
+// no tasks. It stops the tasks of cancelled jobs, as far as the state shows the cancellation, without a grace period
+// for saving a checkpoint. recorded is the machine in the cluster state, or nil
 // if it has no record.
-func cancelledTaskStops(
+func staleStateResponse(
 	heartbeat *wire.Heartbeat, recorded *clusterstate.Machine, fencingToken uint64,
 ) wire.HeartbeatResponse {
 	response := emptyResponse(fencingToken)
@@ -162,8 +163,9 @@
 	return wire.HeartbeatResponse{FencingToken: fencingToken, Commands: []wire.Command{}}
 }
 
-// RequestStop requests that a bound task is stopped after a grace period in seconds. An earlier request with a grace
-// period that is not longer remains in effect. Otherwise it also requests a direct command to the machine.
+// RequestStop requests that a bound task is stopped after a grace period in seconds. The call has no effect if a
+// request with the same or a shorter grace period is pending. Otherwise it replaces the pending request, if there is
+// one, and requests a direct command to the machine.
 func (r *Registry) RequestStop(binding clusterstate.Binding, machineName string, graceSeconds float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,7 +177,8 @@
 	r.dispatchQueue.add(machineName)
 }
 
-// StopRequested reports whether a bound task has to stop, because a stop was requested or its job is cancelled.
+// StopRequested reports whether a bound task has to stop, because a stop was requested or its job is stopping.
+// The caller must hold the cluster state's lock.
 func (r *Registry) StopRequested(binding clusterstate.Binding) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -194,8 +197,8 @@
 }
 
 // attemptEnded reports whether an attempt of a task has ended according to the records: a later attempt exists, the
-// attempt is not bound any more, or the job has ended. If it returns false, the cluster state may be older than the
-// report. Callers hold the cluster state's lock.
+// attempt is not bound any more, or the job has ended. A result of false does not prove that the attempt has not ended,
+// because the cluster state may be older than the agent's report. Callers hold the cluster state's lock.
 func (r *Registry) attemptEnded(ref record.TaskRef, attempt uint64) bool {
 	job := r.clusterState.Jobs[ref.JobID]
 	if job == nil {
@@ -218,10 +221,10 @@
 
 // commandsFor returns the commands for a machine and records the start commands among them as pending. Callers hold
 // the cluster state's lock and mu.
-func (r *Registry) commandsFor(m *machine, request commandParams) []wire.Command {
+func (r *Registry) commandsFor(m *machine, params commandParams) []wire.Command {
 	plan := commandPlan{
-		machine: m, bindings: request.recorded.Bindings, attemptEnded: r.attemptEnded, stopRequest: r.stopRequestFor,
-		fencingToken: request.fencingToken, heartbeatSequence: request.heartbeatSequence, now: request.now,
+		machine: m, bindings: params.recorded.Bindings, attemptEnded: r.attemptEnded, stopRequest: r.stopRequestFor,
+		fencingToken: params.fencingToken, heartbeatSequence: params.heartbeatSequence, now: params.now,
 	}
 	return plan.commands()
 }
--- a/internal/agent/dispatch.go
+++ b/internal/agent/dispatch.go
@@ -36,13 +36,13 @@
 	defer dispatches.Wait()
 	removal := time.NewTicker(r.settings.HeartbeatInterval())
 	defer removal.Stop()
-	running := time.NewTicker(tuning.PauseCheckInterval)
-	defer running.Stop()
+	pauseCheck := time.NewTicker(tuning.PauseCheckInterval)
+	defer pauseCheck.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-running.C:
+		case <-pauseCheck.C:
 			r.recordRunning(time.Now())
 		case machineName := <-r.dispatchQueue:
 			if r.dispatchSlots.Acquire(ctx, 1) != nil {
@@ -63,7 +63,7 @@
 	machineName string
 	machine     *machine
 	address     string
-	command     wire.CommandRequest
+	request     wire.CommandRequest
 	timeout     time.Duration
 	// inboundLost is set if the machine's inbound direction counted as lost when the command was composed. Such a
 	// command is an empty probe.
@@ -76,7 +76,7 @@
 	if !ok {
 		return
 	}
-	response, err := r.client.send(ctx, d.address, &d.command, d.timeout)
+	response, err := r.client.send(ctx, d.address, &d.request, d.timeout)
 	r.finishDispatch(d, response, err)
 }
 
@@ -114,7 +114,7 @@
 	overdue := r.reportOverdue(m, params.now)
 	d := &directDispatch{
 		machineName: params.recorded.Name, machine: m, address: m.address, timeout: tuning.CommandTimeout,
-		command: wire.CommandRequest{
+		request: wire.CommandRequest{
 			FencingToken: params.fencingToken, Session: max(m.session.id, firstSession), Commands: []wire.Command{},
 		},
 		inboundLost: m.link.inboundLost(),
@@ -123,9 +123,9 @@
 	// become another unresolved start.
 	onlyProbe := d.inboundLost || overdue && m.link.commandUnanswered()
 	if m.session.id != 0 && !onlyProbe {
-		d.command.Commands = append(d.command.Commands, r.commandsFor(m, params)...)
+		d.request.Commands = append(d.request.Commands, r.commandsFor(m, params)...)
 	}
-	if len(d.command.Commands) > 0 {
+	if len(d.request.Commands) > 0 {
 		return d, true
 	}
 	if overdue || d.inboundLost {
@@ -161,7 +161,7 @@
 	now := time.Now()
 	m := d.machine
 	m.commandInFlight = false
-	m.resolveCommand(&d.command, err == nil)
+	m.resolveCommand(&d.request, err == nil)
 	if err != nil {
 		m.link.recordCommandFailure(now)
 		r.logger.Debug("direct command unanswered", "machine", d.machineName, "err", err)
@@ -198,9 +198,9 @@
 	// sessions of a zone at once after a partition delayed the restart of its replicas.
 	recorded := r.clusterState.Machines[d.machineName]
 	if r.outboundLost(m, now) && recorded != nil && max(recorded.Session, firstSession) != m.session.id {
-		r.updates.adopt(report)
+		r.updates.addOutdatedRecord(report)
 	}
-	if m.session.id != previousSession || m.session.fencingToken < d.command.FencingToken {
+	if m.session.id != previousSession || m.session.fencingToken < d.request.FencingToken {
 		// A new session can be sent commands now; an agent that has not reported the owner's token is asked again.
 		r.dispatchQueue.add(d.machineName)
 	}
@@ -208,12 +208,12 @@
 
 // resolveCommand removes the pending starts of a direct command that was answered, and marks them as unresolved if it
 // was not. It ignores commands to an earlier session, whose starts were removed when the new session began.
-func (m *machine) resolveCommand(command *wire.CommandRequest, answered bool) {
+func (m *machine) resolveCommand(request *wire.CommandRequest, answered bool) {
 	switch {
-	case command.Session != m.session.id:
+	case request.Session != m.session.id:
 	case answered:
-		m.starts.commandAnswered(command.Commands, command.FencingToken)
+		m.starts.commandAnswered(request.Commands, request.FencingToken)
 	default:
-		m.starts.commandUnanswered(command.Commands, command.FencingToken)
+		m.starts.commandUnanswered(request.Commands, request.FencingToken)
 	}
 }
--- a/internal/agent/heartbeat.go
+++ b/internal/agent/heartbeat.go
@@ -85,7 +85,7 @@
 	r.clusterState.RLock()
 	defer r.clusterState.RUnlock()
 	shard := record.ShardOf(heartbeat.Machine, r.clusterState.ShardCount)
-	fencingToken, entitled := r.membership.MayServeAgents(shard)
+	fencingToken, mayServe := r.membership.MayServeAgents(shard)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h := &heartbeatRequest{
@@ -99,7 +99,7 @@
 	switch {
 	case r.leases.mayRenewWithoutState(h):
 		return renewed(emptyResponse(heartbeat.FencingToken))
-	case !entitled:
+	case !mayServe:
 		return r.answerForOtherOwner(h)
 	case heartbeat.FencingToken > fencingToken:
 		// The shard has a newer owner, which this node does not know yet. The agent would ignore a response with a
@@ -112,11 +112,12 @@
 }
 
 // answerForOtherOwner answers an agent whose shard another node owns. It renews the lease on the owner's behalf if
-// this node and the owner are in the same partition, and otherwise redirects the agent to the owner.
+// leaseKeeper.mayRenewForOwner allows it. Otherwise it redirects the agent to the owner, or to no particular node if
+// the owner's session is not live or the agent was redirected less than redirectLoopWindow ago.
 func (r *Registry) answerForOtherOwner(h *heartbeatRequest) HeartbeatResult {
 	name := h.report.Machine
 	if shard, ok := r.clusterState.Shards[h.shard]; ok && r.leases.mayRenewForOwner(h, shard) {
-		return renewed(cancelledTaskStops(h.report, h.recorded, shard.FencingToken))
+		return renewed(staleStateResponse(h.report, h.recorded, shard.FencingToken))
 	}
 	owner, live := r.membership.OwnerOf(h.shard)
 	lastRedirect := r.redirectedAt[name]
@@ -147,10 +148,10 @@
 		r.updates.machineChanged(name)
 	}
 	if h.stateAge() > r.leases.maxStateAge() {
-		return renewed(cancelledTaskStops(h.report, h.recorded, h.fencingToken)) // its tasks keep running
+		return renewed(staleStateResponse(h.report, h.recorded, h.fencingToken)) // too old to start tasks from
 	}
 	if r.recordOutdated(m, h) {
-		r.updates.adopt(h.report)
+		r.updates.addOutdatedRecord(h.report)
 	}
 	response := emptyResponse(h.fencingToken)
 	if _, owns := r.membership.Ownership(h.shard); h.recorded != nil && owns {
@@ -222,7 +223,7 @@
 type heartbeatHistory map[string]heartbeatPosition
 
 // accept records a heartbeat that is newer than all earlier ones of its machine. Otherwise it returns the reason to
-// drop the heartbeat. Callers hold the cluster state's lock.
+// drop the heartbeat. Callers hold the cluster state's lock and Registry.mu.
 func (history heartbeatHistory) accept(h *heartbeatRequest) dropReason {
 	report := h.report
 	newest := history[report.Machine]
@@ -255,7 +256,8 @@
 func (r *Registry) RecentlyReporting(machineNames []string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// An agent that cannot reach one node tries the next one within seconds.
+	// An agent that cannot reach one node tries the next one within seconds, so an older report does not show that
+	// its agent still reports to this node.
 	limit := r.heartbeatIntervals(tuning.RecentReportIntervals)
 	var out []string
 	for _, name := range machineNames {
--- a/internal/agent/heartbeat_test.go
+++ b/internal/agent/heartbeat_test.go
@@ -81,7 +81,7 @@
 		return
 	}
 	d.newest, d.shownToken = id, heartbeat.FencingToken
-	for name, report := range d.TakeAdoptions() {
+	for name, report := range d.TakeOutdatedRecords() {
 		if name == d.machineName && report.Session < d.newest.session {
 			t.Fatalf("session %d is to be recorded, the newest reported is %d", report.Session, d.newest.session)
 		}
--- a/internal/agent/lease.go
+++ b/internal/agent/lease.go
@@ -53,9 +53,11 @@
 }
 
 // mayRenewForOwner reports whether this node may renew the lease of an agent whose shard another node owns. It may if
-// neither the owner nor the key-value store can be reached from here, because then this node and the owner are cut
-// off together. The response starts no tasks. It carries the owner's token as this node knows it; an agent that has
-// seen a higher token has a newer owner and gets no renewal. Callers hold the cluster state's lock.
+// the owner has not answered this node for tuning.OwnerUnreachableAfter, the cluster state is at least
+// tuning.SessionTTL old, and mayRenew allows a renewal with that state. The node infers from this that there is a
+// partition, but cannot know on which side of it the owner is. The response starts no tasks. It carries the owner's
+// token as this node knows it; an agent that has seen a higher token has a newer owner and gets no renewal. Callers
+// hold the cluster state's lock.
 func (k *leaseKeeper) mayRenewForOwner(h *heartbeatRequest, owner clusterstate.Shard) bool {
 	if h.report.FencingToken > owner.FencingToken || h.recorded == nil || h.recorded.Deleting {
 		return false
@@ -84,8 +86,8 @@
 		k.peerLastAnswered == nil || h.now.Sub(k.startedAt) < tuning.OwnerUnreachableAfter {
 		return false
 	}
-	for _, sibling := range k.settings.Peers {
-		if k.reachable(sibling.Node, h.now) {
+	for _, peer := range k.settings.Peers {
+		if k.reachable(peer.Node, h.now) {
 			return false
 		}
 	}
--- a/internal/agent/lease_test.go
+++ b/internal/agent/lease_test.go
@@ -18,7 +18,7 @@
 // without commands. The lease of another owner's agent is renewed only if that owner cannot be reached either, and
 // under that owner's token.
 func TestLeaseRenewalDuringPartition(t *testing.T) {
-	const late = tuning.SchemaVersionConfirmedCancel // cancellations are confirmed late
+	const confirmed = tuning.SchemaVersionConfirmedCancel // cancellations are confirmed once no task is left
 	for name, c := range map[string]struct {
 		schemaVersion int
 		shard         int
@@ -27,18 +27,22 @@
 		token         uint64        // highest token that the agent has seen
 		want          int
 	}{
-		"own shard, fresh state":               {0, 0, 0, 0, 5, http.StatusOK},
-		"own shard, state within the limit":    {0, 0, 15 * time.Second, 0, 5, http.StatusOK},
-		"own shard, old, early confirmation":   {1, 0, 17 * time.Second, 0, 5, http.StatusServiceUnavailable},
-		"own shard, old, late confirmation":    {late, 0, 10 * time.Minute, 0, 5, http.StatusOK},
-		"own shard, newer owner":               {late, 0, 10 * time.Second, 0, 6, http.StatusMisdirectedRequest},
-		"other shard, fresh state":             {late, 1, 0, time.Minute, 5, http.StatusMisdirectedRequest},
-		"other shard, owner reachable":         {late, 1, time.Minute, time.Second, 5, http.StatusMisdirectedRequest},
-		"other shard, owner unreachable":       {late, 1, time.Minute, time.Minute, 5, http.StatusOK},
+		"own shard, fresh state":             {0, 0, 0, 0, 5, http.StatusOK},
+		"own shard, state within the limit":  {0, 0, 15 * time.Second, 0, 5, http.StatusOK},
+		"own shard, old, early confirmation": {1, 0, 17 * time.Second, 0, 5, http.StatusServiceUnavailable},
+		"own shard, old, late confirmation":  {confirmed, 0, 10 * time.Minute, 0, 5, http.StatusOK},
+		"own shard, newer owner":             {confirmed, 0, 10 * time.Second, 0, 6, http.StatusMisdirectedRequest},
+		"other shard, fresh state":           {confirmed, 1, 0, time.Minute, 5, http.StatusMisdirectedRequest},
+		"other shard, owner reachable": {
+			confirmed, 1, time.Minute, time.Second, 5, http.StatusMisdirectedRequest,
+		},
+		"other shard, owner unreachable":       {confirmed, 1, time.Minute, time.Minute, 5, http.StatusOK},
 		"other shard, state within the limit":  {1, 1, 15 * time.Second, time.Minute, 5, http.StatusOK},
 		"other shard, old, early confirmation": {1, 1, time.Minute, time.Minute, 5, http.StatusMisdirectedRequest},
-		"other shard, newer owner":             {late, 1, time.Minute, time.Minute, 6, http.StatusMisdirectedRequest},
-		"other shard, no token seen":           {late, 1, time.Minute, time.Minute, 0, http.StatusOK},
+		"other shard, newer owner": {
+			confirmed, 1, time.Minute, time.Minute, 6, http.StatusMisdirectedRequest,
+		},
+		"other shard, no token seen": {confirmed, 1, time.Minute, time.Minute, 0, http.StatusOK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newRegistryFixture(c.schemaVersion)
@@ -110,28 +114,28 @@
 // Without these renewals, 700 tasks of a zone ended with their leases when the only controller in the zone ended
 // during a partition.
 func TestRenewalWithoutClusterState(t *testing.T) {
-	const lateToken = tuning.ConfirmedCancelTokenBase + 3 // cancellations are confirmed late
+	const confirmedCancelToken = tuning.ConfirmedCancelTokenBase + 3 // cancellations are confirmed once no task is left
 	for name, c := range map[string]struct {
 		sinceStart time.Duration
 		token      uint64
 		change     func(*registryFixture)
 		want       bool
 	}{
-		"partitioned":                     {10 * time.Second, lateToken, nil, true},
-		"just started":                    {time.Second, lateToken, nil, false},
+		"partitioned":                     {10 * time.Second, confirmedCancelToken, nil, true},
+		"just started":                    {time.Second, confirmedCancelToken, nil, false},
 		"cancellations confirmed at once": {10 * time.Second, 5, nil, false},
 		"agent has seen no token":         {10 * time.Second, 0, nil, false},
-		"another node reachable": {10 * time.Second, lateToken, func(f *registryFixture) {
+		"another node reachable": {10 * time.Second, confirmedCancelToken, func(f *registryFixture) {
 			f.peerAnsweredAt = time.Now().Add(-time.Second)
 		}, false},
-		"another node was reachable long ago": {10 * time.Second, lateToken, func(f *registryFixture) {
+		"another node was reachable long ago": {10 * time.Second, confirmedCancelToken, func(f *registryFixture) {
 			f.peerAnsweredAt = time.Now().Add(-tuning.OwnerUnreachableAfter)
 		}, true},
-		"process has a cluster state": {10 * time.Second, lateToken, func(f *registryFixture) {
+		"process has a cluster state": {10 * time.Second, confirmedCancelToken, func(f *registryFixture) {
 			f.stateCompleteAt = time.Now().Add(-time.Second)
 		}, false},
-		"agent has a newer owner": {10 * time.Second, lateToken + 1, func(f *registryFixture) {
-			if status, _ := f.heartbeat(f.addMachine(peerShard), 1, lateToken); status != http.StatusOK {
+		"agent has a newer owner": {10 * time.Second, confirmedCancelToken + 1, func(f *registryFixture) {
+			if status, _ := f.heartbeat(f.addMachine(peerShard), 1, confirmedCancelToken); status != http.StatusOK {
 				panic(status)
 			}
 		}, false},
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -111,14 +111,14 @@
 			t.Errorf("lease ends after %v, outbound lost after %v",
 				status.LeaseExpiry.Sub(start), status.DirectionLostSince.Sub(start))
 		}
-		if adoptions := o.TakeAdoptions(); len(adoptions) > 0 {
-			t.Errorf("unexpected record updates: %v", adoptions)
+		if outdated := o.TakeOutdatedRecords(); len(outdated) > 0 {
+			t.Errorf("unexpected record updates: %v", outdated)
 		}
 		o.session, o.sequence = 2, 0
 		o.commandAfter(20 * time.Second)
 		o.expect("after its lease has expired", false, true)
-		if adoptions := o.TakeAdoptions(); adoptions[o.machineName].Session != 2 {
-			t.Errorf("the session in the response to a command is not recorded: %v", adoptions)
+		if outdated := o.TakeOutdatedRecords(); outdated[o.machineName].Session != 2 {
+			t.Errorf("the session in the response to a command is not recorded: %v", outdated)
 		}
 		o.handle(&wire.Heartbeat{
 			Machine: o.machineName, Address: testAddress, Session: 2, Sequence: 9, FencingToken: testToken,
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -131,17 +131,17 @@
 
 // replaceTasks replaces the tasks by those of a report, and reports whether a task was added, was removed or changed
 // its state.
-func (m *machine) replaceTasks(reports []wire.TaskStatus, now time.Time) (changed bool) {
+func (m *machine) replaceTasks(statuses []wire.TaskStatus, now time.Time) (changed bool) {
 	previous := m.tasks
-	m.tasks = make(map[attemptKey]reportedTask, len(reports))
-	for _, report := range reports {
-		ref, ok := record.ParseTaskRef(report.Task)
+	m.tasks = make(map[attemptKey]reportedTask, len(statuses))
+	for _, status := range statuses {
+		ref, ok := record.ParseTaskRef(status.Task)
 		if !ok {
 			continue
 		}
-		key := attemptKey{ref, report.Attempt}
-		task := reportedTask{report, now}
-		if before, ok := previous[key]; ok && before.State == report.State {
+		key := attemptKey{ref, status.Attempt}
+		task := reportedTask{status, now}
+		if before, ok := previous[key]; ok && before.State == status.State {
 			task.stateSince = before.stateSince
 		} else {
 			changed = true
--- a/internal/agent/registry.go
+++ b/internal/agent/registry.go
@@ -152,11 +152,11 @@
 // sent no report for the duration of a lease. Callers hold the cluster state's lock and mu.
 func (r *Registry) removeMachines(now time.Time) {
 	for name, m := range r.machines {
-		_, owned := r.membership.MayServeAgents(record.ShardOf(name, r.clusterState.ShardCount))
+		_, mayServe := r.membership.MayServeAgents(record.ShardOf(name, r.clusterState.ShardCount))
 		unknown := r.clusterState.Machines[name] == nil
-		if !owned || unknown && now.Sub(m.link.lastReport) > r.settings.LeaseDuration() {
+		if !mayServe || unknown && now.Sub(m.link.lastReport) > r.settings.LeaseDuration() {
 			delete(r.machines, name)
-			delete(r.updates.adoptions, name)
+			delete(r.updates.outdatedRecords, name)
 		}
 	}
 }
--- a/internal/agent/status.go
+++ b/internal/agent/status.go
@@ -12,7 +12,7 @@
 	Session      uint64    // of its agent; 0 before the first report
 	// Schedulable is set if the machine may get another task: it recently sent a report with the owner's fencing
 	// token, neither direction of its link is known to be lost, it is not being reclaimed, it has not refused a start
-	// recently, and it has not failed tasks of several jobs.
+	// recently, and tasks of fewer than tuning.MachineMaxFailedJobs jobs have failed on it.
 	Schedulable bool
 	ReclaimAt   time.Time // when the cloud reclaims a spot machine
 	// UnresolvedStart is set if a direct start to the machine got no response and may still be carried out.
@@ -22,7 +22,7 @@
 	InboundLost       bool // its heartbeats arrive, but commands to it have failed for some time
 	InboundConfirmed  bool // it is known to receive what this node sends
 	OutboundLost      bool // it answers commands, but its heartbeats have been overdue for some time
-	// LeaseExpiry is when its lease expires if no further heartbeat of it arrives.
+	// LeaseExpiry is the latest time at which its lease may expire if no further heartbeat of it arrives.
 	LeaseExpiry time.Time
 	// DirectionLostSince is the time since which its inbound or outbound direction has been lost.
 	DirectionLostSince time.Time
@@ -63,8 +63,8 @@
 		!status.CommandUnanswered && !m.link.inboundLost() && !status.OutboundLost
 }
 
-// acceptsTasks reports whether the machine is not being reclaimed, has not refused a start recently and has not
-// failed tasks of too many jobs.
+// acceptsTasks reports whether the machine is not being reclaimed and has not refused a start recently, and tasks of
+// fewer than tuning.MachineMaxFailedJobs jobs have failed on it.
 func (m *machine) acceptsTasks(now time.Time) bool {
 	return m.reclaimAt.IsZero() && now.Sub(m.startRefusedAt) > tuning.StartRefusalBackoff &&
 		len(m.failedJobs) < tuning.MachineMaxFailedJobs
@@ -78,7 +78,7 @@
 
 // maxSilence returns the longest time that may pass between two reports of a reachable machine.
 func (r *Registry) maxSilence() time.Duration {
-	return r.heartbeatIntervals(tuning.SuspectAfterIntervals)
+	return r.heartbeatIntervals(tuning.MaxSilenceIntervals)
 }
 
 // RecordStartRefusal records that a machine refused a start. The machine is not schedulable for
--- a/internal/agent/updates.go
+++ b/internal/agent/updates.go
@@ -4,16 +4,16 @@
 
 // updates collects the changes from reports until the scheduler takes them. Registry.mu guards the maps.
 type updates struct {
-	machines  map[string]struct{}       // machines with changed reports
-	adoptions map[string]wire.Heartbeat // newest reports of machines whose records are missing or outdated
-	changed   chan struct{}             // has an element after an update, until the scheduler receives it
+	machines        map[string]struct{}       // machines with changed reports
+	outdatedRecords map[string]wire.Heartbeat // newest reports of machines whose records are missing or outdated
+	changed         chan struct{}             // has an element after an update, until the scheduler receives it
 }
 
 func newUpdates() updates {
 	return updates{
-		machines:  map[string]struct{}{},
-		adoptions: map[string]wire.Heartbeat{},
-		changed:   make(chan struct{}, 1),
+		machines:        map[string]struct{}{},
+		outdatedRecords: map[string]wire.Heartbeat{},
+		changed:         make(chan struct{}, 1),
 	}
 }
 
@@ -23,9 +23,9 @@
 	u.notify()
 }
 
-// adopt records that the record of a machine is missing or does not match its report.
-func (u *updates) adopt(report *wire.Heartbeat) {
-	u.adoptions[report.Machine] = *report
+// addOutdatedRecord records that the record of a machine is missing or does not match its report.
+func (u *updates) addOutdatedRecord(report *wire.Heartbeat) {
+	u.outdatedRecords[report.Machine] = *report
 	u.notify()
 }
 
@@ -50,12 +50,12 @@
 	return out
 }
 
-// TakeAdoptions returns the newest reports, by machine name, of the machines whose records were found missing or
+// TakeOutdatedRecords returns the newest reports, by machine name, of the machines whose records were found missing or
 // outdated since the last call. The caller owns the map.
-func (r *Registry) TakeAdoptions() map[string]wire.Heartbeat {
+func (r *Registry) TakeOutdatedRecords() map[string]wire.Heartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := r.updates.adoptions
-	r.updates.adoptions = map[string]wire.Heartbeat{}
+	out := r.updates.outdatedRecords
+	r.updates.outdatedRecords = map[string]wire.Heartbeat{}
 	return out
 }
--- a/internal/scheduler/adoption.go
+++ b/internal/scheduler/adoption.go
@@ -14,7 +14,7 @@
 
 // adoptMachines records the machines whose agents have sent heartbeats and whose records are missing or out of date.
 func (c *cycle) adoptMachines() {
-	heartbeats := c.agents.TakeAdoptions()
+	heartbeats := c.agents.TakeOutdatedRecords()
 	for _, name := range c.smallestFirst(heartbeats) {
 		heartbeat := heartbeats[name]
 		c.adoptMachine(name, &heartbeat)
--- a/internal/scheduler/adoption_test.go
+++ b/internal/scheduler/adoption_test.go
@@ -37,7 +37,7 @@
 		fixture.put(record.MachineKey(name), record.Machine{
 			Type: testType.Name, Zone: "east", Address: testAddress, CreatedAtMs: 1, Up: up,
 		})
-		fixture.agents[shard].TakeAdoptions()
+		fixture.agents[shard].TakeOutdatedRecords()
 		fixture.heartbeat(wire.Heartbeat{Machine: name, Zone: "east", Session: session, Sequence: 2})
 		c := fixture.inCycle(shard, (*cycle).adoptMachines)
 		if len(c.outgoing) != 1 {
--- a/internal/tuning/agents.go
+++ b/internal/tuning/agents.go
@@ -26,15 +26,16 @@
 	// attempt has ended according to the records, before the task is stopped. Heartbeats may be slightly older than
 	// records.
 	UnknownTaskGrace = 5 * time.Second
-	// SuspectAfterIntervals is the silence, in heartbeat intervals, after which a machine counts as unreachable.
-	SuspectAfterIntervals = 2.2
-	// DeadAfterIntervals is the silence, in heartbeat intervals, after which a machine is deleted if it could not be
-	// probed.
+	// MaxSilenceIntervals is the longest time, in heartbeat intervals, between two reports of a reachable machine. A
+	// machine that has been silent for longer gets no new tasks.
+	MaxSilenceIntervals = 2.2
+	// DeadAfterIntervals is the silence, in heartbeat intervals, after which a machine is suspected to be dead even if
+	// it could not be probed.
 	DeadAfterIntervals = 3.0
 	// ProbeAfterIntervals is the silence, in heartbeat intervals, after which an agent is probed with a direct
 	// command. Heartbeats arrive up to a quarter of an interval late, and one in ten later than this; a probe costs
-	// only one message. A machine that does not answer within ProbeTimeout is deleted, unless another node has
-	// received a report from it.
+	// only one message. A machine that does not answer within ProbeTimeout is suspected to be dead (see
+	// failuredetector.Timing). A suspected machine is not deleted if another node has received a report from it.
 	ProbeAfterIntervals = 1.2
 	// RecentReportIntervals is the time, in heartbeat intervals, for which a node counts as receiving an agent's
 	// reports after the last one. It is slightly more than the longest time between two heartbeats.
