--- a/internal/membership/handover.go
+++ b/internal/membership/handover.go
@@ -64,6 +64,5 @@
 	ctx, cancel := context.WithTimeout(ctx, 2*tuning.KVRequestTimeout)
 	defer cancel()
 	_, err := m.committer.Commit(ctx, ownershipTransaction(shard, current, next, sessionCondition(to, target)))
-	m.logger.Info("shard transfer attempted, because its agents report to another node",
-		"shard", shard, "node", to, "err", err)
+	m.logger.Info("shard transfer attempted", "shard", shard, "node", to, "err", err)
 }
