--- a/internal/failuredetector/deletion.go
+++ b/internal/failuredetector/deletion.go
@@ -72,11 +72,11 @@
 
 // mayDelete reports whether a machine may be deleted now, and counts the deletion if so.
 //
-// A service that can move out of an unavailable zone certainly gains from it. The machines of such services are
-// deleted one by one over the remaining time of their leases, so that the services do not all restart at the same
-// time, and no more of them are deleted if the zone becomes reachable before that. All other deletions are capped at
-// a share of the machines that are up. The cap is lower for a zone that is not serving, where either machines or
-// links may have failed.
+// The cap does not apply to a machine of an unavailable zone with a service that can start elsewhere, because the
+// service is certain to benefit. Such machines are deleted one by one until the end of their leases, so that their
+// services do not all restart at the same time. If the zone becomes available before that, the remaining machines are
+// kept. All other deletions within tuning.DeletionCapWindow are capped at a share of the machines that are up. The cap
+// is lower for a zone that is not serving, where either machines or links may have failed.
 func (d *Detector) mayDelete(machine *Machine, up int, now time.Time) bool {
 	if machine.ServiceMovable && d.ZoneUnavailable(machine.Zone) {
 		return d.pace.zones[machine.Zone].allow(d.silence(machine, now), d.Timing.LeaseDuration)
@@ -146,8 +146,9 @@
 	return true
 }
 
-// allowance returns how many machines may have been deleted in total, given the silence of their zone. It rises from
-// the first machine, after tuning.PartitionServiceLeaseShare of the lease, to all of them at the end of the lease.
+// allowance returns how many machines may have been deleted in total, given the silence of the next machine. It
+// rises from the first machine, after tuning.PartitionServiceLeaseShare of the lease, to all of them at the end of the
+// lease.
 func (e *zoneEvacuation) allowance(silence, lease time.Duration) int {
 	start := scaleDuration(lease, tuning.PartitionServiceLeaseShare)
 	share := min(1, float64(silence-start)/float64(lease-start))
--- a/internal/record/cell.go
+++ b/internal/record/cell.go
@@ -10,7 +10,7 @@
 	LastReceivedTransfer uint64 `cbor:"h,omitempty"` // highest number of a transfer accepted from the other cell
 	Standing             int    `cbor:"s,omitempty"` // a federation.Standing
 	StandingSinceMs      int64  `cbor:"m,omitempty"`
-	ReturnCount          int    `cbor:"r,omitempty"` // times the other cell became available again, less those forgiven
+	ReturnCount          int    `cbor:"r,omitempty"` // returns of the other cell that count for its probation
 	InventoryReceived    bool   `cbor:"k,omitempty"` // the other cell's inventory under these epochs is complete
 	FencedEpoch          uint64 `cbor:"f,omitempty"` // epochs of the other cell up to this one are rejected
 }
--- a/internal/record/machine.go
+++ b/internal/record/machine.go
@@ -7,7 +7,7 @@
 	Spot        bool   `cbor:"o"`
 	Address     string `cbor:"a,omitempty"`
 	CreatedAtMs int64  `cbor:"t"`
-	Up          bool   `cbor:"u,omitempty"` // its agent has sent a heartbeat
+	Up          bool   `cbor:"u,omitempty"` // its agent has reported, and no direction of its link is known to be lost
 	Session     uint64 `cbor:"s,omitempty"` // of the agent; 0 for its first session
 	Draining    bool   `cbor:"d,omitempty"` // receives no new tasks and is returned once it has none
 	Deleting    bool   `cbor:"g,omitempty"` // deletion was requested: no tasks are placed on it and no leases renewed
--- a/internal/record/size_test.go
+++ b/internal/record/size_test.go
@@ -13,7 +13,8 @@
 const submittedAtMs = 1764600000000
 
 // TestLargestFixedChunkFits checks that the record of a fixed chunk full of tasks with long field values takes at most
-// tuning.RecordShareOfValueLimit of the smallest value limit of a store (16 KiB as JSON).
+// tuning.RecordShareOfValueLimit of 16 KiB, the smallest value limit known of a store. The record is measured in
+// CBOR, the limit in JSON.
 func TestLargestFixedChunkFits(t *testing.T) {
 	job := Job{Spec: wire.JobSpec{ID: "run-00000000000000000001", TaskCount: tuning.MaxTasksPerJob}}
 	var tasks []Task
--- a/internal/tuning/records.go
+++ b/internal/tuning/records.go
@@ -4,21 +4,23 @@
 
 // Job records.
 const (
-	// FixedChunkTasks is the number of tasks in a fixed chunk. At about 50 bytes per task its record stays below the
-	// smallest value limit of a store (16 KiB as JSON).
+	// FixedChunkTasks is the number of tasks in a fixed chunk. A task takes up to about 50 bytes as JSON
+	// (BoundTaskMaxBytes and RetryCountMaxBytes), so that the record stays well below 16 KiB as JSON, the smallest
+	// value limit known of a store, and below MinValueLimitKB, the smallest one that may be configured.
 	FixedChunkTasks = 128
-	// MinValueLimitKB is the smallest value limit, measured as JSON, within which a record of FixedChunkTasks tasks
-	// fits: about 50 bytes per task and 1 KiB for the description.
+	// MinValueLimitKB is the smallest value limit, in KiB as JSON, that may be configured as the current limit. A
+	// record of FixedChunkTasks tasks fits within it: up to about 50 bytes per task and 1 KiB for the description.
 	MinValueLimitKB = 8
-	// MinUpcomingValueLimitKB is the smallest value limit that may be configured as an upcoming limit. Records can be
-	// split to fit within it: it has room for a description of 600 bytes and MinChunkWidth tasks of a gang.
+	// MinUpcomingValueLimitKB is the smallest value limit, in KiB as JSON, that may be configured as an upcoming limit.
+	// It is below MinValueLimitKB because records can be split to fit within it: it has room for a description of 600
+	// bytes and MinChunkWidth tasks of a gang.
 	MinUpcomingValueLimitKB = 1
 	// MinUpcomingTxnOps is the smallest number of operations per transaction that may be configured as an upcoming
 	// limit. A migration step deletes the record of one fixed chunk and writes FixedChunkTasks/MinChunkWidth grouped
 	// chunks and the job's own record.
 	MinUpcomingTxnOps = 10
 	// JSONShareOfValueLimit is the fraction of a value limit that a record may use if its size is computed in the
-	// JSON form. The state service may write numbers and separators slightly longer than the computation assumes.
+	// JSON form. The key-value store may write numbers and separators slightly longer than the computation assumes.
 	JSONShareOfValueLimit = 0.85
 	// MinChunkWidth is the smallest chunk width, in tasks, of a job with grouped chunks.
 	MinChunkWidth = 16
@@ -34,12 +36,13 @@
 	// the task and its number of failures.
 	RetryCountMaxBytes = 12
 	// MigrationsPerCycle is the maximum number of migration steps in one scheduling cycle, each of which migrates one
-	// record, and of chunks without a record that one step skips. MigrationInterval is the minimum time between two
-	// cycles that migrate records in the background, which are records that no change waits for. A job must be older
-	// than MigrationInterval to be migrated in the background. Together the two leave enough of the request budget
-	// for submissions.
+	// record. It is also the maximum number of chunks without a record that one step skips. Together with
+	// MigrationInterval it leaves enough of the request budget for submissions.
 	MigrationsPerCycle = 4
-	MigrationInterval  = 250 * time.Millisecond
+	// MigrationInterval is the minimum time between two cycles that migrate records in the background, that is
+	// records that no change waits for. It is also the minimum age of a job whose records are migrated in the
+	// background.
+	MigrationInterval = 250 * time.Millisecond
 	// MaxTasksPerJob is the maximum number of tasks in a job that the protocol allows.
 	MaxTasksPerJob = 100_000
 	// MaxNameBytes is the maximum length of a name in user input.
