--- a/internal/simulation/cancellation_test.go
+++ b/internal/simulation/cancellation_test.go
@@ -76,9 +76,9 @@
 	return r
 }
 
-// submit submits a random array or gang. Four in five jobs are cancelled, each at some time from 5 s before the start of
-// the refusal to 9 s after it: cancellations become due from 5 s before it to 4 s after it, and a user that polls the job
-// every 5 s sends the cancellation at the next poll.
+// submit submits a random array or gang. Four in five jobs are cancelled, from 5 s before the refusal starts to 9 s
+// after its start: a cancellation becomes due from 5 s before to 4 s after it, and the user, who polls the job every
+// 5 s, sends it at the next poll.
 func (s *refusalScenario) submit(ctx context.Context, number int) {
 	spec := newSpec(number, wire.KindArray)
 	spec.TaskCount = 1 + s.random.IntN(6)
--- a/internal/simulation/federation_test.go
+++ b/internal/simulation/federation_test.go
@@ -102,8 +102,8 @@
 	var cancelAfter time.Duration
 	switch index % 6 {
 	case 0:
-		// A service. Cell b gets none: one of the faults restores it to an older snapshot, so that states that users have
-		// already received for its jobs are lost.
+		// A service. Cell b gets none: one of the faults restores it to an older snapshot, so that states that users
+		// have already received for its jobs are lost.
 		cell, delay = []string{cellA, cellC}[random.IntN(2)], seconds(random, 240)
 		spec.Kind, spec.Priority, spec.TaskCount = wire.KindService, wire.PriorityProduction, 2
 		spec.RuntimeEstimateSeconds = 0
