--- a/internal/simulation/celllinks.go
+++ b/internal/simulation/celllinks.go
@@ -44,24 +44,25 @@
 
 // cellDelivery is how the link delivers one message to another cell.
 type cellDelivery struct {
-	delay          time.Duration
-	duplicate      bool          // the link delivers the message a second time
-	duplicateDelay time.Duration // before the second delivery; under a fault it counts from the end of the fault
+	delay     time.Duration
+	duplicate bool          // the link delivers the message a second time
+	lateDelay time.Duration // before the late or second delivery; under a fault it counts from the end of the fault
 }
 
 func (f *Federation) randomDelivery() cellDelivery {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return cellDelivery{
-		delay:          time.Duration(5+f.random.IntN(40)) * time.Millisecond,
-		duplicate:      f.random.IntN(10) == 0,
-		duplicateDelay: milliseconds(f.random, 20_000),
+		delay:     time.Duration(5+f.random.IntN(40)) * time.Millisecond,
+		duplicate: f.random.IntN(10) == 0,
+		lateDelay: milliseconds(f.random, 20_000),
 	}
 }
 
-// exchange sends a message to another cell, trying its controllers one after the other, and returns the response.
-// One message in ten is delivered a second time, up to 20 s later. If a fault loses the message or the response,
-// exchange blocks until ctx ends. If the message itself is affected, its second delivery follows after the fault.
+// exchange sends a message to another cell, trying its controllers one after the other, and returns the response. One
+// message in ten is delivered a second time, up to 20 s later, or up to 20 s after the end of a fault that affects
+// messages to that cell. Under a fault with DeliverLate every message is delivered then, even if the first delivery was
+// lost. If a fault loses the message or the response, exchange blocks until ctx ends.
 func (f *Federation) exchange(ctx context.Context, to string, message offload.Message) (offload.Message, error) {
 	body := wire.MustEncode(message)
 	delivery := f.randomDelivery()
@@ -69,11 +70,11 @@
 	fault, faulty := f.activeLinkFault(message.Cell, to)
 	if delivery.duplicate || faulty && fault.DeliverLate {
 		f.Regions[to].wg.Go(func() {
-			duplicateDelay := delivery.duplicateDelay
+			lateDelay := delivery.lateDelay
 			if faulty {
-				duplicateDelay += time.Until(fault.Until)
+				lateDelay += time.Until(fault.Until)
 			}
-			time.Sleep(duplicateDelay)
+			time.Sleep(lateDelay)
 			_, _ = f.deliver(context.WithoutCancel(ctx), to, body)
 		})
 	}
--- a/internal/simulation/fakenetwork.go
+++ b/internal/simulation/fakenetwork.go
@@ -17,10 +17,10 @@
 	hostUsers = "users"
 )
 
-// Partition blocks the messages between two hosts in both directions, or between a set of hosts, such as those of a
-// zone, and all others.
+// Partition blocks the messages between the hosts From and To in both directions, or between a set of hosts, such as
+// those of a zone, and all others.
 type Partition struct {
-	From, To      string // names of hosts, or anyHost; empty matches none
+	From, To      string // names of hosts, or anyHost, in either order; empty matches none
 	IsolatedHosts map[string]bool
 	DeliverLate   bool // messages are delivered when the partition ends; otherwise connections are reset
 	Until         time.Time
@@ -28,12 +28,12 @@
 
 // separates reports whether the partition is active and blocks messages between two hosts.
 func (p *Partition) separates(source, destination string) bool {
-	return time.Now().Before(p.Until) && (p.connects(source, destination) || p.connects(destination, source) ||
+	return time.Now().Before(p.Until) && (p.matches(source, destination) || p.matches(destination, source) ||
 		p.IsolatedHosts[source] != p.IsolatedHosts[destination])
 }
 
-// connects reports whether From and To match two hosts in this order.
-func (p *Partition) connects(from, to string) bool {
+// matches reports whether From and To match two hosts in this order.
+func (p *Partition) matches(from, to string) bool {
 	return matchesHost(p.From, from) && matchesHost(p.To, to)
 }
 
