--- a/internal/federation/digest.go
+++ b/internal/federation/digest.go
@@ -32,7 +32,7 @@
 // of the cell. It is a hint that becomes outdated; the worst effect of a wrong digest is a refused offer.
 type Digest struct {
 	ReceivedAt        time.Time      `cbor:"-"`           // when this cell received it
-	FreeCapacities    []FreeCapacity `cbor:"r,omitempty"` // the largest, up to tuning.DigestMaxShapes
+	FreeCapacities    []FreeCapacity `cbor:"r,omitempty"` // the largest, up to tuning.DigestMaxEntries
 	WaitSecondsByRank []float64      `cbor:"w,omitempty"` // expected wait of jobs that do not fit now, by rank
 	Images            []string       `cbor:"i,omitempty"` // those that many machines hold
 	FetchSecondsPerGB float64        `cbor:"f"`           // duration of an image fetch, per GB of the image
@@ -41,11 +41,11 @@
 }
 
 // LargestCapacities returns the capacities with the most free resources, largest first. It returns at most
-// tuning.DigestMaxShapes of them, which bounds the size of a digest. Capacities of equal size keep their order.
+// tuning.DigestMaxEntries of them, which bounds the size of a digest. Capacities of equal size keep their order.
 func LargestCapacities(capacities []FreeCapacity) []FreeCapacity {
 	largest := slices.Clone(capacities)
 	slices.SortStableFunc(largest, func(a, b FreeCapacity) int { return -cmp.Compare(a.weight(), b.weight()) })
-	return largest[:min(len(largest), tuning.DigestMaxShapes)]
+	return largest[:min(len(largest), tuning.DigestMaxEntries)]
 }
 
 // fittingTasks returns how many tasks of the candidate's size fit into the free capacities that the candidate
--- a/internal/federation/doc.go
+++ b/internal/federation/doc.go
@@ -9,8 +9,8 @@
 //
 // Some methods are called only by the model of the protocol in the tests, because production code makes the same
 // transitions as parts of larger transactions. HostTransfers.CanStart and Complete model the scheduling cycle.
-// HostTransfers.Forget, HomeTransfer.ReleasesHost and HomeTransfer.Reconcile model how package offload deletes
-// outcomes, acknowledges results and applies inventories.
+// HomeTransfer.Request, HostTransfers.Forget, HomeTransfer.ReleasesHost and HomeTransfer.Reconcile model how
+// package offload builds requests, deletes outcomes, acknowledges results and applies inventories.
 //
 // The leader of a cell changes a record by compare-and-swap before it reports or does anything that follows
 // from the change. A message only reports the contents of records, and may be lost, duplicated, delayed or
--- a/internal/federation/errors.go
+++ b/internal/federation/errors.go
@@ -11,7 +11,7 @@
 }
 
 func (e *EpochMismatchError) Error() string {
-	return fmt.Sprintf("cell %s: its epoch is %d, not %d: name the epoch that `cell list` shows",
+	return fmt.Sprintf("cell %s: its epoch is %d, not %d: name the epoch that was logged when the cell became lost",
 		e.Cell, e.Known, e.Received)
 }
 
--- a/internal/federation/handovermodel_test.go
+++ b/internal/federation/handovermodel_test.go
@@ -43,13 +43,15 @@
 
 // cellState is the state of one cell: the contents of its key-value store and the tasks that run in it.
 type cellState struct {
-	epochs             EpochPair
-	clean              bool // no task that was started under an earlier epoch can still run
-	inventoryReceived  bool // home has received the host's inventory under its present epoch
-	home               HomeTransfer
-	lastNumber         uint64 // number of the last transfer that home has offered
-	host               HostTransfers
-	running, completed taskSet // completed is as recorded while the cell holds the right to start the job
+	epochs            EpochPair
+	clean             bool // no task that was started under an earlier epoch can still run
+	inventoryReceived bool // home has received the host's inventory under its present epoch
+	home              HomeTransfer
+	lastNumber        uint64 // number of the last transfer that home has offered
+	host              HostTransfers
+	// running are the tasks that run in the cell. completed are those recorded as completed in the cell; the host's
+	// are cleared when it releases or ends the transfer, and those of a restored cell when it becomes clean.
+	running, completed taskSet
 }
 
 // isIdle reports whether the cell is clean and runs no task of the job.
@@ -83,17 +85,17 @@
 
 // model is one state of the model: both cells, all messages that may still arrive, and what the user knows.
 type model struct {
-	cells           [cellCount]cellState
-	snapshots       [cellCount]*cellState
-	lossesLeft      [cellCount]int // how often each cell may still lose writes
-	transfersLeft   int
-	uninterrupted   bool // the job is neither recalled nor cancelled
-	sent            map[string]modelMessage
-	cancelRequested bool
-	ranAnywhere     taskSet // completed in any cell at any time
-	reported        Result  // the result that was reported to the user
-	homeLostWrites  bool    // the lost writes may include the reported result
-	violation       string
+	cells             [cellCount]cellState
+	snapshots         [cellCount]*cellState
+	lossesLeft        [cellCount]int // how often each cell may still lose writes
+	transfersLeft     int
+	uninterrupted     bool // the job is neither recalled nor cancelled
+	sent              map[string]modelMessage
+	cancelRequested   bool
+	completedAnywhere taskSet // completed in any cell at any time
+	reported          Result  // the result that was reported to the user
+	homeLostWrites    bool    // the lost writes may include the reported result
+	violation         string
 }
 
 func newModel(losses [cellCount]int, transfers int) model {
@@ -114,7 +116,7 @@
 	}
 	return fmt.Sprint(
 		m.cells, snapshot(m.snapshots[homeCell]), snapshot(m.snapshots[hostCell]), m.lossesLeft, m.transfersLeft,
-		slices.Sorted(maps.Keys(m.sent)), m.cancelRequested, m.ranAnywhere, m.reported)
+		slices.Sorted(maps.Keys(m.sent)), m.cancelRequested, m.completedAnywhere, m.reported)
 }
 
 func (m *model) clone() model {
@@ -239,7 +241,7 @@
 func (m *model) report() {
 	m.reported = m.cells[homeCell].home.Result
 	runs := m.cells[homeCell].running != noTasks || m.cells[hostCell].running != noTasks
-	notDone := m.reported == ResultDone && m.ranAnywhere != allTasks
+	notDone := m.reported == ResultDone && m.completedAnywhere != allTasks
 	if notDone || m.reported == ResultCancelled && runs {
 		m.violation = fmt.Sprintf("result %v reported too early", m.reported)
 	}
@@ -316,7 +318,7 @@
 		case state.running[task]:
 			s.add(fmt.Sprint("end of task ", cell, task), func(next *model) {
 				next.cells[cell].running[task] = false
-				next.cells[cell].completed[task], next.ranAnywhere[task] = true, true
+				next.cells[cell].completed[task], next.completedAnywhere[task] = true, true
 			})
 			s.add(fmt.Sprint("loss of task ", cell, task), func(next *model) { next.cells[cell].running[task] = false })
 		case s.mayStart(cell) && !state.completed[task]:
--- a/internal/federation/member.go
+++ b/internal/federation/member.go
@@ -10,22 +10,22 @@
 // Member is a cell's durable record of another cell, changed only by the leader. The standing decides whether
 // jobs are offered to the other cell. It is an estimate and never proves that a job or task has ended.
 type Member struct {
-	Name               string
-	Epoch              uint64 // the highest epoch received from it
-	Standing           Standing
-	Since              time.Time // when it entered its standing, or when a return was last forgiven
-	Returns            int       // returns not forgiven yet; each one after the first doubles the probation
-	InventoryExchanged bool      // both inventories under its present epoch have been received
-	FencedEpoch        uint64    // an operator has forgotten the cell under this epoch and all earlier ones
+	Name              string
+	Epoch             uint64 // the highest epoch received from it
+	Standing          Standing
+	Since             time.Time // when it entered its standing, or when a return was last forgiven
+	Returns           int       // returns not forgiven yet; each one after the first doubles the probation
+	InventoryReceived bool      // its inventory under its present epoch was received and recorded
+	FencedEpoch       uint64    // an operator has forgotten the cell under this epoch and all earlier ones
 }
 
 // Observation is the current information about a member.
 type Observation struct {
-	Configured         bool      // the operators' settings name it
-	LastContact        time.Time // when this node last received a message from it; zero if never
-	Epoch              uint64    // the epoch that this message named
-	Draining           bool      // its operators are draining it
-	InventoryExchanged bool      // both inventories under this epoch have been received
+	Configured        bool      // the operators' settings name it
+	LastContact       time.Time // when this node last received a message from it; zero if never
+	Epoch             uint64    // the epoch that this message named
+	Draining          bool      // its operators are draining it
+	InventoryReceived bool      // its inventory under this epoch was received and recorded
 }
 
 // hasRecentContact reports whether a message arrived from the member within tuning.CellSuspectedAfter.
@@ -47,20 +47,20 @@
 }
 
 // Step returns the member after at most one transition. A member becomes suspected and then lost by silence alone.
-// When messages arrive again it is returning, and it joins after inventories have been exchanged and its
+// When messages arrive again it is returning, and it joins after its inventory has been received and its
 // probation has ended. The probation doubles with each further return that has not been forgiven.
 //
 //	from       to                   when
 //	unknown    returning            a message arrives
 //	joined     suspected            it is silent for tuning.CellSuspectedAfter
 //	joined     draining             its operators drain it
-//	suspected  joined or draining   a message arrives and inventories have been exchanged
-//	suspected  returning            a message arrives and inventories have not been exchanged
+//	suspected  joined or draining   a message arrives and its inventory has been received
+//	suspected  returning            a message arrives and its inventory has not been received
 //	suspected  lost                 it is silent for tuning.CellLostAfter
 //	lost       returning            a message arrives
 //	draining   joined               its operators end the drain
 //	draining   suspected            it is silent for tuning.CellSuspectedAfter
-//	returning  joined or draining   inventories have been exchanged and the probation has ended
+//	returning  joined or draining   its inventory has been received and the probation has ended
 //	returning  suspected            it is silent for tuning.CellSuspectedAfter
 //	removed    returning            it is configured and a message arrives under an epoch above the fenced one
 //	any        removed              it is no longer configured, or its epoch is fenced
@@ -76,8 +76,8 @@
 	case valid && observed.Epoch > m.Epoch:
 		return m.enterEpoch(observed.Epoch, now)
 	}
-	if recent && observed.Epoch == m.Epoch && observed.InventoryExchanged {
-		m.InventoryExchanged = true
+	if recent && observed.Epoch == m.Epoch && observed.InventoryReceived {
+		m.InventoryReceived = true
 	}
 	return m.stepWithinEpoch(now, observed, valid)
 }
@@ -87,7 +87,7 @@
 func (m Member) stepWithinEpoch(now time.Time, observed Observation, valid bool) Member {
 	switch m.Standing {
 	case StandingUnknown, StandingRemoved:
-		return m.stepWithoutContact(now, valid)
+		return m.stepInactive(now, valid)
 	case StandingLost:
 		return m.stepLost(now, valid)
 	case StandingJoined, StandingDraining:
@@ -115,11 +115,11 @@
 	if m.Epoch > 0 {
 		m = m.countReturn()
 	}
-	m.Epoch, m.InventoryExchanged = epoch, false
+	m.Epoch, m.InventoryReceived = epoch, false
 	return m.enter(StandingReturning, now)
 }
 
-func (m Member) stepWithoutContact(now time.Time, valid bool) Member {
+func (m Member) stepInactive(now time.Time, valid bool) Member {
 	if !valid {
 		return m
 	}
@@ -142,7 +142,7 @@
 
 func (m Member) stepSuspected(now time.Time, observed Observation) Member {
 	switch {
-	case observed.hasRecentContact(now) && m.InventoryExchanged:
+	case observed.hasRecentContact(now) && m.InventoryReceived:
 		return m.enter(observed.activeStanding(), now)
 	case observed.hasRecentContact(now):
 		return m.enter(StandingReturning, now)
@@ -156,7 +156,7 @@
 	switch {
 	case !observed.hasRecentContact(now):
 		return m.enter(StandingSuspected, now)
-	case m.InventoryExchanged && now.Sub(m.Since) >= m.probationPeriod():
+	case m.InventoryReceived && now.Sub(m.Since) >= m.probationPeriod():
 		return m.enter(observed.activeStanding(), now)
 	}
 	return m
@@ -195,7 +195,7 @@
 	case m.Standing != StandingLost && m.Standing != StandingRemoved:
 		return m, &NotLostError{Cell: m.Name, Standing: m.Standing}
 	}
-	m.FencedEpoch, m.InventoryExchanged = epoch, false
+	m.FencedEpoch, m.InventoryReceived = epoch, false
 	return m.enter(StandingRemoved, now), nil
 }
 
@@ -207,10 +207,10 @@
 	case StandingSuspected:
 		return fmt.Sprintf("a message from it; it is lost in %v", remaining(tuning.CellLostAfter, now.Sub(m.Since)))
 	case StandingLost:
-		return "a message from it, or `cell forget`"
+		return "a message from it, or its entry in <cells-forgotten>"
 	case StandingReturning:
-		if !m.InventoryExchanged {
-			return "the inventories of both cells"
+		if !m.InventoryReceived {
+			return "its inventory"
 		}
 		return fmt.Sprintf("the end of its probation in %v", remaining(m.probationPeriod(), now.Sub(m.Since)))
 	case StandingRemoved:
--- a/internal/federation/member_test.go
+++ b/internal/federation/member_test.go
@@ -33,7 +33,7 @@
 		r.silent = !r.silent
 	case 3:
 		r.observed.Epoch++
-		r.observed.InventoryExchanged = false
+		r.observed.InventoryReceived = false
 	case 4:
 		r.observed.Draining = !r.observed.Draining
 	case 5:
@@ -41,7 +41,7 @@
 	case 6:
 		r.forget(t)
 	case 7:
-		r.observed.InventoryExchanged = true
+		r.observed.InventoryReceived = true
 	}
 }
 
@@ -79,14 +79,14 @@
 // isHealthy reports whether the member must join within bounded time: it is reachable and configured, has exchanged
 // inventories, is not drained and is not forgotten.
 func (r *memberRun) isHealthy() bool {
-	return !r.silent && r.observed.Configured && r.observed.InventoryExchanged && !r.observed.Draining &&
+	return !r.silent && r.observed.Configured && r.observed.InventoryReceived && !r.observed.Draining &&
 		r.observed.Epoch > r.fencedEpoch
 }
 
 // mayAcceptOffers reports whether the observations of the member permit that jobs are offered to it.
 func (r *memberRun) mayAcceptOffers() bool {
 	return r.now.Sub(r.observed.LastContact) < tuning.CellSuspectedAfter && r.observed.Configured &&
-		r.member.Epoch > r.fencedEpoch && r.member.InventoryExchanged && r.member.Epoch == r.observed.Epoch
+		r.member.Epoch > r.fencedEpoch && r.member.InventoryReceived && r.member.Epoch == r.observed.Epoch
 }
 
 func (r *memberRun) check(t *rapid.T) {
--- a/internal/federation/standing.go
+++ b/internal/federation/standing.go
@@ -8,11 +8,11 @@
 // Standings, as they are stored in a cell's record.
 const (
 	StandingUnknown   Standing = iota // configured, but no message has arrived yet
-	StandingJoined                    // reachable, inventories exchanged: jobs are offered to it
+	StandingJoined                    // reachable, its inventory received: jobs are offered to it
 	StandingSuspected                 // silent: no new jobs are offered, and it keeps the jobs that it holds
 	StandingLost                      // silent for long: as suspected, and operators may forget it
 	StandingDraining                  // its operators drain it: it accepts no jobs and returns those not started
-	StandingReturning                 // reachable again, or under a new epoch: inventory exchange and probation
+	StandingReturning                 // reachable again, or under a new epoch: lacks its inventory or is on probation
 	StandingRemoved                   // no longer configured, or forgotten: its messages are ignored
 )
 
--- a/internal/offload/digest.go
+++ b/internal/offload/digest.go
@@ -112,11 +112,11 @@
 }
 
 // commonImages returns the images that at least one in tuning.DigestImageHolderDivisor machines holds, which are
-// those that it runs tasks of, ordered by name. It returns at most tuning.DigestMaxShapes of them.
+// those that it runs tasks of, ordered by name. It returns at most tuning.DigestMaxEntries of them.
 func (s *machineSummary) commonImages() []string {
 	var common []string
 	for _, image := range slices.Sorted(maps.Keys(s.countByImage)) {
-		if s.countByImage[image]*tuning.DigestImageHolderDivisor >= s.count && len(common) < tuning.DigestMaxShapes {
+		if s.countByImage[image]*tuning.DigestImageHolderDivisor >= s.count && len(common) < tuning.DigestMaxEntries {
 			common = append(common, image)
 		}
 	}
--- a/internal/offload/exchange.go
+++ b/internal/offload/exchange.go
@@ -109,7 +109,7 @@
 }
 
 // applyResponse applies the response to a message. It applies statuses and the inventory before it updates the cell's
-// record, so that the record says that inventories are exchanged only after the inventory is durable.
+// record, so that the record says that the inventory was received only after the inventory is durable.
 func (o *Offloader) applyResponse(ctx context.Context, cell string, message, response *Message) error {
 	epochs := federation.EpochPair{Own: message.FromEpoch, Peer: message.ToEpoch}
 	epochs, valid := epochs.Accept(response.envelope())
--- a/internal/offload/inventory.go
+++ b/internal/offload/inventory.go
@@ -13,7 +13,7 @@
 
 const (
 	keepRecord  heldJobAction = iota // the record already says that the job is offloaded to the other cell
-	awaitTasks                       // retry later: tasks are bound here, or the job is offloaded to a third cell
+	retryLater                       // tasks are bound here, or the job is offloaded to a third cell
 	writeRecord                      // write that the job is offloaded to the other cell
 )
 
@@ -29,7 +29,7 @@
 			return false, err
 		}
 		switch action {
-		case awaitTasks:
+		case retryLater:
 			complete = false
 		case writeRecord:
 			o.logger.Info("offloaded job restored from inventory",
@@ -62,7 +62,7 @@
 		return recordChange{}, keepRecord, nil
 	case job.BoundCount > 0, offloadedTo != nil && offloadedTo.Cell != cell:
 		// Tasks bound here must be released first. Their machines were deleted before this cell got its new epoch.
-		return recordChange{}, awaitTasks, nil
+		return recordChange{}, retryLater, nil
 	}
 	change.addJobRewrite(job, func(stored *record.Job) { stored.OffloadedTo = transfer })
 	return change, writeRecord, nil
--- a/internal/offload/offer.go
+++ b/internal/offload/offer.go
@@ -22,21 +22,21 @@
 	cell string
 }
 
-// offeredJob identifies a job that is offloaded when the change of its cellOffers is committed.
+// offeredJob identifies a job that is offloaded once the change of its cellOffers is committed.
 type offeredJob struct {
 	id     string
 	number uint64 // number of the transfer
 }
 
-// cellOffers holds the offers to one cell, which are committed as one change.
+// cellOffers holds the offers to one cell. They are committed as one change.
 type cellOffers struct {
 	change recordChange
 	stored record.Cell // the cell's record, updated by the transfer numbers of the offers
 	jobs   []offeredJob
 }
 
-// offerJobs records jobs as offloaded that are expected to start sooner in another cell. The next exchange sends the
-// offers, which are then durable.
+// offerJobs chooses the jobs that are expected to start sooner in another cell and records them as offloaded to it.
+// The next exchange sends the offers; by then they are durable.
 func (o *Offloader) offerJobs(ctx context.Context) error {
 	var errs []error
 	for cell, offers := range o.planOffers(time.Now()) {
@@ -188,13 +188,13 @@
 	team, known := o.teamsByName[job.Spec.Team]
 	hasLimit := team.GPUsMax != 0 || team.CPUsMax != 0
 	hasGuarantee := team.GPUs != 0 || team.CPUs != 0
-	return known && !hasLimit && !hasGuarantee && isUnstarted(job) && isPortable(&job.Spec) &&
+	return known && !hasLimit && !hasGuarantee && isLocalAndUnstarted(job) && isPortable(&job.Spec) &&
 		time.Since(job.ReadySince()) > tuning.OffloadMinWait
 }
 
-// isUnstarted reports whether a job belongs to this cell and is not offloaded, has no bound or done tasks, and is
-// stored in a single record.
-func isUnstarted(job *clusterstate.Job) bool {
+// isLocalAndUnstarted reports whether a job belongs to this cell and is not offloaded, has no bound or done tasks,
+// and is stored in a single record.
+func isLocalAndUnstarted(job *clusterstate.Job) bool {
 	return job.OffloadedFrom == nil && job.OffloadedTo == nil && job.BoundCount == 0 && job.DoneCount == 0 &&
 		job.ChunkCount() == 1 && len(job.FurtherChunkKeys()) == 0
 }
--- a/internal/offload/standing.go
+++ b/internal/offload/standing.go
@@ -14,13 +14,13 @@
 // memberOf converts a cell's record to the state machine of package federation.
 func memberOf(cell string, stored record.Cell) federation.Member {
 	return federation.Member{
-		Name:               cell,
-		Epoch:              stored.PeerEpoch,
-		Standing:           federation.Standing(stored.Standing),
-		Since:              time.UnixMilli(stored.StandingSinceMs),
-		Returns:            stored.ReturnCount,
-		InventoryExchanged: stored.InventoryReceived,
-		FencedEpoch:        stored.FencedEpoch,
+		Name:              cell,
+		Epoch:             stored.PeerEpoch,
+		Standing:          federation.Standing(stored.Standing),
+		Since:             time.UnixMilli(stored.StandingSinceMs),
+		Returns:           stored.ReturnCount,
+		InventoryReceived: stored.InventoryReceived,
+		FencedEpoch:       stored.FencedEpoch,
 	}
 }
 
@@ -34,7 +34,7 @@
 // ErrNotLeader if this node is not the leader.
 func (o *Offloader) updateStanding(ctx context.Context, cell string, evidence standingEvidence) error {
 	observed := o.observe(cell)
-	observed.InventoryExchanged = evidence.inventory != nil
+	observed.InventoryReceived = evidence.inventory != nil
 	o.clusterState.RLock()
 	stored := o.cellRecord(cell)
 	change, isLeader := o.newChange(cell)
@@ -52,7 +52,7 @@
 		setStandingGauge(cell, member.Standing)
 	}
 	next.Standing, next.ReturnCount = int(member.Standing), member.Returns
-	next.InventoryReceived = member.InventoryExchanged
+	next.InventoryReceived = member.InventoryReceived
 	next.PeerEpoch = max(next.PeerEpoch, member.Epoch, evidence.peerEpoch)
 	if evidence.inventory != nil {
 		next.LastSentTransfer = max(next.LastSentTransfer, evidence.inventory.HighestNumber)
@@ -121,7 +121,7 @@
 		return stored, fmt.Errorf("fence epoch: %w", err)
 	}
 	stored.FencedEpoch, stored.Standing = member.FencedEpoch, int(member.Standing)
-	stored.StandingSinceMs, stored.InventoryReceived = member.Since.UnixMilli(), member.InventoryExchanged
+	stored.StandingSinceMs, stored.InventoryReceived = member.Since.UnixMilli(), member.InventoryReceived
 	return stored, nil
 }
 
--- a/internal/tuning/federation.go
+++ b/internal/tuning/federation.go
@@ -12,8 +12,9 @@
 	CellExchangeInterval = time.Second
 	// CellExchangeTimeout bounds one exchange with one cell.
 	CellExchangeTimeout = 3 * time.Second
-	// CellTransfersPerMessage is the maximum number of transfers that one message has requests for. Such a message
-	// is about 50 KiB long.
+	// CellTransfersPerMessage is the maximum number of requests in a message, and of acknowledgements of results.
+	// Statuses of ended transfers are added to a response up to twice this number. A message with that many
+	// requests is about 50 KiB long.
 	CellTransfersPerMessage = 48
 	// MaxOffloadsPerExchange is the maximum number of jobs that are offloaded after each exchange of messages with
 	// all other cells.
@@ -35,8 +36,9 @@
 	CellProbation = 30 * time.Second
 	// DigestMaxAge is the age above which a digest is not used to choose a cell.
 	DigestMaxAge = 6 * time.Second
-	// DigestMaxShapes is the maximum number of shapes of free capacity in a digest. Each takes about 60 bytes.
-	DigestMaxShapes = 24
+	// DigestMaxEntries is the maximum number of free capacities in a digest, and also of images. A free capacity
+	// takes about 60 bytes.
+	DigestMaxEntries = 24
 	// OffloadGainShare is the minimum gain of an offload, as a share of the job's expected wait in this cell: the
 	// job must be expected to start that much sooner in the other cell, all delays of the transfer included.
 	OffloadGainShare = 0.25
