--- a/internal/autoscaler/autoscaler.go
+++ b/internal/autoscaler/autoscaler.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// Run returns machines to the cloud, resizes the deployment and refreshes the catalog, each every
+// Run deletes machines in the cloud, resizes the deployment and refreshes the catalog, each every
 // tuning.AutoscalerInterval, until ctx is done. It returns the context's error.
 func (a *Autoscaler) Run(ctx context.Context) error {
 	catalog := catalogRefresher{autoscaler: a}
--- a/internal/autoscaler/deletion.go
+++ b/internal/autoscaler/deletion.go
@@ -5,8 +5,8 @@
 // deleteMachines deletes, in the cloud, those machines of this node's shards that are marked for
 // deletion, which include drained ones. If tasks are still bound to one of them, it calls the cloud at once, because
 // these tasks start on another machine only after the deletion. Otherwise it calls the cloud only if a call
-// is left for urgent requests: the cloud allows few calls per second, and when deletions of single idle
-// machines used them all up, the replicas of a dead machine waited 3 s (median) for its deletion.
+// is left for urgent requests. The cloud allows few calls per second: when deletions of single idle
+// machines took all of them, replicas waited 3 s (median) until the cloud had deleted their dead machine.
 func (a *Autoscaler) deleteMachines(ctx context.Context) {
 	machines, tasksWait := a.scheduler.MachinesToDelete()
 	if len(machines) == 0 || !tasksWait && !a.cloud.HasSpareCall() {
--- a/internal/autoscaler/gangzone.go
+++ b/internal/autoscaler/gangzone.go
@@ -14,8 +14,8 @@
 	tasks int
 }
 
-// chooseGangZone chooses where machines are rented for a gang whose tasks must run in one zone. The
-// first rule that applies decides:
+// chooseSingleZone chooses where machines are rented for a job whose tasks must all run in one zone, usually
+// a gang; below, the gang is any such job. The first rule that applies decides:
 //   - If part of the gang fits in group.Zone and more machines can be rented there, machines are rented
 //     for the remaining tasks in that zone.
 //   - If some kind of machine is not known to be too scarce for a whole gang, machines are rented for the
@@ -26,7 +26,7 @@
 //
 // The third rule prevents requests to one zone after another: each would yield a few machines, which
 // would be deleted as idle, and no zone would ever hold a whole gang.
-func (a *Autoscaler) chooseGangZone(
+func (a *Autoscaler) chooseSingleZone(
 	group scheduler.UnplacedGroup, machinesInZone map[string]int, now time.Time,
 ) rentalTarget {
 	spec := group.Spec
--- a/internal/autoscaler/headroom.go
+++ b/internal/autoscaler/headroom.go
@@ -25,9 +25,9 @@
 
 // headroomTarget returns the headroom to keep free: tuning.HeadroomDeviations standard deviations of the
 // capacity that arrives within the longest boot time of a machine, estimated from the arrivals within
-// tuning.ArrivalWindow. Spot work, on-demand work, and on-demand tasks that need a whole machine are
-// counted separately, because none of them can rely on the capacity kept for another. Callers hold the
-// state's lock.
+// tuning.ArrivalWindow. The on-demand headroom is at least the operator's MinHeadroom. Spot work,
+// on-demand work, and on-demand tasks that need a whole machine are counted separately, because none of
+// them can rely on the capacity kept for another. Callers hold the state's lock.
 func (a *Autoscaler) headroomTarget(now time.Time) headroom {
 	a.recordArrivals(now)
 	var onDemand, fillsMachines, spot float64 // sums of squares
--- a/internal/autoscaler/listing.go
+++ b/internal/autoscaler/listing.go
@@ -26,7 +26,7 @@
 
 // reconcileListing compares the cloud's list of machines with the machine records, every
 // tuning.CloudListInterval. It marks machines that failed or are no longer listed as being deleted, and
-// adopts listed machines without a record, so that they are used or returned.
+// adopts listed machines without a record, so that they are used or deleted.
 func (a *Autoscaler) reconcileListing(ctx context.Context, leader wire.Condition) {
 	if time.Since(a.listing.listedAt) < tuning.CloudListInterval {
 		return
@@ -100,7 +100,7 @@
 }
 
 // deleteMachine returns the transaction that marks a machine as being deleted. The machine counts as gone
-// only once the cloud has confirmed its return.
+// only once the cloud has confirmed the deletion.
 func deleteMachine(leader wire.Condition, machine *clusterstate.Machine) kvstore.Transaction {
 	machineRecord := machine.Machine
 	machineRecord.Deleting = true
--- a/internal/autoscaler/rental.go
+++ b/internal/autoscaler/rental.go
@@ -81,11 +81,11 @@
 // resumeRentals retries the requests of pending rentals, which have no recorded response, and deletes the
 // records of rentals whose machines all have machine records. It reports whether any rental was pending.
 func (a *Autoscaler) resumeRentals(ctx context.Context, leader wire.Condition) (hasPending bool) {
-	pending, recorded := a.classifyRentals(leader)
-	a.commitAll(ctx, recorded, deleteRentalRecord)
+	pending, deletions := a.classifyRentals(leader)
+	a.commitAll(ctx, deletions, deleteRentalRecord)
 	for _, name := range slices.Sorted(maps.Keys(pending)) {
 		if err := a.requestMachines(ctx, name, pending[name]); err != nil {
-			break // the cloud is unavailable: the other requests would fail too
+			break // the cloud is probably unavailable: the other requests would fail too
 		}
 	}
 	return len(pending) > 0
@@ -122,9 +122,9 @@
 }
 
 // requestMachines requests a rental's machines from the cloud and records their names in the rental's
-// record, or deletes the record if the cloud provides none. It returns an error if the cloud did not
-// respond; the rental then stays pending. The rental also stays pending if the response can't be
-// recorded: a retried request with the same name returns the same machines.
+// record, or deletes the record if the cloud provides none or refuses the request. It returns an error if the
+// request failed otherwise, for example without a response; the rental then stays pending. It also stays
+// pending if the response can't be recorded: a retried request with the same name returns the same machines.
 func (a *Autoscaler) requestMachines(ctx context.Context, name string, rental clusterstate.Rental) error {
 	machines, err := a.cloud.Rent(ctx, wire.RentalRequest{
 		Name:        name,
--- a/internal/autoscaler/scaleoutplan.go
+++ b/internal/autoscaler/scaleoutplan.go
@@ -95,7 +95,7 @@
 	spec := group.Spec
 	target := rentalTarget{zone: spec.Zone, tasks: group.Count}
 	if spec.Zone == "" && spec.SameZone {
-		target = p.autoscaler.chooseGangZone(group, p.machinesInZone, p.now)
+		target = p.autoscaler.chooseSingleZone(group, p.machinesInZone, p.now)
 	}
 	isUrgent := group.Rank <= wire.PriorityHigh.Rank()
 	hasWaitedLong := p.now.Sub(group.ReadySince) > tuning.ScaleOutOverrideAfter
--- a/internal/autoscaler/scaleoutplan_test.go
+++ b/internal/autoscaler/scaleoutplan_test.go
@@ -156,11 +156,13 @@
 	}
 }
 
-// TestGangMachinesAreRentedInOneZone checks that, once every zone has refused machines for a whole gang,
-// only the rest of the gang is requested, in the zone where part of it fits, whenever the refusal's backoff
-// has ended. It guards against requests for the whole gang in one zone after another, which got a few
-// machines in each zone and deleted them as idle (inc-c6d1). After tuning.InsufficientCapacityBackoff the
-// other zones may have more machines, and are requested again for the whole gang.
+// TestGangMachinesAreRentedInOneZone checks which machines are requested once every zone has refused
+// machines for a whole gang. Until tuning.InsufficientCapacityBackoff has passed, only the rest of the gang
+// is requested, in the zone where part of it fits, each time that the refusal of that zone expires.
+// Afterwards the other zones may have more machines, and the whole gang is requested there again.
+//
+// The test guards against requests for the whole gang in one zone after another: each zone provided a few
+// machines, which were deleted as idle (inc-c6d1).
 func TestGangMachinesAreRentedInOneZone(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		zone := rapid.SampledFrom(testZones).Draw(rt, "zone")
--- a/internal/scheduler/machinedeletion.go
+++ b/internal/scheduler/machinedeletion.go
@@ -46,13 +46,13 @@
 		withTasks = e.appendDeletable(withTasks, name)
 	}
 	names = slices.Concat(withTasks, idle)
-	return names[:min(len(names), tuning.ReturnMaxMachines)], len(withTasks) > 0
+	return names[:min(len(names), tuning.DeletionMaxMachines)], len(withTasks) > 0
 }
 
 // appendDeletable appends a machine to names if the list is not full, the machine is this node's and its deletion is
 // not confirmed yet.
 func (e *Engine) appendDeletable(names []string, name string) []string {
-	if len(names) >= tuning.ReturnMaxMachines || e.deletedMachines.isConfirmed(name) {
+	if len(names) >= tuning.DeletionMaxMachines || e.deletedMachines.isConfirmed(name) {
 		return names
 	}
 	if _, owned := e.membership.Ownership(record.ShardOf(name, e.cluster.ShardCount)); !owned {
--- a/internal/tuning/autoscaler.go
+++ b/internal/tuning/autoscaler.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Autoscaler.
+// Constants of package autoscaler: machines, rentals and calls to the cloud.
 const (
 	// AutoscalerInterval is the interval at which the autoscaler compares the number of machines with the demand.
 	AutoscalerInterval = 500 * time.Millisecond
@@ -30,11 +30,11 @@
 	DemandMaxAge = 2 * time.Second
 	// RentalRefusalBackoff is how long a kind of machine (type, zone, spot or on demand) is not requested after a
 	// refusal. It doubles with each consecutive refusal, up to RentalRefusalBackoffMax. The maximum also bounds the
-	// time until the autoscaler notices machines that other users of the cloud have returned.
+	// time until the autoscaler notices machines that other users of the cloud have deleted.
 	RentalRefusalBackoff    = 6 * time.Second
 	RentalRefusalBackoffMax = 12 * time.Second
 	// InsufficientCapacityBackoff is how long the cloud is assumed to have too few machines of a kind for a whole gang,
-	// after it provided fewer than requested. It spans several boot times, in which other users of the cloud return
+	// after it provided fewer than requested. It spans several boot times, in which other users of the cloud delete
 	// machines that they no longer need.
 	InsufficientCapacityBackoff = time.Minute
 	// BootTimeoutFactor is the number of nominal boot times after which a machine that has not come up is replaced.
@@ -52,17 +52,18 @@
 	// CloudBudgetShare is the fraction of the cloud's allowed request rate that all nodes together use.
 	CloudBudgetShare = 0.85
 	// CloudLeaderShare is the leader's fraction of the rate that all nodes together use; the other nodes share the
-	// rest equally. At 0.6, with four calls per second allowed, each of four other nodes could make only one call in
-	// three seconds, while the leader's calls were refused.
+	// rest equally. A share of 0.6 is too large: with five nodes and four calls per second allowed, it left each of the
+	// four followers one call in three seconds, and the cloud still refused calls of the leader.
 	CloudLeaderShare = 0.45
-	// CloudCallBurst is the number of calls that a node may make at once after a pause. A call that can wait is made
-	// only while the whole burst is available, so that one call is left for urgent requests. The cloud itself allows
-	// bursts of as many calls as it allows in two seconds.
+	// CloudCallBurst is the minimum number of calls that a node may make at once after a pause; a node whose rate is
+	// higher may make as many as its rate allows in one second. A call that can wait is made only if this many calls
+	// are available, so that one is left for urgent requests. The cloud itself allows bursts of as many calls as it
+	// allows in two seconds.
 	CloudCallBurst = 2
 	// CatalogInterval is the interval at which the leader reads the catalog of machine types from the cloud.
 	CatalogInterval = 60 * time.Second
-	// ReturnMaxMachines is the largest number of machines in one return request.
-	ReturnMaxMachines = 100
+	// DeletionMaxMachines is the maximum number of machines in one deletion request.
+	DeletionMaxMachines = 100
 )
 
 // ScaleOutFractions are the fractions of the optional planned machines that the learner chooses from: 0 rents only
