--- a/internal/api/cancel.go
+++ b/internal/api/cancel.go
@@ -65,8 +65,8 @@
 	return [...]string{"nothing to mark", "requested", "marked", "confirmed"}[o]
 }
 
-// markCancelled marks a live job as cancelled or requests its cancellation. After kvstore.ErrConditionFailed or
-// errOwnersUnsettled nothing has been written; after any other error the write may or may not have been applied.
+// markCancelled marks a live job as cancelled or requests its cancellation. After errOwnersUnsettled
+// nothing has been written; the other errors are those of Committer.Commit.
 func (s *Server) markCancelled(ctx context.Context, id string) (markOutcome, error) {
 	change, err := s.newCancellation(id)
 	if err != nil || change.outcome == nothingToMark {
--- a/internal/api/cancel_test.go
+++ b/internal/api/cancel_test.go
@@ -166,11 +166,13 @@
 	}
 }
 
-// TestCancellationWithOlderVersions: nodes of an older version confirm cancellations at once. Until all nodes confirm
-// them only after release, newer nodes confirm at once too; during upgrades, polls reported a job as running
-// that had been reported as cancelled. Such a cancellation is conditional on the schema version. A cancellation that
-// was confirmed before the activation stays confirmed. One that may be the delayed write of a process that has ended
-// since is neither confirmed nor denied.
+// TestCancellationWithOlderVersions checks cancellations before and after the activation of
+// tuning.SchemaVersionConfirmedCancel. Nodes of older versions confirm a cancellation at once, newer ones only after
+// the tasks are released. Until the activation, newer nodes therefore also confirm at once; otherwise their polls
+// report a job as running that another node has reported as cancelled, as happened during upgrades. Such a
+// cancellation is conditional on the schema version. One that was confirmed before the activation stays confirmed.
+// One that was written after it may be the delayed write of a process that has ended since, and is neither confirmed
+// nor denied.
 func TestCancellationWithOlderVersions(t *testing.T) {
 	confirmedAtOnce := record.Job{Spec: testSpec(), Tasks: boundTasks(), CancelledAtMs: 5}
 	server := newTestServer()
--- a/internal/api/cancelrequests_test.go
+++ b/internal/api/cancelrequests_test.go
@@ -61,10 +61,11 @@
 
 func runningJob() record.Job { return record.Job{Spec: testSpec(), Tasks: boundTasks()} }
 
-// TestCancellationIsRequestedFirst: before tuning.SchemaVersionConfirmedCancel a job was reported as cancelled while a
-// machine was still fetching the image of a task, and the task started afterwards. A node of an older version reports
-// the job as cancelled as soon as it reads the mark. The mark is therefore not written while a task is bound: the
-// request is written to the record, the user receives 503, and the mark is written once no task is bound.
+// TestCancellationIsRequestedFirst checks how a job with bound tasks is cancelled before the activation of
+// tuning.SchemaVersionConfirmedCancel: the request is written to the job's record and the user receives 503; the job
+// is marked as cancelled once none of its tasks is bound. The mark must not be written earlier, because a node of an
+// older version reports the job as cancelled as soon as it reads the mark. A job was reported as cancelled in this
+// way while a machine was still fetching the image of a task, and the task started afterwards.
 func TestCancellationIsRequestedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer()
--- a/internal/api/errors.go
+++ b/internal/api/errors.go
@@ -13,10 +13,10 @@
 // errStoreUnavailable.
 var (
 	errNoSuchJob = errors.New("no such job")
-	// errDependencyUndecided is returned while a job may be about to be cancelled because a job that it depends on
-	// was cancelled, or while a cancellation can be neither confirmed nor denied. Its state must not be reported
-	// until its own record settles it; in particular, the job must not be called pending.
-	errDependencyUndecided = errors.New("the outcome of a dependency is undecided")
+	// errStateUndecided is returned while a job may be about to be cancelled because a job that it depends on was
+	// cancelled, or while a cancellation of the job itself can be neither confirmed nor denied. No state of the job
+	// may be reported until its own record settles it; in particular, it must not be reported as pending.
+	errStateUndecided = errors.New("the outcome of a dependency is undecided")
 	// errOwnedByOtherCell is returned for a job that was offloaded from another cell: only that cell answers users.
 	errOwnedByOtherCell = errors.New("another cell answers for the job")
 )
@@ -32,7 +32,8 @@
 // Unwrap returns the decoder's error.
 func (e *invalidRequestError) Unwrap() error { return e.Err }
 
-// rejectedError reports a job that can't be accepted, now or later.
+// rejectedError reports a submission that is refused. Unlike after an unavailableError, the client is not asked to
+// retry it.
 type rejectedError struct {
 	Reason string
 }
--- a/internal/api/errors_test.go
+++ b/internal/api/errors_test.go
@@ -23,7 +23,7 @@
 		{errBusy, http.StatusServiceUnavailable, "busy"},
 		{fmt.Errorf("wrapped: %w", errTasksStopping), http.StatusServiceUnavailable, "its tasks are being stopped"},
 		{errOwnedByOtherCell, http.StatusServiceUnavailable, "state service away"},
-		{errDependencyUndecided, http.StatusServiceUnavailable, "state service away"},
+		{errStateUndecided, http.StatusServiceUnavailable, "state service away"},
 	} {
 		recorder := httptest.NewRecorder()
 		writeError(recorder, c.err)
--- a/internal/api/finalrecords.go
+++ b/internal/api/finalrecords.go
@@ -10,8 +10,9 @@
 	"sableusher/internal/tuning"
 )
 
-// finalRecordCache reads the final records of ended jobs from the store and caches the tuning.FinalRecordCacheSize
-// records read last. Final records never change, so cached ones are never stale. It is safe for concurrent use.
+// finalRecordCache reads the final records of ended jobs from the store and caches up to tuning.FinalRecordCacheSize
+// of them; when it is full, it evicts the one cached first. Final records never change, so cached ones are never stale.
+// It is safe for concurrent use.
 type finalRecordCache struct {
 	reader kvstore.Reader
 
--- a/internal/api/server.go
+++ b/internal/api/server.go
@@ -20,8 +20,9 @@
 
 // Committer commits transactions to the key-value store.
 type Committer interface {
-	// Commit returns the revision at which a transaction was applied. kvstore.ErrConditionFailed means that it was
-	// not applied; after any other error it may or may not have been applied.
+	// Commit returns the revision at which a transaction was applied. kvstore.ErrConditionFailed
+	// and kvstore.ErrUnavailable prove that it was not applied, and after kvstore.ErrRejected it counts as not
+	// applied. After any other error it may or may not have been applied.
 	Commit(ctx context.Context, transaction kvstore.Transaction) (uint64, error)
 	// MaxRecordBytes returns the largest allowed size of a record encoded as JSON, in bytes.
 	MaxRecordBytes() int
--- a/internal/api/status.go
+++ b/internal/api/status.go
@@ -50,7 +50,7 @@
 	state := s.liveState(job)
 	undecided := s.clusterState.OutcomeUndecided(job) && state != wire.JobCancelled && state != wire.JobFailed
 	if undecided || s.isCancellationUncertain(job) {
-		return wire.JobStatus{}, true, errDependencyUndecided
+		return wire.JobStatus{}, true, errStateUndecided
 	}
 	return wire.JobStatus{ID: id, State: state, TasksDone: job.DoneCount, TasksRunning: job.BoundCount}, true, nil
 }
--- a/internal/api/submit.go
+++ b/internal/api/submit.go
@@ -24,10 +24,11 @@
 	isNew bool // whether this request, not an earlier one, created the job
 }
 
-// assessment holds what a submission depends on, read from one version of the cluster state.
+// assessment holds facts that decide how a submission is answered. They are read under a single lock of the cluster
+// state, so that they belong together.
 type assessment struct {
-	known                   bool // a live job has the submission's id
-	hasOtherDependencies    bool // that job exists and its dependencies differ from the submission's
+	isLive                  bool // a live job has the submission's id
+	dependenciesDiffer      bool // that job exists and its dependencies differ from the submission's
 	machineTypesKnown       bool
 	schemaVersion           int
 	sizeLimits              record.SizeLimits
@@ -41,10 +42,10 @@
 // of the live job: then it is rejected.
 func (s *Server) submitJob(ctx context.Context, request submission) (acceptance, error) {
 	assessed := s.assess(request)
-	if assessed.hasOtherDependencies {
+	if assessed.dependenciesDiffer {
 		return acceptance{}, &rejectedError{Reason: "another job has this id: it awaits other jobs"}
 	}
-	if !assessed.known {
+	if !assessed.isLive {
 		accepted, err := s.acceptNewJob(ctx, request, assessed)
 		if !errors.Is(err, kvstore.ErrConditionFailed) {
 			return accepted, err
@@ -63,7 +64,7 @@
 	s.clusterState.RLock()
 	defer s.clusterState.RUnlock()
 	job := s.clusterState.Jobs[spec.ID]
-	known := job != nil && job.HasRecord
+	isLive := job != nil && job.HasRecord
 	rejection := admission.Validate(spec, s.teamsByName, s.clusterState.Catalog.Types)
 	maxRetries, overLimit := s.retryPolicies.MaxRetries(spec.Class, request.requestedRetries)
 	if rejection == nil {
@@ -71,8 +72,8 @@
 	}
 	version := s.clusterState.SchemaVersion
 	return assessment{
-		known:                   known,
-		hasOtherDependencies:    known && !sameDependencies(job.Spec.Dependencies, spec.Dependencies),
+		isLive:                  isLive,
+		dependenciesDiffer:      isLive && !sameDependencies(job.Spec.Dependencies, spec.Dependencies),
 		machineTypesKnown:       len(s.clusterState.Catalog.Types) > 0,
 		schemaVersion:           version,
 		sizeLimits:              s.clusterState.SizeLimits(s.committer.UpcomingMaxRecordBytes()),
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -81,11 +81,11 @@
 	return b
 }
 
-// SetUpcomingLimits sets the limits that the store will have from a later time
-// on, none of them above the current ones. The new maximum size of transactions
-// applies at once, since every store accepts small transactions and every version
-// reads their records; the limits of records and rates apply from
-// ApplyUpcomingLimits on.
+// SetUpcomingLimits sets the limits that the store will switch to later. None may
+// exceed the current one. The upcoming maximum size of transactions applies at
+// once: the store accepts smaller transactions under the current limits too, and
+// every version reads the records that they write. The other limits apply once
+// ApplyUpcomingLimits is called.
 func (b *budget) SetUpcomingLimits(upcoming Limits) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -162,9 +162,9 @@
 }
 
 // reduceWriteRate lowers the write rate after a response with status 429, at most
-// once per tuning.WriteRateAdjustInterval. Each node that receives a 429 does so on
-// its own. Calls of SetBudgetShare raise the rate again, so that the node returns
-// to its full rate after a short overload of the store.
+// once per tuning.WriteRateAdjustInterval. Each node lowers its own rate, when it
+// receives a 429 itself. Calls of SetBudgetShare raise the rate again, so that the
+// node returns to its full rate after a short overload of the store.
 func (b *budget) reduceWriteRate() {
 	b.mu.Lock()
 	now := time.Now()
--- a/internal/kvstore/committer.go
+++ b/internal/kvstore/committer.go
@@ -91,9 +91,9 @@
 
 // Commit commits one transaction and returns the revision at which it was
 // applied. ErrConditionFailed and ErrUnavailable prove that the transaction was
-// not applied. ErrOutcomeUnknown means that it may have been applied or may still
-// be applied. ErrRejected means that the store responded with an unexpected
-// status, for example because the transaction is malformed.
+// not applied. After ErrRejected it counts as not applied: the store responded with
+// an unexpected status, for example because the transaction is malformed.
+// ErrOutcomeUnknown means that it may have been applied or may still be applied.
 func (c *Committer) Commit(ctx context.Context, transaction Transaction) (uint64, error) {
 	p := &pendingTransaction{
 		Transaction: transaction,
@@ -110,7 +110,7 @@
 		return result.revision, result.err
 	case <-ctx.Done():
 	}
-	// Only if it was still queued is it certain that it was not sent.
+	// A transaction that is still queued was certainly not sent.
 	if c.dequeue(p) {
 		return 0, ErrUnavailable
 	}
--- a/internal/kvstore/committer_test.go
+++ b/internal/kvstore/committer_test.go
@@ -30,7 +30,7 @@
 // TestCommitWaitsForTransactionInFlight checks that Commit returns the result of a
 // transaction whose context ends while it is in flight, not ErrOutcomeUnknown. Each
 // unknown outcome makes the node fence the shard, which fails all its other
-// changes; a node did so 200 times in two minutes.
+// changes. Before Commit waited, a node fenced shards 200 times in two minutes.
 func TestCommitWaitsForTransactionInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -161,9 +161,9 @@
 	watchDelay time.Duration // until the watch shows a transaction; 0: it is not applied
 }
 
-func (u *lostResponseTransport) RoundTrip(httpRequest *http.Request) (*http.Response, error) {
-	if u.watchDelay > 0 {
-		if err := u.applyLate(httpRequest.Body); err != nil {
+func (t *lostResponseTransport) RoundTrip(httpRequest *http.Request) (*http.Response, error) {
+	if t.watchDelay > 0 {
+		if err := t.applyLate(httpRequest.Body); err != nil {
 			return nil, err
 		}
 	}
@@ -171,7 +171,7 @@
 	return nil, httpRequest.Context().Err()
 }
 
-func (u *lostResponseTransport) applyLate(body io.Reader) error {
+func (t *lostResponseTransport) applyLate(body io.Reader) error {
 	encoded, err := io.ReadAll(body)
 	if err != nil {
 		return err
@@ -180,19 +180,19 @@
 	if err := wire.Decode(encoded, &transaction); err != nil {
 		return err
 	}
-	time.Sleep(u.watchDelay)
-	u.revision++
-	watchResponse := wire.WatchResponse{Revision: u.revision}
+	time.Sleep(t.watchDelay)
+	t.revision++
+	watchResponse := wire.WatchResponse{Revision: t.revision}
 	for _, op := range transaction.Ops {
 		value, err := reencode(op)
 		if err != nil {
 			return err
 		}
 		watchResponse.Events = append(watchResponse.Events, wire.Event{
-			PutKey: op.PutKey, DeleteKey: op.DeleteKey, Value: value, ModRevision: u.revision,
+			PutKey: op.PutKey, DeleteKey: op.DeleteKey, Value: value, ModRevision: t.revision,
 		})
 	}
-	u.cache.applyWatch(u.revision-1, watchResponse, time.Now())
+	t.cache.applyWatch(t.revision-1, watchResponse, time.Now())
 	return nil
 }
 
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -20,7 +20,7 @@
 	ErrCompacted = errors.New("revision compacted")
 	// ErrRejected is returned for a response with any other status than expected,
 	// for example because the request is malformed or names an expired lease. The
-	// request is considered not executed. Errors that match ErrRejected are of type
+	// request counts as not executed. Errors that match ErrRejected are of type
 	// *RejectedError.
 	ErrRejected = errors.New("request rejected")
 )
--- a/internal/kvstore/watchcache_test.go
+++ b/internal/kvstore/watchcache_test.go
@@ -66,9 +66,9 @@
 }
 
 // TestWatchCacheFollowsHistory applies overlapping watch responses and the node's
-// own changes in generated orders. The cache must never show a key that was deleted
-// at or below its revision: a late watch response has restored the deleted record
-// of a finished job.
+// own changes in generated orders. The cache must never show a key whose deletion
+// has a revision up to that of the cache. It guards against a late watch response
+// that restores the deleted record of a finished job.
 func TestWatchCacheFollowsHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		run := &cacheRun{history: drawHistory(t), sink: mapSink{}}
--- a/internal/tuning/kvstore.go
+++ b/internal/tuning/kvstore.go
@@ -17,7 +17,7 @@
 	// JSON, and CBOR is up to a third smaller than JSON.
 	TxnMaxBytes = 36 << 10
 	// RecordShareOfValueLimit is the fraction of the store's value limit that one record may use in CBOR. The limit
-	// is measured in JSON, which is longer.
+	// is measured in JSON, which is longer. Only a test of package record checks it; no record is rejected by it.
 	RecordShareOfValueLimit = 0.6
 	// TxnConditionsPerOp is the maximum number of conditions of a transaction, as a multiple of the maximum number
 	// of operations.
--- a/internal/wire/user.go
+++ b/internal/wire/user.go
@@ -65,8 +65,9 @@
 	return s == JobDone || s == JobCancelled || s == JobFailed
 }
 
-// JobSpec is the description of a job by its user, validated by DecodeSubmission. It is stored unchanged in the job's
-// record, so every new field requires a new schema version. CPUs, GPUs and MemoryGB are the resources of each task.
+// JobSpec is the description of a job by its user, validated by DecodeSubmission. It is stored in the job's record
+// unchanged except for MaxRetries, which package api sets when it accepts the job, so every new field requires a
+// new schema version. CPUs, GPUs and MemoryGB are the resources of each task.
 type JobSpec struct {
 	ID           string   `cbor:"id"`
 	Class        string   `cbor:"lot"`
@@ -97,7 +98,7 @@
 
 // JobTiming is the part of a JobSpec that describes its timing. Its fields are encoded as fields of the JobSpec.
 type JobTiming struct {
-	RuntimeEstimateSeconds    float64 `cbor:"reckon_s"`           // expected runtime of each task
+	RuntimeEstimateSeconds    float64 `cbor:"reckon_s"`           // expected run time of each task
 	CheckpointIntervalSeconds float64 `cbor:"landfall_s"`         // 0 means no checkpoints
 	CheckpointSaveSeconds     float64 `cbor:"stow_s"`             // time that a task needs to save a checkpoint
 	DeadlineSeconds           float64 `cbor:"cutoff_s,omitempty"` // counted from submission; 0 means none
