--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -76,9 +76,9 @@
 	MaxRetryBackoffSeconds float64 `xml:"pause-max-s,attr"` // longest such backoff, in seconds
 }
 
-// LoadOperator reads the operators' file; settings that the file lacks have the embedded
-// defaults. An empty path returns the defaults. Errors are those of ParseOperator and of reading
-// the file.
+// LoadOperator reads and parses the operators' file at path. Settings that the file lacks have the
+// embedded defaults; an empty path returns the defaults. LoadOperator returns the errors of reading the
+// file and of ParseOperator.
 func LoadOperator(path string) (*Operator, error) {
 	defaults, err := ParseOperator(defaultOperator, nil)
 	if err != nil {
@@ -95,8 +95,10 @@
 }
 
 // ParseOperator parses and validates operators' settings. Settings that content lacks are taken
-// from base, which is not changed and may be nil; the lists of base are never taken. It returns an
-// ElementError for unknown or repeated elements and attributes, and a ValidationError with all
+// from base, which is not changed and may be nil; the lists of base are never taken. It returns
+// the XML decoder's error for a malformed file, ErrNoRootElement for one without the root element, an
+// ElementError for elements that are unknown, repeated or have attributes where none are allowed, and
+// for attributes of list items that are unknown, repeated or missing, and a ValidationError with all
 // faults for invalid values.
 func ParseOperator(content []byte, base *Operator) (*Operator, error) {
 	operator := Operator{}
@@ -136,7 +138,8 @@
 	faults.checkElementRange("cold-payoffs", float64(op.WarmUpRewards), 0, maxWarmUpRewards)
 }
 
-// checkMachines checks the settings of the number of machines, their free capacity, and the interval of fits.
+// checkMachines checks the settings of the number of machines and of their free capacity, and also the interval
+// between fits of the learner.
 func (op *Operator) checkMachines(faults *faultCollector) {
 	faults.checkElementRange("pool-minimum", float64(op.MinMachines), 0, maxMinMachines)
 	faults.checkElementRange("pool-step", float64(op.MinHeadroom), 0, maxHeadroom)
@@ -163,8 +166,8 @@
 	}
 }
 
-// checkOwnCell checks the settings of this cell. Name and epoch are both required if one of them
-// or another cell is set.
+// checkOwnCell checks the settings of this cell, and also the number of other cells. Name and epoch are
+// both required if one of them or another cell is set.
 func (op *Operator) checkOwnCell(faults *faultCollector) {
 	if len(op.Cells) > tuning.MaxCells {
 		faults.addElement("cells", "more than %d", tuning.MaxCells)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -52,9 +52,9 @@
 		WriteRPS float64 `toml:"write_rps"` // changed keys per second
 		ValueKB  float64 `toml:"value_kb"`  // size of a value in its JSON form, in KiB
 		TxnOps   int     `toml:"txn_ops"`
-		// Next holds the limits that the key-value store will switch to at an unknown
+		// Upcoming holds the limits that the key-value store will switch to at an unknown
 		// time, without notice; nil if no change is planned.
-		Next *KVLimits `toml:"next"`
+		Upcoming *KVLimits `toml:"next"`
 	} `toml:"state"`
 	Cloud struct {
 		RPS      float64 `toml:"rps"`
@@ -67,7 +67,7 @@
 	} `toml:"machine_limits"`
 }
 
-// KVLimits are limits of the key-value store. In Deployment.State.Next, 0 means that the limit
+// KVLimits are limits of the key-value store. In Deployment.State.Upcoming, 0 means that the limit
 // does not change.
 type KVLimits struct {
 	RPS      float64 `toml:"rps"`
@@ -118,7 +118,7 @@
 }
 
 // UpcomingKVLimits returns the limits of the key-value store that writes must respect to stay
-// valid: for each limit, the smaller of the current and the planned value.
+// valid: for each limit, the smaller of the current and the upcoming value.
 func (s *Settings) UpcomingKVLimits() KVLimits {
 	state := &s.Deployment.State
 	limits := KVLimits{
@@ -127,11 +127,11 @@
 		ValueKB:  state.ValueKB,
 		TxnOps:   state.TxnOps,
 	}
-	if next := state.Next; next != nil {
-		lowerTo(&limits.RPS, next.RPS)
-		lowerTo(&limits.WriteRPS, next.WriteRPS)
-		lowerTo(&limits.ValueKB, next.ValueKB)
-		lowerTo(&limits.TxnOps, next.TxnOps)
+	if upcoming := state.Upcoming; upcoming != nil {
+		lowerTo(&limits.RPS, upcoming.RPS)
+		lowerTo(&limits.WriteRPS, upcoming.WriteRPS)
+		lowerTo(&limits.ValueKB, upcoming.ValueKB)
+		lowerTo(&limits.TxnOps, upcoming.TxnOps)
 	}
 	return limits
 }
--- a/internal/config/settings_test.go
+++ b/internal/config/settings_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestUpcomingLimits: planned limits of the key-value store are optional, may be lower than the
+// TestUpcomingLimits: upcoming limits of the key-value store are optional, may be lower than the
 // minimum of the current limits, and are validated.
 func TestUpcomingLimits(t *testing.T) {
 	with := func(next string) (*Settings, error) {
@@ -129,11 +129,11 @@
 		want KVLimits
 	}{
 		{
-			name: "no planned limits",
+			name: "no upcoming limits",
 			want: KVLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 32},
 		},
 		{
-			name: "lower planned limits",
+			name: "lower upcoming limits",
 			next: "[deployment.state.next]\nwrite_rps = 56.0\nvalue_kb = 2.0\ntxn_ops = 10",
 			want: KVLimits{RPS: 200, WriteRPS: 56, ValueKB: 2, TxnOps: 10},
 		},
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// checkTeams checks the time bound of scheduling, and the names and amounts of teams.
+// checkTeams checks the names and amounts of teams, and also the time bound of scheduling.
 func (d *Deployment) checkTeams(faults *faultCollector) {
 	faults.checkRange("deployment.time_bound_ms", d.TimeBoundMs, 0, maxTimeBoundMs)
 	names := map[string]bool{}
@@ -145,7 +145,7 @@
 		workers.LeaseS+cancelAfterLeaseSeconds, maxCancelSeconds)
 }
 
-// checkState checks the current and the planned limits of the key-value store.
+// checkState checks the current and the upcoming limits of the key-value store.
 func (d *Deployment) checkState(faults *faultCollector) {
 	const section = "deployment.state."
 	state := &d.State
@@ -153,12 +153,12 @@
 	faults.checkRange(section+"write_rps", state.WriteRPS, minStoreRPS, maxStoreRPS)
 	faults.checkRange(section+"value_kb", state.ValueKB, tuning.MinValueLimitKB, maxStoreValueKB)
 	faults.checkRange(section+"txn_ops", float64(state.TxnOps), minStoreTxnOps, maxStoreTxnOps)
-	if state.Next != nil {
-		state.Next.validate(faults)
+	if state.Upcoming != nil {
+		state.Upcoming.validate(faults)
 	}
 }
 
-// validate checks planned limits; a limit of 0 does not change and is not checked.
+// validate checks upcoming limits; a limit of 0 does not change and is not checked.
 func (l *KVLimits) validate(faults *faultCollector) {
 	checkIfSet := func(name string, value, low, high float64) {
 		if value != 0 {
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -24,8 +24,8 @@
 type PeerTransport interface {
 	scheduler.Peers
 	offload.Transport
-	// LastAnswered returns the time of the last response from a node; zero if it has never responded.
-	LastAnswered(node string) time.Time
+	// LastResponseAt returns the time of the last response from a node; zero if it has never responded.
+	LastResponseAt(node string) time.Time
 	// SetCellHandler sets the handler of messages from other cells. It must be called before Run.
 	SetCellHandler(handler peerrpc.CellHandler)
 	// Run serves calls of other nodes until ctx is done.
@@ -68,7 +68,7 @@
 	if err != nil {
 		return nil, err
 	}
-	agents.SetPeerLastAnswered(peers.LastAnswered)
+	agents.SetPeerLastAnswered(peers.LastResponseAt)
 
 	engine := scheduler.New(scheduler.Config{
 		Settings:     settings,
@@ -84,7 +84,7 @@
 	scaler := store.newAutoscaler(&c, members, engine)
 	dependencies := dependency.NewResolver(state, client, logger)
 	versions := store.newActivator(&c, members)
-	offloads := offload.New(offload.Config{
+	offloader := offload.New(offload.Config{
 		Operator:     operator,
 		Teams:        settings.Deployment.Teams,
 		ClusterState: state,
@@ -94,13 +94,13 @@
 		Logger:       logger,
 	})
 	if len(operator.Cells) > 0 {
-		peers.SetCellHandler(offloads.HandleMessage)
+		peers.SetCellHandler(offloader.HandleMessage)
 	}
 	server := store.newServer(&c, agents)
 	return &Controller{handler: server.Handler(), loops: []func(context.Context) error{
 		store.cache.Run, committer.Run, members.Run, agents.Run,
 		engine.Run, engine.RunLearner, engine.TrackRemoteImages,
-		scaler.Run, peers.Run, dependencies.Run, versions.Run, offloads.Run,
+		scaler.Run, peers.Run, dependencies.Run, versions.Run, offloader.Run,
 	}}, nil
 }
 
--- a/internal/controller/store.go
+++ b/internal/controller/store.go
@@ -34,7 +34,7 @@
 }
 
 // newStoreClient creates the client of the key-value store. It starts with an even share of the store's rates, and
-// knows the limits that the store is planned to have.
+// knows the upcoming limits of the store.
 func newStoreClient(c *Config) *kvstore.Client {
 	limits := &c.Settings.Deployment.State
 	client := kvstore.NewClient(c.Settings.Outside.State, kvstore.Limits{
--- a/internal/peerrpc/peers.go
+++ b/internal/peerrpc/peers.go
@@ -49,8 +49,8 @@
 	return machinesByImage
 }
 
-// LastAnswered returns the time of the last response from a node; zero if it has never responded.
-func (t *Transport) LastAnswered(node string) time.Time {
+// LastResponseAt returns the time of the last response from a node; zero if it has never responded.
+func (t *Transport) LastResponseAt(node string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lastResponseAt[node]
--- a/internal/simulation/fakepeers.go
+++ b/internal/simulation/fakepeers.go
@@ -37,8 +37,8 @@
 	return ctx.Err()
 }
 
-// LastAnswered returns the current time for a controller that can be reached, and the zero time for others.
-func (p fakePeers) LastAnswered(node string) time.Time {
+// LastResponseAt returns the current time for a controller that can be reached, and the zero time for others.
+func (p fakePeers) LastResponseAt(node string) time.Time {
 	if _, ok := p.reachableRegistries()[node]; ok {
 		return time.Now()
 	}
