--- a/cmd/sableusher/graph_check.go
+++ b/cmd/sableusher/graph_check.go
@@ -11,7 +11,7 @@
 	"sableusher/internal/tuning"
 )
 
-// graphChecker compiles one run of graph files without submitting it.
+// graphChecker checks graph files by compiling one run of each. It submits nothing.
 type graphChecker struct {
 	runDate string // if empty, the graph's start date is used, or else the current time
 	runID   string
--- a/cmd/sableusher/graph_test.go
+++ b/cmd/sableusher/graph_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// errFullDisk is the error of fullDisk.
+// errFullDisk is the error that writes to a fullDisk return.
 var errFullDisk = errors.New("full disk")
 
 // fullDisk is a writer whose writes fail with errFullDisk.
--- a/internal/evacuation/plan.go
+++ b/internal/evacuation/plan.go
@@ -3,8 +3,10 @@
 import "slices"
 
 // Plan returns one step for each machine, in the order in which the machines should be deleted. The
-// result does not depend on the order of machines or of their tasks. The time is O(n log n) for n
-// tasks.
+// result does not depend on the order of machines or of their tasks. Machines with replicas of services
+// take the longest: each step changes the positions of all machines that run the same services, and a
+// position is recomputed when its machine reaches the top of the heap. For n machines that each
+// run one replica of the same service, the time is O(n² log n).
 func Plan(machines []Machine) []Step {
 	remaining := make([]*Machine, 0, len(machines))
 	for i := range machines {
--- a/internal/learner/checkpoint.go
+++ b/internal/learner/checkpoint.go
@@ -23,8 +23,9 @@
 	WrittenAtMs int64 `cbor:"t,omitempty"` // Unix time
 }
 
-// Split returns the checkpoint in pieces of at most maxBytes of JSON each, to be written together. Numbers
-// are rounded to six significant digits to save space; that is precise enough to rank actions.
+// Split divides the checkpoint into pieces that take at most maxBytes each as JSON. All pieces must be written
+// together. Weights and run times are rounded to six significant digits to save space; that is precise enough to
+// rank actions.
 func (c Checkpoint) Split(maxBytes int, writtenAtMs int64) []Checkpoint {
 	splitter := newCheckpointSplitter(Checkpoint{
 		Version:     c.Version,
--- a/internal/learner/errors.go
+++ b/internal/learner/errors.go
@@ -24,8 +24,8 @@
 	WantVersion, WantWeights int // version and number of weights of this learner
 }
 
-// Error returns the versions and numbers of weights of the checkpoint and of this learner. It doesn't
-// mention the reward count: if only that is invalid, the text shows the same form twice.
+// Error returns the versions and numbers of weights of the checkpoint and of this learner. If only
+// the reward count is invalid, the text does not name the fault: it shows equal versions and equal numbers.
 func (e *CheckpointFormError) Error() string {
 	return fmt.Sprintf("checkpoint has version %d and %d weights, want version %d and %d weights",
 		e.Version, e.Weights, e.WantVersion, e.WantWeights)
--- a/internal/learner/input.go
+++ b/internal/learner/input.go
@@ -7,7 +7,7 @@
 	"sableusher/internal/tuning"
 )
 
-// State is the state s in which an action is chosen (paper, section 3.1).
+// State is the state s in which an action is chosen (section 3.1 of the paper).
 type State struct {
 	RunningWorkSeconds float64            // remaining work of running tasks, in machine seconds
 	NextFreeSeconds    float64            // time until a machine is expected to become free
--- a/internal/learner/learner_test.go
+++ b/internal/learner/learner_test.go
@@ -18,22 +18,22 @@
 }
 
 func drawStateAndAction(t *rapid.T) (*State, *Action) {
-	f := rapid.Float64()
+	float := rapid.Float64()
 	state := &State{
-		RunningWorkSeconds: f.Draw(t, "running"),
-		NextFreeSeconds:    f.Draw(t, "next"),
-		BacklogSeconds:     f.Draw(t, "backlog"),
-		IdleMachines:       f.Draw(t, "idle"),
-		TeamShares:         rapid.MapOf(rapid.String(), f).Draw(t, "shares"),
+		RunningWorkSeconds: float.Draw(t, "running"),
+		NextFreeSeconds:    float.Draw(t, "next"),
+		BacklogSeconds:     float.Draw(t, "backlog"),
+		IdleMachines:       float.Draw(t, "idle"),
+		TeamShares:         rapid.MapOf(rapid.String(), float).Draw(t, "shares"),
 	}
 	action := &Action{
 		Class:         rapid.String().Draw(t, "class"),
 		Team:          rapid.String().Draw(t, "team"),
-		RunSeconds:    f.Draw(t, "run"),
+		RunSeconds:    float.Draw(t, "run"),
 		Interactive:   rapid.Bool().Draw(t, "interactive"),
 		IsScaling:     rapid.Bool().Draw(t, "size"),
-		ScaleFraction: f.Draw(t, "fraction"),
-		Machines:      f.Draw(t, "machines"),
+		ScaleFraction: float.Draw(t, "fraction"),
+		Machines:      float.Draw(t, "machines"),
 	}
 	return state, action
 }
@@ -42,13 +42,13 @@
 // 0 and 1.
 func TestInputsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		u := encodeInput(drawStateAndAction(t))
-		if len(u) != inputWidth {
-			t.Fatalf("input has %d entries", len(u))
+		input := encodeInput(drawStateAndAction(t))
+		if len(input) != inputWidth {
+			t.Fatalf("input has %d entries", len(input))
 		}
-		for i, v := range u {
-			if !(v >= 0 && v <= 1) {
-				t.Fatalf("input entry %d is %v, want 0 to 1", i, v)
+		for i, value := range input {
+			if !(value >= 0 && value <= 1) {
+				t.Fatalf("input entry %d is %v, want 0 to 1", i, value)
 			}
 		}
 	})
@@ -57,19 +57,19 @@
 // TestReservoirForgetsItsInitialState checks that two reservoir states converge under the same inputs.
 func TestReservoirForgetsItsInitialState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := newReservoir(rapid.Uint64().Draw(t, "seed"))
-		a, b := make([]float64, tuning.ReservoirUnits), make([]float64, tuning.ReservoirUnits)
-		for i := range b {
-			b[i] = 1
+		reservoir := newReservoir(rapid.Uint64().Draw(t, "seed"))
+		stateA, stateB := make([]float64, tuning.ReservoirUnits), make([]float64, tuning.ReservoirUnits)
+		for i := range stateB {
+			stateB[i] = 1
 		}
-		s, act := drawStateAndAction(t)
-		u := encodeInput(s, act)
+		state, action := drawStateAndAction(t)
+		input := encodeInput(state, action)
 		for range 60 {
-			a, b = r.nextState(a, u), r.nextState(b, u)
+			stateA, stateB = reservoir.nextState(stateA, input), reservoir.nextState(stateB, input)
 		}
-		for i := range a {
-			if math.Abs(a[i]-b[i]) > 1e-3 {
-				t.Fatalf("unit %d still depends on the initial state: %v and %v", i, a[i], b[i])
+		for i := range stateA {
+			if math.Abs(stateA[i]-stateB[i]) > 1e-3 {
+				t.Fatalf("unit %d still depends on the initial state: %v and %v", i, stateA[i], stateB[i])
 			}
 		}
 	})
@@ -78,19 +78,19 @@
 // TestScoringDoesNotChangeTheReservoir checks that the reservoir's state changes when an action is taken, and
 // not when it is scored.
 func TestScoringDoesNotChangeTheReservoir(t *testing.T) {
-	l := newTestLearner(0, 0)
-	s, a := &State{IdleMachines: 3}, &Action{Class: "x", RunSeconds: 10}
-	before := append([]float64(nil), l.reservoirState...)
-	c := l.Score(s, a)
+	learner := newTestLearner(0, 0)
+	state, action := &State{IdleMachines: 3}, &Action{Class: "x", RunSeconds: 10}
+	before := append([]float64(nil), learner.reservoirState...)
+	candidate := learner.Score(state, action)
 	for i := range before {
-		if l.reservoirState[i] != before[i] {
+		if learner.reservoirState[i] != before[i] {
 			t.Fatal("scoring changed the reservoir's state")
 		}
 	}
-	l.TakeAction(c)
+	learner.TakeAction(candidate)
 	changed := false
 	for i := range before {
-		changed = changed || l.reservoirState[i] != before[i]
+		changed = changed || learner.reservoirState[i] != before[i]
 	}
 	if !changed {
 		t.Fatal("taking an action did not change the reservoir's state")
@@ -100,22 +100,22 @@
 // TestHigherRewardGetsHigherValue checks that of two classes the one with the higher reward gets the higher
 // value.
 func TestHigherRewardGetsHigherValue(t *testing.T) {
-	l := newTestLearner(0.05, 10)
-	s := &State{}
+	learner := newTestLearner(0.05, 10)
+	state := &State{}
 	classes := map[string]float64{"pays": 1, "costs": 0}
 	for round := range 40 {
 		for range 20 {
-			for c, r := range classes {
-				l.Reward(l.TakeAction(l.Score(s, &Action{Class: c, RunSeconds: 10})), r)
+			for class, reward := range classes {
+				learner.Reward(learner.TakeAction(learner.Score(state, &Action{Class: class, RunSeconds: 10})), reward)
 			}
 		}
-		if err := l.Refit(); err != nil {
+		if err := learner.Refit(); err != nil {
 			t.Fatalf("round %d: %v", round, err)
 		}
 	}
-	good := l.Score(s, &Action{Class: "pays", RunSeconds: 10}).Value
-	bad := l.Score(s, &Action{Class: "costs", RunSeconds: 10}).Value
-	if good <= bad+0.1 || !l.Warm() {
+	good := learner.Score(state, &Action{Class: "pays", RunSeconds: 10}).Value
+	bad := learner.Score(state, &Action{Class: "costs", RunSeconds: 10}).Value
+	if good <= bad+0.1 || !learner.Warm() {
 		t.Fatalf("the class with the higher reward has the value %v, the other class %v", good, bad)
 	}
 }
@@ -123,19 +123,19 @@
 // TestFailedFitKeepsWeights checks that a refit with a sample that is not finite fails and leaves the values
 // unchanged.
 func TestFailedFitKeepsWeights(t *testing.T) {
-	l := newTestLearner(0, 0)
+	learner := newTestLearner(0, 0)
 	for range 100 {
-		l.Reward(l.TakeAction(l.Score(&State{}, &Action{Class: "a"})), 0.5)
+		learner.Reward(learner.TakeAction(learner.Score(&State{}, &Action{Class: "a"})), 0.5)
 	}
-	if err := l.Refit(); err != nil {
+	if err := learner.Refit(); err != nil {
 		t.Fatal(err)
 	}
-	want := l.Score(&State{}, &Action{Class: "a"}).Value
-	l.samples[0].target = math.NaN()
-	if err := l.Refit(); err == nil {
+	want := learner.Score(&State{}, &Action{Class: "a"}).Value
+	learner.samples[0].target = math.NaN()
+	if err := learner.Refit(); err == nil {
 		t.Fatal("a refit with a NaN target succeeded")
 	}
-	if got := l.Score(&State{}, &Action{Class: "a"}).Value; got != want {
+	if got := learner.Score(&State{}, &Action{Class: "a"}).Value; got != want {
 		t.Fatalf("value %v became %v", want, got)
 	}
 }
@@ -143,9 +143,9 @@
 // TestInvalidCheckpointsAreRejected checks that Restore rejects a checkpoint of another version, with another number
 // of weights, with a weight that is not finite, or with a negative reward count.
 func TestInvalidCheckpointsAreRejected(t *testing.T) {
-	l := newTestLearner(0, 0)
-	good := l.Save()
-	if err := l.Restore(good); err != nil {
+	learner := newTestLearner(0, 0)
+	good := learner.Save()
+	if err := learner.Restore(good); err != nil {
 		t.Fatal(err)
 	}
 	for name, corrupt := range map[string]func(*Checkpoint){
@@ -155,9 +155,9 @@
 		"reward count":      func(s *Checkpoint) { s.RewardCount = -1 },
 		"empty":             func(s *Checkpoint) { *s = Checkpoint{} },
 	} {
-		s := good
-		corrupt(&s)
-		if l.Restore(s) == nil {
+		corrupted := good
+		corrupt(&corrupted)
+		if learner.Restore(corrupted) == nil {
 			t.Errorf("%s: invalid checkpoint was restored", name)
 		}
 	}
@@ -167,21 +167,21 @@
 // the class's bias, until tuning.EstimateMinRuns runs are recorded, and then the median. Run times that are not
 // positive and finite are ignored.
 func TestRunTimeIsMedianOfCompletedRuns(t *testing.T) {
-	e := NewRunTimeEstimates()
-	if got := e.ExpectedRunSeconds("a", 100); got != 100 {
+	estimates := NewRunTimeEstimates()
+	if got := estimates.ExpectedRunSeconds("a", 100); got != 100 {
 		t.Fatalf("expected run time without runs is %v, want 100", got)
 	}
-	e.RecordRun("a", 50, 100)
-	if got := e.ExpectedRunSeconds("a", 200); got != 100 {
+	estimates.RecordRun("a", 50, 100)
+	if got := estimates.ExpectedRunSeconds("a", 200); got != 100 {
 		t.Fatalf("expected run time after one run of half its estimate is %v, want 100", got)
 	}
-	for _, r := range []float64{math.NaN(), -1, 0, math.Inf(1)} {
-		e.RecordRun("a", r, 100)
+	for _, seconds := range []float64{math.NaN(), -1, 0, math.Inf(1)} {
+		estimates.RecordRun("a", seconds, 100)
 	}
 	for range tuning.EstimateMinRuns {
-		e.RecordRun("a", 300, 100)
+		estimates.RecordRun("a", 300, 100)
 	}
-	if got := e.ExpectedRunSeconds("a", 1); got != 300 {
+	if got := estimates.ExpectedRunSeconds("a", 1); got != 300 {
 		t.Fatalf("expected run time is %v, want the median 300", got)
 	}
 }
@@ -201,13 +201,13 @@
 		maxBytes := rapid.IntRange(600, 4000).Draw(t, "max bytes")
 		pieces := in.Split(maxBytes, 5)
 		var out Checkpoint
-		for i, p := range pieces {
-			b := wire.MustEncode(p)
-			if n := wire.JSONSize(b); n > maxBytes {
-				t.Fatalf("a piece takes %d bytes, the limit is %d", n, maxBytes)
+		for i, piece := range pieces {
+			encoded := wire.MustEncode(piece)
+			if size := wire.JSONSize(encoded); size > maxBytes {
+				t.Fatalf("a piece takes %d bytes, the limit is %d", size, maxBytes)
 			}
 			var read Checkpoint
-			if err := wire.Decode(b, &read); err != nil {
+			if err := wire.Decode(encoded, &read); err != nil {
 				t.Fatal(err)
 			}
 			if i == 0 {
@@ -221,9 +221,9 @@
 			len(out.EstimateRatios) != len(in.EstimateRatios) {
 			t.Fatalf("checkpoint %+v became %+v", in, out)
 		}
-		for i, w := range in.Weights {
-			if math.Abs(out.Weights[i]-w) > 1e-5*math.Abs(w) {
-				t.Fatalf("weight %v became %v", w, out.Weights[i])
+		for i, weight := range in.Weights {
+			if math.Abs(out.Weights[i]-weight) > 1e-5*math.Abs(weight) {
+				t.Fatalf("weight %v became %v", weight, out.Weights[i])
 			}
 		}
 		other := pieces[0]
--- a/internal/learner/reservoir.go
+++ b/internal/learner/reservoir.go
@@ -13,7 +13,7 @@
 	weight float64
 }
 
-// reservoir is a recurrent layer with fixed random weights (paper, section 4). Its seed must not change
+// reservoir is a recurrent layer with fixed random weights (section 4 of the paper). Its seed must not change
 // between restarts: the saved weights of a readout belong to one reservoir.
 type reservoir struct {
 	recurrent [][]connection // connections from units, by target unit
--- a/internal/tuning/learner.go
+++ b/internal/tuning/learner.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Learner.
+// Constants of package learner, and of the learned values that package scheduler uses.
 const (
-	// ReservoirUnits is the number of units of the reservoir, as in the paper.
+	// ReservoirUnits is the number of units of the reservoir, as in the paper that package learner follows.
 	ReservoirUnits = 100
 	// ReservoirDensity is the probability of a connection between two units of the reservoir, as in the paper.
 	ReservoirDensity = 0.10
