--- a/internal/tuning/learner.go
+++ b/internal/tuning/learner.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Learner.
+// Constants of package learner, and of the learned values that package scheduler uses.
 const (
 	// ReservoirUnits is the number of units of the reservoir, as in the paper cited in docs/design.md.
 	ReservoirUnits = 100
