--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -52,9 +52,9 @@
 		WriteRPS float64 `toml:"write_rps"` // changed keys per second
 		ValueKB  float64 `toml:"value_kb"`  // size of a value in its JSON form, in KiB
 		TxnOps   int     `toml:"txn_ops"`
-		// Upcoming holds the limits that the key-value store will switch to at an unknown
+		// Next holds the limits that the key-value store will switch to at an unknown
 		// time, without notice; nil if no change is planned.
-		Upcoming *KVLimits `toml:"next"`
+		Next *KVLimits `toml:"next"`
 	} `toml:"state"`
 	Cloud struct {
 		RPS      float64 `toml:"rps"`
@@ -67,7 +67,7 @@
 	} `toml:"machine_limits"`
 }
 
-// KVLimits are limits of the key-value store. In Deployment.State.Upcoming, 0 means that the limit
+// KVLimits are limits of the key-value store. In Deployment.State.Next, 0 means that the limit
 // does not change.
 type KVLimits struct {
 	RPS      float64 `toml:"rps"`
@@ -127,7 +127,7 @@
 		ValueKB:  state.ValueKB,
 		TxnOps:   state.TxnOps,
 	}
-	if upcoming := state.Upcoming; upcoming != nil {
+	if upcoming := state.Next; upcoming != nil {
 		lowerTo(&limits.RPS, upcoming.RPS)
 		lowerTo(&limits.WriteRPS, upcoming.WriteRPS)
 		lowerTo(&limits.ValueKB, upcoming.ValueKB)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -153,8 +153,8 @@
 	faults.checkRange(section+"write_rps", state.WriteRPS, minStoreRPS, maxStoreRPS)
 	faults.checkRange(section+"value_kb", state.ValueKB, tuning.MinValueLimitKB, maxStoreValueKB)
 	faults.checkRange(section+"txn_ops", float64(state.TxnOps), minStoreTxnOps, maxStoreTxnOps)
-	if state.Upcoming != nil {
-		state.Upcoming.validate(faults)
+	if state.Next != nil {
+		state.Next.validate(faults)
 	}
 }
 
--- a/internal/simulation/upgrade_test.go
+++ b/internal/simulation/upgrade_test.go
@@ -31,7 +31,7 @@
 func upgradeSettings(index int) *config.Settings {
 	settings := testSettings(index)
 	limits := loweredLimits
-	settings.Deployment.State.Upcoming = &limits
+	settings.Deployment.State.Next = &limits
 	return settings
 }
 
