--- a/internal/golden/submissions_test.go
+++ b/internal/golden/submissions_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// writeSubmission writes the job description that a body is decoded to, or the error for which it is refused.
+// writeSubmission writes the job description that a body is decoded to, or the error for which it is rejected.
 func writeSubmission(out *strings.Builder, name string, body []byte) {
 	spec, err := wire.DecodeSubmission(body)
 	if err != nil {
@@ -36,7 +36,7 @@
 	fmt.Fprintf(out, "%s: %x\n", name, wire.MustEncode(spec))
 }
 
-// TestSubmissions checks that submissions are decoded to the same job descriptions and refused with the same messages.
+// TestSubmissions checks that submissions are decoded to the same job descriptions and rejected with the same messages.
 // Messages of the codec contain the name of the type that a submission is decoded into, so this type can't be renamed.
 func TestSubmissions(t *testing.T) {
 	var out strings.Builder
@@ -62,7 +62,7 @@
 	checkText(t, "submissions.txt", out.String())
 }
 
-// writeMaxRetries writes the number of retries that a body requests, or the error for which it is refused.
+// writeMaxRetries writes the number of retries that a body requests, or the error for which it is rejected.
 func writeMaxRetries(out *strings.Builder, given any, body []byte) {
 	requested, err := wire.DecodeMaxRetries(body)
 	if requested != nil {
--- a/internal/graph/fault_test.go
+++ b/internal/graph/fault_test.go
@@ -166,7 +166,7 @@
 
 // TestFaultsAreReported checks that all faults of a file are reported at once, each with the
 // line of the invalid value. Parse reports the faults that do not depend on a run, and Compile
-// the others. A fault for which a native job would be refused has the same text as the refusal of
+// the others. A fault for which a native job would be rejected has the same text as the rejection of
 // a direct submission.
 func TestFaultsAreReported(t *testing.T) {
 	for _, test := range faultyFiles {
--- a/internal/graph/jobspec.go
+++ b/internal/graph/jobspec.go
@@ -24,7 +24,7 @@
 }
 
 // build returns the job without its id and dependencies. It adds a fault for each reason for
-// which the job's submission would be refused.
+// which the job's submission would be rejected.
 func (b *specBuilder) build() wire.JobSpec {
 	faultsBefore := len(b.faults.faults)
 	spec := b.render()
--- a/internal/offload/doc.go
+++ b/internal/offload/doc.go
@@ -7,7 +7,7 @@
 //
 // Every change is a compare-and-swap on the leader's shard record, the record of the other cell and the record of
 // the job, so that a deposed leader changes nothing (safety invariants 11, 12 and 17). Nothing is sent before it
-// is durable. A transaction without a response is treated as neither applied nor refused: the next exchange starts
+// is durable. A transaction without a response is treated as neither applied nor rejected: the next exchange starts
 // from the records alone (invariants 22 and 27). If the operators' settings name no other cells, Run exchanges
 // nothing.
 package offload
--- a/internal/offload/driver_test.go
+++ b/internal/offload/driver_test.go
@@ -84,8 +84,8 @@
 	return changed
 }
 
-// TestDeposedLeaderChangesNothing checks that the transactions of a deposed leader are refused, and that the
-// condition on the leader's record is what refuses them.
+// TestDeposedLeaderChangesNothing checks that the transactions of a deposed leader are rejected, and that the
+// condition on the leader's record is what rejects them.
 func TestDeposedLeaderChangesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		if changed := deposedLeaderChanges(t, ""); len(changed) > 0 {
--- a/internal/wire/user.go
+++ b/internal/wire/user.go
@@ -117,7 +117,7 @@
 	TasksRunning int      `cbor:"running"`
 }
 
-// ErrorResponse tells a client why its request was refused.
+// ErrorResponse tells a client why its request was rejected.
 type ErrorResponse struct {
 	Message string `cbor:"error"`
 }
