--- a/cmd/knownfailures/main.go
+++ b/cmd/knownfailures/main.go
@@ -29,7 +29,7 @@
 	if errors.As(err, &listErr) || errors.As(err, &runErr) {
 		return exitWrongList
 	}
-	return command.ExitUsageError
+	return command.ExitFailure
 }
 
 func newCommand() *cobra.Command {
--- a/cmd/regress/main.go
+++ b/cmd/regress/main.go
@@ -29,7 +29,7 @@
 	if errors.Is(err, errRegressed) {
 		return exitRegressed
 	}
-	return command.ExitUsageError
+	return command.ExitFailure
 }
 
 // options holds the values of the command's flags.
@@ -62,8 +62,8 @@
 	return root
 }
 
-// check sets the default path of the bench and returns an error if the flags contradict each other.
-func (o *options) check() error {
+// complete sets the default path of the bench and returns an error if the flags contradict each other.
+func (o *options) complete() error {
 	plan := &o.plan
 	if plan.BenchProgram == "" {
 		plan.BenchProgram = filepath.Join(plan.KitDir, "kit", "more", "hunt", "bin", "fleetbench")
@@ -78,7 +78,7 @@
 
 // run carries out the plan and prints the comparisons, including those made before an error.
 func (o *options) run(cmd *cobra.Command, _ []string) error {
-	if err := o.check(); err != nil {
+	if err := o.complete(); err != nil {
 		return err
 	}
 	comparisons, err := o.compare(cmd.Context())
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -12,8 +12,8 @@
 	"github.com/spf13/cobra"
 )
 
-// ExitUsageError is the exit status of a tool that was called with invalid arguments or could not do its work.
-const ExitUsageError = 2
+// ExitFailure is the exit status of a tool that was called with invalid arguments or could not do its work.
+const ExitFailure = 2
 
 // Run executes the root command of a tool and returns the exit status. This is 0 if the command succeeds. Otherwise
 // Run prints the error to standard error and returns what exitStatus returns for it.
--- a/internal/knownfailures/errors.go
+++ b/internal/knownfailures/errors.go
@@ -16,9 +16,9 @@
 
 // Reasons why the separate run of a listed test does not show the known failure; RunError wraps them.
 var (
-	ErrNotRun  = errors.New("no such test: go test ran nothing")
-	ErrCrashed = errors.New("the test binary crashed or timed out")
-	ErrBroken  = errors.New("go test failed for a reason other than this test, such as a build error or another test")
+	ErrNotRun       = errors.New("no such test: go test ran nothing")
+	ErrCrashed      = errors.New("the test binary crashed or timed out")
+	ErrOtherFailure = errors.New("go test failed for a reason other than this test, such as a build error or another test")
 )
 
 // LineError is returned for an invalid line of the list.
--- a/internal/knownfailures/outcome.go
+++ b/internal/knownfailures/outcome.go
@@ -35,7 +35,7 @@
 	case succeeded:
 		return PassesNow, nil
 	case !reports(output, "--- FAIL:", test.Name):
-		return Fails, &RunError{test, ErrBroken}
+		return Fails, &RunError{test, ErrOtherFailure}
 	}
 	return Fails, nil
 }
--- a/internal/simulation/fakekv.go
+++ b/internal/simulation/fakekv.go
@@ -44,8 +44,8 @@
 	// UnconfirmedWritesRead counts how often a watch of another controller returned a write of a transaction whose
 	// response was lost.
 	UnconfirmedWritesRead int
-	// LateWritesApplied counts the transactions that were delayed by a fault.
-	LateWritesApplied int
+	// DelayedTransactions counts the transactions that were delayed by a fault.
+	DelayedTransactions int
 }
 
 // kvLease is a lease. The keys attached to it are deleted when it expires.
--- a/internal/simulation/fakekv_faults.go
+++ b/internal/simulation/fakekv_faults.go
@@ -79,6 +79,6 @@
 	if r.URL.Path == pathTransaction && kv.faults.lateWrites.occurs() {
 		kv.sleepUnlocked(kv.faults.lateWrites.duration(2*time.Second, 12*time.Second))
 		loseResponse(w)
-		kv.LateWritesApplied++
+		kv.DelayedTransactions++
 	}
 }
--- a/internal/simulation/heartbeatfaults.go
+++ b/internal/simulation/heartbeatfaults.go
@@ -84,13 +84,13 @@
 	defer r.mu.Unlock()
 	captured := r.heartbeats.captured
 	r.heartbeats.captured = map[string]capturedHeartbeat{}
-	first := 0
+	beforeLive := 0
 	for machine, heartbeat := range captured {
 		if agent := r.agents[machine]; agent != nil && agent.lastHeartbeat.Equal(heartbeat.sentAt) {
-			first++
+			beforeLive++
 		}
 	}
 	r.heartbeats.copies += len(captured) * len(r.controllers)
-	r.Checker.Observe(ObservedCopyBeforeLiveHeartbeat, first)
+	r.Checker.Observe(ObservedCopyBeforeLiveHeartbeat, beforeLive)
 	return captured
 }
